--- a/src/logic/mod.rs
+++ b/balancer/src/lib.rs
@@ -10,6 +10,8 @@
 mod server_list;
 mod session;
 mod slow_start;
+mod tools;
+pub mod types;
 
 use crate::tools::{mix, Arrivals, Chance, Flow, Least, Ring};
 use crate::types::*;
--- a/config/src/at.rs
+++ b/config/src/at.rs
@@ -1,5 +1,5 @@
 //! A place in a JSON text that knows its own path, so that a complaint can name the faulty key.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use serde_json::Value;
 
 #[derive(Clone)]
--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,6 +1,6 @@
 //! Turns a relay's settings, in the words of the wire, into the facts that the program reads.
 use crate::at::At;
-use hallrelay::types::{Listener, Micros, Repeat, Report, SiteFacts, Within};
+use hallrelay_balancer::types::{Listener, Micros, Repeat, Report, SiteFacts, Within};
 
 /// What the settings tell, beyond the module's facts, of names and of time on sockets.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What a relay is told of the other relays: where it may meet them, and by which name their fleet goes.
 use crate::at::At;
-use hallrelay::types::Micros;
-use hallrelay_grants::{Budget, Kind, Scope, BUDGETS};
+use hallrelay_balancer::types::Micros;
+use hallrelay_disruption::{Budget, Kind, Scope, BUDGETS};
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/config/src/limits.rs
+++ b/config/src/limits.rs
@@ -1,6 +1,6 @@
 //! Sizes, counts and times that bound the program: filled once at start and handed down.
 use crate::facts::Site;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends in discovery's form, as it stands in the start-up text and in each line of a watch.
 use crate::at::At;
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
--- a/config/src/plan.rs
+++ b/config/src/plan.rs
@@ -1,5 +1,5 @@
 //! A release's plan: a TOML text, checked with file, line and key.
-use hallrelay_grants::{Judge, Kind, Plan, Wave};
+use hallrelay_disruption::{Judge, Kind, Plan, Wave};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -7,7 +7,7 @@
 pub use read::parse;
 pub use trouble::{Fault, Trouble, TroubleKind};
 
-use hallrelay::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Micros, Repeat, Within};
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
--- a/grants/tests/table.rs
+++ b/disruption/tests/table.rs
@@ -1,5 +1,7 @@
 //! Who is granted what, case by case.
-use hallrelay_grants::{Budget, Command, Condition, Fault, Kind, Outcome, Place, Scope, Stage, State, Thing};
+use hallrelay_disruption::{
+    Budget, Command, Condition, Fault, Kind, Outcome, Place, Scope, Stage, State, Thing,
+};
 
 fn relay(name: &str) -> Thing {
     Thing::Relay(name.to_string())
--- a/emulator/src/audit.rs
+++ b/emulator/src/audit.rs
@@ -1,6 +1,6 @@
 //! The auditor: sees both sides of each session and the list, and proves or disproves the four rules. It
 //! shares nothing with relay and module, and knows them only by what passes.
-use hallrelay::types::{Micros, Phase, Repeat, Within};
+use hallrelay_balancer::types::{Micros, Phase, Repeat, Within};
 use hallrelay_config::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/emulator/src/beliefs.rs
+++ b/emulator/src/beliefs.rs
@@ -1,8 +1,8 @@
 //! What the relays believe of each other, beside what was so: judged from outside, by what the rig itself did
 //! and by what each process says of itself. No I/O.
 use crate::node::{name, number};
-use hallrelay::types::Micros;
-use hallrelay_fleet::status::Status;
+use hallrelay_balancer::types::Micros;
+use hallrelay_membership::status::Status;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients and the front that deals them out over the relays. No I/O: open-loop arrivals, lives, what each
 //! does after an answer, a move or a break.
 use crate::tools::{Chance, Queue};
-use hallrelay::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Micros, Repeat, Within};
 use hallrelay_config::scenario::Scenario;
 use std::collections::{BTreeMap, HashMap};
 
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -6,7 +6,7 @@
 use crate::script::{Act, Deed};
 use crate::servers::{Servers, Told};
 use crate::service::{Outcome, Service};
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 
 pub struct Day {
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -1,7 +1,7 @@
 //! The ways between relays, each directed pair by itself: what is cut, lost, doubled, late, out of order,
 //! damaged or held. No I/O: what is sent comes back with the times at which it arrives.
 use crate::tools::Chance;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/emulator/src/list.rs
+++ b/emulator/src/list.rs
@@ -1,5 +1,5 @@
 //! The list of servers as the list service knows it: late, by versions, whole or what has changed.
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::word;
 use serde_json::{json, Value};
 
--- a/emulator/src/net/bad.rs
+++ b/emulator/src/net/bad.rs
@@ -2,7 +2,7 @@
 use super::lines::{self, Lines};
 use super::Shared;
 use crate::tools::Chance;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::BadSort;
 use std::time::Duration;
 use tokio::net::TcpStream;
--- a/emulator/src/net/links.rs
+++ b/emulator/src/net/links.rs
@@ -2,7 +2,7 @@
 //! send it comes first; the rig tells the sender by its address, and sends on from the sender's own.
 use super::{free_port, Shared};
 use crate::links::Arrival;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -15,7 +15,7 @@
 use crate::script::Deed;
 use crate::servers::{ConnNo, Told, Word};
 use crate::service::BadFigures;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/emulator/src/script.rs
+++ b/emulator/src/script.rs
@@ -2,7 +2,7 @@
 //! overlap, and each ends by itself.
 use crate::links::{Harm, Ways};
 use crate::tools::{Chance, Queue};
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::{Drains, Fault, Scenario, Trouble, TroubleKind};
 use std::rc::Rc;
 
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,6 +1,6 @@
 //! One server: what it can do, what is asked of it, what piled up. Loads are whole millionths of a core of
 //! speed 1, work is such a load times microseconds, so that sums are exact.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 
 /// Millionths of a core of speed 1.
 pub type Cores = u64;
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -7,7 +7,7 @@
 use crate::script::{self, Act};
 use crate::server::{Cores, Life, Machine, Server, Work, CORE};
 use crate::tools::{Chance, Queue};
-use hallrelay::types::{Micros, Phase, Report};
+use hallrelay_balancer::types::{Micros, Phase, Report};
 use hallrelay_config::scenario::{Drains, Fault, Scenario, Warms};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -4,7 +4,7 @@
 use crate::clients::Clients;
 use crate::script;
 use crate::servers::{Servers, Told};
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 
--- a/emulator/src/tools.rs
+++ b/emulator/src/tools.rs
@@ -1,5 +1,5 @@
 //! Chance, and events in the order of their times.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/emulator/tests/models.rs
+++ b/emulator/tests/models.rs
@@ -1,5 +1,5 @@
 //! The models by themselves, without relays: what a server, the list, a client and the front do.
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::clients::{Ask, Clients, Does, Heard};
 use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Servers, Told, Word};
--- a/handover/tests/place.rs
+++ b/hot_restart/tests/place.rs
@@ -1,8 +1,8 @@
 //! The states of a replacement, played as text: `EVENT` lines and what must come of them behind `=>`. And
 //! the messages: what is read back, and what is refused.
-use hallrelay_handover::message::{decode, encode, LONGEST, VERSION};
-use hallrelay_handover::place::{Act, Event, Place};
-use hallrelay_handover::{Message, Server, State};
+use hallrelay_hot_restart::message::{decode, encode, LONGEST, VERSION};
+use hallrelay_hot_restart::place::{Act, Event, Place};
+use hallrelay_hot_restart::{Message, Server, State};
 
 fn message(word: &str) -> Message {
     match word {
--- a/lab/src/losses/account.rs
+++ b/lab/src/losses/account.rs
@@ -4,7 +4,7 @@
 use super::histogram::Histogram;
 use super::open::{Open, Stay};
 use super::rows::{Attempts, Ends, Fleet, Losses, Probes, Second, Sessions, Wait};
-use hallrelay::types::{DialEnd, Micros, Report};
+use hallrelay_balancer::types::{DialEnd, Micros, Report};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
--- a/lab/src/losses/attempt.rs
+++ b/lab/src/losses/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a client to open a session, from its first line to its end.
 use super::parse::Opening;
-use hallrelay::types::{DialEnd, Micros};
+use hallrelay_balancer::types::{DialEnd, Micros};
 use serde::Serialize;
 
 /// A moment of the day.
--- a/lab/src/losses/backends.rs
+++ b/lab/src/losses/backends.rs
@@ -1,5 +1,5 @@
 //! What all relays' lists said of the backends, over the day.
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::List;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -3,7 +3,7 @@
 use super::parse::{self, Entry, Line, Time};
 use super::process::Relay;
 use super::rows::Read;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::list::List;
 use std::fs::File;
 use std::io::{BufRead, BufReader};
--- a/lab/src/losses/open.rs
+++ b/lab/src/losses/open.rs
@@ -1,7 +1,7 @@
 //! Which sessions are open at the end of each second, and how far their groups are scattered over backends.
 use super::backends::Backends;
 use super::rows::Fleet;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -1,6 +1,6 @@
 //! One line of a relay's log, parsed into the entries that the accounting needs.
 use super::fields;
-use hallrelay::types::{DialEnd, Micros, Phase, Report, SessId};
+use hallrelay_balancer::types::{DialEnd, Micros, Phase, Report, SessId};
 use hallrelay_config::list::{self, Instance, List};
 use std::net::SocketAddr;
 
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -1,7 +1,7 @@
 //! Follows the sessions of one relay's log, through all processes of that relay.
 use super::attempt::{Attempt, Dial, End, Fate, Gap, LastDial, Moment, Origin};
 use super::parse::{Entry, Opening};
-use hallrelay::types::{DialEnd, Micros, SessId};
+use hallrelay_balancer::types::{DialEnd, Micros, SessId};
 use std::collections::{BTreeMap, HashSet};
 
 /// A log whose last line lies longer than this before the end of the day says nothing of what was still
--- a/lab/src/losses/rows.rs
+++ b/lab/src/losses/rows.rs
@@ -1,6 +1,6 @@
 //! The result: what is counted in each second and in sum, as it is printed and written as JSON.
 use super::attempt::{End, Fate, Gap, LastDial};
-use hallrelay::types::DialEnd;
+use hallrelay_balancer::types::DialEnd;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/lab/src/members.rs
+++ b/lab/src/members.rs
@@ -1,13 +1,13 @@
 //! Membership alone, in virtual time, without the relays round it: how soon deaths are known, how often one
 //! is called gone that is not, what it costs; beside plain beats from all to all.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_emulator::beliefs::Knew;
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::links::{Arrival, Harm, Links, Ways};
 use hallrelay_emulator::tools::{Chance, Queue};
-use hallrelay_fleet::beats::{self, Beats};
-use hallrelay_fleet::message::{decode, DATAGRAM, FRAME};
-use hallrelay_fleet::{About, Effect, Event, Membership, Own, State};
+use hallrelay_membership::beats::{self, Beats};
+use hallrelay_membership::message::{decode, DATAGRAM, FRAME};
+use hallrelay_membership::{About, Effect, Event, Membership, Own, State};
 use serde::Serialize;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/lab/src/virt/fleet.rs
+++ b/lab/src/virt/fleet.rs
@@ -3,8 +3,8 @@
 use super::*;
 use hallrelay_emulator::beliefs::Is;
 use hallrelay_emulator::links::Arrival;
-use hallrelay_fleet::membership::{Effect as Fleet, Event as Heard};
-use hallrelay_fleet::message::{decode, Fault as Dropped, Packet, DATAGRAM, FRAME};
+use hallrelay_membership::membership::{Effect as Fleet, Event as Heard};
+use hallrelay_membership::message::{decode, Fault as Dropped, Packet, DATAGRAM, FRAME};
 use hallrelay_relay::reducer::{Call, Reply};
 
 /// Where the rig gives a relay out, and where the relay itself listens.
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -5,7 +5,7 @@
 mod outs;
 mod sessions;
 
-use hallrelay::types::{DialEnd, Micros, Phase, ServerId, SessId};
+use hallrelay_balancer::types::{DialEnd, Micros, Phase, ServerId, SessId};
 use hallrelay_config::limits::Limits;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::{self as config, Node, Told as Given};
--- a/lab/tests/beliefs.rs
+++ b/lab/tests/beliefs.rs
@@ -1,12 +1,12 @@
 //! The auditor of beliefs against relays with a fault planted in them: each fault is found and named, and the
 //! same day with honest relays finds nothing.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::beliefs::Wrong;
 use hallrelay_emulator::service::Outcome;
-use hallrelay_fleet::message::{decode, encode, written, Body, DATAGRAM};
-use hallrelay_fleet::{Effect as Fleet, Event as Heard, State};
 use hallrelay_lab::{keys, virt};
+use hallrelay_membership::message::{decode, encode, written, Body, DATAGRAM};
+use hallrelay_membership::{Effect as Fleet, Event as Heard, State};
 use hallrelay_relay::reducer::{Alarm, Effect, Event, Reducer};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -1,6 +1,6 @@
 //! The auditor against relays with a fault planted in them: each breaks one rule, and the auditor names that
 //! rule and the session. The same day with an honest relay keeps all four.
-use hallrelay::types::{DialEnd, Micros, Phase};
+use hallrelay_balancer::types::{DialEnd, Micros, Phase};
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::service::Outcome;
 use hallrelay_lab::{keys, virt};
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -1,6 +1,6 @@
 //! The form of a relay's log, as `hallrelay-lab losses` reads it, against the types and the program that
 //! write it: a change of either is noticed here.
-use hallrelay::types::{DialEnd, Phase, Report};
+use hallrelay_balancer::types::{DialEnd, Phase, Report};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_lab::losses::parse::{line, Entry, Line, Opening};
 use hallrelay_relay::lines::Open;
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -1,6 +1,6 @@
 //! Drains that are agreed, in virtual time, with voters killed, stalled and cut off: the count from outside, and
 //! a relay that takes no notice of what is agreed, which that count is to see.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::service::Outs;
--- a/fleet/tests/messages.rs
+++ b/membership/tests/messages.rs
@@ -1,9 +1,9 @@
 //! The bytes between relays: what is written is read; what is damaged, cut short, of another version or of
 //! another fleet is a fault by name, whatever the bytes are, and never more than that.
-use hallrelay_fleet::message::{
+use hallrelay_membership::message::{
     decode, encode, written, Body, Fault, Packet, DATAGRAM, FRAME, LISTENERS, NAME,
 };
-use hallrelay_fleet::{About, Claim, Duty, Rank, State};
+use hallrelay_membership::{About, Claim, Duty, Rank, State};
 use oorandom::Rand64;
 use std::net::SocketAddr;
 
--- a/checker/src/main.rs
+++ b/model_checker/src/main.rs
@@ -1,9 +1,9 @@
 //! `hallrelay-checker`: searches, and says what was found.
 use clap::Parser;
-use hallrelay_checker::releases::{self, Releases};
-use hallrelay_checker::search::Model;
-use hallrelay_checker::search::{search, Bounds, Found};
-use hallrelay_checker::voters::Planted;
+use hallrelay_model_checker::releases::{self, Releases};
+use hallrelay_model_checker::search::Model;
+use hallrelay_model_checker::search::{search, Bounds, Found};
+use hallrelay_model_checker::voters::Planted;
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -30,7 +30,7 @@
 
 fn main() -> ExitCode {
     let line = Line::parse();
-    let scenes = hallrelay_checker::scenes::ALL;
+    let scenes = hallrelay_model_checker::scenes::ALL;
     let known = |name: &str| name == RELEASES || scenes.iter().any(|scene| scene.name == name);
     if let Some(odd) = line.scene.iter().find(|name| !known(name)) {
         let names: Vec<&str> = scenes.iter().map(|scene| scene.name).collect();
--- a/checker/src/releases.rs
+++ b/model_checker/src/releases.rs
@@ -1,7 +1,7 @@
 //! A release over the agreed state, by every order of what deployers, leaders and people say, with failures
 //! in between. One state stands for all voters: that they have the same is `voters.rs`'s matter.
 use crate::search::Model;
-use hallrelay_grants::{
+use hallrelay_disruption::{
     Budget, Command, Condition, Judge, Kind, Phase, Place, Plan, Scope, Stage, State, Step as Of, Thing, Wave,
 };
 use std::fmt::{Display, Formatter};
@@ -241,7 +241,7 @@
         for _ in 0..64 {
             if over(&w) {
                 let back =
-                    |item: &hallrelay_grants::release::Item| matches!(item.step, Of::Todo | Of::Undone);
+                    |item: &hallrelay_disruption::release::Item| matches!(item.step, Of::Todo | Of::Undone);
                 return w.agreed.release().is_some_and(|release| release.items.iter().all(back));
             }
             let due = self
--- a/checker/src/voters.rs
+++ b/model_checker/src/voters.rs
@@ -1,11 +1,9 @@
 //! Three voters with their disks, the messages between them, and holders who want to be out.
 use crate::search::Model;
-use hallrelay_agreement::{
-    Alarm, Effect, Entry, Event, Node, Post, Role, Say, Stored, Term, Voter, What, Write,
-};
-use hallrelay_grants::{
+use hallrelay_disruption::{
     Budget, Command, Condition, Kind, Outcome, Place, Scope, Stage, State as Agreed, Thing,
 };
+use hallrelay_raft::{Alarm, Effect, Entry, Event, Node, Post, Role, Say, Stored, Term, Voter, What, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::{Display, Formatter};
 use std::sync::Arc;
@@ -266,12 +264,8 @@
             Planted::BudgetsForgotten => forgetful(&agreed, false),
             _ => agreed,
         };
-        let snapshot = hallrelay_agreement::Snapshot {
-            index: 1,
-            term: 1,
-            voters: voters.clone(),
-            state: agreed.encode(),
-        };
+        let snapshot =
+            hallrelay_raft::Snapshot { index: 1, term: 1, voters: voters.clone(), state: agreed.encode() };
         let disk = Stored { term: 1, vote: None, snapshot, entries: Vec::new() };
         let first = Seat { disk, birth: 1, ..Seat::default() };
         let mut world = World {
@@ -657,7 +651,7 @@
         }
         // By a voter's own state; one that died after it was granted is no fault of the grants'.
         let both = |seat: &Arc<Seat>| {
-            let counts = |r: &&hallrelay_grants::Record| matches!(r.stage, Stage::Granted | Stage::Out);
+            let counts = |r: &&hallrelay_disruption::Record| matches!(r.stage, Stage::Granted | Stage::Out);
             let things = || seat.agreed.things().map(|(_, r)| r);
             things().filter(counts).count() > BUDGET as usize
         };
--- a/checker/tests/scenes.rs
+++ b/model_checker/tests/scenes.rs
@@ -1,9 +1,9 @@
 //! Scenes that are small enough are searched whole, with the same counts every time; planted faults are
 //! found.
-use hallrelay_checker::releases::{self, Releases};
-use hallrelay_checker::scenes::ALL;
-use hallrelay_checker::search::{search, Bounds, Found};
-use hallrelay_checker::voters::Planted;
+use hallrelay_model_checker::releases::{self, Releases};
+use hallrelay_model_checker::scenes::ALL;
+use hallrelay_model_checker::search::{search, Bounds, Found};
+use hallrelay_model_checker::voters::Planted;
 use std::sync::{Mutex, PoisonError};
 
 /// One search at a time: each takes all cores, and up to a gigabyte.
--- a/recovery/src/fact.rs
+++ b/recovery/src/fact.rs
@@ -1,7 +1,7 @@
 //! The facts that are kept, and how they stand in the store.
-use hallrelay::types::Micros;
-use hallrelay_agreement::{Entry, Snapshot, Voter};
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::list::{self, Instance, List};
+use hallrelay_raft::{Entry, Snapshot, Voter};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -164,7 +164,7 @@
     pub turns: BTreeMap<String, Micros>,
     /// What a voter must not forget, and when its disk was born; none where it was none.
     pub birth: Option<u64>,
-    pub agreed: hallrelay_agreement::Stored,
+    pub agreed: hallrelay_raft::Stored,
     pub shut: (u64, BTreeSet<String>),
     /// The latest time of that clock that anything was written at.
     pub wall: Micros,
--- a/recovery/src/trust.rs
+++ b/recovery/src/trust.rs
@@ -1,6 +1,6 @@
 //! What of a store is trusted: how old it may be, what outranks it, what is assumed when nothing is known.
 use crate::fact::{entry_name, Fact, Stored};
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{Instance, List};
 
 /// What is done with a fact whose age can't be told, since the system's clock has gone back or was never set.
--- a/recovery/tests/trust.rs
+++ b/recovery/tests/trust.rs
@@ -1,5 +1,5 @@
 //! What is trusted of a store, case by case.
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_recovery::{recover, Fact, Kept, Recovered, Returning, Stored, Turn, View};
 
--- a/relay/src/clock.rs
+++ b/relay/src/clock.rs
@@ -1,5 +1,5 @@
 //! Whole microseconds of Unix time that only advance: the system's clock is read once, at the start.
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(Clone, Copy)]
--- a/relay/src/figures.rs
+++ b/relay/src/figures.rs
@@ -1,7 +1,7 @@
 //! Figures in the words and the form that operators read: a line each, `NAME:VALUE|KIND`.
 use crate::lines::plain;
 use crate::reducer::Figures;
-use hallrelay_fleet::State;
+use hallrelay_membership::State;
 use std::fmt::Write;
 
 pub fn text(figures: &Figures) -> String {
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -1,5 +1,5 @@
 //! The lines of the protocol, as parsers. Nothing here reads a socket or decides.
-use hallrelay::types::Report;
+use hallrelay_balancer::types::Report;
 use hallrelay_config::facts::ReportOrder;
 use std::ops::Range;
 use winnow::ascii::{alpha1, float};
--- a/relay/src/net/admit.rs
+++ b/relay/src/net/admit.rs
@@ -6,7 +6,7 @@
 use crate::buffer::Buffer;
 use crate::lines;
 use crate::reducer::Event;
-use hallrelay::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessId};
 use std::ops::Range;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -7,7 +7,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use crate::socket::NotConnected;
-use hallrelay::types::{DialEnd, Micros, Report};
+use hallrelay_balancer::types::{DialEnd, Micros, Report};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
--- a/relay/src/net/end.rs
+++ b/relay/src/net/end.rs
@@ -2,7 +2,7 @@
 use super::{Command, Hub};
 use crate::clock::span;
 use crate::socket;
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use socket2::SockRef;
 use std::net::Shutdown;
 use std::os::fd::AsRawFd;
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -6,7 +6,7 @@
 use crate::clock::span;
 use crate::lines::{self, First};
 use crate::reducer::Event;
-use hallrelay::types::SessId;
+use hallrelay_balancer::types::SessId;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep_until, Instant};
--- a/relay/src/net/handover.rs
+++ b/relay/src/net/handover.rs
@@ -7,9 +7,9 @@
 use crate::reducer::Event;
 use crate::socket::uninterrupted;
 use hallrelay_config::node::Node;
-use hallrelay_handover::message::{decode, encode, LONGEST, VERSION};
-use hallrelay_handover::place::{Event as Heard, Peer};
-use hallrelay_handover::Message;
+use hallrelay_hot_restart::message::{decode, encode, LONGEST, VERSION};
+use hallrelay_hot_restart::place::{Event as Heard, Peer};
+use hallrelay_hot_restart::Message;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -9,7 +9,7 @@
 use super::permit::Terms;
 use super::{first_line, Command, Hub};
 use crate::reducer::Event;
-use hallrelay::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::limits::Limits;
 use hallrelay_config::node::{self, Told};
 use socket2::{SockRef, Socket};
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -1,7 +1,7 @@
 //! An open session: both its ends and the reducer's word, in each order in which two of them can meet.
 use super::{play, Command, Lies, Peer, Play};
 use crate::reducer::Event;
-use hallrelay::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessId};
 
 const PLAYS: usize = 30;
 
--- a/relay/src/net/interleaving_tests/probes.rs
+++ b/relay/src/net/interleaving_tests/probes.rs
@@ -2,7 +2,7 @@
 use super::{bound, hub, play, soon, taken};
 use crate::net::probe;
 use crate::reducer::Event;
-use hallrelay::types::DialEnd;
+use hallrelay_balancer::types::DialEnd;
 use tokio::sync::mpsc;
 
 /// The backend ends a kept connection just as it is asked there, or has ended it before the runtime looked:
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -2,7 +2,7 @@
 //! meet.
 use super::{bound, play, taken, untouched, Command, Lies, Peer, LINE, LONG, SERVER};
 use crate::reducer::Event;
-use hallrelay::types::DialEnd;
+use hallrelay_balancer::types::DialEnd;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
--- a/relay/src/net/operator.rs
+++ b/relay/src/net/operator.rs
@@ -6,7 +6,7 @@
 use crate::figures;
 use crate::reducer::{Call, Reply, Want};
 use crate::socket::Steady;
-use hallrelay_grants::{Command, Plan, Thing};
+use hallrelay_disruption::{Command, Plan, Thing};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE, RETRY_AFTER};
--- a/relay/src/net/peers.rs
+++ b/relay/src/net/peers.rs
@@ -1,8 +1,8 @@
 //! What goes to another process of this relay, and how a session's task sends it there.
 use super::Hub;
-use hallrelay_handover::message::encode;
-use hallrelay_handover::place::Peer;
-use hallrelay_handover::{Message, Session};
+use hallrelay_hot_restart::message::encode;
+use hallrelay_hot_restart::place::Peer;
+use hallrelay_hot_restart::{Message, Session};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
--- a/relay/src/net/permit.rs
+++ b/relay/src/net/permit.rs
@@ -3,7 +3,7 @@
 //! the line goes out only with a `Permit` in hand. What is denied is counted by its reason.
 use super::read::{self, State};
 use super::Hub;
-use hallrelay::types::{Micros, ServerId};
+use hallrelay_balancer::types::{Micros, ServerId};
 use std::cell::Cell;
 use tokio::net::TcpStream;
 
--- a/relay/src/net/probe.rs
+++ b/relay/src/net/probe.rs
@@ -5,7 +5,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use crate::socket::{self, NotConnected};
-use hallrelay::types::{DialEnd, Report, ServerId};
+use hallrelay_balancer::types::{DialEnd, Report, ServerId};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
--- a/relay/src/net/read.rs
+++ b/relay/src/net/read.rs
@@ -63,6 +63,6 @@
 }
 
 /// How long ago the last bytes came, as the system saw it: a busy relay reads late.
-pub fn age_of_last(stream: &tokio::net::TcpStream) -> hallrelay::types::Micros {
+pub fn age_of_last(stream: &tokio::net::TcpStream) -> hallrelay_balancer::types::Micros {
     end::tcp_info(stream).map_or(0, |info| u64::from(info.tcpi_last_data_recv) * 1000)
 }
--- a/relay/src/reducer/agreed.rs
+++ b/relay/src/reducer/agreed.rs
@@ -6,12 +6,12 @@
 use super::wish::Wish;
 use super::{note, Alarm, Effect, Reducer};
 use crate::talk::{Talk, Told};
-use hallrelay::types::Micros;
-use hallrelay_agreement::{self as agreement, Event, Id, Index, Node, Role, Voter, Write};
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::fleet::Voters;
-use hallrelay_fleet::membership::Event as Fleet;
-use hallrelay_grants::judge::Tally;
-use hallrelay_grants::{Command, Outcome, State, Thing};
+use hallrelay_disruption::judge::Tally;
+use hallrelay_disruption::{Command, Outcome, State, Thing};
+use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_raft::{self as agreement, Event, Id, Index, Node, Role, Voter, Write};
 use hallrelay_recovery::{Kept, Stored};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -241,7 +241,7 @@
                 }
                 outcome
             }
-            Err(hallrelay_grants::Fault::Version) => return self.too_old("a command", out),
+            Err(hallrelay_disruption::Fault::Version) => return self.too_old("a command", out),
             Err(fault) => Outcome::Not(fault),
         };
         let held = a.state.things().filter(|(_, r)| r.grant != 0);
--- a/relay/src/reducer/duty.rs
+++ b/relay/src/reducer/duty.rs
@@ -2,7 +2,7 @@
 //! signals. What a drain or a stop does to sessions stands here too.
 use super::sessions::owed;
 use super::{note, Alarm, Call, Effect, Reducer, Reply, Stage};
-use hallrelay::types::{Micros, SessId};
+use hallrelay_balancer::types::{Micros, SessId};
 use hallrelay_config::limits::Limits;
 use Act::{Begin, BeginEmpty, Empty, Nothing, Refuse, Resume, Yield};
 use Duty::{Away, Draining, Leaving, Relieved, Serving, Stopping, Waiting};
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,15 +1,15 @@
 //! What comes to the reducer, what it asks for, and what operators ask of it and hear.
 use super::{Figures, Want, Word};
 use crate::lines::Open;
-use hallrelay::types::{DialEnd, Micros, Report, ServerId, SessId};
+use hallrelay_balancer::types::{DialEnd, Micros, Report, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
-use hallrelay_fleet::status::Status;
-use hallrelay_grants::Command;
-use hallrelay_handover::place::{self as handover, Peer};
-use hallrelay_handover::{Message, Session};
+use hallrelay_disruption::Command;
+use hallrelay_hot_restart::place::{self as handover, Peer};
+use hallrelay_hot_restart::{Message, Session};
+use hallrelay_membership::status::Status;
 use hallrelay_recovery::{Kept, Stored};
 use hallrelay_store::writer::Health;
 use std::net::SocketAddr;
@@ -152,7 +152,7 @@
     /// Something came from the process before or after this one.
     Place(handover::Event),
     /// Something came from another relay.
-    Fleet(hallrelay_fleet::Event),
+    Fleet(hallrelay_membership::Event),
     /// What was to be written for a life of the voter is on the disk, up to a number.
     Vowed {
         life: u32,
@@ -182,7 +182,7 @@
     /// Something of membership is due.
     Fleet,
     /// Of the voter, and of which round.
-    Agreed(hallrelay_agreement::Alarm, u32),
+    Agreed(hallrelay_raft::Alarm, u32),
     /// What is seen of the fleet goes to the leader, or into the log.
     Look,
     /// A wish of an operator's call.
@@ -307,7 +307,7 @@
         on: bool,
     },
     /// What goes to other relays.
-    Fleet(hallrelay_fleet::Effect),
+    Fleet(hallrelay_membership::Effect),
     Note {
         what: String,
     },
--- a/relay/src/reducer/evidence.rs
+++ b/relay/src/reducer/evidence.rs
@@ -4,7 +4,7 @@
 //! of the list service too. It hurts where a network was cut for a while: those servers are spared for one
 //! warm-up, till discovery speaks.
 use super::Reducer;
-use hallrelay::types::{DialEnd, Input, ListKind, ServerId};
+use hallrelay_balancer::types::{DialEnd, Input, ListKind, ServerId};
 
 /// Connections in a row that were not made: one may be a lost packet.
 const MISSED: u32 = 2;
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -61,7 +61,8 @@
 impl Reducer {
     /// The figures as they are now.
     pub fn figures(&self) -> Figures {
-        let listed = self.servers.iter().filter(|(_, v)| v.told.phase != hallrelay::types::Phase::Gone);
+        let listed =
+            self.servers.iter().filter(|(_, v)| v.told.phase != hallrelay_balancer::types::Phase::Gone);
         Figures {
             in_progress: self.sessions.len(),
             waiting: self.sessions.values().filter(|s| s.stage.waits()).count(),
--- a/relay/src/reducer/fleet.rs
+++ b/relay/src/reducer/fleet.rs
@@ -2,12 +2,12 @@
 //! Nothing here goes to the module: whoever is heard or not, it reckons with the configured number of relays.
 use super::duty::Duty;
 use super::{note, Alarm, Effect, Reducer};
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
-use hallrelay_fleet::membership::{Counts, Effect as Told, Event};
-use hallrelay_fleet::message::LISTENERS;
-use hallrelay_fleet::status::Status;
-use hallrelay_fleet::{About, Duty as Said, Membership, Own, State};
+use hallrelay_membership::membership::{Counts, Effect as Told, Event};
+use hallrelay_membership::message::LISTENERS;
+use hallrelay_membership::status::Status;
+use hallrelay_membership::{About, Duty as Said, Membership, Own, State};
 use std::rc::Rc;
 
 /// What is counted of the other relays, where there are any by the configuration.
--- a/relay/src/reducer/hearsay.rs
+++ b/relay/src/reducer/hearsay.rs
@@ -1,9 +1,9 @@
 //! What other relays tell of the list while its service is dark. Their word may name a backend to try and
 //! shut one; it can't open one that this relay was told to leave, and can't call one gone.
 use super::{note, Alarm, Effect, Reducer};
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{self, Instance, List};
-use hallrelay_fleet::membership::Event as Fleet;
+use hallrelay_membership::membership::Event as Fleet;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
--- a/relay/src/reducer/keep.rs
+++ b/relay/src/reducer/keep.rs
@@ -1,6 +1,6 @@
 //! What a relay keeps across restarts: what goes to the store as it happens, and what a start makes of it.
 use super::{note, Effect, Reducer, Server};
-use hallrelay::types::{Input, Memory, Micros, Phase, ServerId, SessId};
+use hallrelay_balancer::types::{Input, Memory, Micros, Phase, ServerId, SessId};
 use hallrelay_config::list::List;
 use hallrelay_recovery::{recover, Kept, Recovered, Returning, Stored, View};
 
--- a/relay/src/reducer/look.rs
+++ b/relay/src/reducer/look.rs
@@ -2,11 +2,11 @@
 //! nobody began, and that all hear what is shut.
 use super::{Alarm, Effect, Reducer};
 use crate::talk::Talk;
-use hallrelay::types::{Micros, Phase};
-use hallrelay_fleet::membership::Event as Fleet;
-use hallrelay_fleet::{Duty, State as Member};
-use hallrelay_grants::judge::Tally;
-use hallrelay_grants::{Command, Condition, Place, Stage, Step, Thing};
+use hallrelay_balancer::types::{Micros, Phase};
+use hallrelay_disruption::judge::Tally;
+use hallrelay_disruption::{Command, Condition, Place, Stage, Step, Thing};
+use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::{Duty, State as Member};
 use serde::Serialize;
 
 /// How often; a drain that is agreed is heard by all within it, and a failure takes room as soon.
@@ -216,12 +216,12 @@
     pub(super) fn grants_status(&self) -> Option<String> {
         let a = self.agreed.as_ref()?;
         let role = a.node.as_ref().map_or("no voter", |node| node.role().word());
-        let budget = |b: &hallrelay_grants::Budget| {
+        let budget = |b: &hallrelay_disruption::Budget| {
             let count = b.count.map(|n| format!(" {n}")).unwrap_or_default();
             let part = b.part.map(|p| format!(" {} in 100", f64::from(p) / 1e4)).unwrap_or_default();
             format!("{} {:?}:{count}{part}", b.of.word(), b.scope).to_lowercase()
         };
-        let row = |(thing, r): (&Thing, &hallrelay_grants::Record)| Row {
+        let row = |(thing, r): (&Thing, &hallrelay_disruption::Record)| Row {
             what: thing.to_string(),
             stage: r.stage.word(),
             condition: match r.condition {
@@ -242,7 +242,7 @@
             leader: a.leader.as_deref(),
             leads: a.leads(),
             role,
-            term: a.node.as_ref().map_or(0, hallrelay_agreement::Node::term),
+            term: a.node.as_ref().map_or(0, hallrelay_raft::Node::term),
             index: a.applied,
             voters: a.node.as_ref().map_or(0, |node| node.voters().len()),
             budgets: a.state.budgets().iter().map(budget).collect(),
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -25,13 +25,13 @@
 pub use wish::Want;
 
 use duty::{Duty, Sign};
-use hallrelay::logic::Relay;
-use hallrelay::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
+use hallrelay_balancer::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
+use hallrelay_balancer::Relay;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::Node;
-use hallrelay_fleet::Membership;
-use hallrelay_grants::judge::Tally;
-use hallrelay_handover::place::{self as handover, Peer, Place};
+use hallrelay_disruption::judge::Tally;
+use hallrelay_hot_restart::place::{self as handover, Peer, Place};
+use hallrelay_membership::Membership;
 use hallrelay_recovery::Stored;
 use hallrelay_store::writer::Health;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -2,12 +2,12 @@
 //! over, and what is shared till the old one is gone. The states stand in the package `handover`.
 use super::duty::Sign;
 use super::{note, Alarm, Effect, Reducer, Sess, Stage};
-use hallrelay::types::{Asked, Input, Memory, Micros, Phase, Report, SessId};
+use hallrelay_balancer::types::{Asked, Input, Memory, Micros, Phase, Report, SessId};
 use hallrelay_config::list::{self, List};
-use hallrelay_fleet::membership::Event as Fleet;
-use hallrelay_fleet::Membership;
-use hallrelay_handover::place::{Act, Event as Heard, Peer, PATIENCE};
-use hallrelay_handover::{Message, Server, Session, State};
+use hallrelay_hot_restart::place::{Act, Event as Heard, Peer, PATIENCE};
+use hallrelay_hot_restart::{Message, Server, Session, State};
+use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Membership;
 
 impl Reducer {
     /// The process has its place from the start, or tells the one before it that it could take over: it has
--- a/relay/src/reducer/release.rs
+++ b/relay/src/reducer/release.rs
@@ -1,9 +1,9 @@
 //! A leader's part in a release: it judges the wave by what all relays tell of their sessions, and says what
 //! is due to whoever deploys. All else of a release goes on inside the agreed state.
 use super::{Reducer, ServerId};
-use hallrelay::types::{DialEnd, Micros};
-use hallrelay_grants::judge::{judge, Tally};
-use hallrelay_grants::{Command, Kind, Phase, Release, Stage, Step, Thing};
+use hallrelay_balancer::types::{DialEnd, Micros};
+use hallrelay_disruption::judge::{judge, Tally};
+use hallrelay_disruption::{Command, Kind, Phase, Release, Stage, Step, Thing};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -145,7 +145,7 @@
         let a = self.agreed.as_ref()?;
         let release = a.state.release()?;
         let (new, old) = a.evidence.sums(release);
-        let row = |item: &hallrelay_grants::release::Item| {
+        let row = |item: &hallrelay_disruption::release::Item| {
             let r = a.state.get(&item.thing);
             let held = r.filter(|r| r.stage == Stage::Waiting).and_then(|r| a.state.held(&item.thing, r));
             Row {
@@ -172,7 +172,11 @@
         serde_json::to_string(&told).ok()
     }
 
-    fn due_step<'a>(&self, release: &'a Release, item: &hallrelay_grants::release::Item) -> Option<Due<'a>> {
+    fn due_step<'a>(
+        &self,
+        release: &'a Release,
+        item: &hallrelay_disruption::release::Item,
+    ) -> Option<Due<'a>> {
         let a = self.agreed.as_ref()?;
         let build = match item.step {
             Step::Going => Some(release.plan.build.as_str()),
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,8 +1,8 @@
 //! The servers that the list names, what is known of them by probes, and when they are forgotten.
 use super::{note, Delay, Effect, Reducer, Server, Stage};
-use hallrelay::types::{DialEnd, Entry, Input, ListKind, Micros, Phase, ServerId};
+use hallrelay_balancer::types::{DialEnd, Entry, Input, ListKind, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
-use hallrelay_grants::judge::Tally;
+use hallrelay_disruption::judge::Tally;
 use std::collections::BTreeMap;
 
 impl Reducer {
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions and connections that are none: from the first line to the end.
 use super::{Alarm, Delay, Effect, Reducer, Sess, Stage};
 use crate::lines::Open;
-use hallrelay::types::{Asked, DialEnd, Input, Micros, Report, SessId};
+use hallrelay_balancer::types::{Asked, DialEnd, Input, Micros, Report, SessId};
 use std::rc::Rc;
 
 /// Between two dials of a standing connection: often enough within the time that these have, seldom enough for
--- a/relay/src/reducer/shut.rs
+++ b/relay/src/reducer/shut.rs
@@ -1,10 +1,10 @@
 //! Servers that are out by what is agreed: nothing new goes there, and the whole fleet moves their sessions
 //! at one rate. What was heard last holds till a later word: hearing nobody opens none.
 use super::{note, Effect, Reducer, Stage};
-use hallrelay::types::{Phase, SessId};
-use hallrelay_agreement::Index;
+use hallrelay_balancer::types::{Phase, SessId};
 use hallrelay_config::list::{Instance, List};
-use hallrelay_grants::{Stage as Out, Thing};
+use hallrelay_disruption::{Stage as Out, Thing};
+use hallrelay_raft::Index;
 use hallrelay_recovery::Kept;
 use std::collections::BTreeSet;
 
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -1,9 +1,9 @@
 //! The watch on the list: asked for, renewed, moved by a new configuration.
 use super::{note, Alarm, Effect, Reducer};
-use hallrelay::types::{Input, ListKind};
+use hallrelay_balancer::types::{Input, ListKind};
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
-use hallrelay_fleet::membership::Event as Fleet;
+use hallrelay_membership::membership::Event as Fleet;
 use std::net::SocketAddr;
 
 impl Reducer {
--- a/relay/src/reducer/wish.rs
+++ b/relay/src/reducer/wish.rs
@@ -3,8 +3,8 @@
 use super::duty::Sign;
 use super::{Alarm, Effect, Reducer, Reply};
 use crate::talk::{Talk, Told};
-use hallrelay::types::Micros;
-use hallrelay_grants::{Command, Fault, Outcome, Thing};
+use hallrelay_balancer::types::Micros;
+use hallrelay_disruption::{Command, Fault, Outcome, Thing};
 
 /// An operator's call takes 2 s in all; what is not granted by then is said to be held.
 const WAIT: Micros = 1_500_000;
--- a/relay/src/status.rs
+++ b/relay/src/status.rs
@@ -1,5 +1,5 @@
 //! `hallrelay fleet status`: asks a relay what it believes of its fleet, and says it.
-use hallrelay_fleet::status::{MemberStatus, Status};
+use hallrelay_membership::status::{MemberStatus, Status};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
--- a/relay/src/talk.rs
+++ b/relay/src/talk.rs
@@ -1,6 +1,6 @@
 //! What relays say to each other about what is agreed, in the words that membership carries for them.
-use hallrelay_agreement::Post;
-use hallrelay_grants::{Outcome, Thing};
+use hallrelay_disruption::{Outcome, Thing};
+use hallrelay_raft::Post;
 use serde::{Deserialize, Serialize};
 
 /// Counted up with each change that an older relay would misread; others are dropped.
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{free, until, Client, Relay, Site};
-use hallrelay_fleet::status::{MemberStatus, Status};
+use hallrelay_membership::status::{MemberStatus, Status};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
--- a/simhost/src/main.rs
+++ b/sim_adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Hosts many instances of the decision module on the simulator's wire: standard input to standard output.
 mod wire;
 
-use hallrelay::logic::Relay;
+use hallrelay_balancer::Relay;
 use hallrelay_config::facts::ReportOrder;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
--- a/simhost/src/wire.rs
+++ b/sim_adapter/src/wire.rs
@@ -1,5 +1,5 @@
 //! The simulator's frames: batches of events in, replies of actions out. Little-endian, no padding.
-use hallrelay::types::{Asked, DialEnd, Effect, Entry, Input, ListKind, Micros, Phase};
+use hallrelay_balancer::types::{Asked, DialEnd, Effect, Entry, Input, ListKind, Micros, Phase};
 use hallrelay_config::facts::{RawReport, ReportOrder};
 use std::io::{ErrorKind, Read};
 
--- a/tests/helpers/fleet.rs
+++ b/tests/helpers/fleet.rs
@@ -11,9 +11,9 @@
 //! NAME`,
 //! `visit NAME` and `gossip` only where a line asks for them.
 use crate::{num, option, Fault, Subject};
-use hallrelay::types::Micros;
-use hallrelay_fleet::message::{decode, Body, Packet, DATAGRAM};
-use hallrelay_fleet::{About, Claim, Duty, Effect, Event, Membership, Own, Rank, State};
+use hallrelay_balancer::types::Micros;
+use hallrelay_membership::message::{decode, Body, Packet, DATAGRAM};
+use hallrelay_membership::{About, Claim, Duty, Effect, Event, Membership, Own, Rank, State};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/tests/helpers/loopback.rs
+++ b/tests/helpers/loopback.rs
@@ -8,7 +8,7 @@
 //!   nothing come, `drinks` takes all lines of the flood.
 use super::{node, text};
 use crate::{num, Fault, Subject};
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -23,12 +23,12 @@
 pub use loopback::Loopback;
 
 use crate::{dial_end, millis, num, option, probe_end, range, Fault, Subject};
-use hallrelay::types::Micros;
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::node::{self, Node, Told};
-use hallrelay_handover::message::VERSION;
-use hallrelay_handover::place::Event as Place;
-use hallrelay_handover::{Message, Session, State};
+use hallrelay_hot_restart::message::VERSION;
+use hallrelay_hot_restart::place::Event as Place;
+use hallrelay_hot_restart::{Message, Session, State};
 use hallrelay_relay::lines;
 use hallrelay_relay::reducer::{Call, Effect, Event, Reducer, Reply};
 use serde_json::{json, Value};
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -17,7 +17,7 @@
         std::fs::write(place("KNOWN-RED.txt"), text).expect("the list is written");
     }
     std::fs::write(place("output"), output).expect("the output is written");
-    let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/known-red");
+    let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../.ci/known-red");
     let ended = Command::new("bash").arg(script).arg(place("KNOWN-RED.txt")).arg(place("output")).output();
     let ended = ended.expect("bash runs it");
     std::fs::remove_dir_all(&folder).expect("the folder goes");
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -8,8 +8,8 @@
 //! `tests/helpers/` tells what inputs the reducer and the loopback know.
 mod helpers;
 
-use hallrelay::logic::Relay;
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
+use hallrelay_balancer::Relay;
 use helpers::{Loopback, Members, Program};
 use std::collections::BTreeMap;
 
@@ -276,7 +276,7 @@
 }
 
 fn play_all<S: Subject + Default>(folder: &str) {
-    let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join(folder);
+    let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let files =
         std::fs::read_dir(&folder).expect("the scenarios' folder").map(|f| f.expect("an entry").path());
     let mut files: Vec<_> = files.filter(|f| f.extension().is_some_and(|e| e == "txt")).collect();
--- a/tests/short_days/cold.rs
+++ b/tests/short_days/cold.rs
@@ -1,6 +1,6 @@
 //! Rule 4 over all relays: what twenty of them send to one cold backend together, while it may fall.
 use crate::fleet::{two_listeners, Fleet, SECOND};
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
 
 const RELAYS: u32 = 20;
 const WARM_BACKENDS: u32 = 8;
--- a/tests/short_days/cold_storm.rs
+++ b/tests/short_days/cold_storm.rs
@@ -1,7 +1,7 @@
 //! Rule 4 in reconnect storms after quiet times: many relays hold an unused slot at a cold backend then, and
 //! each of them has sessions that come back at the same moment.
 use crate::fleet::{two_listeners, Fleet, SECOND};
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
 
 /// The backend that starts cold.
 const COLD: ServerId = 10_000;
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: instances of the decision module before modelled backends. Everything that is
 //! drawn comes from one seed, so a play gives the same result every time.
-use hallrelay::logic::Relay;
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
+use hallrelay_balancer::Relay;
 use std::collections::{BTreeMap, HashMap};
 
 pub const MILLISECOND: Micros = 1_000;
--- a/tests/short_days/refusals.rs
+++ b/tests/short_days/refusals.rs
@@ -1,7 +1,7 @@
 //! Relays of few sessions, whose answers are old: none turns away all that it gets for long once there is a
 //! backend with room.
 use crate::fleet::{two_listeners, Deed, Fleet, SECOND};
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
 
 const BACKENDS: u32 = 6;
 const CAPACITY: f64 = 50.0;
--- a/tests/short_days/unheard.rs
+++ b/tests/short_days/unheard.rs
@@ -1,8 +1,8 @@
 //! A relay that may not probe knows loads from refusals alone: once all backends have refused for being full,
 //! it must find out that they have room again.
 use crate::fleet::{two_listeners, MILLISECOND, SECOND};
-use hallrelay::logic::Relay;
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
+use hallrelay_balancer::Relay;
 
 const BACKENDS: u32 = 6;
 /// Clients come so often.
