--- a/lab/src/virt/fleet.rs
+++ b/lab/src/virt/fleet.rs
@@ -5,7 +5,7 @@
 use hallrelay_emulator::links::Arrival;
 use hallrelay_membership::membership::{Effect as Fleet, Event as Heard};
 use hallrelay_membership::message::{decode, Fault as Dropped, Packet, DATAGRAM, FRAME};
-use hallrelay_relay::reducer::{Call, Reply};
+use hallrelay_relay::reducer::{OperatorReply, OperatorRequest};
 
 /// Where the rig gives a relay out, and where the relay itself listens.
 pub(super) fn reached(relay: usize) -> SocketAddr {
@@ -88,7 +88,7 @@
             (Ok(packet), Way::Visit(_)) => Heard::Visited { stream: from as u64, from: at, packet },
             (Ok(packet), Way::Answer(_)) => Heard::Returned { packet },
         };
-        self.step(to, Event::Fleet(heard));
+        self.step(to, Event::Membership(heard));
     }
 
     pub(super) fn stalls(&mut self, relay: usize) {
@@ -115,9 +115,9 @@
             }
             let Some(mind) = self.relays[relay].mind.as_mut() else { continue };
             let mut out = Vec::new();
-            mind.step(self.now, Event::Called { call: 0, what: Call::Fleet }, &mut out);
+            mind.step(self.now, Event::OperatorCall { call: 0, what: OperatorRequest::Membership }, &mut out);
             for effect in out {
-                if let Effect::Reply { reply: Reply::Fleet(Some(status)), .. } = effect {
+                if let Effect::Reply { reply: OperatorReply::Membership(Some(status)), .. } = effect {
                     self.day.beliefs.told(self.now, relay, &status);
                 }
             }
--- a/lab/src/virt/list.rs
+++ b/lab/src/virt/list.rs
@@ -30,7 +30,7 @@
             self.day.list_told(self.now, relay, &gone, &mut todo.told);
         }
         self.day.list_told(self.now, relay, &servers, &mut todo.told);
-        self.tell(relay, way, Event::List { watch, list });
+        self.tell(relay, way, Event::EndpointListReceived { watch, list });
     }
 
     pub(super) fn list_news(&mut self) {
@@ -41,7 +41,7 @@
                 let limits = &self.relays[relay].limits;
                 let silent = limits.discovery_doubt + limits.discovery_first;
                 for watch in std::mem::take(&mut self.relays[relay].watches) {
-                    self.tell(relay, silent, Event::ListBroken { watch: watch.id });
+                    self.tell(relay, silent, Event::EndpointWatchFailed { watch: watch.id });
                 }
                 continue;
             }
@@ -57,7 +57,7 @@
         for relay in 0..self.relays.len() {
             for watch in std::mem::take(&mut self.relays[relay].watches) {
                 self.day.audit.call_failed(relay);
-                self.tell(relay, way, Event::ListBroken { watch: watch.id });
+                self.tell(relay, way, Event::EndpointWatchFailed { watch: watch.id });
             }
         }
     }
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -22,7 +22,7 @@
 use hallrelay_recovery::fact::VERSION;
 use hallrelay_recovery::{Kept, Stored};
 use hallrelay_relay::lines::Open;
-use hallrelay_relay::reducer::{Alarm, Effect, Event, Reducer};
+use hallrelay_relay::reducer::{Effect, Event, Reducer, Timer};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
@@ -66,7 +66,7 @@
     Alarm {
         relay: usize,
         life: u32,
-        alarm: Alarm,
+        alarm: Timer,
     },
     /// A client's first line comes to a relay, or its end does.
     Line(Box<Ask>),
@@ -435,7 +435,7 @@
         match event {
             Ev::Relay { relay, life, event } if alive(self, relay, life) => {
                 // An open session that its relay has seen the end of has no connection any more.
-                if let Event::Ended { sess, .. } = &*event {
+                if let Event::SessionEnded { sess, .. } = &*event {
                     if let Some(line) = self.relays[relay].lines.get_mut(sess) {
                         (line.open, line.conn) = (false, None);
                     }
@@ -443,7 +443,7 @@
                 self.step(relay, *event);
             }
             Ev::Alarm { relay, life, alarm } if alive(self, relay, life) => {
-                self.step(relay, Event::Alarm(alarm));
+                self.step(relay, Event::Timer(alarm));
             }
             Ev::Line(ask) => self.line(*ask),
             Ev::Gone { relay, life, sess } if alive(self, relay, life) => self.gone(relay, sess),
@@ -505,7 +505,7 @@
                     Deed::Stop => {
                         self.day.beliefs.is(self.now, relay, Is::Stopping);
                         self.day.clients.relay_is(self.now, relay, false);
-                        self.step(relay, Event::Stop);
+                        self.step(relay, Event::StopRequested);
                     }
                     Deed::Start => {
                         self.ends(relay);
@@ -519,7 +519,7 @@
                     Deed::Reload => {
                         let mut node = self.node(relay, 0)?;
                         node.discovery.set_port(3);
-                        self.step(relay, Event::Reload(Box::new(node)));
+                        self.step(relay, Event::ConfigurationReloaded(Box::new(node)));
                     }
                 }
             }
@@ -533,9 +533,9 @@
         let life = self.relays[relay].life;
         for effect in effects {
             match effect {
-                Effect::Alarm { after, alarm } => self.later(after, Ev::Alarm { relay, life, alarm }),
+                Effect::StartTimer { after, alarm } => self.later(after, Ev::Alarm { relay, life, alarm }),
                 Effect::Dial { sess, dial, addr, wait, .. } => self.dial(relay, sess, dial, addr, wait),
-                Effect::Pass { sess } => {
+                Effect::StartProxying { sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     line.open = true;
                     let (mark, receipt) = (line.mark, line.conn.unwrap_or(0));
@@ -545,13 +545,13 @@
                     self.later(client_way, Ev::Client { mark, heard: Heard::Up, receipt });
                     self.may_be_silent(relay, sess);
                 }
-                Effect::Refuse { sess, retry_after } => self.last(relay, sess, Heard::Busy(retry_after)),
-                Effect::TearDown { sess } | Effect::Spurn { conn: sess } => {
+                Effect::Reject { sess, retry_after } => self.last(relay, sess, Heard::Busy(retry_after)),
+                Effect::TearDown { sess } | Effect::ReportProtocolError { conn: sess } => {
                     self.last(relay, sess, Heard::Failed);
                 }
-                Effect::Shed { conn } => self.last(relay, conn, Heard::Busy(0)),
-                Effect::Close { sess } => self.last(relay, sess, Heard::Closed),
-                Effect::Move { sess } => {
+                Effect::ShedConnection { conn } => self.last(relay, conn, Heard::Busy(0)),
+                Effect::CloseClient { sess } => self.last(relay, sess, Heard::Closed),
+                Effect::Migrate { sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     (line.open, line.over) = (false, true);
                     let (mark, conn) = (line.mark, line.conn.take());
@@ -559,52 +559,57 @@
                         self.later(way, Ev::Closed { conn });
                     }
                     let end = DialEnd::Recalled;
-                    self.tell(relay, 0, Event::Ended { sess, end, report: None });
+                    self.tell(relay, 0, Event::SessionEnded { sess, end, report: None });
                     self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
                 }
-                Effect::Doubt { sess, doubted } => {
+                Effect::SetSuspect { sess, doubted } => {
                     if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
                         line.doubted = doubted;
                     }
                     self.may_be_silent(relay, sess);
                 }
-                Effect::Probe { server, addr } => {
+                Effect::HealthCheck { server, addr } => {
                     let (at, sent) = (server_at(addr), self.now);
                     self.later(way, Ev::Probe { relay, life, server, at, sent });
                 }
-                Effect::Watch { watch, since, .. } => {
+                Effect::WatchEndpoints { watch, since, .. } => {
                     if self.day.list_cut[relay] {
                         let silent = self.relays[relay].limits.discovery_first;
                         self.day.audit.call_failed(relay);
-                        self.tell(relay, silent, Event::ListBroken { watch });
+                        self.tell(relay, silent, Event::EndpointWatchFailed { watch });
                     } else if self.list_down {
                         self.day.audit.call_failed(relay);
-                        self.tell(relay, 2 * way, Event::ListBroken { watch });
+                        self.tell(relay, 2 * way, Event::EndpointWatchFailed { watch });
                     } else {
                         let w = Watch { id: watch, since, speaks: false };
                         self.relays[relay].watches.push(w);
                         self.later(2 * way, Ev::Tells { relay, life, watch });
                     }
                 }
-                Effect::Unwatch { watch } => self.relays[relay].watches.retain(|w| w.id != watch),
+                Effect::StopWatch { watch } => self.relays[relay].watches.retain(|w| w.id != watch),
                 Effect::Exit => self.exits(relay),
                 Effect::Reply { call, reply } => self.replied(relay, call, &reply),
-                Effect::Pong { .. } | Effect::Deny { .. } => {}
-                Effect::Fleet(effect) => self.fleet(relay, effect),
-                Effect::Keep { kept, .. } => self.keep(relay, kept),
-                Effect::Vow { life, number, kept } => {
+                Effect::Pong { .. } | Effect::RejectPing { .. } => {}
+                Effect::Membership(effect) => self.fleet(relay, effect),
+                Effect::Persist { kept, .. } => self.keep(relay, kept),
+                Effect::PersistVoterWrites { life, number, kept } => {
                     kept.into_iter().for_each(|one| self.keep(relay, one));
                     // A sync of a disk takes some milliseconds.
                     const SYNC: Micros = 2_000;
-                    self.tell(relay, SYNC, Event::Vowed { life, number });
+                    self.tell(relay, SYNC, Event::VoterWritesDurable { life, number });
                 }
                 // A virtual relay is one process all its life, and its store is its own.
-                Effect::Keeping { .. } => {}
-                Effect::Forget { .. } | Effect::Kept { .. } | Effect::Tuned { .. } => {}
+                Effect::SetStoreOwnership { .. } => {}
+                Effect::ForgetServer { .. } | Effect::KeyUnchanged { .. } | Effect::ApplyTuning { .. } => {}
                 // A virtual relay is one process all its life, and nobody waits at its socket.
-                Effect::Accept { .. } | Effect::Door { .. } | Effect::Note { .. } | Effect::Leave { .. } => {}
-                Effect::Tell { .. } | Effect::Part { .. } | Effect::PassOn { .. } | Effect::GiveUp { .. } => {
-                }
+                Effect::SetAccepting { .. }
+                | Effect::SetTakeoverListener { .. }
+                | Effect::Log { .. }
+                | Effect::SetDraining { .. } => {}
+                Effect::SendToProcess { .. }
+                | Effect::DisconnectProcess { .. }
+                | Effect::HandOverSession { .. }
+                | Effect::Abort { .. } => {}
             }
         }
     }
@@ -631,6 +636,6 @@
                 }
             }
         };
-        self.tell(relay, after, Event::Probed { server, end, report });
+        self.tell(relay, after, Event::HealthCheckEnded { server, end, report });
     }
 }
--- a/lab/src/virt/outs.rs
+++ b/lab/src/virt/outs.rs
@@ -1,7 +1,7 @@
 //! An operator who wants relays out and asks till each is let out, and the count of who is away, from outside.
 use super::*;
 use hallrelay_emulator::service::Outs;
-use hallrelay_relay::reducer::{Call, Reply, Want};
+use hallrelay_relay::reducer::{OperatorReply, OperatorRequest, Want};
 use std::collections::BTreeSet;
 
 /// How long an operator waits before asking again.
@@ -37,15 +37,18 @@
         let want = Want { by: "ann".to_string(), why: "a day out".to_string(), ..Want::default() };
         let stands = self.relays[relay].mind.is_some() && self.relays[relay].stalled.is_none();
         if stands {
-            self.step(relay, Event::Called { call: DRAIN, what: Call::Drain(Box::new(want)) });
+            self.step(
+                relay,
+                Event::OperatorCall { call: DRAIN, what: OperatorRequest::Drain(Box::new(want)) },
+            );
         } else {
             self.later(AGAIN, Ev::WantsOut { relay, stay });
         }
     }
 
-    pub(super) fn replied(&mut self, relay: usize, call: u32, reply: &Reply) {
+    pub(super) fn replied(&mut self, relay: usize, call: u32, reply: &OperatorReply) {
         let Some(&stay) = self.outs.stays.get(&relay).filter(|_| call == DRAIN) else { return };
-        if matches!(reply, Reply::Yes(_)) {
+        if matches!(reply, OperatorReply::Accepted(_)) {
             let away = |other: &usize| {
                 let r = &self.relays[*other];
                 *other != relay
@@ -74,7 +77,7 @@
         self.outs.last = self.now;
         if self.relays[relay].mind.is_some() {
             self.day.clients.relay_is(self.now, relay, true);
-            self.step(relay, Event::Called { call: 0, what: Call::Activate });
+            self.step(relay, Event::OperatorCall { call: 0, what: OperatorRequest::Activate });
         }
     }
 }
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -51,8 +51,8 @@
             ..Open::default()
         };
         let left = ask.wait.saturating_sub(margin + self.client_way());
-        self.step(relay, Event::Came { conn: sess });
-        self.step(relay, Event::Opened { sess, open, left });
+        self.step(relay, Event::ClientConnected { conn: sess });
+        self.step(relay, Event::SessionRequested { sess, open, left });
     }
 
     /// A client hears its last word, or `UP`.
@@ -99,7 +99,7 @@
         if let Some(conn) = line.conn {
             self.later(way, Ev::Closed { conn });
         }
-        self.step(relay, Event::Gone { sess });
+        self.step(relay, Event::ClientDisconnected { sess });
     }
 
     pub(super) fn close_now(&mut self, conn: ConnNo, todo: &mut Todo) {
@@ -246,11 +246,11 @@
             return;
         }
         match word {
-            Word::Up => self.tell(relay, way, Event::Up { sess, dial }),
+            Word::Up => self.tell(relay, way, Event::SessionEstablished { sess, dial }),
             // Nine of ten lines: told at once, as a way of their own would change nothing but the time it
             // takes.
-            Word::Load(load) if up => self.step(relay, Event::Load { sess, load }),
-            Word::Load(load) => self.tell(relay, way, Event::Load { sess, load }),
+            Word::Load(load) if up => self.step(relay, Event::LoadReported { sess, load }),
+            Word::Load(load) => self.tell(relay, way, Event::LoadReported { sess, load }),
             Word::Busy => self.dial_ends(conn, way, DialEnd::Full),
             Word::Err => self.dial_ends(conn, way, DialEnd::Error),
             Word::Bye if up => self.open_ends(conn, way, DialEnd::Ok),
@@ -274,7 +274,7 @@
             return;
         }
         line.over = true;
-        self.tell(d.relay, after, Event::Ended { sess: d.sess, end, report: None });
+        self.tell(d.relay, after, Event::SessionEnded { sess: d.sess, end, report: None });
         let heard = if end == DialEnd::Ok { Heard::Bye } else { Heard::Moved };
         self.later(after + client_way, Ev::Client { mark: d.mark, heard, receipt: 0 });
     }
@@ -310,7 +310,7 @@
         if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
             (line.open, line.over, line.conn) = (false, true, None);
         }
-        self.step(relay, Event::Ended { sess, end: DialEnd::Reset, report: None });
+        self.step(relay, Event::SessionEnded { sess, end: DialEnd::Reset, report: None });
         self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
     }
 }
--- a/lab/tests/beliefs.rs
+++ b/lab/tests/beliefs.rs
@@ -7,7 +7,7 @@
 use hallrelay_lab::{keys, virt};
 use hallrelay_membership::message::{decode, encode, written, Body, DATAGRAM};
 use hallrelay_membership::{Effect as Fleet, Event as Heard, State};
-use hallrelay_relay::reducer::{Alarm, Effect, Event, Reducer};
+use hallrelay_relay::reducer::{Effect, Event, Reducer, Timer};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Plant {
@@ -37,34 +37,38 @@
     /// What of an event comes through.
     fn event(&self, event: Event) -> Option<Event> {
         match (self.plant, event) {
-            (Plant::Deaf, Event::Fleet(Heard::Heard { .. } | Heard::Returned { .. })) => None,
-            (Plant::DeafToOne, Event::Fleet(Heard::Heard { from, mut packet })) => {
+            (Plant::Deaf, Event::Membership(Heard::Heard { .. } | Heard::Returned { .. })) => None,
+            (Plant::DeafToOne, Event::Membership(Heard::Heard { from, mut packet })) => {
                 packet.news.retain(|claim| *claim.name != *ONE);
                 // Others answer for it.
                 let answers = matches!(packet.body, Body::Ack { .. });
-                (*packet.own.name != *ONE && !answers).then_some(Event::Fleet(Heard::Heard { from, packet }))
+                (*packet.own.name != *ONE && !answers)
+                    .then_some(Event::Membership(Heard::Heard { from, packet }))
             }
-            (Plant::Credulous, Event::Fleet(Heard::Heard { from, mut packet })) => {
+            (Plant::Credulous, Event::Membership(Heard::Heard { from, mut packet })) => {
                 packet.news.retain(|claim| claim.state == State::Alive);
-                Some(Event::Fleet(Heard::Heard { from, packet }))
+                Some(Event::Membership(Heard::Heard { from, packet }))
             }
-            (Plant::Credulous, Event::Fleet(Heard::Returned { .. }) | Event::Alarm(Alarm::Fleet)) => None,
+            (
+                Plant::Credulous,
+                Event::Membership(Heard::Returned { .. }) | Event::Timer(Timer::Membership),
+            ) => None,
             (_, event) => Some(event),
         }
     }
 
     fn effect(&self, effect: Effect) -> Effect {
-        let Effect::Fleet(Fleet::Send { to, bytes }) = effect else { return effect };
+        let Effect::Membership(Fleet::Send { to, bytes }) = effect else { return effect };
         let mut packet = decode(&self.fleet, &bytes, DATAGRAM).expect("its own");
         match self.plant {
             Plant::WrongStart => packet.own.rank.start += 1_000_000_000,
             Plant::SaysItLeaves => packet.own.state = State::Left,
-            _ => return Effect::Fleet(Fleet::Send { to, bytes }),
+            _ => return Effect::Membership(Fleet::Send { to, bytes }),
         }
         let news: Vec<Vec<u8>> = packet.news.iter().map(written).collect();
         let news = news.iter().map(Vec::as_slice);
         let (bytes, _) = encode(&packet.fleet, &packet.own, packet.body, news, DATAGRAM);
-        Effect::Fleet(Fleet::Send { to, bytes })
+        Effect::Membership(Fleet::Send { to, bytes })
     }
 }
 
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -43,16 +43,16 @@
             (Plant::TakesRanForNever, Event::DialEnded { sess, dial, end: DialEnd::Error, report }) => {
                 Event::DialEnded { sess, dial, end: DialEnd::Unconnected, report }
             }
-            (Plant::DeafToDrains, Event::List { watch, mut list }) => {
+            (Plant::DeafToDrains, Event::EndpointListReceived { watch, mut list }) => {
                 list.instances.retain(|one| one.phase == Phase::Ready);
-                Event::List { watch, list }
+                Event::EndpointListReceived { watch, list }
             }
-            (Plant::PushesTheCold, Event::List { watch, mut list }) => {
+            (Plant::PushesTheCold, Event::EndpointListReceived { watch, mut list }) => {
                 for one in list.instances.iter_mut().filter(|one| one.came_up > 0) {
                     one.came_up = 0;
                     self.cold = Some(one.addr).filter(|_| one.phase == Phase::Ready).or(self.cold);
                 }
-                Event::List { watch, list }
+                Event::EndpointListReceived { watch, list }
             }
             (_, event) => event,
         }
@@ -62,8 +62,8 @@
         for effect in fresh {
             match (self.plant, &effect) {
                 (Plant::Mute, Effect::Dial { sess, .. } | Effect::TearDown { sess }) if sess % 10 == 0 => {}
-                (Plant::SaysTwice, Effect::Refuse { .. }) => out.extend([effect.clone(), effect]),
-                (Plant::DialsAfterEnd, Effect::Refuse { sess, .. }) => {
+                (Plant::SaysTwice, Effect::Reject { .. }) => out.extend([effect.clone(), effect]),
+                (Plant::DialsAfterEnd, Effect::Reject { sess, .. }) => {
                     self.refused.push((now + 200_000, *sess));
                     out.push(effect);
                 }
@@ -89,7 +89,7 @@
                         begin: *begin,
                     });
                 }
-                (Plant::LeavesOpen, Effect::Move { .. }) => {}
+                (Plant::LeavesOpen, Effect::Migrate { .. }) => {}
                 (_, Effect::Dial { addr, .. }) => {
                     self.last_dial = Some(*addr);
                     out.push(effect);
@@ -111,7 +111,7 @@
     }
 
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
-        let stops = event == Event::Stop && self.plant == Plant::LeavesOpen;
+        let stops = event == Event::StopRequested && self.plant == Plant::LeavesOpen;
         let (event, mut fresh) = (self.event(event), Vec::new());
         self.inner.step(now, event, &mut fresh);
         self.effects(now, fresh, out);
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -44,11 +44,11 @@
 fn openings_are_read_as_they_are_logged() {
     for (at, standing) in [(None, false), (Some("oak"), true)] {
         let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing };
-        let entry = event(Event::Opened { sess: 7, open: open(at), left: 5 });
+        let entry = event(Event::SessionRequested { sess: 7, open: open(at), left: 5 });
         assert_eq!(entry, Entry::Opened { sess: 7, opening });
     }
-    let mut inherited = Event::Inherited { sess: 8, session: Default::default() };
-    if let Event::Inherited { session, .. } = &mut inherited {
+    let mut inherited = Event::SessionAdopted { sess: 8, session: Default::default() };
+    if let Event::SessionAdopted { session, .. } = &mut inherited {
         (session.mark, session.key, session.group, session.returned) = (11, 22, 33, true);
         session.server = "oak".to_string();
     }
@@ -63,13 +63,18 @@
         let report = Some(Report { load: Some(0.5), piled: None, held: Some(3.0) });
         let entry = event(Event::DialEnded { sess: 1, dial: 2, end, report });
         assert_eq!(entry, Entry::DialEnded { sess: 1, dial: 2, end });
-        assert_eq!(event(Event::Ended { sess: 1, end, report: None }), Entry::Ended { sess: 1, end });
+        assert_eq!(event(Event::SessionEnded { sess: 1, end, report: None }), Entry::Ended { sess: 1, end });
     }
-    assert_eq!(event(Event::Came { conn: 1 }), Entry::Came { conn: 1 });
-    assert_eq!(event(Event::Departed { sess: 1 }), Entry::Departed { sess: 1 });
-    assert_eq!(event(Event::Gone { sess: 1 }), Entry::Gone { sess: 1 });
-    assert_eq!(event(Event::Passed { sess: 1 }), Entry::Passed { sess: 1 });
-    for other in [Event::Written, Event::Stop, Event::Unfit, Event::Took { sess: 1, time: 2 }] {
+    assert_eq!(event(Event::ClientConnected { conn: 1 }), Entry::Came { conn: 1 });
+    assert_eq!(event(Event::ClientHalfClosed { sess: 1 }), Entry::Departed { sess: 1 });
+    assert_eq!(event(Event::ClientDisconnected { sess: 1 }), Entry::Gone { sess: 1 });
+    assert_eq!(event(Event::SessionHandedOver { sess: 1 }), Entry::Passed { sess: 1 });
+    for other in [
+        Event::FirstLineForwarded,
+        Event::StopRequested,
+        Event::ConfigurationRejected,
+        Event::MessageLatency { sess: 1, time: 2 },
+    ] {
         assert_eq!(event(other), Entry::OtherEvent);
     }
 }
@@ -79,29 +84,29 @@
     let addr = "127.0.1.1:8000".parse().expect("an address");
     let dial = Effect::Dial { sess: 1, dial: 2, server: Some(9), addr, wait: 3, begin: 4 };
     assert_eq!(effect(dial), Entry::Dial { sess: 1, addr });
-    assert_eq!(effect(Effect::Pass { sess: 1 }), Entry::Pass { sess: 1 });
-    assert_eq!(effect(Effect::Refuse { sess: 1, retry_after: 2 }), Entry::Refuse { sess: 1 });
+    assert_eq!(effect(Effect::StartProxying { sess: 1 }), Entry::Pass { sess: 1 });
+    assert_eq!(effect(Effect::Reject { sess: 1, retry_after: 2 }), Entry::Refuse { sess: 1 });
     assert_eq!(effect(Effect::TearDown { sess: 1 }), Entry::TearDown { sess: 1 });
-    assert_eq!(effect(Effect::Spurn { conn: 1 }), Entry::Spurn { sess: 1 });
-    assert_eq!(effect(Effect::Close { sess: 1 }), Entry::Close { sess: 1 });
-    assert_eq!(effect(Effect::Move { sess: 1 }), Entry::Move { sess: 1 });
-    assert_eq!(effect(Effect::Probe { server: 9, addr }), Entry::Probe { addr });
+    assert_eq!(effect(Effect::ReportProtocolError { conn: 1 }), Entry::Spurn { sess: 1 });
+    assert_eq!(effect(Effect::CloseClient { sess: 1 }), Entry::Close { sess: 1 });
+    assert_eq!(effect(Effect::Migrate { sess: 1 }), Entry::Move { sess: 1 });
+    assert_eq!(effect(Effect::HealthCheck { server: 9, addr }), Entry::Probe { addr });
     assert_eq!(effect(Effect::Exit), Entry::Exit);
     let notes =
         [("serving", "stopping", true), ("draining", "serving", false), ("serving", "draining", true)];
     for (from, to, leaves) in notes {
         let what = format!("from {from} to {to}");
-        assert_eq!(effect(Effect::Note { what }), Entry::Duty { leaves });
+        assert_eq!(effect(Effect::Log { what }), Entry::Duty { leaves });
     }
-    assert_eq!(effect(Effect::Note { what: "something else".to_string() }), Entry::OtherEvent);
+    assert_eq!(effect(Effect::Log { what: "something else".to_string() }), Entry::OtherEvent);
 }
 
 #[test]
 fn probes_and_lists_are_read_as_they_are_logged() {
     let report = Report { load: Some(0.005), piled: Some(1.0), held: None };
-    let probed = Event::Probed { server: 1, end: DialEnd::Ok, report: Some(report) };
+    let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Ok, report: Some(report) };
     assert_eq!(event(probed), Entry::Probed { end: DialEnd::Ok, report });
-    let probed = Event::Probed { server: 1, end: DialEnd::Timeout, report: None };
+    let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Timeout, report: None };
     assert_eq!(event(probed), Entry::Probed { end: DialEnd::Timeout, report: Report::default() });
     let instance = |id: &str, phase, came_up| Instance {
         id: id.to_string(),
@@ -118,13 +123,13 @@
     ];
     for instances in [instances, Vec::new()] {
         let list = List { generation: 5, whole: true, instances, odd: Vec::new() };
-        assert_eq!(event(Event::List { watch: 2, list: list.clone() }), Entry::List(list));
+        assert_eq!(event(Event::EndpointListReceived { watch: 2, list: list.clone() }), Entry::List(list));
     }
 }
 
 #[test]
 fn a_line_that_is_cut_anywhere_is_no_entry() {
-    let what = Event::Opened { sess: 7, open: open(Some("oak")), left: 5 };
+    let what = Event::SessionRequested { sess: 7, open: open(Some("oak")), left: 5 };
     let text = format!("Mar 04 12:00:00.001 TRCE event, what: {what:?}");
     let from = text.find("what: ").expect("it is there") + "what: ".len();
     for end in from..text.len() {
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -6,7 +6,7 @@
 use hallrelay_emulator::service::Outs;
 use hallrelay_lab::virt;
 use hallrelay_recovery::Stored;
-use hallrelay_relay::reducer::{Call, Effect, Event, Reducer, Reply};
+use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer};
 
 fn day() -> Scenario {
     let text = include_str!("../../deploy/example/scenarios/relays-in-turn.toml");
@@ -37,8 +37,8 @@
     }
 
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
-        if let Event::Called { call, what: Call::Drain(_) } = event {
-            return out.push(Effect::Reply { call, reply: Reply::Yes("draining") });
+        if let Event::OperatorCall { call, what: OperatorRequest::Drain(_) } = event {
+            return out.push(Effect::Reply { call, reply: OperatorReply::Accepted("draining") });
         }
         self.0.step(now, event, out);
     }
--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -27,7 +27,7 @@
             let (conn, commands) = hub.register();
             first_line::run(conn, stream, commands, &hub).await;
             hub.conns.borrow_mut().remove(&conn);
-            hub.tell(Event::Gone { sess: conn }).await;
+            hub.tell(Event::ClientDisconnected { sess: conn }).await;
             drop(permit);
         };
         slog::debug!(log, "a connection is taken"; "bytes" => size_of_val(&task));
--- a/relay/src/net/admit.rs
+++ b/relay/src/net/admit.rs
@@ -54,7 +54,7 @@
                     }
                     Next::Told(_) => return,
                     Next::Ended(dial::Ended::Up(backend)) => {
-                        hub.tell(Event::Up { sess: conn, dial }).await;
+                        hub.tell(Event::SessionEstablished { sess: conn, dial }).await;
                         // Guards the session that was given up as its backend's answer was read: what waits
                         // then is its final answer, and the backend's goes nowhere.
                         match word(&client, &mut commands, hub).await {
@@ -75,7 +75,7 @@
                         return end::answer(client, &line.0, &mut commands, hub).await;
                     }
                     Next::Ended(dial::Ended::NotBegun) => {
-                        hub.tell(Event::NotBegun { sess: conn, dial }).await;
+                        hub.tell(Event::DialNotStarted { sess: conn, dial }).await;
                     }
                     Next::Ended(dial::Ended::Not(end, report)) => {
                         hub.tell(Event::DialEnded { sess: conn, dial, end, report }).await;
@@ -132,13 +132,13 @@
     }
     // Whether it has gone, or merely ended its sending and reads on, its end alone does not tell: the answer
     // that it is owed is written, and nothing is sent on.
-    hub.tell(Event::Departed { sess: conn }).await;
+    hub.tell(Event::ClientHalfClosed { sess: conn }).await;
     last(client, &mut commands, hub).await;
 }
 
 /// Tells of a connection that is not of the protocol, and carries its last line out.
 pub async fn rejected(conn: SessId, client: TcpStream, mut commands: Receiver<Command>, hub: &Hub) {
-    hub.tell(Event::Odd { conn }).await;
+    hub.tell(Event::ProtocolViolation { conn }).await;
     last(client, &mut commands, hub).await;
 }
 
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -74,7 +74,7 @@
     if !send(&stream, line, wait, permit).await {
         return never;
     }
-    hub.tell(Event::Written).await;
+    hub.tell(Event::FirstLineForwarded).await;
     let mut buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
     let answer = read::line(&stream, &mut buffer, limits.line);
     let Ok(answer) = timeout_at(over, answer).await else {
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -20,7 +20,7 @@
 pub async fn run(id: u32, addr: SocketAddr, since: Option<u64>, hub: Hub) {
     let why = watch(id, addr, since, &hub).await;
     slog::info!(hub.log, "the watch of the list is over"; "at" => %addr, "why" => why);
-    hub.tell(Event::ListBroken { watch: id }).await;
+    hub.tell(Event::EndpointWatchFailed { watch: id }).await;
 }
 
 const LIST: &str = "/registry/instances";
@@ -97,7 +97,7 @@
         None => match timeout(span(limits.discovery_first), whole(addr, limits.list)).await {
             Ok(Ok(list)) => {
                 let since = list.generation;
-                hub.tell(Event::List { watch: id, list: List { whole: true, ..list } }).await;
+                hub.tell(Event::EndpointListReceived { watch: id, list: List { whole: true, ..list } }).await;
                 since
             }
             Ok(Err(why)) => return why,
@@ -138,7 +138,7 @@
         (open, next, last) = (now, None, Instant::now());
         if let Some(list) = list {
             since = if list.whole { list.generation } else { list.generation.max(since) };
-            hub.tell(Event::List { watch: id, list }).await;
+            hub.tell(Event::EndpointListReceived { watch: id, list }).await;
         }
     }
 }
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -30,7 +30,7 @@
     let came = Instant::now();
     let mut over = came + span(limits.first_line);
     let mut buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
-    hub.tell(Event::Came { conn }).await;
+    hub.tell(Event::ClientConnected { conn }).await;
     // Guards the final answer against one that asks without end: what waits for this task has few places, and
     // an answer that finds none is lost. No more is read than half of them can hold.
     let mut pings = 0;
@@ -55,7 +55,7 @@
                 // Guards a client that is slow: as long as its line grows it has a little more time.
                 let pause = Instant::now() + span(limits.first_line_pause);
                 over = over.max(pause.min(came + span(limits.first_line_most)));
-                hub.tell(Event::Stirred { conn }).await;
+                hub.tell(Event::FirstLineStarted { conn }).await;
                 continue;
             }
             Next::Ended => return,
@@ -88,7 +88,7 @@
                 let age = read::age_of_last(&client).min(wait);
                 let left = wait.saturating_sub(age + limits.answer_margin);
                 let wait_at = open.wait_at.clone();
-                hub.tell(Event::Opened { sess: conn, open, left }).await;
+                hub.tell(Event::SessionRequested { sess: conn, open, left }).await;
                 let asked = admit::Asked { line, wait_at };
                 return admit::run(conn, client, buffer, asked, commands, hub).await;
             }
--- a/relay/src/net/fleet.rs
+++ b/relay/src/net/fleet.rs
@@ -94,7 +94,7 @@
         tokio::task::spawn_local(async move {
             let limit = span(hub.limits().fleet_stream);
             match timeout(limit, visit(&fleet, to, bytes)).await {
-                Ok(Ok(Ok(packet))) => hub.tell(Event::Fleet(Heard::Returned { packet })).await,
+                Ok(Ok(Ok(packet))) => hub.tell(Event::Membership(Heard::Returned { packet })).await,
                 Ok(Ok(Err(what))) => dropped(&hub, what, 1).await,
                 Ok(Err(e)) => slog::debug!(hub.log, "a relay is not reached"; "at" => %to, "error" => %e),
                 Err(_) => slog::debug!(hub.log, "a relay does not answer"; "at" => %to),
@@ -111,7 +111,7 @@
 }
 
 async fn dropped(hub: &Hub, what: Fault, count: u64) {
-    hub.tell(Event::Fleet(Heard::Dropped { what, count })).await;
+    hub.tell(Event::Membership(Heard::Dropped { what, count })).await;
 }
 
 async fn open(
@@ -170,7 +170,7 @@
                 match decode(&fleet.name, &bytes[..len], DATAGRAM) {
                     Ok(packet) => {
                         let packet = Box::new(packet);
-                        hub.tell(Event::Fleet(Heard::Heard { from, packet })).await;
+                        hub.tell(Event::Membership(Heard::Heard { from, packet })).await;
                     }
                     Err(what) => *faults.entry(what).or_default() += 1,
                 }
@@ -210,7 +210,7 @@
     };
     let (to, answer) = oneshot::channel();
     answers.borrow_mut().insert(id, to);
-    hub.tell(Event::Fleet(Heard::Visited { stream: id, from, packet })).await;
+    hub.tell(Event::Membership(Heard::Visited { stream: id, from, packet })).await;
     if let Ok(Some(bytes)) = answer.await {
         _ = write_frame(&mut stream, bytes).await;
     }
--- a/relay/src/net/handover.rs
+++ b/relay/src/net/handover.rs
@@ -256,7 +256,7 @@
             _ = told.send(Err(sockets));
         }
     }
-    hub.tell(Event::Place(Heard::Left { peer })).await;
+    hub.tell(Event::HotRestart(Heard::Left { peer })).await;
 }
 
 /// Tells of the whole lines that have come.
@@ -283,10 +283,10 @@
                     let (conn, commands) = hub.register();
                     pass::resume(conn, session, sockets, commands, &hub).await;
                     hub.conns.borrow_mut().remove(&conn);
-                    hub.tell(Event::Gone { sess: conn }).await;
+                    hub.tell(Event::ClientDisconnected { sess: conn }).await;
                 });
             }
-            message => hub.tell(Event::Place(Heard::Said { peer, message })).await,
+            message => hub.tell(Event::HotRestart(Heard::Said { peer, message })).await,
         }
     }
     if line.len() > LONGEST {
--- a/relay/src/net/interleaving_tests/lists.rs
+++ b/relay/src/net/interleaving_tests/lists.rs
@@ -40,7 +40,7 @@
 
 async fn told(events: &mut mpsc::Receiver<Event>) -> List {
     match soon("a list", events.recv()).await {
-        Some(Event::List { list, .. }) => list,
+        Some(Event::EndpointListReceived { list, .. }) => list,
         other => panic!("{other:?} in place of a list"),
     }
 }
@@ -143,7 +143,7 @@
         second.says(&format!("{HEAD}{}", chunk(&line(9)))).await;
         assert_eq!(told(&mut events).await.generation, 9);
         drop(second);
-        assert!(matches!(soon("an end", events.recv()).await, Some(Event::ListBroken { watch: 1 })));
+        assert!(matches!(soon("an end", events.recv()).await, Some(Event::EndpointWatchFailed { watch: 1 })));
     });
 }
 
@@ -178,7 +178,10 @@
             let service = bound().await;
             let (mut events, mut call) = watch(&service).await;
             call.says(&chunk(odd)).await;
-            assert!(matches!(soon("an end", events.recv()).await, Some(Event::ListBroken { .. })), "{odd}");
+            assert!(
+                matches!(soon("an end", events.recv()).await, Some(Event::EndpointWatchFailed { .. })),
+                "{odd}"
+            );
         });
     }
 }
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -159,7 +159,7 @@
             let (conn, commands) = hub.register();
             first_line::run(conn, stream, commands, &hub).await;
             hub.conns.borrow_mut().remove(&conn);
-            hub.tell(Event::Gone { sess: conn }).await;
+            hub.tell(Event::ClientDisconnected { sess: conn }).await;
         });
     }
 
@@ -167,7 +167,10 @@
     async fn event(&mut self) -> Event {
         loop {
             let event = soon("an event", self.events.recv()).await.expect("tasks can tell");
-            if !matches!(event, Event::Came { .. } | Event::Stirred { .. } | Event::Written) {
+            if !matches!(
+                event,
+                Event::ClientConnected { .. } | Event::FirstLineStarted { .. } | Event::FirstLineForwarded
+            ) {
                 return event;
             }
         }
@@ -176,7 +179,7 @@
     /// A session's line is told: its connection's number.
     async fn opened(&mut self) -> SessId {
         match self.event().await {
-            Event::Opened { sess, .. } => sess,
+            Event::SessionRequested { sess, .. } => sess,
             other => panic!("{other:?} in place of a session"),
         }
     }
@@ -185,7 +188,10 @@
     async fn quiet(&mut self) {
         self.turns().await;
         while let Ok(event) = self.events.try_recv() {
-            let odd = !matches!(event, Event::Came { .. } | Event::Stirred { .. } | Event::Written);
+            let odd = !matches!(
+                event,
+                Event::ClientConnected { .. } | Event::FirstLineStarted { .. } | Event::FirstLineForwarded
+            );
             assert!(!odd, "{event:?}");
         }
     }
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -9,7 +9,7 @@
 async fn open(play: &mut Play) -> (SessId, Peer, Peer) {
     let (conn, mut client, mut server) = play.dialled().await;
     server.says("UP r1\r\n").await;
-    assert!(matches!(play.event().await, Event::Up { .. }));
+    assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
     play.says(conn, Command::Pass);
     assert_eq!(client.hears().await, "UP r1\r\n");
     (conn, client, server)
@@ -35,14 +35,14 @@
         let (conn, mut client, mut server) = open(&mut play).await;
         server.says("BYE\r\n").await;
         drop(server);
-        assert!(matches!(play.event().await, Event::Ended { end: DialEnd::Ok, .. }));
+        assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
         play.says(conn, Command::Move);
         assert_eq!(client.hears().await, "BYE\r\n");
         play.quiet().await;
         client.says("M 1\r\n").await;
         assert_eq!(client.hears().await, "");
         drop(client);
-        assert_eq!(play.event().await, Event::Gone { sess: conn });
+        assert_eq!(play.event().await, Event::ClientDisconnected { sess: conn });
     });
 }
 
@@ -53,9 +53,9 @@
         let (conn, mut client, mut server) = open(&mut play).await;
         server.says("BYE\r\n").await;
         drop(server);
-        assert!(matches!(play.event().await, Event::Ended { end: DialEnd::Ok, .. }));
+        assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
         play.says(conn, Command::Shed);
-        assert_eq!(play.event().await, Event::Gone { sess: conn });
+        assert_eq!(play.event().await, Event::ClientDisconnected { sess: conn });
         assert_eq!(client.hears().await, "BYE\r\n");
     });
 }
@@ -77,8 +77,8 @@
             drop(server);
             loop {
                 match play.event().await {
-                    Event::Gone { sess } => break assert_eq!(sess, conn),
-                    Event::Load { .. } | Event::Took { .. } => {}
+                    Event::ClientDisconnected { sess } => break assert_eq!(sess, conn),
+                    Event::LoadReported { .. } | Event::MessageLatency { .. } => {}
                     other => panic!("{other:?}"),
                 }
             }
@@ -102,8 +102,8 @@
             std::thread::sleep(std::time::Duration::from_micros(play.hub.limits().probe.min(100_000)));
             loop {
                 match play.event().await {
-                    Event::Ended { end, .. } => break assert_eq!(end, DialEnd::Ok),
-                    Event::Took { .. } => {}
+                    Event::SessionEnded { end, .. } => break assert_eq!(end, DialEnd::Ok),
+                    Event::MessageLatency { .. } => {}
                     other => panic!("{other:?}"),
                 }
             }
@@ -122,7 +122,7 @@
         server.says("M 1\r\nM 2\r\nhalf").await;
         play.turns().await;
         play.says(conn, Command::Move);
-        assert!(matches!(play.event().await, Event::Ended { end: DialEnd::Recalled, .. }));
+        assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Recalled, .. }));
         for wanted in ["M 1\r\n", "M 2\r\n", "MOVE\r\n", ""] {
             assert_eq!(client.hears().await, wanted);
         }
--- a/relay/src/net/interleaving_tests/probes.rs
+++ b/relay/src/net/interleaving_tests/probes.rs
@@ -19,7 +19,7 @@
             let mut first = taken(&backend).await;
             assert_eq!(first.hears().await, "STATS\r\n");
             first.says("PONG x0=0.5\r\n").await;
-            assert!(matches!(play.event().await, Event::Probed { end: DialEnd::Ok, .. }));
+            assert!(matches!(play.event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
             if read_first {
                 ask.send(addr).await.expect("it serves");
                 assert_eq!(first.hears().await, "STATS\r\n");
@@ -31,12 +31,12 @@
             let mut second = taken(&backend).await;
             assert_eq!(second.hears().await, "STATS\r\n");
             second.says("PONG x0=0.5\r\n").await;
-            assert!(matches!(play.event().await, Event::Probed { end: DialEnd::Ok, .. }));
+            assert!(matches!(play.event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
             ask.send(addr).await.expect("it serves");
             second.hears().await;
             drop(second);
             drop(taken(&backend).await);
-            assert!(matches!(play.event().await, Event::Probed { end: DialEnd::Reset, .. }));
+            assert!(matches!(play.event().await, Event::HealthCheckEnded { end: DialEnd::Reset, .. }));
         });
     }
 }
@@ -54,17 +54,17 @@
         let mut first = taken(&backend).await;
         first.hears().await;
         first.says("PONG x0=0.5\r\n").await;
-        assert!(matches!(play.event().await, Event::Probed { end: DialEnd::Ok, .. }));
+        assert!(matches!(play.event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
         ask.send(addr).await.expect("it serves");
         // It says nothing on the first one any more.
         let mut second = taken(&backend).await;
         assert_eq!(second.hears().await, "STATS\r\n");
         second.says("PONG x0=0.5\r\n").await;
-        assert!(matches!(play.event().await, Event::Probed { end: DialEnd::Ok, .. }));
+        assert!(matches!(play.event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
         // One that says nothing on a new connection either is silent.
         ask.send(addr).await.expect("it serves");
         let _third = taken(&backend).await;
-        assert!(matches!(play.event().await, Event::Probed { end: DialEnd::Timeout, .. }));
+        assert!(matches!(play.event().await, Event::HealthCheckEnded { end: DialEnd::Timeout, .. }));
     });
 }
 
@@ -80,7 +80,10 @@
         let mut server = taken(&backend).await;
         server.hears().await;
         server.says("PONG\r\n").await;
-        assert!(matches!(soon("a probe", events.recv()).await, Some(Event::Probed { end: DialEnd::Ok, .. })));
+        assert!(matches!(
+            soon("a probe", events.recv()).await,
+            Some(Event::HealthCheckEnded { end: DialEnd::Ok, .. })
+        ));
         assert_eq!(server.hears().await, "");
     });
 }
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -15,7 +15,7 @@
     play(|mut play| async move {
         let (conn, mut client, mut server) = play.dialled().await;
         server.says("UP r1\r\n").await;
-        assert!(matches!(play.event().await, Event::Up { dial: 0, .. }));
+        assert!(matches!(play.event().await, Event::SessionEstablished { dial: 0, .. }));
         play.answers(conn, "FAIL\r\n");
         assert_eq!(client.hears().await, "FAIL\r\n");
         assert_eq!(server.hears().await, "");
@@ -62,7 +62,7 @@
         }
         assert_eq!(client.hears().await, "PONG\r\n");
         server.says("UP r1\r\n").await;
-        assert!(matches!(play.event().await, Event::Up { .. }));
+        assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
         play.says(conn, Command::Shed);
         play.says(conn, Command::Pass);
         assert_eq!(client.hears().await, "UP r1\r\n");
@@ -87,7 +87,7 @@
                             .for_each(|_| play.says(conn, Command::Pong(b"PONG\r\n")));
                     }
                 }
-                Event::Odd { conn } => break conn,
+                Event::ProtocolViolation { conn } => break conn,
                 other => panic!("{other:?}"),
             }
         };
@@ -135,7 +135,7 @@
                 play.turns().await;
                 let client = leaves(client, how);
                 play.dials(conn, 0, &backend, LONG);
-                assert_eq!(play.event().await, Event::Departed { sess: conn });
+                assert_eq!(play.event().await, Event::ClientHalfClosed { sess: conn });
                 play.answers(conn, "BUSY\r\n");
                 if let Some(mut client) = client {
                     assert_eq!(client.hears().await, "BUSY\r\n");
@@ -153,7 +153,7 @@
         let (backend, client) = (bound().await, play.client_with(LINE).await);
         let conn = play.opened().await;
         let mut client = leaves(client, Lies::End).expect("it reads on");
-        assert_eq!(play.event().await, Event::Departed { sess: conn });
+        assert_eq!(play.event().await, Event::ClientHalfClosed { sess: conn });
         play.dials(conn, 0, &backend, LONG);
         play.quiet().await;
         play.answers(conn, "FAIL\r\n");
@@ -187,13 +187,13 @@
             };
             play.taken(&mut queued);
             match play.event().await {
-                Event::Opened { sess, .. } => {
+                Event::SessionRequested { sess, .. } => {
                     play.dials(sess, 0, &backend, LONG);
-                    assert_eq!(play.event().await, Event::Departed { sess });
+                    assert_eq!(play.event().await, Event::ClientHalfClosed { sess });
                     play.answers(sess, "BUSY\r\n");
                 }
                 // A reset may take the line with it.
-                Event::Gone { .. } if how == Lies::Reset => {}
+                Event::ClientDisconnected { .. } if how == Lies::Reset => {}
                 other => panic!("{other:?}"),
             }
             untouched(&backend).await;
@@ -220,7 +220,7 @@
         play.dials(conn, 0, &backend, LONG);
         play.quiet().await;
         let mut client = leaves(client, Lies::End).expect("it reads on");
-        assert_eq!(play.event().await, Event::Departed { sess: conn });
+        assert_eq!(play.event().await, Event::ClientHalfClosed { sess: conn });
         play.answers(conn, "FAIL\r\n");
         assert_eq!(client.hears().await, "FAIL\r\n");
         untouched(&backend).await;
@@ -239,7 +239,7 @@
             tokio::task::yield_now().await;
             let mut client = leaves(client, Lies::End).expect("it reads on");
             match play.event().await {
-                Event::Departed { sess } => assert_eq!(sess, conn),
+                Event::ClientHalfClosed { sess } => assert_eq!(sess, conn),
                 other => panic!("{other:?}"),
             }
             play.answers(conn, "FAIL\r\n");
@@ -277,13 +277,13 @@
         let conn = play.opened().await;
         play.hub.leaving.borrow_mut().insert(SERVER);
         play.dials(conn, 0, &backend, LONG);
-        assert_eq!(play.event().await, Event::NotBegun { sess: conn, dial: 0 });
+        assert_eq!(play.event().await, Event::DialNotStarted { sess: conn, dial: 0 });
         play.hub.leaving.borrow_mut().clear();
         play.dials(conn, 0, &backend, LONG);
         // The task begins to connect, and the drain is told before its next turn.
         tokio::task::yield_now().await;
         play.hub.leaving.borrow_mut().insert(SERVER);
-        assert_eq!(play.event().await, Event::NotBegun { sess: conn, dial: 0 });
+        assert_eq!(play.event().await, Event::DialNotStarted { sess: conn, dial: 0 });
         untouched(&backend).await;
         assert_eq!(play.hub.denials.now().leaving, 2);
     });
@@ -333,7 +333,9 @@
     for _ in 0..PLAYS {
         play(|mut play| async move {
             let mut client = play.client().await;
-            let Some(Event::Came { conn }) = play.events.recv().await else { panic!("nobody came") };
+            let Some(Event::ClientConnected { conn }) = play.events.recv().await else {
+                panic!("nobody came")
+            };
             play.turns().await;
             client.says(LINE).await;
             client.lies(Lies::Bytes);
@@ -355,7 +357,9 @@
                 "1".repeat(3000)
             );
             let mut client = play.client().await;
-            let Some(Event::Came { conn }) = play.events.recv().await else { panic!("nobody came") };
+            let Some(Event::ClientConnected { conn }) = play.events.recv().await else {
+                panic!("nobody came")
+            };
             play.turns().await;
             client.says(&long).await;
             client.lies(Lies::Bytes);
--- a/relay/src/net/operator.rs
+++ b/relay/src/net/operator.rs
@@ -4,7 +4,7 @@
 use super::{accept, Hub};
 use crate::clock::span;
 use crate::figures;
-use crate::reducer::{Call, Reply, Want};
+use crate::reducer::{OperatorReply, OperatorRequest, Want};
 use crate::socket::Steady;
 use hallrelay_disruption::{Command, Plan, Thing};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -22,21 +22,21 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-pub(super) type Calls = mpsc::Sender<(Call, oneshot::Sender<Reply>)>;
+pub(super) type Calls = mpsc::Sender<(OperatorRequest, oneshot::Sender<OperatorReply>)>;
 
-type Meant = fn(Said) -> Result<Call, &'static str>;
+type Meant = fn(Said) -> Result<OperatorRequest, &'static str>;
 
 /// Path, method, and what it asks for.
 const CALLS: [(&str, &str, Meant); 15] = [
-    ("/v1/readyz", "GET", |_| Ok(Call::Ready)),
-    ("/v1/metrics", "GET", |_| Ok(Call::Figures)),
-    ("/v1/fleet", "GET", |_| Ok(Call::Fleet)),
-    ("/v1/grants", "GET", |_| Ok(Call::Grants)),
-    ("/v1/relay/drain", "POST", |said| Ok(Call::Drain(Box::new(said.want(None))))),
-    ("/v1/relay/activate", "POST", |_| Ok(Call::Activate)),
+    ("/v1/readyz", "GET", |_| Ok(OperatorRequest::Readiness)),
+    ("/v1/metrics", "GET", |_| Ok(OperatorRequest::Metrics)),
+    ("/v1/fleet", "GET", |_| Ok(OperatorRequest::Membership)),
+    ("/v1/grants", "GET", |_| Ok(OperatorRequest::Leases)),
+    ("/v1/relay/drain", "POST", |said| Ok(OperatorRequest::Drain(Box::new(said.want(None))))),
+    ("/v1/relay/activate", "POST", |_| Ok(OperatorRequest::Activate)),
     ("/v1/backend/drain", "POST", |said| {
         let backend = said.backend.clone().ok_or("backend is left out")?;
-        Ok(Call::Drain(Box::new(said.want(Some(backend)))))
+        Ok(OperatorRequest::Drain(Box::new(said.want(Some(backend)))))
     }),
     ("/v1/backend/back", "POST", |said| {
         let thing = Thing::Server(said.backend.ok_or("backend is left out")?);
@@ -47,7 +47,7 @@
         let by = said.by.filter(|by| !by.is_empty()).ok_or("by is left out: who vouches for it?")?;
         agree(format!("{thing} is freed"), Command::Free { thing, by })
     }),
-    ("/v1/release", "GET", |_| Ok(Call::Release)),
+    ("/v1/release", "GET", |_| Ok(OperatorRequest::Rollout)),
     ("/v1/release/start", "POST", |said| {
         let plan = said.plan.filter(Plan::sound).ok_or("no sound plan")?;
         agree(format!("release of {} begins", plan.build), Command::Start { plan })
@@ -82,8 +82,8 @@
     plan: Option<Plan>,
 }
 
-fn agree(words: String, command: Command) -> Result<Call, &'static str> {
-    Ok(Call::Agree { command: Box::new(command), words })
+fn agree(words: String, command: Command) -> Result<OperatorRequest, &'static str> {
+    Ok(OperatorRequest::Propose { command: Box::new(command), words })
 }
 
 impl Said {
@@ -178,23 +178,23 @@
         return say(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
     match reply.await {
-        Ok(Reply::Yes(word)) => say(StatusCode::OK, word),
-        Ok(Reply::No(word)) => {
+        Ok(OperatorReply::Accepted(word)) => say(StatusCode::OK, word),
+        Ok(OperatorReply::Unavailable(word)) => {
             let mut no = say(StatusCode::SERVICE_UNAVAILABLE, word);
             no.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
             no
         }
-        Ok(Reply::Conflict(word)) => say(StatusCode::CONFLICT, word),
-        Ok(Reply::Held(why)) => say(StatusCode::CONFLICT, why),
-        Ok(Reply::Said(what)) => say(StatusCode::OK, what),
-        Ok(Reply::Grants(None)) => say(StatusCode::NOT_FOUND, "nothing of it is agreed here"),
-        Ok(Reply::Grants(Some(text))) => {
+        Ok(OperatorReply::Conflict(word)) => say(StatusCode::CONFLICT, word),
+        Ok(OperatorReply::Blocked(why)) => say(StatusCode::CONFLICT, why),
+        Ok(OperatorReply::Committed(what)) => say(StatusCode::OK, what),
+        Ok(OperatorReply::Leases(None)) => say(StatusCode::NOT_FOUND, "nothing of it is agreed here"),
+        Ok(OperatorReply::Leases(Some(text))) => {
             let mut answer = say(StatusCode::OK, text);
             answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
             answer
         }
-        Ok(Reply::Fleet(None)) => say(StatusCode::NOT_FOUND, "fleet is not configured here"),
-        Ok(Reply::Fleet(Some(status))) => match serde_json::to_string(&status) {
+        Ok(OperatorReply::Membership(None)) => say(StatusCode::NOT_FOUND, "fleet is not configured here"),
+        Ok(OperatorReply::Membership(Some(status))) => match serde_json::to_string(&status) {
             Ok(text) => {
                 let mut answer = say(StatusCode::OK, text);
                 answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -202,7 +202,7 @@
             }
             Err(_) => say(StatusCode::INTERNAL_SERVER_ERROR, "the status can't be written"),
         },
-        Ok(Reply::Figures(figures)) => say(StatusCode::OK, figures::text(&figures)),
+        Ok(OperatorReply::Metrics(figures)) => say(StatusCode::OK, figures::text(&figures)),
         Err(_) => say(StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     }
 }
--- a/relay/src/net/pass.rs
+++ b/relay/src/net/pass.rs
@@ -64,13 +64,13 @@
                 return false;
             }
             match lines::said(line, order) {
-                Said::Load(load) => self.hub.tell(Event::Load { sess: self.conn, load }).await,
+                Said::Load(load) => self.hub.tell(Event::LoadReported { sess: self.conn, load }).await,
                 Said::Bye(report) => self.last = Some((DialEnd::Ok, report)),
                 Said::Move => self.last = Some((DialEnd::Recalled, None)),
                 _ => {
                     if let Some(then) = self.unanswered.pop_front() {
                         let time = self.hub.clock.now() - then;
-                        self.hub.tell(Event::Took { sess: self.conn, time }).await;
+                        self.hub.tell(Event::MessageLatency { sess: self.conn, time }).await;
                     }
                 }
             }
@@ -129,7 +129,7 @@
     let mut observer = LineObserver::new(conn, hub);
     let now = hub.clock.now();
     observer.unanswered = session.unanswered.iter().map(|ago| now.saturating_sub(*ago)).collect();
-    hub.tell(Event::Inherited { sess: conn, session }).await;
+    hub.tell(Event::SessionAdopted { sess: conn, session }).await;
     // Nothing else can have been told to it: it had no place before.
     if let Some(Command::Pass) = commands.recv().await {
         go_on(client, up, backend, down, commands, observer).await;
@@ -156,16 +156,16 @@
                     ..*session
                 });
                 match peers::pass(peer, session, Sockets { client, backend }, hub).await {
-                    Ok(()) => return hub.tell(Event::Passed { sess: conn }).await,
+                    Ok(()) => return hub.tell(Event::SessionHandedOver { sess: conn }).await,
                     Err(Some(back)) => (client, backend) = (back.client, back.backend),
                     // Its sockets are of no use to this process any more.
                     Err(None) => return,
                 }
-                hub.tell(Event::Stays { sess: conn }).await;
+                hub.tell(Event::SessionHandoverFailed { sess: conn }).await;
             }
-            Over::Passed(..) => hub.tell(Event::Stays { sess: conn }).await,
+            Over::Passed(..) => hub.tell(Event::SessionHandoverFailed { sess: conn }).await,
             Over::ClientEnded => {
-                hub.tell(Event::Gone { sess: conn }).await;
+                hub.tell(Event::ClientDisconnected { sess: conn }).await;
                 if end::write(&backend, up.lines(), hub.limits().end).await {
                     end::orderly(backend, hub).await;
                 }
@@ -178,7 +178,7 @@
             }
             Over::Closed => return,
             Over::Backend(how, report) => {
-                hub.tell(Event::Ended { sess: conn, end: how, report }).await;
+                hub.tell(Event::SessionEnded { sess: conn, end: how, report }).await;
                 // Guards a client that would not know why: whom no last word told, is told to come again.
                 let word: &[u8] = if how == DialEnd::Reset { lines::MOVE } else { b"" };
                 drop(backend);
@@ -186,7 +186,7 @@
             }
             Over::Moved => {
                 drop(backend);
-                hub.tell(Event::Ended { sess: conn, end: DialEnd::Recalled, report: None }).await;
+                hub.tell(Event::SessionEnded { sess: conn, end: DialEnd::Recalled, report: None }).await;
                 return say(client, &down, lines::MOVE, &mut commands, hub).await;
             }
         }
--- a/relay/src/net/probe.rs
+++ b/relay/src/net/probe.rs
@@ -52,7 +52,7 @@
             Ok(Err((end, report))) => (end, report),
             Err(_) => (DialEnd::Timeout, None),
         };
-        hub.tell(Event::Probed { server, end, report }).await;
+        hub.tell(Event::HealthCheckEnded { server, end, report }).await;
     }
 }
 
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -3,7 +3,7 @@
 use super::{accept, discovery, fleet, handover, operator, peers, probe, stop, store, Command, Hub};
 use crate::clock::span;
 use crate::lines;
-use crate::reducer::{Alarm, Call, Effect, Event, Reducer, Reply};
+use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
 use crate::socket;
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
@@ -22,12 +22,12 @@
 struct Hands {
     hub: Hub,
     /// By time, and in order of asking.
-    alarms: BTreeMap<(Micros, u64), Alarm>,
+    alarms: BTreeMap<(Micros, u64), Timer>,
     asked: u64,
     probes: BTreeMap<ServerId, mpsc::Sender<SocketAddr>>,
     watches: BTreeMap<u32, AbortHandle>,
     /// Operators' calls that are not yet answered.
-    calls: BTreeMap<u32, oneshot::Sender<Reply>>,
+    calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
     /// Whether connections are taken here; other processes, and where they come.
     taking: watch::Sender<bool>,
     door: Option<Door>,
@@ -140,11 +140,11 @@
             hands.carry_out(&mut effects);
         }
         while let Some((life, number)) = hands.vowed() {
-            reducer.step(now, Event::Vowed { life, number }, &mut effects);
+            reducer.step(now, Event::VoterWritesDurable { life, number }, &mut effects);
             hands.carry_out(&mut effects);
         }
         while let Some(alarm) = hands.due(now) {
-            reducer.step(now, Event::Alarm(alarm), &mut effects);
+            reducer.step(now, Event::Timer(alarm), &mut effects);
             hands.carry_out(&mut effects);
         }
     }
@@ -186,18 +186,18 @@
 }
 
 impl Hands {
-    fn called(&mut self, what: Call, answer: oneshot::Sender<Reply>) -> Event {
+    fn called(&mut self, what: OperatorRequest, answer: oneshot::Sender<OperatorReply>) -> Event {
         self.asked += 1;
         let call = self.asked as u32;
         self.calls.insert(call, answer);
-        Event::Called { call, what }
+        Event::OperatorCall { call, what }
     }
 
     fn store_told(&mut self, now: Health) -> Event {
         if let Some(why) = &now.failing {
             slog::warn!(self.hub.log, "what is to be kept is not written"; "why" => why);
         }
-        Event::Store(Box::new(now))
+        Event::StoreHealth(Box::new(now))
     }
 
     /// A voter's promise that is on the disk.
@@ -218,14 +218,15 @@
         }
     }
 
-    fn due(&mut self, now: Micros) -> Option<Alarm> {
+    fn due(&mut self, now: Micros) -> Option<Timer> {
         let first = self.alarms.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 
     fn carry_out(&mut self, effects: &mut Vec<Effect>) {
         for effect in effects.drain(..) {
-            if let Effect::Refuse { sess, .. } | Effect::TearDown { sess } | Effect::Close { sess } = &effect
+            if let Effect::Reject { sess, .. } | Effect::TearDown { sess } | Effect::CloseClient { sess } =
+                &effect
             {
                 // Its dial never went out, and nothing is sent for it after its answer.
                 self.waiting.retain(|wait| wait.2 != *sess);
@@ -233,16 +234,18 @@
             slog::trace!(self.hub.log, "effect"; "what" => ?effect);
             match effect {
                 Effect::Pong { conn } => self.hub.command(conn, Command::Pong(lines::PONG)),
-                Effect::Deny { conn } => self.hub.command(conn, Command::Pong(lines::BUSY)),
+                Effect::RejectPing { conn } => self.hub.command(conn, Command::Pong(lines::BUSY)),
                 Effect::Reply { call, mut reply } => {
-                    if let Reply::Figures(figures) = &mut reply {
+                    if let OperatorReply::Metrics(figures) = &mut reply {
                         figures.denials = self.hub.denials.now();
                     }
                     // Who asked may be gone by now.
                     _ = self.calls.remove(&call).map(|answer| answer.send(reply));
                 }
-                Effect::Leave { server, leaves: true } => _ = self.hub.leaving.borrow_mut().insert(server),
-                Effect::Leave { server, leaves: false } => {
+                Effect::SetDraining { server, leaves: true } => {
+                    _ = self.hub.leaving.borrow_mut().insert(server)
+                }
+                Effect::SetDraining { server, leaves: false } => {
                     self.hub.leaving.borrow_mut().remove(&server);
                 }
                 Effect::Dial { sess, dial, server, addr, wait, begin } => {
@@ -258,13 +261,13 @@
                         None => self.hub.command(sess, command),
                     }
                 }
-                Effect::Keep { kept, before } => {
+                Effect::Persist { kept, before } => {
                     let ticket = self.keeper.as_ref().and_then(|keeper| keeper.put(kept));
                     if let (Some(sess), Some(ticket)) = (before, ticket) {
                         self.tickets.insert(sess, ticket);
                     }
                 }
-                Effect::Vow { life, number, kept } => {
+                Effect::PersistVoterWrites { life, number, kept } => {
                     let Some(keeper) = &self.keeper else { continue };
                     let tickets: Vec<_> = kept.into_iter().map(|one| keeper.put(one)).collect();
                     // What can't be put is never told to be written: the voter waits, and votes no more.
@@ -272,7 +275,7 @@
                         self.vows.push_back((all.into_iter().max().unwrap_or(0), life, number));
                     }
                 }
-                Effect::Keeping { on } => {
+                Effect::SetStoreOwnership { on } => {
                     if let Some(keeper) = &mut self.keeper {
                         match on {
                             // Most of what it held this process knows by now.
@@ -280,7 +283,7 @@
                                 let (held, hub) = (keeper.open(), self.hub.clone());
                                 tokio::task::spawn_local(async move {
                                     if let Ok(held) = held.await {
-                                        hub.tell(Event::Reopened(Box::new(held))).await;
+                                        hub.tell(Event::StoreReopened(Box::new(held))).await;
                                     }
                                 });
                             }
@@ -288,40 +291,42 @@
                         }
                     }
                 }
-                Effect::Pass { sess } => self.hub.command(sess, Command::Pass),
-                Effect::Refuse { sess, retry_after } => {
+                Effect::StartProxying { sess } => self.hub.command(sess, Command::Pass),
+                Effect::Reject { sess, retry_after } => {
                     self.hub.command(sess, Command::Answer(lines::busy(retry_after / 1000)));
                 }
                 Effect::TearDown { sess } => self.hub.command(sess, Command::Answer(lines::FAIL.to_vec())),
-                Effect::PassOn { sess, peer, session } => {
+                Effect::HandOverSession { sess, peer, session } => {
                     self.hub.command(sess, Command::PassOn(peer, session));
                 }
-                Effect::Move { sess } => self.hub.command(sess, Command::Move),
-                Effect::Spurn { conn } => self.hub.command(conn, Command::Answer(lines::ERROR.to_vec())),
-                Effect::Shed { conn } => self.hub.command(conn, Command::Shed),
-                Effect::Doubt { sess, doubted } => self.hub.command(sess, Command::Doubt(doubted)),
-                Effect::Close { sess } => self.hub.command(sess, Command::Close),
-                Effect::Probe { server, addr } => self.probe(server, addr),
-                Effect::Forget { server } => _ = self.probes.remove(&server),
-                Effect::Watch { watch, addr, since } => {
+                Effect::Migrate { sess } => self.hub.command(sess, Command::Move),
+                Effect::ReportProtocolError { conn } => {
+                    self.hub.command(conn, Command::Answer(lines::ERROR.to_vec()))
+                }
+                Effect::ShedConnection { conn } => self.hub.command(conn, Command::Shed),
+                Effect::SetSuspect { sess, doubted } => self.hub.command(sess, Command::Doubt(doubted)),
+                Effect::CloseClient { sess } => self.hub.command(sess, Command::Close),
+                Effect::HealthCheck { server, addr } => self.probe(server, addr),
+                Effect::ForgetServer { server } => _ = self.probes.remove(&server),
+                Effect::WatchEndpoints { watch, addr, since } => {
                     let task = discovery::run(watch, addr, since, self.hub.clone());
                     self.watches.insert(watch, tokio::task::spawn_local(task).abort_handle());
                 }
-                Effect::Unwatch { watch } => {
+                Effect::StopWatch { watch } => {
                     self.watches.remove(&watch).inspect(AbortHandle::abort);
                 }
-                Effect::Tuned { limits, order } => {
+                Effect::ApplyTuning { limits, order } => {
                     *self.hub.tuned.borrow_mut() = (Rc::new(*limits), order);
                 }
-                Effect::Kept { key } => {
+                Effect::KeyUnchanged { key } => {
                     slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
                 }
-                Effect::Alarm { after, alarm } => {
+                Effect::StartTimer { after, alarm } => {
                     self.asked += 1;
                     self.alarms.insert((self.hub.clock.now() + after, self.asked), alarm);
                 }
-                Effect::Accept { on } => _ = self.taking.send(on),
-                Effect::Tell { peer, message } => {
+                Effect::SetAccepting { on } => _ = self.taking.send(on),
+                Effect::SendToProcess { peer, message } => {
                     let peers = self.hub.peers.borrow();
                     let out = peers::Out::Say(message);
                     if peers.get(&peer).is_none_or(|to| to.try_send(out).is_err()) {
@@ -329,18 +334,18 @@
                     }
                 }
                 // What was said goes out first.
-                Effect::Part { peer } => _ = self.hub.peers.borrow_mut().remove(&peer),
-                Effect::Door { open: true } => {
+                Effect::DisconnectProcess { peer } => _ = self.hub.peers.borrow_mut().remove(&peer),
+                Effect::SetTakeoverListener { open: true } => {
                     let Some(door) = &mut self.door else { continue };
                     let wait = handover::wait(door.path.clone(), door.listener.clone(), self.hub.clone());
                     let wait = tokio::task::spawn_local(wait).abort_handle();
                     door.wait.replace(wait).inspect(AbortHandle::abort);
                 }
-                Effect::Door { open: false } => {
+                Effect::SetTakeoverListener { open: false } => {
                     // The path is the other process's to take.
                     self.door.as_mut().and_then(|door| door.wait.take()).inspect(AbortHandle::abort);
                 }
-                Effect::Fleet(effect) => {
+                Effect::Membership(effect) => {
                     let Some(links) = &mut self.links else { continue };
                     match effect {
                         Told::Open { on } => links.open(on),
@@ -356,8 +361,8 @@
                         | Told::Recalled { .. } => {}
                     }
                 }
-                Effect::Note { what } => slog::info!(self.hub.log, "{}", what),
-                Effect::GiveUp { why } => {
+                Effect::Log { what } => slog::info!(self.hub.log, "{}", what),
+                Effect::Abort { why } => {
                     let why = format!("the running process keeps its place: {why}");
                     self.exit = Some(Err(std::io::Error::other(why)));
                 }
--- a/relay/src/net/stop.rs
+++ b/relay/src/net/stop.rs
@@ -61,17 +61,17 @@
                 match reread() {
                     Ok(node) => {
                         slog::info!(hub.log, "the configuration is new"; "discovery" => %node.discovery);
-                        hub.tell(Event::Reload(Box::new(node))).await;
+                        hub.tell(Event::ConfigurationReloaded(Box::new(node))).await;
                     }
                     Err(what) => {
                         slog::error!(hub.log, "the new configuration is not used"; "why" => what);
-                        hub.tell(Event::Unfit).await;
+                        hub.tell(Event::ConfigurationRejected).await;
                     }
                 }
                 continue;
             }
         }
         slog::info!(hub.log, "told to stop");
-        hub.tell(Event::Stop).await;
+        hub.tell(Event::StopRequested).await;
     }
 }
--- a/relay/src/reducer/agreed.rs
+++ b/relay/src/reducer/agreed.rs
@@ -4,7 +4,7 @@
 use super::release::Evidence;
 use super::servers::server_id;
 use super::wish::Wish;
-use super::{note, Alarm, Effect, Reducer};
+use super::{note, Effect, Reducer, Timer};
 use crate::talk::{Talk, Told};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::fleet::Voters;
@@ -134,7 +134,7 @@
             }
         };
         // A birth that is not on the disk is none after the next start.
-        out.push(Effect::Keep { kept: Kept::vote(birth, agreed.term, agreed.vote), before: None });
+        out.push(Effect::Persist { kept: Kept::vote(birth, agreed.term, agreed.vote), before: None });
         // Guards a process that has its place back: the log is applied from its beginning once more.
         (a.state, a.applied) = Default::default();
         let mut told = Vec::new();
@@ -186,7 +186,7 @@
                 }
                 agreement::Effect::Write { number, write } => {
                     let (life, kept) = (a.life, a.written(write));
-                    out.push(Effect::Vow { life, number, kept });
+                    out.push(Effect::PersistVoterWrites { life, number, kept });
                 }
                 agreement::Effect::Alarm(alarm) => {
                     let after = match alarm {
@@ -194,8 +194,8 @@
                         agreement::Alarm::Beat => BEAT,
                     };
                     a.rounds[alarm as usize] += 1;
-                    let alarm = Alarm::Agreed(alarm, a.rounds[alarm as usize]);
-                    out.push(Effect::Alarm { after, alarm });
+                    let alarm = Timer::Voter(alarm, a.rounds[alarm as usize]);
+                    out.push(Effect::StartTimer { after, alarm });
                 }
                 agreement::Effect::Apply { index, command, ticket } => {
                     self.apply(index, &command, ticket, out);
--- a/relay/src/reducer/duty.rs
+++ b/relay/src/reducer/duty.rs
@@ -1,7 +1,7 @@
 //! Whether this process serves, drains or stops: one table for all that is told to it, by operators or
 //! signals. What a drain or a stop does to sessions stands here too.
 use super::sessions::owed;
-use super::{note, Alarm, Call, Effect, Reducer, Reply, Stage};
+use super::{note, Effect, OperatorReply, OperatorRequest, Reducer, Stage, Timer};
 use hallrelay_balancer::types::{Micros, SessId};
 use hallrelay_config::limits::Limits;
 use Act::{Begin, BeginEmpty, Empty, Nothing, Refuse, Resume, Yield};
@@ -122,14 +122,14 @@
         match act {
             Empty => self.begin_to_empty(out),
             Begin => {
-                out.push(Effect::Accept { on: true });
+                out.push(Effect::SetAccepting { on: true });
                 self.pong(out);
             }
             BeginEmpty => {
-                out.push(Effect::Accept { on: true });
+                out.push(Effect::SetAccepting { on: true });
                 self.begin_to_empty(out);
             }
-            Yield => out.push(Effect::Accept { on: false }),
+            Yield => out.push(Effect::SetAccepting { on: false }),
             Resume => self.pong(out),
             Nothing | Refuse => {}
         }
@@ -141,7 +141,7 @@
 
     fn begin_to_empty(&mut self, out: &mut Vec<Effect>) {
         let (after, _) = self.duty.plan(&self.node.limits);
-        out.push(Effect::Alarm { after, alarm: Alarm::Emptying(self.round) });
+        out.push(Effect::StartTimer { after, alarm: Timer::MigrateBatch(self.round) });
         self.pong(out);
     }
 
@@ -155,19 +155,21 @@
     }
 
     /// An operator's call, answered at once; where that takes an agreement, as it comes.
-    pub(super) fn called(&mut self, call: u32, what: Call, out: &mut Vec<Effect>) {
+    pub(super) fn called(&mut self, call: u32, what: OperatorRequest, out: &mut Vec<Effect>) {
         let reply = match what {
             // A relay that does not serve needs nobody's leave.
-            Call::Drain(want) if self.agrees() && (want.server.is_some() || self.duty == Serving) => {
+            OperatorRequest::Drain(want)
+                if self.agrees() && (want.server.is_some() || self.duty == Serving) =>
+            {
                 return self.want(call, *want, out);
             }
-            Call::Agree { command, words } if self.agrees() => {
+            OperatorRequest::Propose { command, words } if self.agrees() => {
                 return self.say_agreed(call, *command, words, out);
             }
-            Call::Drain(want) if want.server.is_some() => Reply::Held(NONE.to_string()),
-            Call::Agree { .. } => Reply::Held(NONE.to_string()),
-            Call::Grants => Reply::Grants(self.grants_status()),
-            Call::Release => Reply::Grants(self.release_status()),
+            OperatorRequest::Drain(want) if want.server.is_some() => OperatorReply::Blocked(NONE.to_string()),
+            OperatorRequest::Propose { .. } => OperatorReply::Blocked(NONE.to_string()),
+            OperatorRequest::Leases => OperatorReply::Leases(self.grants_status()),
+            OperatorRequest::Rollout => OperatorReply::Leases(self.release_status()),
             what => self.call(&what, out),
         };
         out.push(Effect::Reply { call, reply });
@@ -178,19 +180,22 @@
         matches!(self.duty, Serving) && self.can_place()
     }
 
-    fn call(&mut self, what: &Call, out: &mut Vec<Effect>) -> Reply {
+    fn call(&mut self, what: &OperatorRequest, out: &mut Vec<Effect>) -> OperatorReply {
         let act = match what {
-            Call::Fleet => return Reply::Fleet(self.fleet_status()),
-            Call::Figures => return Reply::Figures(Box::new(self.figures())),
-            Call::Drain(_) => self.turn(Sign::Drain, out),
-            Call::Activate => self.turn(Sign::Activate, out),
-            Call::Ready | Call::Grants | Call::Release | Call::Agree { .. } => Nothing,
+            OperatorRequest::Membership => return OperatorReply::Membership(self.fleet_status()),
+            OperatorRequest::Metrics => return OperatorReply::Metrics(Box::new(self.figures())),
+            OperatorRequest::Drain(_) => self.turn(Sign::Drain, out),
+            OperatorRequest::Activate => self.turn(Sign::Activate, out),
+            OperatorRequest::Readiness
+            | OperatorRequest::Leases
+            | OperatorRequest::Rollout
+            | OperatorRequest::Propose { .. } => Nothing,
         };
         let word = if self.duty == Serving && !self.can_place() { "starting" } else { self.duty.word() };
         match (act, what) {
-            (Refuse, _) => Reply::Conflict(word),
-            (_, Call::Ready) if word != Serving.word() => Reply::No(word),
-            _ => Reply::Yes(word),
+            (Refuse, _) => OperatorReply::Conflict(word),
+            (_, OperatorRequest::Readiness) if word != Serving.word() => OperatorReply::Unavailable(word),
+            _ => OperatorReply::Accepted(word),
         }
     }
 
@@ -205,7 +210,7 @@
             Serving if self.can_place() => |conn| Effect::Pong { conn },
             // Whom this process took before it was replaced: the two are one relay, and it serves.
             Relieved | Leaving => |conn| Effect::Pong { conn },
-            Draining | Away => |conn| Effect::Deny { conn },
+            Draining | Away => |conn| Effect::RejectPing { conn },
             Waiting | Serving | Stopping => return,
         };
         out.extend(self.pings.drain(..).map(said));
@@ -236,7 +241,7 @@
             // moment to hear it.
             let left = self.aside.is_empty() || since >= limits.stop_end + TICK;
             if since >= limits.stop_end {
-                out.extend(self.aside.drain(..).map(|(conn, _)| Effect::Shed { conn }));
+                out.extend(self.aside.drain(..).map(|(conn, _)| Effect::ShedConnection { conn }));
             }
             let empty = self.sessions.is_empty() && left;
             // At the latest a moment before it may be killed: whoever is there was answered or told to move.
@@ -260,7 +265,7 @@
         let part = self.owed / 1000;
         self.owed %= 1000;
         open.into_iter().take(part).for_each(|sess| self.move_on(sess, out));
-        out.push(Effect::Alarm { after: TICK, alarm: Alarm::Emptying(self.round) });
+        out.push(Effect::StartTimer { after: TICK, alarm: Timer::MigrateBatch(self.round) });
     }
 
     /// Who waits for an answer still as a drain or a stop ends (its dial timeout may be of older settings)
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -16,50 +16,50 @@
 
 /// What an operator may ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    Ready,
-    Figures,
-    Fleet,
+pub enum OperatorRequest {
+    Readiness,
+    Metrics,
+    Membership,
     /// What is agreed across the fleet.
-    Grants,
+    Leases,
     /// This relay, or a server for the whole fleet.
     Drain(Box<Want>),
     Activate,
     /// A command that is to be agreed as it stands: back, freed, of a release; and in words.
-    Agree {
+    Propose {
         command: Box<Command>,
         words: String,
     },
     /// How the release stands.
-    Release,
+    Rollout,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
-    Yes(Word),
+pub enum OperatorReply {
+    Accepted(Word),
     /// No, not now, with a word why.
-    No(Word),
+    Unavailable(Word),
     /// What was asked for can't be, as things stand.
     Conflict(Word),
     /// Not by what is agreed across the fleet; why.
-    Held(String),
+    Blocked(String),
     /// Agreed; what.
-    Said(String),
+    Committed(String),
     /// What is agreed, as JSON; none where nothing is.
-    Grants(Option<String>),
-    Figures(Box<Figures>),
+    Leases(Option<String>),
+    Metrics(Box<Figures>),
     /// What this relay believes of its fleet; none where it is told of none.
-    Fleet(Option<Box<Status>>),
+    Membership(Option<Box<Status>>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client has connected.
-    Came {
+    ClientConnected {
         conn: SessId,
     },
     /// A part of a first line has come.
-    Stirred {
+    FirstLineStarted {
         conn: SessId,
     },
     /// A connection asks whether this relay is able to serve.
@@ -67,31 +67,31 @@
         conn: SessId,
     },
     /// A client's first line, and what is left of its dial timeout.
-    Opened {
+    SessionRequested {
         sess: SessId,
         open: Open,
         left: Micros,
     },
     /// What a connection sends is not of the protocol, or it sends nothing.
-    Odd {
+    ProtocolViolation {
         conn: SessId,
     },
     /// The client's connection is over.
-    Gone {
+    ClientDisconnected {
         sess: SessId,
     },
     /// The client has ended its sending while it waited for its answer: it has left, or reads on.
-    Departed {
+    ClientHalfClosed {
         sess: SessId,
     },
     /// A dial's line is written whole.
-    Written,
-    Up {
+    FirstLineForwarded,
+    SessionEstablished {
         sess: SessId,
         dial: u32,
     },
     /// This machine could not begin the dial.
-    NotBegun {
+    DialNotStarted {
         sess: SessId,
         dial: u32,
     },
@@ -102,95 +102,95 @@
         report: Option<Report>,
     },
     /// An open session ended at its backend's side.
-    Ended {
+    SessionEnded {
         sess: SessId,
         end: DialEnd,
         report: Option<Report>,
     },
-    Load {
+    LoadReported {
         sess: SessId,
         load: f64,
     },
     /// A message of an open session took this long.
-    Took {
+    MessageLatency {
         sess: SessId,
         time: Micros,
     },
-    Probed {
+    HealthCheckEnded {
         server: ServerId,
         end: DialEnd,
         report: Option<Report>,
     },
-    List {
+    EndpointListReceived {
         watch: u32,
         list: List,
     },
-    ListBroken {
+    EndpointWatchFailed {
         watch: u32,
     },
     /// The configuration as it stands now, whole and checked.
-    Reload(Box<Node>),
+    ConfigurationReloaded(Box<Node>),
     /// A configuration that is not used, since something in it is wrong.
-    Unfit,
+    ConfigurationRejected,
     /// An operator's call.
-    Called {
+    OperatorCall {
         call: u32,
-        what: Call,
+        what: OperatorRequest,
     },
     /// Another process has this one's session, or could not take it.
-    Passed {
+    SessionHandedOver {
         sess: SessId,
     },
-    Stays {
+    SessionHandoverFailed {
         sess: SessId,
     },
     /// This one has a session of the process before it.
-    Inherited {
+    SessionAdopted {
         sess: SessId,
         session: Box<Session>,
     },
     /// Something came from the process before or after this one.
-    Place(handover::Event),
+    HotRestart(handover::Event),
     /// Something came from another relay.
-    Fleet(hallrelay_membership::Event),
+    Membership(hallrelay_membership::Event),
     /// What was to be written for a life of the voter is on the disk, up to a number.
-    Vowed {
+    VoterWritesDurable {
         life: u32,
         number: u64,
     },
     /// The store is this process's by now: what it held.
-    Reopened(Box<Stored>),
+    StoreReopened(Box<Stored>),
     /// How the store does, as it changes.
-    Store(Box<Health>),
-    Alarm(Alarm),
-    Stop,
+    StoreHealth(Box<Health>),
+    Timer(Timer),
+    StopRequested,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Alarm {
-    Module(u32),
+pub enum Timer {
+    Balancer(u32),
     /// The answer is due.
-    Due(SessId),
+    AnswerDeadline(SessId),
     /// A standing connection is dialled again.
-    Again(SessId),
+    RedialPreExisting(SessId),
     /// Sessions are moved while the relay stops or drains; of the how-manieth time that it does so.
-    Emptying(u32),
+    MigrateBatch(u32),
     /// An offered place was not taken.
-    Offered(Peer),
+    HandoverOffer(Peer),
     /// The process that took this one's place is told what is held here still.
-    Holding,
+    HandoverProgress,
     /// Something of membership is due.
-    Fleet,
+    Membership,
     /// Of the voter, and of which round.
-    Agreed(hallrelay_raft::Alarm, u32),
+    Voter(hallrelay_raft::Alarm, u32),
     /// What is seen of the fleet goes to the leader, or into the log.
-    Look,
+    LeaderReview,
     /// A wish of an operator's call.
-    Wish(u32),
+    PendingRequest(u32),
     /// The list is watched anew where it comes unasked.
-    AskList,
+    RequestEndpointList,
     /// Others are asked for the list, if discovery has not spoken by now.
-    Recall,
+    PollPeers,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -199,15 +199,15 @@
         conn: SessId,
     },
     /// A `PING` is told no.
-    Deny {
+    RejectPing {
         conn: SessId,
     },
     Reply {
         call: u32,
-        reply: Reply,
+        reply: OperatorReply,
     },
     /// Nothing new may be sent to a server from now on, or it may be again.
-    Leave {
+    SetDraining {
         server: ServerId,
         leaves: bool,
     },
@@ -222,111 +222,111 @@
         begin: Micros,
     },
     /// From here on lines pass both ways.
-    Pass {
+    StartProxying {
         sess: SessId,
     },
     /// The final answers that no backend gave.
-    Refuse {
+    Reject {
         sess: SessId,
         retry_after: Micros,
     },
     TearDown {
         sess: SessId,
     },
-    Move {
+    Migrate {
         sess: SessId,
     },
     /// Another process goes on with it.
-    PassOn {
+    HandOverSession {
         sess: SessId,
         peer: Peer,
         session: Box<Session>,
     },
     /// An error for what is not of the protocol.
-    Spurn {
+    ReportProtocolError {
         conn: SessId,
     },
     /// Ends a connection that is no session, for the place that it takes.
-    Shed {
+    ShedConnection {
         conn: SessId,
     },
     /// The session's backend answers no probes: its silence tells sooner, till it answers again.
-    Doubt {
+    SetSuspect {
         sess: SessId,
         doubted: bool,
     },
     /// Ends the connection without a word.
-    Close {
+    CloseClient {
         sess: SessId,
     },
-    Probe {
+    HealthCheck {
         server: ServerId,
         addr: SocketAddr,
     },
-    Forget {
+    ForgetServer {
         server: ServerId,
     },
     /// Watches the list from a version on, or asks for the whole of it first.
-    Watch {
+    WatchEndpoints {
         watch: u32,
         addr: SocketAddr,
         since: Option<u64>,
     },
-    Unwatch {
+    StopWatch {
         watch: u32,
     },
     /// Connections are taken, or are left to another process.
-    Accept {
+    SetAccepting {
         on: bool,
     },
     /// What is said to another process, and the end of it.
-    Tell {
+    SendToProcess {
         peer: Peer,
         message: Message,
     },
-    Part {
+    DisconnectProcess {
         peer: Peer,
     },
     /// Other processes may come to take this one's place, or no more.
-    Door {
+    SetTakeoverListener {
         open: bool,
     },
     /// A fact goes to the store; the dial of a session may go once it is written, or that takes too long.
-    Keep {
+    Persist {
         kept: Kept,
         before: Option<SessId>,
     },
     /// What a voter promises: it is told as all of it is on the disk.
-    Vow {
+    PersistVoterWrites {
         life: u32,
         number: u64,
         kept: Vec<Kept>,
     },
     /// The store is this process's, or another's.
-    Keeping {
+    SetStoreOwnership {
         on: bool,
     },
     /// What goes to other relays.
-    Fleet(hallrelay_membership::Effect),
-    Note {
+    Membership(hallrelay_membership::Effect),
+    Log {
         what: String,
     },
     /// The process ends with a complaint.
-    GiveUp {
+    Abort {
         why: String,
     },
     /// What tasks go by from now on.
-    Tuned {
+    ApplyTuning {
         limits: Box<Limits>,
         order: ReportOrder,
     },
     /// A key of a new configuration that can't change while the program runs.
-    Kept {
+    KeyUnchanged {
         key: &'static str,
     },
-    Alarm {
+    StartTimer {
         after: Micros,
-        alarm: Alarm,
+        alarm: Timer,
     },
     Exit,
 }
--- a/relay/src/reducer/fleet.rs
+++ b/relay/src/reducer/fleet.rs
@@ -1,7 +1,7 @@
 //! Membership as a part of the relay's state: what it says of itself, when it speaks, and what is told of it.
 //! Nothing here goes to the module: whoever is heard or not, it reckons with the configured number of relays.
 use super::duty::Duty;
-use super::{note, Alarm, Effect, Reducer};
+use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_membership::membership::{Counts, Effect as Told, Event};
@@ -43,7 +43,7 @@
         fleet.step(self.now, event, &mut told);
         for one in told {
             match one {
-                Told::Alarm { after } => out.push(Effect::Alarm { after, alarm: Alarm::Fleet }),
+                Told::Alarm { after } => out.push(Effect::StartTimer { after, alarm: Timer::Membership }),
                 Told::Note { what } => note(what, out),
                 Told::Found { name, state, by, again } => {
                     let how = match (state, &by) {
@@ -56,7 +56,7 @@
                 Told::Asked { stream } => self.tell_list(stream, out),
                 Told::Recalled { name, told } => self.heard_say(&name, &told, out),
                 Told::Said { name, bytes } => self.said(&name, &bytes, out),
-                other => out.push(Effect::Fleet(other)),
+                other => out.push(Effect::Membership(other)),
             }
         }
     }
--- a/relay/src/reducer/hearsay.rs
+++ b/relay/src/reducer/hearsay.rs
@@ -1,6 +1,6 @@
 //! What other relays tell of the list while its service is dark. Their word may name a backend to try and
 //! shut one; it can't open one that this relay was told to leave, and can't call one gone.
-use super::{note, Alarm, Effect, Reducer};
+use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{self, Instance, List};
 use hallrelay_membership::membership::Event as Fleet;
@@ -31,7 +31,7 @@
     /// Asks others where discovery says nothing: this relay has its place, and its start is over.
     pub(super) fn begin_to_ask(&mut self, out: &mut Vec<Effect>) {
         if self.fleet.is_some() {
-            out.push(Effect::Alarm { after: FIRST, alarm: Alarm::Recall });
+            out.push(Effect::StartTimer { after: FIRST, alarm: Timer::PollPeers });
         }
     }
 
@@ -40,7 +40,7 @@
             return;
         }
         let again = if self.informed { LATER } else { AGAIN };
-        out.push(Effect::Alarm { after: again, alarm: Alarm::Recall });
+        out.push(Effect::StartTimer { after: again, alarm: Timer::PollPeers });
         self.fleet(Fleet::Recall, out);
     }
 
--- a/relay/src/reducer/keep.rs
+++ b/relay/src/reducer/keep.rs
@@ -11,7 +11,7 @@
     }
 
     fn keep(&mut self, kept: Kept, out: &mut Vec<Effect>) {
-        out.push(Effect::Keep { kept, before: None });
+        out.push(Effect::Persist { kept, before: None });
     }
 
     /// What of it is trusted.
@@ -103,7 +103,7 @@
         let spent = all.iter().any(|m| m.server == server && m.turn == (0, 1.0));
         if spent {
             let kept = Kept::turn(&v.told.id, self.now);
-            out.push(Effect::Keep { kept, before: Some(sess) });
+            out.push(Effect::Persist { kept, before: Some(sess) });
         }
     }
 }
--- a/relay/src/reducer/look.rs
+++ b/relay/src/reducer/look.rs
@@ -1,6 +1,6 @@
 //! What each relay says of itself, and what a leader looks after: how all do, who serves again, grants that
 //! nobody began, and that all hear what is shut.
-use super::{Alarm, Effect, Reducer};
+use super::{Effect, Reducer, Timer};
 use crate::talk::Talk;
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_disruption::judge::Tally;
@@ -61,12 +61,12 @@
 impl Reducer {
     pub(super) fn begin_to_look(&mut self, out: &mut Vec<Effect>) {
         if self.agreed.is_some() {
-            out.push(Effect::Alarm { after: LOOK, alarm: Alarm::Look });
+            out.push(Effect::StartTimer { after: LOOK, alarm: Timer::LeaderReview });
         }
     }
 
     pub(super) fn look(&mut self, out: &mut Vec<Effect>) {
-        out.push(Effect::Alarm { after: LOOK, alarm: Alarm::Look });
+        out.push(Effect::StartTimer { after: LOOK, alarm: Timer::LeaderReview });
         if !self.place.has() {
             return;
         }
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -19,7 +19,7 @@
 mod wish;
 
 pub use duty::Word;
-pub use events::{Alarm, Call, Effect, Event, Reply};
+pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
 pub use fleet::FleetFigures;
 pub use wish::Want;
@@ -50,7 +50,7 @@
 
 /// A line for the log.
 fn note(what: impl Into<String>, out: &mut Vec<Effect>) {
-    out.push(Effect::Note { what: what.into() });
+    out.push(Effect::Log { what: what.into() });
 }
 
 impl Stage {
@@ -238,27 +238,29 @@
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
-            Event::Came { conn } => self.came(conn, out),
-            Event::Stirred { conn } => self.stirred(conn),
-            Event::Odd { conn } => self.odd(conn, out),
+            Event::ClientConnected { conn } => self.came(conn, out),
+            Event::FirstLineStarted { conn } => self.stirred(conn),
+            Event::ProtocolViolation { conn } => self.odd(conn, out),
             Event::Ping { conn } => {
                 self.pings.push(conn);
                 self.pong(out);
             }
-            Event::Opened { sess, open, left } => self.opened(sess, open, left, out),
-            Event::Gone { sess } => {
+            Event::SessionRequested { sess, open, left } => self.opened(sess, open, left, out),
+            Event::ClientDisconnected { sess } => {
                 self.left(sess, out);
                 self.aside.retain(|one| one.0 != sess);
                 self.pings.retain(|conn| *conn != sess);
             }
-            Event::Departed { sess } => self.departed(sess, out),
-            Event::Written => self.figures.tries += 1,
-            Event::Up { sess, dial } if self.current(sess, dial) => self.up(sess, dial, out),
+            Event::ClientHalfClosed { sess } => self.departed(sess, out),
+            Event::FirstLineForwarded => self.figures.tries += 1,
+            Event::SessionEstablished { sess, dial } if self.current(sess, dial) => self.up(sess, dial, out),
             Event::DialEnded { sess, dial, end, report } if self.current(sess, dial) => {
                 self.dial_ended(sess, dial, end, report, out);
             }
-            Event::NotBegun { sess, dial } if self.current(sess, dial) => self.not_begun(sess, dial, out),
-            Event::Ended { sess, end, report } => {
+            Event::DialNotStarted { sess, dial } if self.current(sess, dial) => {
+                self.not_begun(sess, dial, out)
+            }
+            Event::SessionEnded { sess, end, report } => {
                 let Some(s) = self.over(sess) else { return };
                 let dial = s.dials.saturating_sub(1);
                 if end == DialEnd::Reset {
@@ -266,36 +268,36 @@
                 }
                 self.tell(Input::DialEnded { sess, dial, end, settled: true, report }, out);
             }
-            Event::Load { sess, load } if self.passing(sess) => self.load(sess, load, out),
-            Event::Took { sess, time } if self.passing(sess) => self.took(sess, time, out),
-            Event::Probed { server, end, report } => {
+            Event::LoadReported { sess, load } if self.passing(sess) => self.load(sess, load, out),
+            Event::MessageLatency { sess, time } if self.passing(sess) => self.took(sess, time, out),
+            Event::HealthCheckEnded { server, end, report } => {
                 self.probed(server, end, out);
                 self.tell(Input::Probed { server, end, report }, out);
             }
-            Event::List { watch, list } => self.heard(watch, list, out),
-            Event::ListBroken { watch } => self.list_broken(watch, out),
-            Event::Reload(node) => {
+            Event::EndpointListReceived { watch, list } => self.heard(watch, list, out),
+            Event::EndpointWatchFailed { watch } => self.list_broken(watch, out),
+            Event::ConfigurationReloaded(node) => {
                 self.figures.loads += 1;
                 self.reload(*node, out);
             }
-            Event::Unfit => self.figures.load_errors += 1,
-            Event::Called { call, what } => self.called(call, what, out),
-            Event::Vowed { life, number } => self.vowed(life, number, out),
-            Event::Reopened(stored) => self.begin_to_agree(Some(&stored), out),
-            Event::Passed { sess } => self.left(sess, out),
-            Event::Stays { sess } => self.stays(sess),
-            Event::Inherited { sess, session } => self.inherited(sess, *session, out),
-            Event::Place(event) => self.placed(event, out),
-            Event::Fleet(event) => self.fleet(event, out),
-            Event::Store(health) => self.store = Some(health),
-            Event::Alarm(alarm) => self.alarm(alarm, out),
-            Event::Stop => _ = self.turn(Sign::Stop, out),
+            Event::ConfigurationRejected => self.figures.load_errors += 1,
+            Event::OperatorCall { call, what } => self.called(call, what, out),
+            Event::VoterWritesDurable { life, number } => self.vowed(life, number, out),
+            Event::StoreReopened(stored) => self.begin_to_agree(Some(&stored), out),
+            Event::SessionHandedOver { sess } => self.left(sess, out),
+            Event::SessionHandoverFailed { sess } => self.stays(sess),
+            Event::SessionAdopted { sess, session } => self.inherited(sess, *session, out),
+            Event::HotRestart(event) => self.placed(event, out),
+            Event::Membership(event) => self.fleet(event, out),
+            Event::StoreHealth(health) => self.store = Some(health),
+            Event::Timer(alarm) => self.alarm(alarm, out),
+            Event::StopRequested => _ = self.turn(Sign::Stop, out),
             // Of a dial or a session that is over.
-            Event::Up { .. }
+            Event::SessionEstablished { .. }
             | Event::DialEnded { .. }
-            | Event::NotBegun { .. }
-            | Event::Load { .. }
-            | Event::Took { .. } => {}
+            | Event::DialNotStarted { .. }
+            | Event::LoadReported { .. }
+            | Event::MessageLatency { .. } => {}
         }
     }
 
@@ -322,42 +324,42 @@
                 self.tell(Input::DialEnded { sess, dial, end, settled: false, report: None }, out);
             }
             module::Effect::Refuse { sess, retry_after } => {
-                self.answer(sess, Effect::Refuse { sess, retry_after }, out);
+                self.answer(sess, Effect::Reject { sess, retry_after }, out);
             }
             module::Effect::TearDown { sess } => self.answer(sess, Effect::TearDown { sess }, out),
             module::Effect::Move { sess } => self.move_on(sess, out),
             module::Effect::Probe { server } => {
                 let Some(v) = self.servers.get_mut(&server) else { return };
                 v.probing = true;
-                out.push(Effect::Probe { server, addr: v.told.addr });
+                out.push(Effect::HealthCheck { server, addr: v.told.addr });
             }
             module::Effect::Alarm { after, label } => {
-                out.push(Effect::Alarm { after, alarm: Alarm::Module(label) });
+                out.push(Effect::StartTimer { after, alarm: Timer::Balancer(label) });
             }
             module::Effect::Watch => self.ask_list(out),
         }
     }
 
-    fn alarm(&mut self, alarm: Alarm, out: &mut Vec<Effect>) {
+    fn alarm(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
         match alarm {
-            Alarm::Module(label) => self.tell(Input::Alarm { label }, out),
-            Alarm::Again(sess) => self.again(sess, out),
-            Alarm::Due(sess) => {
+            Timer::Balancer(label) => self.tell(Input::Alarm { label }, out),
+            Timer::RedialPreExisting(sess) => self.again(sess, out),
+            Timer::AnswerDeadline(sess) => {
                 // Dials end and the module answers before this; it guards against a task that does neither.
                 if self.sessions.get(&sess).is_some_and(|s| s.stage.waits()) {
                     self.lapse(sess, out);
                 }
             }
-            Alarm::Emptying(round) if round == self.round => self.empty(out),
-            Alarm::Emptying(_) => {}
-            Alarm::Offered(peer) => self.placed(handover::Event::Due { peer }, out),
-            Alarm::Holding => self.holding(out),
-            Alarm::Fleet => self.fleet_alarm(out),
-            Alarm::AskList => self.ask_list(out),
-            Alarm::Recall => self.recall(out),
-            Alarm::Agreed(alarm, round) => self.agreed_alarm(alarm, round, out),
-            Alarm::Look => self.look(out),
-            Alarm::Wish(ops) => self.wish_again(ops, out),
+            Timer::MigrateBatch(round) if round == self.round => self.empty(out),
+            Timer::MigrateBatch(_) => {}
+            Timer::HandoverOffer(peer) => self.placed(handover::Event::Due { peer }, out),
+            Timer::HandoverProgress => self.holding(out),
+            Timer::Membership => self.fleet_alarm(out),
+            Timer::RequestEndpointList => self.ask_list(out),
+            Timer::PollPeers => self.recall(out),
+            Timer::Voter(alarm, round) => self.agreed_alarm(alarm, round, out),
+            Timer::LeaderReview => self.look(out),
+            Timer::PendingRequest(ops) => self.wish_again(ops, out),
         }
     }
 }
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -1,7 +1,7 @@
 //! The process before this one and the one after it at the same address: what is said to them, what is handed
 //! over, and what is shared till the old one is gone. The states stand in the package `handover`.
 use super::duty::Sign;
-use super::{note, Alarm, Effect, Reducer, Sess, Stage};
+use super::{note, Effect, Reducer, Sess, Stage, Timer};
 use hallrelay_balancer::types::{Asked, Input, Memory, Micros, Phase, Report, SessId};
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::place::{Act, Event as Heard, Peer, PATIENCE};
@@ -14,10 +14,10 @@
     /// all that it needs, its second address, its configuration, its list.
     pub(super) fn begin(&mut self, out: &mut Vec<Effect>) {
         match self.place.before() {
-            Some(peer) => out.push(Effect::Tell { peer, message: Message::Ready {} }),
+            Some(peer) => out.push(Effect::SendToProcess { peer, message: Message::Ready {} }),
             None => {
-                out.push(Effect::Accept { on: true });
-                out.push(Effect::Door { open: true });
+                out.push(Effect::SetAccepting { on: true });
+                out.push(Effect::SetTakeoverListener { open: true });
                 self.tell_fleet(out);
                 self.fleet(Fleet::Begin, out);
             }
@@ -29,21 +29,21 @@
         self.place.step(heard, &mut acts);
         for act in acts {
             match act {
-                Act::Tell { peer, message } => out.push(Effect::Tell { peer, message }),
-                Act::Part { peer } => out.push(Effect::Part { peer }),
+                Act::Tell { peer, message } => out.push(Effect::SendToProcess { peer, message }),
+                Act::Part { peer } => out.push(Effect::DisconnectProcess { peer }),
                 Act::Wait { peer } => {
-                    out.push(Effect::Alarm { after: PATIENCE, alarm: Alarm::Offered(peer) });
+                    out.push(Effect::StartTimer { after: PATIENCE, alarm: Timer::HandoverOffer(peer) });
                 }
                 Act::Yield { peer } => self.yield_to(peer, out),
                 Act::Return => {
                     note("the new process died, and this one takes connections again", out);
                     self.turn(Sign::Return, out);
-                    out.push(Effect::Keeping { on: true });
+                    out.push(Effect::SetStoreOwnership { on: true });
                     self.fleet(Fleet::Begin, out);
-                    out.push(Effect::Door { open: true });
+                    out.push(Effect::SetTakeoverListener { open: true });
                 }
                 Act::Take(state) => self.take_over(state, out),
-                Act::GiveUp(why) => out.push(Effect::GiveUp { why }),
+                Act::GiveUp(why) => out.push(Effect::Abort { why }),
                 Act::Shares { connections, sessions } => {
                     self.shared = (connections as usize, sessions);
                     if connections == 0 {
@@ -61,13 +61,13 @@
         let state = Box::new(self.state());
         self.held = (state.connections, state.open.len() as u32);
         note("another process has this one's place", out);
-        out.push(Effect::Door { open: false });
+        out.push(Effect::SetTakeoverListener { open: false });
         self.turn(Sign::Yield, out);
         // One process speaks for the relay: this one is still before the other can begin.
         self.fleet(Fleet::Yield, out);
         self.cease_to_agree();
-        out.push(Effect::Keeping { on: false });
-        out.push(Effect::Tell { peer, message: Message::Yours(state) });
+        out.push(Effect::SetStoreOwnership { on: false });
+        out.push(Effect::SendToProcess { peer, message: Message::Yours(state) });
         let open: Vec<SessId> = self.sessions.keys().copied().collect();
         open.into_iter().for_each(|sess| self.pass_on(sess, out));
         self.holding(out);
@@ -88,7 +88,7 @@
             ..Session::default()
         };
         s.stage = Stage::Passing;
-        out.push(Effect::PassOn { sess, peer, session: Box::new(session) });
+        out.push(Effect::HandOverSession { sess, peer, session: Box::new(session) });
     }
 
     /// The other process could not take it: it is this one's still, and moves where this one leaves.
@@ -121,7 +121,7 @@
         self.marks.insert(session.mark);
         self.sessions.insert(sess, s);
         self.shared = (self.shared.0.saturating_sub(1), self.shared.1.saturating_sub(1));
-        out.push(Effect::Pass { sess });
+        out.push(Effect::StartProxying { sess });
         // At a server that the list no longer names it lives on, and the module need not know.
         if let Some(server) = server {
             self.tell(Input::AlreadyOpen { sess, server, asked }, out);
@@ -156,9 +156,9 @@
         let Some(state) = state else {
             note("the process before this one died as it was to be replaced", out);
             self.turn(Sign::Take, out);
-            out.push(Effect::Keeping { on: true });
+            out.push(Effect::SetStoreOwnership { on: true });
             self.fleet(Fleet::Begin, out);
-            return out.push(Effect::Door { open: true });
+            return out.push(Effect::SetTakeoverListener { open: true });
         };
         note("this process has the place of the one before it", out);
         // The watch of this process may have heard more by now; and a list that can't be read stops nothing.
@@ -190,9 +190,9 @@
                 self.since = self.now.saturating_sub(ago);
             }
         }
-        out.push(Effect::Keeping { on: true });
+        out.push(Effect::SetStoreOwnership { on: true });
         self.fleet(Fleet::Begin, out);
-        out.push(Effect::Door { open: true });
+        out.push(Effect::SetTakeoverListener { open: true });
     }
 
     /// What discovery told this process the one after it knows too: its own watch may not speak.
@@ -231,6 +231,6 @@
         if std::mem::replace(&mut self.held, holds) != holds {
             self.placed(Heard::Holds { connections: holds.0, sessions: holds.1 }, out);
         }
-        out.push(Effect::Alarm { after: BEAT, alarm: Alarm::Holding });
+        out.push(Effect::StartTimer { after: BEAT, alarm: Timer::HandoverProgress });
     }
 }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -20,7 +20,7 @@
         if doubted != (before >= MISSES) {
             let there =
                 self.sessions.iter().filter(|(_, s)| s.server == Some(server) && s.stage == Stage::Pass);
-            out.extend(there.map(|(&sess, _)| Effect::Doubt { sess, doubted }));
+            out.extend(there.map(|(&sess, _)| Effect::SetSuspect { sess, doubted }));
         }
     }
 
@@ -55,7 +55,7 @@
         named.extend(entries.iter().map(|entry| (entry.server, !entry.ready())));
         for (server, leaves) in named {
             let changed = if leaves { self.leaving.insert(server) } else { self.leaving.remove(&server) };
-            out.extend(changed.then_some(Effect::Leave { server, leaves }));
+            out.extend(changed.then_some(Effect::SetDraining { server, leaves }));
         }
     }
 
@@ -128,9 +128,9 @@
             if let Some(v) = self.servers.remove(&server) {
                 self.ids.remove(&v.told.id);
                 if self.leaving.remove(&server) {
-                    out.push(Effect::Leave { server, leaves: false });
+                    out.push(Effect::SetDraining { server, leaves: false });
                 }
-                out.push(Effect::Forget { server });
+                out.push(Effect::ForgetServer { server });
             }
         }
     }
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,5 +1,5 @@
 //! Sessions and connections that are none: from the first line to the end.
-use super::{Alarm, Delay, Effect, Reducer, Sess, Stage};
+use super::{Delay, Effect, Reducer, Sess, Stage, Timer};
 use crate::lines::Open;
 use hallrelay_balancer::types::{Asked, DialEnd, Input, Micros, Report, SessId};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 /// The program's own answer after so many dials: a refusal where nothing was sent, else a failure.
 pub(super) fn owed(sess: SessId, dials: u32) -> Effect {
     match dials {
-        0 => Effect::Refuse { sess, retry_after: 0 },
+        0 => Effect::Reject { sess, retry_after: 0 },
         _ => Effect::TearDown { sess },
     }
 }
@@ -31,7 +31,7 @@
         self.aside.push_back((conn, false));
         if self.shared.0 + self.sessions.len() + self.aside.len() > self.node.limits.clients {
             let at = self.aside.iter().position(|one| !one.1 && one.0 != conn).unwrap_or(0);
-            out.extend(self.aside.remove(at).map(|(conn, _)| Effect::Shed { conn }));
+            out.extend(self.aside.remove(at).map(|(conn, _)| Effect::ShedConnection { conn }));
         }
     }
 
@@ -46,7 +46,7 @@
     /// What is not of the protocol is never served, also where a dial is out for it.
     pub(super) fn odd(&mut self, conn: SessId, out: &mut Vec<Effect>) {
         self.pings.retain(|ping| *ping != conn);
-        out.push(Effect::Spurn { conn });
+        out.push(Effect::ReportProtocolError { conn });
         self.left(conn, out);
     }
 
@@ -116,9 +116,9 @@
         let full =
             self.shared.1 > 0 && self.sessions.len() as u32 + self.shared.1 > self.node.limits.sessions;
         if full || !self.takes() || self.leaves() {
-            return self.answer(sess, Effect::Refuse { sess, retry_after: 0 }, out);
+            return self.answer(sess, Effect::Reject { sess, retry_after: 0 }, out);
         }
-        out.push(Effect::Alarm { after: left, alarm: Alarm::Due(sess) });
+        out.push(Effect::StartTimer { after: left, alarm: Timer::AnswerDeadline(sess) });
         match open.at {
             None => self.tell(Input::Asked { sess, asked }, out),
             Some(name) => match self.ids.get(&name) {
@@ -140,10 +140,10 @@
         // session.
         let late = self.now > s.due + self.node.limits.answer_late;
         match answer {
-            Effect::Refuse { .. } if !late => figures.dropped += 1,
+            Effect::Reject { .. } if !late => figures.dropped += 1,
             _ => figures.failed += 1,
         }
-        out.push(if late { Effect::Close { sess } } else { answer });
+        out.push(if late { Effect::CloseClient { sess } } else { answer });
     }
 
     /// Dials the backend of a standing connection.
@@ -183,7 +183,7 @@
         self.counts(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         self.figures.of_listener(&s.listener).passed += 1;
-        out.push(Effect::Pass { sess });
+        out.push(Effect::StartProxying { sess });
         match (std::mem::take(&mut s.standing), s.server) {
             (true, Some(server)) => {
                 s.dials = 1; // the module counts the dial that it never asked for as the first
@@ -206,7 +206,8 @@
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         s.stage = Stage::Admit;
         if s.standing {
-            return out.push(Effect::Alarm { after: STANDING_AGAIN, alarm: Alarm::Again(sess) });
+            return out
+                .push(Effect::StartTimer { after: STANDING_AGAIN, alarm: Timer::RedialPreExisting(sess) });
         }
         let server = s.server;
         // Served to its end at once: its last line is its answer.
@@ -225,7 +226,8 @@
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         s.stage = Stage::Admit;
         if s.standing {
-            return out.push(Effect::Alarm { after: STANDING_AGAIN, alarm: Alarm::Again(sess) });
+            return out
+                .push(Effect::StartTimer { after: STANDING_AGAIN, alarm: Timer::RedialPreExisting(sess) });
         }
         s.dials -= 1;
         self.tell(Input::NotBegun { sess, dial }, out);
@@ -271,6 +273,6 @@
     pub(super) fn move_on(&mut self, sess: SessId, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Pass) else { return };
         s.stage = Stage::Moving;
-        out.push(Effect::Move { sess });
+        out.push(Effect::Migrate { sess });
     }
 }
--- a/relay/src/reducer/shut.rs
+++ b/relay/src/reducer/shut.rs
@@ -26,7 +26,7 @@
         a.shut = (index, servers);
         let kept = Kept::shut(a.shut.0, &a.shut.1);
         if self.node.state.is_some() {
-            out.push(Effect::Keep { kept, before: None });
+            out.push(Effect::Persist { kept, before: None });
         }
         note(format!("by what is agreed {} backends are out", self.shut_now().len()), out);
         let told = changed.iter().filter_map(|name| self.servers.get(self.ids.get(name)?));
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -1,5 +1,5 @@
 //! The watch on the list: asked for, renewed, moved by a new configuration.
-use super::{note, Alarm, Effect, Reducer};
+use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Input, ListKind};
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
@@ -11,7 +11,7 @@
         if !self.watch.out {
             (self.watch.last, self.watch.out) = (self.watch.last + 1, true);
             let watch = self.watch.last;
-            out.push(Effect::Watch { watch, addr: self.node.discovery, since: self.generation });
+            out.push(Effect::WatchEndpoints { watch, addr: self.node.discovery, since: self.generation });
         }
     }
 
@@ -25,7 +25,7 @@
             }
             self.generation = Some(list.generation);
             let before = w.before.replace(watch).filter(|before| *before != watch);
-            out.extend(before.map(|watch| Effect::Unwatch { watch }));
+            out.extend(before.map(|watch| Effect::StopWatch { watch }));
         } else if w.before != Some(watch) {
             return;
         }
@@ -37,21 +37,21 @@
     }
 
     pub(super) fn list_broken(&mut self, watch: u32, out: &mut Vec<Effect>) {
-        out.push(Effect::Unwatch { watch });
+        out.push(Effect::StopWatch { watch });
         self.watch.before = self.watch.before.filter(|before| *before != watch);
         if watch != self.watch.last || !std::mem::take(&mut self.watch.out) {
             return;
         }
         match self.node.limits.discovery_again {
             // Guards a relay that is told of changes whether or not a watch is open.
-            Some(after) => out.push(Effect::Alarm { after, alarm: Alarm::AskList }),
+            Some(after) => out.push(Effect::StartTimer { after, alarm: Timer::RequestEndpointList }),
             None => self.tell(Input::List { kind: ListKind::Broken, entries: Vec::new() }, out),
         }
     }
 
     /// A new configuration, whole and checked. What can't change while the program runs is named.
     pub(super) fn reload(&mut self, node: Node, out: &mut Vec<Effect>) {
-        out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::Kept { key }));
+        out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::KeyUnchanged { key }));
         self.tune(&node, out);
         if let (Some(own), Some(new)) = (&mut self.node.fleet, &node.fleet) {
             if own.peers != new.peers {
@@ -81,7 +81,7 @@
         let (facts, order) = (Box::new(site.facts.clone()), site.report);
         self.figures.name(&site.listeners);
         self.tell(Input::Facts(facts), out);
-        out.push(Effect::Tuned { limits, order });
+        out.push(Effect::ApplyTuning { limits, order });
         if zones {
             // The same servers, at other places of the zones' list.
             let instances = self.servers.values().map(|v| v.told.clone()).collect();
@@ -98,7 +98,7 @@
         let w = &mut self.watch;
         if std::mem::take(&mut w.out) {
             match w.before {
-                Some(before) if before != w.last => out.push(Effect::Unwatch { watch: w.last }),
+                Some(before) if before != w.last => out.push(Effect::StopWatch { watch: w.last }),
                 _ => w.before = Some(w.last),
             }
         }
@@ -110,7 +110,7 @@
     pub(super) fn unwatch(&mut self, out: &mut Vec<Effect>) {
         if !self.sessions.values().any(|s| s.stage.waits()) && std::mem::take(&mut self.watch.out) {
             let watches = [Some(self.watch.last), self.watch.before.take()];
-            out.extend(watches.into_iter().flatten().map(|watch| Effect::Unwatch { watch }));
+            out.extend(watches.into_iter().flatten().map(|watch| Effect::StopWatch { watch }));
         }
     }
 }
--- a/relay/src/reducer/wish.rs
+++ b/relay/src/reducer/wish.rs
@@ -1,7 +1,7 @@
 //! What operators ask of what is agreed: to be out, to be back, to be freed. A wish is asked of the leader
 //! till it is answered or its time is up; what it grants is begun only once the beginning is agreed.
 use super::duty::Sign;
-use super::{Alarm, Effect, Reducer, Reply};
+use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::talk::{Talk, Told};
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Command, Fault, Outcome, Thing};
@@ -89,7 +89,7 @@
         }
         let (call, command) = (wish.call, wish.command.encode());
         self.tell_leader(call, command, out);
-        out.push(Effect::Alarm { after: AGAIN, alarm: Alarm::Wish(ops) });
+        out.push(Effect::StartTimer { after: AGAIN, alarm: Timer::PendingRequest(ops) });
     }
 
     pub(super) fn tell_leader(&mut self, call: u64, command: Vec<u8>, out: &mut Vec<Effect>) {
@@ -108,7 +108,7 @@
             let call = self.next_call();
             self.tell_leader(call, drop, out);
         }
-        let reply = Reply::Held(format!("{}: not agreed: {}", wish.what, wish.held));
+        let reply = OperatorReply::Blocked(format!("{}: not agreed: {}", wish.what, wish.held));
         out.push(Effect::Reply { call: ops, reply });
     }
 
@@ -151,9 +151,11 @@
                 let reply = self.begins(&thing, out);
                 return out.push(Effect::Reply { call: ops, reply });
             }
-            (Told::Outcome(Outcome::Done), Step::Saying) => Reply::Said(format!("agreed: {}", wish.what)),
+            (Told::Outcome(Outcome::Done), Step::Saying) => {
+                OperatorReply::Committed(format!("agreed: {}", wish.what))
+            }
             (Told::Outcome(Outcome::Taken { by, why }), _) => {
-                Reply::Held(format!("{} is asked for by {by} already: {why}", wish.what))
+                OperatorReply::Blocked(format!("{} is asked for by {by} already: {why}", wish.what))
             }
             (Told::Outcome(Outcome::Not(fault)), _) => {
                 let why = match fault {
@@ -162,7 +164,7 @@
                     Fault::Stale => "that means nothing as it stands now",
                     Fault::Version => "the leader does not read this relay's version",
                 };
-                Reply::Held(format!("{}: {why}", wish.what))
+                OperatorReply::Blocked(format!("{}: {why}", wish.what))
             }
             (Told::Outcome(_), _) => return,
         };
@@ -177,13 +179,13 @@
     }
 
     /// It is out by the log from now on.
-    fn begins(&mut self, thing: &Thing, out: &mut Vec<Effect>) -> Reply {
+    fn begins(&mut self, thing: &Thing, out: &mut Vec<Effect>) -> OperatorReply {
         match thing {
             Thing::Relay(_) => {
                 self.turn(Sign::Drain, out);
-                Reply::Yes("draining")
+                OperatorReply::Accepted("draining")
             }
-            Thing::Server(name) => Reply::Said(format!("backend {name} drains")),
+            Thing::Server(name) => OperatorReply::Committed(format!("backend {name} drains")),
         }
     }
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -30,7 +30,7 @@
 use hallrelay_hot_restart::place::Event as Place;
 use hallrelay_hot_restart::{Message, Session, State};
 use hallrelay_relay::lines;
-use hallrelay_relay::reducer::{Call, Effect, Event, Reducer, Reply};
+use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -80,7 +80,7 @@
     /// The newest watch.
     watch: u32,
     reducer: Option<Reducer>,
-    alarms: BTreeMap<(Micros, usize), hallrelay_relay::reducer::Alarm>,
+    alarms: BTreeMap<(Micros, usize), hallrelay_relay::reducer::Timer>,
     asked: usize,
     effects: Vec<Effect>,
     said: Vec<String>,
@@ -113,7 +113,7 @@
         reducer.start(now, &mut out);
         self.reducer = Some(reducer);
         // Every relay takes connections once it has begun.
-        out.retain(|effect| *effect != Effect::Accept { on: true });
+        out.retain(|effect| *effect != Effect::SetAccepting { on: true });
         self.note(now, out);
         Ok(())
     }
@@ -134,14 +134,14 @@
             assert_eq!(sums.0, sums.1 + figures.waiting as u64, "{figures:?}");
         }
         for effect in &out {
-            if let Effect::Alarm { after, alarm } = *effect {
+            if let Effect::StartTimer { after, alarm } = *effect {
                 self.asked += 1;
                 self.alarms.insert((now + after, self.asked), alarm);
             }
-            if let Effect::Watch { watch, .. } = *effect {
+            if let Effect::WatchEndpoints { watch, .. } = *effect {
                 self.watch = watch;
             }
-            if let Effect::Probe { server, addr } = effect {
+            if let Effect::HealthCheck { server, addr } = effect {
                 self.probed.insert(format!("s-{}", addr.port() - 1000), *server);
             }
         }
@@ -154,20 +154,20 @@
         let watch = option(words, "of").map_or(Ok(self.watch), num)?;
         Ok(vec![match at(0)? {
             "run" => return Ok(vec![]),
-            "stop" => Event::Stop,
-            "unfit" => Event::Unfit,
-            "passed" => Event::Passed { sess: sess()? },
-            "stays" => Event::Stays { sess: sess()? },
+            "stop" => Event::StopRequested,
+            "unfit" => Event::ConfigurationRejected,
+            "passed" => Event::SessionHandedOver { sess: sess()? },
+            "stays" => Event::SessionHandoverFailed { sess: sess()? },
             "inherits" => {
                 let (listener, server) = (at(2)?.to_string(), at(3)?.to_string());
                 let mark = u64::from(sess()?);
                 let session = Session { mark, listener, server, ..Session::default() };
-                Event::Inherited { sess: sess()?, session: Box::new(session) }
+                Event::SessionAdopted { sess: sess()?, session: Box::new(session) }
             }
             "peer" => {
                 let peer = num(at(1)?)?;
                 let message = match at(2)? {
-                    "left" => return Ok(vec![Event::Place(Place::Left { peer })]),
+                    "left" => return Ok(vec![Event::HotRestart(Place::Left { peer })]),
                     "hello" => Message::Hello {
                         version: VERSION,
                         name: "n1".to_string(),
@@ -199,38 +199,38 @@
                     }
                     other => return Err(format!("unknown message '{other}'")),
                 };
-                Event::Place(Place::Said { peer, message })
+                Event::HotRestart(Place::Said { peer, message })
             }
-            "written" => Event::Written,
-            "call" => Event::Called { call: num(at(1)?)?, what: call(at(2)?)? },
-            "came" => return Ok(range(at(1)?)?.map(|conn| Event::Came { conn }).collect()),
-            "odd" => Event::Odd { conn: sess()? },
-            "part" => return Ok(range(at(1)?)?.map(|conn| Event::Stirred { conn }).collect()),
+            "written" => Event::FirstLineForwarded,
+            "call" => Event::OperatorCall { call: num(at(1)?)?, what: call(at(2)?)? },
+            "came" => return Ok(range(at(1)?)?.map(|conn| Event::ClientConnected { conn }).collect()),
+            "odd" => Event::ProtocolViolation { conn: sess()? },
+            "part" => return Ok(range(at(1)?)?.map(|conn| Event::FirstLineStarted { conn }).collect()),
             "ping" => Event::Ping { conn: sess()? },
-            "gone" => Event::Gone { sess: sess()? },
-            "departed" => Event::Departed { sess: sess()? },
+            "gone" => Event::ClientDisconnected { sess: sess()? },
+            "departed" => Event::ClientHalfClosed { sess: sess()? },
             "ask" => {
                 let wait = option(words, "wait").unwrap_or("2000");
                 let at_backend = option(words, "at").map(str::to_string);
                 let id = option(words, "mark").map_or(Ok(u64::from(num::<u32>(at(1)?)?)), num)?;
                 let listener = at(2)?.to_string();
                 let open = lines::Open { id, listener, at: at_backend, ..lines::Open::default() };
-                Event::Opened { sess: sess()?, open, left: millis(wait)? }
+                Event::SessionRequested { sess: sess()?, open, left: millis(wait)? }
             }
-            "up" => Event::Up { sess: sess()?, dial: num(at(2)?)? },
+            "up" => Event::SessionEstablished { sess: sess()?, dial: num(at(2)?)? },
             "fell" => {
                 let (dial, end) = (num(at(2)?)?, dial_end(at(3)?)?);
                 Event::DialEnded { sess: sess()?, dial, end, report: None }
             }
-            "ended" => Event::Ended { sess: sess()?, end: dial_end(at(2)?)?, report: None },
-            "load" => Event::Load { sess: sess()?, load: num(at(2)?)? },
-            "took" => Event::Took { sess: sess()?, time: millis(at(2)?)? },
+            "ended" => Event::SessionEnded { sess: sess()?, end: dial_end(at(2)?)?, report: None },
+            "load" => Event::LoadReported { sess: sess()?, load: num(at(2)?)? },
+            "took" => Event::MessageLatency { sess: sess()?, time: millis(at(2)?)? },
             "probe" => {
                 let server = *self.probed.get(at(1)?).ok_or("no probe is out there")?;
                 let (end, report) = probe_end(words, at(2)?)?;
-                Event::Probed { server, end, report }
+                Event::HealthCheckEnded { server, end, report }
             }
-            "list" if at(1)? == "broken" => Event::ListBroken { watch },
+            "list" if at(1)? == "broken" => Event::EndpointWatchFailed { watch },
             "list" => {
                 let names = words[3..].iter().filter(|word| !word.contains('='));
                 let instances = names.map(|word| {
@@ -246,14 +246,17 @@
                 });
                 let list = json!({"generation": num::<u64>(at(2)?)?, "reset": at(1)? == "full",
                     "instances": instances.collect::<Vec<_>>()});
-                Event::List { watch, list: hallrelay_config::list::parse(list.to_string().as_bytes())? }
+                Event::EndpointListReceived {
+                    watch,
+                    list: hallrelay_config::list::parse(list.to_string().as_bytes())?,
+                }
             }
             "reload" => {
                 let mut text = self.text(&format!("127.0.0.1:{}", at(1)?));
                 if let Some((key, value)) = words.get(2).and_then(|word| word.split_once('=')) {
                     text[key] = json!(value);
                 }
-                Event::Reload(Box::new(node(&text)?))
+                Event::ConfigurationReloaded(Box::new(node(&text)?))
             }
             "retune" => {
                 let mut text = self.text("127.0.0.1:2");
@@ -270,34 +273,36 @@
                 if let Some(dials) = option(words, "dials") {
                     settings["Ceilings"]["MostDials"] = json!(num::<u32>(dials)?);
                 }
-                Event::Reload(Box::new(node(&text)?))
+                Event::ConfigurationReloaded(Box::new(node(&text)?))
             }
             other => return Err(format!("unknown input '{other}'")),
         }])
     }
 }
 
-fn call(word: &str) -> Result<Call, Fault> {
+fn call(word: &str) -> Result<OperatorRequest, Fault> {
     let calls = [
-        ("ready", Call::Ready),
-        ("figures", Call::Figures),
-        ("drain", Call::Drain(Box::default())),
-        ("activate", Call::Activate),
+        ("ready", OperatorRequest::Readiness),
+        ("figures", OperatorRequest::Metrics),
+        ("drain", OperatorRequest::Drain(Box::default())),
+        ("activate", OperatorRequest::Activate),
     ];
     calls.into_iter().find(|c| c.0 == word).map(|c| c.1).ok_or(format!("unknown call '{word}'"))
 }
 
 /// Figures are shown as their lines on one, those of 0 left out.
-fn replied(reply: &Reply) -> String {
+fn replied(reply: &OperatorReply) -> String {
     match reply {
-        Reply::Yes(word) => format!("yes {word}"),
-        Reply::No(word) => format!("no {word}"),
-        Reply::Conflict(word) => format!("conflict {word}"),
-        Reply::Held(why) => format!("held {why}"),
-        Reply::Said(what) => format!("said {what}"),
-        Reply::Grants(told) => format!("grants {}", told.as_deref().unwrap_or("none")),
-        Reply::Fleet(told) => format!("fleet {}", told.as_ref().map_or("none", |s| s.believes.as_str())),
-        Reply::Figures(figures) => {
+        OperatorReply::Accepted(word) => format!("yes {word}"),
+        OperatorReply::Unavailable(word) => format!("no {word}"),
+        OperatorReply::Conflict(word) => format!("conflict {word}"),
+        OperatorReply::Blocked(why) => format!("held {why}"),
+        OperatorReply::Committed(what) => format!("said {what}"),
+        OperatorReply::Leases(told) => format!("grants {}", told.as_deref().unwrap_or("none")),
+        OperatorReply::Membership(told) => {
+            format!("fleet {}", told.as_ref().map_or("none", |s| s.believes.as_str()))
+        }
+        OperatorReply::Metrics(figures) => {
             let text = hallrelay_relay::figures::text(figures);
             let some = text.lines().filter(|line| !line.contains(":0|"));
             some.map(|line| line.trim_start_matches("node.")).collect::<Vec<_>>().join(" ")
@@ -359,7 +364,7 @@
                 let due = |k: &(Micros, usize)| k.0 < now && !stalled;
                 while let Some((&key, &alarm)) = self.alarms.first_key_value().filter(|(k, _)| due(k)) {
                     self.alarms.remove(&key);
-                    self.step(key.0, Event::Alarm(alarm));
+                    self.step(key.0, Event::Timer(alarm));
                 }
                 self.events(words)?.into_iter().for_each(|event| self.step(now, event));
             }
@@ -370,31 +375,33 @@
     fn effects(&mut self) -> Vec<String> {
         let shown = self.effects.iter().map(|effect| match effect {
             Effect::Pong { conn } => format!("pong {conn}"),
-            Effect::Deny { conn } => format!("deny {conn}"),
+            Effect::RejectPing { conn } => format!("deny {conn}"),
             Effect::Reply { call, reply } => format!("reply {call} {}", replied(reply)),
             Effect::Dial { sess, addr, wait, .. } => {
                 format!("dial {sess} at s-{} for {}", addr.port() - 1000, wait / 1000)
             }
-            Effect::Pass { sess } => format!("pass {sess}"),
-            Effect::Refuse { sess, .. } => format!("refuse {sess}"),
+            Effect::StartProxying { sess } => format!("pass {sess}"),
+            Effect::Reject { sess, .. } => format!("refuse {sess}"),
             Effect::TearDown { sess } => format!("tear down {sess}"),
-            Effect::Move { sess } => format!("move {sess}"),
-            Effect::Spurn { conn } => format!("spurn {conn}"),
-            Effect::Shed { conn } => format!("shed {conn}"),
-            Effect::Doubt { sess, doubted: true } => format!("doubt {sess}"),
-            Effect::Doubt { sess, .. } => format!("trust {sess}"),
-            Effect::Close { sess } => format!("close {sess}"),
-            Effect::Probe { addr, .. } => format!("probe s-{}", addr.port() - 1000),
-            Effect::Forget { .. } => "forget".to_string(),
-            Effect::Watch { since: Some(since), .. } => format!("watch since {since}"),
-            Effect::Watch { addr, since: None, .. } => format!("ask {} for all and watch", addr.port()),
-            Effect::Unwatch { watch } => format!("unwatch {watch}"),
-            Effect::Tuned { .. } => "tuned".to_string(),
-            Effect::Kept { key } => format!("kept {key}"),
-            Effect::Alarm { .. } => "alarm".to_string(),
-            Effect::Accept { on } => if *on { "accept" } else { "leave the door" }.to_string(),
-            Effect::Door { .. } => "alarm".to_string(),
-            Effect::Tell { peer, message } => match message {
+            Effect::Migrate { sess } => format!("move {sess}"),
+            Effect::ReportProtocolError { conn } => format!("spurn {conn}"),
+            Effect::ShedConnection { conn } => format!("shed {conn}"),
+            Effect::SetSuspect { sess, doubted: true } => format!("doubt {sess}"),
+            Effect::SetSuspect { sess, .. } => format!("trust {sess}"),
+            Effect::CloseClient { sess } => format!("close {sess}"),
+            Effect::HealthCheck { addr, .. } => format!("probe s-{}", addr.port() - 1000),
+            Effect::ForgetServer { .. } => "forget".to_string(),
+            Effect::WatchEndpoints { since: Some(since), .. } => format!("watch since {since}"),
+            Effect::WatchEndpoints { addr, since: None, .. } => {
+                format!("ask {} for all and watch", addr.port())
+            }
+            Effect::StopWatch { watch } => format!("unwatch {watch}"),
+            Effect::ApplyTuning { .. } => "tuned".to_string(),
+            Effect::KeyUnchanged { key } => format!("kept {key}"),
+            Effect::StartTimer { .. } => "alarm".to_string(),
+            Effect::SetAccepting { on } => if *on { "accept" } else { "leave the door" }.to_string(),
+            Effect::SetTakeoverListener { .. } => "alarm".to_string(),
+            Effect::SendToProcess { peer, message } => match message {
                 Message::No { why } => format!("tell {peer} no, {why}"),
                 Message::Yours(state) => {
                     format!(
@@ -409,14 +416,14 @@
                 Message::Offer { .. } => format!("tell {peer} offer"),
                 Message::Ready {} => format!("tell {peer} ready"),
             },
-            Effect::PassOn { sess, peer, .. } => format!("pass {sess} on to {peer}"),
-            Effect::Part { peer } => format!("part from {peer}"),
-            Effect::Keep { kept, .. } => format!("keep {} {}", kept.fact.word(), kept.name),
-            Effect::Vow { number, .. } => format!("vow {number}"),
-            Effect::Keeping { .. } => "alarm".to_string(),
-            Effect::Fleet(effect) => format!("to the fleet {effect:?}"),
-            Effect::Note { .. } | Effect::Leave { .. } => "alarm".to_string(),
-            Effect::GiveUp { why } => format!("give up: {why}"),
+            Effect::HandOverSession { sess, peer, .. } => format!("pass {sess} on to {peer}"),
+            Effect::DisconnectProcess { peer } => format!("part from {peer}"),
+            Effect::Persist { kept, .. } => format!("keep {} {}", kept.fact.word(), kept.name),
+            Effect::PersistVoterWrites { number, .. } => format!("vow {number}"),
+            Effect::SetStoreOwnership { .. } => "alarm".to_string(),
+            Effect::Membership(effect) => format!("to the fleet {effect:?}"),
+            Effect::Log { .. } | Effect::SetDraining { .. } => "alarm".to_string(),
+            Effect::Abort { why } => format!("give up: {why}"),
             Effect::Exit => "exit".to_string(),
         });
         self.said.iter().cloned().chain(shown).collect()
