--- a/grants/tests/fixtures.rs
+++ b/disruption/tests/fixtures.rs
@@ -1,6 +1,6 @@
 //! Bytes of commands, outcomes and states as voters of earlier builds stored and sent them: they are read, and
 //! the same bytes are written again. One file a kind, one value a line, in hexadecimal.
-use hallrelay_grants::{
+use hallrelay_disruption::{
     Budget, Command, Condition, Fault, Judge, Kind, Outcome, Phase, Place, Plan, Scope, State, Thing, Wave,
 };
 use std::path::Path;
--- a/relay/src/reducer/keep.rs
+++ b/relay/src/reducer/keep.rs
@@ -1,6 +1,6 @@
 //! What a relay keeps across restarts: what goes to the store as it happens, and what a start makes of it.
 use super::{note, Effect, Reducer, Server};
-use hallrelay::types::{Input, Memory, Micros, Phase, ServerId, SessId};
+use hallrelay_balancer::types::{Input, Memory, Micros, Phase, ServerId, SessId};
 use hallrelay_config::list::List;
 use hallrelay_recovery::{recover, Kept, Recovered, Returning, Stored, View};
 
@@ -11,7 +11,7 @@
     }
 
     fn keep(&mut self, kept: Kept, out: &mut Vec<Effect>) {
-        out.push(Effect::Keep { kept, before: None });
+        out.push(Effect::Persist { kept, before: None });
     }
 
     /// What of it is trusted.
@@ -103,7 +103,7 @@
         let spent = all.iter().any(|m| m.server == server && m.turn == (0, 1.0));
         if spent {
             let kept = Kept::turn(&v.told.id, self.now);
-            out.push(Effect::Keep { kept, before: Some(sess) });
+            out.push(Effect::Persist { kept, before: Some(sess) });
         }
     }
 }
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -1,12 +1,12 @@
 //! What relays said to each other and to operators, as earlier builds wrote it: messages are read and written
 //! again as the same bytes, a plan and answers as the same text. Messages stand one a line, in hexadecimal.
-use hallrelay::types::{DialEnd, Micros};
-use hallrelay_agreement::{Entry, Post, Say, Snapshot, Voter, What};
+use hallrelay_balancer::types::{DialEnd, Micros};
 use hallrelay_config::node::{self, Node, Told as Given};
-use hallrelay_grants::{Command, Fault, Judge, Kind, Outcome, Plan, Thing, Wave};
+use hallrelay_disruption::{Command, Fault, Judge, Kind, Outcome, Plan, Thing, Wave};
+use hallrelay_raft::{Entry, Post, Say, Snapshot, Voter, What};
 use hallrelay_recovery::Stored;
 use hallrelay_relay::lines::Open;
-use hallrelay_relay::reducer::{Alarm, Call, Effect, Event, Reducer, Reply, Want};
+use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer, Want};
 use hallrelay_relay::talk::{Talk, Told};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -149,7 +149,7 @@
 struct Host {
     reducer: Reducer,
     now: Micros,
-    alarms: BTreeMap<(Micros, usize), Alarm>,
+    alarms: BTreeMap<(Micros, usize), Timer>,
     asked: usize,
     calls: u32,
     sessions: u32,
@@ -178,25 +178,27 @@
     fn carry(&mut self, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Alarm { after, alarm } => {
+                Effect::StartTimer { after, alarm } => {
                     self.asked += 1;
                     self.alarms.insert((self.now + after, self.asked), alarm);
                 }
-                Effect::Vow { life, number, .. } => self.step(Event::Vowed { life, number }),
-                Effect::Dial { sess, dial, .. } => self.step(Event::Up { sess, dial }),
-                Effect::Move { sess } => self.step(Event::Gone { sess }),
+                Effect::PersistVoterWrites { life, number, .. } => {
+                    self.step(Event::VoterWritesDurable { life, number })
+                }
+                Effect::Dial { sess, dial, .. } => self.step(Event::SessionEstablished { sess, dial }),
+                Effect::Migrate { sess } => self.step(Event::ClientDisconnected { sess }),
                 Effect::Reply { call, reply } => self.reply(call, &reply),
                 _ => {}
             }
         }
     }
 
-    fn reply(&mut self, call: u32, reply: &Reply) {
+    fn reply(&mut self, call: u32, reply: &OperatorReply) {
         let line = match reply {
-            Reply::Yes(word) => format!("yes {word}"),
-            Reply::Held(why) => format!("held {why}"),
-            Reply::Said(what) => format!("said {what}"),
-            Reply::Grants(json) => json.clone().unwrap_or_else(|| text("nothing")),
+            OperatorReply::Accepted(word) => format!("yes {word}"),
+            OperatorReply::Blocked(why) => format!("held {why}"),
+            OperatorReply::Committed(what) => format!("said {what}"),
+            OperatorReply::Leases(json) => json.clone().unwrap_or_else(|| text("nothing")),
             other => format!("{other:?}"),
         };
         self.told += &format!("call {call}: {line}\n");
@@ -208,31 +210,31 @@
         {
             let alarm = self.alarms.remove(&(at, number)).expect("it is there");
             self.now = self.now.max(at);
-            self.step(Event::Alarm(alarm));
+            self.step(Event::Timer(alarm));
         }
         self.now = until;
     }
 
     /// An operator's call, and the answer's time.
-    fn call(&mut self, words: &str, what: Call) {
+    fn call(&mut self, words: &str, what: OperatorRequest) {
         self.calls += 1;
         self.told += &format!("call {}: {words}\n", self.calls);
-        self.step(Event::Called { call: self.calls, what });
+        self.step(Event::OperatorCall { call: self.calls, what });
         self.pass(2 * SECOND);
     }
 
     fn agree(&mut self, words: &str, command: Command) {
-        self.call(words, Call::Agree { command: Box::new(command), words: text(words) });
+        self.call(words, OperatorRequest::Propose { command: Box::new(command), words: text(words) });
     }
 
     fn drain(&mut self, server: Option<&str>, force: bool) {
         let want = Want { server: server.map(text), by: text("ann"), why: text("new disks"), force };
-        self.call(&format!("drain {server:?}, force {force}"), Call::Drain(Box::new(want)));
+        self.call(&format!("drain {server:?}, force {force}"), OperatorRequest::Drain(Box::new(want)));
     }
 
     fn status(&mut self) {
-        self.call("grants", Call::Grants);
-        self.call("release", Call::Release);
+        self.call("grants", OperatorRequest::Leases);
+        self.call("release", OperatorRequest::Rollout);
     }
 
     /// Sessions at a backend, the last of which are cut off, and the others stay or leave.
@@ -242,12 +244,12 @@
             let sess = self.sessions;
             let at = Some(text(name));
             let open = Open { id: sess.into(), listener: text("low"), at, wait_ms: 1000, ..Open::default() };
-            self.step(Event::Came { conn: sess });
-            self.step(Event::Opened { sess, open, left: SECOND });
+            self.step(Event::ClientConnected { conn: sess });
+            self.step(Event::SessionRequested { sess, open, left: SECOND });
             if i + cut >= count {
-                self.step(Event::Ended { sess, end: DialEnd::Reset, report: None });
+                self.step(Event::SessionEnded { sess, end: DialEnd::Reset, report: None });
             } else if leave {
-                self.step(Event::Gone { sess });
+                self.step(Event::ClientDisconnected { sess });
             }
         }
     }
@@ -256,7 +258,7 @@
 /// Drains that are granted, wait and are forced; a release that goes out, is judged bad, is halted and goes back.
 fn answers() -> String {
     let mut host = Host::begin();
-    host.call("grants before a leader", Call::Grants);
+    host.call("grants before a leader", OperatorRequest::Leases);
     host.pass(8 * SECOND);
     host.status();
     host.sessions("s-1", 5, 0, false);
