--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What a relay is told of the other relays: where it may meet them, and by which name their fleet goes.
 use crate::at::At;
 use hallrelay_balancer::types::Micros;
-use hallrelay_disruption::{Budget, Kind, Scope, BUDGETS};
+use hallrelay_disruption::{Budget, Scope, TargetKind, MAX_BUDGETS};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -123,7 +123,7 @@
         return names.wrong("1 to 7 different names of relays, three or five by custom");
     }
     let budgets = at.option("budgets").map_or(Ok(Vec::new()), |all| match all.list()? {
-        list if list.len() > BUDGETS => all.wrong("64 budgets at most"),
+        list if list.len() > MAX_BUDGETS => all.wrong("64 budgets at most"),
         list => list.iter().map(budget).collect(),
     })?;
     let within = at.option("begin_within").map_or(Ok(BEGIN_WITHIN), |at| match at.num()? {
@@ -151,7 +151,7 @@
 }
 
 fn budget(at: &At) -> Result<Budget, String> {
-    const OF: [(&str, Kind); 2] = [("relay", Kind::Relay), ("backend", Kind::Server)];
+    const OF: [(&str, TargetKind); 2] = [("relay", TargetKind::Relay), ("backend", TargetKind::Backend)];
     const SCOPES: [(&str, Scope); 4] =
         [("fleet", Scope::Fleet), ("zone", Scope::Zone), ("kind", Scope::Kind), ("group", Scope::Group)];
     let word = at.key("of")?;
@@ -169,7 +169,7 @@
     if count.is_none() && part.is_none() {
         return at.wrong("a count, a share, or both");
     }
-    Ok(Budget { of: *of, scope: scope.clone(), count, part })
+    Ok(Budget { target_kind: *of, scope: *scope, max_count: count, max_share_ppm: part })
 }
 
 fn place(at: &At) -> Result<SocketAddr, String> {
--- a/config/src/plan.rs
+++ b/config/src/plan.rs
@@ -1,5 +1,5 @@
 //! A release's plan: a TOML text, checked with file, line and key.
-use hallrelay_disruption::{Judge, Kind, Plan, Wave};
+use hallrelay_disruption::{AnalysisPolicy, RolloutPlan, TargetKind, Wave};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -44,7 +44,7 @@
 }
 
 /// Reads a plan; what is wrong names the file, and the line and key where there are some.
-pub fn read(file: &str, text: &str) -> Result<Plan, String> {
+pub fn read(file: &str, text: &str) -> Result<RolloutPlan, String> {
     let told: Text = toml::from_str(text).map_err(|e| format!("{file}: {}", e.to_string().trim_end()))?;
     let part = |key: &str, x: f64| match x {
         x if (0.0..=1.0).contains(&x) => Ok((x * 1e6).round() as u32),
@@ -55,24 +55,22 @@
         if wave.names.is_empty() && wave.count == 0 && part == 0 {
             return Err(format!("{file}: wave {} has neither names nor a count or share", i + 1));
         }
-        Ok(Wave { names: wave.names.clone(), count: wave.count, part })
+        Ok(Wave { names: wave.names.clone(), count: wave.count, share_ppm: part })
     };
-    let plan = Plan {
+    let plan = RolloutPlan {
         build: told.build,
-        of: match told.of {
-            Of::Relay => Kind::Relay,
-            Of::Backend => Kind::Server,
+        target_kind: match told.of {
+            Of::Relay => TargetKind::Relay,
+            Of::Backend => TargetKind::Backend,
         },
         waves: told.wave.iter().enumerate().map(wave).collect::<Result<_, _>>()?,
-        judge: Judge {
-            sessions: told.judge.sessions,
-            worse: part("judge.worse", told.judge.worse)?,
-            within_s: told.judge.within_s,
+        analysis: AnalysisPolicy {
+            min_sessions: told.judge.sessions,
+            margin_ppm: part("judge.worse", told.judge.worse)?,
+            deadline_s: told.judge.within_s,
         },
-        by: told.by,
+        requested_by: told.by,
     };
-    match plan.sound() {
-        true => Ok(plan),
-        false => Err(format!("{file}: 1 to 32 waves, 1024 names, and names, build and by of 1 to 64 bytes")),
-    }
+    plan.validate().map_err(|e| format!("{file}: {e}"))?;
+    Ok(plan)
 }
--- a/disruption/src/budget.rs
+++ b/disruption/src/budget.rs
@@ -1,53 +1,74 @@
-//! How many may be out at a time.
-use crate::{Kind, Place};
+//! Disruption budgets: how many targets of a scope may be unavailable at a time.
+use crate::target::{FailureDomain, TargetKind};
 use serde::{Deserialize, Serialize};
 
-/// Among whom a budget counts.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+const PPM: u64 = 1_000_000;
+
+/// The population over which a budget counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
+    /// All targets of the budget's kind.
     Fleet,
-    /// Each zone, kind of machine, or group, by itself.
+    /// Each zone by itself.
     Zone,
+    /// Each kind of machine by itself.
     Kind,
+    /// Each group by itself.
     Group,
 }
 
-/// At most `count`, and at most a part of those who are known, in millionths; what is left out bounds
-/// nothing. The part is rounded down, so that a small fleet keeps all it has.
+impl Scope {
+    /// The word in answers to operators.
+    pub fn word(self) -> &'static str {
+        match self {
+            Scope::Fleet => "fleet",
+            Scope::Zone => "zone",
+            Scope::Kind => "kind",
+            Scope::Group => "group",
+        }
+    }
+}
+
+/// A bound on unavailable targets. With both bounds the lower one holds; with neither there is none.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Budget {
-    pub of: Kind,
+    /// Which targets it counts.
+    pub target_kind: TargetKind,
+    /// The population over which it counts.
     pub scope: Scope,
-    pub count: Option<u32>,
-    pub part: Option<u32>,
+    /// Unavailable targets at most.
+    pub max_count: Option<u32>,
+    /// The same as a share of the known targets of the scope, in millionths, rounded down.
+    pub max_share_ppm: Option<u32>,
 }
 
 impl Budget {
-    /// The most that may be out of so many.
-    pub fn allows(&self, of: usize) -> usize {
-        let part = self.part.map(|part| (of as u64 * u64::from(part) / 1_000_000) as usize);
-        let count = self.count.map(|count| count as usize);
-        part.unwrap_or(usize::MAX).min(count.unwrap_or(usize::MAX))
+    /// How many of a population of this size may be unavailable; `usize::MAX` where there is no bound.
+    pub fn max_unavailable(&self, population: usize) -> usize {
+        let share = |ppm: u32| (population as u64 * u64::from(ppm) / PPM) as usize;
+        let by_share = self.max_share_ppm.map_or(usize::MAX, share);
+        let by_count = self.max_count.map_or(usize::MAX, |count| count as usize);
+        by_share.min(by_count)
     }
 
-    /// Whether one at `there` counts among those of `here`.
-    pub fn joins(&self, here: &Place, there: &Place) -> bool {
+    /// Whether targets in these two domains count against the same bound.
+    pub fn counts_together(&self, one: &FailureDomain, other: &FailureDomain) -> bool {
         match self.scope {
             Scope::Fleet => true,
-            Scope::Zone => here.zone == there.zone,
-            Scope::Kind => here.kind == there.kind,
-            Scope::Group => here.group == there.group,
+            Scope::Zone => one.zone == other.zone,
+            Scope::Kind => one.kind == other.kind,
+            Scope::Group => one.group == other.group,
         }
     }
 
-    /// For people: `1 relay of zone east`.
-    pub fn words(&self, place: &Place, allows: usize) -> String {
-        let of = self.of.word();
+    /// The bound in a domain, for operators: `1 relay of zone east`.
+    pub fn describe(&self, domain: &FailureDomain, max_unavailable: usize) -> String {
+        let kind = self.target_kind.word();
         match self.scope {
-            Scope::Fleet => format!("{allows} {of} of the fleet"),
-            Scope::Zone => format!("{allows} {of} of zone {}", place.zone),
-            Scope::Kind => format!("{allows} {of} of kind {}", place.kind),
-            Scope::Group => format!("{allows} {of} of group {}", place.group),
+            Scope::Fleet => format!("{max_unavailable} {kind} of the fleet"),
+            Scope::Zone => format!("{max_unavailable} {kind} of zone {}", domain.zone),
+            Scope::Kind => format!("{max_unavailable} {kind} of kind {}", domain.kind),
+            Scope::Group => format!("{max_unavailable} {kind} of group {}", domain.group),
         }
     }
 }
--- /dev/null
+++ b/disruption/src/plan.rs
@@ -0,0 +1,57 @@
+//! The plan of a rollout, as operators submit it. Its JSON keys are those of `POST /v1/release/start`.
+use crate::analysis::AnalysisPolicy;
+use crate::error::InvalidPlan;
+use crate::limits::{MAX_NAME_BYTES, MAX_PLAN_NAMES, MAX_WAVES};
+use crate::target::TargetKind;
+use serde::{Deserialize, Serialize};
+
+/// One wave: the named targets, then as many more, by name, as the count and the share add up to.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Wave {
+    /// Targets that belong to this wave.
+    pub names: Vec<String>,
+    /// Further targets.
+    pub count: u32,
+    /// Further targets as a share of all known ones, in millionths, rounded up.
+    #[serde(rename = "part")]
+    pub share_ppm: u32,
+}
+
+/// A rollout of one build over all relays or all backends that its waves select.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct RolloutPlan {
+    /// The new build, in the deployer's own words.
+    pub build: String,
+    /// Which targets are updated.
+    #[serde(rename = "of")]
+    pub target_kind: TargetKind,
+    /// The waves, in their order.
+    pub waves: Vec<Wave>,
+    /// When a wave passes.
+    #[serde(rename = "judge")]
+    pub analysis: AnalysisPolicy,
+    /// The person who submits it.
+    #[serde(rename = "by")]
+    pub requested_by: String,
+}
+
+impl RolloutPlan {
+    /// Checks the plan against the limits; each wave must select something.
+    pub fn validate(&self) -> Result<(), InvalidPlan> {
+        let fits = |text: &String| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
+        let selects = |wave: &Wave| !wave.names.is_empty() || wave.count > 0 || wave.share_ppm > 0;
+        let names = self.waves.iter().flat_map(|wave| &wave.names);
+        let valid = fits(&self.build)
+            && fits(&self.requested_by)
+            && (1..=MAX_WAVES).contains(&self.waves.len())
+            && self.waves.iter().all(selects)
+            && names.clone().count() <= MAX_PLAN_NAMES
+            && names.clone().all(fits);
+        valid.then_some(()).ok_or(InvalidPlan)
+    }
+
+    /// Whether any wave names this target.
+    pub(crate) fn is_named(&self, name: &str) -> bool {
+        self.waves.iter().any(|wave| wave.names.iter().any(|named| named == name))
+    }
+}
--- a/disruption/tests/fixtures.rs
+++ b/disruption/tests/fixtures.rs
@@ -1,7 +1,8 @@
 //! Bytes of commands, outcomes and states as voters of earlier builds stored and sent them: they are read, and
 //! the same bytes are written again. One file a kind, one value a line, in hexadecimal.
 use hallrelay_disruption::{
-    Budget, Command, Condition, Fault, Judge, Kind, Outcome, Phase, Place, Plan, Scope, State, Thing, Wave,
+    AnalysisPolicy, Budget, Command, CommandError, FailureDomain, HealthState, Outcome, RolloutPhase,
+    RolloutPlan, Scope, State, Target, TargetKind, Wave,
 };
 use std::path::Path;
 
@@ -28,159 +29,166 @@
     }
 }
 
-fn relay(name: &str) -> Thing {
-    Thing::Relay(name.to_string())
+fn relay(name: &str) -> Target {
+    Target::Relay(name.to_string())
 }
 
-fn server(name: &str) -> Thing {
-    Thing::Server(name.to_string())
+fn backend(name: &str) -> Target {
+    Target::Backend(name.to_string())
 }
 
 fn text(text: &str) -> String {
     text.to_string()
 }
 
-fn place(zone: &str, kind: &str, group: &str) -> Place {
-    Place { zone: text(zone), kind: text(kind), group: text(group) }
+fn domain(zone: &str, kind: &str, group: &str) -> FailureDomain {
+    FailureDomain { zone: text(zone), kind: text(kind), group: text(group) }
 }
 
-fn seen(thing: Thing, zone: &str, condition: Condition) -> Command {
-    Command::Seen { thing, place: place(zone, "large", "g1"), condition }
+fn observe(target: Target, zone: &str, health: HealthState) -> Command {
+    Command::Observe { target, domain: domain(zone, "large", "g1"), health }
 }
 
-fn ask(thing: Thing, call: u64, force: bool) -> Command {
-    Command::Ask { thing, call, by: text("ann"), why: text("new disks"), force }
+fn request(target: Target, request_id: u64, force: bool) -> Command {
+    Command::Request { target, request_id, requested_by: text("ann"), reason: text("new disks"), force }
 }
 
-fn did(name: &str, grant: u64, good: bool) -> Command {
-    let why = if good { String::new() } else { text("the disk is full") };
-    Command::Did { thing: server(name), grant, good, why }
+fn mark_done(name: &str, lease_id: u64, succeeded: bool) -> Command {
+    let reason = if succeeded { String::new() } else { text("the disk is full") };
+    Command::MarkDone { target: backend(name), lease_id, succeeded, reason }
 }
 
-fn judged(wave: u64, good: bool) -> Command {
-    Command::Judged { wave, good, why: text("bad at the new build 3 of 40, at the old 1 of 90") }
+fn analysis(wave: u64, passed: bool) -> Command {
+    Command::RecordAnalysis { wave, passed, reason: text("bad at the new build 3 of 40, at the old 1 of 90") }
 }
 
-fn plan() -> Plan {
-    Plan {
+fn plan() -> RolloutPlan {
+    RolloutPlan {
         build: text("b2"),
-        of: Kind::Server,
+        target_kind: TargetKind::Backend,
         waves: vec![
-            Wave { names: vec![text("s1")], count: 0, part: 0 },
-            Wave { names: vec![], count: 1, part: 300_000 },
+            Wave { names: vec![text("s1")], count: 0, share_ppm: 0 },
+            Wave { names: vec![], count: 1, share_ppm: 300_000 },
         ],
-        judge: Judge { sessions: 200, worse: 20_000, within_s: 600 },
-        by: text("bo"),
+        analysis: AnalysisPolicy { min_sessions: 200, margin_ppm: 20_000, deadline_s: 600 },
+        requested_by: text("bo"),
     }
 }
 
 fn budgets() -> Vec<Budget> {
-    let budget = |of, scope, count, part| Budget { of, scope, count, part };
+    let budget = |target_kind, scope, max_count, max_share_ppm| Budget {
+        target_kind,
+        scope,
+        max_count,
+        max_share_ppm,
+    };
     vec![
-        budget(Kind::Relay, Scope::Fleet, Some(2), None),
-        budget(Kind::Relay, Scope::Zone, None, Some(500_000)),
-        budget(Kind::Server, Scope::Kind, Some(3), Some(900_000)),
-        budget(Kind::Server, Scope::Group, Some(2), None),
+        budget(TargetKind::Relay, Scope::Fleet, Some(2), None),
+        budget(TargetKind::Relay, Scope::Zone, None, Some(500_000)),
+        budget(TargetKind::Backend, Scope::Kind, Some(3), Some(900_000)),
+        budget(TargetKind::Backend, Scope::Group, Some(2), None),
     ]
 }
 
 /// Each kind of command, with each of its optional parts and each value of its enumerations.
 fn commands() -> Vec<Command> {
-    let (up, cold, down, gone) = (Condition::Up, Condition::Cold, Condition::Down, Condition::Gone);
+    let (up, warming_up) = (HealthState::Up, HealthState::WarmingUp);
+    let (down, removed) = (HealthState::Down, HealthState::Removed);
     vec![
-        Command::Budgets(vec![]),
-        Command::Budgets(budgets()),
-        seen(relay("r1"), "east", up),
-        seen(server("s1"), "west", cold),
-        seen(server("s1"), "west", down),
-        Command::Seen { thing: relay("r1"), place: Place::default(), condition: gone },
-        ask(relay("r1"), 1, false),
-        ask(server("s1"), u64::MAX, true),
-        Command::Drop { thing: relay("r1"), call: 1 },
-        Command::Begin { thing: relay("r1"), grant: 300 },
-        Command::Lapse { thing: server("s1"), grant: 70_000 },
-        Command::Back { thing: server("s1") },
-        Command::Free { thing: relay("r1"), by: text("bo") },
-        Command::Start { plan: plan() },
-        did("s1", 7, true),
-        did("s1", 8, false),
-        judged(0, true),
-        judged(1, false),
-        Command::Halt { by: text("ann"), why: text("lunch") },
-        Command::Resume { by: text("ann") },
-        Command::WayBack { by: text("ann") },
+        Command::SetBudgets(vec![]),
+        Command::SetBudgets(budgets()),
+        observe(relay("r1"), "east", up),
+        observe(backend("s1"), "west", warming_up),
+        observe(backend("s1"), "west", down),
+        Command::Observe { target: relay("r1"), domain: FailureDomain::default(), health: removed },
+        request(relay("r1"), 1, false),
+        request(backend("s1"), u64::MAX, true),
+        Command::Withdraw { target: relay("r1"), request_id: 1 },
+        Command::Begin { target: relay("r1"), lease_id: 300 },
+        Command::Expire { target: backend("s1"), lease_id: 70_000 },
+        Command::Return { target: backend("s1") },
+        Command::Reclaim { target: relay("r1"), requested_by: text("bo") },
+        Command::StartRollout { plan: plan() },
+        mark_done("s1", 7, true),
+        mark_done("s1", 8, false),
+        analysis(0, true),
+        analysis(1, false),
+        Command::Halt { requested_by: text("ann"), reason: text("lunch") },
+        Command::Resume { requested_by: text("ann") },
+        Command::RollBack { requested_by: text("ann") },
     ]
 }
 
 /// Drains that are asked for, granted, begun, lapsed, dropped, forced, freed and brought back; a release that is
 /// halted by a person and by a bad wave and goes back, and one that goes to its end.
 fn history() -> Vec<Command> {
-    let (up, cold, down, gone) = (Condition::Up, Condition::Cold, Condition::Down, Condition::Gone);
-    let start = || Command::Start { plan: plan() };
-    let halt = || Command::Halt { by: text("ann"), why: text("lunch") };
-    let resume = || Command::Resume { by: text("ann") };
-    let back = || Command::WayBack { by: text("ann") };
+    let (up, warming_up) = (HealthState::Up, HealthState::WarmingUp);
+    let (down, removed) = (HealthState::Down, HealthState::Removed);
+    let start = || Command::StartRollout { plan: plan() };
+    let halt = || Command::Halt { requested_by: text("ann"), reason: text("lunch") };
+    let resume = || Command::Resume { requested_by: text("ann") };
+    let roll_back = || Command::RollBack { requested_by: text("ann") };
     let r1 = || relay("r1");
     vec![
-        Command::Budgets(budgets()),
-        seen(relay("r1"), "east", up),
-        seen(relay("r2"), "east", up),
-        seen(relay("r3"), "west", up),
-        seen(relay("r4"), "west", up),
-        seen(server("s1"), "east", up),
-        seen(server("s2"), "east", up),
-        seen(server("s3"), "west", up),
-        ask(r1(), 11, false),
-        ask(r1(), 12, false),
-        ask(relay("r2"), 13, false),
-        ask(relay("r3"), 14, false),
-        Command::Begin { thing: r1(), grant: 1 },
-        Command::Begin { thing: r1(), grant: 9 },
-        ask(relay("r4"), 15, false),
-        Command::Lapse { thing: relay("r3"), grant: 2 },
-        Command::Drop { thing: relay("r2"), call: 13 },
-        ask(relay("r2"), 16, true),
-        seen(r1(), "east", down),
-        Command::Back { thing: r1() },
-        seen(r1(), "east", cold),
-        ask(r1(), 17, false),
-        seen(r1(), "east", up),
-        Command::Free { thing: relay("r2"), by: text("bo") },
-        seen(relay("r4"), "west", gone),
-        ask(server("s3"), 18, false),
-        Command::Begin { thing: server("s3"), grant: 5 },
+        Command::SetBudgets(budgets()),
+        observe(relay("r1"), "east", up),
+        observe(relay("r2"), "east", up),
+        observe(relay("r3"), "west", up),
+        observe(relay("r4"), "west", up),
+        observe(backend("s1"), "east", up),
+        observe(backend("s2"), "east", up),
+        observe(backend("s3"), "west", up),
+        request(r1(), 11, false),
+        request(r1(), 12, false),
+        request(relay("r2"), 13, false),
+        request(relay("r3"), 14, false),
+        Command::Begin { target: r1(), lease_id: 1 },
+        Command::Begin { target: r1(), lease_id: 9 },
+        request(relay("r4"), 15, false),
+        Command::Expire { target: relay("r3"), lease_id: 2 },
+        Command::Withdraw { target: relay("r2"), request_id: 13 },
+        request(relay("r2"), 16, true),
+        observe(r1(), "east", down),
+        Command::Return { target: r1() },
+        observe(r1(), "east", warming_up),
+        request(r1(), 17, false),
+        observe(r1(), "east", up),
+        Command::Reclaim { target: relay("r2"), requested_by: text("bo") },
+        observe(relay("r4"), "west", removed),
+        request(backend("s3"), 18, false),
+        Command::Begin { target: backend("s3"), lease_id: 5 },
         start(),
         start(),
-        did("s1", 1, true),
-        seen(server("s1"), "east", down),
-        did("s1", 6, true),
-        seen(server("s1"), "east", cold),
-        seen(server("s1"), "east", up),
+        mark_done("s1", 1, true),
+        observe(backend("s1"), "east", down),
+        mark_done("s1", 6, true),
+        observe(backend("s1"), "east", warming_up),
+        observe(backend("s1"), "east", up),
         halt(),
         resume(),
-        Command::Back { thing: server("s3") },
-        judged(0, true),
-        did("s2", 7, true),
-        did("s3", 8, false),
+        Command::Return { target: backend("s3") },
+        analysis(0, true),
+        mark_done("s2", 7, true),
+        mark_done("s3", 8, false),
         resume(),
-        did("s2", 7, true),
-        judged(1, false),
-        back(),
+        mark_done("s2", 7, true),
+        analysis(1, false),
+        roll_back(),
         halt(),
         resume(),
-        did("s3", 8, true),
-        did("s2", 9, true),
-        seen(server("s1"), "east", down),
-        did("s1", 10, true),
-        seen(server("s1"), "east", up),
-        did("s3", 11, true),
+        mark_done("s3", 8, true),
+        mark_done("s2", 9, true),
+        observe(backend("s1"), "east", down),
+        mark_done("s1", 10, true),
+        observe(backend("s1"), "east", up),
+        mark_done("s3", 11, true),
         start(),
-        did("s1", 11, true),
-        judged(0, true),
-        did("s2", 12, true),
-        did("s3", 13, true),
-        judged(1, true),
-        ask(relay("nobody"), 19, false),
+        mark_done("s1", 11, true),
+        analysis(0, true),
+        mark_done("s2", 12, true),
+        mark_done("s3", 13, true),
+        analysis(1, true),
+        request(relay("nobody"), 19, false),
     ]
 }
 
@@ -214,45 +222,48 @@
 
 /// The history is worth its bytes only where it goes through all that a state can hold.
 #[test]
-fn the_history_goes_through_all_stages_and_phases() {
-    let (mut stages, mut steps, mut phases) = (vec![], vec![], vec![]);
+fn the_history_goes_through_all_states_and_phases() {
+    let (mut lease_states, mut item_states, mut phases) = (vec![], vec![], vec![]);
     for stored in lines("states.hex") {
         let state = State::decode(&stored).expect("a state");
-        stages.extend(state.things().map(|(_, r)| r.stage.word()));
-        steps.extend(state.release().iter().flat_map(|r| &r.items).map(|item| item.step.word()));
-        phases.extend(state.release().map(|r| r.phase));
+        lease_states.extend(state.leases().map(|(_, lease)| lease.state.word()));
+        item_states.extend(state.rollout().iter().flat_map(|r| &r.items).map(|item| item.state.word()));
+        phases.extend(state.rollout().map(|r| r.phase));
     }
-    for stage in ["in", "asked", "granted", "out", "returning"] {
-        assert!(stages.contains(&stage), "{stage}");
+    for state in ["in", "asked", "granted", "out", "returning"] {
+        assert!(lease_states.contains(&state), "{state}");
     }
-    for step in ["to do", "going", "changed", "done", "going back", "changed back", "back"] {
-        assert!(steps.contains(&step), "{step}");
+    for state in ["to do", "going", "changed", "done", "going back", "changed back", "back"] {
+        assert!(item_states.contains(&state), "{state}");
     }
     for phase in [
-        Phase::Running,
-        Phase::Judging,
-        Phase::Halted,
-        Phase::Returning,
-        Phase::ReturnHalted,
-        Phase::Finished,
-        Phase::Back,
+        RolloutPhase::Running,
+        RolloutPhase::Analyzing,
+        RolloutPhase::Halted,
+        RolloutPhase::RollingBack,
+        RolloutPhase::RollbackHalted,
+        RolloutPhase::Finished,
+        RolloutPhase::RolledBack,
     ] {
         assert!(phases.contains(&phase), "{phase:?}");
     }
 }
 
 #[test]
-fn each_outcome_and_fault_has_its_bytes() {
+fn each_outcome_and_error_has_its_bytes() {
     let outcomes = [
         Outcome::Done,
-        Outcome::Granted { grant: 300 },
-        Outcome::Out { grant: 7 },
-        Outcome::Taken { by: text("ann"), why: text("new disks") },
-        Outcome::Waits { why: text("at most 1 relay of the fleet"), out: vec![text("relay a (out)")] },
-        Outcome::Not(Fault::Unknown),
-        Outcome::Not(Fault::Bound),
-        Outcome::Not(Fault::Stale),
-        Outcome::Not(Fault::Version),
+        Outcome::Granted { lease_id: 300 },
+        Outcome::AlreadyOut { lease_id: 7 },
+        Outcome::RequestedByAnother { requested_by: text("ann"), reason: text("new disks") },
+        Outcome::Waiting {
+            blocked_by: text("at most 1 relay of the fleet"),
+            unavailable: vec![text("relay a (out)")],
+        },
+        Outcome::Rejected(CommandError::UnknownTarget),
+        Outcome::Rejected(CommandError::LimitExceeded),
+        Outcome::Rejected(CommandError::Stale),
+        Outcome::Rejected(CommandError::UnsupportedVersion),
     ];
     let written: Vec<Vec<u8>> =
         outcomes.iter().map(|outcome| postcard::to_stdvec(outcome).expect("an outcome")).collect();
--- a/lab/src/virt/outs.rs
+++ b/lab/src/virt/outs.rs
@@ -1,7 +1,7 @@
 //! An operator who wants relays out and asks till each is let out, and the count of who is away, from outside.
 use super::*;
 use hallrelay_emulator::service::Outs;
-use hallrelay_relay::reducer::{OperatorReply, OperatorRequest, Want};
+use hallrelay_relay::reducer::{DrainRequest, OperatorReply, OperatorRequest};
 use std::collections::BTreeSet;
 
 /// How long an operator waits before asking again.
@@ -34,12 +34,13 @@
         self.outs.first.get_or_insert(self.now);
         self.outs.wanted.insert(relay);
         self.outs.stays.insert(relay, stay);
-        let want = Want { by: "ann".to_string(), why: "a day out".to_string(), ..Want::default() };
+        let (requested_by, reason) = ("ann".to_string(), "a day out".to_string());
+        let drain = DrainRequest { requested_by, reason, ..DrainRequest::default() };
         let stands = self.relays[relay].mind.is_some() && self.relays[relay].stalled.is_none();
         if stands {
             self.step(
                 relay,
-                Event::OperatorCall { call: DRAIN, what: OperatorRequest::Drain(Box::new(want)) },
+                Event::OperatorCall { call: DRAIN, what: OperatorRequest::Drain(Box::new(drain)) },
             );
         } else {
             self.later(AGAIN, Ev::WantsOut { relay, stay });
--- a/model_checker/src/releases.rs
+++ b/model_checker/src/releases.rs
@@ -2,7 +2,8 @@
 //! in between. One state stands for all voters: that they have the same is `voters.rs`'s matter.
 use crate::search::Model;
 use hallrelay_disruption::{
-    Budget, Command, Condition, Judge, Kind, Phase, Place, Plan, Scope, Stage, State, Step as Of, Thing, Wave,
+    AnalysisPolicy, Budget, Command, FailureDomain, HealthState, ItemState, LeaseState, RolloutItem,
+    RolloutPhase, RolloutPlan, Scope, State, Target, TargetKind, Wave,
 };
 use std::fmt::{Display, Formatter};
 
@@ -35,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     Did(usize, bool),
-    Seen(usize, Condition),
+    Seen(usize, HealthState),
     Judged(bool),
     Halt,
     Resume,
@@ -64,19 +65,20 @@
 const THINGS: usize = 4;
 const BUDGET: usize = 2;
 
-fn thing(i: usize) -> Thing {
-    Thing::Server(format!("s{i}"))
+fn thing(i: usize) -> Target {
+    Target::Backend(format!("s{i}"))
 }
 
 fn out(state: &State) -> usize {
-    let out = |stage: Stage| matches!(stage, Stage::Granted | Stage::Out | Stage::Returning);
-    state.things().filter(|(_, r)| out(r.stage)).count()
+    let out =
+        |stage: LeaseState| matches!(stage, LeaseState::Granted | LeaseState::Out | LeaseState::Returning);
+    state.leases().filter(|(_, r)| out(r.state)).count()
 }
 
 impl Releases {
     fn apply(&self, w: &mut World, command: &Command) {
-        let begun = |state: &State| -> Vec<Thing> {
-            let out = state.things().filter(|(_, r)| r.stage == Stage::Out);
+        let begun = |state: &State| -> Vec<Target> {
+            let out = state.leases().filter(|(_, r)| r.state == LeaseState::Out);
             out.map(|(thing, _)| thing.clone()).collect()
         };
         let before = begun(&w.agreed);
@@ -95,60 +97,66 @@
 
     fn first(&self) -> World {
         let mut agreed = State::default();
-        let (of, scope, count) = (Kind::Server, Scope::Fleet, Some(BUDGET as u32));
-        agreed.apply(&Command::Budgets(vec![Budget { of, scope, count, part: None }]));
+        let (of, scope, count) = (TargetKind::Backend, Scope::Fleet, Some(BUDGET as u32));
+        agreed.apply(&Command::SetBudgets(vec![Budget {
+            target_kind: of,
+            scope,
+            max_count: count,
+            max_share_ppm: None,
+        }]));
         for i in 0..THINGS {
-            let (place, condition) = (Place::default(), Condition::Up);
-            agreed.apply(&Command::Seen { thing: thing(i), place, condition });
+            let (place, condition) = (FailureDomain::default(), HealthState::Up);
+            agreed.apply(&Command::Observe { target: thing(i), domain: place, health: condition });
         }
         let wave = |names: &[usize]| Wave {
             names: names.iter().map(|i| thing(*i).name().to_string()).collect(),
             ..Wave::default()
         };
-        let plan = Plan {
+        let plan = RolloutPlan {
             build: "new".to_string(),
-            of,
+            target_kind: of,
             waves: vec![wave(&[0]), wave(&[1, 2])],
-            judge: Judge { sessions: 1, worse: 0, within_s: 1 },
-            by: "ann".to_string(),
+            analysis: AnalysisPolicy { min_sessions: 1, margin_ppm: 0, deadline_s: 1 },
+            requested_by: "ann".to_string(),
         };
-        agreed.apply(&Command::Start { plan });
+        agreed.apply(&Command::StartRollout { plan });
         let (failures, words) = (self.failures, self.words);
         World { agreed, before: None, halted: false, failures, words, wrong: None }
     }
 
     fn steps(&self, w: &World) -> Vec<Step> {
         let mut steps = Vec::new();
-        let Some(release) = w.agreed.release() else { return steps };
+        let Some(release) = w.agreed.rollout() else { return steps };
         for i in 0..THINGS {
-            let Some(r) = w.agreed.get(&thing(i)) else { continue };
-            let item = release.items.iter().find(|item| item.thing == thing(i));
-            if r.stage == Stage::Out && item.is_some_and(|item| matches!(item.step, Of::Going | Of::Undoing))
+            let Some(r) = w.agreed.lease(&thing(i)) else { continue };
+            let item = release.items.iter().find(|item| item.target == thing(i));
+            if r.state == LeaseState::Out
+                && item.is_some_and(|item| matches!(item.state, ItemState::Updating | ItemState::RollingBack))
             {
                 steps.push(Step::Did(i, true));
                 if w.failures > 0 {
                     steps.push(Step::Did(i, false));
                 }
             }
-            match r.condition {
-                Condition::Up if w.failures > 0 => steps.push(Step::Seen(i, Condition::Down)),
-                Condition::Up => {}
-                _ => steps.push(Step::Seen(i, Condition::Up)),
+            match r.health {
+                HealthState::Up if w.failures > 0 => steps.push(Step::Seen(i, HealthState::Down)),
+                HealthState::Up => {}
+                _ => steps.push(Step::Seen(i, HealthState::Up)),
             }
         }
-        if release.phase == Phase::Judging {
+        if release.phase == RolloutPhase::Analyzing {
             steps.extend([Step::Judged(true), Step::Judged(false)]);
         }
         if w.words > 0 {
             steps.extend([Step::Halt, Step::Resume, Step::WayBack]);
-            if w.agreed.get(&thing(3)).is_some_and(|r| r.stage == Stage::In) {
+            if w.agreed.lease(&thing(3)).is_some_and(|r| r.state == LeaseState::InService) {
                 steps.push(Step::Ask);
             }
             if w.before.is_some() {
                 steps.push(Step::Turns);
             }
         }
-        if w.agreed.get(&thing(3)).is_some_and(|r| r.stage == Stage::Out) {
+        if w.agreed.lease(&thing(3)).is_some_and(|r| r.state == LeaseState::Out) {
             steps.push(Step::Back);
         }
         steps
@@ -158,52 +166,66 @@
         let mut w = w.clone();
         let text = String::new;
         let by = || "ann".to_string();
-        let phase = |w: &World| w.agreed.release().map(|release| release.phase);
+        let phase = |w: &World| w.agreed.rollout().map(|release| release.phase);
         match step {
             Step::Did(i, good) => {
-                let grant = w.agreed.get(&thing(*i)).map_or(0, |r| r.grant);
-                let command = Command::Did { thing: thing(*i), grant, good: *good, why: text() };
+                let grant = w.agreed.lease(&thing(*i)).map_or(0, |r| r.lease_id);
+                let command = Command::MarkDone {
+                    target: thing(*i),
+                    lease_id: grant,
+                    succeeded: *good,
+                    reason: text(),
+                };
                 w.failures -= u8::from(!good);
                 self.apply(&mut w, &command);
             }
             Step::Seen(i, condition) => {
-                w.failures -= u8::from(*condition == Condition::Down);
-                let command =
-                    Command::Seen { thing: thing(*i), place: Place::default(), condition: *condition };
+                w.failures -= u8::from(*condition == HealthState::Down);
+                let command = Command::Observe {
+                    target: thing(*i),
+                    domain: FailureDomain::default(),
+                    health: *condition,
+                };
                 self.apply(&mut w, &command);
             }
             Step::Judged(good) => {
-                let wave = w.agreed.release().map_or(0, |release| release.wave as u64);
-                self.apply(&mut w, &Command::Judged { wave, good: *good, why: text() });
+                let wave = w.agreed.rollout().map_or(0, |release| release.wave as u64);
+                self.apply(&mut w, &Command::RecordAnalysis { wave, passed: *good, reason: text() });
             }
             Step::Halt => {
                 w.words -= 1;
                 w.before = Some(w.agreed.clone());
-                self.apply(&mut w, &Command::Halt { by: by(), why: text() });
+                self.apply(&mut w, &Command::Halt { requested_by: by(), reason: text() });
             }
             Step::Resume => {
                 w.words -= 1;
                 w.halted = false;
-                self.apply(&mut w, &Command::Resume { by: by() });
+                self.apply(&mut w, &Command::Resume { requested_by: by() });
             }
             Step::WayBack => {
                 w.words -= 1;
                 // The way back is a word of its own: what begins with it was let go by it.
                 w.halted = false;
                 let command = match self.planted {
-                    Planted::WayBackResumes => Command::Resume { by: by() },
-                    _ => Command::WayBack { by: by() },
+                    Planted::WayBackResumes => Command::Resume { requested_by: by() },
+                    _ => Command::RollBack { requested_by: by() },
                 };
                 self.apply(&mut w, &command);
             }
             Step::Ask => {
                 w.words -= 1;
-                let ask = Command::Ask { thing: thing(3), call: 1, by: by(), why: text(), force: false };
+                let ask = Command::Request {
+                    target: thing(3),
+                    request_id: 1,
+                    requested_by: by(),
+                    reason: text(),
+                    force: false,
+                };
                 self.apply(&mut w, &ask);
-                let grant = w.agreed.get(&thing(3)).map_or(0, |r| r.grant);
-                self.apply(&mut w, &Command::Begin { thing: thing(3), grant });
+                let grant = w.agreed.lease(&thing(3)).map_or(0, |r| r.lease_id);
+                self.apply(&mut w, &Command::Begin { target: thing(3), lease_id: grant });
             }
-            Step::Back => self.apply(&mut w, &Command::Back { thing: thing(3) }),
+            Step::Back => self.apply(&mut w, &Command::Return { target: thing(3) }),
             Step::Turns => {
                 w.words -= 1;
                 if self.planted == Planted::HaltForgotten {
@@ -213,9 +235,9 @@
             }
         }
         w.halted = match step {
-            Step::Halt => matches!(phase(&w), Some(Phase::Halted | Phase::ReturnHalted)),
+            Step::Halt => matches!(phase(&w), Some(RolloutPhase::Halted | RolloutPhase::RollbackHalted)),
             Step::Resume | Step::WayBack => false,
-            _ => w.halted || matches!(phase(&w), Some(Phase::Halted | Phase::ReturnHalted)),
+            _ => w.halted || matches!(phase(&w), Some(RolloutPhase::Halted | RolloutPhase::RollbackHalted)),
         };
         w
     }
@@ -231,7 +253,7 @@
     /// Nothing fails any more, deployers do what is due: the release can be halted and brought back.
     fn goes_on(&self, w: &World) -> bool {
         let mut w = World { failures: 0, words: u8::MAX, ..w.clone() };
-        let over = |w: &World| w.agreed.release().is_some_and(|release| release.phase.is_over());
+        let over = |w: &World| w.agreed.rollout().is_some_and(|release| release.phase.is_over());
         if over(&w) {
             return true;
         }
@@ -241,13 +263,12 @@
         for _ in 0..64 {
             if over(&w) {
                 let back =
-                    |item: &hallrelay_disruption::release::Item| matches!(item.step, Of::Todo | Of::Undone);
-                return w.agreed.release().is_some_and(|release| release.items.iter().all(back));
+                    |item: &RolloutItem| matches!(item.state, ItemState::Pending | ItemState::RolledBack);
+                return w.agreed.rollout().is_some_and(|release| release.items.iter().all(back));
             }
-            let due = self
-                .steps(&w)
-                .into_iter()
-                .find(|step| matches!(step, Step::Did(_, true) | Step::Seen(_, Condition::Up) | Step::Back));
+            let due = self.steps(&w).into_iter().find(|step| {
+                matches!(step, Step::Did(_, true) | Step::Seen(_, HealthState::Up) | Step::Back)
+            });
             let Some(step) = due else { return false };
             w = self.take(&w, &step);
         }
--- a/model_checker/src/voters.rs
+++ b/model_checker/src/voters.rs
@@ -1,7 +1,8 @@
 //! Three voters with their disks, the messages between them, and holders who want to be out.
 use crate::search::Model;
 use hallrelay_disruption::{
-    Budget, Command, Condition, Kind, Outcome, Place, Scope, Stage, State as Agreed, Thing,
+    Budget, Command, FailureDomain, HealthState, LeaseState, Outcome, Scope, State as Agreed, Target,
+    TargetKind,
 };
 use hallrelay_raft::{Alarm, Effect, Entry, Event, Node, Post, Role, Say, Stored, Term, Voter, What, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -227,8 +228,8 @@
 /// How many holders may be out.
 const BUDGET: u32 = 1;
 
-fn holder(i: usize) -> Thing {
-    Thing::Relay(format!("h{i}"))
+fn holder(i: usize) -> Target {
+    Target::Relay(format!("h{i}"))
 }
 
 impl Voters {
@@ -243,19 +244,30 @@
     /// Founded, with the budget and all holders agreed on, and the first voter leading.
     fn begin(&self) -> World {
         let voters: Vec<Voter> = self.ids().into_iter().map(|id| Voter { id, birth: 1 }).collect();
-        let budget = Budget { of: Kind::Relay, scope: Scope::Fleet, count: Some(BUDGET), part: None };
+        let budget = Budget {
+            target_kind: TargetKind::Relay,
+            scope: Scope::Fleet,
+            max_count: Some(BUDGET),
+            max_share_ppm: None,
+        };
         let mut agreed = Agreed::default();
-        agreed.apply(&Command::Budgets(vec![budget]));
+        agreed.apply(&Command::SetBudgets(vec![budget]));
         for i in 0..self.holders {
-            let (place, condition) = (Place::default(), Condition::Up);
-            agreed.apply(&Command::Seen { thing: holder(i), place, condition });
+            let (place, condition) = (FailureDomain::default(), HealthState::Up);
+            agreed.apply(&Command::Observe { target: holder(i), domain: place, health: condition });
         }
         let mut holders = vec![Holder::default(); self.holders];
         let mut granted = BTreeMap::new();
         if self.out {
             let (by, why) = (String::new(), String::new());
-            agreed.apply(&Command::Ask { thing: holder(0), call: 1, by, why, force: false });
-            agreed.apply(&Command::Begin { thing: holder(0), grant: 1 });
+            agreed.apply(&Command::Request {
+                target: holder(0),
+                request_id: 1,
+                requested_by: by,
+                reason: why,
+                force: false,
+            });
+            agreed.apply(&Command::Begin { target: holder(0), lease_id: 1 });
             (holders[0].call, holders[0].grant, holders[0].out) = (1, 1, true);
             granted.insert(1, (0, 1));
         }
@@ -397,16 +409,18 @@
     fn apply(&self, w: &mut World, seat: usize, command: &[u8], ticket: Option<u64>) {
         let Ok(mut command) = Command::decode(command) else { return };
         let mut honest = None;
-        if let (Planted::LapsesWhileOut, Command::Lapse { thing, .. }) = (self.planted, &command) {
-            command = Command::Free { thing: thing.clone(), by: "time".to_string() };
+        if let (Planted::LapsesWhileOut, Command::Expire { target: thing, .. }) = (self.planted, &command) {
+            command = Command::Reclaim { target: thing.clone(), requested_by: "time".to_string() };
         }
-        if let (Planted::ColdCountsIn, Command::Seen { condition, .. }) = (self.planted, &mut command) {
-            if *condition == Condition::Cold {
-                (honest, *condition) = (Some(Condition::Cold), Condition::Up);
+        if let (Planted::ColdCountsIn, Command::Observe { health: condition, .. }) =
+            (self.planted, &mut command)
+        {
+            if *condition == HealthState::WarmingUp {
+                (honest, *condition) = (Some(HealthState::WarmingUp), HealthState::Up);
             }
         }
         let seen = match &command {
-            Command::Seen { condition, .. } => Some(*condition),
+            Command::Observe { health: condition, .. } => Some(*condition),
             _ => None,
         };
         let (seen, outcome) = (honest.or(seen), w.seat(seat).agreed.apply(&command));
@@ -414,12 +428,12 @@
             return;
         };
         match seen {
-            Some(Condition::Up) => _ = w.less.remove(&i),
+            Some(HealthState::Up) => _ = w.less.remove(&i),
             Some(_) => _ = w.less.insert(i),
             None => {}
         }
         match (command, outcome) {
-            (Command::Ask { call, .. }, Outcome::Granted { grant }) => {
+            (Command::Request { request_id: call, .. }, Outcome::Granted { lease_id: grant }) => {
                 // Told once more it is no new grant.
                 if !w.granted.contains_key(&grant) && w.less.iter().any(|other| *other != i) {
                     w.wrong = w.wrong.or(Some("who is down or cold counts as out"));
@@ -432,7 +446,7 @@
                     w.wrong = w.wrong.or(Some("a grant number used once"));
                 }
             }
-            (Command::Begin { grant, .. }, Outcome::Done) => {
+            (Command::Begin { lease_id: grant, .. }, Outcome::Done) => {
                 w.holders[i].out |= w.holders[i].grant == grant;
             }
             _ => {}
@@ -592,11 +606,17 @@
                     w.holders[*h].call = w.calls;
                 }
                 let call = w.holders[*h].call;
-                let command = Command::Ask { thing, call, by, why, force: false };
+                let command = Command::Request {
+                    target: thing,
+                    request_id: call,
+                    requested_by: by,
+                    reason: why,
+                    force: false,
+                };
                 if self.planted == Planted::LeaderRemembers {
                     // It answers by its own state, and tells the others of it later.
                     let outcome = w.seats[*seat].agreed.clone().apply(&command);
-                    if let Outcome::Granted { grant } = outcome {
+                    if let Outcome::Granted { lease_id: grant } = outcome {
                         (w.holders[*h].grant, w.holders[*h].out) = (grant, true);
                     }
                 }
@@ -604,18 +624,18 @@
             }
             Step::Begin(h, seat) => {
                 w.few.asks -= 1;
-                let command = Command::Begin { thing: holder(*h), grant: w.holders[*h].grant };
+                let command = Command::Begin { target: holder(*h), lease_id: w.holders[*h].grant };
                 self.propose(&mut w, *seat, *h, &command);
             }
             Step::Back(h, seat) => {
                 let health = w.holders[*h].health;
                 w.holders[*h] = Holder { health, told: w.holders[*h].told, ..Holder::default() };
-                self.propose(&mut w, *seat, *h, &Command::Back { thing: holder(*h) });
+                self.propose(&mut w, *seat, *h, &Command::Return { target: holder(*h) });
             }
             Step::Lapse(h, seat) => {
                 w.few.lapses -= 1;
-                let grant = w.seats[*seat].agreed.get(&holder(*h)).map_or(0, |r| r.grant);
-                self.propose(&mut w, *seat, *h, &Command::Lapse { thing: holder(*h), grant });
+                let grant = w.seats[*seat].agreed.lease(&holder(*h)).map_or(0, |lease| lease.lease_id);
+                self.propose(&mut w, *seat, *h, &Command::Expire { target: holder(*h), lease_id: grant });
             }
             Step::Dies(h) => {
                 w.few.deaths -= 1;
@@ -626,8 +646,13 @@
             Step::Sees(h, seat) => {
                 let health = w.holders[*h].health;
                 w.holders[*h].told = health;
-                let condition = [Condition::Up, Condition::Down, Condition::Cold][usize::from(health)];
-                let command = Command::Seen { thing: holder(*h), place: Place::default(), condition };
+                let condition =
+                    [HealthState::Up, HealthState::Down, HealthState::WarmingUp][usize::from(health)];
+                let command = Command::Observe {
+                    target: holder(*h),
+                    domain: FailureDomain::default(),
+                    health: condition,
+                };
                 self.propose(&mut w, *seat, *h, &command);
             }
             Step::Compact(seat) => {
@@ -651,8 +676,9 @@
         }
         // By a voter's own state; one that died after it was granted is no fault of the grants'.
         let both = |seat: &Arc<Seat>| {
-            let counts = |r: &&hallrelay_disruption::Record| matches!(r.stage, Stage::Granted | Stage::Out);
-            let things = || seat.agreed.things().map(|(_, r)| r);
+            let counts =
+                |r: &&hallrelay_disruption::Lease| matches!(r.state, LeaseState::Granted | LeaseState::Out);
+            let things = || seat.agreed.leases().map(|(_, r)| r);
             things().filter(counts).count() > BUDGET as usize
         };
         if w.seats.iter().any(both) {
@@ -734,14 +760,35 @@
     fn granted_anew(&self, w: &mut World, seat: usize) -> bool {
         for h in 0..self.holders {
             w.holders[h] = Holder::default();
-            let (place, condition) = (Place::default(), Condition::Up);
-            self.propose(w, seat, h, &Command::Seen { thing: holder(h), place, condition });
+            let (place, condition) = (FailureDomain::default(), HealthState::Up);
+            self.propose(
+                w,
+                seat,
+                h,
+                &Command::Observe { target: holder(h), domain: place, health: condition },
+            );
             self.settle(w);
-            self.propose(w, seat, h, &Command::Free { thing: holder(h), by: "a person".to_string() });
+            self.propose(
+                w,
+                seat,
+                h,
+                &Command::Reclaim { target: holder(h), requested_by: "a person".to_string() },
+            );
             self.settle(w);
         }
         let (by, why) = (String::new(), String::new());
-        self.propose(w, seat, 0, &Command::Ask { thing: holder(0), call: 1 << 40, by, why, force: false });
+        self.propose(
+            w,
+            seat,
+            0,
+            &Command::Request {
+                target: holder(0),
+                request_id: 1 << 40,
+                requested_by: by,
+                reason: why,
+                force: false,
+            },
+        );
         self.settle(w);
         w.holders[0].grant > 0
     }
@@ -751,10 +798,10 @@
 fn forgetful(state: &Agreed, budgets: bool) -> Agreed {
     let mut fresh = Agreed::default();
     let kept = if budgets { state.budgets().to_vec() } else { Vec::new() };
-    fresh.apply(&Command::Budgets(kept));
-    for (thing, r) in state.things() {
-        let (thing, place) = (thing.clone(), r.place.clone());
-        fresh.apply(&Command::Seen { thing, place, condition: r.condition });
+    fresh.apply(&Command::SetBudgets(kept));
+    for (thing, r) in state.leases() {
+        let (thing, place) = (thing.clone(), r.domain.clone());
+        fresh.apply(&Command::Observe { target: thing, domain: place, health: r.health });
     }
     fresh
 }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -2,6 +2,7 @@
 pub mod buffer;
 pub mod cli;
 pub mod clock;
+pub mod control_message;
 pub mod drain;
 pub mod figures;
 pub mod lines;
@@ -11,5 +12,4 @@
 pub mod shelf;
 pub mod socket;
 pub mod status;
-pub mod talk;
 pub mod values;
--- a/relay/src/net/operator.rs
+++ b/relay/src/net/operator.rs
@@ -4,9 +4,9 @@
 use super::{accept, Hub};
 use crate::clock::span;
 use crate::figures;
-use crate::reducer::{OperatorReply, OperatorRequest, Want};
+use crate::reducer::{DrainRequest, OperatorReply, OperatorRequest};
 use crate::socket::Steady;
-use hallrelay_disruption::{Command, Plan, Thing};
+use hallrelay_disruption::{Command, RolloutPlan, Target};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE, RETRY_AFTER};
@@ -32,38 +32,45 @@
     ("/v1/metrics", "GET", |_| Ok(OperatorRequest::Metrics)),
     ("/v1/fleet", "GET", |_| Ok(OperatorRequest::Membership)),
     ("/v1/grants", "GET", |_| Ok(OperatorRequest::Leases)),
-    ("/v1/relay/drain", "POST", |said| Ok(OperatorRequest::Drain(Box::new(said.want(None))))),
+    ("/v1/relay/drain", "POST", |said| Ok(OperatorRequest::Drain(Box::new(said.drain(None))))),
     ("/v1/relay/activate", "POST", |_| Ok(OperatorRequest::Activate)),
     ("/v1/backend/drain", "POST", |said| {
         let backend = said.backend.clone().ok_or("backend is left out")?;
-        Ok(OperatorRequest::Drain(Box::new(said.want(Some(backend)))))
+        Ok(OperatorRequest::Drain(Box::new(said.drain(Some(backend)))))
     }),
     ("/v1/backend/back", "POST", |said| {
-        let thing = Thing::Server(said.backend.ok_or("backend is left out")?);
-        agree(format!("{thing} serves again"), Command::Back { thing })
+        let target = Target::Backend(said.backend.ok_or("backend is left out")?);
+        agree(format!("{target} serves again"), Command::Return { target })
     }),
     ("/v1/free", "POST", |said| {
-        let thing = said.thing()?;
-        let by = said.by.filter(|by| !by.is_empty()).ok_or("by is left out: who vouches for it?")?;
-        agree(format!("{thing} is freed"), Command::Free { thing, by })
+        let target = said.target()?;
+        let requested_by =
+            said.by.filter(|by| !by.is_empty()).ok_or("by is left out: who vouches for it?")?;
+        agree(format!("{target} is freed"), Command::Reclaim { target, requested_by })
     }),
     ("/v1/release", "GET", |_| Ok(OperatorRequest::Rollout)),
     ("/v1/release/start", "POST", |said| {
-        let plan = said.plan.filter(Plan::sound).ok_or("no sound plan")?;
-        agree(format!("release of {} begins", plan.build), Command::Start { plan })
+        let plan = said.plan.filter(|plan| plan.validate().is_ok()).ok_or("no sound plan")?;
+        agree(format!("release of {} begins", plan.build), Command::StartRollout { plan })
     }),
     ("/v1/release/did", "POST", |said| {
-        let thing = said.thing()?;
-        let grant = said.grant.ok_or("grant is left out")?;
-        let (good, why) = (said.failed.is_none(), said.failed.unwrap_or_default());
-        agree(format!("{thing} is changed"), Command::Did { thing, grant, good, why })
+        let target = said.target()?;
+        let lease_id = said.grant.ok_or("grant is left out")?;
+        let succeeded = said.failed.is_none();
+        let reason = said.failed.unwrap_or_default();
+        agree(format!("{target} is changed"), Command::MarkDone { target, lease_id, succeeded, reason })
     }),
     ("/v1/release/halt", "POST", |said| {
-        let (by, why) = (said.who(), said.why.unwrap_or_default());
-        agree("halted".to_string(), Command::Halt { by, why })
+        let requested_by = said.requested_by();
+        let reason = said.why.unwrap_or_default();
+        agree("halted".to_string(), Command::Halt { requested_by, reason })
+    }),
+    ("/v1/release/resume", "POST", |said| {
+        agree("goes on".to_string(), Command::Resume { requested_by: said.requested_by() })
+    }),
+    ("/v1/release/back", "POST", |said| {
+        agree("goes back".to_string(), Command::RollBack { requested_by: said.requested_by() })
     }),
-    ("/v1/release/resume", "POST", |said| agree("goes on".to_string(), Command::Resume { by: said.who() })),
-    ("/v1/release/back", "POST", |said| agree("goes back".to_string(), Command::WayBack { by: said.who() })),
 ];
 
 /// A call's body, JSON; most calls have none.
@@ -79,7 +86,7 @@
     failed: Option<String>,
     /// The whole body of a plan.
     #[serde(skip)]
-    plan: Option<Plan>,
+    plan: Option<RolloutPlan>,
 }
 
 fn agree(words: String, command: Command) -> Result<OperatorRequest, &'static str> {
@@ -87,21 +94,21 @@
 }
 
 impl Said {
-    fn who(&self) -> String {
+    fn requested_by(&self) -> String {
         self.by.clone().unwrap_or_else(|| "an operator".to_string())
     }
 
-    fn thing(&self) -> Result<Thing, &'static str> {
+    fn target(&self) -> Result<Target, &'static str> {
         match (&self.relay, &self.backend) {
-            (Some(relay), None) => Ok(Thing::Relay(relay.clone())),
-            (None, Some(backend)) => Ok(Thing::Server(backend.clone())),
+            (Some(relay), None) => Ok(Target::Relay(relay.clone())),
+            (None, Some(backend)) => Ok(Target::Backend(backend.clone())),
             _ => Err("wanted a relay or a backend"),
         }
     }
 
-    fn want(self, server: Option<String>) -> Want {
-        let by = self.who();
-        Want { server, by, why: self.why.unwrap_or_default(), force: self.force }
+    fn drain(self, backend: Option<String>) -> DrainRequest {
+        let requested_by = self.requested_by();
+        DrainRequest { backend, requested_by, reason: self.why.unwrap_or_default(), force: self.force }
     }
 }
 
--- /dev/null
+++ b/relay/src/reducer/control.rs
@@ -0,0 +1,55 @@
+//! Control messages as they come in and go out. Only voters' words on what is committed count.
+use super::coordination::PeerReport;
+use super::{Effect, Reducer};
+use crate::control_message::{ControlMessage, ProposalResult, RelayStatus};
+use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_raft::Event;
+use std::rc::Rc;
+
+impl Reducer {
+    pub(super) fn send_control(&mut self, to: &Rc<str>, message: &ControlMessage, out: &mut Vec<Effect>) {
+        self.fleet(Fleet::Say { name: Some(to.clone()), bytes: message.encode() }, out);
+    }
+
+    pub(super) fn broadcast_control(&mut self, message: &ControlMessage, out: &mut Vec<Effect>) {
+        self.fleet(Fleet::Say { name: None, bytes: message.encode() }, out);
+    }
+
+    /// A member's message.
+    pub(super) fn receive_control(&mut self, from: &Rc<str>, bytes: &[u8], out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        let Some(message) = ControlMessage::decode(bytes) else { return };
+        let is_voter = c.is_voter_name(from);
+        match message {
+            ControlMessage::Raft(message) if c.voter_names.get(&message.from.id) == Some(from) => {
+                self.step_raft(Event::Heard(message), out);
+            }
+            ControlMessage::Propose { request_id, command } => self.propose(from, request_id, command, out),
+            ControlMessage::Proposed { request_id, result } if is_voter => {
+                c.leader = match &result {
+                    ProposalResult::NotLeader(leader) => leader.as_deref().map(Rc::from),
+                    ProposalResult::Applied(_) | ProposalResult::Unknown => Some(from.clone()),
+                };
+                self.request_answered(request_id, result, out);
+            }
+            ControlMessage::Status(status) => self.receive_status(from.clone(), status),
+            ControlMessage::Excluded { index, backends, moves_per_s } if is_voter => {
+                c.leader = Some(from.clone());
+                c.moves_per_s = moves_per_s;
+                self.exclude_backends(index, backends.into_iter().collect(), out);
+            }
+            ControlMessage::Raft(_) | ControlMessage::Proposed { .. } | ControlMessage::Excluded { .. } => {}
+        }
+    }
+
+    /// A relay's report of itself, this relay's own among them.
+    pub(super) fn receive_status(&mut self, from: Rc<str>, status: RelayStatus) {
+        let received_at = self.now;
+        let Some(c) = &mut self.coordination else { return };
+        for reported in status.session_counts {
+            c.outcome_counts.add(reported.target, reported.counts);
+        }
+        let RelayStatus { domain, serving, remaining_sessions, .. } = status;
+        c.reports.insert(from, PeerReport { received_at, domain, serving, remaining_sessions });
+    }
+}
--- /dev/null
+++ b/relay/src/reducer/coordination.rs
@@ -0,0 +1,157 @@
+//! What a relay holds of the fleet's coordination: the replicated state and the voter behind it, who leads, requests
+//! of operators that wait, reports of other relays, and the backends excluded. Times in microseconds.
+use super::drain_requests::PendingRequest;
+use super::outcome_counts::OutcomeCounts;
+use super::servers::server_id;
+use super::voter::RaftVoter;
+use crate::control_message::RemainingSessions;
+use hallrelay_balancer::types::Micros;
+use hallrelay_config::fleet::Voters;
+use hallrelay_disruption::{FailureDomain, LeaseState, State, Target};
+use hallrelay_raft::{Id, Index};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// What a relay reported last.
+pub(super) struct PeerReport {
+    pub received_at: Micros,
+    pub domain: FailureDomain,
+    pub serving: bool,
+    pub remaining_sessions: Vec<RemainingSessions>,
+}
+
+/// A grant, and when this process first saw it.
+#[derive(Clone, Copy)]
+pub(super) struct GrantSeen {
+    pub lease_id: u64,
+    pub since: Micros,
+}
+
+/// Backends out of service by the log up to an index.
+#[derive(Default)]
+pub(super) struct ExcludedBackends {
+    pub index: Index,
+    pub ids: BTreeSet<String>,
+}
+
+pub(super) struct Coordination {
+    pub own_name: Rc<str>,
+    /// As configured.
+    pub config: Voters,
+    pub voter_names: BTreeMap<Id, Rc<str>>,
+    pub voter: RaftVoter,
+    pub state: State,
+    pub applied_index: Index,
+    /// As this relay last heard.
+    pub leader: Option<Rc<str>>,
+    /// Which voter is tried next where no leader is known.
+    next_voter: usize,
+    /// Of operators, by the number of their call.
+    pub requests: BTreeMap<u32, PendingRequest>,
+    last_request_id: u64,
+    pub excluded: ExcludedBackends,
+    /// Sessions that the whole fleet migrates off excluded backends in a second.
+    pub moves_per_s: u32,
+    /// This relay's part of those that is still to be migrated, in thousandths of a session.
+    pub owed_moves_milli: u64,
+    pub reports: BTreeMap<Rc<str>, PeerReport>,
+    pub outcome_counts: OutcomeCounts,
+    pub grants_seen: BTreeMap<Target, GrantSeen>,
+}
+
+impl Coordination {
+    pub fn new(own_name: &str, config: &Voters, seed: u64, now: Micros) -> Coordination {
+        let voter_name = |name: &String| (server_id(name), Rc::from(name.as_str()));
+        Coordination {
+            own_name: own_name.into(),
+            config: config.clone(),
+            voter_names: config.names.iter().map(voter_name).collect(),
+            voter: RaftVoter::new(seed, now),
+            state: State::default(),
+            applied_index: 0,
+            leader: None,
+            next_voter: 0,
+            requests: BTreeMap::new(),
+            // Above all request ids of earlier processes of this relay.
+            last_request_id: now,
+            excluded: ExcludedBackends::default(),
+            moves_per_s: config.moves,
+            owed_moves_milli: 0,
+            reports: BTreeMap::new(),
+            outcome_counts: OutcomeCounts::default(),
+            grants_seen: BTreeMap::new(),
+        }
+    }
+
+    /// Whether this relay is a voter by the configuration.
+    pub fn is_voter(&self) -> bool {
+        self.is_voter_name(&self.own_name)
+    }
+
+    pub fn is_voter_name(&self, name: &Rc<str>) -> bool {
+        self.voter_names.values().any(|voter| voter == name)
+    }
+
+    pub fn is_leader(&self) -> bool {
+        self.voter.is_leader()
+    }
+
+    pub fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
+    }
+
+    /// Where a proposal goes: to the leader, or to one voter after another until one names the leader.
+    pub fn proposal_recipient(&mut self) -> Option<Rc<str>> {
+        if self.is_leader() {
+            return Some(self.own_name.clone());
+        }
+        if let Some(leader) = self.other_leader() {
+            return Some(leader);
+        }
+        self.next_voter += 1;
+        let others: Vec<&Rc<str>> =
+            self.voter_names.values().filter(|name| **name != self.own_name).collect();
+        others.get(self.next_voter % others.len().max(1)).map(|name| Rc::clone(name))
+    }
+
+    /// The known leader, where that is another relay.
+    pub fn other_leader(&self) -> Option<Rc<str>> {
+        self.leader.clone().filter(|leader| *leader != self.own_name)
+    }
+
+    /// Notes new grants with the present time, and forgets those that are over.
+    pub fn note_grants(&mut self, now: Micros) {
+        let granted: BTreeMap<Target, u64> = self
+            .state
+            .leases()
+            .filter(|(_, lease)| lease.lease_id != 0)
+            .map(|(target, lease)| (target.clone(), lease.lease_id))
+            .collect();
+        self.grants_seen.retain(|target, seen| granted.get(target) == Some(&seen.lease_id));
+        for (target, lease_id) in granted {
+            self.grants_seen.entry(target).or_insert(GrantSeen { lease_id, since: now });
+        }
+    }
+
+    /// Since when this process has seen the present grant; now where it has not.
+    pub fn granted_since(&self, target: &Target, now: Micros) -> Micros {
+        self.grants_seen.get(target).map_or(now, |seen| seen.since)
+    }
+
+    /// Backends out of service by this voter's own state.
+    pub fn backends_out(&self) -> BTreeSet<String> {
+        let out = self.state.leases().filter(|(_, lease)| lease.state == LeaseState::Out);
+        let backends = out.filter_map(|(target, _)| match target {
+            Target::Backend(id) => Some(id.clone()),
+            Target::Relay(_) => None,
+        });
+        backends.collect()
+    }
+
+    /// Sessions of all relays left at an excluded backend, as reported last.
+    pub fn remaining_sessions(&self, backend: &str) -> u32 {
+        let reported = self.reports.values().flat_map(|report| &report.remaining_sessions);
+        reported.filter(|remaining| remaining.backend == backend).map(|remaining| remaining.sessions).sum()
+    }
+}
--- /dev/null
+++ b/relay/src/reducer/disruption_status.rs
@@ -0,0 +1,177 @@
+//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in them, and
+//! the rollout with what is due to whoever deploys. Fields are named as the JSON keys.
+use super::coordination::Coordination;
+use super::leader_review::EXCLUSION_DELAY;
+use super::Reducer;
+use hallrelay_balancer::types::Micros;
+use hallrelay_disruption::{
+    Budget, HealthState, ItemState, Lease, LeaseState, Rollout, RolloutItem, Target, TargetKind,
+};
+use serde::Serialize;
+
+#[derive(Serialize)]
+struct GrantsAnswer<'a> {
+    leader: Option<&'a str>,
+    leads: bool,
+    role: &'a str,
+    term: u64,
+    index: u64,
+    voters: usize,
+    budgets: Vec<String>,
+    things: Vec<GrantRow<'a>>,
+    known: usize,
+}
+
+#[derive(Serialize)]
+struct GrantRow<'a> {
+    what: String,
+    stage: &'static str,
+    condition: &'static str,
+    grant: u64,
+    by: &'a str,
+    why: &'a str,
+    forced: bool,
+    /// Sessions that relays reported there; for backends that are out.
+    left: Option<u32>,
+    held_by: Option<String>,
+}
+
+#[derive(Serialize)]
+struct ReleaseAnswer<'a> {
+    build: &'a str,
+    of: &'static str,
+    by: &'a str,
+    phase: &'static str,
+    why: &'a str,
+    wave: usize,
+    waves: usize,
+    /// Sessions and failed ones of the wave so far, at the new build and at the old.
+    new: [u64; 2],
+    old: [u64; 2],
+    items: Vec<ReleaseRow>,
+    /// Out, without sessions, and to be changed now.
+    due: Vec<DueRow<'a>>,
+}
+
+#[derive(Serialize)]
+struct ReleaseRow {
+    what: String,
+    wave: usize,
+    step: &'static str,
+    stage: &'static str,
+    /// Why it is not granted yet.
+    held_by: Option<String>,
+}
+
+#[derive(Serialize)]
+struct DueRow<'a> {
+    kind: &'static str,
+    name: &'a str,
+    /// None is the build that it had before.
+    build: Option<&'a str>,
+    grant: u64,
+}
+
+impl Reducer {
+    /// Leases and budgets as JSON; none where nothing is coordinated.
+    pub(super) fn grants_answer(&self) -> Option<String> {
+        let c = self.coordination.as_ref()?;
+        let node = c.voter.node();
+        let is_listed =
+            |lease: &Lease| lease.state != LeaseState::InService || lease.health != HealthState::Up;
+        let listed = c.state.leases().filter(|(_, lease)| is_listed(lease));
+        let answer = GrantsAnswer {
+            leader: c.leader.as_deref(),
+            leads: c.is_leader(),
+            role: node.map_or("no voter", |node| node.role().word()),
+            term: node.map_or(0, |node| node.term()),
+            index: c.applied_index,
+            voters: node.map_or(0, |node| node.voters().len()),
+            budgets: c.state.budgets().iter().map(budget_text).collect(),
+            things: listed.map(|(target, lease)| grant_row(c, target, lease)).collect(),
+            known: c.state.leases().count(),
+        };
+        serde_json::to_string(&answer).ok()
+    }
+
+    /// The rollout as JSON; none where there is none, or nothing is coordinated.
+    pub(super) fn release_answer(&self) -> Option<String> {
+        let c = self.coordination.as_ref()?;
+        let rollout = c.state.rollout()?;
+        let counts = c.outcome_counts.of_wave(rollout);
+        let due = rollout.items.iter().filter_map(|item| due_row(c, rollout, item, self.now));
+        let answer = ReleaseAnswer {
+            build: &rollout.plan.build,
+            of: rollout.plan.target_kind.word(),
+            by: &rollout.plan.requested_by,
+            phase: rollout.phase.word(),
+            why: &rollout.reason,
+            wave: rollout.wave + 1,
+            waves: rollout.plan.waves.len(),
+            new: [counts.new.sessions, counts.new.failed],
+            old: [counts.old.sessions, counts.old.failed],
+            items: rollout.items.iter().map(|item| release_row(c, item)).collect(),
+            due: due.collect(),
+        };
+        serde_json::to_string(&answer).ok()
+    }
+}
+
+/// `backend zone: 2 50 in 100`: the count, and the share in percent.
+fn budget_text(budget: &Budget) -> String {
+    let count = budget.max_count.map(|count| format!(" {count}")).unwrap_or_default();
+    let percent = |ppm: u32| format!(" {} in 100", f64::from(ppm) / 1e4);
+    let share = budget.max_share_ppm.map(percent).unwrap_or_default();
+    format!("{} {}:{count}{share}", budget.target_kind.word(), budget.scope.word())
+}
+
+fn grant_row<'a>(c: &Coordination, target: &Target, lease: &'a Lease) -> GrantRow<'a> {
+    let is_backend_out = target.kind() == TargetKind::Backend && lease.state == LeaseState::Out;
+    GrantRow {
+        what: target.to_string(),
+        stage: lease.state.word(),
+        condition: lease.health.word(),
+        grant: lease.lease_id,
+        by: &lease.requested_by,
+        why: &lease.reason,
+        forced: lease.forced,
+        left: is_backend_out.then(|| c.remaining_sessions(target.name())),
+        held_by: blocking_budget(c, target, lease),
+    }
+}
+
+/// The budget that a waiting request waits for.
+fn blocking_budget(c: &Coordination, target: &Target, lease: &Lease) -> Option<String> {
+    let blocked_by = (lease.state == LeaseState::Waiting).then(|| c.state.blocked_by(target, lease));
+    blocked_by.flatten().map(|blocked_by| blocked_by.limit)
+}
+
+fn release_row(c: &Coordination, item: &RolloutItem) -> ReleaseRow {
+    let lease = c.state.lease(&item.target);
+    ReleaseRow {
+        what: item.target.to_string(),
+        wave: item.wave + 1,
+        step: item.state.word(),
+        stage: lease.map_or("unknown", |lease| lease.state.word()),
+        held_by: lease.and_then(|lease| blocking_budget(c, &item.target, lease)),
+    }
+}
+
+/// A target that is to be changed now: it is out, and a backend has no sessions left.
+fn due_row<'a>(
+    c: &Coordination,
+    rollout: &'a Rollout,
+    item: &'a RolloutItem,
+    now: Micros,
+) -> Option<DueRow<'a>> {
+    let build = match item.state {
+        ItemState::Updating => Some(rollout.plan.build.as_str()),
+        ItemState::RollingBack => None,
+        _ => return None,
+    };
+    let lease = c.state.lease(&item.target).filter(|lease| lease.state == LeaseState::Out)?;
+    let (kind, name) = (item.target.kind(), item.target.name());
+    let is_reported = now >= c.granted_since(&item.target, now) + EXCLUSION_DELAY;
+    let is_empty = kind == TargetKind::Relay || (is_reported && c.remaining_sessions(name) == 0);
+    is_empty.then_some(DueRow { kind: kind.word(), name, build, grant: lease.lease_id })
+}
--- /dev/null
+++ b/relay/src/reducer/drain_requests.rs
@@ -0,0 +1,240 @@
+//! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to the
+//! leader again and again until it is answered or its time is up; a granted drain begins only once its beginning is
+//! committed. Times in microseconds.
+use super::duty::Sign;
+use super::{Effect, OperatorReply, Reducer, Timer};
+use crate::control_message::{ControlMessage, ProposalResult};
+use hallrelay_balancer::types::Micros;
+use hallrelay_disruption::{Command, CommandError, Outcome, Target};
+
+/// An operator's call takes 2 s in all; a request that is not granted by then is answered as blocked.
+const REQUEST_TIMEOUT: Micros = 1_500_000;
+/// An answer takes a round trip to the leader and a write on most voters' disks.
+const RETRY_INTERVAL: Micros = 200_000;
+
+/// A drain that an operator requests.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct DrainRequest {
+    /// The backend to drain for the whole fleet; none is this relay itself.
+    pub backend: Option<String>,
+    /// The person.
+    pub requested_by: String,
+    /// Why.
+    pub reason: String,
+    /// Past the budgets.
+    pub force: bool,
+}
+
+/// What a pending request waits for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum RequestStep {
+    /// A grant for this target.
+    Grant(Target),
+    /// The commit of its beginning.
+    Begin(Target),
+    /// The commit of a command that is complete by itself.
+    Commit,
+}
+
+/// A request that is not answered yet.
+pub(super) struct PendingRequest {
+    /// The number that the leader knows the present step by.
+    request_id: u64,
+    /// For operators.
+    description: String,
+    step: RequestStep,
+    command: Command,
+    deadline: Micros,
+    /// Why it is not granted yet, for operators.
+    blocked_by: String,
+}
+
+impl PendingRequest {
+    fn new(
+        request_id: u64,
+        step: RequestStep,
+        command: Command,
+        description: String,
+        now: Micros,
+    ) -> PendingRequest {
+        let blocked_by = "no voter leads, or none is heard".to_string();
+        let deadline = now + REQUEST_TIMEOUT;
+        PendingRequest { request_id, description, step, command, deadline, blocked_by }
+    }
+}
+
+impl Reducer {
+    /// Whether drains are coordinated across the fleet.
+    pub(super) fn is_coordinated(&self) -> bool {
+        self.coordination.is_some()
+    }
+
+    pub(super) fn request_drain(&mut self, call: u32, request: DrainRequest, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        let own = Target::Relay(self.node.name.clone());
+        let target = request.backend.map_or(own, Target::Backend);
+        let request_id = c.next_request_id();
+        let command = Command::Request {
+            target: target.clone(),
+            request_id,
+            requested_by: request.requested_by,
+            reason: request.reason,
+            force: request.force,
+        };
+        let description = target.to_string();
+        let step = RequestStep::Grant(target);
+        let request = PendingRequest::new(request_id, step, command, description, self.now);
+        self.add_request(call, request, out);
+    }
+
+    /// One command as it stands; its description is the answer.
+    pub(super) fn request_commit(
+        &mut self,
+        call: u32,
+        command: Command,
+        description: String,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(c) = &mut self.coordination else { return };
+        let request_id = c.next_request_id();
+        let request = PendingRequest::new(request_id, RequestStep::Commit, command, description, self.now);
+        self.add_request(call, request, out);
+    }
+
+    fn add_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        c.requests.insert(call, request);
+        self.retry_request(call, out);
+    }
+
+    /// Proposes a request once more, or answers it as its time is up.
+    pub(super) fn retry_request(&mut self, call: u32, out: &mut Vec<Effect>) {
+        let now = self.now;
+        let Some(c) = &mut self.coordination else { return };
+        let Some(request) = c.requests.get(&call) else { return };
+        if now >= request.deadline {
+            let Some(request) = c.requests.remove(&call) else { return };
+            return self.give_up_request(call, request, out);
+        }
+        self.propose_request(call, out);
+        out.push(Effect::StartTimer { after: RETRY_INTERVAL, alarm: Timer::PendingRequest(call) });
+    }
+
+    fn propose_request(&mut self, call: u32, out: &mut Vec<Effect>) {
+        let request = self.coordination.as_ref().and_then(|c| c.requests.get(&call));
+        let Some((request_id, command)) = request.map(|r| (r.request_id, r.command.encode())) else { return };
+        self.propose_to_leader(request_id, command, out);
+    }
+
+    fn propose_to_leader(&mut self, request_id: u64, command: Vec<u8>, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        let Some(to) = c.proposal_recipient() else { return };
+        if to == c.own_name {
+            return self.propose(&to, request_id, command, out);
+        }
+        self.send_control(&to, &ControlMessage::Propose { request_id, command }, out);
+    }
+
+    /// Nobody waits for it any more: it is withdrawn, and expires where the withdrawal is lost.
+    fn give_up_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
+        if let RequestStep::Grant(target) = request.step {
+            let withdrawal = Command::Withdraw { target, request_id: request.request_id }.encode();
+            let Some(c) = &mut self.coordination else { return };
+            let request_id = c.next_request_id();
+            self.propose_to_leader(request_id, withdrawal, out);
+        }
+        let reply =
+            OperatorReply::Blocked(format!("{}: not agreed: {}", request.description, request.blocked_by));
+        out.push(Effect::Reply { call, reply });
+    }
+
+    /// The answer of the leader, or of a voter that is none.
+    pub(super) fn request_answered(
+        &mut self,
+        request_id: u64,
+        result: ProposalResult,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(c) = &mut self.coordination else { return };
+        let pending = c.requests.iter_mut().find(|(_, request)| request.request_id == request_id);
+        let Some((&call, request)) = pending else { return };
+        match result {
+            ProposalResult::NotLeader(None) => request.blocked_by = "no voter leads".to_string(),
+            ProposalResult::NotLeader(Some(leader)) => {
+                c.leader = Some(leader.as_str().into()).filter(|leader| *leader != c.own_name);
+            }
+            // It is proposed again under the same id, which is the same request.
+            ProposalResult::Unknown => {}
+            ProposalResult::Applied(outcome) => self.request_applied(call, outcome, out),
+        }
+    }
+
+    fn request_applied(&mut self, call: u32, outcome: Outcome, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        let Some(request) = c.requests.get_mut(&call) else { return };
+        let reply = match (outcome, &request.step) {
+            (
+                Outcome::Granted { lease_id } | Outcome::AlreadyOut { lease_id },
+                RequestStep::Grant(target),
+            ) => {
+                let target = target.clone();
+                return self.begin_granted(call, target, lease_id, out);
+            }
+            (Outcome::Waiting { blocked_by, unavailable }, _) => {
+                request.blocked_by = match unavailable.as_slice() {
+                    [] => blocked_by,
+                    names => format!("{blocked_by}; out: {}", names.join(", ")),
+                };
+                return;
+            }
+            (Outcome::Rejected(CommandError::UnknownTarget), RequestStep::Grant(_)) => {
+                // The leader reviews the fleet once a second.
+                request.blocked_by = "no leader has seen it yet".to_string();
+                return;
+            }
+            (Outcome::Done, RequestStep::Begin(target)) => {
+                let target = target.clone();
+                c.requests.remove(&call);
+                let reply = self.begin_drain(&target, out);
+                return out.push(Effect::Reply { call, reply });
+            }
+            (Outcome::Done, RequestStep::Commit) => {
+                OperatorReply::Committed(format!("agreed: {}", request.description))
+            }
+            (Outcome::RequestedByAnother { requested_by, reason }, _) => {
+                let description = &request.description;
+                OperatorReply::Blocked(format!(
+                    "{description} is asked for by {requested_by} already: {reason}"
+                ))
+            }
+            (Outcome::Rejected(error), _) => {
+                OperatorReply::Blocked(format!("{}: {error}", request.description))
+            }
+            (Outcome::Done | Outcome::Granted { .. } | Outcome::AlreadyOut { .. }, _) => return,
+        };
+        c.requests.remove(&call);
+        out.push(Effect::Reply { call, reply });
+    }
+
+    /// Granted: its beginning is proposed under a request id of its own.
+    fn begin_granted(&mut self, call: u32, target: Target, lease_id: u64, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        let request_id = c.next_request_id();
+        let Some(request) = c.requests.get_mut(&call) else { return };
+        request.request_id = request_id;
+        request.command = Command::Begin { target: target.clone(), lease_id };
+        request.step = RequestStep::Begin(target);
+        self.propose_request(call, out);
+    }
+
+    /// Its beginning is committed: it is out of service from now on.
+    fn begin_drain(&mut self, target: &Target, out: &mut Vec<Effect>) -> OperatorReply {
+        match target {
+            Target::Relay(_) => {
+                self.turn(Sign::Drain, out);
+                OperatorReply::Accepted("draining")
+            }
+            Target::Backend(id) => OperatorReply::Committed(format!("backend {id} drains")),
+        }
+    }
+}
--- a/relay/src/reducer/duty.rs
+++ b/relay/src/reducer/duty.rs
@@ -158,18 +158,20 @@
     pub(super) fn called(&mut self, call: u32, what: OperatorRequest, out: &mut Vec<Effect>) {
         let reply = match what {
             // A relay that does not serve needs nobody's leave.
-            OperatorRequest::Drain(want)
-                if self.agrees() && (want.server.is_some() || self.duty == Serving) =>
+            OperatorRequest::Drain(drain)
+                if self.is_coordinated() && (drain.backend.is_some() || self.duty == Serving) =>
             {
-                return self.want(call, *want, out);
+                return self.request_drain(call, *drain, out);
             }
-            OperatorRequest::Propose { command, words } if self.agrees() => {
-                return self.say_agreed(call, *command, words, out);
+            OperatorRequest::Propose { command, words } if self.is_coordinated() => {
+                return self.request_commit(call, *command, words, out);
+            }
+            OperatorRequest::Drain(drain) if drain.backend.is_some() => {
+                OperatorReply::Blocked(NONE.to_string())
             }
-            OperatorRequest::Drain(want) if want.server.is_some() => OperatorReply::Blocked(NONE.to_string()),
             OperatorRequest::Propose { .. } => OperatorReply::Blocked(NONE.to_string()),
-            OperatorRequest::Leases => OperatorReply::Leases(self.grants_status()),
-            OperatorRequest::Rollout => OperatorReply::Leases(self.release_status()),
+            OperatorRequest::Leases => OperatorReply::Leases(self.grants_answer()),
+            OperatorRequest::Rollout => OperatorReply::Leases(self.release_answer()),
             what => self.call(&what, out),
         };
         out.push(Effect::Reply { call, reply });
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,5 +1,5 @@
 //! What comes to the reducer, what it asks for, and what operators ask of it and hear.
-use super::{Figures, Want, Word};
+use super::{DrainRequest, Figures, Word};
 use crate::lines::Open;
 use hallrelay_balancer::types::{DialEnd, Micros, Report, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
@@ -23,7 +23,7 @@
     /// What is agreed across the fleet.
     Leases,
     /// This relay, or a server for the whole fleet.
-    Drain(Box<Want>),
+    Drain(Box<DrainRequest>),
     Activate,
     /// A command that is to be agreed as it stands: back, freed, of a release; and in words.
     Propose {
--- a/relay/src/reducer/fleet.rs
+++ b/relay/src/reducer/fleet.rs
@@ -55,7 +55,7 @@
                 }
                 Told::Asked { stream } => self.tell_list(stream, out),
                 Told::Recalled { name, told } => self.heard_say(&name, &told, out),
-                Told::Said { name, bytes } => self.said(&name, &bytes, out),
+                Told::Said { name, bytes } => self.receive_control(&name, &bytes, out),
                 other => out.push(Effect::Membership(other)),
             }
         }
--- /dev/null
+++ b/relay/src/reducer/leader_review.rs
@@ -0,0 +1,206 @@
+//! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what it
+//! observes of relays and backends, expires grants that nobody began, notes who serves again, and tells all relays
+//! which backends are excluded. Times in microseconds.
+use super::{Effect, Reducer, Server, Timer};
+use crate::control_message::{ControlMessage, RelayStatus};
+use hallrelay_balancer::types::{Micros, Phase};
+use hallrelay_disruption::{Command, FailureDomain, HealthState, ItemState, Lease, LeaseState, Target};
+use hallrelay_membership::{Duty, State as Member};
+
+/// A committed drain reaches all relays within this time, and a failure takes room as soon.
+const REVIEW_INTERVAL: Micros = 1_000_000;
+/// Commands of one review: after a partition of a thousand all are committed within some seconds.
+const MAX_COMMANDS: usize = 64;
+/// A relay that began to drain has reported it by then.
+const SERVING_AGAIN_DELAY: Micros = 3 * REVIEW_INTERVAL;
+/// Reports received this long after a grant were sent after the relay heard that the backend is excluded.
+pub(super) const EXCLUSION_DELAY: Micros = 3 * REVIEW_INTERVAL;
+/// Probes or connections in a row without an answer, from which a backend is down.
+const MAX_MISSES: u32 = 2;
+/// Nobody waits for the answer to a review's commands.
+const NO_REQUEST: u64 = 0;
+
+/// A target as the leader sees it.
+struct Observation {
+    target: Target,
+    domain: FailureDomain,
+    health: HealthState,
+}
+
+impl Reducer {
+    pub(super) fn start_review(&mut self, out: &mut Vec<Effect>) {
+        if self.coordination.is_some() {
+            out.push(Effect::StartTimer { after: REVIEW_INTERVAL, alarm: Timer::LeaderReview });
+        }
+    }
+
+    pub(super) fn review(&mut self, out: &mut Vec<Effect>) {
+        out.push(Effect::StartTimer { after: REVIEW_INTERVAL, alarm: Timer::LeaderReview });
+        if !self.place.has() {
+            return;
+        }
+        self.migrate_excluded(out);
+        self.report_status(out);
+        self.leader_review(out);
+    }
+
+    /// Reports this relay to all voters.
+    fn report_status(&mut self, out: &mut Vec<Effect>) {
+        let remaining_sessions = self.own_remaining_sessions();
+        let session_counts = self.take_session_counts();
+        let (serving, zone) = (self.serves(), self.own_zone());
+        let Some(c) = &self.coordination else { return };
+        let domain = FailureDomain { zone, kind: c.config.kind.clone(), group: c.config.group.clone() };
+        let own_name = c.own_name.clone();
+        let voters: Vec<_> = c.voter_names.values().filter(|name| **name != own_name).cloned().collect();
+        let status = RelayStatus { domain, serving, remaining_sessions, session_counts };
+        self.receive_status(own_name, status.clone());
+        let message = ControlMessage::Status(status);
+        voters.iter().for_each(|voter| self.send_control(voter, &message, out));
+    }
+
+    fn own_zone(&self) -> String {
+        let site = &self.node.site;
+        site.zones.get(usize::from(site.facts.zone)).cloned().unwrap_or_default()
+    }
+
+    fn leader_review(&mut self, out: &mut Vec<Effect>) {
+        let Some(c) = self.coordination.as_ref().filter(|c| c.is_leader()) else { return };
+        let own_name = c.own_name.clone();
+        let excluded = ControlMessage::Excluded {
+            index: c.applied_index,
+            backends: c.backends_out().into_iter().collect(),
+            moves_per_s: c.config.moves,
+        };
+        self.broadcast_control(&excluded, out);
+        let analysis = self.wave_analysis();
+        for command in self.review_commands().into_iter().chain(analysis) {
+            self.propose(&own_name, NO_REQUEST, command.encode(), out);
+        }
+    }
+
+    /// What the log does not have yet of what this leader sees.
+    fn review_commands(&self) -> Vec<Command> {
+        let Some(c) = &self.coordination else { return Vec::new() };
+        let mut commands = Vec::new();
+        if c.state.budgets() != c.config.budgets {
+            commands.push(Command::SetBudgets(c.config.budgets.clone()));
+        }
+        let observations = self.observed_relays().into_iter().chain(self.observed_backends());
+        commands.extend(observations.filter_map(|one| self.observation_command(one)));
+        for (target, lease) in c.state.leases() {
+            commands.extend(self.expiry(target, lease));
+            commands.extend(self.relay_return(target, lease));
+        }
+        commands.truncate(MAX_COMMANDS);
+        commands
+    }
+
+    /// None where the log has it already.
+    fn observation_command(&self, observation: Observation) -> Option<Command> {
+        let Observation { target, domain, health } = observation;
+        let is_new = match self.coordination.as_ref()?.state.lease(&target) {
+            Some(lease) => lease.health != health || lease.domain != domain,
+            None => health != HealthState::Removed,
+        };
+        is_new.then_some(Command::Observe { target, domain, health })
+    }
+
+    /// A grant that was not begun in time.
+    fn expiry(&self, target: &Target, lease: &Lease) -> Option<Command> {
+        let c = self.coordination.as_ref()?;
+        let is_late = self.now >= c.granted_since(target, self.now) + c.config.begin_within;
+        (lease.state == LeaseState::Granted && is_late)
+            .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
+    }
+
+    /// A relay that is out and reports that it serves is back, or never began. One that is out for the rollout
+    /// serves on: whoever deploys says when it is updated.
+    fn relay_return(&self, target: &Target, lease: &Lease) -> Option<Command> {
+        let c = self.coordination.as_ref()?;
+        let Target::Relay(name) = target else { return None };
+        let believed_from = c.granted_since(target, self.now) + SERVING_AGAIN_DELAY;
+        let serves = c.reports.get(name.as_str()).is_some_and(|r| r.serving && r.received_at > believed_from);
+        let item = c.state.rollout().and_then(|rollout| rollout.item(target));
+        let in_rollout =
+            item.is_some_and(|item| matches!(item.state, ItemState::Updating | ItemState::RollingBack));
+        (lease.state == LeaseState::Out && serves && !in_rollout)
+            .then(|| Command::Return { target: target.clone() })
+    }
+
+    /// The other relays as membership has them, and this one.
+    fn observed_relays(&self) -> Vec<Observation> {
+        let (Some(c), Some(fleet)) = (&self.coordination, &self.fleet) else { return Vec::new() };
+        let observation = |name: &str, health| Observation {
+            target: Target::Relay(name.to_string()),
+            domain: c.reports.get(name).map(|report| report.domain.clone()).unwrap_or_default(),
+            health,
+        };
+        let reporting = fleet.members().filter(|member| c.reports.contains_key(&member.claim.name));
+        let mut observed: Vec<_> = reporting
+            .map(|member| {
+                let health = member_health(member.claim.state, member.claim.about.duty);
+                observation(&member.claim.name, health)
+            })
+            .collect();
+        let own = if self.serves() { HealthState::Up } else { HealthState::Down };
+        observed.push(observation(&c.own_name, own));
+        observed
+    }
+
+    /// Backends as discovery and this relay's own probes have them, and those that left discovery.
+    fn observed_backends(&self) -> Vec<Observation> {
+        let listed = self.servers.values().filter(|server| server.told.phase != Phase::Gone);
+        let mut observed: Vec<_> = listed
+            .map(|server| Observation {
+                target: Target::Backend(server.told.id.clone()),
+                domain: FailureDomain {
+                    zone: server.told.zone.clone(),
+                    group: server.told.cell.to_string(),
+                    ..FailureDomain::default()
+                },
+                health: self.backend_health(server),
+            })
+            .collect();
+        observed.extend(self.removed_backends());
+        observed
+    }
+
+    fn backend_health(&self, server: &Server) -> HealthState {
+        let is_silent = server.misses >= MAX_MISSES || server.refused >= MAX_MISSES;
+        match server.told.phase {
+            Phase::Ready if is_silent => HealthState::Down,
+            Phase::Ready if server.is_cold(self.now, self.node.site.facts.cold) => HealthState::WarmingUp,
+            Phase::Ready => HealthState::Up,
+            Phase::Draining | Phase::Gone => HealthState::Down,
+        }
+    }
+
+    /// Backends of the log that discovery does not have. None from a leader that discovery never answered: its list
+    /// may be old.
+    fn removed_backends(&self) -> Vec<Observation> {
+        let Some(c) = self.coordination.as_ref().filter(|_| self.spoken.is_some()) else { return Vec::new() };
+        let is_listed = |id: &String| {
+            let server = self.ids.get(id).and_then(|number| self.servers.get(number));
+            server.is_some_and(|server| server.told.phase != Phase::Gone)
+        };
+        let removed = c.state.leases().filter(|(target, _)| match target {
+            Target::Backend(id) => !is_listed(id),
+            Target::Relay(_) => false,
+        });
+        let observation = |(target, lease): (&Target, &Lease)| Observation {
+            target: target.clone(),
+            domain: lease.domain.clone(),
+            health: HealthState::Removed,
+        };
+        removed.map(observation).collect()
+    }
+}
+
+fn member_health(state: Member, duty: Duty) -> HealthState {
+    match (state, duty) {
+        (Member::Alive | Member::Suspect, Duty::Serving) => HealthState::Up,
+        (Member::Alive | Member::Suspect, Duty::Starting) => HealthState::WarmingUp,
+        _ => HealthState::Down,
+    }
+}
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,35 +1,40 @@
 //! The one place where the relay's state changes: `step` takes an event and appends effects. It hands the
 //! decision module its inputs and turns its effects into reading, writing, dialling and timers, which tasks
 //! carry out. It reads no clock and no socket, and decides nothing that the module decides.
-mod agreed;
+mod control;
+mod coordination;
+mod disruption_status;
+mod drain_requests;
 mod duty;
 mod events;
 mod evidence;
+mod excluded_backends;
 mod figures;
 mod fleet;
 mod hearsay;
 mod keep;
-mod look;
+mod leader_review;
+mod outcome_counts;
 mod place;
-mod release;
+mod rollout;
 mod servers;
 mod sessions;
-mod shut;
+mod voter;
+mod voter_host;
 mod watch;
-mod wish;
 
+pub use drain_requests::DrainRequest;
 pub use duty::Word;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
 pub use fleet::FleetFigures;
-pub use wish::Want;
 
 use duty::{Duty, Sign};
 use hallrelay_balancer::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::Node;
-use hallrelay_disruption::judge::Tally;
+use hallrelay_disruption::SessionCounts;
 use hallrelay_hot_restart::place::{self as handover, Peer, Place};
 use hallrelay_membership::Membership;
 use hallrelay_recovery::Stored;
@@ -86,8 +91,8 @@
     /// Connections in a row that were not made.
     refused: u32,
     delay: Delay,
-    /// Sessions that came to an answer there since that was told.
-    tally: Tally,
+    /// Of sessions that came to an answer there since the last report.
+    session_counts: SessionCounts,
 }
 
 impl Server {
@@ -145,10 +150,10 @@
     /// What the store held, till the start has gone by it; how the store does.
     stored: Option<Box<Stored>>,
     store: Option<Box<Health>>,
-    /// What is agreed across the fleet; none where nothing is.
-    agreed: Option<Box<agreed::Agreed>>,
-    /// What was told of this relay's own sessions.
-    tallied: Tally,
+    /// Disruptions coordinated across the fleet; none where no voters are configured.
+    coordination: Option<Box<coordination::Coordination>>,
+    /// This relay's own sessions as of its last report.
+    reported_counts: SessionCounts,
     /// When discovery spoke last in this life, and before that; how often others told of the list before it did.
     spoken: Option<Micros>,
     spoken_before: Option<Micros>,
@@ -180,8 +185,8 @@
             fleet: None,
             stored: None,
             store: None,
-            agreed: None,
-            tallied: Tally::default(),
+            coordination: None,
+            reported_counts: SessionCounts::default(),
             spoken: None,
             spoken_before: None,
             hearsay: 0,
@@ -210,12 +215,10 @@
     /// Begins with the list as this relay last had it.
     pub fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
-        let voters = self.node.fleet.as_ref().and_then(|fleet| fleet.voters.as_ref());
-        let agreed = voters.map(|told| agreed::Agreed::new(&self.node.name, told, self.node.seed, now));
-        self.agreed = agreed.map(Box::new);
+        self.coordination = self.configured_coordination();
         let stored = self.stored.take();
-        self.begin_to_agree(stored.as_deref(), out);
-        self.begin_to_look(out);
+        self.start_voter(stored.as_deref(), out);
+        self.start_review(out);
         let recovered = stored.map(|stored| self.recovered(now, &stored, out)).unwrap_or_default();
         let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
@@ -264,7 +267,7 @@
                 let Some(s) = self.over(sess) else { return };
                 let dial = s.dials.saturating_sub(1);
                 if end == DialEnd::Reset {
-                    self.counts(s.server, end);
+                    self.count_outcome(s.server, end);
                 }
                 self.tell(Input::DialEnded { sess, dial, end, settled: true, report }, out);
             }
@@ -282,8 +285,8 @@
             }
             Event::ConfigurationRejected => self.figures.load_errors += 1,
             Event::OperatorCall { call, what } => self.called(call, what, out),
-            Event::VoterWritesDurable { life, number } => self.vowed(life, number, out),
-            Event::StoreReopened(stored) => self.begin_to_agree(Some(&stored), out),
+            Event::VoterWritesDurable { life, number } => self.raft_written(life, number, out),
+            Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
             Event::SessionHandedOver { sess } => self.left(sess, out),
             Event::SessionHandoverFailed { sess } => self.stays(sess),
             Event::SessionAdopted { sess, session } => self.inherited(sess, *session, out),
@@ -357,9 +360,9 @@
             Timer::Membership => self.fleet_alarm(out),
             Timer::RequestEndpointList => self.ask_list(out),
             Timer::PollPeers => self.recall(out),
-            Timer::Voter(alarm, round) => self.agreed_alarm(alarm, round, out),
-            Timer::LeaderReview => self.look(out),
-            Timer::PendingRequest(ops) => self.wish_again(ops, out),
+            Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
+            Timer::LeaderReview => self.review(out),
+            Timer::PendingRequest(ops) => self.retry_request(ops, out),
         }
     }
 }
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -65,7 +65,7 @@
         self.turn(Sign::Yield, out);
         // One process speaks for the relay: this one is still before the other can begin.
         self.fleet(Fleet::Yield, out);
-        self.cease_to_agree();
+        self.stop_voter();
         out.push(Effect::SetStoreOwnership { on: false });
         out.push(Effect::SendToProcess { peer, message: Message::Yours(state) });
         let open: Vec<SessId> = self.sessions.keys().copied().collect();
@@ -148,7 +148,10 @@
             open: self.sessions.values().map(|s| s.id).collect(),
             connections: (self.sessions.len() + self.aside.len()) as u32,
             fleet: self.fleet.as_ref().map(Membership::estate),
-            shut: self.agreed.as_ref().map(|a| (a.shut.0, a.shut.1.iter().cloned().collect())),
+            shut: self
+                .coordination
+                .as_ref()
+                .map(|c| (c.excluded.index, c.excluded.ids.iter().cloned().collect())),
         }
     }
 
@@ -180,7 +183,7 @@
             fleet.inherit(self.now, known);
         }
         if let Some((index, shut)) = state.shut {
-            self.shut(index, shut.into_iter().collect(), out);
+            self.exclude_backends(index, shut.into_iter().collect(), out);
         }
         self.their_marks = state.open.into_iter().collect();
         match state.draining {
--- /dev/null
+++ b/relay/src/reducer/rollout.rs
@@ -0,0 +1,73 @@
+//! A relay's part in a rollout: it counts its sessions and reports them, and the leader analyzes the present wave
+//! from all relays' reports. All else of a rollout happens inside the replicated state.
+use super::{Reducer, ServerId};
+use crate::control_message::TargetCounts;
+use hallrelay_balancer::types::DialEnd;
+use hallrelay_disruption::{analyze, Command, RolloutPhase, SessionCounts, Target};
+use std::cmp::Reverse;
+
+/// Backends in one report of a relay; the others' counts go with the next.
+const MAX_REPORTED_BACKENDS: usize = 64;
+const MICROS_PER_S: u64 = 1_000_000;
+
+impl Reducer {
+    /// A dial at a backend ended, or an open session there was reset.
+    pub(super) fn count_outcome(&mut self, server: Option<ServerId>, end: DialEnd) {
+        if self.coordination.is_none() {
+            return;
+        }
+        let Some(server) = server.and_then(|id| self.servers.get_mut(&id)) else { return };
+        match end {
+            DialEnd::Ok => server.session_counts.add(SessionCounts { sessions: 1, failed: 0 }),
+            DialEnd::Error | DialEnd::Reset | DialEnd::Timeout => {
+                server.session_counts.add(SessionCounts { sessions: 1, failed: 1 });
+            }
+            DialEnd::Full | DialEnd::Unconnected | DialEnd::Recalled | DialEnd::Moot => {}
+        }
+    }
+
+    /// Takes what was counted since the last report: of this relay as a whole, then by backend.
+    pub(super) fn take_session_counts(&mut self) -> Vec<TargetCounts> {
+        let own =
+            TargetCounts { target: Target::Relay(self.node.name.clone()), counts: self.take_own_counts() };
+        // The most sessions first: a backend that is left out grows until it is among them.
+        let mut counted: Vec<_> =
+            self.servers.values_mut().filter(|server| server.session_counts.sessions > 0).collect();
+        counted.sort_by_key(|server| Reverse(server.session_counts.sessions));
+        let backends = counted.into_iter().take(MAX_REPORTED_BACKENDS).map(|server| TargetCounts {
+            target: Target::Backend(server.told.id.clone()),
+            counts: std::mem::take(&mut server.session_counts),
+        });
+        std::iter::once(own).chain(backends).collect()
+    }
+
+    fn take_own_counts(&mut self) -> SessionCounts {
+        let mut total = SessionCounts::default();
+        for listener in self.figures.listeners.values() {
+            let failed = listener.dropped + listener.failed;
+            total.add(SessionCounts { sessions: listener.passed + failed, failed });
+        }
+        let reported = std::mem::replace(&mut self.reported_counts, total);
+        total.since(reported)
+    }
+
+    /// The leader's analysis of the present wave, where there is a verdict. A wave passes, or lacks sessions, only
+    /// once all of it is updated; one that fails more sessions than the old build does so at once.
+    pub(super) fn wave_analysis(&mut self) -> Option<Command> {
+        let now = self.now;
+        let c = self.coordination.as_mut()?;
+        let rollout = c.state.rollout()?;
+        let since = c.outcome_counts.follow_wave(rollout, now)?;
+        let counts = c.outcome_counts.of_wave(rollout);
+        let elapsed_s = (now - since) / MICROS_PER_S;
+        let verdict = analyze(&rollout.plan.analysis, counts.new, counts.old, elapsed_s)?;
+        let is_updated = rollout.phase == RolloutPhase::Analyzing;
+        let fails_sessions = !verdict.passed && counts.new.failed > 0;
+        let wave = rollout.wave as u64;
+        (is_updated || fails_sessions).then_some(Command::RecordAnalysis {
+            wave,
+            passed: verdict.passed,
+            reason: verdict.reason,
+        })
+    }
+}
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -2,7 +2,7 @@
 use super::{note, Delay, Effect, Reducer, Server, Stage};
 use hallrelay_balancer::types::{DialEnd, Entry, Input, ListKind, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
-use hallrelay_disruption::judge::Tally;
+use hallrelay_disruption::SessionCounts;
 use std::collections::BTreeMap;
 
 impl Reducer {
@@ -79,7 +79,7 @@
             misses: 0,
             refused: 0,
             delay: Delay::default(),
-            tally: Tally::default(),
+            session_counts: SessionCounts::default(),
         };
         let v = self.servers.entry(server).or_insert_with(fresh);
         (v.told, v.started) = (one.clone(), started);
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -180,7 +180,7 @@
         s.stage = Stage::Pass;
         let server = s.server;
         self.meets(server, DialEnd::Ok, out);
-        self.counts(server, DialEnd::Ok);
+        self.count_outcome(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         self.figures.of_listener(&s.listener).passed += 1;
         out.push(Effect::StartProxying { sess });
@@ -217,7 +217,7 @@
             self.over(sess);
         }
         self.meets(server, end, out);
-        self.counts(server, end);
+        self.count_outcome(server, end);
         self.tell(Input::DialEnded { sess, dial, end, settled, report }, out);
     }
 
--- /dev/null
+++ b/relay/src/reducer/voter_host.rs
@@ -0,0 +1,197 @@
+//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies what is
+//! committed. A proposal is answered once its command is applied.
+use super::coordination::{Coordination, ExcludedBackends};
+use super::servers::server_id;
+use super::voter::Proposer;
+use super::{note, Effect, Reducer, Timer};
+use crate::control_message::{ControlMessage, ProposalResult};
+use hallrelay_disruption::{Command, CommandError, Outcome, State};
+use hallrelay_raft::{self as raft, Event, Index, Voter};
+use hallrelay_recovery::{Kept, Stored};
+use std::rc::Rc;
+
+impl Reducer {
+    /// The coordination of this relay, where voters are configured.
+    pub(super) fn configured_coordination(&self) -> Option<Box<Coordination>> {
+        let voters = self.node.fleet.as_ref()?.voters.as_ref()?;
+        Some(Box::new(Coordination::new(&self.node.name, voters, self.node.seed, self.now)))
+    }
+
+    /// Starts the voter with what the store holds: before this relay's start, or as it takes the store over.
+    pub(super) fn start_voter(&mut self, stored: Option<&Stored>, out: &mut Vec<Effect>) {
+        let now = self.now;
+        let Some(c) = &mut self.coordination else { return };
+        let own = stored.filter(|stored| stored.name.as_deref().is_none_or(|name| *name == *c.own_name));
+        if let Some(stored) = own.filter(|stored| stored.shut.0 >= c.excluded.index) {
+            c.excluded = ExcludedBackends { index: stored.shut.0, ids: stored.shut.1.clone() };
+        }
+        // A voter whose disk can't be read does not know what it voted for.
+        if stored.is_none() || !c.is_voter() || c.voter.is_running() {
+            return;
+        }
+        let known = own.and_then(|own| Some((own.birth?, own.agreed.clone())));
+        let (incarnation, log) = known.unwrap_or_else(|| {
+            note("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
+            (self.node.seed ^ now.rotate_left(20) | 1, raft::Stored::default())
+        });
+        // Written before the first vote: an incarnation that is not on the disk is another after a restart.
+        out.push(Effect::Persist { kept: Kept::vote(incarnation, log.term, log.vote), before: None });
+        // A process that has its place back applies the log from the beginning.
+        c.state = State::default();
+        c.applied_index = 0;
+        let voter = Voter { id: server_id(&c.own_name), birth: incarnation };
+        let voters = c.voter_names.keys().copied().collect();
+        let effects = c.voter.start(voter, voters, log);
+        self.carry_raft(effects, out);
+    }
+
+    /// Another process has the place, and the disk.
+    pub(super) fn stop_voter(&mut self) {
+        if let Some(c) = &mut self.coordination {
+            c.voter.stop();
+        }
+    }
+
+    pub(super) fn step_raft(&mut self, event: Event, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        let effects = c.voter.step(event);
+        self.carry_raft(effects, out);
+    }
+
+    /// What a start of the voter was to write is on the disk, up to a number.
+    pub(super) fn raft_written(&mut self, start: u32, number: u64, out: &mut Vec<Effect>) {
+        if self.coordination.as_ref().is_some_and(|c| c.voter.starts() == start) {
+            self.step_raft(Event::Written(number), out);
+        }
+    }
+
+    pub(super) fn raft_timer(&mut self, timer: raft::Alarm, round: u32, out: &mut Vec<Effect>) {
+        if self.coordination.as_ref().is_some_and(|c| c.voter.is_current_timer(timer, round)) {
+            self.step_raft(Event::Alarm(timer), out);
+        }
+    }
+
+    fn carry_raft(&mut self, effects: Vec<raft::Effect>, out: &mut Vec<Effect>) {
+        effects.into_iter().for_each(|effect| self.carry_raft_effect(effect, out));
+    }
+
+    fn carry_raft_effect(&mut self, effect: raft::Effect, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        match effect {
+            raft::Effect::Send(message) => {
+                let Some(name) = c.voter_names.get(&message.to.id).cloned() else { return };
+                self.send_control(&name, &ControlMessage::Raft(message), out);
+            }
+            raft::Effect::Write { number, write } => {
+                let (life, kept) = (c.voter.starts(), c.voter.records(write));
+                out.push(Effect::PersistVoterWrites { life, number, kept });
+            }
+            raft::Effect::Alarm(timer) => {
+                let set = c.voter.set_timer(timer);
+                out.push(Effect::StartTimer { after: set.after, alarm: Timer::Voter(timer, set.round) });
+            }
+            raft::Effect::Apply { index, command, ticket } => {
+                self.apply_committed(index, &command, ticket, out);
+            }
+            raft::Effect::Restore { snapshot } => match State::decode(&snapshot.state) {
+                Ok(state) => {
+                    c.state = state;
+                    c.applied_index = snapshot.index;
+                }
+                Err(_) => self.stop_outdated_voter("a snapshot", out),
+            },
+            raft::Effect::Refused { ticket, leader } => {
+                let leader = leader.and_then(|id| c.voter_names.get(&id)).map(ToString::to_string);
+                self.answer_proposal(Some(ticket), ProposalResult::NotLeader(leader), out);
+            }
+            raft::Effect::Unknown { ticket } => {
+                self.answer_proposal(Some(ticket), ProposalResult::Unknown, out);
+            }
+            raft::Effect::Turned { leads, term } => self.leadership_changed(leads, term, out),
+        }
+    }
+
+    fn leadership_changed(&mut self, leads: bool, term: u64, out: &mut Vec<Effect>) {
+        let Some(c) = &mut self.coordination else { return };
+        c.grants_seen.clear();
+        if leads {
+            c.leader = Some(c.own_name.clone());
+        }
+        let word = if leads { "leads" } else { "leads no more" };
+        note(format!("this relay {word} what is agreed, term {term}"), out);
+    }
+
+    /// A voter of an older build would apply otherwise than the others: it votes no more.
+    fn stop_outdated_voter(&mut self, what: &str, out: &mut Vec<Effect>) {
+        note(format!("{what} of the agreed log is of a later version: this relay is no voter any more"), out);
+        self.stop_voter();
+    }
+
+    fn apply_committed(
+        &mut self,
+        index: Index,
+        command: &[u8],
+        proposal: Option<u64>,
+        out: &mut Vec<Effect>,
+    ) {
+        let now = self.now;
+        let Some(c) = &mut self.coordination else { return };
+        c.applied_index = index;
+        let outcome = match Command::decode(command) {
+            Ok(command) => {
+                let outcome = c.state.apply(&command);
+                note_forced(&command, out);
+                outcome
+            }
+            Err(CommandError::UnsupportedVersion) => return self.stop_outdated_voter("a command", out),
+            Err(error) => Outcome::Rejected(error),
+        };
+        c.note_grants(now);
+        let is_long = c.voter.has_long_log();
+        self.answer_proposal(proposal, ProposalResult::Applied(outcome), out);
+        self.exclude_by_own_state(out);
+        if is_long {
+            let Some(state) = self.coordination.as_ref().map(|c| c.state.encode()) else { return };
+            self.step_raft(Event::Compact { index, state }, out);
+        }
+    }
+
+    /// A command of this relay or another goes into the log, where this one leads.
+    pub(super) fn propose(
+        &mut self,
+        relay: &Rc<str>,
+        request_id: u64,
+        command: Vec<u8>,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(c) = &mut self.coordination else { return };
+        let proposer = Proposer { relay: relay.clone(), request_id };
+        if !c.voter.takes_proposals() {
+            let leader = c.other_leader().map(|leader| leader.to_string());
+            return self.answer_proposer(&proposer, ProposalResult::NotLeader(leader), out);
+        }
+        let ticket = c.voter.add_proposal(proposer);
+        self.step_raft(Event::Propose { ticket, command }, out);
+    }
+
+    fn answer_proposal(&mut self, id: Option<u64>, result: ProposalResult, out: &mut Vec<Effect>) {
+        let proposer = id.and_then(|id| self.coordination.as_mut()?.voter.take_proposal(id));
+        if let Some(proposer) = proposer {
+            self.answer_proposer(&proposer, result, out);
+        }
+    }
+
+    fn answer_proposer(&mut self, proposer: &Proposer, result: ProposalResult, out: &mut Vec<Effect>) {
+        let request_id = proposer.request_id;
+        if self.coordination.as_ref().is_some_and(|c| c.own_name == proposer.relay) {
+            return self.request_answered(request_id, result, out);
+        }
+        self.send_control(&proposer.relay, &ControlMessage::Proposed { request_id, result }, out);
+    }
+}
+
+fn note_forced(command: &Command, out: &mut Vec<Effect>) {
+    if let Command::Request { force: true, target, requested_by, reason, .. } = command {
+        note(format!("{target} is let out past the budgets by {requested_by}: {reason}"), out);
+    }
+}
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -2,12 +2,17 @@
 //! again as the same bytes, a plan and answers as the same text. Messages stand one a line, in hexadecimal.
 use hallrelay_balancer::types::{DialEnd, Micros};
 use hallrelay_config::node::{self, Node, Told as Given};
-use hallrelay_disruption::{Command, Fault, Judge, Kind, Outcome, Plan, Thing, Wave};
+use hallrelay_disruption::{
+    AnalysisPolicy, Command, CommandError, FailureDomain, Outcome, RolloutPlan, SessionCounts, Target,
+    TargetKind, Wave,
+};
 use hallrelay_raft::{Entry, Post, Say, Snapshot, Voter, What};
 use hallrelay_recovery::Stored;
+use hallrelay_relay::control_message::{
+    ControlMessage, ProposalResult, RelayStatus, RemainingSessions, TargetCounts,
+};
 use hallrelay_relay::lines::Open;
-use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer, Want};
-use hallrelay_relay::talk::{Talk, Told};
+use hallrelay_relay::reducer::{DrainRequest, Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -30,23 +35,31 @@
     text.to_string()
 }
 
-fn server(name: &str) -> Thing {
-    Thing::Server(text(name))
+fn backend(name: &str) -> Target {
+    Target::Backend(text(name))
 }
 
-fn post(say: Say) -> Talk {
+fn post(say: Say) -> ControlMessage {
     let (from, to) = (Voter { id: 1, birth: 7 }, Voter { id: 70_000, birth: 0 });
-    Talk::Post(Post { from, to, term: 3, say })
+    ControlMessage::Raft(Post { from, to, term: 3, say })
 }
 
-fn answer(outcome: Outcome) -> Talk {
-    Talk::Answer { call: 300, told: Told::Outcome(outcome) }
+fn answer(outcome: Outcome) -> ControlMessage {
+    ControlMessage::Proposed { request_id: 300, result: ProposalResult::Applied(outcome) }
+}
+
+fn remaining(backend: &str, sessions: u32) -> RemainingSessions {
+    RemainingSessions { backend: text(backend), sessions }
+}
+
+fn counts(target: Target, sessions: u64, failed: u64) -> TargetCounts {
+    TargetCounts { target, counts: SessionCounts { sessions, failed } }
 }
 
 /// Each kind of message, with each kind of what it holds.
-fn messages() -> Vec<Talk> {
+fn messages() -> Vec<ControlMessage> {
     let voters = vec![Voter { id: 1, birth: 7 }, Voter { id: 2, birth: 9 }];
-    let command = Command::Back { thing: server("s1") }.encode();
+    let command = Command::Return { target: backend("s1") }.encode();
     let entry = |index, what| Entry { index, term: 2, what };
     let entries = vec![
         entry(5, What::Nothing),
@@ -64,28 +77,26 @@
         post(Say::Append { index: 4, term: 2, entries, commit: 4 }),
         post(Say::Appended { ok: true, index: 7 }),
         post(Say::Snapshot { snapshot }),
-        Talk::Ask { call: 300, command },
+        ControlMessage::Propose { request_id: 300, command },
         answer(Outcome::Done),
-        answer(Outcome::Granted { grant: 2 }),
-        answer(Outcome::Out { grant: 2 }),
-        answer(Outcome::Taken { by: text("ann"), why: text("new disks") }),
-        answer(Outcome::Waits {
-            why: text("at most 1 relay of the fleet"),
-            out: vec![text("relay a (out)")],
+        answer(Outcome::Granted { lease_id: 2 }),
+        answer(Outcome::AlreadyOut { lease_id: 2 }),
+        answer(Outcome::RequestedByAnother { requested_by: text("ann"), reason: text("new disks") }),
+        answer(Outcome::Waiting {
+            blocked_by: text("at most 1 relay of the fleet"),
+            unavailable: vec![text("relay a (out)")],
         }),
-        answer(Outcome::Not(Fault::Stale)),
-        Talk::Answer { call: 1, told: Told::Elsewhere(None) },
-        Talk::Answer { call: 1, told: Told::Elsewhere(Some(text("r1"))) },
-        Talk::Answer { call: 1, told: Told::Unknown },
-        Talk::Serving {
-            zone: text("east"),
-            kind: text("large"),
-            group: text("g1"),
+        answer(Outcome::Rejected(CommandError::Stale)),
+        ControlMessage::Proposed { request_id: 1, result: ProposalResult::NotLeader(None) },
+        ControlMessage::Proposed { request_id: 1, result: ProposalResult::NotLeader(Some(text("r1"))) },
+        ControlMessage::Proposed { request_id: 1, result: ProposalResult::Unknown },
+        ControlMessage::Status(RelayStatus {
+            domain: FailureDomain { zone: text("east"), kind: text("large"), group: text("g1") },
             serving: true,
-            left: vec![(text("s1"), 4), (text("s2"), 300)],
-            tallies: vec![(Thing::Relay(text("r1")), 40, 3), (server("s1"), 300, 0)],
-        },
-        Talk::Shut { index: 300, servers: vec![text("s1"), text("s2")], moves: 20 },
+            remaining_sessions: vec![remaining("s1", 4), remaining("s2", 300)],
+            session_counts: vec![counts(Target::Relay(text("r1")), 40, 3), counts(backend("s1"), 300, 0)],
+        }),
+        ControlMessage::Excluded { index: 300, backends: vec![text("s1"), text("s2")], moves_per_s: 20 },
     ]
 }
 
@@ -95,33 +106,39 @@
     let written: Vec<String> = messages().iter().map(|message| hex(&message.encode())).collect();
     assert_eq!(stored, written);
     for (stored, message) in stored.iter().zip(messages()) {
-        assert_eq!(Talk::decode(&bytes(stored)), Some(message));
+        assert_eq!(ControlMessage::decode(&bytes(stored)), Some(message));
     }
 }
 
-fn plan(waves: Vec<Wave>) -> Plan {
-    let judge = Judge { sessions: 20, worse: 100_000, within_s: 600 };
-    Plan { build: text("b2"), of: Kind::Server, waves, judge, by: text("bo") }
+fn plan(waves: Vec<Wave>) -> RolloutPlan {
+    let analysis = AnalysisPolicy { min_sessions: 20, margin_ppm: 100_000, deadline_s: 600 };
+    RolloutPlan {
+        build: text("b2"),
+        target_kind: TargetKind::Backend,
+        waves,
+        analysis,
+        requested_by: text("bo"),
+    }
 }
 
 fn named(name: &str) -> Wave {
-    Wave { names: vec![text(name)], count: 0, part: 0 }
+    Wave { names: vec![text(name)], count: 0, share_ppm: 0 }
 }
 
 #[test]
 fn a_plan_is_read_and_written_as_it_was() {
-    let plan = plan(vec![named("s-1"), Wave { names: vec![], count: 1, part: 300_000 }]);
+    let plan = plan(vec![named("s-1"), Wave { names: vec![], count: 1, share_ppm: 300_000 }]);
     assert_eq!(fixture("plan.json").trim_end(), serde_json::to_string(&plan).expect("a plan"));
-    assert_eq!(serde_json::from_str::<Plan>(&fixture("plan.json")).expect("a plan"), plan);
+    assert_eq!(serde_json::from_str::<RolloutPlan>(&fixture("plan.json")).expect("a plan"), plan);
 }
 
 /// A relay alone that votes, before three backends.
 fn settings() -> Node {
-    let backend = |i: u16| {
+    let instance = |i: u16| {
         json!({"instanceId": format!("s-{i}"), "hostPort": format!("127.0.0.1:{}", 1000 + i),
             "lifecycle": "up"})
     };
-    let known: Vec<Value> = (1..=3).map(backend).collect();
+    let known: Vec<Value> = (1..=3).map(instance).collect();
     let budgets = json!([{"of": "relay", "scope": "zone", "count": 0, "share": 0.5},
         {"of": "backend", "scope": "fleet", "count": 2}]);
     let text = json!({"name": "r0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "07", "state": "state",
@@ -227,9 +244,10 @@
         self.call(words, OperatorRequest::Propose { command: Box::new(command), words: text(words) });
     }
 
-    fn drain(&mut self, server: Option<&str>, force: bool) {
-        let want = Want { server: server.map(text), by: text("ann"), why: text("new disks"), force };
-        self.call(&format!("drain {server:?}, force {force}"), OperatorRequest::Drain(Box::new(want)));
+    fn drain(&mut self, backend: Option<&str>, force: bool) {
+        let (requested_by, reason) = (text("ann"), text("new disks"));
+        let drain = DrainRequest { backend: backend.map(text), requested_by, reason, force };
+        self.call(&format!("drain {backend:?}, force {force}"), OperatorRequest::Drain(Box::new(drain)));
     }
 
     fn status(&mut self) {
@@ -266,24 +284,27 @@
     host.pass(2 * SECOND);
     host.drain(Some("s-3"), false);
     host.drain(Some("s-9"), false);
-    host.agree("release begins", Command::Start { plan: plan(vec![named("s-1"), named("s-2")]) });
-    host.agree("release begins", Command::Start { plan: plan(vec![named("s-1"), named("s-2")]) });
+    host.agree("release begins", Command::StartRollout { plan: plan(vec![named("s-1"), named("s-2")]) });
+    host.agree("release begins", Command::StartRollout { plan: plan(vec![named("s-1"), named("s-2")]) });
     host.status();
     host.drain(Some("s-2"), false);
-    let (by, why, force) = (text("cy"), text("its turn"), false);
-    host.agree("wanted", Command::Ask { thing: server("s-2"), call: 9, by, why, force });
+    let (requested_by, reason) = (text("cy"), text("its turn"));
+    host.agree(
+        "wanted",
+        Command::Request { target: backend("s-2"), request_id: 9, requested_by, reason, force: false },
+    );
     host.status();
     host.drain(None, false);
     host.pass(5 * SECOND);
     host.status();
-    let did = |good: bool, grant| {
-        let why = if good { String::new() } else { text("the disk is full") };
-        Command::Did { thing: server("s-1"), grant, good, why }
+    let mark_done = |succeeded: bool, lease_id| {
+        let reason = if succeeded { String::new() } else { text("the disk is full") };
+        Command::MarkDone { target: backend("s-1"), lease_id, succeeded, reason }
     };
-    host.agree("s-1 is changed", did(true, 1));
-    host.agree("s-1 is changed", did(true, 2));
+    host.agree("s-1 is changed", mark_done(true, 1));
+    host.agree("s-1 is changed", mark_done(true, 2));
     host.status();
-    host.agree("s-2 is dropped", Command::Drop { thing: server("s-2"), call: 9 });
+    host.agree("s-2 is dropped", Command::Withdraw { target: backend("s-2"), request_id: 9 });
     host.sessions("s-2", 9, 1, true);
     host.sessions("s-1", 4, 0, true);
     host.pass(2 * SECOND);
@@ -294,17 +315,17 @@
     host.sessions("s-1", 4, 4, true);
     host.pass(2 * SECOND);
     host.status();
-    host.agree("goes back", Command::WayBack { by: text("ann") });
+    host.agree("goes back", Command::RollBack { requested_by: text("ann") });
     host.pass(5 * SECOND);
     host.status();
-    host.agree("s-1 is changed", did(false, 4));
+    host.agree("s-1 is changed", mark_done(false, 4));
     host.status();
-    host.agree("goes on", Command::Resume { by: text("ann") });
+    host.agree("goes on", Command::Resume { requested_by: text("ann") });
     host.drain(None, true);
-    host.agree("s-1 is changed", did(true, 4));
+    host.agree("s-1 is changed", mark_done(true, 4));
     host.status();
-    host.agree("s-3 serves again", Command::Back { thing: server("s-3") });
-    host.agree("s-9 is freed", Command::Free { thing: server("s-9"), by: text("ann") });
+    host.agree("s-3 serves again", Command::Return { target: backend("s-3") });
+    host.agree("s-9 is freed", Command::Reclaim { target: backend("s-9"), requested_by: text("ann") });
     host.status();
     host.told
 }
