--- /dev/null
+++ b/agreement/tests/fixtures.rs
@@ -0,0 +1,107 @@
+//! The encodings that relays exchange and store, held against bytes that were written once. The bytes stay as
+//! they are; only the names in Rust may change.
+use hallrelay_agreement::{Entry, Post, Say, Snapshot, Term, Voter, What};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+use std::path::PathBuf;
+
+/// Holds lines `name hex` against a file. A file that is missing is written, and the test fails.
+fn compare_with_file(file: &str, lines: &[String]) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
+    let text = lines.join("\n") + "\n";
+    match std::fs::read_to_string(&path) {
+        Ok(recorded) => assert_eq!(recorded, text, "{file}"),
+        Err(_) => {
+            std::fs::write(&path, text).expect("the fixture can be written");
+            panic!("{file} was missing and has been written");
+        }
+    }
+}
+
+/// The bytes of a recorded line; none where there is no such line yet.
+fn recorded_bytes(file: &str, name: &str) -> Option<Vec<u8>> {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
+    let text = std::fs::read_to_string(path).ok()?;
+    let (_, hex) = text.lines().filter_map(|line| line.split_once(' ')).find(|line| line.0 == name)?;
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+    Some((0..hex.len()).step_by(2).map(byte).collect())
+}
+
+/// Each value is written as the file has it, and what the file has is read as the value.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
+    let mut lines = Vec::new();
+    for (name, value) in values {
+        let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        lines.push(format!("{name} {hex}"));
+        if let Some(recorded) = recorded_bytes(file, name) {
+            let read: T = postcard::from_bytes(&recorded).expect("the recorded bytes can be decoded");
+            assert_eq!(&read, value, "{file}: {name}");
+        }
+    }
+    compare_with_file(file, &lines);
+}
+
+const A: Voter = Voter { id: 1, birth: 3 };
+const B: Voter = Voter { id: 4_000_000_000, birth: 0x0123_4567_89ab_cdef };
+
+fn entries() -> Vec<Entry> {
+    vec![
+        Entry { index: 1, term: 0, what: What::Voters(vec![A, B]) },
+        Entry { index: 2, term: 1, what: What::Nothing },
+        Entry { index: 300, term: 200, what: What::Command(vec![0, 1, 255]) },
+        Entry { index: 301, term: 200, what: What::Command(Vec::new()) },
+        Entry { index: 302, term: u64::MAX, what: What::Voters(Vec::new()) },
+    ]
+}
+
+fn snapshot() -> Snapshot {
+    Snapshot { index: 128, term: 7, voters: vec![B, A], state: vec![9, 8, 7, 0] }
+}
+
+fn message(term: Term, say: Say) -> Post {
+    Post { from: A, to: B, term, say }
+}
+
+#[test]
+fn messages_between_relays_keep_their_bytes() {
+    let values = [
+        ("announce-empty", message(0, Say::Here { blank: true })),
+        ("announce", message(5, Say::Here { blank: false })),
+        ("bootstrap", message(0, Say::Found { voters: vec![A, B] })),
+        ("pre-vote-request", message(129, Say::PreVote { index: 300, term: 128 })),
+        ("pre-vote-granted", message(129, Say::PreVoted { yes: true })),
+        ("pre-vote-denied", message(130, Say::PreVoted { yes: false })),
+        ("vote-request", message(131, Say::Vote { index: u64::MAX, term: 0 })),
+        ("vote-granted", message(131, Say::Voted { yes: true })),
+        ("vote-denied", message(131, Say::Voted { yes: false })),
+        ("append-none", message(1, Say::Append { index: 0, term: 0, entries: Vec::new(), commit: 0 })),
+        (
+            "append-entries",
+            message(1 << 40, Say::Append { index: 127, term: 6, entries: entries(), commit: 200 }),
+        ),
+        ("append-accepted", message(2, Say::Appended { ok: true, index: 302 })),
+        ("append-refused", message(2, Say::Appended { ok: false, index: 0 })),
+        ("snapshot", message(7, Say::Snapshot { snapshot: snapshot() })),
+        ("snapshot-empty", message(7, Say::Snapshot { snapshot: Snapshot::default() })),
+    ];
+    check("messages.hex", &values);
+}
+
+#[test]
+fn stored_entries_and_snapshots_keep_their_bytes() {
+    let names = ["first-voters", "nothing", "command", "command-empty", "voters-none"];
+    let values: Vec<(&str, Entry)> = names.into_iter().zip(entries()).collect();
+    check("entries.hex", &values);
+    check("snapshots.hex", &[("empty", Snapshot::default()), ("some", snapshot())]);
+}
+
+/// As the store has them: the disk's number, the term and the vote.
+type StoredVote = (u64, Term, Option<Voter>);
+
+#[test]
+fn stored_votes_keep_their_bytes() {
+    let values: [(&str, StoredVote); 2] = [("none", (u64::MAX, 0, None)), ("given", (7, 300, Some(B)))];
+    check("votes.hex", &values);
+}
