--- a/agreement/tests/fixtures.rs
+++ b/raft/tests/fixtures.rs
@@ -1,6 +1,6 @@
 //! The encodings that relays exchange and store, held against bytes that were written once. The bytes stay as
 //! they are; only the names in Rust may change.
-use hallrelay_agreement::{Entry, Post, Say, Snapshot, Term, Voter, What};
+use hallrelay_raft::{Entry, Post, Say, Snapshot, Term, Voter, What};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
--- a/agreement/tests/recorded_runs.rs
+++ b/raft/tests/recorded_runs.rs
@@ -1,6 +1,6 @@
 //! Runs of small clusters, drawn by seed: each event and all that comes of it, in a notation of its own, held
 //! against runs that were recorded once. One run stands in full, of the others a hash does.
-use hallrelay_agreement::{Alarm, Effect, Event, Node, Post, Stored, Voter, Write, COMMAND};
+use hallrelay_raft::{Alarm, Effect, Event, Node, Post, Stored, Voter, Write, COMMAND};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::path::PathBuf;
--- a/relay/src/net/handover.rs
+++ b/relay/src/net/handover.rs
@@ -7,9 +7,9 @@
 use crate::reducer::Event;
 use crate::socket::uninterrupted;
 use hallrelay_config::node::Node;
-use hallrelay_handover::message::{decode, encode, LONGEST, VERSION};
-use hallrelay_handover::place::{Event as Heard, Peer};
-use hallrelay_handover::Message;
+use hallrelay_hot_restart::message::{decode, encode, LONGEST, VERSION};
+use hallrelay_hot_restart::place::{Event as Heard, Peer};
+use hallrelay_hot_restart::Message;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -256,7 +256,7 @@
             _ = told.send(Err(sockets));
         }
     }
-    hub.tell(Event::Place(Heard::Left { peer })).await;
+    hub.tell(Event::HotRestart(Heard::Left { peer })).await;
 }
 
 /// Tells of the whole lines that have come.
@@ -283,10 +283,10 @@
                     let (conn, commands) = hub.register();
                     pass::resume(conn, session, sockets, commands, &hub).await;
                     hub.conns.borrow_mut().remove(&conn);
-                    hub.tell(Event::Gone { sess: conn }).await;
+                    hub.tell(Event::ClientDisconnected { sess: conn }).await;
                 });
             }
-            message => hub.tell(Event::Place(Heard::Said { peer, message })).await,
+            message => hub.tell(Event::HotRestart(Heard::Said { peer, message })).await,
         }
     }
     if line.len() > LONGEST {
