--- a/fleet/tests/fixtures.rs
+++ b/membership/tests/fixtures.rs
@@ -1,7 +1,9 @@
 //! The bytes of each message between relays, as released builds write them: each file is decoded to the value
 //! that stands here, and the value is encoded to the same bytes again.
-use hallrelay_fleet::message::{decode, encode, written, Body, Packet, DATAGRAM, FRAME, LISTENERS, NAME};
-use hallrelay_fleet::{About, Claim, Duty, Membership, Own, Rank, State};
+use hallrelay_membership::message::{
+    decode, encode, written, Body, Packet, DATAGRAM, FRAME, LISTENERS, NAME,
+};
+use hallrelay_membership::{About, Claim, Duty, Membership, Own, Rank, State};
 use std::collections::BTreeSet;
 use std::fs;
 use std::net::SocketAddr;
