--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! State folders and records as version 0.4.0 wrote them: what a later version reads and writes is the same.
-use hallrelay::types::{Micros, Phase};
-use hallrelay_agreement::{Entry, Snapshot, Voter, What};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::Instance;
+use hallrelay_raft::{Entry, Snapshot, Voter, What};
 use hallrelay_recovery::fact::{ServerTold, VERSION};
 use hallrelay_recovery::{Fact, Kept, Stored};
 use hallrelay_store::log::{Found, LOG, NEXT};
@@ -121,7 +121,7 @@
         servers: instances().map(told).into_iter().collect(),
         turns: BTreeMap::from([("s-1".to_string(), WALL + 9)]),
         birth: Some(BIRTH),
-        agreed: hallrelay_agreement::Stored {
+        agreed: hallrelay_raft::Stored {
             term: 3,
             vote: Some(voters()[2]),
             snapshot: snapshot(),
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -7,7 +7,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use crate::socket::NotConnected;
-use hallrelay::types::{DialEnd, Micros, Report};
+use hallrelay_balancer::types::{DialEnd, Micros, Report};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
@@ -74,7 +74,7 @@
     if !send(&stream, line, wait, permit).await {
         return never;
     }
-    hub.tell(Event::Written).await;
+    hub.tell(Event::FirstLineForwarded).await;
     let mut buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
     let answer = read::line(&stream, &mut buffer, limits.line);
     let Ok(answer) = timeout_at(over, answer).await else {
--- a/relay/src/net/probe.rs
+++ b/relay/src/net/probe.rs
@@ -5,7 +5,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use crate::socket::{self, NotConnected};
-use hallrelay::types::{DialEnd, Report, ServerId};
+use hallrelay_balancer::types::{DialEnd, Report, ServerId};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
@@ -52,7 +52,7 @@
             Ok(Err((end, report))) => (end, report),
             Err(_) => (DialEnd::Timeout, None),
         };
-        hub.tell(Event::Probed { server, end, report }).await;
+        hub.tell(Event::HealthCheckEnded { server, end, report }).await;
     }
 }
 
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,8 +1,8 @@
 //! The servers that the list names, what is known of them by probes, and when they are forgotten.
 use super::{note, Delay, Effect, Reducer, Server, Stage};
-use hallrelay::types::{DialEnd, Entry, Input, ListKind, Micros, Phase, ServerId};
+use hallrelay_balancer::types::{DialEnd, Entry, Input, ListKind, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
-use hallrelay_grants::judge::Tally;
+use hallrelay_disruption::judge::Tally;
 use std::collections::BTreeMap;
 
 impl Reducer {
@@ -20,7 +20,7 @@
         if doubted != (before >= MISSES) {
             let there =
                 self.sessions.iter().filter(|(_, s)| s.server == Some(server) && s.stage == Stage::Pass);
-            out.extend(there.map(|(&sess, _)| Effect::Doubt { sess, doubted }));
+            out.extend(there.map(|(&sess, _)| Effect::SetSuspect { sess, doubted }));
         }
     }
 
@@ -55,7 +55,7 @@
         named.extend(entries.iter().map(|entry| (entry.server, !entry.ready())));
         for (server, leaves) in named {
             let changed = if leaves { self.leaving.insert(server) } else { self.leaving.remove(&server) };
-            out.extend(changed.then_some(Effect::Leave { server, leaves }));
+            out.extend(changed.then_some(Effect::SetDraining { server, leaves }));
         }
     }
 
@@ -128,9 +128,9 @@
             if let Some(v) = self.servers.remove(&server) {
                 self.ids.remove(&v.told.id);
                 if self.leaving.remove(&server) {
-                    out.push(Effect::Leave { server, leaves: false });
+                    out.push(Effect::SetDraining { server, leaves: false });
                 }
-                out.push(Effect::Forget { server });
+                out.push(Effect::ForgetServer { server });
             }
         }
     }
