--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -1,9 +1,9 @@
 //! The messages of a hot restart as version 0.4.0 wrote them: the same values are read from the same bytes
 //! and written to them, what was refused is refused with the same text, and both sides of a whole hot restart
 //! say the same.
-use hallrelay_handover::message::{decode, encode, VERSION};
-use hallrelay_handover::place::{Act, Event, Place};
-use hallrelay_handover::{Message, Server, Session, State};
+use hallrelay_hot_restart::message::{decode, encode, VERSION};
+use hallrelay_hot_restart::place::{Act, Event, Place};
+use hallrelay_hot_restart::{Message, Server, Session, State};
 use serde_json::json;
 
 fn hello() -> Message {
