--- /dev/null
+++ b/relay/tests/fixtures_metrics.rs
@@ -0,0 +1,72 @@
+//! The whole answer of `/v1/metrics`, compared as text with `fixtures/metrics.txt`. Each field has a value of
+//! its own, so that two that change places are found.
+use hallrelay_fleet::membership::Counts;
+use hallrelay_fleet::message::Fault;
+use hallrelay_relay::figures::text;
+use hallrelay_relay::net::permit::Denials;
+use hallrelay_relay::reducer::{Figures, FleetFigures, Outcomes};
+use hallrelay_store::writer::Health;
+use std::collections::BTreeMap;
+
+fn figures() -> Figures {
+    let first = Outcomes { taken: 101, passed: 102, dropped: 103, failed: 104, abandoned: 105 };
+    let second = Outcomes { taken: 201, passed: 202, dropped: 203, failed: 204, abandoned: 205 };
+    // A name that no line may carry as it is.
+    let odd = Outcomes { taken: 301, passed: 302, dropped: 303, failed: 304, abandoned: 305 };
+    let listeners = [("alpha", first), ("beta-2", second), ("g:h|i j\nk\u{e9}", odd)];
+    let dropped = Fault::ALL.into_iter().zip(801..).collect();
+    let counts = Counts {
+        sent: 701,
+        sent_bytes: 702,
+        heard: 703,
+        probes: 704,
+        accused: 705,
+        buried: 706,
+        refuted: 707,
+        late: 708,
+        dropped,
+    };
+    let fleet = FleetFigures { counts, states: [901, 902, 903, 904], hears: 905, hearsay: 906 };
+    let store = Health {
+        durable: 501,
+        failing: Some("no space".to_string()),
+        batches: 502,
+        failures: 503,
+        refused: 504,
+        bytes: 505,
+    };
+    Figures {
+        listeners: BTreeMap::from(listeners.map(|(name, outcomes)| (name.into(), outcomes))),
+        tries: 401,
+        loads: 402,
+        load_errors: 403,
+        denials: Denials { client: 404, late: 405, leaving: 406 },
+        in_progress: 407,
+        waiting: 408,
+        known: 409,
+        avoided: 410,
+        fleet: Some(Box::new(fleet)),
+        store: Some(Box::new(store)),
+    }
+}
+
+#[test]
+fn the_answer_of_metrics_is_unchanged() {
+    assert_eq!(text(&figures()), include_str!("fixtures/metrics.txt"));
+}
+
+#[test]
+fn without_fleet_and_store_their_lines_are_absent() {
+    let bare = Figures { fleet: None, store: None, ..figures() };
+    let all = include_str!("fixtures/metrics.txt").lines();
+    let wanted: Vec<&str> =
+        all.filter(|line| !line.starts_with("node.store_") && !line.starts_with("node.fleet_")).collect();
+    assert_eq!(text(&bare).lines().collect::<Vec<_>>(), wanted);
+}
+
+#[test]
+fn a_store_that_writes_is_not_failing() {
+    let store = Health { failing: None, ..Health::default() };
+    let text = text(&Figures { store: Some(Box::new(store)), ..figures() });
+    assert!(text.contains("node.store_failing:0|g\n"), "{text}");
+}
--- /dev/null
+++ b/tests/decisions_trace.rs
@@ -0,0 +1,543 @@
+//! Every decision of a seeded run, pinned: ten sites of one relay each, two thousand inputs of all kinds to each.
+//! What an input leads to is added, number by number, to a hash that `fixtures/decisions.txt` has after each
+//! hundred inputs, so a decision that changes is found and located. The inputs answer the effects, as servers
+//! would: a changed decision changes all that follows in its site.
+//!
+//! A line of the fixture: site, inputs so far, the hash, then how many effects of each kind there were.
+use hallrelay::logic::Relay;
+use hallrelay::types::*;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+
+const SITES: u32 = 10;
+const INPUTS_PER_SITE: u32 = 2_000;
+const INPUTS_PER_LINE: u32 = 100;
+
+/// FNV-1a over whole numbers.
+struct Chain(u64);
+
+impl Chain {
+    fn add(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+/// The kind of an effect, by which it is counted, and its fields.
+fn numbers(effect: &Effect) -> (usize, Vec<u64>) {
+    match *effect {
+        Effect::Dial { sess, server, wait, window } => {
+            let window = window.map_or([0, 0], |window| [1, window]);
+            (0, vec![u64::from(sess), u64::from(server), wait, window[0], window[1]])
+        }
+        Effect::Refuse { sess, retry_after } => (1, vec![u64::from(sess), retry_after]),
+        Effect::TearDown { sess } => (2, vec![u64::from(sess)]),
+        Effect::Move { sess } => (3, vec![u64::from(sess)]),
+        Effect::Probe { server } => (4, vec![u64::from(server)]),
+        Effect::Alarm { after, label } => (5, vec![after, u64::from(label)]),
+        Effect::Watch => (6, vec![]),
+    }
+}
+
+/// What all servers go through for some seconds.
+#[derive(Clone, Copy, PartialEq)]
+enum Weather {
+    Calm,
+    Full,
+    OneLate,
+    AllLate,
+    Dropping,
+    Silent,
+    Storm,
+}
+
+const WEATHERS: [Weather; 7] = [
+    Weather::Calm,
+    Weather::Full,
+    Weather::OneLate,
+    Weather::AllLate,
+    Weather::Dropping,
+    Weather::Silent,
+    Weather::Storm,
+];
+
+struct Backend {
+    entry: Entry,
+    capacity: f64,
+    open: u32,
+}
+
+struct Held {
+    server: ServerId,
+    dial: u32,
+    up: bool,
+}
+
+/// What comes at its time.
+enum Due {
+    Input(Input),
+    DialOutcome { sess: SessId, dial: u32 },
+    ProbeAnswer { server: ServerId },
+    End { sess: SessId },
+}
+
+struct Site {
+    facts: SiteFacts,
+    relay: Relay,
+    chance: oorandom::Rand64,
+    now: Micros,
+    backends: BTreeMap<ServerId, Backend>,
+    sessions: BTreeMap<SessId, Held>,
+    due: BTreeMap<(Micros, u64), Due>,
+    scheduled: u64,
+    last_session: SessId,
+    last_server: ServerId,
+    weather: Weather,
+    weather_ends: Micros,
+    inputs: u32,
+    chain: Chain,
+    effects: [u64; 7],
+    number: u32,
+    lines: String,
+}
+
+fn facts(number: u32) -> SiteFacts {
+    let listener = |utility, repeat, handshake: Micros, message: Micros| Listener {
+        utility,
+        repeat,
+        handshake_target: handshake * MILLISECOND,
+        message_target: message * MILLISECOND,
+    };
+    let referenced = |within, window| Repeat::Referenced { within, window: window * MILLISECOND };
+    let probe = [0.002, 0.0005, 0.008, 0.02, 0.002, 0.002, 0.001, 0.004, 0.002, 0.0];
+    let at = number as usize;
+    SiteFacts {
+        listeners: vec![
+            listener(1.0, Repeat::Repeatable, 300, 60),
+            listener(5.0, Repeat::Repeatable, 200, 80),
+            listener(4.0, Repeat::OnceOnly, 300, 60),
+            listener(2.0, referenced(Within::All, 1_000), 400, 90),
+            listener(5.0, referenced(Within::Zone, 800), 300, 60),
+            listener(1.5, referenced(Within::Cell, 1_500), 300, 70),
+        ],
+        relays: [1, 2, 6, 20, 300, 100, 3, 900, 12, 40][at],
+        slot: [0, 1, 3, 7, 120, 99, 2, 850, 11, 0][at],
+        zone: number as u8 % 3,
+        must_watch: number % 2 == 0,
+        may_probe: number != 5,
+        groups: number % 3 != 1,
+        most_dials: [4, 3, 2, 4, 4, 3, 1, 4, 5, 4][at],
+        max_open: [1000, 30, 400, 1000, 1000, 500, 60, 200, 1000, 1000][at],
+        retry_after: (number % 4 != 0).then_some(u64::from(number) * 300 * MILLISECOND),
+        cold: (8 + 2 * u64::from(number)) * SECOND,
+        cold_from: 0.1 + 0.02 * f64::from(number),
+        fall_multiple: 2.0 + 0.3 * f64::from(number),
+        fall: (800 + 150 * u64::from(number)) * MILLISECOND,
+        price_crossing: [0.0, 0.05, 0.02, 0.0, 0.1, 0.01, 0.0, 0.0, 0.3, 0.02][at],
+        price_move: [0.0, 0.05, 0.01, 0.0, 0.02, 0.0, 0.1, 0.0, 0.01, 0.02][at],
+        price_probe: probe[at],
+    }
+}
+
+impl Site {
+    fn new(number: u32) -> Site {
+        let facts = facts(number);
+        Site {
+            relay: Relay::new(facts.clone(), 1_000 + u64::from(number)),
+            facts,
+            chance: oorandom::Rand64::new(77 + u128::from(number)),
+            now: u64::from(number) * 5 * SECOND,
+            backends: BTreeMap::new(),
+            sessions: BTreeMap::new(),
+            due: BTreeMap::new(),
+            scheduled: 0,
+            last_session: 0,
+            last_server: 0,
+            weather: Weather::Calm,
+            weather_ends: 0,
+            inputs: 0,
+            chain: Chain(0xcbf2_9ce4_8422_2325),
+            effects: [0; 7],
+            number,
+            lines: String::new(),
+        }
+    }
+
+    fn below(&mut self, end: u64) -> u64 {
+        self.chance.rand_range(0..end)
+    }
+
+    /// Yes in so many of a hundred cases.
+    fn hits(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+
+    fn schedule(&mut self, after: Micros, due: Due) {
+        self.scheduled += 1;
+        self.due.insert((self.now + after, self.scheduled), due);
+    }
+
+    fn add_backend(&mut self, cold: bool) -> Entry {
+        self.last_server += 1;
+        let server = self.last_server;
+        let entry = Entry {
+            server,
+            phase: Phase::Ready,
+            came_up: if cold { self.now } else { 0 },
+            zone: (server % 3) as u8,
+            cell: (server % 5) as u16,
+        };
+        let capacity = [10.0, 25.0, 60.0][self.below(3) as usize];
+        self.backends.insert(server, Backend { entry, capacity, open: 0 });
+        entry
+    }
+
+    fn report(&mut self, server: ServerId) -> Option<Report> {
+        let noise = self.below(200) as f64 / 1000.0;
+        let left_out = self.hits(5);
+        let backend = self.backends.get(&server)?;
+        let relays = f64::from(self.facts.relays.min(4));
+        let others = match self.weather {
+            Weather::Full => 0.8,
+            Weather::AllLate => 1.05,
+            _ => 0.15,
+        };
+        let load = others + noise + f64::from(backend.open) * relays / (backend.capacity * 6.0);
+        let late = match self.weather {
+            Weather::OneLate => server == 2,
+            Weather::AllLate => server % 4 != 0,
+            _ => false,
+        };
+        let piled = if late { 0.1 + noise } else { noise / 20.0 };
+        let held = (!server.is_multiple_of(7)).then_some(f64::from(backend.open) * relays + 3.0);
+        let load = if late { load + 0.4 } else { load };
+        Some(Report { load: (!left_out).then_some(load), piled: Some(piled), held })
+    }
+
+    /// Gives the relay an input, adds what comes of it to the chain, and plans the answers.
+    fn step(&mut self, input: Input) {
+        let mut effects = Vec::new();
+        self.relay.step(self.now, input, &mut effects);
+        self.inputs += 1;
+        self.chain.add(self.now);
+        self.chain.add(effects.len() as u64);
+        for effect in &effects {
+            let (kind, fields) = numbers(effect);
+            self.effects[kind] += 1;
+            self.chain.add(kind as u64);
+            fields.into_iter().for_each(|field| self.chain.add(field));
+        }
+        if self.inputs.is_multiple_of(INPUTS_PER_LINE) {
+            self.write_line();
+        }
+        effects.into_iter().for_each(|effect| self.answer(effect));
+    }
+
+    /// What a relay knows counts too: it decides later.
+    fn write_line(&mut self) {
+        let (step, servers) = self.relay.memory(self.now);
+        self.chain.add(step.to_bits());
+        for memory in servers {
+            self.chain.add(u64::from(memory.server));
+            if let Some((ago, report)) = memory.report {
+                self.chain.add(ago);
+                let fields = [report.load, report.piled, report.held];
+                fields.iter().for_each(|field| self.chain.add(field.unwrap_or(-1.0).to_bits()));
+            }
+            self.chain.add(u64::from(memory.misses));
+            self.chain.add(memory.placed.to_bits());
+            self.chain.add(memory.turn.0);
+            self.chain.add(memory.turn.1.to_bits());
+            self.chain.add(u64::from(self.relay.avoids(self.now, memory.server)));
+        }
+        let counts: Vec<String> = self.effects.iter().map(u64::to_string).collect();
+        let (number, inputs, chain) = (self.number, self.inputs, self.chain.0);
+        _ = writeln!(self.lines, "{number} {inputs} {chain:016x} {}", counts.join(" "));
+    }
+
+    fn answer(&mut self, effect: Effect) {
+        match effect {
+            Effect::Dial { sess, server, .. } => {
+                let dial = self.sessions.get(&sess).map_or(0, |one| one.dial + 1);
+                self.sessions.insert(sess, Held { server, dial, up: false });
+                let late = self.weather == Weather::OneLate && server == 2;
+                let after = (if late { 350 } else { 1 + self.below(40) }) * MILLISECOND;
+                self.schedule(after, Due::DialOutcome { sess, dial });
+            }
+            Effect::Refuse { sess, .. } | Effect::TearDown { sess } => {
+                self.sessions.remove(&sess);
+                if self.hits(40) {
+                    let after = (200 + self.below(1_500)) * MILLISECOND;
+                    let input = self.request(true);
+                    self.schedule(after, Due::Input(input));
+                }
+            }
+            Effect::Move { sess } => {
+                let after = (1 + self.below(60)) * MILLISECOND;
+                self.schedule(after, Due::End { sess });
+                let input = self.request(true);
+                self.schedule(after + 3 * MILLISECOND, Due::Input(input));
+            }
+            Effect::Probe { server } => {
+                let after = (1 + self.below(30)) * MILLISECOND;
+                self.schedule(after, Due::ProbeAnswer { server });
+            }
+            Effect::Alarm { after, label } => self.schedule(after, Due::Input(Input::Alarm { label })),
+            Effect::Watch => {
+                let kind = if self.hits(60) { ListKind::Broken } else { ListKind::Full };
+                let after = (20 + self.below(400)) * MILLISECOND;
+                let entries = match kind {
+                    ListKind::Full => self.backends.values().map(|backend| backend.entry).collect(),
+                    _ => Vec::new(),
+                };
+                self.schedule(after, Due::Input(Input::List { kind, entries }));
+            }
+        }
+    }
+
+    fn request(&mut self, returned: bool) -> Input {
+        self.last_session += 1;
+        let asked = Asked {
+            listener: self.below(7) as usize,
+            key: self.below(1000),
+            group: if self.hits(50) { 1 + self.below(9) } else { 0 },
+            returned,
+            left: [0, 150, 400, 1_000, 1_000, 2_000, 2_000, 2_000, 2_000, 2_000][self.below(10) as usize]
+                * MILLISECOND,
+        };
+        Input::Asked { sess: self.last_session, asked }
+    }
+
+    fn come_due(&mut self, due: Due) {
+        match due {
+            Due::Input(input) => self.step(input),
+            Due::DialOutcome { sess, dial } => self.dial_outcome(sess, dial),
+            Due::ProbeAnswer { server } => {
+                let report = self.report(server);
+                let silent = self.weather == Weather::Silent && server.is_multiple_of(2);
+                let end = match report {
+                    _ if silent && self.hits(60) => DialEnd::Timeout,
+                    None => DialEnd::Unconnected,
+                    Some(_) if self.hits(3) => DialEnd::Moot,
+                    Some(_) if self.hits(3) => DialEnd::Full,
+                    Some(_) => DialEnd::Ok,
+                };
+                self.step(Input::Probed { server, end, report });
+            }
+            Due::End { sess } => {
+                if let Some(held) = self.sessions.remove(&sess) {
+                    self.leave(held.server);
+                    self.step(Input::Left { sess });
+                }
+            }
+        }
+    }
+
+    fn leave(&mut self, server: ServerId) {
+        if let Some(backend) = self.backends.get_mut(&server) {
+            backend.open = backend.open.saturating_sub(1);
+        }
+    }
+
+    fn dial_outcome(&mut self, sess: SessId, dial: u32) {
+        let Some(held) = self.sessions.get(&sess).filter(|held| held.dial == dial && !held.up) else {
+            return;
+        };
+        let server = held.server;
+        let bad = match self.weather {
+            Weather::Dropping if server % 3 == 1 => 70,
+            Weather::Dropping => 10,
+            Weather::Silent if server.is_multiple_of(2) => 60,
+            Weather::AllLate => 25,
+            _ => 8,
+        };
+        if self.hits(1) {
+            self.sessions.entry(sess).and_modify(|held| held.dial = dial.wrapping_sub(1));
+            if dial == 0 {
+                self.sessions.remove(&sess);
+            }
+            return self.step(Input::NotBegun { sess, dial });
+        }
+        let report = if self.hits(30) { self.report(server) } else { None };
+        if self.hits(bad) {
+            let ends = [
+                DialEnd::Error,
+                DialEnd::Full,
+                DialEnd::Timeout,
+                DialEnd::Unconnected,
+                DialEnd::Reset,
+                DialEnd::Recalled,
+                DialEnd::Moot,
+            ];
+            let end = ends[self.below(7) as usize];
+            return self.step(Input::DialEnded { sess, dial, end, settled: false, report });
+        }
+        if self.hits(15) {
+            self.sessions.remove(&sess);
+            return self.step(Input::DialEnded { sess, dial, end: DialEnd::Ok, settled: true, report });
+        }
+        self.sessions.entry(sess).and_modify(|held| held.up = true);
+        if let Some(backend) = self.backends.get_mut(&server) {
+            backend.open += 1;
+        }
+        let life = (500 + self.below(15_000)) * MILLISECOND;
+        self.schedule(life, Due::End { sess });
+        self.step(Input::Stands { sess, dial });
+    }
+
+    /// One of the open sessions.
+    fn open_session(&mut self) -> Option<(SessId, ServerId)> {
+        let open = self.sessions.iter().filter(|(_, held)| held.up);
+        let open: Vec<(SessId, ServerId)> = open.map(|(sess, held)| (*sess, held.server)).collect();
+        let at = self.below(open.len().max(1) as u64) as usize;
+        open.get(at).copied()
+    }
+
+    /// What comes unasked.
+    fn happen(&mut self) {
+        match self.below(100) {
+            0..50 => {
+                let returned = self.hits(if self.weather == Weather::Storm { 80 } else { 10 });
+                let input = self.request(returned);
+                self.step(input);
+            }
+            50..60 => {
+                if let Some((sess, _)) = self.open_session() {
+                    let load = 0.2 + self.below(300) as f64 / 100.0;
+                    self.step(Input::Load { sess, load });
+                }
+            }
+            60..74 => {
+                if let Some((sess, server)) = self.open_session() {
+                    let late = match self.weather {
+                        Weather::OneLate => server == 2,
+                        Weather::AllLate => !server.is_multiple_of(3),
+                        _ => false,
+                    };
+                    let delay = self.below(50) as f64 / 1000.0 + if late { 0.2 } else { 0.0 };
+                    self.step(Input::Delay { sess, delay });
+                }
+            }
+            74..79 => {
+                if let Some((sess, server)) = self.open_session() {
+                    let dial = self.sessions.remove(&sess).map_or(0, |held| held.dial);
+                    self.leave(server);
+                    let end = [DialEnd::Reset, DialEnd::Ok, DialEnd::Recalled][self.below(3) as usize];
+                    self.step(Input::DialEnded { sess, dial, end, settled: true, report: None });
+                }
+            }
+            79..87 => self.change_list(),
+            87..90 => self.step(Input::List { kind: ListKind::Broken, entries: Vec::new() }),
+            90..93 => {
+                self.last_session += 1;
+                let (sess, listener) = (self.last_session, self.below(6) as usize);
+                let server = 1 + self.below(u64::from(self.last_server)) as ServerId;
+                let asked = Asked { listener, group: self.below(4), left: SECOND, ..Asked::default() };
+                self.sessions.insert(sess, Held { server, dial: 0, up: true });
+                let life = (500 + self.below(9_000)) * MILLISECOND;
+                self.schedule(life, Due::End { sess });
+                self.step(Input::AlreadyOpen { sess, server, asked });
+            }
+            93..96 => {
+                let (listener, handshake) = (self.below(6) as usize, 150 + self.below(300));
+                let mut facts = self.facts.clone();
+                facts.listeners[listener].handshake_target = handshake * MILLISECOND;
+                facts.most_dials = 1 + self.below(5) as u32;
+                facts.may_probe = self.number != 5 && !self.hits(10);
+                self.step(Input::Facts(Box::new(facts)));
+            }
+            96..98 => self.remember(),
+            // Of a session that there is not.
+            98 => self.step(Input::Left { sess: 1_000_000 }),
+            _ => self.step(Input::Stands { sess: 1_000_000, dial: 0 }),
+        }
+    }
+
+    fn change_list(&mut self) {
+        if self.backends.len() < 12 && self.hits(50) {
+            let entry = self.add_backend(true);
+            return self.step(Input::List { kind: ListKind::Changes, entries: vec![entry] });
+        }
+        let at = self.below(self.backends.len() as u64) as usize;
+        let server = *self.backends.keys().nth(at).expect("within them");
+        let phases = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone];
+        let mut entry = self.backends[&server].entry;
+        entry.phase = phases[self.below(4) as usize];
+        if self.hits(25) {
+            entry.came_up = self.now;
+        }
+        if entry.phase == Phase::Gone && self.backends.len() > 4 {
+            self.backends.remove(&server);
+        } else {
+            self.backends.entry(server).and_modify(|backend| backend.entry = entry);
+        }
+        let kind = if self.hits(20) { ListKind::Full } else { ListKind::Changes };
+        let entries = match kind {
+            ListKind::Full => self.backends.values().map(|backend| backend.entry).collect(),
+            _ => vec![entry],
+        };
+        self.step(Input::List { kind, entries });
+    }
+
+    fn remember(&mut self) {
+        let mut servers = Vec::new();
+        for server in 1..=self.last_server {
+            if self.hits(40) {
+                let report = self.report(server).map(|report| (self.below(3) * SECOND, report));
+                servers.push(Memory {
+                    server,
+                    report,
+                    misses: self.below(2) as u32,
+                    placed: self.below(5) as f64,
+                    turn: (self.below(4_000) * MILLISECOND, self.below(1000) as f64 / 1000.0),
+                });
+            }
+        }
+        let step = self.below(300) as f64 / 1000.0;
+        self.step(Input::Remember { step, servers });
+    }
+
+    fn play(mut self) -> String {
+        for _ in 0..(5 + self.number % 4) {
+            self.add_backend(false);
+        }
+        let entries = self.backends.values().map(|backend| backend.entry).collect();
+        self.step(Input::List { kind: ListKind::Full, entries });
+        while self.inputs < INPUTS_PER_SITE {
+            if self.now >= self.weather_ends {
+                self.weather = WEATHERS[self.below(7) as usize];
+                self.weather_ends = self.now + (1_500 + self.below(3_000)) * MILLISECOND;
+            }
+            // Each of many relays has few sessions.
+            let usual = 90 + 3 * u64::from(self.facts.relays.min(300));
+            let mean = if self.weather == Weather::Storm { usual / 8 } else { usual };
+            let next = self.now + 1 + self.below(2 * mean * MILLISECOND);
+            while let Some((&key, _)) = self.due.first_key_value().filter(|(key, _)| key.0 <= next) {
+                let due = self.due.remove(&key).expect("it was just seen");
+                self.now = self.now.max(key.0);
+                self.come_due(due);
+            }
+            self.now = next;
+            self.happen();
+        }
+        let last = INPUTS_PER_SITE / INPUTS_PER_LINE;
+        self.lines.lines().take(last as usize).map(|line| format!("{line}\n")).collect()
+    }
+}
+
+#[test]
+fn every_decision_is_as_before() {
+    let trace: String = (0..SITES).map(|number| Site::new(number).play()).collect();
+    let pinned = include_str!("fixtures/decisions.txt");
+    if trace == pinned {
+        return;
+    }
+    let written = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("decisions.txt");
+    std::fs::write(&written, &trace).expect("the trace is written");
+    let differs = trace.lines().zip(pinned.lines()).find(|(now, then)| now != then);
+    panic!("{differs:?} is where decisions differ first (now, then); all of them: {}", written.display());
+}
