--- a/tests/decisions_trace.rs
+++ b/tests/decisions_trace.rs
@@ -127,12 +127,12 @@
         relays: [1, 2, 6, 20, 300, 100, 3, 900, 12, 40][at],
         slot: [0, 1, 3, 7, 120, 99, 2, 850, 11, 0][at],
         zone: number as u8 % 3,
-        must_watch: number % 2 == 0,
+        must_watch: number.is_multiple_of(2),
         may_probe: number != 5,
         groups: number % 3 != 1,
         most_dials: [4, 3, 2, 4, 4, 3, 1, 4, 5, 4][at],
         max_open: [1000, 30, 400, 1000, 1000, 500, 60, 200, 1000, 1000][at],
-        retry_after: (number % 4 != 0).then_some(u64::from(number) * 300 * MILLISECOND),
+        retry_after: (!number.is_multiple_of(4)).then_some(u64::from(number) * 300 * MILLISECOND),
         cold: (8 + 2 * u64::from(number)) * SECOND,
         cold_from: 0.1 + 0.02 * f64::from(number),
         fall_multiple: 2.0 + 0.3 * f64::from(number),
@@ -209,7 +209,7 @@
         let load = others + noise + f64::from(backend.open) * relays / (backend.capacity * 6.0);
         let late = match self.weather {
             Weather::OneLate => server == 2,
-            Weather::AllLate => server % 4 != 0,
+            Weather::AllLate => !server.is_multiple_of(4),
             _ => false,
         };
         let piled = if late { 0.1 + noise } else { noise / 20.0 };
