--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -1,7 +1,7 @@
 //! The whole answer of `/v1/metrics`, compared as text with `fixtures/metrics.txt`. Each field has a value of
 //! its own, so that two that change places are found.
-use hallrelay_fleet::membership::Counts;
-use hallrelay_fleet::message::Fault;
+use hallrelay_membership::membership::Counts;
+use hallrelay_membership::message::Fault;
 use hallrelay_relay::figures::text;
 use hallrelay_relay::net::permit::Denials;
 use hallrelay_relay::reducer::{Figures, FleetFigures, Outcomes};
--- a/tests/decisions_trace.rs
+++ b/tests/decisions_trace.rs
@@ -4,8 +4,8 @@
 //! would: a changed decision changes all that follows in its site.
 //!
 //! A line of the fixture: site, inputs so far, the hash, then how many effects of each kind there were.
-use hallrelay::logic::Relay;
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
+use hallrelay_balancer::Relay;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
