--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -209,7 +209,7 @@
             }
             let (host, asked) = (self.host.clone(), r.asked.clone());
             tokio::task::spawn_local(async move {
-                if let Ok(status) = hallrelay_relay::status::ask(at).await {
+                if let Ok(status) = hallrelay_relay::operator_client::fleet_status(at).await {
                     host.with(|day, now, _| day.beliefs.told(now, relay, &status));
                 }
                 asked.set(false);
@@ -233,7 +233,7 @@
             for _ in 0..STEPS {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 let Some(at) = at else { break };
-                if hallrelay_relay::status::ready(at).await {
+                if hallrelay_relay::operator_client::is_ready(at).await {
                     old.signal(libc::SIGTERM);
                     break;
                 }
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -1,9 +1,10 @@
 //! The command line, for `hallrelay` itself and for programs that start a relay of their own.
-use crate::drain;
+use crate::drain_command::{self, DrainCommand};
+use crate::fleet_table;
 use crate::net::{serve, stop};
-use crate::release;
+use crate::operator_client;
+use crate::release_command::{self, ReleaseCommand};
 use crate::shelf::{self, Shelf};
-use crate::status;
 use clap::{Parser, Subcommand};
 use hallrelay_config::fleet::Fleet;
 use hallrelay_config::node::{self, Node, Told};
@@ -42,12 +43,12 @@
     /// What may be out, as it is agreed across the fleet: let out, bring back, see.
     Drain {
         #[command(subcommand)]
-        what: drain::Drain,
+        what: DrainCommand,
     },
     /// A release in waves over what is agreed: begin, halt, go on, go back.
     Release {
         #[command(subcommand)]
-        what: release::Release,
+        what: ReleaseCommand,
     },
     /// Look at the store that a relay keeps in its state folder.
     Store {
@@ -117,7 +118,7 @@
         What::Fleet { what: FleetWhat::Status { at, json } } => {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| format!("the runtime does not start: {e}"))?;
-            let status = match runtime.block_on(status::ask(at)) {
+            let status = match runtime.block_on(operator_client::fleet_status(at)) {
                 Ok(status) => status,
                 Err(why) => {
                     eprintln!("hallrelay: {why}");
@@ -127,12 +128,12 @@
             if json {
                 println!("{}", serde_json::to_string_pretty(&status).map_err(|e| e.to_string())?);
             } else {
-                print!("{}", status::text(&status));
+                print!("{}", fleet_table::table(&status));
             }
             return Ok(u8::from(!status.is_whole()));
         }
-        What::Drain { what } => return drain::run(what),
-        What::Release { what } => return release::run(what),
+        What::Drain { what } => return drain_command::run(what),
+        What::Release { what } => return release_command::run(what),
         What::Store { what } => return Ok(shelf::run(&what)),
         What::Version => println!("hallrelay {}", env!("CARGO_PKG_VERSION")),
         What::Check { given } => {
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -107,7 +107,7 @@
     assert!(status.twin.is_some() && status.dropped.len() == Fault::ALL.len());
     assert_eq!(serde_json::to_string(&status).expect("JSON"), text("status.json").trim_end());
     assert_eq!(serde_json::to_string_pretty(&status).expect("JSON"), text("status_pretty.json").trim_end());
-    assert_eq!(hallrelay_relay::status::text(&status), text("status.txt"));
+    assert_eq!(hallrelay_relay::fleet_table::table(&status), text("status.txt"));
     let read: Status = serde_json::from_str(&text("status.json")).expect("a status");
     assert_eq!(read, status);
 
