--- /dev/null
+++ b/model_checker/src/cluster/execution.rs
@@ -0,0 +1,233 @@
+//! Carries out what the voters want done: messages, writes and committed commands.
+use super::initial::request_lease;
+use super::state::{Channel, ClusterState, GrantOwner, MessageKind, PendingWrite};
+use super::{id_of, position_of, ClusterModel, Mutation};
+use hallrelay_disruption::{Command, Condition, Outcome, State as StateMachine};
+use hallrelay_raft::{Effect, Event, Id, Message, MessageBody, Node, Role, Snapshot, Term, Voter, Write};
+
+/// Proposals are numbered `request * HOLDERS + holder`.
+const HOLDERS: u64 = 8;
+/// Messages and writes that are handled at most until nothing is in flight.
+const MAX_SETTLE_STEPS: usize = 400;
+
+/// Whether a voter leads.
+pub(super) fn is_leader(node: &Node) -> bool {
+    node.role() == Role::Leader
+}
+
+impl ClusterModel {
+    /// A process starts with what is on its disk.
+    pub(super) fn start_server(&self, state: &mut ClusterState, position: usize) {
+        let server = state.server_mut(position);
+        let is_restart = server.node.is_some();
+        let state_machine_before = std::mem::take(&mut server.state_machine);
+        let own = Voter { id: id_of(position), incarnation: server.incarnation };
+        let mut effects = Vec::new();
+        server.pending_writes.clear();
+        server.node = Some(Node::new(own, self.ids(), server.disk.clone(), &mut effects));
+        self.carry_out(state, position, effects);
+        if is_restart && self.mutation == Mutation::AppliesTwice {
+            state.server_mut(position).state_machine = state_machine_before;
+        }
+    }
+
+    /// A voter handles an event.
+    pub(super) fn step(&self, state: &mut ClusterState, position: usize, event: Event) {
+        let Some(node) = &mut state.server_mut(position).node else { return };
+        let mut effects = Vec::new();
+        node.step(event, &mut effects);
+        self.carry_out(state, position, effects);
+    }
+
+    fn carry_out(&self, state: &mut ClusterState, position: usize, effects: Vec<Effect>) {
+        let mut has_writes = false;
+        for effect in effects {
+            match effect {
+                Effect::Send(message) => {
+                    state.in_flight.insert(Channel::of(&message), message);
+                }
+                Effect::Write { number, write } => {
+                    let pending = PendingWrite { number, write };
+                    state.server_mut(position).pending_writes.push_back(pending);
+                    has_writes = true;
+                }
+                Effect::Apply { command, proposal_id, .. } => {
+                    self.apply(state, position, &command, proposal_id);
+                }
+                Effect::RestoreSnapshot { snapshot } => restore_snapshot(state, position, &snapshot),
+                Effect::LeadershipChanged { is_leader: true, term } => {
+                    note_leader(state, id_of(position), term);
+                }
+                // The search decides on times; a proposal that is not accepted was not made.
+                Effect::LeadershipChanged { .. }
+                | Effect::SetTimer(_)
+                | Effect::ProposalRejected { .. }
+                | Effect::ProposalOutcomeUnknown { .. } => {}
+            }
+        }
+        while has_writes && !self.slow_disks && !state.servers[position].pending_writes.is_empty() {
+            self.complete_write(state, position);
+        }
+    }
+
+    /// The oldest pending write becomes durable.
+    pub(super) fn complete_write(&self, state: &mut ClusterState, position: usize) {
+        let server = state.server_mut(position);
+        let Some(PendingWrite { number, write }) = server.pending_writes.pop_front() else { return };
+        let is_lost = match write {
+            Write::Vote { .. } => self.mutation == Mutation::VoteNotSynced,
+            Write::Log { .. } => self.mutation == Mutation::LogNotSynced,
+            Write::Snapshot { .. } => false,
+        };
+        if !is_lost {
+            server.disk.apply(write);
+        }
+        self.step(state, position, Event::WritesDurable(number));
+    }
+
+    /// A committed command is applied. Where it was proposed here, the holder learns the outcome.
+    fn apply(&self, state: &mut ClusterState, position: usize, command: &[u8], proposal_id: Option<u64>) {
+        let Ok(command) = Command::decode(command) else { return };
+        let committed_health = committed_health(&command);
+        let command = self.mutated_command(command);
+        let outcome = state.server_mut(position).state_machine.apply(&command);
+        let holder = proposal_id.map(|proposal_id| (proposal_id % HOLDERS) as usize);
+        let Some(holder) = holder.filter(|holder| *holder < state.holders.len()) else { return };
+        match committed_health {
+            Some(Condition::Up) => {
+                state.unhealthy_holders.remove(&holder);
+            }
+            Some(_) => {
+                state.unhealthy_holders.insert(holder);
+            }
+            None => {}
+        }
+        match (command, outcome) {
+            (Command::Ask { call, .. }, Outcome::Granted { grant }) => {
+                self.note_grant(state, grant, GrantOwner { holder, request: call });
+            }
+            (Command::Begin { grant, .. }, Outcome::Done) => {
+                state.holders[holder].is_out |= state.holders[holder].grant == grant;
+            }
+            _ => {}
+        }
+    }
+
+    fn mutated_command(&self, command: Command) -> Command {
+        match (self.mutation, command) {
+            (Mutation::ExpiresWhileOut, Command::Lapse { thing, .. }) => {
+                Command::Free { thing, by: "time".to_string() }
+            }
+            (Mutation::WarmingCountsAsUp, Command::Seen { thing, place, condition: Condition::Cold }) => {
+                Command::Seen { thing, place, condition: Condition::Up }
+            }
+            (_, command) => command,
+        }
+    }
+
+    fn note_grant(&self, state: &mut ClusterState, grant: u64, owner: GrantOwner) {
+        // The same grant is answered again to the same request.
+        let is_new = !state.grants.contains_key(&grant);
+        if is_new && state.unhealthy_holders.iter().any(|other| *other != owner.holder) {
+            state.violate("who is down or cold counts as out");
+        }
+        let holder = &mut state.holders[owner.holder];
+        holder.grant = grant;
+        if self.mutation == Mutation::BeginsUncommitted {
+            holder.is_out = true;
+        }
+        if state.grants.insert(grant, owner).is_some_and(|previous| previous != owner) {
+            state.violate("a grant number used once");
+        }
+    }
+
+    /// A voter is given a command for the log, on behalf of a holder.
+    pub(super) fn propose(
+        &self,
+        state: &mut ClusterState,
+        position: usize,
+        holder: usize,
+        command: &Command,
+    ) {
+        state.last_request += 1;
+        let proposal_id = state.last_request * HOLDERS + holder as u64;
+        self.step(state, position, Event::Propose { proposal_id, command: command.encode() });
+    }
+
+    /// A message as the mutation changes it.
+    fn mutated_message(&self, message: &Message) -> Message {
+        let mut message = message.clone();
+        match (self.mutation, &mut message.body) {
+            (
+                Mutation::LogNotCompared,
+                MessageBody::RequestVote { last_log_index, .. }
+                | MessageBody::RequestPreVote { last_log_index, .. },
+            ) => *last_log_index += 9,
+            (Mutation::AcknowledgesAhead, MessageBody::AppendResponse { success: true, index }) => {
+                *index += 1
+            }
+            _ => {}
+        }
+        message
+    }
+
+    /// Delivers a message and the response to it.
+    pub(super) fn deliver(&self, state: &mut ClusterState, message: &Message) {
+        let message = self.mutated_message(message);
+        let (from, to) = (message.from.id, message.to.id);
+        let response_kind = MessageKind::of(&message.body).immediate_response();
+        let response_channel = response_kind.map(|kind| Channel { from: to, to: from, kind });
+        let previous = response_channel.and_then(|channel| state.in_flight.remove(&channel));
+        self.step(state, position_of(to), Event::MessageReceived(message));
+        let Some(channel) = response_channel else { return };
+        if let Some(response) = state.in_flight.remove(&channel) {
+            let response = self.mutated_message(&response);
+            self.step(state, position_of(from), Event::MessageReceived(response));
+        } else if let Some(previous) = previous {
+            state.in_flight.insert(channel, previous);
+        }
+    }
+
+    /// Delivers all messages and completes all writes until there are none.
+    pub(super) fn settle(&self, state: &mut ClusterState) {
+        for _ in 0..MAX_SETTLE_STEPS {
+            let writing = (0..self.voters).find(|server| !state.servers[*server].pending_writes.is_empty());
+            if let Some(server) = writing {
+                self.complete_write(state, server);
+                continue;
+            }
+            let Some((channel, message)) = state.in_flight.pop_first() else { return };
+            self.step(state, position_of(channel.to), Event::MessageReceived(message));
+        }
+    }
+
+    /// A leader answers a request from its own state and proposes the command only then.
+    pub(super) fn grant_without_log(&self, state: &mut ClusterState, position: usize, holder: usize) {
+        let request = request_lease(holder, state.holders[holder].request);
+        let mut state_machine = state.servers[position].state_machine.clone();
+        if let Outcome::Granted { grant } = state_machine.apply(&request) {
+            state.holders[holder].grant = grant;
+            state.holders[holder].is_out = true;
+        }
+    }
+}
+
+fn restore_snapshot(state: &mut ClusterState, position: usize, snapshot: &Snapshot) {
+    if let Ok(state_machine) = StateMachine::decode(&snapshot.state) {
+        state.server_mut(position).state_machine = state_machine;
+    }
+}
+
+fn note_leader(state: &mut ClusterState, id: Id, term: Term) {
+    if state.leaders.insert(term, id).is_some_and(|previous| previous != id) {
+        state.violate("one leader a term");
+    }
+}
+
+/// The health that a command commits.
+fn committed_health(command: &Command) -> Option<Condition> {
+    match command {
+        Command::Seen { condition, .. } => Some(*condition),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/model_checker/src/cluster/initial.rs
@@ -0,0 +1,118 @@
+//! The initial state: a bootstrapped cluster whose state machine has the budget and all holders.
+use super::state::{ClusterState, GrantOwner, Holder, Server};
+use super::{holder_name, ClusterModel, Mutation, BUDGET};
+use hallrelay_disruption::{Budget, Command, Condition, Kind, Place, Scope, State as StateMachine};
+use hallrelay_raft::{Event, PersistentState, Snapshot, Timer};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+impl ClusterModel {
+    pub(super) fn initial(&self) -> ClusterState {
+        let mut state = self.stopped_cluster();
+        for server in 0..self.voters {
+            self.start_server(&mut state, server);
+        }
+        if self.starts_with_leader {
+            self.elect_first(&mut state);
+        } else {
+            // No leader was heard for an election timeout.
+            for server in 0..self.voters {
+                self.step(&mut state, server, Event::TimerExpired(Timer::ElectionTimeout));
+            }
+            state.in_flight.clear();
+        }
+        self.make_canonical(&mut state);
+        state
+    }
+
+    /// All servers with the same snapshot on their disks, not started.
+    fn stopped_cluster(&self) -> ClusterState {
+        let mut holders = vec![Holder::default(); self.holders];
+        let mut grants = BTreeMap::new();
+        if self.starts_disrupted {
+            holders[0] = Holder { request: 1, grant: 1, is_out: true, ..Holder::default() };
+            grants.insert(1, GrantOwner { holder: 0, request: 1 });
+        }
+        let snapshot = Snapshot {
+            index: 1,
+            term: 1,
+            voters: self.first_voters(),
+            state: self.initial_state_machine().encode(),
+        };
+        let disk = PersistentState { term: 1, snapshot, ..PersistentState::default() };
+        let server = Server { disk, incarnation: 1, ..Server::default() };
+        ClusterState {
+            servers: (0..self.voters).map(|_| Arc::new(server.clone())).collect(),
+            in_flight: BTreeMap::new(),
+            delayed: BTreeSet::new(),
+            holders,
+            limits: self.limits,
+            leaders: BTreeMap::new(),
+            grants,
+            unhealthy_holders: BTreeSet::new(),
+            timed_out: 0,
+            last_request: 1,
+            violated: None,
+        }
+    }
+
+    fn initial_state_machine(&self) -> StateMachine {
+        let budget = Budget { of: Kind::Relay, scope: Scope::Fleet, count: Some(BUDGET), part: None };
+        let mut state_machine = StateMachine::default();
+        state_machine.apply(&Command::Budgets(vec![budget]));
+        for holder in 0..self.holders {
+            state_machine.apply(&Command::Seen {
+                thing: holder_name(holder),
+                place: Place::default(),
+                condition: Condition::Up,
+            });
+        }
+        if self.starts_disrupted {
+            state_machine.apply(&request_lease(0, 1));
+            state_machine.apply(&Command::Begin { thing: holder_name(0), grant: 1 });
+        }
+        match self.mutation {
+            Mutation::GrantNumbersForgotten => {
+                without_grants(&state_machine, state_machine.budgets().to_vec())
+            }
+            Mutation::BudgetsForgotten => without_grants(&state_machine, Vec::new()),
+            _ => state_machine,
+        }
+    }
+
+    /// Elects the first server and lets all messages arrive.
+    fn elect_first(&self, state: &mut ClusterState) {
+        // A voter grants a pre-vote once its own election timeout has expired.
+        for server in (0..self.voters).rev() {
+            self.step(state, server, Event::TimerExpired(Timer::ElectionTimeout));
+            state.in_flight.clear();
+        }
+        self.step(state, 0, Event::TimerExpired(Timer::ElectionTimeout));
+        self.settle(state);
+    }
+}
+
+/// A holder's request of a lease.
+pub(super) fn request_lease(holder: usize, request: u64) -> Command {
+    Command::Ask {
+        thing: holder_name(holder),
+        call: request,
+        by: String::new(),
+        why: String::new(),
+        force: false,
+    }
+}
+
+/// The state machine with the same health of all, other budgets, and no grant ever given.
+fn without_grants(state_machine: &StateMachine, budgets: Vec<Budget>) -> StateMachine {
+    let mut fresh = StateMachine::default();
+    fresh.apply(&Command::Budgets(budgets));
+    for (thing, record) in state_machine.things() {
+        fresh.apply(&Command::Seen {
+            thing: thing.clone(),
+            place: record.place.clone(),
+            condition: record.condition,
+        });
+    }
+    fresh
+}
--- /dev/null
+++ b/model_checker/src/cluster/invariants.rs
@@ -0,0 +1,62 @@
+//! The invariants that each state is held against. Those of a single transition (one leader a term, grant
+//! numbers, unhealthy holders) are noted in the state as it is taken.
+use super::state::{ClusterState, Server};
+use super::BUDGET;
+use hallrelay_disruption::{Record, Stage};
+use hallrelay_raft::Node;
+
+/// The name of an invariant that does not hold.
+pub(super) fn violated(state: &ClusterState) -> Option<&'static str> {
+    if state.violated.is_some() {
+        return state.violated;
+    }
+    if state.holders.iter().filter(|holder| holder.is_out).count() > BUDGET as usize {
+        return Some("never more out than the budget");
+    }
+    if state.servers.iter().any(|server| leases_in_use(server) > BUDGET as usize) {
+        return Some("never more granted than the budget");
+    }
+    violated_by_a_pair(state)
+}
+
+/// Leases in use by a server's own state machine.
+fn leases_in_use(server: &Server) -> usize {
+    // A holder that failed after it was granted a lease is not counted.
+    let is_in_use = |record: &Record| matches!(record.stage, Stage::Granted | Stage::Out);
+    server.state_machine.things().filter(|(_, record)| is_in_use(record)).count()
+}
+
+fn violated_by_a_pair(state: &ClusterState) -> Option<&'static str> {
+    for (position, server) in state.servers.iter().enumerate() {
+        for other in &state.servers[position + 1..] {
+            let violated = violated_between(server, other);
+            if violated.is_some() {
+                return violated;
+            }
+        }
+    }
+    None
+}
+
+fn violated_between(server: &Server, other: &Server) -> Option<&'static str> {
+    let (Some(node), Some(other_node)) = (&server.node, &other.node) else { return None };
+    if node.commit_index() == other_node.commit_index() && server.state_machine != other.state_machine {
+        return Some("same log, same state");
+    }
+    violated_between_logs(node, other_node)
+}
+
+/// Log matching and state machine safety (figure 3 of the Raft paper).
+fn violated_between_logs(node: &Node, other: &Node) -> Option<&'static str> {
+    let committed = node.commit_index().min(other.commit_index());
+    for entry in node.log().entries() {
+        let Some(other_entry) = other.log().entry(entry.index) else { continue };
+        if entry.term == other_entry.term && entry.payload != other_entry.payload {
+            return Some("log matching");
+        }
+        if entry.index <= committed && entry != other_entry {
+            return Some("agreed is agreed");
+        }
+    }
+    None
+}
--- /dev/null
+++ b/model_checker/src/cluster/recovery.rs
@@ -0,0 +1,56 @@
+//! Liveness: from any state, once no fault occurs any more, a leader is elected and a lease is granted.
+use super::execution::is_leader;
+use super::initial::request_lease;
+use super::state::{ClusterState, Holder};
+use super::{holder_name, ClusterModel};
+use hallrelay_disruption::{Command, Condition, Place};
+use hallrelay_raft::{Event, Timer};
+
+/// Election timeouts that expire, one server after another, until a cluster counts as stuck.
+const MAX_ROUNDS: usize = 24;
+/// The number of the last request, which no other has.
+const FINAL_REQUEST: u64 = 1 << 40;
+
+impl ClusterModel {
+    /// Lets one server after another time out, with all messages delivered and all writes durable, until a
+    /// leader grants a lease.
+    pub(super) fn recovers(&self, state: &ClusterState) -> bool {
+        let mut state = state.clone();
+        state.in_flight.clear();
+        state.delayed.clear();
+        for round in 0..MAX_ROUNDS {
+            if self.leader_grants(&mut state) {
+                return true;
+            }
+            self.step(&mut state, round % self.voters, Event::TimerExpired(Timer::ElectionTimeout));
+            self.settle(&mut state);
+        }
+        false
+    }
+
+    /// Whether there is a leader that still leads after a heartbeat and grants a lease.
+    fn leader_grants(&self, state: &mut ClusterState) -> bool {
+        let leader = (0..self.voters).find(|server| state.node(*server).is_some_and(is_leader));
+        let Some(leader) = leader else { return false };
+        self.step(state, leader, Event::TimerExpired(Timer::HeartbeatTimeout));
+        self.settle(state);
+        state.node(leader).is_some_and(is_leader) && self.grants_lease(state, leader)
+    }
+
+    /// Ends all disruptions, then requests a lease.
+    fn grants_lease(&self, state: &mut ClusterState, leader: usize) -> bool {
+        for holder in 0..self.holders {
+            state.holders[holder] = Holder::default();
+            let thing = holder_name(holder);
+            let is_up = Command::Seen { thing, place: Place::default(), condition: Condition::Up };
+            self.propose(state, leader, holder, &is_up);
+            self.settle(state);
+            let free = Command::Free { thing: holder_name(holder), by: "a person".to_string() };
+            self.propose(state, leader, holder, &free);
+            self.settle(state);
+        }
+        self.propose(state, leader, 0, &request_lease(0, FINAL_REQUEST));
+        self.settle(state);
+        state.holders[0].grant > 0
+    }
+}
--- /dev/null
+++ b/model_checker/src/cluster/state.rs
@@ -0,0 +1,169 @@
+//! The states of the model.
+use hallrelay_disruption::State as StateMachine;
+use hallrelay_raft::{Id, Message, MessageBody, Node, PersistentState, Term, Write};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+/// How often each kind of event may still occur.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct EventLimits {
+    /// An election timeout expires.
+    pub election_timeouts: u8,
+    /// A process dies and starts with what is on its disk.
+    pub crashes: u8,
+    /// A process dies and starts with an empty disk.
+    pub disk_losses: u8,
+    /// A message is delivered now and again at any later time.
+    pub duplicates: u8,
+    /// A message is held back and delivered at any later time, maybe after newer ones of its kind.
+    pub delays: u8,
+    /// A leader's heartbeat.
+    pub heartbeats: u8,
+    /// A holder requests a lease or begins its disruption.
+    pub requests: u8,
+    /// A leader proposes that a lease expires.
+    pub expirations: u8,
+    /// The first holder fails, to be back warming up.
+    pub holder_failures: u8,
+    /// A voter compacts its log.
+    pub compactions: u8,
+}
+
+/// A write that is not durable yet.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct PendingWrite {
+    pub number: u64,
+    pub write: Write,
+}
+
+/// A server: its process, its disk and its state machine.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Server {
+    /// None until its first start.
+    pub node: Option<Node>,
+    pub disk: PersistentState,
+    pub incarnation: u64,
+    /// Writes that were requested and are not durable, in order.
+    pub pending_writes: VecDeque<PendingWrite>,
+    pub state_machine: StateMachine,
+}
+
+/// The true health of a holder, whatever the state machine holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) enum Health {
+    #[default]
+    Up,
+    Down,
+    WarmingUp,
+}
+
+/// A lease holder: a relay that wants to be disrupted.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Holder {
+    /// Identifies its present request; 0 for none.
+    pub request: u64,
+    /// The lease that it was granted; 0 for none.
+    pub grant: u64,
+    /// Its disruption has begun.
+    pub is_out: bool,
+    pub health: Health,
+    /// The health that a leader has proposed last.
+    pub reported_health: Health,
+}
+
+/// What a message is about. A newer message of a kind makes an older one on the same way obsolete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) enum MessageKind {
+    Membership,
+    VoteRequest,
+    VoteResponse,
+    Append,
+    AppendResponse,
+}
+
+impl MessageKind {
+    pub(super) fn of(body: &MessageBody) -> MessageKind {
+        match body {
+            MessageBody::Announce { .. } | MessageBody::Bootstrap { .. } => MessageKind::Membership,
+            MessageBody::RequestPreVote { .. } | MessageBody::RequestVote { .. } => MessageKind::VoteRequest,
+            MessageBody::PreVoteResponse { .. } | MessageBody::VoteResponse { .. } => {
+                MessageKind::VoteResponse
+            }
+            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot { .. } => MessageKind::Append,
+            MessageBody::AppendResponse { .. } => MessageKind::AppendResponse,
+        }
+    }
+
+    /// The kind of message that a recipient may send back at once. It is delivered in the same transition.
+    pub(super) fn immediate_response(self) -> Option<MessageKind> {
+        match self {
+            MessageKind::Membership => Some(MessageKind::VoteRequest),
+            MessageKind::VoteRequest => Some(MessageKind::VoteResponse),
+            MessageKind::VoteResponse => Some(MessageKind::Append),
+            MessageKind::Append => Some(MessageKind::AppendResponse),
+            MessageKind::AppendResponse => None,
+        }
+    }
+}
+
+/// The way and kind of a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct Channel {
+    pub from: Id,
+    pub to: Id,
+    pub kind: MessageKind,
+}
+
+impl Channel {
+    pub(super) fn of(message: &Message) -> Channel {
+        Channel { from: message.from.id, to: message.to.id, kind: MessageKind::of(&message.body) }
+    }
+}
+
+/// Whom a grant was given to, and for which of its requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct GrantOwner {
+    pub holder: usize,
+    pub request: u64,
+}
+
+/// A state of the model.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct ClusterState {
+    /// Shared with other states, as most transitions change one or two of them.
+    pub(super) servers: Vec<Arc<Server>>,
+    /// Messages that may be delivered in any order. A newer one replaces an older one of its channel, which is
+    /// lost.
+    pub(super) in_flight: BTreeMap<Channel, Message>,
+    /// Messages that are held back.
+    pub(super) delayed: BTreeSet<Message>,
+    pub(super) holders: Vec<Holder>,
+    pub(super) limits: EventLimits,
+    /// The leader of each term.
+    pub(super) leaders: BTreeMap<Term, Id>,
+    pub(super) grants: BTreeMap<u64, GrantOwner>,
+    /// Holders whose last committed health was not up.
+    pub(super) unhealthy_holders: BTreeSet<usize>,
+    /// Servers whose election timeout has expired, by bits.
+    pub(super) timed_out: u8,
+    /// The last number given to a request or proposal.
+    pub(super) last_request: u64,
+    /// An invariant that was violated by a transition.
+    pub(super) violated: Option<&'static str>,
+}
+
+impl ClusterState {
+    /// A server, to be changed.
+    pub(super) fn server_mut(&mut self, server: usize) -> &mut Server {
+        Arc::make_mut(&mut self.servers[server])
+    }
+
+    pub(super) fn node(&self, server: usize) -> Option<&Node> {
+        self.servers[server].node.as_ref()
+    }
+
+    /// Notes a violation, unless there is one already.
+    pub(super) fn violate(&mut self, invariant: &'static str) {
+        self.violated = self.violated.or(Some(invariant));
+    }
+}
--- /dev/null
+++ b/model_checker/src/cluster/transition.rs
@@ -0,0 +1,122 @@
+//! The transitions of the model, and how they are printed in a trace.
+use hallrelay_disruption::Command;
+use hallrelay_raft::{Message, MessageBody, Payload};
+use std::fmt::{Display, Formatter};
+
+/// A transition of the model. Servers and holders are given by their positions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Transition {
+    /// The election timeout of a server expires.
+    ElectionTimeout(usize),
+    /// The heartbeat timeout of a leader expires.
+    HeartbeatTimeout(usize),
+    /// The oldest pending write of a server is durable.
+    WriteDurable(usize),
+    /// A process dies and starts with what is on its disk.
+    Crash(usize),
+    /// A process dies and starts with an empty disk.
+    DiskLoss(usize),
+    /// A message is delivered, and the response to it too.
+    Deliver(Message),
+    /// The same, and the message may be delivered once more.
+    DeliverTwice(Message),
+    /// A message is held back.
+    Delay(Message),
+    /// A message that was held back is delivered.
+    DeliverDelayed(Message),
+    /// A holder requests a lease.
+    RequestLease {
+        /// The holder.
+        holder: usize,
+        /// The leader that it asks.
+        leader: usize,
+    },
+    /// A holder that was granted a lease begins its disruption.
+    BeginDisruption {
+        /// The holder.
+        holder: usize,
+        /// The leader that it tells.
+        leader: usize,
+    },
+    /// A holder ends its disruption.
+    EndDisruption {
+        /// The holder.
+        holder: usize,
+        /// The leader that it tells.
+        leader: usize,
+    },
+    /// A leader proposes that a lease expires.
+    ExpireLease {
+        /// The holder of the lease.
+        holder: usize,
+        /// The leader.
+        leader: usize,
+    },
+    /// A holder fails.
+    HolderFails(usize),
+    /// A holder that failed is back and warms up.
+    HolderStarts(usize),
+    /// A holder is warm.
+    HolderWarmedUp(usize),
+    /// A leader proposes the health of a holder.
+    ObserveHealth {
+        /// The holder.
+        holder: usize,
+        /// The leader.
+        leader: usize,
+    },
+    /// A server compacts its log.
+    Compact(usize),
+}
+
+impl Display for Transition {
+    fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
+        match self {
+            Transition::ElectionTimeout(server) => write!(f, "impatient {server}"),
+            Transition::HeartbeatTimeout(server) => write!(f, "beat {server}"),
+            Transition::WriteDurable(server) => write!(f, "written {server}"),
+            Transition::Crash(server) => write!(f, "crash {server}"),
+            Transition::DiskLoss(server) => write!(f, "disk-lost {server}"),
+            Transition::Deliver(message) => print_message(f, "deliver", message),
+            Transition::DeliverTwice(message) => print_message(f, "deliver, and once more later,", message),
+            Transition::Delay(message) => print_message(f, "hold up", message),
+            Transition::DeliverDelayed(message) => print_message(f, "deliver late", message),
+            Transition::RequestLease { holder, leader } => write!(f, "ask {holder} at {leader}"),
+            Transition::BeginDisruption { holder, leader } => write!(f, "begin {holder} at {leader}"),
+            Transition::EndDisruption { holder, leader } => write!(f, "back {holder} at {leader}"),
+            Transition::ExpireLease { holder, leader } => write!(f, "lapse {holder} at {leader}"),
+            Transition::HolderFails(holder) => write!(f, "dies {holder}"),
+            Transition::HolderStarts(holder) => write!(f, "starts {holder}"),
+            Transition::HolderWarmedUp(holder) => write!(f, "warms {holder}"),
+            Transition::ObserveHealth { holder, leader } => write!(f, "sees {holder} at {leader}"),
+            Transition::Compact(server) => write!(f, "compact {server}"),
+        }
+    }
+}
+
+fn print_message(f: &mut Formatter, verb: &str, message: &Message) -> std::fmt::Result {
+    write!(f, "{verb} {} to {}, term {}: ", message.from.id, message.to.id, message.term)?;
+    let MessageBody::AppendEntries(request) = &message.body else {
+        return write!(f, "{:?}", message.body);
+    };
+    let payloads: Vec<String> = request.entries.iter().map(|entry| payload_text(&entry.payload)).collect();
+    write!(
+        f,
+        "append after {} of {}: [{}], agreed {}",
+        request.prev_log_index,
+        request.prev_log_term,
+        payloads.join(", "),
+        request.leader_commit
+    )
+}
+
+fn payload_text(payload: &Payload) -> String {
+    match payload {
+        Payload::Noop => "nothing".to_string(),
+        Payload::Command(command) => format!("{:?}", Command::decode(command)),
+        Payload::Configuration(voters) => {
+            let ids: Vec<u32> = voters.iter().map(|voter| voter.id).collect();
+            format!("voters {ids:?}")
+        }
+    }
+}
--- a/model_checker/src/lib.rs
+++ b/model_checker/src/lib.rs
@@ -1,6 +1,9 @@
-//! Every order of events in the small, breadth first, over the program's own `step` functions. What is found
-//! is the shortest way to a broken property. `docs/checking.md`.
-pub mod releases;
-pub mod scenes;
+//! An explicit-state model checker for the replicated state: it visits all orders of events of small models,
+//! breadth first, with the program's own `step` functions. A violation is reported with a shortest
+//! counterexample. `docs/checking.md`.
+#![warn(missing_docs)]
+
+pub mod cluster;
+pub mod instances;
+pub mod rollout;
 pub mod search;
-pub mod voters;
--- a/model_checker/src/main.rs
+++ b/model_checker/src/main.rs
@@ -1,85 +1,117 @@
-//! `hallrelay-checker`: searches, and says what was found.
+//! `hallrelay-checker`: searches the instances named on the command line and prints what was found.
 use clap::Parser;
-use hallrelay_model_checker::releases::{self, Releases};
-use hallrelay_model_checker::search::Model;
-use hallrelay_model_checker::search::{search, Bounds, Found};
-use hallrelay_model_checker::voters::Planted;
+use hallrelay_model_checker::cluster::Mutation;
+use hallrelay_model_checker::instances::{self, Instance};
+use hallrelay_model_checker::rollout::{self, RolloutModel};
+use hallrelay_model_checker::search::{search, Bounds, Model, SearchReport};
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Every order of events of a few voters and holders, breadth first, with faults between them.
+/// Checks all orders of events of a few voters and lease holders, breadth first, with faults between them.
 #[derive(Parser)]
 #[command(name = "hallrelay-checker", version)]
-struct Line {
-    /// One of the scenes: elections, crashes, holders, leaders, disks, unplanned, snapshots, restarts,
+struct Cli {
+    /// The scenes to search: elections, crashes, holders, leaders, disks, unplanned, snapshots, restarts,
     /// releases. All where none is named.
     scene: Vec<String>,
-    /// Plants each known fault and wants it found.
+    /// Plants each known defect; the search must find it.
     #[arg(long)]
     planted: bool,
-    /// States of a scene at most.
+    /// The most states of a scene.
     #[arg(long, default_value_t = 1_000_000)]
     states: usize,
-    /// Of each scene one state in so many is looked at for a way on; 0 is none.
+    /// One state in so many is checked for a way on once nothing fails any more; 0 for none.
     #[arg(long, default_value_t = 16)]
     way_on: u64,
 }
 
-/// The scene that is not of voters.
-const RELEASES: &str = "releases";
+/// The name of the rollout model on the command line.
+const ROLLOUT: &str = "releases";
+/// Its failures and operators' commands.
+const ROLLOUT_FAILURES: u8 = 2;
+const ROLLOUT_COMMANDS: u8 = 4;
+/// The exit status after a wrong command line.
+const USAGE_ERROR: u8 = 2;
+
+impl Cli {
+    fn is_selected(&self, name: &str) -> bool {
+        self.scene.is_empty() || self.scene.iter().any(|scene| scene == name)
+    }
+
+    fn unknown_scene(&self) -> Option<&String> {
+        let is_known =
+            |name: &str| name == ROLLOUT || instances::ALL.iter().any(|instance| instance.name == name);
+        self.scene.iter().find(|name| !is_known(name))
+    }
+
+    fn bounds(&self) -> Bounds {
+        Bounds { max_states: self.states, max_depth: usize::MAX, recovery_sampling: self.way_on }
+    }
+}
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let scenes = hallrelay_model_checker::scenes::ALL;
-    let known = |name: &str| name == RELEASES || scenes.iter().any(|scene| scene.name == name);
-    if let Some(odd) = line.scene.iter().find(|name| !known(name)) {
-        let names: Vec<&str> = scenes.iter().map(|scene| scene.name).collect();
-        eprintln!("hallrelay-checker: no scene {odd}, wanted one of {}", names.join(", "));
-        return ExitCode::from(2);
+    let cli = Cli::parse();
+    if let Some(unknown) = cli.unknown_scene() {
+        let names: Vec<&str> = instances::ALL.iter().map(|instance| instance.name).collect();
+        eprintln!("hallrelay-checker: no scene {unknown}, wanted one of {}", names.join(", "));
+        return ExitCode::from(USAGE_ERROR);
     }
-    let bounds = Bounds { states: line.states, depth: usize::MAX, way_on: line.way_on };
-    let chosen = |name: &str| line.scene.is_empty() || line.scene.iter().any(|one| one == name);
-    let mut right = true;
-    for scene in scenes.iter().filter(|scene| chosen(scene.name)) {
-        if line.planted {
-            for planted in scene.finds {
-                let found = timed(scene.name, &planted.word(), &scene.with(*planted), &bounds);
-                right &= found.broken.is_some();
-            }
-            continue;
-        }
-        let found = timed(scene.name, "nothing planted", &scene.with(Planted::Nothing), &bounds);
-        right &= found.broken.is_none();
+    let bounds = cli.bounds();
+    let mut as_expected = true;
+    for instance in instances::ALL.iter().filter(|instance| cli.is_selected(instance.name)) {
+        as_expected &= check_instance(instance, cli.planted, &bounds);
     }
-    if chosen(RELEASES) {
-        let planted = match line.planted {
-            true => releases::Planted::ALL.to_vec(),
-            false => vec![releases::Planted::Nothing],
+    if cli.is_selected(ROLLOUT) {
+        as_expected &= check_rollout(cli.planted, &bounds);
+    }
+    ExitCode::from(u8::from(!as_expected))
+}
+
+/// Whether every mutation is found, or nothing is where none is wanted.
+fn check_instance(instance: &Instance, planted: bool, bounds: &Bounds) -> bool {
+    let mutations = if planted { instance.mutations } else { &[Mutation::None] };
+    let mut as_expected = true;
+    for mutation in mutations {
+        let model = instance.with_mutation(*mutation);
+        let report = search_and_print(instance.name, mutation.as_str(), &model, bounds);
+        as_expected &= report.counterexample.is_some() == planted;
+    }
+    as_expected
+}
+
+fn check_rollout(planted: bool, bounds: &Bounds) -> bool {
+    let mutations: &[rollout::Mutation] =
+        if planted { &rollout::Mutation::ALL } else { &[rollout::Mutation::None] };
+    let mut as_expected = true;
+    for mutation in mutations {
+        let model = RolloutModel {
+            mutation: *mutation,
+            failures: ROLLOUT_FAILURES,
+            operator_commands: ROLLOUT_COMMANDS,
         };
-        for planted in planted {
-            let model = Releases { planted, failures: 2, words: 4 };
-            let found = timed(RELEASES, &format!("{planted:?}").to_lowercase(), &model, &bounds);
-            right &= found.broken.is_some() == line.planted;
-        }
+        let report = search_and_print(ROLLOUT, mutation.as_str(), &model, bounds);
+        as_expected &= report.counterexample.is_some() == planted;
     }
-    ExitCode::from(u8::from(!right))
+    as_expected
 }
 
-fn timed(scene: &str, planted: &str, model: &impl Model, bounds: &Bounds) -> Found {
-    let begun = Instant::now();
-    let found = search(model, bounds);
-    let whole = if found.whole { "all" } else { "the first" };
+fn search_and_print(name: &str, mutation: &str, model: &impl Model, bounds: &Bounds) -> SearchReport {
+    let started = Instant::now();
+    let report = search(model, bounds);
+    let extent = if report.exhaustive { "all" } else { "the first" };
     println!(
-        "{scene}, {planted}: {whole} {} states, {} steps, {} deep, {} looked at for a way on, {:.1} s",
-        found.states,
-        found.steps,
-        found.depth,
-        found.looked,
-        begun.elapsed().as_secs_f64()
+        "{name}, {mutation}: {extent} {} states, {} steps, {} deep, {} looked at for a way on, {:.1} s",
+        report.states,
+        report.transitions,
+        report.depth,
+        report.recovery_checks,
+        started.elapsed().as_secs_f64()
     );
-    if let Some((what, way)) = &found.broken {
-        println!("  broken: {what}, after {} steps", way.len());
-        way.iter().for_each(|step| println!("    {step}"));
+    if let Some(counterexample) = &report.counterexample {
+        println!("  broken: {}, after {} steps", counterexample.property, counterexample.trace.len());
+        for transition in &counterexample.trace {
+            println!("    {transition}");
+        }
     }
-    found
+    report
 }
--- a/model_checker/src/search.rs
+++ b/model_checker/src/search.rs
@@ -1,179 +1,315 @@
-//! Breadth-first search, level by level on all cores: the same states and the same counts every time.
+//! Explicit-state breadth-first search of a model, one level of depth after another on all cores.
+//!
+//! The states of a level are numbered by their order and merged in it, so a search visits the same states and
+//! reports the same counts each time, and a counterexample is a shortest one.
 use std::collections::{HashMap, HashSet};
+use std::fmt::Display;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
+/// The name of the property that [`Model::can_recover`] checks.
+const RECOVERY: &str = "a way on once links heal";
+/// States whose successors are merged at once. What many states lead to is held once per batch.
+const BATCH_STATES: usize = 1 << 13;
+/// States that a thread expands before it takes the next ones.
+const TASK_STATES: usize = 256;
+
+/// A transition system with invariants.
 pub trait Model: Sync {
+    /// A state, in a canonical form: equivalent states are equal.
     type State: Clone + Hash + Send + Sync;
-    type Step: Clone + Send + Sync + std::fmt::Display;
-    fn first(&self) -> Self::State;
-    /// All that may happen next, always in the same order.
-    fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
-    /// The state after it, in the form that equal states share.
-    fn take(&self, state: &Self::State, step: &Self::Step) -> Self::State;
-    /// The name of a property that does not hold.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
-    /// Whether all goes on from here once nothing fails any more; looked at for a part of the states.
-    fn goes_on(&self, state: &Self::State) -> bool;
-}
-
-/// Where a search ends.
+    /// A transition from one state to another.
+    type Transition: Clone + Send + Sync + Display;
+
+    /// The state that the search begins with.
+    fn initial_state(&self) -> Self::State;
+
+    /// All transitions that are enabled in a state, always in the same order.
+    fn transitions(&self, state: &Self::State) -> Vec<Self::Transition>;
+
+    /// The state after a transition.
+    fn next_state(&self, state: &Self::State, transition: &Self::Transition) -> Self::State;
+
+    /// The name of an invariant that a state violates.
+    fn violated_invariant(&self, state: &Self::State) -> Option<&'static str>;
+
+    /// Liveness: whether the system makes progress from a state once no fault occurs any more. Checked for a
+    /// sample of the states.
+    fn can_recover(&self, state: &Self::State) -> bool;
+}
+
+/// Where a search stops.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    pub states: usize,
-    pub depth: usize,
-    /// One state in so many is looked at for a way on; 0 is none.
-    pub way_on: u64,
+    /// Distinct states, checked after each batch.
+    pub max_states: usize,
+    /// Transitions from the initial state.
+    pub max_depth: usize,
+    /// One state in so many is checked for recovery; 0 for none.
+    pub recovery_sampling: u64,
+}
+
+/// A shortest sequence of transitions to a state that violates a property.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Counterexample {
+    /// The name of the property.
+    pub property: &'static str,
+    /// The transitions from the initial state on, printed.
+    pub trace: Vec<String>,
 }
 
+/// The outcome of a search.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
-    /// Different states, steps between them, and the longest shortest way to one.
+pub struct SearchReport {
+    /// Distinct states visited.
     pub states: usize,
-    pub steps: usize,
+    /// Transitions taken between them.
+    pub transitions: usize,
+    /// The greatest distance of a visited state from the initial one.
     pub depth: usize,
-    pub looked: usize,
-    /// All states within the model's own bounds were seen.
-    pub whole: bool,
-    /// The property that is broken, and the shortest way there.
-    pub broken: Option<(&'static str, Vec<String>)>,
+    /// States that were checked for recovery.
+    pub recovery_checks: usize,
+    /// Every reachable state was visited.
+    pub exhaustive: bool,
+    /// The first violation found.
+    pub counterexample: Option<Counterexample>,
 }
 
-type Print = u128;
+/// Identifies a state: two 64-bit hashes. Two of a million states share one with a probability of 1e-26.
+type Fingerprint = u128;
 
-/// 128 bits of two hashes with different beginnings: a chance of one in 10^26 that two of a million meet.
-fn print<T: Hash>(of: &T) -> Print {
-    let half = |salt: u64| {
+fn fingerprint<T: Hash>(state: &T) -> Fingerprint {
+    let hash_with = |salt: u64| {
         let mut hasher = DefaultHasher::new();
         salt.hash(&mut hasher);
-        of.hash(&mut hasher);
+        state.hash(&mut hasher);
         hasher.finish()
     };
-    u128::from(half(1)) << 64 | u128::from(half(2))
+    u128::from(hash_with(1)) << 64 | u128::from(hash_with(2))
 }
 
-/// The state before, and which of its steps led on.
-type Parents = HashMap<Print, (Print, u32)>;
+/// How a state was reached first.
+#[derive(Clone, Copy)]
+struct Edge {
+    parent: Fingerprint,
+    /// The position among the parent's transitions.
+    transition: u32,
+}
+
+/// All visited states, with the edge to each.
+type Visited = HashMap<Fingerprint, Edge>;
 
-struct Next<S> {
-    print: Print,
-    parent: Print,
-    step: u32,
+struct FingerprintedState<S> {
+    fingerprint: Fingerprint,
     state: S,
-    broken: Option<&'static str>,
-}
-
-pub fn search<M: Model>(model: &M, bounds: &Bounds) -> Found {
-    let first = model.first();
-    let root = print(&first);
-    let mut parents: Parents = HashMap::from([(root, (root, 0))]);
-    let mut level = vec![(root, first)];
-    let mut found = Found { states: 1, ..Found::default() };
-    while !level.is_empty() {
-        if found.states >= bounds.states || found.depth >= bounds.depth {
-            return found;
+}
+
+struct Successor<S> {
+    state: FingerprintedState<S>,
+    edge: Edge,
+    violated: Option<&'static str>,
+}
+
+struct Violation {
+    property: &'static str,
+    state: Fingerprint,
+}
+
+/// The successors of some states, in their order.
+struct Expansion<S> {
+    successors: Vec<Successor<S>>,
+    transitions: usize,
+    recovery_checks: usize,
+    /// The first state that cannot recover.
+    stuck: Option<Fingerprint>,
+}
+
+impl<S> Expansion<S> {
+    fn new() -> Expansion<S> {
+        Expansion { successors: Vec::new(), transitions: 0, recovery_checks: 0, stuck: None }
+    }
+
+    fn extend(&mut self, other: Expansion<S>) {
+        self.successors.extend(other.successors);
+        self.transitions += other.transitions;
+        self.recovery_checks += other.recovery_checks;
+        self.stuck = self.stuck.or(other.stuck);
+    }
+}
+
+/// The next level of a search.
+struct Level<S> {
+    states: Vec<FingerprintedState<S>>,
+    violation: Option<Violation>,
+}
+
+/// Visits the states of a model breadth first until a property is violated or a bound is reached.
+pub fn search<M: Model>(model: &M, bounds: &Bounds) -> SearchReport {
+    let state = model.initial_state();
+    let root = fingerprint(&state);
+    let root_edge = Edge { parent: root, transition: 0 };
+    let search = Search {
+        model,
+        bounds,
+        root,
+        visited: HashMap::from([(root, root_edge)]),
+        report: SearchReport { states: 1, ..SearchReport::default() },
+    };
+    search.run(vec![FingerprintedState { fingerprint: root, state }])
+}
+
+struct Search<'a, M: Model> {
+    model: &'a M,
+    bounds: &'a Bounds,
+    root: Fingerprint,
+    visited: Visited,
+    report: SearchReport,
+}
+
+impl<M: Model> Search<'_, M> {
+    fn run(mut self, mut level: Vec<FingerprintedState<M::State>>) -> SearchReport {
+        while !level.is_empty() {
+            if self.report.states >= self.bounds.max_states || self.report.depth >= self.bounds.max_depth {
+                return self.report;
+            }
+            let next = match self.next_level(&level) {
+                Ok(next) => next,
+                Err(violation) => return self.report_violation(&violation),
+            };
+            level = next.states;
+            self.report.depth += usize::from(!level.is_empty());
+            if let Some(violation) = next.violation {
+                return self.report_violation(&violation);
+            }
         }
-        let mut broken: Option<(&'static str, Print)> = None;
-        let mut deeper = Vec::new();
-        // Put together in parts, so that what many lead to is not held as often.
-        const PARTS: usize = 1 << 13;
-        for part in level.chunks(PARTS) {
-            if found.states >= bounds.states {
+        self.report.exhaustive = true;
+        self.report
+    }
+
+    /// The states that a level leads to and that were not visited before. A state of the level that cannot
+    /// recover ends the search at once, a new state that violates an invariant ends it after the level.
+    fn next_level(&mut self, level: &[FingerprintedState<M::State>]) -> Result<Level<M::State>, Violation> {
+        let mut next = Level { states: Vec::new(), violation: None };
+        for batch in level.chunks(BATCH_STATES) {
+            if self.report.states >= self.bounds.max_states {
                 break;
             }
-            let (next, steps, looked, stuck) = expand(model, part, &parents, bounds);
-            (found.steps, found.looked) = (found.steps + steps, found.looked + looked);
-            if let Some(print) = stuck {
-                found.broken = Some(("a way on once links heal", way(model, &parents, root, print)));
-                return found;
+            let expansion = expand(self.model, batch, &self.visited, self.bounds);
+            self.report.transitions += expansion.transitions;
+            self.report.recovery_checks += expansion.recovery_checks;
+            if let Some(state) = expansion.stuck {
+                return Err(Violation { property: RECOVERY, state });
             }
-            for one in next {
-                if parents.contains_key(&one.print) {
-                    continue;
-                }
-                parents.insert(one.print, (one.parent, one.step));
-                found.states += 1;
-                broken = broken.or(one.broken.map(|what| (what, one.print)));
-                deeper.push((one.print, one.state));
+            for successor in expansion.successors {
+                self.visit(successor, &mut next);
             }
         }
-        level = deeper;
-        found.depth += usize::from(!level.is_empty());
-        if let Some((what, print)) = broken {
-            found.broken = Some((what, way(model, &parents, root, print)));
-            return found;
+        Ok(next)
+    }
+
+    fn visit(&mut self, successor: Successor<M::State>, next: &mut Level<M::State>) {
+        let fingerprint = successor.state.fingerprint;
+        if self.visited.contains_key(&fingerprint) {
+            return;
         }
+        self.visited.insert(fingerprint, successor.edge);
+        self.report.states += 1;
+        if next.violation.is_none() {
+            next.violation = successor.violated.map(|property| Violation { property, state: fingerprint });
+        }
+        next.states.push(successor.state);
+    }
+
+    fn report_violation(mut self, violation: &Violation) -> SearchReport {
+        let trace = self.trace(violation.state);
+        self.report.counterexample = Some(Counterexample { property: violation.property, trace });
+        self.report
+    }
+
+    /// The transitions that lead from the initial state to a visited one, printed.
+    fn trace(&self, target: Fingerprint) -> Vec<String> {
+        let mut positions = Vec::new();
+        let mut current = target;
+        while current != self.root {
+            let Some(edge) = self.visited.get(&current) else { break };
+            positions.push(edge.transition);
+            current = edge.parent;
+        }
+        let mut state = self.model.initial_state();
+        let mut trace = Vec::new();
+        for position in positions.into_iter().rev() {
+            let enabled = self.model.transitions(&state);
+            let Some(transition) = enabled.get(position as usize) else { break };
+            trace.push(transition.to_string());
+            state = self.model.next_state(&state, transition);
+        }
+        trace
     }
-    found.whole = true;
-    found
 }
 
-/// All that follows on a level, in its order.
+/// Expands states on all cores. The result is in the order of the states.
 fn expand<M: Model>(
     model: &M,
-    level: &[(Print, M::State)],
-    parents: &Parents,
+    states: &[FingerprintedState<M::State>],
+    visited: &Visited,
     bounds: &Bounds,
-) -> (Vec<Next<M::State>>, usize, usize, Option<Print>) {
-    const PART: usize = 256;
-    let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let at = AtomicUsize::new(0);
-    let parts = Mutex::new(Vec::new());
+) -> Expansion<M::State> {
+    let threads = std::thread::available_parallelism().map_or(1, usize::from);
+    let next_task = AtomicUsize::new(0);
+    let finished = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..cores {
+        for _ in 0..threads {
             scope.spawn(|| loop {
-                let part = at.fetch_add(1, Ordering::Relaxed);
-                let Some(states) = level.chunks(PART).nth(part) else { return };
-                let mut seen = HashSet::new();
-                let (mut next, mut steps, mut looked, mut stuck) = (Vec::new(), 0, 0, None);
-                for (parent, state) in states {
-                    if bounds.way_on > 0 && (*parent as u64).is_multiple_of(bounds.way_on) {
-                        looked += 1;
-                        if stuck.is_none() && !model.goes_on(state) {
-                            stuck = Some(*parent);
-                        }
-                    }
-                    for (i, step) in model.steps(state).into_iter().enumerate() {
-                        steps += 1;
-                        let state = model.take(state, &step);
-                        let print = print(&state);
-                        if !parents.contains_key(&print) && seen.insert(print) {
-                            let broken = model.broken(&state);
-                            next.push(Next { print, parent: *parent, step: i as u32, state, broken });
-                        }
-                    }
-                }
-                if let Ok(mut parts) = parts.lock() {
-                    parts.push((part, next, steps, looked, stuck));
+                let task = next_task.fetch_add(1, Ordering::Relaxed);
+                let Some(states) = states.chunks(TASK_STATES).nth(task) else { return };
+                let expansion = expand_task(model, states, visited, bounds);
+                if let Ok(mut finished) = finished.lock() {
+                    finished.push((task, expansion));
                 }
             });
         }
     });
-    let mut parts = parts.into_inner().unwrap_or_default();
-    parts.sort_by_key(|part| part.0);
-    let (mut next, mut steps, mut looked, mut stuck) = (Vec::new(), 0, 0, None);
-    for (_, part, s, l, first) in parts {
-        next.extend(part);
-        (steps, looked, stuck) = (steps + s, looked + l, stuck.or(first));
+    let mut finished = finished.into_inner().unwrap_or_default();
+    finished.sort_by_key(|(task, _)| *task);
+    let mut all = Expansion::new();
+    for (_, expansion) in finished {
+        all.extend(expansion);
     }
-    (next, steps, looked, stuck)
+    all
 }
 
-/// The steps that lead to a state, told.
-fn way<M: Model>(model: &M, parents: &Parents, root: Print, mut print: Print) -> Vec<String> {
-    let mut steps = Vec::new();
-    while print != root {
-        let Some(&(parent, step)) = parents.get(&print) else { break };
-        steps.push(step);
-        print = parent;
-    }
-    let mut state = model.first();
-    let mut told = Vec::new();
-    for step in steps.into_iter().rev() {
-        let Some(one) = model.steps(&state).into_iter().nth(step as usize) else { break };
-        told.push(one.to_string());
-        state = model.take(&state, &one);
+fn expand_task<M: Model>(
+    model: &M,
+    states: &[FingerprintedState<M::State>],
+    visited: &Visited,
+    bounds: &Bounds,
+) -> Expansion<M::State> {
+    let mut expansion = Expansion::new();
+    let mut found_here = HashSet::new();
+    for FingerprintedState { fingerprint: parent, state } in states {
+        if is_sampled(*parent, bounds) {
+            expansion.recovery_checks += 1;
+            if expansion.stuck.is_none() && !model.can_recover(state) {
+                expansion.stuck = Some(*parent);
+            }
+        }
+        for (position, transition) in model.transitions(state).into_iter().enumerate() {
+            expansion.transitions += 1;
+            let state = model.next_state(state, &transition);
+            let fingerprint = fingerprint(&state);
+            if visited.contains_key(&fingerprint) || !found_here.insert(fingerprint) {
+                continue;
+            }
+            let violated = model.violated_invariant(&state);
+            let edge = Edge { parent: *parent, transition: position as u32 };
+            let state = FingerprintedState { fingerprint, state };
+            expansion.successors.push(Successor { state, edge, violated });
+        }
     }
-    told
+    expansion
+}
+
+fn is_sampled(fingerprint: Fingerprint, bounds: &Bounds) -> bool {
+    bounds.recovery_sampling > 0 && (fingerprint as u64).is_multiple_of(bounds.recovery_sampling)
 }
--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -1,84 +1,48 @@
-//! A log that a few named voters agree on: Raft (Ongaro and Ousterhout 2014, with the thesis's pre-vote,
-//! snapshots and changes of one voter at a time). No file, socket, clock or chance: the host draws the times.
+//! Raft consensus over a replicated log (Ongaro and Ousterhout 2014), with the pre-vote, the log compaction
+//! and the single-server membership changes of Ongaro's thesis. "Figure 2" and section numbers in this crate
+//! are those of the paper, "thesis" is "Consensus: Bridging Theory and Practice".
 //!
-//! Each voter goes by its name and by the birth of its disk. One that lost its disk is another voter: what it
-//! says counts for nothing till the others have let it in anew, so it can't vote twice in a term or forget
-//! what it had written. `docs/release.md`.
+//! The crate does no I/O and knows no time: [`Node::step`] takes an [`Event`] and appends the [`Effect`]s that
+//! the host carries out in their order. The host draws the random election timeouts.
+//!
+//! A voter is identified by its name and by the incarnation of its disk. A server that lost its disk is a new
+//! voter: its messages count for nothing until the others have added it to the configuration, so it cannot
+//! vote twice in one term or forget an entry that it had acknowledged. `docs/release.md`.
+#![warn(missing_docs)]
+
 pub mod log;
+pub mod message;
 pub mod node;
+pub mod storage;
 
-pub use log::{Entry, Log, Snapshot, What};
-pub use node::{Alarm, Effect, Event, Node, Role, Stored, Write};
+pub use log::{Configuration, Entry, Log, Payload, Snapshot};
+pub use message::{AppendEntries, Message, MessageBody};
+pub use node::{Effect, Event, Node, Role, Timer};
+pub use storage::{PersistentState, Write};
 
 use serde::{Deserialize, Serialize};
 
-/// A voter's name, in a number.
+/// A server's name as a number.
 pub type Id = u32;
+/// A term of Raft (section 5.1); 0 is before the first election.
 pub type Term = u64;
+/// The position of an entry in the log; the first entry has 1, 0 is "before the first".
 pub type Index = u64;
 
-/// A voter, by its name and its disk; a birth of 0 is whichever it has.
+/// A voting member: a server with a particular disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
+    /// The server's name.
     pub id: Id,
-    pub birth: u64,
-}
-
-/// Bytes of a command at most; entries of a message, and bytes of their commands.
-pub const COMMAND: usize = 8 << 10;
-pub const BATCH: usize = 64;
-pub const BATCH_BYTES: usize = 64 << 10;
-/// Voters at most: more would be slower and no more certain.
-pub const VOTERS: usize = 7;
-
-/// What one voter says to another.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Post {
-    pub from: Voter,
-    pub to: Voter,
-    /// The sender's; of a pre-vote the one that it would stand in.
-    pub term: Term,
-    pub say: Say,
+    /// Identifies its disk. As the recipient of a message, 0 stands for whichever disk the server has.
+    pub incarnation: u64,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Say {
-    /// The sender is no voter as far as it knows; without a log it is `blank`.
-    Here {
-        blank: bool,
-    },
-    /// The first voters, all blank till now.
-    Found {
-        voters: Vec<Voter>,
-    },
-    /// Would a vote be given? The sender's last entry.
-    PreVote {
-        index: Index,
-        term: Term,
-    },
-    PreVoted {
-        yes: bool,
-    },
-    Vote {
-        index: Index,
-        term: Term,
-    },
-    Voted {
-        yes: bool,
-    },
-    /// What comes after an entry, and how far all is agreed.
-    Append {
-        index: Index,
-        term: Term,
-        entries: Vec<Entry>,
-        commit: Index,
-    },
-    /// All up to the index is as the leader's, or, where not, what is worth trying before it.
-    Appended {
-        ok: bool,
-        index: Index,
-    },
-    Snapshot {
-        snapshot: Snapshot,
-    },
-}
+/// The longest command that is accepted, in bytes.
+pub const MAX_COMMAND_BYTES: usize = 8 << 10;
+/// The most entries in one AppendEntries message.
+pub const MAX_BATCH_ENTRIES: usize = 64;
+/// The most bytes of entries in one AppendEntries message.
+pub const MAX_BATCH_BYTES: usize = 64 << 10;
+/// The most voters of a cluster: a larger quorum is slower and hardly more available.
+pub const MAX_VOTERS: usize = 7;
--- a/raft/src/log.rs
+++ b/raft/src/log.rs
@@ -1,137 +1,169 @@
-//! Entries after a snapshot, and what stands in them.
-use crate::{Index, Term, Voter, BATCH, BATCH_BYTES};
+//! The replicated log of one voter: a snapshot and the entries that follow it without a gap.
+use crate::{Index, Term, Voter, MAX_BATCH_BYTES, MAX_BATCH_ENTRIES};
 use serde::{Deserialize, Serialize};
 
+/// Bytes that an entry without a command is counted with in a batch.
+const FIXED_ENTRY_BYTES: usize = 64;
+
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum What {
-    /// A leader's first, which makes what came before it certain.
-    Nothing,
-    /// The users' own bytes.
+pub enum Payload {
+    /// A leader's first entry, which lets it commit the entries of earlier terms (section 8).
+    Noop,
+    /// A command for the state machine.
     Command(Vec<u8>),
-    /// The voters from here on, agreed or not.
-    Voters(Vec<Voter>),
+    /// The cluster's voters, in force as soon as the entry is in the log, committed or not (section 6).
+    Configuration(Vec<Voter>),
 }
 
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// Its position.
     pub index: Index,
+    /// The term of the leader that created it.
     pub term: Term,
-    pub what: What,
+    /// Its content.
+    pub payload: Payload,
 }
 
-/// All that came of the log up to an entry.
+/// The state machine after an entry, in place of the log up to there (section 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
+    /// Index of the last entry included.
     pub index: Index,
+    /// Term of the last entry included.
     pub term: Term,
+    /// The configuration as of that entry.
     pub voters: Vec<Voter>,
+    /// The encoded state machine.
     pub state: Vec<u8>,
 }
 
+/// The voters in force, and the entry that names them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Configuration<'a> {
+    /// Index of the configuration entry, or of the snapshot that holds the configuration.
+    pub index: Index,
+    /// The voters, sorted.
+    pub voters: &'a [Voter],
+}
+
+/// A snapshot and the entries that follow it without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
+    /// What the log up to its index has been replaced with; empty where nothing was compacted.
     pub snapshot: Snapshot,
-    /// Those after it, without a gap.
     entries: Vec<Entry>,
 }
 
 impl Log {
-    /// As a disk gave it back: what does not follow on the snapshot is left out.
+    /// The log as read from a disk. An entry that does not follow on the one before it is left out.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Log {
         let mut log = Log { snapshot, entries: Vec::new() };
         for entry in entries {
-            if entry.index == log.last() + 1 {
+            if entry.index == log.last_index() + 1 {
                 log.entries.push(entry);
             }
         }
         log
     }
 
-    pub fn last(&self) -> Index {
+    /// Index of the last entry, or of the snapshot where none follows it.
+    pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as Index
     }
 
-    pub fn first(&self) -> Index {
+    /// Index of the first entry after the snapshot, whether it exists or not.
+    pub fn first_index(&self) -> Index {
         self.snapshot.index + 1
     }
 
-    pub fn is_blank(&self) -> bool {
-        self.last() == 0
+    /// Whether there is neither snapshot nor entry.
+    pub fn is_empty(&self) -> bool {
+        self.last_index() == 0
     }
 
+    /// Term of the last entry, or of the snapshot where none follows it.
     pub fn last_term(&self) -> Term {
         self.entries.last().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Of an entry; none where it is not here (any more).
+    /// Term of the entry at an index; none where the log does not reach there or the entry was compacted.
     pub fn term(&self, index: Index) -> Option<Term> {
-        match index {
-            i if i == self.snapshot.index => Some(self.snapshot.term),
-            i => self.get(i).map(|entry| entry.term),
+        if index == self.snapshot.index {
+            return Some(self.snapshot.term);
         }
+        self.entry(index).map(|entry| entry.term)
     }
 
-    pub fn get(&self, index: Index) -> Option<&Entry> {
-        index.checked_sub(self.first()).and_then(|at| self.entries.get(at as usize))
+    /// The entry at an index; none where the log does not reach there or the entry was compacted.
+    pub fn entry(&self, index: Index) -> Option<&Entry> {
+        let offset = index.checked_sub(self.first_index())?;
+        self.entries.get(offset as usize)
     }
 
+    /// All entries after the snapshot.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    pub fn push(&mut self, entry: Entry) {
+    /// Adds an entry, whose index is one past the last.
+    pub fn append(&mut self, entry: Entry) {
         self.entries.push(entry);
     }
 
-    /// Drops an entry and all after it.
-    pub fn cut(&mut self, from: Index) {
-        self.entries.truncate(from.saturating_sub(self.first()) as usize);
+    /// Removes the entry at an index and all that follow it.
+    pub fn truncate_from(&mut self, index: Index) {
+        let kept = index.saturating_sub(self.first_index());
+        self.entries.truncate(kept as usize);
     }
 
-    /// From an entry on, as many as a message takes.
-    pub fn batch(&self, from: Index) -> Vec<Entry> {
-        let at = from.saturating_sub(self.first()) as usize;
+    /// The entries from an index on that fit into one message.
+    pub fn batch_from(&self, index: Index) -> Vec<Entry> {
+        let skipped = index.saturating_sub(self.first_index()) as usize;
         let mut bytes = 0;
         let fits = |entry: &&Entry| {
-            bytes += match &entry.what {
-                What::Command(command) => command.len(),
-                _ => 64,
+            bytes += match &entry.payload {
+                Payload::Command(command) => command.len(),
+                Payload::Noop | Payload::Configuration(_) => FIXED_ENTRY_BYTES,
             };
-            bytes <= BATCH_BYTES
+            bytes <= MAX_BATCH_BYTES
         };
-        self.entries.iter().skip(at).take(BATCH).take_while(fits).cloned().collect()
+        self.entries.iter().skip(skipped).take(MAX_BATCH_ENTRIES).take_while(fits).cloned().collect()
     }
 
-    /// The voters that the last word on them names, and where it stands.
-    pub fn voters(&self) -> (Index, &[Voter]) {
-        let named = self.entries.iter().rev().find_map(|entry| match &entry.what {
-            What::Voters(voters) => Some((entry.index, voters.as_slice())),
-            _ => None,
-        });
-        named.unwrap_or((self.snapshot.index, &self.snapshot.voters))
+    /// The latest configuration in the log, committed or not.
+    pub fn configuration(&self) -> Configuration<'_> {
+        self.configuration_at(self.last_index())
     }
 
-    /// Those up to an entry.
-    fn voters_at(&self, index: Index) -> Vec<Voter> {
-        let upto = self.entries.iter().rev().filter(|entry| entry.index <= index);
-        let named = upto.into_iter().find_map(|entry| match &entry.what {
-            What::Voters(voters) => Some(voters.clone()),
-            _ => None,
+    /// The latest configuration up to an index.
+    fn configuration_at(&self, index: Index) -> Configuration<'_> {
+        let up_to_index = self.entries.iter().rev().filter(|entry| entry.index <= index);
+        let latest = up_to_index.into_iter().find_map(|entry| match &entry.payload {
+            Payload::Configuration(voters) => Some(Configuration { index: entry.index, voters }),
+            Payload::Noop | Payload::Command(_) => None,
         });
-        named.unwrap_or_else(|| self.snapshot.voters.clone())
+        latest.unwrap_or(Configuration { index: self.snapshot.index, voters: &self.snapshot.voters })
     }
 
-    /// Puts what came of all up to an entry in its place; false where that is not here.
+    /// Replaces the log up to an index with the state machine's state there. Returns whether it did: the entry
+    /// must be in the log.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) -> bool {
-        let Some(term) = self.term(index).filter(|_| index > self.snapshot.index) else { return false };
-        let voters = self.voters_at(index);
+        if index <= self.snapshot.index {
+            return false;
+        }
+        let Some(term) = self.term(index) else { return false };
+        let voters = self.configuration_at(index).voters.to_vec();
         self.entries.drain(..(index - self.snapshot.index) as usize);
         self.snapshot = Snapshot { index, term, voters, state };
         true
     }
 
-    /// Takes another's snapshot: what follows on it stays, where its entry is the same.
-    pub fn restore(&mut self, snapshot: Snapshot) {
+    /// Replaces the log with a leader's snapshot. Entries that follow the snapshot's last entry stay where the
+    /// log holds that entry (figure 13, step 6).
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.entries.retain(|entry| entry.index > snapshot.index);
         } else {
@@ -140,8 +172,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Whether another's last entry is at least as late as this log's.
-    pub fn covered_by(&self, index: Index, term: Term) -> bool {
-        (term, index) >= (self.last_term(), self.last())
+    /// Whether a candidate's log is at least as up-to-date as this one (section 5.4.1).
+    pub fn is_covered_by(&self, last_log_index: Index, last_log_term: Term) -> bool {
+        (last_log_term, last_log_index) >= (self.last_term(), self.last_index())
     }
 }
--- /dev/null
+++ b/raft/src/node/membership.rs
@@ -0,0 +1,160 @@
+//! Cluster membership: the bootstrap of a new cluster, and changes of one voter at a time.
+//!
+//! Invariant (thesis, section 4.1): a configuration differs from the one before it by one voter, so any quorum
+//! of one has a voter in common with any quorum of the other.
+use super::role::Trigger;
+use super::{Effect, Node, Role};
+use crate::{Entry, Id, MessageBody, Payload, Voter, Write};
+
+/// What a server announced of itself.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct Announcement {
+    /// Of its disk.
+    incarnation: u64,
+    uninitialized: bool,
+}
+
+impl Node {
+    /// Tells all other configured servers that this one is running and no voter.
+    pub(super) fn announce(&mut self, effects: &mut Vec<Effect>) {
+        let uninitialized = self.role == Role::Uninitialized;
+        for id in self.configured.clone() {
+            if id == self.own.id {
+                continue;
+            }
+            let incarnation = self.announced.get(&id).map_or(0, |announced| announced.incarnation);
+            self.send(Voter { id, incarnation }, MessageBody::Announce { uninitialized }, effects);
+        }
+        if self.configured == [self.own.id] {
+            self.bootstrap_if_ready(effects);
+        }
+    }
+
+    pub(super) fn handle_announce(
+        &mut self,
+        from: Voter,
+        to: Voter,
+        uninitialized: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !self.configured.contains(&from.id) {
+            return;
+        }
+        let announcement = Announcement { incarnation: from.incarnation, uninitialized };
+        let previous = self.announced.insert(from.id, announcement);
+        if self.role == Role::Uninitialized {
+            // Only what was announced to this incarnation counts for the bootstrap.
+            if to == self.own {
+                self.bootstrap_if_ready(effects);
+            } else if previous.is_none_or(|previous| previous.incarnation != from.incarnation) {
+                self.send(from, MessageBody::Announce { uninitialized: true }, effects);
+            }
+            return;
+        }
+        match self.bootstrap_voters() {
+            // The sender is one of the first voters and did not receive the bootstrap.
+            Some(voters) if uninitialized && voters.contains(&from) => {
+                self.send_when_durable(from, MessageBody::Bootstrap { voters }, effects);
+            }
+            _ => self.reconcile_configuration(effects),
+        }
+    }
+
+    /// The first voters, while the log holds nothing but them.
+    fn bootstrap_voters(&self) -> Option<Vec<Voter>> {
+        if self.log.last_index() != 1 {
+            return None;
+        }
+        match &self.log.entry(1)?.payload {
+            Payload::Configuration(voters) => Some(voters.clone()),
+            Payload::Noop | Payload::Command(_) => None,
+        }
+    }
+
+    /// Creates the cluster once all other configured servers have announced to this incarnation that they are
+    /// uninitialized. Only the server of the smallest name does. Where one server has a log there is a cluster
+    /// already, which adds this server.
+    fn bootstrap_if_ready(&mut self, effects: &mut Vec<Effect>) {
+        if self.configured.first() != Some(&self.own.id) {
+            return;
+        }
+        let Some(mut voters) = self.uninitialized_peers() else { return };
+        voters.push(self.own);
+        voters.sort_unstable();
+        self.append_bootstrap_entry(voters.clone(), effects);
+        for voter in self.other_voters() {
+            self.send_when_durable(voter, MessageBody::Bootstrap { voters: voters.clone() }, effects);
+        }
+    }
+
+    /// All other configured servers; none where one of them has not announced that it is uninitialized.
+    fn uninitialized_peers(&self) -> Option<Vec<Voter>> {
+        let peers = self.configured.iter().copied().filter(|id| *id != self.own.id);
+        let uninitialized_voter = |id: Id| {
+            let announced = self.announced.get(&id).filter(|announced| announced.uninitialized)?;
+            Some(Voter { id, incarnation: announced.incarnation })
+        };
+        peers.map(uninitialized_voter).collect()
+    }
+
+    pub(super) fn handle_bootstrap(&mut self, from: Voter, voters: Vec<Voter>, effects: &mut Vec<Effect>) {
+        if self.role != Role::Uninitialized || !voters.contains(&self.own) || !voters.contains(&from) {
+            return;
+        }
+        let announced = self.announced.get(&from.id);
+        if announced.is_none_or(|announced| announced.incarnation == from.incarnation) {
+            self.append_bootstrap_entry(voters, effects);
+        }
+    }
+
+    /// The first entry of a cluster names its voters. It has term 0, as no leader created it.
+    fn append_bootstrap_entry(&mut self, voters: Vec<Voter>, effects: &mut Vec<Effect>) {
+        let entry = Entry { index: 1, term: 0, payload: Payload::Configuration(voters) };
+        self.log.append(entry.clone());
+        self.persist(Write::Log { from: 1, entries: vec![entry] }, effects);
+        self.transition(Trigger::Bootstrapped, effects);
+    }
+
+    /// A leader brings the voters to the configured servers by one change at a time. Each change waits until
+    /// the one before it and an entry of the leader's own term are committed (thesis, section 4.1).
+    pub(super) fn reconcile_configuration(&mut self, effects: &mut Vec<Effect>) {
+        let configuration_is_committed = self.log.configuration().index <= self.commit_index;
+        let own_term_is_committed = self.log.term(self.commit_index) == Some(self.term);
+        if self.role != Role::Leader || !configuration_is_committed || !own_term_is_committed {
+            return;
+        }
+        let mut voters = self.voters().to_vec();
+        if let Some(lost) = self.voter_to_remove() {
+            voters.retain(|voter| *voter != lost);
+        } else if let Some(added) = self.voter_to_add() {
+            voters.push(added);
+            voters.sort_unstable();
+        } else {
+            return;
+        }
+        self.append_entry(Payload::Configuration(voters), effects);
+    }
+
+    /// A voter that is not configured any more, or whose server announced another incarnation of its disk.
+    fn voter_to_remove(&self) -> Option<Voter> {
+        let has_lost_disk = |voter: &Voter| {
+            let announced = self.announced.get(&voter.id);
+            announced.is_some_and(|announced| announced.incarnation != voter.incarnation)
+        };
+        let is_obsolete = |voter: &&Voter| {
+            **voter != self.own && (has_lost_disk(voter) || !self.configured.contains(&voter.id))
+        };
+        self.voters().iter().find(is_obsolete).copied()
+    }
+
+    /// A configured server that is no voter and has announced itself.
+    fn voter_to_add(&self) -> Option<Voter> {
+        let is_voter = |id: Id| self.voters().iter().any(|voter| voter.id == id);
+        let missing = self.configured.iter().copied().filter(|id| !is_voter(*id));
+        let mut announced = missing.filter_map(|id| {
+            let incarnation = self.announced.get(&id)?.incarnation;
+            Some(Voter { id, incarnation })
+        });
+        announced.next()
+    }
+}
--- a/raft/tests/fixtures.rs
+++ b/raft/tests/fixtures.rs
@@ -1,6 +1,6 @@
 //! The encodings that relays exchange and store, held against bytes that were written once. The bytes stay as
 //! they are; only the names in Rust may change.
-use hallrelay_raft::{Entry, Post, Say, Snapshot, Term, Voter, What};
+use hallrelay_raft::{AppendEntries, Entry, Message, MessageBody, Payload, Snapshot, Term, Voter};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -43,16 +43,16 @@
     compare_with_file(file, &lines);
 }
 
-const A: Voter = Voter { id: 1, birth: 3 };
-const B: Voter = Voter { id: 4_000_000_000, birth: 0x0123_4567_89ab_cdef };
+const A: Voter = Voter { id: 1, incarnation: 3 };
+const B: Voter = Voter { id: 4_000_000_000, incarnation: 0x0123_4567_89ab_cdef };
 
 fn entries() -> Vec<Entry> {
     vec![
-        Entry { index: 1, term: 0, what: What::Voters(vec![A, B]) },
-        Entry { index: 2, term: 1, what: What::Nothing },
-        Entry { index: 300, term: 200, what: What::Command(vec![0, 1, 255]) },
-        Entry { index: 301, term: 200, what: What::Command(Vec::new()) },
-        Entry { index: 302, term: u64::MAX, what: What::Voters(Vec::new()) },
+        Entry { index: 1, term: 0, payload: Payload::Configuration(vec![A, B]) },
+        Entry { index: 2, term: 1, payload: Payload::Noop },
+        Entry { index: 300, term: 200, payload: Payload::Command(vec![0, 1, 255]) },
+        Entry { index: 301, term: 200, payload: Payload::Command(Vec::new()) },
+        Entry { index: 302, term: u64::MAX, payload: Payload::Configuration(Vec::new()) },
     ]
 }
 
@@ -60,31 +60,56 @@
     Snapshot { index: 128, term: 7, voters: vec![B, A], state: vec![9, 8, 7, 0] }
 }
 
-fn message(term: Term, say: Say) -> Post {
-    Post { from: A, to: B, term, say }
+fn message(term: Term, body: MessageBody) -> Message {
+    Message { from: A, to: B, term, body }
 }
 
 #[test]
 fn messages_between_relays_keep_their_bytes() {
     let values = [
-        ("announce-empty", message(0, Say::Here { blank: true })),
-        ("announce", message(5, Say::Here { blank: false })),
-        ("bootstrap", message(0, Say::Found { voters: vec![A, B] })),
-        ("pre-vote-request", message(129, Say::PreVote { index: 300, term: 128 })),
-        ("pre-vote-granted", message(129, Say::PreVoted { yes: true })),
-        ("pre-vote-denied", message(130, Say::PreVoted { yes: false })),
-        ("vote-request", message(131, Say::Vote { index: u64::MAX, term: 0 })),
-        ("vote-granted", message(131, Say::Voted { yes: true })),
-        ("vote-denied", message(131, Say::Voted { yes: false })),
-        ("append-none", message(1, Say::Append { index: 0, term: 0, entries: Vec::new(), commit: 0 })),
+        ("announce-empty", message(0, MessageBody::Announce { uninitialized: true })),
+        ("announce", message(5, MessageBody::Announce { uninitialized: false })),
+        ("bootstrap", message(0, MessageBody::Bootstrap { voters: vec![A, B] })),
+        (
+            "pre-vote-request",
+            message(129, MessageBody::RequestPreVote { last_log_index: 300, last_log_term: 128 }),
+        ),
+        ("pre-vote-granted", message(129, MessageBody::PreVoteResponse { granted: true })),
+        ("pre-vote-denied", message(130, MessageBody::PreVoteResponse { granted: false })),
+        (
+            "vote-request",
+            message(131, MessageBody::RequestVote { last_log_index: u64::MAX, last_log_term: 0 }),
+        ),
+        ("vote-granted", message(131, MessageBody::VoteResponse { granted: true })),
+        ("vote-denied", message(131, MessageBody::VoteResponse { granted: false })),
+        (
+            "append-none",
+            message(
+                1,
+                MessageBody::AppendEntries(AppendEntries {
+                    prev_log_index: 0,
+                    prev_log_term: 0,
+                    entries: Vec::new(),
+                    leader_commit: 0,
+                }),
+            ),
+        ),
         (
             "append-entries",
-            message(1 << 40, Say::Append { index: 127, term: 6, entries: entries(), commit: 200 }),
+            message(
+                1 << 40,
+                MessageBody::AppendEntries(AppendEntries {
+                    prev_log_index: 127,
+                    prev_log_term: 6,
+                    entries: entries(),
+                    leader_commit: 200,
+                }),
+            ),
         ),
-        ("append-accepted", message(2, Say::Appended { ok: true, index: 302 })),
-        ("append-refused", message(2, Say::Appended { ok: false, index: 0 })),
-        ("snapshot", message(7, Say::Snapshot { snapshot: snapshot() })),
-        ("snapshot-empty", message(7, Say::Snapshot { snapshot: Snapshot::default() })),
+        ("append-accepted", message(2, MessageBody::AppendResponse { success: true, index: 302 })),
+        ("append-refused", message(2, MessageBody::AppendResponse { success: false, index: 0 })),
+        ("snapshot", message(7, MessageBody::InstallSnapshot { snapshot: snapshot() })),
+        ("snapshot-empty", message(7, MessageBody::InstallSnapshot { snapshot: Snapshot::default() })),
     ];
     check("messages.hex", &values);
 }
--- a/raft/tests/recorded_runs.rs
+++ b/raft/tests/recorded_runs.rs
@@ -1,6 +1,6 @@
 //! Runs of small clusters, drawn by seed: each event and all that comes of it, in a notation of its own, held
 //! against runs that were recorded once. One run stands in full, of the others a hash does.
-use hallrelay_raft::{Alarm, Effect, Event, Node, Post, Stored, Voter, Write, COMMAND};
+use hallrelay_raft::{Effect, Event, Message, Node, PersistentState, Timer, Voter, Write, MAX_COMMAND_BYTES};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -17,15 +17,15 @@
 
 struct Server {
     node: Node,
-    disk: Stored,
-    birth: u64,
+    disk: PersistentState,
+    incarnation: u64,
     pending: VecDeque<(u64, Write)>,
 }
 
 struct Cluster {
     chance: Chance,
     servers: Vec<Server>,
-    network: Vec<Post>,
+    network: Vec<Message>,
     proposals: u64,
     trace: String,
     /// How often each kind of line stands in the trace.
@@ -43,29 +43,29 @@
     hex(&postcard::to_stdvec(value).expect("the value can be encoded"))
 }
 
-fn timer_word(timer: Alarm) -> &'static str {
+fn timer_word(timer: Timer) -> &'static str {
     match timer {
-        Alarm::Patience => "election",
-        Alarm::Beat => "heartbeat",
+        Timer::ElectionTimeout => "election",
+        Timer::HeartbeatTimeout => "heartbeat",
     }
 }
 
 fn event_words(event: &Event) -> String {
     match event {
-        Event::Heard(message) => format!("receive {}", encoded(message)),
-        Event::Alarm(timer) => format!("timer {}", timer_word(*timer)),
-        Event::Written(number) => format!("durable {number}"),
-        Event::Propose { ticket, command } if command.len() > COMMAND => {
-            format!("propose {ticket} {} bytes", command.len())
+        Event::MessageReceived(message) => format!("receive {}", encoded(message)),
+        Event::TimerExpired(timer) => format!("timer {}", timer_word(*timer)),
+        Event::WritesDurable(number) => format!("durable {number}"),
+        Event::Propose { proposal_id, command } if command.len() > MAX_COMMAND_BYTES => {
+            format!("propose {proposal_id} {} bytes", command.len())
         }
-        Event::Propose { ticket, command } => format!("propose {ticket} {}", hex(command)),
+        Event::Propose { proposal_id, command } => format!("propose {proposal_id} {}", hex(command)),
         Event::Compact { index, state } => format!("compact {index} {}", hex(state)),
     }
 }
 
 fn write_words(write: &Write) -> String {
     match write {
-        Write::Vote { term, vote } => format!("vote {term} {}", encoded(vote)),
+        Write::Vote { term, voted_for } => format!("vote {term} {}", encoded(voted_for)),
         Write::Log { from, entries } => format!("log {from} {}", encoded(entries)),
         Write::Snapshot { snapshot, entries } => {
             format!("snapshot {} then {}", encoded(snapshot), encoded(entries))
@@ -81,16 +81,16 @@
     match effect {
         Effect::Send(message) => format!("send {}", encoded(message)),
         Effect::Write { number, write } => format!("write {number} {}", write_words(write)),
-        Effect::Alarm(timer) => format!("set {}", timer_word(*timer)),
-        Effect::Apply { index, command, ticket } => {
-            format!("apply {index} {} {}", hex(command), optional(*ticket))
+        Effect::SetTimer(timer) => format!("set {}", timer_word(*timer)),
+        Effect::Apply { index, command, proposal_id } => {
+            format!("apply {index} {} {}", hex(command), optional(*proposal_id))
         }
-        Effect::Restore { snapshot } => format!("restore {}", encoded(snapshot)),
-        Effect::Refused { ticket, leader } => {
-            format!("refused {ticket} {}", optional(leader.map(u64::from)))
+        Effect::RestoreSnapshot { snapshot } => format!("restore {}", encoded(snapshot)),
+        Effect::ProposalRejected { proposal_id, leader } => {
+            format!("refused {proposal_id} {}", optional(leader.map(u64::from)))
         }
-        Effect::Unknown { ticket } => format!("unknown {ticket}"),
-        Effect::Turned { leads, term } => format!("leads {leads} {term}"),
+        Effect::ProposalOutcomeUnknown { proposal_id } => format!("unknown {proposal_id}"),
+        Effect::LeadershipChanged { is_leader, term } => format!("leads {is_leader} {term}"),
     }
 }
 
@@ -108,12 +108,12 @@
         };
         for id in 1..=size {
             let mut effects = Vec::new();
-            let own = Voter { id, birth: 1 };
-            let node = Node::new(own, (1..=size).rev().collect(), Stored::default(), &mut effects);
+            let own = Voter { id, incarnation: 1 };
+            let node = Node::new(own, (1..=size).rev().collect(), PersistentState::default(), &mut effects);
             cluster.servers.push(Server {
                 node,
-                disk: Stored::default(),
-                birth: 1,
+                disk: PersistentState::default(),
+                incarnation: 1,
                 pending: VecDeque::new(),
             });
             cluster.record(id as usize - 1, "start", effects);
@@ -132,7 +132,7 @@
             match effect {
                 Effect::Send(message) => {
                     // The field that follows on the term tells the kind.
-                    let kind = encoded(&message.say)[..2].to_string();
+                    let kind = encoded(&message.body)[..2].to_string();
                     self.count("message", &kind);
                     self.network.push(message);
                 }
@@ -144,16 +144,16 @@
         let _ = writeln!(
             self.trace,
             "  = {} term {} leader {} commit {} log {}..{} last term {} voters {}",
-            node.role().word(),
+            node.role().as_str(),
             node.term(),
             optional(node.leader().map(u64::from)),
-            node.commit(),
-            node.log().first(),
-            node.log().last(),
+            node.commit_index(),
+            node.log().first_index(),
+            node.log().last_index(),
             node.log().last_term(),
             encoded(&node.voters().to_vec()),
         );
-        let role = node.role().word();
+        let role = node.role().as_str();
         self.count("role", role);
         // The oldest are lost.
         let extra = self.network.len().saturating_sub(60);
@@ -179,7 +179,7 @@
         let server = &mut self.servers[at];
         server.pending.clear();
         let mut effects = Vec::new();
-        let own = Voter { id: at as u32 + 1, birth: server.birth };
+        let own = Voter { id: at as u32 + 1, incarnation: server.incarnation };
         server.node = Node::new(own, (1..=size - fewer).collect(), server.disk.clone(), &mut effects);
         self.record(at, &format!("{words} {fewer}"), effects);
     }
@@ -196,7 +196,7 @@
             _ => self.network.remove(which),
         };
         if self.chance.below(20) != 0 {
-            self.step(message.to.id as usize - 1, Event::Heard(message));
+            self.step(message.to.id as usize - 1, Event::MessageReceived(message));
         }
     }
 
@@ -209,17 +209,17 @@
         let count = self.chance.below(count) + 1;
         let mut last = 0;
         for (number, write) in server.pending.drain(..count) {
-            server.disk.take(write);
+            server.disk.apply(write);
             last = number;
         }
-        self.step(at, Event::Written(last));
+        self.step(at, Event::WritesDurable(last));
     }
 
     fn propose(&mut self, at: usize) {
         self.proposals += 1;
-        let length = if self.chance.below(50) == 0 { COMMAND + 1 } else { self.chance.below(6) };
+        let length = if self.chance.below(50) == 0 { MAX_COMMAND_BYTES + 1 } else { self.chance.below(6) };
         let command = (0..length).map(|i| (self.proposals as usize + i) as u8).collect();
-        self.step(at, Event::Propose { ticket: self.proposals, command });
+        self.step(at, Event::Propose { proposal_id: self.proposals, command });
     }
 
     fn draw(&mut self) {
@@ -227,17 +227,17 @@
         match self.chance.below(1000) {
             0..=599 => self.deliver(),
             600..=829 => self.sync(at),
-            830..=869 => self.step(at, Event::Alarm(Alarm::Patience)),
-            870..=919 => self.step(at, Event::Alarm(Alarm::Beat)),
+            830..=869 => self.step(at, Event::TimerExpired(Timer::ElectionTimeout)),
+            870..=919 => self.step(at, Event::TimerExpired(Timer::HeartbeatTimeout)),
             920..=979 => self.propose(at),
             980..=988 => {
-                let index = self.servers[at].node.commit();
+                let index = self.servers[at].node.commit_index();
                 self.step(at, Event::Compact { index, state: index.to_le_bytes().to_vec() });
             }
             989..=996 => self.restart(at, "crash"),
             _ => {
-                self.servers[at].disk = Stored::default();
-                self.servers[at].birth += 1;
+                self.servers[at].disk = PersistentState::default();
+                self.servers[at].incarnation += 1;
                 self.restart(at, "disk-lost");
             }
         }
--- a/recovery/src/fact.rs
+++ b/recovery/src/fact.rs
@@ -164,7 +164,7 @@
     pub turns: BTreeMap<String, Micros>,
     /// What a voter must not forget, and when its disk was born; none where it was none.
     pub birth: Option<u64>,
-    pub agreed: hallrelay_raft::Stored,
+    pub agreed: hallrelay_raft::PersistentState,
     pub shut: (u64, BTreeSet<String>),
     /// The latest time of that clock that anything was written at.
     pub wall: Micros,
@@ -210,7 +210,7 @@
             }
             Fact::Vote => {
                 let (birth, term, vote) = postcard::from_bytes(bytes).ok()?;
-                (self.birth, self.agreed.term, self.agreed.vote) = (Some(birth), term, vote);
+                (self.birth, self.agreed.term, self.agreed.voted_for) = (Some(birth), term, vote);
                 0
             }
             Fact::Entry => {
--- a/relay/src/reducer/agreed.rs
+++ b/relay/src/reducer/agreed.rs
@@ -11,7 +11,7 @@
 use hallrelay_disruption::judge::Tally;
 use hallrelay_disruption::{Command, Outcome, State, Thing};
 use hallrelay_membership::membership::Event as Fleet;
-use hallrelay_raft::{self as agreement, Event, Id, Index, Node, Role, Voter, Write};
+use hallrelay_raft::{self as raft, Event, Id, Index, Node, Role, Voter, Write};
 use hallrelay_recovery::{Kept, Stored};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn leads(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.role() == Role::Leading)
+        self.node.as_ref().is_some_and(|node| node.role() == Role::Leader)
     }
 
     /// Where a command goes: to the leader, or to one voter after another till one tells who that is.
@@ -130,11 +130,11 @@
             Some(known) => known,
             None => {
                 note("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
-                (seed ^ now.rotate_left(20) | 1, agreement::Stored::default())
+                (seed ^ now.rotate_left(20) | 1, raft::PersistentState::default())
             }
         };
         // A birth that is not on the disk is none after the next start.
-        out.push(Effect::Persist { kept: Kept::vote(birth, agreed.term, agreed.vote), before: None });
+        out.push(Effect::Persist { kept: Kept::vote(birth, agreed.term, agreed.voted_for), before: None });
         // Guards a process that has its place back: the log is applied from its beginning once more.
         (a.state, a.applied) = Default::default();
         let mut told = Vec::new();
@@ -144,7 +144,7 @@
         a.kept = (first, first + agreed.entries.len() as Index - 1);
         let id = server_id(&a.own);
         let ids = a.names.keys().copied().collect();
-        a.node = Some(Node::new(Voter { id, birth }, ids, agreed, &mut told));
+        a.node = Some(Node::new(Voter { id, incarnation: birth }, ids, agreed, &mut told));
         self.carry_agreed(told, out);
     }
 
@@ -166,57 +166,57 @@
     /// What was to be written for a life of the voter is on the disk.
     pub(super) fn vowed(&mut self, life: u32, number: u64, out: &mut Vec<Effect>) {
         if self.agreed.as_ref().is_some_and(|a| a.life == life) {
-            self.agree(Event::Written(number), out);
+            self.agree(Event::WritesDurable(number), out);
         }
     }
 
-    pub(super) fn agreed_alarm(&mut self, alarm: agreement::Alarm, round: u32, out: &mut Vec<Effect>) {
+    pub(super) fn agreed_alarm(&mut self, alarm: raft::Timer, round: u32, out: &mut Vec<Effect>) {
         if self.agreed.as_ref().is_some_and(|a| a.rounds[alarm as usize] == round) {
-            self.agree(Event::Alarm(alarm), out);
+            self.agree(Event::TimerExpired(alarm), out);
         }
     }
 
-    fn carry_agreed(&mut self, told: Vec<agreement::Effect>, out: &mut Vec<Effect>) {
+    fn carry_agreed(&mut self, told: Vec<raft::Effect>, out: &mut Vec<Effect>) {
         for effect in told {
             let Some(a) = &mut self.agreed else { return };
             match effect {
-                agreement::Effect::Send(post) => {
+                raft::Effect::Send(post) => {
                     let Some(name) = a.names.get(&post.to.id).cloned() else { continue };
                     self.talk(&name, &Talk::Post(post), out);
                 }
-                agreement::Effect::Write { number, write } => {
+                raft::Effect::Write { number, write } => {
                     let (life, kept) = (a.life, a.written(write));
                     out.push(Effect::PersistVoterWrites { life, number, kept });
                 }
-                agreement::Effect::Alarm(alarm) => {
+                raft::Effect::SetTimer(alarm) => {
                     let after = match alarm {
-                        agreement::Alarm::Patience => PATIENCE + a.chance.rand_range(0..PATIENCE),
-                        agreement::Alarm::Beat => BEAT,
+                        raft::Timer::ElectionTimeout => PATIENCE + a.chance.rand_range(0..PATIENCE),
+                        raft::Timer::HeartbeatTimeout => BEAT,
                     };
                     a.rounds[alarm as usize] += 1;
                     let alarm = Timer::Voter(alarm, a.rounds[alarm as usize]);
                     out.push(Effect::StartTimer { after, alarm });
                 }
-                agreement::Effect::Apply { index, command, ticket } => {
-                    self.apply(index, &command, ticket, out);
+                raft::Effect::Apply { index, command, proposal_id } => {
+                    self.apply(index, &command, proposal_id, out);
                 }
-                agreement::Effect::Restore { snapshot } => match State::decode(&snapshot.state) {
+                raft::Effect::RestoreSnapshot { snapshot } => match State::decode(&snapshot.state) {
                     Ok(state) => (a.state, a.applied) = (state, snapshot.index),
                     Err(_) => self.too_old("a snapshot", out),
                 },
-                agreement::Effect::Refused { ticket, leader } => {
+                raft::Effect::ProposalRejected { proposal_id, leader } => {
                     let leader = leader.and_then(|id| a.names.get(&id)).map(ToString::to_string);
-                    self.answer_ticket(Some(ticket), Told::Elsewhere(leader), out);
+                    self.answer_ticket(Some(proposal_id), Told::Elsewhere(leader), out);
                 }
-                agreement::Effect::Unknown { ticket } => {
-                    self.answer_ticket(Some(ticket), Told::Unknown, out);
+                raft::Effect::ProposalOutcomeUnknown { proposal_id } => {
+                    self.answer_ticket(Some(proposal_id), Told::Unknown, out);
                 }
-                agreement::Effect::Turned { leads, term } => {
+                raft::Effect::LeadershipChanged { is_leader, term } => {
                     a.since.clear();
-                    if leads {
+                    if is_leader {
                         a.leader = Some(a.own.clone());
                     }
-                    let word = if leads { "leads" } else { "leads no more" };
+                    let word = if is_leader { "leads" } else { "leads no more" };
                     note(format!("this relay {word} what is agreed, term {term}"), out);
                 }
             }
@@ -269,7 +269,7 @@
         a.last_ticket += 1;
         let ticket = a.last_ticket;
         a.tickets.insert(ticket, (who.clone(), call));
-        self.agree(Event::Propose { ticket, command }, out);
+        self.agree(Event::Propose { proposal_id: ticket, command }, out);
     }
 
     fn answer_ticket(&mut self, ticket: Option<u64>, told: Told, out: &mut Vec<Effect>) {
@@ -298,7 +298,7 @@
         let voter = a.names.values().any(|voter| voter == name);
         match talk {
             Talk::Post(post) if a.names.get(&post.from.id) == Some(name) => {
-                self.agree(Event::Heard(post), out);
+                self.agree(Event::MessageReceived(post), out);
             }
             Talk::Ask { call, command } => self.propose(name, call, command, out),
             Talk::Answer { call, told } if voter => {
@@ -330,7 +330,7 @@
     fn written(&mut self, write: Write) -> Vec<Kept> {
         let (first, last) = self.kept;
         match write {
-            Write::Vote { term, vote } => vec![Kept::vote(self.birth, term, vote)],
+            Write::Vote { term, voted_for } => vec![Kept::vote(self.birth, term, voted_for)],
             Write::Log { from, entries } => {
                 let end = from + entries.len() as Index - 1;
                 self.kept = (first.min(from), end);
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -182,7 +182,7 @@
     /// Something of membership is due.
     Membership,
     /// Of the voter, and of which round.
-    Voter(hallrelay_raft::Alarm, u32),
+    Voter(hallrelay_raft::Timer, u32),
     /// What is seen of the fleet goes to the leader, or into the log.
     LeaderReview,
     /// A wish of an operator's call.
--- a/relay/src/reducer/look.rs
+++ b/relay/src/reducer/look.rs
@@ -215,7 +215,7 @@
     /// What is agreed, as JSON; none where nothing is.
     pub(super) fn grants_status(&self) -> Option<String> {
         let a = self.agreed.as_ref()?;
-        let role = a.node.as_ref().map_or("no voter", |node| node.role().word());
+        let role = a.node.as_ref().map_or("no voter", |node| node.role().as_str());
         let budget = |b: &hallrelay_disruption::Budget| {
             let count = b.count.map(|n| format!(" {n}")).unwrap_or_default();
             let part = b.part.map(|p| format!(" {} in 100", f64::from(p) / 1e4)).unwrap_or_default();
--- a/relay/src/talk.rs
+++ b/relay/src/talk.rs
@@ -1,6 +1,6 @@
 //! What relays say to each other about what is agreed, in the words that membership carries for them.
 use hallrelay_disruption::{Outcome, Thing};
-use hallrelay_raft::Post;
+use hallrelay_raft::Message;
 use serde::{Deserialize, Serialize};
 
 /// Counted up with each change that an older relay would misread; others are dropped.
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Talk {
     /// From voter to voter.
-    Post(Post),
+    Post(Message),
     /// A command for the log, of whoever may give one; the same `call` again is the same.
     Ask {
         call: u64,
