--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! State folders and records as version 0.4.0 wrote them: what a later version reads and writes is the same.
 use hallrelay::types::{Micros, Phase};
-use hallrelay_agreement::{Entry, Snapshot, Voter, What};
 use hallrelay_config::list::Instance;
+use hallrelay_raft::{Entry, Payload, Snapshot, Voter};
 use hallrelay_recovery::fact::{ServerTold, VERSION};
 use hallrelay_recovery::{Fact, Kept, Stored};
 use hallrelay_store::log::{Found, LOG, NEXT};
@@ -71,14 +71,18 @@
 }
 
 fn voters() -> Vec<Voter> {
-    vec![Voter { id: 1, birth: BIRTH }, Voter { id: 2, birth: 0 }, Voter { id: 300, birth: 7 }]
+    vec![
+        Voter { id: 1, incarnation: BIRTH },
+        Voter { id: 2, incarnation: 0 },
+        Voter { id: 300, incarnation: 7 },
+    ]
 }
 
 fn entries() -> Vec<Entry> {
     vec![
-        Entry { index: 11, term: 2, what: What::Nothing },
-        Entry { index: 12, term: 2, what: What::Command(vec![0, 1, 127, 128, 255]) },
-        Entry { index: 13, term: 3, what: What::Voters(voters()) },
+        Entry { index: 11, term: 2, payload: Payload::Noop },
+        Entry { index: 12, term: 2, payload: Payload::Command(vec![0, 1, 127, 128, 255]) },
+        Entry { index: 13, term: 3, payload: Payload::Configuration(voters()) },
     ]
 }
 
@@ -92,7 +96,7 @@
 
 /// What was written, batch by batch: each kind of record, one that is overwritten and two that are removed.
 fn batches() -> Vec<Vec<Kept>> {
-    let gone = Entry { index: 14, term: 3, what: What::Command(vec![9; 40]) };
+    let gone = Entry { index: 14, term: 3, payload: Payload::Command(vec![9; 40]) };
     vec![
         vec![Kept::own("relay-1", 41, WALL)],
         std::iter::once(Kept::list("10.0.0.1:8500", 9))
@@ -121,9 +125,9 @@
         servers: instances().map(told).into_iter().collect(),
         turns: BTreeMap::from([("s-1".to_string(), WALL + 9)]),
         birth: Some(BIRTH),
-        agreed: hallrelay_agreement::Stored {
+        agreed: hallrelay_raft::PersistentState {
             term: 3,
-            vote: Some(voters()[2]),
+            voted_for: Some(voters()[2]),
             snapshot: snapshot(),
             entries: entries(),
         },
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -3,7 +3,7 @@
 use hallrelay_balancer::types::{DialEnd, Micros};
 use hallrelay_config::node::{self, Node, Told as Given};
 use hallrelay_disruption::{Command, Fault, Judge, Kind, Outcome, Plan, Thing, Wave};
-use hallrelay_raft::{Entry, Post, Say, Snapshot, Voter, What};
+use hallrelay_raft::{AppendEntries, Entry, Message, MessageBody, Payload, Snapshot, Voter};
 use hallrelay_recovery::Stored;
 use hallrelay_relay::lines::Open;
 use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer, Want};
@@ -34,9 +34,9 @@
     Thing::Server(text(name))
 }
 
-fn post(say: Say) -> Talk {
-    let (from, to) = (Voter { id: 1, birth: 7 }, Voter { id: 70_000, birth: 0 });
-    Talk::Post(Post { from, to, term: 3, say })
+fn post(body: MessageBody) -> Talk {
+    let (from, to) = (Voter { id: 1, incarnation: 7 }, Voter { id: 70_000, incarnation: 0 });
+    Talk::Post(Message { from, to, term: 3, body })
 }
 
 fn answer(outcome: Outcome) -> Talk {
@@ -45,25 +45,30 @@
 
 /// Each kind of message, with each kind of what it holds.
 fn messages() -> Vec<Talk> {
-    let voters = vec![Voter { id: 1, birth: 7 }, Voter { id: 2, birth: 9 }];
+    let voters = vec![Voter { id: 1, incarnation: 7 }, Voter { id: 2, incarnation: 9 }];
     let command = Command::Back { thing: server("s1") }.encode();
-    let entry = |index, what| Entry { index, term: 2, what };
+    let entry = |index, payload| Entry { index, term: 2, payload };
     let entries = vec![
-        entry(5, What::Nothing),
-        entry(6, What::Command(command.clone())),
-        entry(7, What::Voters(voters.clone())),
+        entry(5, Payload::Noop),
+        entry(6, Payload::Command(command.clone())),
+        entry(7, Payload::Configuration(voters.clone())),
     ];
     let snapshot = Snapshot { index: 4, term: 2, voters: voters.clone(), state: vec![1, 0, 0, 0, 0, 0] };
     vec![
-        post(Say::Here { blank: true }),
-        post(Say::Found { voters }),
-        post(Say::PreVote { index: 4, term: 2 }),
-        post(Say::PreVoted { yes: true }),
-        post(Say::Vote { index: 4, term: 2 }),
-        post(Say::Voted { yes: false }),
-        post(Say::Append { index: 4, term: 2, entries, commit: 4 }),
-        post(Say::Appended { ok: true, index: 7 }),
-        post(Say::Snapshot { snapshot }),
+        post(MessageBody::Announce { uninitialized: true }),
+        post(MessageBody::Bootstrap { voters }),
+        post(MessageBody::RequestPreVote { last_log_index: 4, last_log_term: 2 }),
+        post(MessageBody::PreVoteResponse { granted: true }),
+        post(MessageBody::RequestVote { last_log_index: 4, last_log_term: 2 }),
+        post(MessageBody::VoteResponse { granted: false }),
+        post(MessageBody::AppendEntries(AppendEntries {
+            prev_log_index: 4,
+            prev_log_term: 2,
+            entries,
+            leader_commit: 4,
+        })),
+        post(MessageBody::AppendResponse { success: true, index: 7 }),
+        post(MessageBody::InstallSnapshot { snapshot }),
         Talk::Ask { call: 300, command },
         answer(Outcome::Done),
         answer(Outcome::Granted { grant: 2 }),
