--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -1,5 +1,5 @@
 //! State folders and records as version 0.4.0 wrote them: what a later version reads and writes is the same.
-use hallrelay::types::{Micros, Phase};
+use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::Instance;
 use hallrelay_raft::{Entry, Payload, Snapshot, Voter};
 use hallrelay_recovery::fact::{ServerTold, VERSION};
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -4,10 +4,10 @@
 
 use common::{free, Site};
 use hallrelay_config::node::{self, Told};
-use hallrelay_fleet::membership::Event as Heard;
-use hallrelay_fleet::message::{decode, encode, written, Body, Fault, Packet, FRAME};
-use hallrelay_fleet::status::Status;
-use hallrelay_fleet::{About, Claim, Duty, Effect as Asks, Membership, Own, Rank, State};
+use hallrelay_membership::membership::Event as Heard;
+use hallrelay_membership::message::{decode, encode, written, Body, Fault, Packet, FRAME};
+use hallrelay_membership::status::Status;
+use hallrelay_membership::{About, Claim, Duty, Effect as Asks, Membership, Own, Rank, State};
 use hallrelay_relay::reducer::{Effect, Event, Reducer};
 use serde_json::{json, Value};
 use std::fs;
@@ -147,12 +147,16 @@
     let asker = claim("relay-2", 2, State::Alive, None);
     let mut out = Vec::new();
     let first = packet(asker.clone(), Body::Exchange, vec![]);
-    reducer.step(now, Event::Fleet(Heard::Visited { stream: 1, from: addr(2), packet: first }), &mut out);
+    reducer.step(
+        now,
+        Event::Membership(Heard::Visited { stream: 1, from: addr(2), packet: first }),
+        &mut out,
+    );
     out.clear();
     let asks = packet(asker, Body::Recall, vec![]);
-    reducer.step(now, Event::Fleet(Heard::Visited { stream: 2, from: addr(2), packet: asks }), &mut out);
+    reducer.step(now, Event::Membership(Heard::Visited { stream: 2, from: addr(2), packet: asks }), &mut out);
     let answer = out.into_iter().find_map(|effect| match effect {
-        Effect::Fleet(Asks::Answer { stream: 2, bytes }) => bytes,
+        Effect::Membership(Asks::Answer { stream: 2, bytes }) => bytes,
         _ => None,
     });
     let packet = decode(FLEET, &answer.expect("an answer"), FRAME).expect("a packet");
@@ -175,7 +179,7 @@
     assert_eq!(list_of(&mut other, START + 1_000), text("list_before.json").trim_end());
     let told = Body::Recalled { told: text("list.json").trim_end().as_bytes().to_vec() };
     let returned = packet(claim("relay-2", 2, State::Alive, None), told, vec![]);
-    other.step(START + 2_000, Event::Fleet(Heard::Returned { packet: returned }), &mut Vec::new());
+    other.step(START + 2_000, Event::Membership(Heard::Returned { packet: returned }), &mut Vec::new());
     assert_eq!(list_of(&mut other, START + 2_000), text("list_after.json").trim_end());
 }
 
