--- a/relay/src/control_message.rs
+++ b/relay/src/control_message.rs
@@ -1,7 +1,7 @@
 //! Control messages between relays: Raft, proposals and their results, status reports, and backends excluded by
 //! the log. Membership carries them as opaque bytes.
 use hallrelay_disruption::{FailureDomain, Outcome, SessionCounts, Target};
-use hallrelay_raft::Post;
+use hallrelay_raft::Message;
 use serde::{Deserialize, Serialize};
 
 /// Raised with each change that an older relay would misread; messages of another version are dropped.
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
     /// From voter to voter.
-    Raft(Post),
+    Raft(Message),
     /// A command for the log, from any relay to the leader.
     Propose {
         /// The proposer's number for it; the same number again is the same proposal.
--- a/relay/src/reducer/control.rs
+++ b/relay/src/reducer/control.rs
@@ -22,7 +22,7 @@
         let is_voter = c.is_voter_name(from);
         match message {
             ControlMessage::Raft(message) if c.voter_names.get(&message.from.id) == Some(from) => {
-                self.step_raft(Event::Heard(message), out);
+                self.step_raft(Event::MessageReceived(message), out);
             }
             ControlMessage::Propose { request_id, command } => self.propose(from, request_id, command, out),
             ControlMessage::Proposed { request_id, result } if is_voter => {
--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -83,7 +83,7 @@
         let answer = GrantsAnswer {
             leader: c.leader.as_deref(),
             leads: c.is_leader(),
-            role: node.map_or("no voter", |node| node.role().word()),
+            role: node.map_or("no voter", |node| node.role().as_str()),
             term: node.map_or(0, |node| node.term()),
             index: c.applied_index,
             voters: node.map_or(0, |node| node.voters().len()),
--- a/relay/src/reducer/voter.rs
+++ b/relay/src/reducer/voter.rs
@@ -1,7 +1,7 @@
 //! The Raft voter that a relay hosts: its node, its election and heartbeat timers, the proposals that wait for a
 //! commit, and what of the log is on the disk. Times in microseconds.
 use hallrelay_balancer::types::Micros;
-use hallrelay_raft::{Alarm, Effect, Event, Id, Index, Node, Role, Stored, Voter, Write};
+use hallrelay_raft::{Effect, Event, Id, Index, Node, PersistentState, Role, Timer, Voter, Write};
 use hallrelay_recovery::Kept;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -71,7 +71,7 @@
     }
 
     pub fn is_leader(&self) -> bool {
-        self.node.as_ref().is_some_and(|node| node.role() == Role::Leading)
+        self.node.as_ref().is_some_and(|node| node.role() == Role::Leader)
     }
 
     pub fn starts(&self) -> u32 {
@@ -84,9 +84,9 @@
     }
 
     /// Starts the node with what its disk holds.
-    pub fn start(&mut self, voter: Voter, voters: Vec<Id>, stored: Stored) -> Vec<Effect> {
+    pub fn start(&mut self, voter: Voter, voters: Vec<Id>, stored: PersistentState) -> Vec<Effect> {
         self.starts += 1;
-        self.disk_incarnation = voter.birth;
+        self.disk_incarnation = voter.incarnation;
         let first = stored.snapshot.index + 1;
         let last = first + stored.entries.len() as Index - 1;
         self.persisted = LogRange { first, last };
@@ -109,17 +109,17 @@
         effects
     }
 
-    pub fn set_timer(&mut self, timer: Alarm) -> TimerRound {
+    pub fn set_timer(&mut self, timer: Timer) -> TimerRound {
         let after = match timer {
-            Alarm::Patience => ELECTION_TIMEOUT + self.rng.rand_range(0..ELECTION_TIMEOUT),
-            Alarm::Beat => HEARTBEAT_INTERVAL,
+            Timer::ElectionTimeout => ELECTION_TIMEOUT + self.rng.rand_range(0..ELECTION_TIMEOUT),
+            Timer::HeartbeatTimeout => HEARTBEAT_INTERVAL,
         };
         let round = &mut self.timer_rounds[timer as usize];
         *round += 1;
         TimerRound { after, round: *round }
     }
 
-    pub fn is_current_timer(&self, timer: Alarm, round: u32) -> bool {
+    pub fn is_current_timer(&self, timer: Timer, round: u32) -> bool {
         self.timer_rounds[timer as usize] == round
     }
 
@@ -144,7 +144,7 @@
     pub fn records(&mut self, write: Write) -> Vec<Kept> {
         let LogRange { first, last } = self.persisted;
         match write {
-            Write::Vote { term, vote } => vec![Kept::vote(self.disk_incarnation, term, vote)],
+            Write::Vote { term, voted_for } => vec![Kept::vote(self.disk_incarnation, term, voted_for)],
             Write::Log { from, entries } => {
                 let end = from + entries.len() as Index - 1;
                 self.persisted = LogRange { first: first.min(from), last: end };
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -32,14 +32,14 @@
         let known = own.and_then(|own| Some((own.birth?, own.agreed.clone())));
         let (incarnation, log) = known.unwrap_or_else(|| {
             note("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
-            (self.node.seed ^ now.rotate_left(20) | 1, raft::Stored::default())
+            (self.node.seed ^ now.rotate_left(20) | 1, raft::PersistentState::default())
         });
         // Written before the first vote: an incarnation that is not on the disk is another after a restart.
-        out.push(Effect::Persist { kept: Kept::vote(incarnation, log.term, log.vote), before: None });
+        out.push(Effect::Persist { kept: Kept::vote(incarnation, log.term, log.voted_for), before: None });
         // A process that has its place back applies the log from the beginning.
         c.state = State::default();
         c.applied_index = 0;
-        let voter = Voter { id: server_id(&c.own_name), birth: incarnation };
+        let voter = Voter { id: server_id(&c.own_name), incarnation };
         let voters = c.voter_names.keys().copied().collect();
         let effects = c.voter.start(voter, voters, log);
         self.carry_raft(effects, out);
@@ -61,13 +61,13 @@
     /// What a start of the voter was to write is on the disk, up to a number.
     pub(super) fn raft_written(&mut self, start: u32, number: u64, out: &mut Vec<Effect>) {
         if self.coordination.as_ref().is_some_and(|c| c.voter.starts() == start) {
-            self.step_raft(Event::Written(number), out);
+            self.step_raft(Event::WritesDurable(number), out);
         }
     }
 
-    pub(super) fn raft_timer(&mut self, timer: raft::Alarm, round: u32, out: &mut Vec<Effect>) {
+    pub(super) fn raft_timer(&mut self, timer: raft::Timer, round: u32, out: &mut Vec<Effect>) {
         if self.coordination.as_ref().is_some_and(|c| c.voter.is_current_timer(timer, round)) {
-            self.step_raft(Event::Alarm(timer), out);
+            self.step_raft(Event::TimerExpired(timer), out);
         }
     }
 
@@ -86,38 +86,40 @@
                 let (life, kept) = (c.voter.starts(), c.voter.records(write));
                 out.push(Effect::PersistVoterWrites { life, number, kept });
             }
-            raft::Effect::Alarm(timer) => {
+            raft::Effect::SetTimer(timer) => {
                 let set = c.voter.set_timer(timer);
                 out.push(Effect::StartTimer { after: set.after, alarm: Timer::Voter(timer, set.round) });
             }
-            raft::Effect::Apply { index, command, ticket } => {
-                self.apply_committed(index, &command, ticket, out);
+            raft::Effect::Apply { index, command, proposal_id } => {
+                self.apply_committed(index, &command, proposal_id, out);
             }
-            raft::Effect::Restore { snapshot } => match State::decode(&snapshot.state) {
+            raft::Effect::RestoreSnapshot { snapshot } => match State::decode(&snapshot.state) {
                 Ok(state) => {
                     c.state = state;
                     c.applied_index = snapshot.index;
                 }
                 Err(_) => self.stop_outdated_voter("a snapshot", out),
             },
-            raft::Effect::Refused { ticket, leader } => {
+            raft::Effect::ProposalRejected { proposal_id, leader } => {
                 let leader = leader.and_then(|id| c.voter_names.get(&id)).map(ToString::to_string);
-                self.answer_proposal(Some(ticket), ProposalResult::NotLeader(leader), out);
+                self.answer_proposal(Some(proposal_id), ProposalResult::NotLeader(leader), out);
             }
-            raft::Effect::Unknown { ticket } => {
-                self.answer_proposal(Some(ticket), ProposalResult::Unknown, out);
+            raft::Effect::ProposalOutcomeUnknown { proposal_id } => {
+                self.answer_proposal(Some(proposal_id), ProposalResult::Unknown, out);
+            }
+            raft::Effect::LeadershipChanged { is_leader, term } => {
+                self.leadership_changed(is_leader, term, out);
             }
-            raft::Effect::Turned { leads, term } => self.leadership_changed(leads, term, out),
         }
     }
 
-    fn leadership_changed(&mut self, leads: bool, term: u64, out: &mut Vec<Effect>) {
+    fn leadership_changed(&mut self, is_leader: bool, term: u64, out: &mut Vec<Effect>) {
         let Some(c) = &mut self.coordination else { return };
         c.grants_seen.clear();
-        if leads {
+        if is_leader {
             c.leader = Some(c.own_name.clone());
         }
-        let word = if leads { "leads" } else { "leads no more" };
+        let word = if is_leader { "leads" } else { "leads no more" };
         note(format!("this relay {word} what is agreed, term {term}"), out);
     }
 
@@ -170,8 +172,8 @@
             let leader = c.other_leader().map(|leader| leader.to_string());
             return self.answer_proposer(&proposer, ProposalResult::NotLeader(leader), out);
         }
-        let ticket = c.voter.add_proposal(proposer);
-        self.step_raft(Event::Propose { ticket, command }, out);
+        let proposal_id = c.voter.add_proposal(proposer);
+        self.step_raft(Event::Propose { proposal_id, command }, out);
     }
 
     fn answer_proposal(&mut self, id: Option<u64>, result: ProposalResult, out: &mut Vec<Effect>) {
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -6,7 +6,7 @@
     AnalysisPolicy, Command, CommandError, FailureDomain, Outcome, RolloutPlan, SessionCounts, Target,
     TargetKind, Wave,
 };
-use hallrelay_raft::{Entry, Post, Say, Snapshot, Voter, What};
+use hallrelay_raft::{AppendEntries, Entry, Message, MessageBody, Payload, Snapshot, Voter};
 use hallrelay_recovery::Stored;
 use hallrelay_relay::control_message::{
     ControlMessage, ProposalResult, RelayStatus, RemainingSessions, TargetCounts,
@@ -39,9 +39,9 @@
     Target::Backend(text(name))
 }
 
-fn post(say: Say) -> ControlMessage {
-    let (from, to) = (Voter { id: 1, birth: 7 }, Voter { id: 70_000, birth: 0 });
-    ControlMessage::Raft(Post { from, to, term: 3, say })
+fn raft(body: MessageBody) -> ControlMessage {
+    let (from, to) = (Voter { id: 1, incarnation: 7 }, Voter { id: 70_000, incarnation: 0 });
+    ControlMessage::Raft(Message { from, to, term: 3, body })
 }
 
 fn answer(outcome: Outcome) -> ControlMessage {
@@ -58,25 +58,30 @@
 
 /// Each kind of message, with each kind of what it holds.
 fn messages() -> Vec<ControlMessage> {
-    let voters = vec![Voter { id: 1, birth: 7 }, Voter { id: 2, birth: 9 }];
+    let voters = vec![Voter { id: 1, incarnation: 7 }, Voter { id: 2, incarnation: 9 }];
     let command = Command::Return { target: backend("s1") }.encode();
-    let entry = |index, what| Entry { index, term: 2, what };
+    let entry = |index, payload| Entry { index, term: 2, payload };
     let entries = vec![
-        entry(5, What::Nothing),
-        entry(6, What::Command(command.clone())),
-        entry(7, What::Voters(voters.clone())),
+        entry(5, Payload::Noop),
+        entry(6, Payload::Command(command.clone())),
+        entry(7, Payload::Configuration(voters.clone())),
     ];
     let snapshot = Snapshot { index: 4, term: 2, voters: voters.clone(), state: vec![1, 0, 0, 0, 0, 0] };
     vec![
-        post(Say::Here { blank: true }),
-        post(Say::Found { voters }),
-        post(Say::PreVote { index: 4, term: 2 }),
-        post(Say::PreVoted { yes: true }),
-        post(Say::Vote { index: 4, term: 2 }),
-        post(Say::Voted { yes: false }),
-        post(Say::Append { index: 4, term: 2, entries, commit: 4 }),
-        post(Say::Appended { ok: true, index: 7 }),
-        post(Say::Snapshot { snapshot }),
+        raft(MessageBody::Announce { uninitialized: true }),
+        raft(MessageBody::Bootstrap { voters }),
+        raft(MessageBody::RequestPreVote { last_log_index: 4, last_log_term: 2 }),
+        raft(MessageBody::PreVoteResponse { granted: true }),
+        raft(MessageBody::RequestVote { last_log_index: 4, last_log_term: 2 }),
+        raft(MessageBody::VoteResponse { granted: false }),
+        raft(MessageBody::AppendEntries(AppendEntries {
+            prev_log_index: 4,
+            prev_log_term: 2,
+            entries,
+            leader_commit: 4,
+        })),
+        raft(MessageBody::AppendResponse { success: true, index: 7 }),
+        raft(MessageBody::InstallSnapshot { snapshot }),
         ControlMessage::Propose { request_id: 300, command },
         answer(Outcome::Done),
         answer(Outcome::Granted { lease_id: 2 }),
