--- a/config/src/plan.rs
+++ b/config/src/plan.rs
@@ -1,6 +1,54 @@
-//! A release's plan: a TOML text, checked with file, line and key.
-use hallrelay_disruption::{AnalysisPolicy, RolloutPlan, TargetKind, Wave};
+//! A rollout's plan as operators write it: a TOML text, whose errors name file, line and key.
+use hallrelay_disruption::{AnalysisPolicy, InvalidPlan, RolloutPlan, TargetKind, Wave};
 use serde::Deserialize;
+use std::path::Path;
+
+/// Why a plan can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum PlanError {
+    /// The file can't be read.
+    #[error("{file}: {source}")]
+    Unreadable {
+        /// The plan's file.
+        file: String,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// Not TOML, or not the keys of a plan.
+    #[error("{file}: {reason}")]
+    Syntax {
+        /// The plan's file.
+        file: String,
+        /// Line, key and what is wrong.
+        reason: String,
+    },
+    /// A share outside 0 to 1.
+    #[error("{file}: {key} is {value}, wanted 0 to 1")]
+    NotAShare {
+        /// The plan's file.
+        file: String,
+        /// The share's key.
+        key: String,
+        /// What it is.
+        value: f64,
+    },
+    /// A wave that selects nothing.
+    #[error("{file}: wave {number} has neither names nor a count or share")]
+    EmptyWave {
+        /// The plan's file.
+        file: String,
+        /// The wave, from 1.
+        number: usize,
+    },
+    /// A plan beyond the limits.
+    #[error("{file}: {source}")]
+    Invalid {
+        /// The plan's file.
+        file: String,
+        /// Which limits there are.
+        source: InvalidPlan,
+    },
+}
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -29,7 +77,8 @@
 }
 
 impl Default for JudgeText {
-    /// Two in a hundred worse shows in two hundred sessions; a quiet fleet gets ten minutes for them.
+    /// An excess of two in a hundred shows in two hundred sessions; a fleet with few gets ten minutes for
+    /// them.
     fn default() -> JudgeText {
         JudgeText { sessions: 200, worse: 0.02, within_s: 600 }
     }
@@ -43,34 +92,55 @@
     share: f64,
 }
 
-/// Reads a plan; what is wrong names the file, and the line and key where there are some.
-pub fn read(file: &str, text: &str) -> Result<RolloutPlan, String> {
-    let told: Text = toml::from_str(text).map_err(|e| format!("{file}: {}", e.to_string().trim_end()))?;
-    let part = |key: &str, x: f64| match x {
-        x if (0.0..=1.0).contains(&x) => Ok((x * 1e6).round() as u32),
-        x => Err(format!("{file}: {key} is {x}, wanted 0 to 1")),
-    };
-    let wave = |(i, wave): (usize, &WaveText)| -> Result<Wave, String> {
-        let part = part(&format!("wave {}: share", i + 1), wave.share)?;
-        if wave.names.is_empty() && wave.count == 0 && part == 0 {
-            return Err(format!("{file}: wave {} has neither names nor a count or share", i + 1));
-        }
-        Ok(Wave { names: wave.names.clone(), count: wave.count, share_ppm: part })
-    };
+/// Reads a plan's file.
+pub fn read(path: &Path) -> Result<RolloutPlan, PlanError> {
+    let file = path.display().to_string();
+    match std::fs::read_to_string(path) {
+        Ok(text) => parse(&file, &text),
+        Err(source) => Err(PlanError::Unreadable { file, source }),
+    }
+}
+
+/// Parses and validates a plan; `file` is for its errors.
+pub fn parse(file: &str, text: &str) -> Result<RolloutPlan, PlanError> {
+    let text: Text = toml::from_str(text).map_err(|e| PlanError::Syntax {
+        file: file.to_string(),
+        reason: e.to_string().trim_end().to_string(),
+    })?;
+    let mut waves = Vec::new();
+    for (i, wave) in text.wave.into_iter().enumerate() {
+        waves.push(decode_wave(file, i + 1, wave)?);
+    }
     let plan = RolloutPlan {
-        build: told.build,
-        target_kind: match told.of {
+        build: text.build,
+        target_kind: match text.of {
             Of::Relay => TargetKind::Relay,
             Of::Backend => TargetKind::Backend,
         },
-        waves: told.wave.iter().enumerate().map(wave).collect::<Result<_, _>>()?,
+        waves,
         analysis: AnalysisPolicy {
-            min_sessions: told.judge.sessions,
-            margin_ppm: part("judge.worse", told.judge.worse)?,
-            deadline_s: told.judge.within_s,
+            min_sessions: text.judge.sessions,
+            margin_ppm: share_ppm(file, "judge.worse", text.judge.worse)?,
+            deadline_s: text.judge.within_s,
         },
-        requested_by: told.by,
+        requested_by: text.by,
     };
-    plan.validate().map_err(|e| format!("{file}: {e}"))?;
+    plan.validate().map_err(|source| PlanError::Invalid { file: file.to_string(), source })?;
     Ok(plan)
 }
+
+fn decode_wave(file: &str, number: usize, wave: WaveText) -> Result<Wave, PlanError> {
+    let share_ppm = share_ppm(file, &format!("wave {number}: share"), wave.share)?;
+    if wave.names.is_empty() && wave.count == 0 && share_ppm == 0 {
+        return Err(PlanError::EmptyWave { file: file.to_string(), number });
+    }
+    Ok(Wave { names: wave.names, count: wave.count, share_ppm })
+}
+
+/// A share of 0 to 1 in millionths.
+fn share_ppm(file: &str, key: &str, value: f64) -> Result<u32, PlanError> {
+    if !(0.0..=1.0).contains(&value) {
+        return Err(PlanError::NotAShare { file: file.to_string(), key: key.to_string(), value });
+    }
+    Ok((value * 1e6).round() as u32)
+}
--- a/disruption/src/analysis.rs
+++ b/disruption/src/analysis.rs
@@ -60,10 +60,10 @@
     pub reason: String,
 }
 
-/// Compares the counts of the new and the old build; `elapsed_s` seconds have passed since counting began. None
-/// while there are too few sessions to tell. A new build that is worse beyond chance fails from a quarter of the
-/// sessions on: waiting for the rest would expose more clients to it. A wave without enough sessions by the
-/// deadline fails, and a person decides whether to resume.
+/// Compares the counts of the new and the old build; `elapsed_s` seconds have passed since counting began.
+/// None while there are too few sessions to tell. A new build that is worse beyond chance fails from a
+/// quarter of the sessions on: waiting for the rest would expose more clients to it. A wave without enough
+/// sessions by the deadline fails, and a person decides whether to resume.
 pub fn analyze(
     policy: &AnalysisPolicy,
     new: SessionCounts,
--- a/disruption/src/command.rs
+++ b/disruption/src/command.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Version of the encodings of commands and states, and of what commands do. Raised with each change that an
-/// older voter would apply differently: a voter that meets a later version stops applying, so all voters get a
-/// new build before its new commands are used.
+/// older voter would apply differently: a voter that meets a later version stops applying, so all voters get
+/// a new build before its new commands are used.
 pub const VERSION: u8 = 1;
 
 /// One command of the log.
@@ -25,7 +25,8 @@
         /// How it does.
         health: HealthState,
     },
-    /// Requests a lease. The request id is an idempotency key: a request repeated with it is the same request.
+    /// Requests a lease. The request id is an idempotency key: a request repeated with it is the same
+    /// request.
     Request {
         /// What is to go out of service.
         target: Target,
@@ -71,7 +72,7 @@
         /// The person, by name.
         requested_by: String,
     },
-    /// Starts a rollout, where none is under way.
+    /// Starts a rollout, where none is in progress.
     StartRollout {
         /// Its plan.
         plan: RolloutPlan,
@@ -139,7 +140,7 @@
     },
     /// The request waits for a budget.
     Waiting {
-        /// The budget that has no room, for operators.
+        /// The budget without capacity, for operators.
         blocked_by: String,
         /// Who counts against it, for operators.
         unavailable: Vec<String>,
@@ -155,8 +156,8 @@
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// Reads what `encode` writes. `UnsupportedVersion` for other bytes, `LimitExceeded` for a command that does
-    /// not [`validate`](Command::validate).
+    /// Reads what `encode` writes. `UnsupportedVersion` for other bytes, `LimitExceeded` for a command that
+    /// does not [`validate`](Command::validate).
     pub fn decode(bytes: &[u8]) -> Result<Command, CommandError> {
         let Some((&VERSION, rest)) = bytes.split_first() else {
             return Err(CommandError::UnsupportedVersion);
--- a/disruption/src/lease.rs
+++ b/disruption/src/lease.rs
@@ -5,13 +5,13 @@
 use LeaseEvent::{Admitted, Began, Expired, Reclaimed, Requested, Returned, WarmedUp, Withdrawn};
 use LeaseState::{Granted, InService, Out, Returning, Waiting};
 
-/// How far a target is on its way out of service and back.
+/// How far a target is on its path out of service and back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseState {
     /// No lease: the target is to serve.
     #[default]
     InService,
-    /// Requested; no budget has room yet.
+    /// Requested; some budget has no capacity yet.
     Waiting,
     /// It may go out of service, and has not begun to.
     Granted,
@@ -39,7 +39,7 @@
 pub(crate) enum LeaseEvent {
     Requested,
     Withdrawn,
-    /// All budgets have room for it, or it is forced.
+    /// All budgets have capacity for it, or it is forced.
     Admitted,
     Began,
     /// Granted, and not begun in time.
@@ -80,7 +80,7 @@
     pub domain: FailureDomain,
     /// Its health as last observed.
     pub health: HealthState,
-    /// How far it is on its way out of service and back.
+    /// How far it is on its path out of service and back.
     pub state: LeaseState,
     /// Number of the grant, a fencing token that only rises; 0 before a grant.
     pub lease_id: u64,
--- a/disruption/src/rollout.rs
+++ b/disruption/src/rollout.rs
@@ -1,6 +1,6 @@
-//! A rollout: waves of relays or backends that are taken out of service, updated by whoever deploys, and taken
-//! back. It advances by commands alone and is part of the replicated state: the death of a relay loses no
-//! step, and after a halt is committed nothing begins.
+//! A rollout: waves of relays or backends that are taken out of service, updated by whoever deploys, and
+//! taken back. It advances by commands alone and is part of the replicated state: the death of a relay loses
+//! no step, and after a halt is committed nothing begins.
 use crate::error::CommandError;
 use crate::plan::{RolloutPlan, Wave};
 use crate::target::Target;
@@ -132,7 +132,7 @@
     pub state: ItemState,
 }
 
-/// A rollout under way, or the last one.
+/// The rollout in progress, or the last one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rollout {
     /// The plan as it was submitted.
--- a/disruption/src/state/leases.rs
+++ b/disruption/src/state/leases.rs
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// What the requester is told, after all that follows from the request.
+    /// The answer to the requester, after all that follows from the request.
     pub(super) fn request_outcome(&self, target: &Target, request_id: u64) -> Outcome {
         let Some(lease) = self.leases.get(target) else {
             return Outcome::Rejected(CommandError::UnknownTarget);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The first budget that has no room for a target, if there is one. A target that is down takes room like any
+    /// The first budget without capacity for a target, if there is one. A target that is down counts like any
     /// other: it may be up again while it is out.
     pub fn blocked_by(&self, target: &Target, lease: &Lease) -> Option<BlockedBy> {
         let mut budgets = self.budgets.iter().filter(|budget| budget.target_kind == target.kind());
@@ -192,14 +192,14 @@
         }
     }
 
-    /// Grants what has room, the oldest request first; one without room does not hold up the others. Whether
-    /// anything was granted.
+    /// Grants what the budgets allow, the oldest request first; one that is blocked does not block the
+    /// others. Whether anything was granted.
     pub(super) fn grant_waiting(&mut self) -> bool {
         let mut granted = false;
         for target in self.waiting_in_order() {
-            let has_room =
+            let is_allowed =
                 self.leases.get(&target).is_some_and(|lease| self.blocked_by(&target, lease).is_none());
-            if has_room {
+            if is_allowed {
                 self.grant(&target);
                 granted = true;
             }
--- a/disruption/src/state/mod.rs
+++ b/disruption/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The replicated state, and how a command changes it. The same commands lead to the same state at each voter.
+//! The replicated state, and how a command changes it. The same commands lead to the same state at each
+//! voter.
 mod leases;
 mod rollout;
 
@@ -25,7 +26,7 @@
 /// Why a request waits.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BlockedBy {
-    /// The budget that has no room, for operators: `at most 1 relay of zone east`.
+    /// The budget without capacity, for operators: `at most 1 relay of zone east`.
     pub limit: String,
     /// The first few that count against it, for operators: `relay r1 (out)`.
     pub unavailable: Vec<String>,
@@ -47,7 +48,7 @@
         &self.budgets
     }
 
-    /// The rollout that is under way, or was last.
+    /// The rollout that is in progress, or was last.
     pub fn rollout(&self) -> Option<&Rollout> {
         self.rollout.as_ref()
     }
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Applies one command, and then all that follows from it: requests with room are granted, and the rollout
-    /// advances.
+    /// Applies one command, and then all that follows from it: requests within the budgets are granted, and
+    /// the rollout advances.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         let result = self.execute(command);
         // A grant may let the rollout advance, and that may request or free more. Both run each time.
--- a/disruption/src/state/rollout.rs
+++ b/disruption/src/state/rollout.rs
@@ -12,8 +12,8 @@
 const ROLLOUT_REQUEST_ID: u64 = u64::MAX;
 
 impl State {
-    /// `Stale` while another rollout is under way, `UnknownTarget` for a plan that selects nothing or names who is
-    /// not known.
+    /// `Stale` while another rollout is in progress, `UnknownTarget` for a plan that selects nothing or names
+    /// a target that is not known.
     pub(super) fn start_rollout(&mut self, plan: &RolloutPlan) -> Result<(), CommandError> {
         if self.rollout.as_ref().is_some_and(|rollout| !rollout.phase.is_over()) {
             return Err(CommandError::Stale);
--- a/disruption/tests/fixtures.rs
+++ b/disruption/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Bytes of commands, outcomes and states as voters of earlier builds stored and sent them: they are read, and
-//! the same bytes are written again. One file a kind, one value a line, in hexadecimal.
+//! Bytes of commands, outcomes and states as voters of earlier builds stored and sent them: they are read,
+//! and the same bytes are written again. One file a kind, one value a line, in hexadecimal.
 use hallrelay_disruption::{
     AnalysisPolicy, Budget, Command, CommandError, FailureDomain, HealthState, Outcome, RolloutPhase,
     RolloutPlan, Scope, State, Target, TargetKind, Wave,
@@ -119,8 +119,8 @@
     ]
 }
 
-/// Drains that are asked for, granted, begun, lapsed, dropped, forced, freed and brought back; a release that is
-/// halted by a person and by a bad wave and goes back, and one that goes to its end.
+/// Drains that are asked for, granted, begun, lapsed, dropped, forced, freed and brought back; a release that
+/// is halted by a person and by a bad wave and goes back, and one that goes to its end.
 fn history() -> Vec<Command> {
     let (up, warming_up) = (HealthState::Up, HealthState::WarmingUp);
     let (down, removed) = (HealthState::Down, HealthState::Removed);
--- a/disruption/tests/table.rs
+++ b/disruption/tests/leases.rs
@@ -1,15 +1,15 @@
-//! Who is granted what, case by case.
+//! Leases under budgets: which requests are granted, and which wait.
 use hallrelay_disruption::{
-    Budget, Command, CommandError, FailureDomain, HealthState, LeaseState, Outcome, Scope, State, Target,
-    TargetKind,
+    BlockedBy, Budget, Command, CommandError, FailureDomain, HealthState, LeaseState, Outcome, Scope, State,
+    Target, TargetKind,
 };
 
 fn relay(name: &str) -> Target {
     Target::Relay(name.to_string())
 }
 
-fn budget(scope: Scope, count: Option<u32>, part: Option<u32>) -> Budget {
-    Budget { target_kind: TargetKind::Relay, scope, max_count: count, max_share_ppm: part }
+fn budget(scope: Scope, max_count: Option<u32>, max_share_ppm: Option<u32>) -> Budget {
+    Budget { target_kind: TargetKind::Relay, scope, max_count, max_share_ppm }
 }
 
 fn observe(state: &mut State, name: &str, zone: &str, health: HealthState) {
@@ -35,9 +35,10 @@
     state.apply(&Command::Request { target: relay(name), request_id, requested_by, reason, force })
 }
 
-fn waiting(outcome: Outcome) -> (String, Vec<String>) {
+/// What a waiting request is blocked by.
+fn blocked_by(outcome: Outcome) -> BlockedBy {
     match outcome {
-        Outcome::Waiting { blocked_by, unavailable } => (blocked_by, unavailable),
+        Outcome::Waiting { blocked_by, unavailable } => BlockedBy { limit: blocked_by, unavailable },
         other => panic!("{other:?}"),
     }
 }
@@ -47,16 +48,21 @@
 }
 
 #[test]
-fn one_at_a_time_then_the_oldest_wish() {
+fn one_at_a_time_then_the_oldest_request() {
     let mut s = fleet(vec![budget(Scope::Fleet, Some(1), None)]);
     assert_eq!(request(&mut s, "a", 1, false), Outcome::Granted { lease_id: 1 });
-    assert_eq!(request(&mut s, "a", 1, false), Outcome::Granted { lease_id: 1 }, "the same wish once more");
-    let taken =
+    assert_eq!(
+        request(&mut s, "a", 1, false),
+        Outcome::Granted { lease_id: 1 },
+        "the same request once more"
+    );
+    let other_request =
         Outcome::RequestedByAnother { requested_by: "ann".to_string(), reason: "new disks".to_string() };
-    assert_eq!(request(&mut s, "a", 9, false), taken, "another's wish for the same");
-    let (why, out) = waiting(request(&mut s, "c", 2, false));
-    assert_eq!((why.as_str(), out), ("at most 1 relay of the fleet", vec!["relay a (granted)".to_string()]));
-    waiting(request(&mut s, "b", 3, false));
+    assert_eq!(request(&mut s, "a", 9, false), other_request, "another request for the same");
+    let blocked = blocked_by(request(&mut s, "c", 2, false));
+    assert_eq!(blocked.limit, "at most 1 relay of the fleet");
+    assert_eq!(blocked.unavailable, vec!["relay a (granted)".to_string()]);
+    blocked_by(request(&mut s, "b", 3, false));
     assert_eq!(
         s.apply(&Command::Begin { target: relay("a"), lease_id: 2 }),
         Outcome::Rejected(CommandError::Stale)
@@ -72,83 +78,83 @@
     assert_eq!(
         (lease_state(&s, "a"), lease_state(&s, "c")),
         (LeaseState::Returning, LeaseState::Waiting),
-        "cold is not in"
+        "warming up is not in service"
     );
     observe(&mut s, "a", "east", HealthState::Up);
     assert_eq!(
         (lease_state(&s, "a"), lease_state(&s, "c"), lease_state(&s, "b")),
         (LeaseState::InService, LeaseState::Granted, LeaseState::Waiting)
     );
-    // Not begun in time: the next one's turn, under a number of its own.
+    // Not begun in time: the next request is granted, under a lease id of its own.
     assert_eq!(s.apply(&Command::Expire { target: relay("c"), lease_id: 2 }), Outcome::Done);
     assert_eq!(request(&mut s, "b", 3, false), Outcome::Granted { lease_id: 3 });
 }
 
 #[test]
-fn the_least_of_all_budgets_holds_and_a_part_is_rounded_down() {
+fn the_lowest_of_all_budgets_holds_and_a_share_is_rounded_down() {
     // A quarter of six is one; a half of a zone of two is one, of four two.
     let half = budget(Scope::Zone, None, Some(500_000));
     let mut s = fleet(vec![half.clone()]);
     assert!(matches!(request(&mut s, "a", 1, false), Outcome::Granted { .. }));
     assert!(matches!(request(&mut s, "b", 2, false), Outcome::Granted { .. }));
-    assert_eq!(waiting(request(&mut s, "c", 3, false)).0, "at most 2 relay of zone east");
+    assert_eq!(blocked_by(request(&mut s, "c", 3, false)).limit, "at most 2 relay of zone east");
     assert!(matches!(request(&mut s, "e", 4, false), Outcome::Granted { .. }));
-    assert_eq!(waiting(request(&mut s, "f", 5, false)).0, "at most 1 relay of zone west");
+    assert_eq!(blocked_by(request(&mut s, "f", 5, false)).limit, "at most 1 relay of zone west");
     let mut s = fleet(vec![half, budget(Scope::Fleet, Some(3), Some(250_000))]);
     assert!(matches!(request(&mut s, "a", 1, false), Outcome::Granted { .. }));
-    assert_eq!(waiting(request(&mut s, "e", 2, false)).0, "at most 1 relay of the fleet");
+    assert_eq!(blocked_by(request(&mut s, "e", 2, false)).limit, "at most 1 relay of the fleet");
 }
 
 #[test]
-fn the_unplanned_takes_room_and_is_never_refused() {
+fn an_unplanned_outage_counts_against_the_budget() {
     let mut s = fleet(vec![budget(Scope::Fleet, Some(1), None)]);
     observe(&mut s, "f", "west", HealthState::Down);
-    assert_eq!(waiting(request(&mut s, "a", 1, false)).1, vec!["relay f (not up)".to_string()]);
+    assert_eq!(blocked_by(request(&mut s, "a", 1, false)).unavailable, vec!["relay f (not up)".to_string()]);
     observe(&mut s, "e", "west", HealthState::Down);
     observe(&mut s, "f", "west", HealthState::Up);
     assert_eq!(lease_state(&s, "a"), LeaseState::Waiting, "another is down by now");
     observe(&mut s, "e", "west", HealthState::Up);
     assert_eq!(lease_state(&s, "a"), LeaseState::Granted);
-    // It dies while it may be out: it stays counted till it is seen in, or a person says so.
+    // Removed while it is out: it counts until it is observed to be up, or a person reclaims it.
     s.apply(&Command::Begin { target: relay("a"), lease_id: 1 });
     observe(&mut s, "a", "east", HealthState::Removed);
-    waiting(request(&mut s, "b", 2, false));
+    blocked_by(request(&mut s, "b", 2, false));
     assert_eq!(
         s.apply(&Command::Reclaim { target: relay("a"), requested_by: "bo".to_string() }),
         Outcome::Done
     );
-    assert_eq!(lease_state(&s, "b"), LeaseState::Waiting, "freed, and still not up");
+    assert_eq!(lease_state(&s, "b"), LeaseState::Waiting, "reclaimed, and still not up");
     observe(&mut s, "a", "east", HealthState::Up);
     assert_eq!(lease_state(&s, "b"), LeaseState::Granted);
 }
 
 #[test]
-fn odd_budgets_and_force() {
+fn a_budget_of_none_force_and_a_lowered_budget() {
     let mut s = fleet(vec![budget(Scope::Fleet, Some(0), None)]);
-    waiting(request(&mut s, "a", 1, false));
+    blocked_by(request(&mut s, "a", 1, false));
     assert_eq!(request(&mut s, "b", 2, true), Outcome::Granted { lease_id: 1 }, "forced");
-    assert!(s.lease(&relay("b")).expect("seen").forced);
+    assert!(s.lease(&relay("b")).expect("it was observed").forced);
     assert_eq!(s.apply(&Command::Withdraw { target: relay("a"), request_id: 1 }), Outcome::Done);
     assert_eq!(lease_state(&s, "a"), LeaseState::InService);
     assert_eq!(request(&mut s, "nobody", 3, false), Outcome::Rejected(CommandError::UnknownTarget));
-    // Smaller than what is out: nothing new, and what is out stays.
+    // Lowered below what is granted: nothing new is granted, and the grants stay.
     let mut s = fleet(vec![budget(Scope::Fleet, Some(2), None)]);
     request(&mut s, "a", 1, false);
     request(&mut s, "b", 2, false);
     s.apply(&Command::SetBudgets(vec![budget(Scope::Fleet, Some(1), None)]));
     s.apply(&Command::Expire { target: relay("a"), lease_id: 1 });
-    waiting(request(&mut s, "c", 3, false));
+    blocked_by(request(&mut s, "c", 3, false));
     assert_eq!((lease_state(&s, "b"), State::decode(&s.encode())), (LeaseState::Granted, Ok(s.clone())));
 }
 
 #[test]
-fn odd_bytes_change_nothing() {
+fn malformed_bytes_are_rejected() {
     let long = Command::Return { target: relay(&"x".repeat(65)) };
     assert_eq!(Command::decode(&long.encode()), Err(CommandError::LimitExceeded));
     assert_eq!(Command::decode(&[2, 0]), Err(CommandError::UnsupportedVersion));
     assert_eq!(Command::decode(&[]), Err(CommandError::UnsupportedVersion));
-    let mut whole = Command::Return { target: relay("a") }.encode();
-    assert!(Command::decode(&whole).is_ok());
-    whole.truncate(2);
-    assert_eq!(Command::decode(&whole), Err(CommandError::UnsupportedVersion));
+    let mut bytes = Command::Return { target: relay("a") }.encode();
+    assert!(Command::decode(&bytes).is_ok());
+    bytes.truncate(2);
+    assert_eq!(Command::decode(&bytes), Err(CommandError::UnsupportedVersion));
 }
--- a/relay/src/reducer/control.rs
+++ b/relay/src/reducer/control.rs
@@ -17,16 +17,16 @@
 
     /// A member's message.
     pub(super) fn receive_control(&mut self, from: &Rc<str>, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
+        let Some(coordination) = &mut self.coordination else { return };
         let Some(message) = ControlMessage::decode(bytes) else { return };
-        let is_voter = c.is_voter_name(from);
+        let is_voter = coordination.is_voter_name(from);
         match message {
-            ControlMessage::Raft(message) if c.voter_names.get(&message.from.id) == Some(from) => {
+            ControlMessage::Raft(message) if coordination.voter_names.get(&message.from.id) == Some(from) => {
                 self.step_raft(Event::MessageReceived(message), out);
             }
             ControlMessage::Propose { request_id, command } => self.propose(from, request_id, command, out),
             ControlMessage::Proposed { request_id, result } if is_voter => {
-                c.leader = match &result {
+                coordination.leader = match &result {
                     ProposalResult::NotLeader(leader) => leader.as_deref().map(Rc::from),
                     ProposalResult::Applied(_) | ProposalResult::Unknown => Some(from.clone()),
                 };
@@ -34,8 +34,8 @@
             }
             ControlMessage::Status(status) => self.receive_status(from.clone(), status),
             ControlMessage::Excluded { index, backends, moves_per_s } if is_voter => {
-                c.leader = Some(from.clone());
-                c.moves_per_s = moves_per_s;
+                coordination.leader = Some(from.clone());
+                coordination.moves_per_s = moves_per_s;
                 self.exclude_backends(index, backends.into_iter().collect(), out);
             }
             ControlMessage::Raft(_) | ControlMessage::Proposed { .. } | ControlMessage::Excluded { .. } => {}
@@ -45,11 +45,11 @@
     /// A relay's report of itself, this relay's own among them.
     pub(super) fn receive_status(&mut self, from: Rc<str>, status: RelayStatus) {
         let received_at = self.now;
-        let Some(c) = &mut self.coordination else { return };
+        let Some(coordination) = &mut self.coordination else { return };
         for reported in status.session_counts {
-            c.outcome_counts.add(reported.target, reported.counts);
+            coordination.outcome_counts.add(reported.target, reported.counts);
         }
         let RelayStatus { domain, serving, remaining_sessions, .. } = status;
-        c.reports.insert(from, PeerReport { received_at, domain, serving, remaining_sessions });
+        coordination.reports.insert(from, PeerReport { received_at, domain, serving, remaining_sessions });
     }
 }
--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -1,5 +1,5 @@
-//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in them, and
-//! the rollout with what is due to whoever deploys. Fields are named as the JSON keys.
+//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in them,
+//! and the rollout with what is due to whoever deploys. Fields are named as the JSON keys.
 use super::coordination::Coordination;
 use super::leader_review::EXCLUSION_DELAY;
 use super::Reducer;
@@ -75,31 +75,31 @@
 impl Reducer {
     /// Leases and budgets as JSON; none where nothing is coordinated.
     pub(super) fn grants_answer(&self) -> Option<String> {
-        let c = self.coordination.as_ref()?;
-        let node = c.voter.node();
+        let coordination = self.coordination.as_ref()?;
+        let node = coordination.voter.node();
         let is_listed =
             |lease: &Lease| lease.state != LeaseState::InService || lease.health != HealthState::Up;
-        let listed = c.state.leases().filter(|(_, lease)| is_listed(lease));
+        let listed = coordination.state.leases().filter(|(_, lease)| is_listed(lease));
         let answer = GrantsAnswer {
-            leader: c.leader.as_deref(),
-            leads: c.is_leader(),
+            leader: coordination.leader.as_deref(),
+            leads: coordination.is_leader(),
             role: node.map_or("no voter", |node| node.role().as_str()),
             term: node.map_or(0, |node| node.term()),
-            index: c.applied_index,
+            index: coordination.applied_index,
             voters: node.map_or(0, |node| node.voters().len()),
-            budgets: c.state.budgets().iter().map(budget_text).collect(),
-            things: listed.map(|(target, lease)| grant_row(c, target, lease)).collect(),
-            known: c.state.leases().count(),
+            budgets: coordination.state.budgets().iter().map(budget_text).collect(),
+            things: listed.map(|(target, lease)| grant_row(coordination, target, lease)).collect(),
+            known: coordination.state.leases().count(),
         };
         serde_json::to_string(&answer).ok()
     }
 
     /// The rollout as JSON; none where there is none, or nothing is coordinated.
     pub(super) fn release_answer(&self) -> Option<String> {
-        let c = self.coordination.as_ref()?;
-        let rollout = c.state.rollout()?;
-        let counts = c.outcome_counts.of_wave(rollout);
-        let due = rollout.items.iter().filter_map(|item| due_row(c, rollout, item, self.now));
+        let coordination = self.coordination.as_ref()?;
+        let rollout = coordination.state.rollout()?;
+        let counts = coordination.outcome_counts.of_wave(rollout);
+        let due = rollout.items.iter().filter_map(|item| due_row(coordination, rollout, item, self.now));
         let answer = ReleaseAnswer {
             build: &rollout.plan.build,
             of: rollout.plan.target_kind.word(),
@@ -110,7 +110,7 @@
             waves: rollout.plan.waves.len(),
             new: [counts.new.sessions, counts.new.failed],
             old: [counts.old.sessions, counts.old.failed],
-            items: rollout.items.iter().map(|item| release_row(c, item)).collect(),
+            items: rollout.items.iter().map(|item| release_row(coordination, item)).collect(),
             due: due.collect(),
         };
         serde_json::to_string(&answer).ok()
@@ -125,7 +125,7 @@
     format!("{} {}:{count}{share}", budget.target_kind.word(), budget.scope.word())
 }
 
-fn grant_row<'a>(c: &Coordination, target: &Target, lease: &'a Lease) -> GrantRow<'a> {
+fn grant_row<'a>(coordination: &Coordination, target: &Target, lease: &'a Lease) -> GrantRow<'a> {
     let is_backend_out = target.kind() == TargetKind::Backend && lease.state == LeaseState::Out;
     GrantRow {
         what: target.to_string(),
@@ -135,31 +135,32 @@
         by: &lease.requested_by,
         why: &lease.reason,
         forced: lease.forced,
-        left: is_backend_out.then(|| c.remaining_sessions(target.name())),
-        held_by: blocking_budget(c, target, lease),
+        left: is_backend_out.then(|| coordination.remaining_sessions(target.name())),
+        held_by: blocking_budget(coordination, target, lease),
     }
 }
 
 /// The budget that a waiting request waits for.
-fn blocking_budget(c: &Coordination, target: &Target, lease: &Lease) -> Option<String> {
-    let blocked_by = (lease.state == LeaseState::Waiting).then(|| c.state.blocked_by(target, lease));
+fn blocking_budget(coordination: &Coordination, target: &Target, lease: &Lease) -> Option<String> {
+    let blocked_by =
+        (lease.state == LeaseState::Waiting).then(|| coordination.state.blocked_by(target, lease));
     blocked_by.flatten().map(|blocked_by| blocked_by.limit)
 }
 
-fn release_row(c: &Coordination, item: &RolloutItem) -> ReleaseRow {
-    let lease = c.state.lease(&item.target);
+fn release_row(coordination: &Coordination, item: &RolloutItem) -> ReleaseRow {
+    let lease = coordination.state.lease(&item.target);
     ReleaseRow {
         what: item.target.to_string(),
         wave: item.wave + 1,
         step: item.state.word(),
         stage: lease.map_or("unknown", |lease| lease.state.word()),
-        held_by: lease.and_then(|lease| blocking_budget(c, &item.target, lease)),
+        held_by: lease.and_then(|lease| blocking_budget(coordination, &item.target, lease)),
     }
 }
 
 /// A target that is to be changed now: it is out, and a backend has no sessions left.
 fn due_row<'a>(
-    c: &Coordination,
+    coordination: &Coordination,
     rollout: &'a Rollout,
     item: &'a RolloutItem,
     now: Micros,
@@ -169,9 +170,9 @@
         ItemState::RollingBack => None,
         _ => return None,
     };
-    let lease = c.state.lease(&item.target).filter(|lease| lease.state == LeaseState::Out)?;
+    let lease = coordination.state.lease(&item.target).filter(|lease| lease.state == LeaseState::Out)?;
     let (kind, name) = (item.target.kind(), item.target.name());
-    let is_reported = now >= c.granted_since(&item.target, now) + EXCLUSION_DELAY;
-    let is_empty = kind == TargetKind::Relay || (is_reported && c.remaining_sessions(name) == 0);
+    let is_reported = now >= coordination.granted_since(&item.target, now) + EXCLUSION_DELAY;
+    let is_empty = kind == TargetKind::Relay || (is_reported && coordination.remaining_sessions(name) == 0);
     is_empty.then_some(DueRow { kind: kind.word(), name, build, grant: lease.lease_id })
 }
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -1,6 +1,6 @@
-//! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to the
-//! leader again and again until it is answered or its time is up; a granted drain begins only once its beginning is
-//! committed. Times in microseconds.
+//! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to
+//! the leader again and again until it is answered or its time is up; a granted drain begins only once its
+//! beginning is committed. Times in microseconds.
 use super::duty::Sign;
 use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::control_message::{ControlMessage, ProposalResult};
@@ -70,10 +70,10 @@
     }
 
     pub(super) fn request_drain(&mut self, call: u32, request: DrainRequest, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
+        let Some(coordination) = &mut self.coordination else { return };
         let own = Target::Relay(self.node.name.clone());
         let target = request.backend.map_or(own, Target::Backend);
-        let request_id = c.next_request_id();
+        let request_id = coordination.next_request_id();
         let command = Command::Request {
             target: target.clone(),
             request_id,
@@ -95,25 +95,25 @@
         description: String,
         out: &mut Vec<Effect>,
     ) {
-        let Some(c) = &mut self.coordination else { return };
-        let request_id = c.next_request_id();
+        let Some(coordination) = &mut self.coordination else { return };
+        let request_id = coordination.next_request_id();
         let request = PendingRequest::new(request_id, RequestStep::Commit, command, description, self.now);
         self.add_request(call, request, out);
     }
 
     fn add_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        c.requests.insert(call, request);
+        let Some(coordination) = &mut self.coordination else { return };
+        coordination.requests.insert(call, request);
         self.retry_request(call, out);
     }
 
     /// Proposes a request once more, or answers it as its time is up.
     pub(super) fn retry_request(&mut self, call: u32, out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(c) = &mut self.coordination else { return };
-        let Some(request) = c.requests.get(&call) else { return };
+        let Some(coordination) = &mut self.coordination else { return };
+        let Some(request) = coordination.requests.get(&call) else { return };
         if now >= request.deadline {
-            let Some(request) = c.requests.remove(&call) else { return };
+            let Some(request) = coordination.requests.remove(&call) else { return };
             return self.give_up_request(call, request, out);
         }
         self.propose_request(call, out);
@@ -121,15 +121,15 @@
     }
 
     fn propose_request(&mut self, call: u32, out: &mut Vec<Effect>) {
-        let request = self.coordination.as_ref().and_then(|c| c.requests.get(&call));
+        let request = self.coordination.as_ref().and_then(|coordination| coordination.requests.get(&call));
         let Some((request_id, command)) = request.map(|r| (r.request_id, r.command.encode())) else { return };
         self.propose_to_leader(request_id, command, out);
     }
 
     fn propose_to_leader(&mut self, request_id: u64, command: Vec<u8>, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        let Some(to) = c.proposal_recipient() else { return };
-        if to == c.own_name {
+        let Some(coordination) = &mut self.coordination else { return };
+        let Some(to) = coordination.proposal_recipient() else { return };
+        if to == coordination.own_name {
             return self.propose(&to, request_id, command, out);
         }
         self.send_control(&to, &ControlMessage::Propose { request_id, command }, out);
@@ -139,8 +139,8 @@
     fn give_up_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
         if let RequestStep::Grant(target) = request.step {
             let withdrawal = Command::Withdraw { target, request_id: request.request_id }.encode();
-            let Some(c) = &mut self.coordination else { return };
-            let request_id = c.next_request_id();
+            let Some(coordination) = &mut self.coordination else { return };
+            let request_id = coordination.next_request_id();
             self.propose_to_leader(request_id, withdrawal, out);
         }
         let reply =
@@ -155,13 +155,14 @@
         result: ProposalResult,
         out: &mut Vec<Effect>,
     ) {
-        let Some(c) = &mut self.coordination else { return };
-        let pending = c.requests.iter_mut().find(|(_, request)| request.request_id == request_id);
+        let Some(coordination) = &mut self.coordination else { return };
+        let pending = coordination.requests.iter_mut().find(|(_, request)| request.request_id == request_id);
         let Some((&call, request)) = pending else { return };
         match result {
             ProposalResult::NotLeader(None) => request.blocked_by = "no voter leads".to_string(),
             ProposalResult::NotLeader(Some(leader)) => {
-                c.leader = Some(leader.as_str().into()).filter(|leader| *leader != c.own_name);
+                coordination.leader =
+                    Some(leader.as_str().into()).filter(|leader| *leader != coordination.own_name);
             }
             // It is proposed again under the same id, which is the same request.
             ProposalResult::Unknown => {}
@@ -170,8 +171,8 @@
     }
 
     fn request_applied(&mut self, call: u32, outcome: Outcome, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        let Some(request) = c.requests.get_mut(&call) else { return };
+        let Some(coordination) = &mut self.coordination else { return };
+        let Some(request) = coordination.requests.get_mut(&call) else { return };
         let reply = match (outcome, &request.step) {
             (
                 Outcome::Granted { lease_id } | Outcome::AlreadyOut { lease_id },
@@ -194,7 +195,7 @@
             }
             (Outcome::Done, RequestStep::Begin(target)) => {
                 let target = target.clone();
-                c.requests.remove(&call);
+                coordination.requests.remove(&call);
                 let reply = self.begin_drain(&target, out);
                 return out.push(Effect::Reply { call, reply });
             }
@@ -212,15 +213,15 @@
             }
             (Outcome::Done | Outcome::Granted { .. } | Outcome::AlreadyOut { .. }, _) => return,
         };
-        c.requests.remove(&call);
+        coordination.requests.remove(&call);
         out.push(Effect::Reply { call, reply });
     }
 
     /// Granted: its beginning is proposed under a request id of its own.
     fn begin_granted(&mut self, call: u32, target: Target, lease_id: u64, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        let request_id = c.next_request_id();
-        let Some(request) = c.requests.get_mut(&call) else { return };
+        let Some(coordination) = &mut self.coordination else { return };
+        let request_id = coordination.next_request_id();
+        let Some(request) = coordination.requests.get_mut(&call) else { return };
         request.request_id = request_id;
         request.command = Command::Begin { target: target.clone(), lease_id };
         request.step = RequestStep::Begin(target);
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,5 +1,5 @@
-//! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one rate.
-//! What was heard last holds until a later word, so a relay without a leader readmits none.
+//! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one
+//! rate. What was heard last holds until a later word, so a relay without a leader readmits none.
 use super::coordination::ExcludedBackends;
 use super::{note, Effect, Reducer, Stage};
 use crate::control_message::RemainingSessions;
@@ -18,24 +18,25 @@
 impl Reducer {
     /// As this voter's own state has it.
     pub(super) fn exclude_by_own_state(&mut self, out: &mut Vec<Effect>) {
-        let Some(c) = &self.coordination else { return };
-        let (index, ids) = (c.applied_index, c.backends_out());
+        let Some(coordination) = &self.coordination else { return };
+        let (index, ids) = (coordination.applied_index, coordination.backends_out());
         self.exclude_backends(index, ids, out);
     }
 
-    /// Takes over the excluded backends as of an index; an earlier index than the known one counts for nothing.
+    /// Takes over the excluded backends as of an index; an earlier index than the known one counts for
+    /// nothing.
     pub(super) fn exclude_backends(&mut self, index: Index, ids: BTreeSet<String>, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        if index < c.excluded.index || c.excluded.ids == ids {
-            c.excluded.index = c.excluded.index.max(index);
+        let Some(coordination) = &mut self.coordination else { return };
+        if index < coordination.excluded.index || coordination.excluded.ids == ids {
+            coordination.excluded.index = coordination.excluded.index.max(index);
             return;
         }
-        let changed: Vec<String> = c.excluded.ids.symmetric_difference(&ids).cloned().collect();
+        let changed: Vec<String> = coordination.excluded.ids.symmetric_difference(&ids).cloned().collect();
         if self.node.state.is_some() {
             out.push(Effect::Persist { kept: Kept::shut(index, &ids), before: None });
         }
         note(format!("by what is agreed {} backends are out", ids.len()), out);
-        c.excluded = ExcludedBackends { index, ids };
+        coordination.excluded = ExcludedBackends { index, ids };
         self.apply_exclusion(&changed, out);
     }
 
@@ -51,7 +52,10 @@
 
     /// A backend's phase for this relay: an excluded one drains, whatever discovery says.
     pub(super) fn phase(&self, backend: &Instance) -> Phase {
-        let is_excluded = self.coordination.as_ref().is_some_and(|c| c.excluded.ids.contains(&backend.id));
+        let is_excluded = self
+            .coordination
+            .as_ref()
+            .is_some_and(|coordination| coordination.excluded.ids.contains(&backend.id));
         match backend.phase {
             Phase::Ready if is_excluded => Phase::Draining,
             phase => phase,
@@ -60,11 +64,12 @@
 
     /// This relay's open sessions at excluded backends.
     fn sessions_to_migrate(&self) -> Vec<SessionToMigrate> {
-        let coordination = self.coordination.as_ref().filter(|c| !c.excluded.ids.is_empty());
-        let Some(c) = coordination else { return Vec::new() };
+        let coordination =
+            self.coordination.as_ref().filter(|coordination| !coordination.excluded.ids.is_empty());
+        let Some(coordination) = coordination else { return Vec::new() };
         let excluded_backend = |s: &super::Sess| {
             let id = &self.servers.get(&s.server?)?.told.id;
-            c.excluded.ids.contains(id).then(|| id.clone())
+            coordination.excluded.ids.contains(id).then(|| id.clone())
         };
         let open = self.sessions.iter().filter(|(_, s)| matches!(s.stage, Stage::Pass | Stage::Moving));
         let to_migrate = open.filter_map(|(&session, s)| {
@@ -89,14 +94,14 @@
     pub(super) fn migrate_excluded(&mut self, out: &mut Vec<Effect>) {
         let sessions = self.sessions_to_migrate();
         let relays = u64::from(self.node.site.facts.relays.max(1));
-        let Some(c) = &mut self.coordination else { return };
+        let Some(coordination) = &mut self.coordination else { return };
         if sessions.is_empty() {
-            c.owed_moves_milli = 0;
+            coordination.owed_moves_milli = 0;
             return;
         }
-        c.owed_moves_milli += u64::from(c.moves_per_s) * 1000 / relays;
-        let part = (c.owed_moves_milli / 1000) as usize;
-        c.owed_moves_milli %= 1000;
+        coordination.owed_moves_milli += u64::from(coordination.moves_per_s) * 1000 / relays;
+        let part = (coordination.owed_moves_milli / 1000) as usize;
+        coordination.owed_moves_milli %= 1000;
         sessions.into_iter().take(part).for_each(|one| self.move_on(one.session, out));
     }
 }
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -1,6 +1,6 @@
-//! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what it
-//! observes of relays and backends, expires grants that nobody began, notes who serves again, and tells all relays
-//! which backends are excluded. Times in microseconds.
+//! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what
+//! it observes of relays and backends, expires grants that nobody began, notes who serves again, and tells
+//! all relays which backends are excluded. Times in microseconds.
 use super::{Effect, Reducer, Server, Timer};
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
@@ -49,10 +49,15 @@
         let remaining_sessions = self.own_remaining_sessions();
         let session_counts = self.take_session_counts();
         let (serving, zone) = (self.serves(), self.own_zone());
-        let Some(c) = &self.coordination else { return };
-        let domain = FailureDomain { zone, kind: c.config.kind.clone(), group: c.config.group.clone() };
-        let own_name = c.own_name.clone();
-        let voters: Vec<_> = c.voter_names.values().filter(|name| **name != own_name).cloned().collect();
+        let Some(coordination) = &self.coordination else { return };
+        let domain = FailureDomain {
+            zone,
+            kind: coordination.config.kind.clone(),
+            group: coordination.config.group.clone(),
+        };
+        let own_name = coordination.own_name.clone();
+        let voters: Vec<_> =
+            coordination.voter_names.values().filter(|name| **name != own_name).cloned().collect();
         let status = RelayStatus { domain, serving, remaining_sessions, session_counts };
         self.receive_status(own_name, status.clone());
         let message = ControlMessage::Status(status);
@@ -65,12 +70,15 @@
     }
 
     fn leader_review(&mut self, out: &mut Vec<Effect>) {
-        let Some(c) = self.coordination.as_ref().filter(|c| c.is_leader()) else { return };
-        let own_name = c.own_name.clone();
+        let Some(coordination) = self.coordination.as_ref().filter(|coordination| coordination.is_leader())
+        else {
+            return;
+        };
+        let own_name = coordination.own_name.clone();
         let excluded = ControlMessage::Excluded {
-            index: c.applied_index,
-            backends: c.backends_out().into_iter().collect(),
-            moves_per_s: c.config.moves,
+            index: coordination.applied_index,
+            backends: coordination.backends_out().into_iter().collect(),
+            moves_per_s: coordination.config.moves,
         };
         self.broadcast_control(&excluded, out);
         let analysis = self.wave_analysis();
@@ -81,14 +89,14 @@
 
     /// What the log does not have yet of what this leader sees.
     fn review_commands(&self) -> Vec<Command> {
-        let Some(c) = &self.coordination else { return Vec::new() };
+        let Some(coordination) = &self.coordination else { return Vec::new() };
         let mut commands = Vec::new();
-        if c.state.budgets() != c.config.budgets {
-            commands.push(Command::SetBudgets(c.config.budgets.clone()));
+        if coordination.state.budgets() != coordination.config.budgets {
+            commands.push(Command::SetBudgets(coordination.config.budgets.clone()));
         }
         let observations = self.observed_relays().into_iter().chain(self.observed_backends());
         commands.extend(observations.filter_map(|one| self.observation_command(one)));
-        for (target, lease) in c.state.leases() {
+        for (target, lease) in coordination.state.leases() {
             commands.extend(self.expiry(target, lease));
             commands.extend(self.relay_return(target, lease));
         }
@@ -108,20 +116,24 @@
 
     /// A grant that was not begun in time.
     fn expiry(&self, target: &Target, lease: &Lease) -> Option<Command> {
-        let c = self.coordination.as_ref()?;
-        let is_late = self.now >= c.granted_since(target, self.now) + c.config.begin_within;
+        let coordination = self.coordination.as_ref()?;
+        let is_late =
+            self.now >= coordination.granted_since(target, self.now) + coordination.config.begin_within;
         (lease.state == LeaseState::Granted && is_late)
             .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
     }
 
-    /// A relay that is out and reports that it serves is back, or never began. One that is out for the rollout
-    /// serves on: whoever deploys says when it is updated.
+    /// A relay that is out and reports that it serves is back, or never began. One that is out for the
+    /// rollout serves on: whoever deploys says when it is updated.
     fn relay_return(&self, target: &Target, lease: &Lease) -> Option<Command> {
-        let c = self.coordination.as_ref()?;
+        let coordination = self.coordination.as_ref()?;
         let Target::Relay(name) = target else { return None };
-        let believed_from = c.granted_since(target, self.now) + SERVING_AGAIN_DELAY;
-        let serves = c.reports.get(name.as_str()).is_some_and(|r| r.serving && r.received_at > believed_from);
-        let item = c.state.rollout().and_then(|rollout| rollout.item(target));
+        let believed_from = coordination.granted_since(target, self.now) + SERVING_AGAIN_DELAY;
+        let serves = coordination
+            .reports
+            .get(name.as_str())
+            .is_some_and(|r| r.serving && r.received_at > believed_from);
+        let item = coordination.state.rollout().and_then(|rollout| rollout.item(target));
         let in_rollout =
             item.is_some_and(|item| matches!(item.state, ItemState::Updating | ItemState::RollingBack));
         (lease.state == LeaseState::Out && serves && !in_rollout)
@@ -130,13 +142,14 @@
 
     /// The other relays as membership has them, and this one.
     fn observed_relays(&self) -> Vec<Observation> {
-        let (Some(c), Some(fleet)) = (&self.coordination, &self.fleet) else { return Vec::new() };
+        let (Some(coordination), Some(fleet)) = (&self.coordination, &self.fleet) else { return Vec::new() };
         let observation = |name: &str, health| Observation {
             target: Target::Relay(name.to_string()),
-            domain: c.reports.get(name).map(|report| report.domain.clone()).unwrap_or_default(),
+            domain: coordination.reports.get(name).map(|report| report.domain.clone()).unwrap_or_default(),
             health,
         };
-        let reporting = fleet.members().filter(|member| c.reports.contains_key(&member.claim.name));
+        let reporting =
+            fleet.members().filter(|member| coordination.reports.contains_key(&member.claim.name));
         let mut observed: Vec<_> = reporting
             .map(|member| {
                 let health = member_health(member.claim.state, member.claim.about.duty);
@@ -144,7 +157,7 @@
             })
             .collect();
         let own = if self.serves() { HealthState::Up } else { HealthState::Down };
-        observed.push(observation(&c.own_name, own));
+        observed.push(observation(&coordination.own_name, own));
         observed
     }
 
@@ -176,15 +189,17 @@
         }
     }
 
-    /// Backends of the log that discovery does not have. None from a leader that discovery never answered: its list
-    /// may be old.
+    /// Backends of the log that discovery does not have. None from a leader that discovery never answered:
+    /// its list may be old.
     fn removed_backends(&self) -> Vec<Observation> {
-        let Some(c) = self.coordination.as_ref().filter(|_| self.spoken.is_some()) else { return Vec::new() };
+        let Some(coordination) = self.coordination.as_ref().filter(|_| self.spoken.is_some()) else {
+            return Vec::new();
+        };
         let is_listed = |id: &String| {
             let server = self.ids.get(id).and_then(|number| self.servers.get(number));
             server.is_some_and(|server| server.told.phase != Phase::Gone)
         };
-        let removed = c.state.leases().filter(|(target, _)| match target {
+        let removed = coordination.state.leases().filter(|(target, _)| match target {
             Target::Backend(id) => !is_listed(id),
             Target::Relay(_) => false,
         });
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -151,7 +151,8 @@
             shut: self
                 .coordination
                 .as_ref()
-                .map(|c| (c.excluded.index, c.excluded.ids.iter().cloned().collect())),
+                .map(|coordination| &coordination.excluded)
+                .map(|excluded| (excluded.index, excluded.ids.iter().cloned().collect())),
         }
     }
 
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -1,5 +1,5 @@
-//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies what is
-//! committed. A proposal is answered once its command is applied.
+//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies
+//! what is committed. A proposal is answered once its command is applied.
 use super::coordination::{Coordination, ExcludedBackends};
 use super::servers::server_id;
 use super::voter::Proposer;
@@ -20,13 +20,14 @@
     /// Starts the voter with what the store holds: before this relay's start, or as it takes the store over.
     pub(super) fn start_voter(&mut self, stored: Option<&Stored>, out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(c) = &mut self.coordination else { return };
-        let own = stored.filter(|stored| stored.name.as_deref().is_none_or(|name| *name == *c.own_name));
-        if let Some(stored) = own.filter(|stored| stored.shut.0 >= c.excluded.index) {
-            c.excluded = ExcludedBackends { index: stored.shut.0, ids: stored.shut.1.clone() };
+        let Some(coordination) = &mut self.coordination else { return };
+        let own =
+            stored.filter(|stored| stored.name.as_deref().is_none_or(|name| *name == *coordination.own_name));
+        if let Some(stored) = own.filter(|stored| stored.shut.0 >= coordination.excluded.index) {
+            coordination.excluded = ExcludedBackends { index: stored.shut.0, ids: stored.shut.1.clone() };
         }
         // A voter whose disk can't be read does not know what it voted for.
-        if stored.is_none() || !c.is_voter() || c.voter.is_running() {
+        if stored.is_none() || !coordination.is_voter() || coordination.voter.is_running() {
             return;
         }
         let known = own.and_then(|own| Some((own.birth?, own.agreed.clone())));
@@ -37,36 +38,40 @@
         // Written before the first vote: an incarnation that is not on the disk is another after a restart.
         out.push(Effect::Persist { kept: Kept::vote(incarnation, log.term, log.voted_for), before: None });
         // A process that has its place back applies the log from the beginning.
-        c.state = State::default();
-        c.applied_index = 0;
-        let voter = Voter { id: server_id(&c.own_name), incarnation };
-        let voters = c.voter_names.keys().copied().collect();
-        let effects = c.voter.start(voter, voters, log);
+        coordination.state = State::default();
+        coordination.applied_index = 0;
+        let voter = Voter { id: server_id(&coordination.own_name), incarnation };
+        let voters = coordination.voter_names.keys().copied().collect();
+        let effects = coordination.voter.start(voter, voters, log);
         self.carry_raft(effects, out);
     }
 
     /// Another process has the place, and the disk.
     pub(super) fn stop_voter(&mut self) {
-        if let Some(c) = &mut self.coordination {
-            c.voter.stop();
+        if let Some(coordination) = &mut self.coordination {
+            coordination.voter.stop();
         }
     }
 
     pub(super) fn step_raft(&mut self, event: Event, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        let effects = c.voter.step(event);
+        let Some(coordination) = &mut self.coordination else { return };
+        let effects = coordination.voter.step(event);
         self.carry_raft(effects, out);
     }
 
     /// What a start of the voter was to write is on the disk, up to a number.
     pub(super) fn raft_written(&mut self, start: u32, number: u64, out: &mut Vec<Effect>) {
-        if self.coordination.as_ref().is_some_and(|c| c.voter.starts() == start) {
+        if self.coordination.as_ref().is_some_and(|coordination| coordination.voter.starts() == start) {
             self.step_raft(Event::WritesDurable(number), out);
         }
     }
 
     pub(super) fn raft_timer(&mut self, timer: raft::Timer, round: u32, out: &mut Vec<Effect>) {
-        if self.coordination.as_ref().is_some_and(|c| c.voter.is_current_timer(timer, round)) {
+        if self
+            .coordination
+            .as_ref()
+            .is_some_and(|coordination| coordination.voter.is_current_timer(timer, round))
+        {
             self.step_raft(Event::TimerExpired(timer), out);
         }
     }
@@ -76,18 +81,18 @@
     }
 
     fn carry_raft_effect(&mut self, effect: raft::Effect, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
+        let Some(coordination) = &mut self.coordination else { return };
         match effect {
             raft::Effect::Send(message) => {
-                let Some(name) = c.voter_names.get(&message.to.id).cloned() else { return };
+                let Some(name) = coordination.voter_names.get(&message.to.id).cloned() else { return };
                 self.send_control(&name, &ControlMessage::Raft(message), out);
             }
             raft::Effect::Write { number, write } => {
-                let (life, kept) = (c.voter.starts(), c.voter.records(write));
+                let (life, kept) = (coordination.voter.starts(), coordination.voter.records(write));
                 out.push(Effect::PersistVoterWrites { life, number, kept });
             }
             raft::Effect::SetTimer(timer) => {
-                let set = c.voter.set_timer(timer);
+                let set = coordination.voter.set_timer(timer);
                 out.push(Effect::StartTimer { after: set.after, alarm: Timer::Voter(timer, set.round) });
             }
             raft::Effect::Apply { index, command, proposal_id } => {
@@ -95,13 +100,13 @@
             }
             raft::Effect::RestoreSnapshot { snapshot } => match State::decode(&snapshot.state) {
                 Ok(state) => {
-                    c.state = state;
-                    c.applied_index = snapshot.index;
+                    coordination.state = state;
+                    coordination.applied_index = snapshot.index;
                 }
                 Err(_) => self.stop_outdated_voter("a snapshot", out),
             },
             raft::Effect::ProposalRejected { proposal_id, leader } => {
-                let leader = leader.and_then(|id| c.voter_names.get(&id)).map(ToString::to_string);
+                let leader = leader.and_then(|id| coordination.voter_names.get(&id)).map(ToString::to_string);
                 self.answer_proposal(Some(proposal_id), ProposalResult::NotLeader(leader), out);
             }
             raft::Effect::ProposalOutcomeUnknown { proposal_id } => {
@@ -114,10 +119,10 @@
     }
 
     fn leadership_changed(&mut self, is_leader: bool, term: u64, out: &mut Vec<Effect>) {
-        let Some(c) = &mut self.coordination else { return };
-        c.grants_seen.clear();
+        let Some(coordination) = &mut self.coordination else { return };
+        coordination.grants_seen.clear();
         if is_leader {
-            c.leader = Some(c.own_name.clone());
+            coordination.leader = Some(coordination.own_name.clone());
         }
         let word = if is_leader { "leads" } else { "leads no more" };
         note(format!("this relay {word} what is agreed, term {term}"), out);
@@ -137,23 +142,26 @@
         out: &mut Vec<Effect>,
     ) {
         let now = self.now;
-        let Some(c) = &mut self.coordination else { return };
-        c.applied_index = index;
+        let Some(coordination) = &mut self.coordination else { return };
+        coordination.applied_index = index;
         let outcome = match Command::decode(command) {
             Ok(command) => {
-                let outcome = c.state.apply(&command);
+                let outcome = coordination.state.apply(&command);
                 note_forced(&command, out);
                 outcome
             }
             Err(CommandError::UnsupportedVersion) => return self.stop_outdated_voter("a command", out),
             Err(error) => Outcome::Rejected(error),
         };
-        c.note_grants(now);
-        let is_long = c.voter.has_long_log();
+        coordination.note_grants(now);
+        let is_long = coordination.voter.has_long_log();
         self.answer_proposal(proposal, ProposalResult::Applied(outcome), out);
         self.exclude_by_own_state(out);
         if is_long {
-            let Some(state) = self.coordination.as_ref().map(|c| c.state.encode()) else { return };
+            let Some(state) = self.coordination.as_ref().map(|coordination| coordination.state.encode())
+            else {
+                return;
+            };
             self.step_raft(Event::Compact { index, state }, out);
         }
     }
@@ -166,13 +174,13 @@
         command: Vec<u8>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(c) = &mut self.coordination else { return };
+        let Some(coordination) = &mut self.coordination else { return };
         let proposer = Proposer { relay: relay.clone(), request_id };
-        if !c.voter.takes_proposals() {
-            let leader = c.other_leader().map(|leader| leader.to_string());
+        if !coordination.voter.takes_proposals() {
+            let leader = coordination.other_leader().map(|leader| leader.to_string());
             return self.answer_proposer(&proposer, ProposalResult::NotLeader(leader), out);
         }
-        let proposal_id = c.voter.add_proposal(proposer);
+        let proposal_id = coordination.voter.add_proposal(proposer);
         self.step_raft(Event::Propose { proposal_id, command }, out);
     }
 
@@ -185,7 +193,7 @@
 
     fn answer_proposer(&mut self, proposer: &Proposer, result: ProposalResult, out: &mut Vec<Effect>) {
         let request_id = proposer.request_id;
-        if self.coordination.as_ref().is_some_and(|c| c.own_name == proposer.relay) {
+        if self.coordination.as_ref().is_some_and(|coordination| coordination.own_name == proposer.relay) {
             return self.request_answered(request_id, result, out);
         }
         self.send_control(&proposer.relay, &ControlMessage::Proposed { request_id, result }, out);
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -1,8 +1,10 @@
-//! `hallrelay release`: asks a relay to start a rollout, to halt, resume or roll it back, and prints its status.
+//! `hallrelay release`: asks a relay to start a rollout, to halt, resume or roll it back, and prints its
+//! status.
 use crate::drain_command::{print_answer, KindArg, OperatorAddr, RequestArgs};
 use crate::operator_client::{get, post, Answer, CallError};
+use hallrelay_config::plan::{self, PlanError};
 use serde_json::json;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 // The comments of subcommands and arguments here are the help texts.
 
@@ -53,9 +55,10 @@
 /// Why a command came to no answer.
 #[derive(Debug, thiserror::Error)]
 enum ReleaseError {
-    /// The plan's file, or what stands in it.
-    #[error("{0}")]
-    Plan(String),
+    #[error(transparent)]
+    Plan(#[from] PlanError),
+    #[error(transparent)]
+    Encoding(#[from] serde_json::Error),
     #[error(transparent)]
     Call(#[from] CallError),
 }
@@ -68,7 +71,7 @@
 async fn call(command: ReleaseCommand) -> Result<Answer, ReleaseError> {
     match command {
         ReleaseCommand::Start { plan, at } => {
-            let plan = read_plan(&plan).map_err(ReleaseError::Plan)?;
+            let plan = serde_json::to_string(&plan::read(&plan)?)?;
             Ok(post(at.addr, "/v1/release/start", plan).await?)
         }
         ReleaseCommand::Status { at } => Ok(get(at.addr, "/v1/release").await?),
@@ -82,14 +85,6 @@
     }
 }
 
-/// A plan's file, as the JSON of the call.
-fn read_plan(path: &Path) -> Result<String, String> {
-    let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-    let plan = hallrelay_config::plan::read(&file, &text)?;
-    serde_json::to_string(&plan).map_err(|e| e.to_string())
-}
-
 async fn steer(request: &RequestArgs, path: &'static str) -> Result<Answer, ReleaseError> {
     let RequestArgs { at, requested_by, reason } = request;
     let body = json!({"by": requested_by, "why": reason}).to_string();
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -278,7 +278,8 @@
     }
 }
 
-/// Drains that are granted, wait and are forced; a release that goes out, is judged bad, is halted and goes back.
+/// Drains that are granted, wait and are forced; a release that goes out, is judged bad, is halted and goes
+/// back.
 fn answers() -> String {
     let mut host = Host::begin();
     host.call("grants before a leader", OperatorRequest::Leases);
