--- a/model_checker/src/cluster/state.rs
+++ b/model_checker/src/cluster/state.rs
@@ -71,7 +71,7 @@
     pub reported_health: Health,
 }
 
-/// What a message is about. A newer message of a kind makes an older one on the same way obsolete.
+/// What a message is about. A newer message makes an older one of its channel obsolete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum MessageKind {
     Membership,
@@ -106,7 +106,7 @@
     }
 }
 
-/// The way and kind of a message.
+/// The sender, the recipient and the kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Channel {
     pub from: Id,
--- a/model_checker/src/cluster/transition.rs
+++ b/model_checker/src/cluster/transition.rs
@@ -28,21 +28,21 @@
     RequestLease {
         /// The holder.
         holder: usize,
-        /// The leader that it asks.
+        /// The leader that is asked.
         leader: usize,
     },
     /// A holder that was granted a lease begins its disruption.
     BeginDisruption {
         /// The holder.
         holder: usize,
-        /// The leader that it tells.
+        /// The leader that is notified.
         leader: usize,
     },
     /// A holder ends its disruption.
     EndDisruption {
         /// The holder.
         holder: usize,
-        /// The leader that it tells.
+        /// The leader that is notified.
         leader: usize,
     },
     /// A leader proposes that a lease expires.
@@ -72,24 +72,34 @@
 impl Display for Transition {
     fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
         match self {
-            Transition::ElectionTimeout(server) => write!(f, "impatient {server}"),
-            Transition::HeartbeatTimeout(server) => write!(f, "beat {server}"),
-            Transition::WriteDurable(server) => write!(f, "written {server}"),
-            Transition::Crash(server) => write!(f, "crash {server}"),
-            Transition::DiskLoss(server) => write!(f, "disk-lost {server}"),
+            Transition::ElectionTimeout(server) => write!(f, "election timeout at {server}"),
+            Transition::HeartbeatTimeout(server) => write!(f, "heartbeat timeout at {server}"),
+            Transition::WriteDurable(server) => write!(f, "write durable at {server}"),
+            Transition::Crash(server) => write!(f, "crash of {server}"),
+            Transition::DiskLoss(server) => write!(f, "disk loss of {server}"),
             Transition::Deliver(message) => print_message(f, "deliver", message),
-            Transition::DeliverTwice(message) => print_message(f, "deliver, and once more later,", message),
-            Transition::Delay(message) => print_message(f, "hold up", message),
-            Transition::DeliverDelayed(message) => print_message(f, "deliver late", message),
-            Transition::RequestLease { holder, leader } => write!(f, "ask {holder} at {leader}"),
-            Transition::BeginDisruption { holder, leader } => write!(f, "begin {holder} at {leader}"),
-            Transition::EndDisruption { holder, leader } => write!(f, "back {holder} at {leader}"),
-            Transition::ExpireLease { holder, leader } => write!(f, "lapse {holder} at {leader}"),
-            Transition::HolderFails(holder) => write!(f, "dies {holder}"),
-            Transition::HolderStarts(holder) => write!(f, "starts {holder}"),
-            Transition::HolderWarmedUp(holder) => write!(f, "warms {holder}"),
-            Transition::ObserveHealth { holder, leader } => write!(f, "sees {holder} at {leader}"),
-            Transition::Compact(server) => write!(f, "compact {server}"),
+            Transition::DeliverTwice(message) => print_message(f, "deliver and duplicate", message),
+            Transition::Delay(message) => print_message(f, "delay", message),
+            Transition::DeliverDelayed(message) => print_message(f, "deliver delayed", message),
+            Transition::RequestLease { holder, leader } => {
+                write!(f, "holder {holder} requests a lease at {leader}")
+            }
+            Transition::BeginDisruption { holder, leader } => {
+                write!(f, "holder {holder} begins its disruption at {leader}")
+            }
+            Transition::EndDisruption { holder, leader } => {
+                write!(f, "holder {holder} ends its disruption at {leader}")
+            }
+            Transition::ExpireLease { holder, leader } => {
+                write!(f, "the lease of holder {holder} expires at {leader}")
+            }
+            Transition::HolderFails(holder) => write!(f, "holder {holder} fails"),
+            Transition::HolderStarts(holder) => write!(f, "holder {holder} starts"),
+            Transition::HolderWarmedUp(holder) => write!(f, "holder {holder} is warm"),
+            Transition::ObserveHealth { holder, leader } => {
+                write!(f, "the health of holder {holder} is observed at {leader}")
+            }
+            Transition::Compact(server) => write!(f, "compaction at {server}"),
         }
     }
 }
@@ -102,7 +112,7 @@
     let payloads: Vec<String> = request.entries.iter().map(|entry| payload_text(&entry.payload)).collect();
     write!(
         f,
-        "append after {} of {}: [{}], agreed {}",
+        "append after {} of {}: [{}], committed up to {}",
         request.prev_log_index,
         request.prev_log_term,
         payloads.join(", "),
@@ -112,7 +122,7 @@
 
 fn payload_text(payload: &Payload) -> String {
     match payload {
-        Payload::Noop => "nothing".to_string(),
+        Payload::Noop => "no-op".to_string(),
         Payload::Command(command) => format!("{:?}", Command::decode(command)),
         Payload::Configuration(voters) => {
             let ids: Vec<u32> = voters.iter().map(|voter| voter.id).collect();
--- a/model_checker/src/lib.rs
+++ b/model_checker/src/lib.rs
@@ -4,6 +4,6 @@
 #![warn(missing_docs)]
 
 pub mod cluster;
-pub mod instances;
 pub mod rollout;
+pub mod scenarios;
 pub mod search;
--- a/model_checker/src/main.rs
+++ b/model_checker/src/main.rs
@@ -1,8 +1,8 @@
-//! `hallrelay-checker`: searches the instances named on the command line and prints what was found.
+//! `hallrelay-checker`: searches the scenarios named on the command line and prints what was found.
 use clap::Parser;
 use hallrelay_model_checker::cluster::Mutation;
-use hallrelay_model_checker::instances::{self, Instance};
 use hallrelay_model_checker::rollout::{self, RolloutModel};
+use hallrelay_model_checker::scenarios::{self, Scenario};
 use hallrelay_model_checker::search::{search, Bounds, Model, SearchReport};
 use std::process::ExitCode;
 use std::time::Instant;
@@ -13,16 +13,17 @@
 struct Cli {
     /// The scenes to search: elections, crashes, holders, leaders, disks, unplanned, snapshots, restarts,
     /// releases. All where none is named.
-    scene: Vec<String>,
+    #[arg(value_name = "SCENE")]
+    scenarios: Vec<String>,
     /// Plants each known defect; the search must find it.
     #[arg(long)]
     planted: bool,
     /// The most states of a scene.
-    #[arg(long, default_value_t = 1_000_000)]
-    states: usize,
-    /// One state in so many is checked for a way on once nothing fails any more; 0 for none.
-    #[arg(long, default_value_t = 16)]
-    way_on: u64,
+    #[arg(long = "states", value_name = "STATES", default_value_t = 1_000_000)]
+    max_states: usize,
+    /// One state in so many is checked for recovery once nothing fails any more; 0 for none.
+    #[arg(long = "way-on", value_name = "WAY_ON", default_value_t = 16)]
+    recovery_sampling: u64,
 }
 
 /// The name of the rollout model on the command line.
@@ -35,31 +36,35 @@
 
 impl Cli {
     fn is_selected(&self, name: &str) -> bool {
-        self.scene.is_empty() || self.scene.iter().any(|scene| scene == name)
+        self.scenarios.is_empty() || self.scenarios.iter().any(|scenario| scenario == name)
     }
 
-    fn unknown_scene(&self) -> Option<&String> {
+    fn unknown_scenario(&self) -> Option<&String> {
         let is_known =
-            |name: &str| name == ROLLOUT || instances::ALL.iter().any(|instance| instance.name == name);
-        self.scene.iter().find(|name| !is_known(name))
+            |name: &str| name == ROLLOUT || scenarios::ALL.iter().any(|scenario| scenario.name == name);
+        self.scenarios.iter().find(|name| !is_known(name))
     }
 
     fn bounds(&self) -> Bounds {
-        Bounds { max_states: self.states, max_depth: usize::MAX, recovery_sampling: self.way_on }
+        Bounds {
+            max_states: self.max_states,
+            max_depth: usize::MAX,
+            recovery_sampling: self.recovery_sampling,
+        }
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Some(unknown) = cli.unknown_scene() {
-        let names: Vec<&str> = instances::ALL.iter().map(|instance| instance.name).collect();
+    if let Some(unknown) = cli.unknown_scenario() {
+        let names: Vec<&str> = scenarios::ALL.iter().map(|scenario| scenario.name).collect();
         eprintln!("hallrelay-checker: no scene {unknown}, wanted one of {}", names.join(", "));
         return ExitCode::from(USAGE_ERROR);
     }
     let bounds = cli.bounds();
     let mut as_expected = true;
-    for instance in instances::ALL.iter().filter(|instance| cli.is_selected(instance.name)) {
-        as_expected &= check_instance(instance, cli.planted, &bounds);
+    for scenario in scenarios::ALL.iter().filter(|scenario| cli.is_selected(scenario.name)) {
+        as_expected &= check_scenario(scenario, cli.planted, &bounds);
     }
     if cli.is_selected(ROLLOUT) {
         as_expected &= check_rollout(cli.planted, &bounds);
@@ -68,12 +73,12 @@
 }
 
 /// Whether every mutation is found, or nothing is where none is wanted.
-fn check_instance(instance: &Instance, planted: bool, bounds: &Bounds) -> bool {
-    let mutations = if planted { instance.mutations } else { &[Mutation::None] };
+fn check_scenario(scenario: &Scenario, planted: bool, bounds: &Bounds) -> bool {
+    let mutations = if planted { scenario.mutations } else { &[Mutation::None] };
     let mut as_expected = true;
     for mutation in mutations {
-        let model = instance.with_mutation(*mutation);
-        let report = search_and_print(instance.name, mutation.as_str(), &model, bounds);
+        let model = scenario.with_mutation(*mutation);
+        let report = search_and_print(scenario.name, mutation.as_str(), &model, bounds);
         as_expected &= report.counterexample.is_some() == planted;
     }
     as_expected
--- a/model_checker/src/instances.rs
+++ b/model_checker/src/scenarios.rs
@@ -1,9 +1,9 @@
-//! The instances of the cluster model that are searched: how many voters and lease holders, and how often each
+//! The scenarios of the cluster model that are searched: how many voters and lease holders, and how often each
 //! kind of event may occur.
 use crate::cluster::{ClusterModel, EventLimits, Mutation};
 
-/// An instance of the cluster model; "scene" on the command line.
-pub struct Instance {
+/// A scenario of the cluster model; "scene" on the command line.
+pub struct Scenario {
     /// The name on the command line.
     pub name: &'static str,
     /// The parameters, without a mutation.
@@ -12,7 +12,7 @@
     pub mutations: &'static [Mutation],
 }
 
-impl Instance {
+impl Scenario {
     /// The model with a deliberate defect.
     pub fn with_mutation(&self, mutation: Mutation) -> ClusterModel {
         ClusterModel { mutation, ..self.model.clone() }
@@ -43,10 +43,10 @@
     slow_disks: false,
 };
 
-/// All instances, in the order in which they are searched.
-pub const ALL: [Instance; 8] = [
+/// All scenarios, in the order in which they are searched.
+pub const ALL: [Scenario; 8] = [
     // Elections, with messages that are delayed and duplicated.
-    Instance {
+    Scenario {
         name: "elections",
         model: ClusterModel {
             limits: EventLimits { election_timeouts: 2, duplicates: 1, delays: 1, ..NO_EVENTS },
@@ -56,7 +56,7 @@
         mutations: &[],
     },
     // Processes that die between a write and its durability.
-    Instance {
+    Scenario {
         name: "crashes",
         model: ClusterModel {
             limits: EventLimits { election_timeouts: 3, crashes: 1, ..NO_EVENTS },
@@ -67,7 +67,7 @@
         mutations: &[Mutation::VoteNotSynced],
     },
     // Two holders that want to be disrupted where one may.
-    Instance {
+    Scenario {
         name: "holders",
         model: ClusterModel {
             holders: 2,
@@ -77,7 +77,7 @@
         mutations: &[Mutation::BeginsUncommitted, Mutation::ExpiresWhileOut],
     },
     // The same while the leader changes.
-    Instance {
+    Scenario {
         name: "leaders",
         model: ClusterModel {
             holders: 2,
@@ -87,7 +87,7 @@
         mutations: &[Mutation::AcknowledgesAhead, Mutation::LogNotCompared],
     },
     // Disks that are lost, and entries that were never durable.
-    Instance {
+    Scenario {
         name: "disks",
         model: ClusterModel {
             limits: EventLimits {
@@ -103,7 +103,7 @@
         mutations: &[Mutation::DiskLossUnreported, Mutation::LogNotSynced],
     },
     // A holder that fails, and warms up while another requests a lease.
-    Instance {
+    Scenario {
         name: "unplanned",
         model: ClusterModel {
             holders: 2,
@@ -113,7 +113,7 @@
         mutations: &[Mutation::WarmingCountsAsUp, Mutation::GrantsWithoutLog],
     },
     // Logs that are compacted while a holder is disrupted, by voters that restarted from a snapshot.
-    Instance {
+    Scenario {
         name: "snapshots",
         model: ClusterModel {
             holders: 2,
@@ -130,7 +130,7 @@
         mutations: &[Mutation::GrantNumbersForgotten, Mutation::BudgetsForgotten],
     },
     // A voter that restarts and is sent all entries again.
-    Instance {
+    Scenario {
         name: "restarts",
         model: ClusterModel {
             limits: EventLimits { requests: 1, expirations: 1, crashes: 1, heartbeats: 3, ..NO_EVENTS },
--- a/model_checker/tests/instances.rs
+++ b/model_checker/tests/scenarios.rs
@@ -1,29 +1,29 @@
-//! Instances that are small enough are searched whole, with the same counts each time; every mutation is found.
+//! Scenarios that are small enough are searched whole, with the same counts each time; every mutation is found.
 use hallrelay_model_checker::cluster::Mutation;
-use hallrelay_model_checker::instances::ALL;
 use hallrelay_model_checker::rollout::{self, RolloutModel};
+use hallrelay_model_checker::scenarios::ALL;
 use hallrelay_model_checker::search::{search, Bounds, SearchReport};
 use std::sync::{Mutex, PoisonError};
 
 /// One search at a time: each takes all cores and up to a gigabyte.
 static SEARCHING: Mutex<()> = Mutex::new(());
 
-fn search_instance(
+fn search_scenario(
     name: &str,
     mutation: Mutation,
     max_states: usize,
     recovery_sampling: u64,
 ) -> SearchReport {
-    let instance = ALL.iter().find(|instance| instance.name == name).expect("an instance of this name");
+    let scenario = ALL.iter().find(|scenario| scenario.name == name).expect("a scenario of this name");
     let bounds = Bounds { max_states, max_depth: usize::MAX, recovery_sampling };
     let _alone = SEARCHING.lock().unwrap_or_else(PoisonError::into_inner);
-    search(&instance.with_mutation(mutation), &bounds)
+    search(&scenario.with_mutation(mutation), &bounds)
 }
 
 #[test]
-fn small_instances_hold_in_every_state() {
+fn small_scenarios_hold_in_every_state() {
     for (name, states, transitions) in [("holders", 189_285, 433_450), ("restarts", 2_478, 6_978)] {
-        let report = search_instance(name, Mutation::None, 1_000_000, 64);
+        let report = search_scenario(name, Mutation::None, 1_000_000, 64);
         assert_eq!(report.counterexample, None, "{name}");
         assert!(report.exhaustive && report.recovery_checks > 0, "{name}");
         assert_eq!((report.states, report.transitions), (states, transitions), "{name}");
@@ -33,7 +33,7 @@
 #[test]
 fn the_first_states_of_the_others_hold() {
     for name in ["elections", "crashes", "leaders", "disks", "unplanned", "snapshots"] {
-        let report = search_instance(name, Mutation::None, 60_000, 64);
+        let report = search_scenario(name, Mutation::None, 60_000, 64);
         assert_eq!(report.counterexample, None, "{name}");
         assert!(report.states >= 60_000, "{name}");
     }
@@ -49,19 +49,19 @@
         _ => "same log, same state",
     };
     let mut found = Vec::new();
-    for instance in &ALL {
+    for scenario in &ALL {
         // These two take 9 and 15 transitions, and 1 and 2 GB until there: by the command alone.
         let large = [Mutation::VoteNotSynced, Mutation::AcknowledgesAhead];
-        for mutation in instance.mutations.iter().filter(|mutation| !large.contains(mutation)) {
-            let report = search_instance(instance.name, *mutation, 1_500_000, 0);
-            let missed = || panic!("{}: {mutation:?} is missed", instance.name);
+        for mutation in scenario.mutations.iter().filter(|mutation| !large.contains(mutation)) {
+            let report = search_scenario(scenario.name, *mutation, 1_500_000, 0);
+            let missed = || panic!("{}: {mutation:?} is missed", scenario.name);
             let counterexample = report.counterexample.unwrap_or_else(missed);
             assert_eq!(counterexample.property, property(*mutation), "{mutation:?}");
             assert!(!counterexample.trace.is_empty(), "{mutation:?}");
             found.push(*mutation);
         }
     }
-    assert_eq!(found.len() + 2, Mutation::ALL.len(), "each has an instance: {found:?}");
+    assert_eq!(found.len() + 2, Mutation::ALL.len(), "each has a scenario: {found:?}");
 }
 
 /// All orders of what deployers, leaders and operators do; each state can be rolled back.
