--- a/model_checker/src/cluster/enabled.rs
+++ b/model_checker/src/cluster/enabled.rs
@@ -45,7 +45,7 @@
         if state.limits.disk_losses > 0 {
             enabled.push(Transition::DiskLoss(server));
         }
-        if state.limits.compactions > 0 && node.commit_index() > node.log().snapshot.index {
+        if state.limits.compactions > 0 && node.commit_index() > node.log().snapshot().index {
             enabled.push(Transition::Compact(server));
         }
     }
--- a/raft/src/log.rs
+++ b/raft/src/log.rs
@@ -52,8 +52,7 @@
 /// A snapshot and the entries that follow it without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
-    /// What the log up to its index has been replaced with; empty where nothing was compacted.
-    pub snapshot: Snapshot,
+    snapshot: Snapshot,
     entries: Vec<Entry>,
 }
 
@@ -69,6 +68,11 @@
         log
     }
 
+    /// What the log up to the snapshot's index was replaced with; empty where nothing was compacted.
+    pub fn snapshot(&self) -> &Snapshot {
+        &self.snapshot
+    }
+
     /// Index of the last entry, or of the snapshot where none follows it.
     pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as Index
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -152,15 +152,15 @@
             role: if log.is_empty() { Role::Uninitialized } else { Role::Follower },
             term: stored.term,
             voted_for: stored.voted_for,
-            commit_index: log.snapshot.index,
-            last_applied: log.snapshot.index,
+            commit_index: log.snapshot().index,
+            last_applied: log.snapshot().index,
             pending_writes: PendingWrites::all_durable(log.last_index()),
             log,
             // `leader_timed_out` is false: a leader may have been heard just before the restart.
             ..Node::default()
         };
         if node.last_applied > 0 {
-            effects.push(Effect::RestoreSnapshot { snapshot: node.log.snapshot.clone() });
+            effects.push(Effect::RestoreSnapshot { snapshot: node.log.snapshot().clone() });
         }
         effects.push(Effect::SetTimer(Timer::ElectionTimeout));
         node
--- a/raft/src/node/replication.rs
+++ b/raft/src/node/replication.rs
@@ -65,7 +65,7 @@
                 entries: self.log.batch_from(next_index),
                 leader_commit: self.commit_index,
             }),
-            None => MessageBody::InstallSnapshot { snapshot: self.log.snapshot.clone() },
+            None => MessageBody::InstallSnapshot { snapshot: self.log.snapshot().clone() },
         };
         self.send(voter, body, effects);
     }
@@ -111,7 +111,7 @@
     /// Figure 2, step 2: whether the log has the entry that precedes the leader's. A snapshot holds committed
     /// entries only, which are the same everywhere.
     fn matches_leader(&self, prev_log_index: Index, prev_log_term: Term) -> bool {
-        prev_log_index <= self.log.snapshot.index || self.log.term(prev_log_index) == Some(prev_log_term)
+        prev_log_index <= self.log.snapshot().index || self.log.term(prev_log_index) == Some(prev_log_term)
     }
 
     /// Figure 2, steps 3 and 4: removes what conflicts with the leader's entries and adds those that are new.
@@ -131,7 +131,7 @@
             }
             match_index = entry.index;
             let stored_term = self.log.term(entry.index);
-            if entry.index <= self.log.snapshot.index || stored_term == Some(entry.term) {
+            if entry.index <= self.log.snapshot().index || stored_term == Some(entry.term) {
                 continue;
             }
             if stored_term.is_some() {
--- a/raft/src/node/snapshot.rs
+++ b/raft/src/node/snapshot.rs
@@ -38,7 +38,7 @@
     }
 
     fn persist_snapshot(&mut self, effects: &mut Vec<Effect>) {
-        let snapshot = self.log.snapshot.clone();
+        let snapshot = self.log.snapshot().clone();
         let entries = self.log.entries().to_vec();
         self.persist(Write::Snapshot { snapshot, entries }, effects);
     }
