--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -115,7 +115,7 @@
                     entries += u64::from(entry.is_event_or_effect());
                     match entry {
                         Entry::Dropped(lines) => read.dropped += lines,
-                        Entry::List(list) => reader.list(at, &list),
+                        Entry::EndpointList(list) => reader.list(at, &list),
                         entry => reader.entry(at, &entry),
                     }
                 }
--- a/lab/src/losses/mod.rs
+++ b/lab/src/losses/mod.rs
@@ -113,10 +113,10 @@
 
     fn entry(&mut self, at: Moment, entry: &Entry) {
         match entry {
-            Entry::Dial { addr, .. } | Entry::Probe { addr } => {
+            Entry::Dial { addr, .. } | Entry::HealthCheck { addr } => {
                 self.account.backends.record_use(at.day, *addr)
             }
-            Entry::Probed { end, report } => self.account.probed(at, *end, *report),
+            Entry::HealthCheckEnded { end, report } => self.account.probed(at, *end, *report),
             _ => {}
         }
     }
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -50,15 +50,15 @@
 pub enum Entry {
     /// The process serves.
     Serving,
-    Came {
+    ClientConnected {
         conn: SessId,
     },
-    Opened {
+    SessionRequested {
         sess: SessId,
         opening: Opening,
     },
     /// A session that the process before this one had open, at a backend of this name.
-    Inherited {
+    SessionAdopted {
         sess: SessId,
         opening: Opening,
         backend: String,
@@ -73,51 +73,51 @@
         end: DialEnd,
     },
     /// The session is open: lines pass both ways.
-    Pass {
+    StartProxying {
         sess: SessId,
     },
-    Ended {
+    SessionEnded {
         sess: SessId,
         end: DialEnd,
     },
-    Departed {
+    ClientHalfClosed {
         sess: SessId,
     },
-    Gone {
+    ClientDisconnected {
         sess: SessId,
     },
     /// Another process goes on with the session.
-    Passed {
+    SessionHandedOver {
         sess: SessId,
     },
-    Refuse {
+    Reject {
         sess: SessId,
     },
     TearDown {
         sess: SessId,
     },
-    Spurn {
+    ReportProtocolError {
         sess: SessId,
     },
-    Close {
+    CloseClient {
         sess: SessId,
     },
-    Move {
+    Migrate {
         sess: SessId,
     },
     /// The relay's duty changes: whether it moves its own sessions away from now on.
-    Duty {
+    Lifecycle {
         leaves: bool,
     },
     Exit,
-    Probe {
+    HealthCheck {
         addr: SocketAddr,
     },
-    Probed {
+    HealthCheckEnded {
         end: DialEnd,
         report: Report,
     },
-    List(List),
+    EndpointList(List),
     /// So many lines of the log were dropped, since they came faster than they could be written.
     Dropped(u64),
     /// An event or effect that the accounting does not need.
@@ -234,13 +234,43 @@
     Some(Entry::Other)
 }
 
+/// Names that events had in logs of earlier versions, and their names today.
+const EARLIER_EVENTS: [(&str, &str); 10] = [
+    ("Came", "ClientConnected"),
+    ("Opened", "SessionRequested"),
+    ("Inherited", "SessionAdopted"),
+    ("Ended", "SessionEnded"),
+    ("Departed", "ClientHalfClosed"),
+    ("Gone", "ClientDisconnected"),
+    ("Passed", "SessionHandedOver"),
+    ("Probed", "HealthCheckEnded"),
+    ("List", "EndpointListReceived"),
+    ("Written", "FirstLineForwarded"),
+];
+
+/// The same of effects.
+const EARLIER_EFFECTS: [(&str, &str); 7] = [
+    ("Pass", "StartProxying"),
+    ("Refuse", "Reject"),
+    ("Spurn", "ReportProtocolError"),
+    ("Close", "CloseClient"),
+    ("Move", "Migrate"),
+    ("Probe", "HealthCheck"),
+    ("Note", "Log"),
+];
+
+/// The name of today for one that may be of an earlier version.
+fn current_name<'a>(earlier: &[(&'static str, &'static str)], name: &'a str) -> &'a str {
+    earlier.iter().find(|pair| pair.0 == name).map_or(name, |pair| pair.1)
+}
+
 fn event(what: &str) -> Option<Entry> {
-    let name = whole_name(what)?;
+    let name = current_name(&EARLIER_EVENTS, whole_name(what)?);
     let sess = || fields::parsed(what, "sess");
     Some(match name {
-        "Came" => Entry::Came { conn: fields::parsed(what, "conn")? },
-        "Opened" => Entry::Opened { sess: sess()?, opening: opened(what)? },
-        "Inherited" => Entry::Inherited {
+        "ClientConnected" => Entry::ClientConnected { conn: fields::parsed(what, "conn")? },
+        "SessionRequested" => Entry::SessionRequested { sess: sess()?, opening: opened(what)? },
+        "SessionAdopted" => Entry::SessionAdopted {
             sess: sess()?,
             opening: inherited(what)?,
             backend: fields::text(what, "server")?.to_string(),
@@ -248,29 +278,29 @@
         "DialEnded" => {
             Entry::DialEnded { sess: sess()?, dial: fields::parsed(what, "dial")?, end: end(what)? }
         }
-        "Ended" => Entry::Ended { sess: sess()?, end: end(what)? },
-        "Departed" => Entry::Departed { sess: sess()? },
-        "Gone" => Entry::Gone { sess: sess()? },
-        "Passed" => Entry::Passed { sess: sess()? },
-        "Probed" => Entry::Probed { end: end(what)?, report: report(what)? },
-        "List" => Entry::List(received_list(what)?),
+        "SessionEnded" => Entry::SessionEnded { sess: sess()?, end: end(what)? },
+        "ClientHalfClosed" => Entry::ClientHalfClosed { sess: sess()? },
+        "ClientDisconnected" => Entry::ClientDisconnected { sess: sess()? },
+        "SessionHandedOver" => Entry::SessionHandedOver { sess: sess()? },
+        "HealthCheckEnded" => Entry::HealthCheckEnded { end: end(what)?, report: report(what)? },
+        "EndpointListReceived" => Entry::EndpointList(received_list(what)?),
         _ => Entry::OtherEvent,
     })
 }
 
 fn effect(what: &str) -> Option<Entry> {
-    let name = whole_name(what)?;
+    let name = current_name(&EARLIER_EFFECTS, whole_name(what)?);
     let sess = || fields::parsed(what, "sess");
     Some(match name {
         "Dial" => Entry::Dial { sess: sess()?, addr: fields::parsed(what, "addr")? },
-        "Pass" => Entry::Pass { sess: sess()? },
-        "Refuse" => Entry::Refuse { sess: sess()? },
+        "StartProxying" => Entry::StartProxying { sess: sess()? },
+        "Reject" => Entry::Reject { sess: sess()? },
         "TearDown" => Entry::TearDown { sess: sess()? },
-        "Spurn" => Entry::Spurn { sess: fields::parsed(what, "conn")? },
-        "Close" => Entry::Close { sess: sess()? },
-        "Move" => Entry::Move { sess: sess()? },
-        "Probe" => Entry::Probe { addr: fields::parsed(what, "addr")? },
-        "Note" => duty(fields::text(what, "what")?),
+        "ReportProtocolError" => Entry::ReportProtocolError { sess: fields::parsed(what, "conn")? },
+        "CloseClient" => Entry::CloseClient { sess: sess()? },
+        "Migrate" => Entry::Migrate { sess: sess()? },
+        "HealthCheck" => Entry::HealthCheck { addr: fields::parsed(what, "addr")? },
+        "Log" => duty(fields::text(what, "what")?),
         "Exit" => Entry::Exit,
         _ => Entry::OtherEvent,
     })
@@ -279,7 +309,16 @@
 /// The name of an event or effect; none where its line was cut.
 fn whole_name(what: &str) -> Option<&str> {
     /// Events and effects without a field.
-    const BARE: [&str; 4] = ["Written", "Unfit", "Stop", "Exit"];
+    const BARE: [&str; 7] = [
+        "FirstLineForwarded",
+        "ConfigurationRejected",
+        "StopRequested",
+        "Exit",
+        // Of earlier versions.
+        "Written",
+        "Unfit",
+        "Stop",
+    ];
     let (name, fields) = fields::name(what);
     let is_complete = if fields.trim().is_empty() { BARE.contains(&name) } else { fields::is_whole(fields) };
     is_complete.then_some(name)
@@ -363,8 +402,8 @@
 /// A note of the form `from serving to stopping` is a change of duty.
 fn duty(note: &str) -> Entry {
     match note.strip_prefix("from ").and_then(|rest| rest.split_once(" to ")) {
-        Some((_, "draining" | "stopping" | "replaced")) => Entry::Duty { leaves: true },
-        Some((_, "serving")) => Entry::Duty { leaves: false },
+        Some((_, "draining" | "stopping" | "replaced")) => Entry::Lifecycle { leaves: true },
+        Some((_, "serving")) => Entry::Lifecycle { leaves: false },
         _ => Entry::OtherEvent,
     }
 }
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -53,7 +53,7 @@
         if let Entry::Serving = entry {
             self.starts();
         }
-        if matches!(entry, Entry::Came { conn } if *conn <= self.newest) {
+        if matches!(entry, Entry::ClientConnected { conn } if *conn <= self.newest) {
             self.starts();
         }
         if !matches!(entry, Entry::Other | Entry::Dropped(_)) && !self.running {
@@ -62,27 +62,29 @@
         }
         self.last = at;
         match entry {
-            Entry::Came { conn } => self.newest = *conn,
-            Entry::Opened { sess, opening } => self.begins(at, *sess, opening, Origin::Client),
-            Entry::Inherited { sess, opening, backend } => {
+            Entry::ClientConnected { conn } => self.newest = *conn,
+            Entry::SessionRequested { sess, opening } => self.begins(at, *sess, opening, Origin::Client),
+            Entry::SessionAdopted { sess, opening, backend } => {
                 self.begins(at, *sess, opening, Origin::Process(backend.clone()));
             }
             Entry::Dial { sess, addr } => self.dials(at, *sess, addr.to_string()),
             Entry::DialEnded { sess, dial, end } => self.dial_ended(at, *sess, *dial, *end),
-            Entry::Pass { sess } => self.passes(at, *sess),
-            Entry::Ended { sess, end } => self.backend_ended(at, *sess, *end),
-            Entry::Departed { sess } | Entry::Gone { sess } => self.client_ended(at, *sess),
-            Entry::Passed { sess } => self.is_over(at, *sess, Fate::ClientLeft, End::PassedOn),
-            Entry::Refuse { sess } => self.answered(at, *sess, Fate::Refused),
+            Entry::StartProxying { sess } => self.passes(at, *sess),
+            Entry::SessionEnded { sess, end } => self.backend_ended(at, *sess, *end),
+            Entry::ClientHalfClosed { sess } | Entry::ClientDisconnected { sess } => {
+                self.client_ended(at, *sess)
+            }
+            Entry::SessionHandedOver { sess } => self.is_over(at, *sess, Fate::ClientLeft, End::PassedOn),
+            Entry::Reject { sess } => self.answered(at, *sess, Fate::Refused),
             Entry::TearDown { sess } => self.answered(at, *sess, Fate::Failed),
-            Entry::Spurn { sess } => self.spurned(at, *sess),
-            Entry::Close { sess } => self.is_over(at, *sess, Fate::TooLate, End::Otherwise),
-            Entry::Move { sess } => self.moved(at, *sess),
-            Entry::Duty { leaves } => self.leaves = *leaves,
+            Entry::ReportProtocolError { sess } => self.spurned(at, *sess),
+            Entry::CloseClient { sess } => self.is_over(at, *sess, Fate::TooLate, End::Otherwise),
+            Entry::Migrate { sess } => self.moved(at, *sess),
+            Entry::Lifecycle { leaves } => self.leaves = *leaves,
             Entry::Exit => self.exits(),
             _ => {}
         }
-        if let Entry::Gone { sess } = entry {
+        if let Entry::ClientDisconnected { sess } = entry {
             self.closing.remove(sess);
         }
     }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -45,7 +45,7 @@
     for (at, standing) in [(None, false), (Some("oak"), true)] {
         let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing };
         let entry = event(Event::SessionRequested { sess: 7, open: open(at), left: 5 });
-        assert_eq!(entry, Entry::Opened { sess: 7, opening });
+        assert_eq!(entry, Entry::SessionRequested { sess: 7, opening });
     }
     let mut inherited = Event::SessionAdopted { sess: 8, session: Default::default() };
     if let Event::SessionAdopted { session, .. } = &mut inherited {
@@ -53,7 +53,7 @@
         session.server = "oak".to_string();
     }
     let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing: false };
-    assert_eq!(event(inherited), Entry::Inherited { sess: 8, opening, backend: "oak".to_string() });
+    assert_eq!(event(inherited), Entry::SessionAdopted { sess: 8, opening, backend: "oak".to_string() });
 }
 
 #[test]
@@ -63,12 +63,15 @@
         let report = Some(Report { load: Some(0.5), piled: None, held: Some(3.0) });
         let entry = event(Event::DialEnded { sess: 1, dial: 2, end, report });
         assert_eq!(entry, Entry::DialEnded { sess: 1, dial: 2, end });
-        assert_eq!(event(Event::SessionEnded { sess: 1, end, report: None }), Entry::Ended { sess: 1, end });
+        assert_eq!(
+            event(Event::SessionEnded { sess: 1, end, report: None }),
+            Entry::SessionEnded { sess: 1, end }
+        );
     }
-    assert_eq!(event(Event::ClientConnected { conn: 1 }), Entry::Came { conn: 1 });
-    assert_eq!(event(Event::ClientHalfClosed { sess: 1 }), Entry::Departed { sess: 1 });
-    assert_eq!(event(Event::ClientDisconnected { sess: 1 }), Entry::Gone { sess: 1 });
-    assert_eq!(event(Event::SessionHandedOver { sess: 1 }), Entry::Passed { sess: 1 });
+    assert_eq!(event(Event::ClientConnected { conn: 1 }), Entry::ClientConnected { conn: 1 });
+    assert_eq!(event(Event::ClientHalfClosed { sess: 1 }), Entry::ClientHalfClosed { sess: 1 });
+    assert_eq!(event(Event::ClientDisconnected { sess: 1 }), Entry::ClientDisconnected { sess: 1 });
+    assert_eq!(event(Event::SessionHandedOver { sess: 1 }), Entry::SessionHandedOver { sess: 1 });
     for other in [
         Event::FirstLineForwarded,
         Event::StopRequested,
@@ -84,19 +87,19 @@
     let addr = "127.0.1.1:8000".parse().expect("an address");
     let dial = Effect::Dial { sess: 1, dial: 2, server: Some(9), addr, wait: 3, begin: 4 };
     assert_eq!(effect(dial), Entry::Dial { sess: 1, addr });
-    assert_eq!(effect(Effect::StartProxying { sess: 1 }), Entry::Pass { sess: 1 });
-    assert_eq!(effect(Effect::Reject { sess: 1, retry_after: 2 }), Entry::Refuse { sess: 1 });
+    assert_eq!(effect(Effect::StartProxying { sess: 1 }), Entry::StartProxying { sess: 1 });
+    assert_eq!(effect(Effect::Reject { sess: 1, retry_after: 2 }), Entry::Reject { sess: 1 });
     assert_eq!(effect(Effect::TearDown { sess: 1 }), Entry::TearDown { sess: 1 });
-    assert_eq!(effect(Effect::ReportProtocolError { conn: 1 }), Entry::Spurn { sess: 1 });
-    assert_eq!(effect(Effect::CloseClient { sess: 1 }), Entry::Close { sess: 1 });
-    assert_eq!(effect(Effect::Migrate { sess: 1 }), Entry::Move { sess: 1 });
-    assert_eq!(effect(Effect::HealthCheck { server: 9, addr }), Entry::Probe { addr });
+    assert_eq!(effect(Effect::ReportProtocolError { conn: 1 }), Entry::ReportProtocolError { sess: 1 });
+    assert_eq!(effect(Effect::CloseClient { sess: 1 }), Entry::CloseClient { sess: 1 });
+    assert_eq!(effect(Effect::Migrate { sess: 1 }), Entry::Migrate { sess: 1 });
+    assert_eq!(effect(Effect::HealthCheck { server: 9, addr }), Entry::HealthCheck { addr });
     assert_eq!(effect(Effect::Exit), Entry::Exit);
     let notes =
         [("serving", "stopping", true), ("draining", "serving", false), ("serving", "draining", true)];
     for (from, to, leaves) in notes {
         let what = format!("from {from} to {to}");
-        assert_eq!(effect(Effect::Log { what }), Entry::Duty { leaves });
+        assert_eq!(effect(Effect::Log { what }), Entry::Lifecycle { leaves });
     }
     assert_eq!(effect(Effect::Log { what: "something else".to_string() }), Entry::OtherEvent);
 }
@@ -105,9 +108,9 @@
 fn probes_and_lists_are_read_as_they_are_logged() {
     let report = Report { load: Some(0.005), piled: Some(1.0), held: None };
     let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Ok, report: Some(report) };
-    assert_eq!(event(probed), Entry::Probed { end: DialEnd::Ok, report });
+    assert_eq!(event(probed), Entry::HealthCheckEnded { end: DialEnd::Ok, report });
     let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Timeout, report: None };
-    assert_eq!(event(probed), Entry::Probed { end: DialEnd::Timeout, report: Report::default() });
+    assert_eq!(event(probed), Entry::HealthCheckEnded { end: DialEnd::Timeout, report: Report::default() });
     let instance = |id: &str, phase, came_up| Instance {
         id: id.to_string(),
         addr: "127.0.1.1:8000".parse().expect("an address"),
@@ -123,7 +126,10 @@
     ];
     for instances in [instances, Vec::new()] {
         let list = List { generation: 5, whole: true, instances, odd: Vec::new() };
-        assert_eq!(event(Event::EndpointListReceived { watch: 2, list: list.clone() }), Entry::List(list));
+        assert_eq!(
+            event(Event::EndpointListReceived { watch: 2, list: list.clone() }),
+            Entry::EndpointList(list)
+        );
     }
 }
 
