--- a/model_checker/src/cluster/next.rs
+++ b/model_checker/src/cluster/next.rs
@@ -2,7 +2,7 @@
 use super::initial::request_lease;
 use super::state::{Channel, ClusterState, Health, Holder};
 use super::{holder_name, ClusterModel, Mutation, Transition};
-use hallrelay_disruption::{Command, Condition, Place, State as StateMachine};
+use hallrelay_disruption::{Command, FailureDomain, HealthState, State as StateMachine};
 use hallrelay_raft::{Event, Message, PersistentState, Timer};
 
 impl ClusterModel {
@@ -79,14 +79,14 @@
             Transition::RequestLease { holder, leader } => self.request_lease(state, holder, leader),
             Transition::BeginDisruption { holder, leader } => {
                 state.limits.requests -= 1;
-                let grant = state.holders[holder].grant;
-                let command = Command::Begin { thing: holder_name(holder), grant };
+                let lease_id = state.holders[holder].lease_id;
+                let command = Command::Begin { target: holder_name(holder), lease_id };
                 self.propose(state, leader, holder, &command);
             }
             Transition::EndDisruption { holder, leader } => {
                 let Holder { health, reported_health, .. } = state.holders[holder];
                 state.holders[holder] = Holder { health, reported_health, ..Holder::default() };
-                self.propose(state, leader, holder, &Command::Back { thing: holder_name(holder) });
+                self.propose(state, leader, holder, &Command::Return { target: holder_name(holder) });
             }
             Transition::ExpireLease { holder, leader } => self.expire_lease(state, holder, leader),
             Transition::HolderFails(holder) => {
@@ -115,20 +115,21 @@
 
     fn expire_lease(&self, state: &mut ClusterState, holder: usize, leader: usize) {
         state.limits.expirations -= 1;
-        let thing = holder_name(holder);
-        let grant = state.servers[leader].state_machine.get(&thing).map_or(0, |record| record.grant);
-        self.propose(state, leader, holder, &Command::Lapse { thing, grant });
+        let target = holder_name(holder);
+        let lease_id = state.servers[leader].state_machine.lease(&target).map_or(0, |lease| lease.lease_id);
+        self.propose(state, leader, holder, &Command::Expire { target, lease_id });
     }
 
     fn observe_health(&self, state: &mut ClusterState, holder: usize, leader: usize) {
         let health = state.holders[holder].health;
         state.holders[holder].reported_health = health;
-        let condition = match health {
-            Health::Up => Condition::Up,
-            Health::Down => Condition::Down,
-            Health::WarmingUp => Condition::Cold,
+        let health = match health {
+            Health::Up => HealthState::Up,
+            Health::Down => HealthState::Down,
+            Health::WarmingUp => HealthState::WarmingUp,
         };
-        let command = Command::Seen { thing: holder_name(holder), place: Place::default(), condition };
+        let command =
+            Command::Observe { target: holder_name(holder), domain: FailureDomain::default(), health };
         self.propose(state, leader, holder, &command);
     }
 }
--- a/model_checker/src/cluster/state.rs
+++ b/model_checker/src/cluster/state.rs
@@ -63,7 +63,7 @@
     /// Identifies its present request; 0 for none.
     pub request: u64,
     /// The lease that it was granted; 0 for none.
-    pub grant: u64,
+    pub lease_id: u64,
     /// Its disruption has begun.
     pub is_out: bool,
     pub health: Health,
--- a/model_checker/src/rollout.rs
+++ b/model_checker/src/rollout.rs
@@ -2,10 +2,9 @@
 //! do, with failures. One state machine stands for all voters; that they have the same is checked by
 //! [`crate::cluster`].
 use crate::search::Model;
-use hallrelay_disruption::release::Item;
 use hallrelay_disruption::{
-    Budget, Command, Condition, Judge, Kind, Phase, Place, Plan, Release, Scope, Stage,
-    State as StateMachine, Step as ItemStep, Thing, Wave,
+    AnalysisPolicy, Budget, Command, FailureDomain, HealthState, ItemState, LeaseState, Rollout, RolloutItem,
+    RolloutPhase, RolloutPlan, Scope, State as StateMachine, Target, TargetKind, Wave,
 };
 use std::fmt::{Display, Formatter};
 
@@ -74,7 +73,7 @@
         /// The backend.
         backend: usize,
         /// Its health.
-        condition: Condition,
+        health: HealthState,
     },
     /// The leader has analyzed a wave.
     Analyze {
@@ -112,8 +111,8 @@
     pub operator_commands: u8,
 }
 
-fn backend_name(backend: usize) -> Thing {
-    Thing::Server(format!("s{backend}"))
+fn backend_name(backend: usize) -> Target {
+    Target::Backend(format!("s{backend}"))
 }
 
 fn operator() -> String {
@@ -125,37 +124,37 @@
 }
 
 fn backends_out(state_machine: &StateMachine) -> usize {
-    let is_out = |stage| matches!(stage, Stage::Granted | Stage::Out | Stage::Returning);
-    state_machine.things().filter(|(_, record)| is_out(record.stage)).count()
+    let is_out = |state| matches!(state, LeaseState::Granted | LeaseState::Out | LeaseState::Returning);
+    state_machine.leases().filter(|(_, lease)| is_out(lease.state)).count()
 }
 
 /// Backends whose disruption has begun.
-fn disrupted_backends(state_machine: &StateMachine) -> Vec<Thing> {
-    let disrupted = state_machine.things().filter(|(_, record)| record.stage == Stage::Out);
-    disrupted.map(|(thing, _)| thing.clone()).collect()
+fn disrupted_backends(state_machine: &StateMachine) -> Vec<Target> {
+    let disrupted = state_machine.leases().filter(|(_, lease)| lease.state == LeaseState::Out);
+    disrupted.map(|(target, _)| target.clone()).collect()
 }
 
 impl RolloutState {
-    fn rollout(&self) -> Option<&Release> {
-        self.state_machine.release()
+    fn rollout(&self) -> Option<&Rollout> {
+        self.state_machine.rollout()
     }
 
     fn is_over(&self) -> bool {
         self.rollout().is_some_and(|rollout| rollout.phase.is_over())
     }
 
-    fn stage(&self, backend: usize) -> Option<Stage> {
-        self.state_machine.get(&backend_name(backend)).map(|record| record.stage)
+    fn lease_state(&self, backend: usize) -> Option<LeaseState> {
+        self.state_machine.lease(&backend_name(backend)).map(|lease| lease.state)
     }
 
     /// The number of a backend's grant; 0 for none.
-    fn grant(&self, backend: usize) -> u64 {
-        self.state_machine.get(&backend_name(backend)).map_or(0, |record| record.grant)
+    fn lease_id(&self, backend: usize) -> u64 {
+        self.state_machine.lease(&backend_name(backend)).map_or(0, |lease| lease.lease_id)
     }
 
     fn has_halted_phase(&self) -> bool {
         let phase = self.rollout().map(|rollout| rollout.phase);
-        matches!(phase, Some(Phase::Halted | Phase::ReturnHalted))
+        matches!(phase, Some(RolloutPhase::Halted | RolloutPhase::RollbackHalted))
     }
 
     fn apply(&mut self, command: &Command) {
@@ -172,25 +171,26 @@
     /// Whether a deployer has a step of the rollout to do on a backend.
     fn has_step_to_do(&self, backend: usize) -> bool {
         let Some(rollout) = self.rollout() else { return false };
-        let item = rollout.items.iter().find(|item| item.thing == backend_name(backend));
-        let is_due = item.is_some_and(|item| matches!(item.step, ItemStep::Going | ItemStep::Undoing));
-        is_due && self.stage(backend) == Some(Stage::Out)
+        let item = rollout.items.iter().find(|item| item.target == backend_name(backend));
+        let is_due =
+            item.is_some_and(|item| matches!(item.state, ItemState::Updating | ItemState::RollingBack));
+        is_due && self.lease_state(backend) == Some(LeaseState::Out)
     }
 
     fn add_backend_transitions(&self, backend: usize, enabled: &mut Vec<Transition>) {
-        let Some(record) = self.state_machine.get(&backend_name(backend)) else { return };
+        let Some(lease) = self.state_machine.lease(&backend_name(backend)) else { return };
         if self.has_step_to_do(backend) {
             enabled.push(Transition::ReportStep { backend, succeeded: true });
             if self.failures > 0 {
                 enabled.push(Transition::ReportStep { backend, succeeded: false });
             }
         }
-        match record.condition {
-            Condition::Up if self.failures > 0 => {
-                enabled.push(Transition::Observe { backend, condition: Condition::Down });
+        match lease.health {
+            HealthState::Up if self.failures > 0 => {
+                enabled.push(Transition::Observe { backend, health: HealthState::Down });
             }
-            Condition::Up => {}
-            _ => enabled.push(Transition::Observe { backend, condition: Condition::Up }),
+            HealthState::Up => {}
+            _ => enabled.push(Transition::Observe { backend, health: HealthState::Up }),
         }
     }
 
@@ -199,7 +199,7 @@
             return;
         }
         enabled.extend([Transition::Halt, Transition::Resume, Transition::RollBack]);
-        if self.stage(UNPLANNED_BACKEND) == Some(Stage::In) {
+        if self.lease_state(UNPLANNED_BACKEND) == Some(LeaseState::InService) {
             enabled.push(Transition::TakeOut);
         }
         if self.before_halt.is_some() {
@@ -211,31 +211,31 @@
 impl RolloutModel {
     fn initial_state_machine() -> StateMachine {
         let mut state_machine = StateMachine::default();
-        state_machine.apply(&Command::Budgets(vec![Budget {
-            of: Kind::Server,
+        state_machine.apply(&Command::SetBudgets(vec![Budget {
+            target_kind: TargetKind::Backend,
             scope: Scope::Fleet,
-            count: Some(BUDGET as u32),
-            part: None,
+            max_count: Some(BUDGET as u32),
+            max_share_ppm: None,
         }]));
         for backend in 0..BACKENDS {
-            state_machine.apply(&Command::Seen {
-                thing: backend_name(backend),
-                place: Place::default(),
-                condition: Condition::Up,
+            state_machine.apply(&Command::Observe {
+                target: backend_name(backend),
+                domain: FailureDomain::default(),
+                health: HealthState::Up,
             });
         }
         let wave = |backends: &[usize]| Wave {
             names: backends.iter().map(|backend| backend_name(*backend).name().to_string()).collect(),
             ..Wave::default()
         };
-        let plan = Plan {
+        let plan = RolloutPlan {
             build: "new".to_string(),
-            of: Kind::Server,
+            target_kind: TargetKind::Backend,
             waves: vec![wave(&[0]), wave(&[1, 2])],
-            judge: Judge { sessions: 1, worse: 0, within_s: 1 },
-            by: operator(),
+            analysis: AnalysisPolicy { min_sessions: 1, margin_ppm: 0, deadline_s: 1 },
+            requested_by: operator(),
         };
-        state_machine.apply(&Command::Start { plan });
+        state_machine.apply(&Command::StartRollout { plan });
         state_machine
     }
 
@@ -243,20 +243,25 @@
         match transition {
             Transition::ReportStep { backend, succeeded } => {
                 state.failures -= u8::from(!succeeded);
-                let (thing, grant) = (backend_name(*backend), state.grant(*backend));
-                state.apply(&Command::Did { thing, grant, good: *succeeded, why: no_reason() });
+                let (target, lease_id) = (backend_name(*backend), state.lease_id(*backend));
+                state.apply(&Command::MarkDone {
+                    target,
+                    lease_id,
+                    succeeded: *succeeded,
+                    reason: no_reason(),
+                });
             }
-            Transition::Observe { backend, condition } => {
-                state.failures -= u8::from(*condition == Condition::Down);
-                let (thing, place) = (backend_name(*backend), Place::default());
-                state.apply(&Command::Seen { thing, place, condition: *condition });
+            Transition::Observe { backend, health } => {
+                state.failures -= u8::from(*health == HealthState::Down);
+                let (target, domain) = (backend_name(*backend), FailureDomain::default());
+                state.apply(&Command::Observe { target, domain, health: *health });
             }
             Transition::Analyze { passed } => {
                 let wave = state.rollout().map_or(0, |rollout| rollout.wave as u64);
-                state.apply(&Command::Judged { wave, good: *passed, why: no_reason() });
+                state.apply(&Command::RecordAnalysis { wave, passed: *passed, reason: no_reason() });
             }
             Transition::Return => {
-                state.apply(&Command::Back { thing: backend_name(UNPLANNED_BACKEND) });
+                state.apply(&Command::Return { target: backend_name(UNPLANNED_BACKEND) });
             }
             _ => {
                 state.operator_commands -= 1;
@@ -270,31 +275,33 @@
         match transition {
             Transition::Halt => {
                 state.before_halt = Some(state.state_machine.clone());
-                state.apply(&Command::Halt { by: operator(), why: no_reason() });
+                state.apply(&Command::Halt { requested_by: operator(), reason: no_reason() });
             }
             Transition::Resume => {
                 state.is_halted = false;
-                state.apply(&Command::Resume { by: operator() });
+                state.apply(&Command::Resume { requested_by: operator() });
             }
             Transition::RollBack => {
                 // What begins with a rollback was allowed by it.
                 state.is_halted = false;
                 let command = match self.mutation {
-                    Mutation::RollbackResumes => Command::Resume { by: operator() },
-                    Mutation::None | Mutation::HaltForgotten => Command::WayBack { by: operator() },
+                    Mutation::RollbackResumes => Command::Resume { requested_by: operator() },
+                    Mutation::None | Mutation::HaltForgotten => {
+                        Command::RollBack { requested_by: operator() }
+                    }
                 };
                 state.apply(&command);
             }
             Transition::TakeOut => {
-                state.apply(&Command::Ask {
-                    thing: backend_name(UNPLANNED_BACKEND),
-                    call: 1,
-                    by: operator(),
-                    why: no_reason(),
+                state.apply(&Command::Request {
+                    target: backend_name(UNPLANNED_BACKEND),
+                    request_id: 1,
+                    requested_by: operator(),
+                    reason: no_reason(),
                     force: false,
                 });
-                let grant = state.grant(UNPLANNED_BACKEND);
-                state.apply(&Command::Begin { thing: backend_name(UNPLANNED_BACKEND), grant });
+                let lease_id = state.lease_id(UNPLANNED_BACKEND);
+                state.apply(&Command::Begin { target: backend_name(UNPLANNED_BACKEND), lease_id });
             }
             Transition::LeaderChange => {
                 let before_halt = state.before_halt.take();
@@ -337,12 +344,12 @@
         for backend in 0..BACKENDS {
             state.add_backend_transitions(backend, &mut enabled);
         }
-        if rollout.phase == Phase::Judging {
+        if rollout.phase == RolloutPhase::Analyzing {
             enabled.push(Transition::Analyze { passed: true });
             enabled.push(Transition::Analyze { passed: false });
         }
         state.add_operator_transitions(&mut enabled);
-        if state.stage(UNPLANNED_BACKEND) == Some(Stage::Out) {
+        if state.lease_state(UNPLANNED_BACKEND) == Some(LeaseState::Out) {
             enabled.push(Transition::Return);
         }
         enabled
@@ -373,7 +380,8 @@
         }
         for _ in 0..MAX_RECOVERY_STEPS {
             if state.is_over() {
-                let is_rolled_back = |item: &Item| matches!(item.step, ItemStep::Todo | ItemStep::Undone);
+                let is_rolled_back =
+                    |item: &RolloutItem| matches!(item.state, ItemState::Pending | ItemState::RolledBack);
                 return state.rollout().is_some_and(|rollout| rollout.items.iter().all(is_rolled_back));
             }
             let due = self.transitions(&state).into_iter().find(is_recovery_step);
@@ -389,7 +397,7 @@
     matches!(
         transition,
         Transition::ReportStep { succeeded: true, .. }
-            | Transition::Observe { condition: Condition::Up, .. }
+            | Transition::Observe { health: HealthState::Up, .. }
             | Transition::Return
     )
 }
