--- a/model_checker/src/cluster/mod.rs
+++ b/model_checker/src/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! A model of a small Raft cluster whose state machine grants disruption leases: voters with their disks, the
 //! messages between them, and lease holders that want to be disrupted.
 //!
-//! The voters and the state machine are the program's own code. Time is left to the search: an election timeout
-//! may expire in any state, so no property that holds depends on a clock.
+//! The voters and the state machine are the program's own code. Time is left to the search: an election
+//! timeout may expire in any state, so no property that holds depends on a clock.
 mod canonical;
 mod enabled;
 mod execution;
--- a/model_checker/src/cluster/state.rs
+++ b/model_checker/src/cluster/state.rs
@@ -132,8 +132,8 @@
 pub struct ClusterState {
     /// Shared with other states, as most transitions change one or two of them.
     pub(super) servers: Vec<Arc<Server>>,
-    /// Messages that may be delivered in any order. A newer one replaces an older one of its channel, which is
-    /// lost.
+    /// Messages that may be delivered in any order. A newer one replaces an older one of its channel, which
+    /// is lost.
     pub(super) in_flight: BTreeMap<Channel, Message>,
     /// Messages that are held back.
     pub(super) delayed: BTreeSet<Message>,
--- a/model_checker/src/rollout.rs
+++ b/model_checker/src/rollout.rs
@@ -1,6 +1,6 @@
-//! A model of a rollout over the replicated state machine: all orders of what deployers, leaders and operators
-//! do, with failures. One state machine stands for all voters; that they have the same is checked by
-//! [`crate::cluster`].
+//! A model of a rollout over the replicated state machine: all orders of what deployers, leaders and
+//! operators do, with failures. One state machine stands for all voters; that they have the same is checked
+//! by [`crate::cluster`].
 use crate::search::Model;
 use hallrelay_disruption::release::Item;
 use hallrelay_disruption::{
--- a/model_checker/src/scenarios.rs
+++ b/model_checker/src/scenarios.rs
@@ -1,5 +1,5 @@
-//! The scenarios of the cluster model that are searched: how many voters and lease holders, and how often each
-//! kind of event may occur.
+//! The scenarios of the cluster model that are searched: how many voters and lease holders, and how often
+//! each kind of event may occur.
 use crate::cluster::{ClusterModel, EventLimits, Mutation};
 
 /// A scenario of the cluster model; "scene" on the command line.
--- a/model_checker/tests/scenarios.rs
+++ b/model_checker/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scenarios that are small enough are searched whole, with the same counts each time; every mutation is found.
+//! Scenarios that are small enough are searched whole, with the same counts each time; every mutation is
+//! found.
 use hallrelay_model_checker::cluster::Mutation;
 use hallrelay_model_checker::rollout::{self, RolloutModel};
 use hallrelay_model_checker::scenarios::ALL;
--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -2,8 +2,8 @@
 //! and the single-server membership changes of Ongaro's thesis. "Figure 2" and section numbers in this crate
 //! are those of the paper, "thesis" is "Consensus: Bridging Theory and Practice".
 //!
-//! The crate does no I/O and knows no time: [`Node::step`] takes an [`Event`] and appends the [`Effect`]s that
-//! the host carries out in their order. The host draws the random election timeouts.
+//! The crate does no I/O and knows no time: [`Node::step`] takes an [`Event`] and appends the [`Effect`]s
+//! that the host carries out in their order. The host draws the random election timeouts.
 //!
 //! A voter is identified by its name and by the incarnation of its disk. A server that lost its disk is a new
 //! voter: its messages count for nothing until the others have added it to the configuration, so it cannot
--- a/raft/src/log.rs
+++ b/raft/src/log.rs
@@ -152,8 +152,8 @@
         latest.unwrap_or(Configuration { index: self.snapshot.index, voters: &self.snapshot.voters })
     }
 
-    /// Replaces the log up to an index with the state machine's state there. Returns whether it did: the entry
-    /// must be in the log.
+    /// Replaces the log up to an index with the state machine's state there. Returns whether it did: the
+    /// entry must be in the log.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) -> bool {
         if index <= self.snapshot.index {
             return false;
@@ -165,8 +165,8 @@
         true
     }
 
-    /// Replaces the log with a leader's snapshot. Entries that follow the snapshot's last entry stay where the
-    /// log holds that entry (figure 13, step 6).
+    /// Replaces the log with a leader's snapshot. Entries that follow the snapshot's last entry stay where
+    /// the log holds that entry (figure 13, step 6).
     pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.entries.retain(|entry| entry.index > snapshot.index);
--- a/raft/src/node/membership.rs
+++ b/raft/src/node/membership.rs
@@ -1,7 +1,7 @@
 //! Cluster membership: the bootstrap of a new cluster, and changes of one voter at a time.
 //!
-//! Invariant (thesis, section 4.1): a configuration differs from the one before it by one voter, so any quorum
-//! of one has a voter in common with any quorum of the other.
+//! Invariant (thesis, section 4.1): a configuration differs from the one before it by one voter, so any
+//! quorum of one has a voter in common with any quorum of the other.
 use super::role::Trigger;
 use super::{Effect, Node, Role};
 use crate::{Entry, Id, MessageBody, Payload, Voter, Write};
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Creates the cluster once all other configured servers have announced to this incarnation that they are
-    /// uninitialized. Only the server of the smallest name does. Where one server has a log there is a cluster
-    /// already, which adds this server.
+    /// Creates the cluster once all other configured servers have announced to this incarnation that they
+    /// are uninitialized. Only the server of the smallest name does. Where one server has a log there is a
+    /// cluster already, which adds this server.
     fn bootstrap_if_ready(&mut self, effects: &mut Vec<Effect>) {
         if self.configured.first() != Some(&self.own.id) {
             return;
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! One voter: its state (figure 2), its events and effects, and the dispatch of messages.
 //!
-//! The rules are in the submodules: [`role`] has the roles and their transitions, `election` the pre-vote and
-//! the vote, `replication` the log and the commit index, `membership` the bootstrap and the changes of voters,
-//! `snapshot` the compaction, `durability` what waits for the disk.
+//! The rules are in the submodules: [`role`] has the roles and their transitions, `election` the pre-vote
+//! and the vote, `replication` the log and the commit index, `membership` the bootstrap and the changes of
+//! voters, `snapshot` the compaction, `durability` what waits for the disk.
 mod durability;
 mod election;
 mod membership;
@@ -24,8 +24,8 @@
 /// The timers of a voter. Setting one replaces the previous one of the same kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
-    /// The host draws it from one to two times the minimum election timeout (section 5.2). A leader counts its
-    /// followers by it (check quorum).
+    /// The host draws it from one to two times the minimum election timeout (section 5.2). A leader counts
+    /// its followers by it (check quorum).
     ElectionTimeout,
     /// The leader's heartbeat interval, several of which fit into the minimum election timeout.
     HeartbeatTimeout,
--- a/raft/src/node/replication.rs
+++ b/raft/src/node/replication.rs
@@ -1,7 +1,7 @@
 //! Log replication: the leader's progress of each voter, AppendEntries on both sides, and the commit index.
 //!
-//! Invariant "log matching" (figure 3): entries of the same index and term are the same, and so are all before
-//! them. Invariant "leader completeness": a committed entry is in the log of every later leader.
+//! Invariant "log matching" (figure 3): entries of the same index and term are the same, and so are all
+//! before them. Invariant "leader completeness": a committed entry is in the log of every later leader.
 use super::role::Trigger;
 use super::{Effect, Node, Role, Timer};
 use crate::{AppendEntries, Entry, Index, MessageBody, Payload, Term, Voter, Write, MAX_COMMAND_BYTES};
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Figure 2, "leaders": an entry that a quorum has on its disks is committed, with all before it, if it is
-    /// of the leader's own term (section 5.4.2).
+    /// Figure 2, "leaders": an entry that a quorum has on its disks is committed, with all before it, if it
+    /// is of the leader's own term (section 5.4.2).
     pub(super) fn advance_commit_index(&mut self, effects: &mut Vec<Effect>) {
         let quorum_index = self.quorum_index();
         if quorum_index <= self.commit_index || self.log.term(quorum_index) != Some(self.term) {
--- a/raft/src/node/snapshot.rs
+++ b/raft/src/node/snapshot.rs
@@ -1,6 +1,7 @@
 //! Log compaction and the installation of a leader's snapshot (section 7).
 //!
-//! Invariant: a snapshot holds committed and applied entries only, so replacing the log up to it loses nothing.
+//! Invariant: a snapshot holds committed and applied entries only, so replacing the log up to it loses
+//! nothing.
 use super::role::Trigger;
 use super::{Effect, Node};
 use crate::{Index, MessageBody, Snapshot, Term, Voter, Write};
@@ -13,7 +14,8 @@
         }
     }
 
-    /// InstallSnapshot of figure 13. A snapshot that ends before the commit index is acknowledged and not used.
+    /// InstallSnapshot of figure 13. A snapshot that ends before the commit index is acknowledged and not
+    /// used.
     pub(super) fn handle_install_snapshot(
         &mut self,
         from: Voter,
