--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,8 +1,7 @@
-//! A backend's stand-in, after the protocol's page: takes sessions and echoes their lines, or behaves as a
-//! trouble says.
-use crate::ledger::{Attempt, Ledger, Outcome};
+//! An emulated backend: it accepts sessions as the protocol says and echoes their lines, or misbehaves.
 use crate::link::Link;
-use crate::{bound, locked};
+use crate::observations::{Attempt, AttemptOutcome, Recorder, Timestamp};
+use crate::{listen_on_loopback, locked};
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -15,77 +14,81 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
     #[default]
+    /// Accepts them.
     Serves,
-    /// Reads, and says nothing.
+    /// Reads, and answers nothing.
     Hangs,
-    /// Resets as the line has come.
+    /// Resets the connection once the line is received.
     Resets,
-    /// Turns all away: nothing runs.
-    Busy,
-    /// Answers with an error: it may have run.
-    Errs,
+    /// Rejects them: nothing runs.
+    Rejects,
+    /// Answers with an error: they may have run.
+    Fails,
     /// Answers `UP` byte by byte.
     Trickles,
     /// Ends the connection in the middle of its answer.
-    HalfAnswers,
-    /// Takes the session, and resets it a moment later.
-    DropsLater,
+    TruncatesAnswer,
+    /// Accepts the session, and resets it a moment later.
+    ResetsLater,
 }
 
-/// Between the bytes of an answer that comes bit by bit.
-const TRICKLE: Duration = Duration::from_millis(20);
-/// From `UP` to a drop.
-const DROP_AFTER: Duration = Duration::from_millis(150);
+/// Between the bytes of an answer that is written byte by byte.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(20);
+/// From `UP` to a later reset.
+const RESET_DELAY: Duration = Duration::from_millis(150);
 /// Sessions that fill a backend, for the load that it reports.
 const CAPACITY: f64 = 40.0;
-const MOST_LINE: usize = 4_098;
+/// The longest line, in bytes with its end.
+const MAX_LINE_BYTES: usize = 4_098;
 
 struct Shared {
     number: usize,
-    ledger: Ledger,
+    recorder: Recorder,
     behaviour: Mutex<Behaviour>,
-    open: AtomicU32,
-    /// The proxy before it.
+    open_sessions: AtomicU32,
+    /// The link before it, once it is started.
     link: Arc<Mutex<Option<Link>>>,
-    /// Connections with a session, to break them.
-    streams: Mutex<Vec<(u64, TcpStream)>>,
+    /// Connections of open sessions by the sessions' ids, to break them.
+    connections: Mutex<Vec<(u64, TcpStream)>>,
 }
 
 /// A running backend.
 #[derive(Clone)]
 pub struct Backend {
-    /// That of the proxy before it, which the list tells.
+    /// The address of the link before it, which is listed.
     pub address: SocketAddr,
+    /// The link before it.
     pub link: Link,
     shared: Arc<Shared>,
 }
 
 impl Backend {
-    pub fn start(number: usize, ledger: Ledger) -> Backend {
-        let listener = bound();
+    /// Starts a backend with its link.
+    pub fn start(number: usize, recorder: Recorder) -> Backend {
+        let listener = listen_on_loopback();
         let address = listener.local_addr().expect("a bound socket has an address");
         let shared = Arc::new(Shared {
             number,
-            ledger,
+            recorder,
             behaviour: Mutex::default(),
-            open: AtomicU32::new(0),
+            open_sessions: AtomicU32::new(0),
             link: Arc::default(),
-            streams: Mutex::default(),
+            connections: Mutex::default(),
         });
         let serving = shared.clone();
         thread::spawn(move || accept(&listener, &serving));
-        let link = Link::start(address, shared.ledger.clone(), shared.link.clone());
+        let link = Link::start(address, shared.recorder.clone(), shared.link.clone());
         Backend { address: link.address, link, shared }
     }
 
-    /// For sessions that come from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Changes what it does with sessions from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *locked(&self.shared.behaviour) = behaviour;
     }
 
-    /// Breaks the connections of all its sessions by resets.
-    pub fn reset_all(&self) {
-        for (_, stream) in locked(&self.shared.streams).drain(..) {
+    /// Resets the connections of all open sessions.
+    pub fn reset_sessions(&self) {
+        for (_, stream) in locked(&self.shared.connections).drain(..) {
             reset(&stream);
         }
     }
@@ -103,27 +106,28 @@
     _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Lines of a connection, with the moment in which each began.
+/// Reads the lines of a connection.
 struct Lines<'a> {
     stream: &'a TcpStream,
     bytes: Vec<u8>,
 }
 
 impl Lines<'_> {
-    /// The next line without its end; `begun` hears of its first byte. None at the end.
-    fn next(&mut self, mut begun: impl FnMut(&[u8])) -> Option<String> {
+    /// The next line without its end; none at the end of the connection. Calls `on_bytes` once the first
+    /// bytes of the line are there, and again with more.
+    fn next(&mut self, mut on_bytes: impl FnMut(&[u8])) -> Option<String> {
         loop {
             if !self.bytes.is_empty() {
-                begun(&self.bytes);
+                on_bytes(&self.bytes);
             }
             if let Some(end) = self.bytes.windows(2).position(|two| two == b"\r\n") {
                 let line = self.bytes.drain(..end + 2).collect::<Vec<u8>>();
                 return Some(String::from_utf8_lossy(&line[..end]).into_owned());
             }
-            let mut part = [0; 512];
-            match self.stream.read(&mut part) {
-                Ok(count @ 1..) if self.bytes.len() < MOST_LINE => {
-                    self.bytes.extend_from_slice(&part[..count])
+            let mut chunk = [0; 512];
+            match self.stream.read(&mut chunk) {
+                Ok(count @ 1..) if self.bytes.len() < MAX_LINE_BYTES => {
+                    self.bytes.extend_from_slice(&chunk[..count])
                 }
                 _ => return None,
             }
@@ -137,52 +141,67 @@
     let mut lines = Lines { stream: &reading, bytes: Vec::new() };
     loop {
         let mut first_byte = None;
-        let line = lines.next(|_| _ = first_byte.get_or_insert_with(|| shared.ledger.now()));
-        let (Some(line), Some(begun)) = (line, first_byte) else { return };
-        // On a way that delays, a relay began before.
+        let line = lines.next(|_| _ = first_byte.get_or_insert_with(|| shared.recorder.now()));
+        let (Some(line), Some(started_at)) = (line, first_byte) else { return };
+        // The link may have received the first byte earlier.
         let link = locked(&shared.link).clone();
-        let at_the_proxy = || link?.begun(stream.peer_addr().ok()?);
-        let begun = at_the_proxy().map_or(begun, |earlier| earlier.min(begun));
+        let at_link = || link?.first_byte_at(stream.peer_addr().ok()?);
+        let started_at = at_link().map_or(started_at, |earlier| earlier.min(started_at));
         match line.split(' ').next() {
             Some("STATS") => {
-                let open = f64::from(shared.open.load(Ordering::Relaxed));
+                let open = f64::from(shared.open_sessions.load(Ordering::Relaxed));
                 let report = format!("PONG inflight={open},x0={:.3},x1=0.0\r\n", open / CAPACITY);
                 if stream.write_all(report.as_bytes()).is_err() {
                     return;
                 }
             }
-            Some("OPEN") => return open(stream, &mut lines, &line, begun, shared),
+            Some("OPEN") => return open_session(stream, &mut lines, &line, started_at, shared),
             _ => return,
         }
     }
 }
 
-fn open(mut stream: TcpStream, lines: &mut Lines<'_>, line: &str, begun: Duration, shared: &Shared) {
+/// Handles a session from its first line to its end.
+fn open_session(
+    mut stream: TcpStream,
+    lines: &mut Lines<'_>,
+    line: &str,
+    started_at: Timestamp,
+    shared: &Shared,
+) {
     let id = line.split(' ').nth(1).and_then(|word| u64::from_str_radix(word, 16).ok()).unwrap_or(0);
-    let (ledger, whole) = (&shared.ledger, shared.ledger.now());
-    let attempt = Attempt { backend: shared.number, begun, whole: Some(whole), outcome: None, ended: None };
-    let number = ledger.begin_attempt(id, attempt);
+    let recorder = &shared.recorder;
+    let attempt = Attempt {
+        backend: shared.number,
+        started_at,
+        received_at: Some(recorder.now()),
+        outcome: None,
+        ended_at: None,
+    };
+    let number = recorder.add_attempt(id, attempt);
     let behaviour = *locked(&shared.behaviour);
     let outcome = match behaviour {
-        Behaviour::Serves | Behaviour::Trickles | Behaviour::DropsLater => Outcome::Up,
-        Behaviour::Busy => Outcome::Busy,
-        Behaviour::Hangs | Behaviour::Resets | Behaviour::Errs | Behaviour::HalfAnswers => Outcome::Unknown,
+        Behaviour::Serves | Behaviour::Trickles | Behaviour::ResetsLater => AttemptOutcome::Accepted,
+        Behaviour::Rejects => AttemptOutcome::Rejected,
+        Behaviour::Hangs | Behaviour::Resets | Behaviour::Fails | Behaviour::TruncatesAnswer => {
+            AttemptOutcome::Unknown
+        }
     };
-    ledger.attempt(id, number, |attempt| attempt.outcome = Some(outcome));
-    shared.open.fetch_add(1, Ordering::Relaxed);
+    recorder.record_attempt(id, number, |attempt| attempt.outcome = Some(outcome));
+    shared.open_sessions.fetch_add(1, Ordering::Relaxed);
     answer(&mut stream, lines, id, behaviour, shared);
-    shared.open.fetch_sub(1, Ordering::Relaxed);
-    locked(&shared.streams).retain(|kept| kept.0 != id);
-    ledger.attempt(id, number, |attempt| attempt.ended = Some(ledger.now()));
+    shared.open_sessions.fetch_sub(1, Ordering::Relaxed);
+    locked(&shared.connections).retain(|(session, _)| *session != id);
+    recorder.record_attempt(id, number, |attempt| attempt.ended_at = Some(recorder.now()));
 }
 
-/// Answers a session's line, and serves it to its end.
+/// Answers a session's first line, and echoes its lines until its end.
 fn answer(stream: &mut TcpStream, lines: &mut Lines<'_>, id: u64, behaviour: Behaviour, shared: &Shared) {
-    let said: &[u8] = match behaviour {
-        Behaviour::Serves | Behaviour::DropsLater => b"UP r1\r\n",
+    let answer: &[u8] = match behaviour {
+        Behaviour::Serves | Behaviour::ResetsLater => b"UP r1\r\n",
         Behaviour::Trickles => {
             for byte in b"UP r1\r\n" {
-                thread::sleep(TRICKLE);
+                thread::sleep(TRICKLE_INTERVAL);
                 if stream.write_all(&[*byte]).is_err() {
                     return;
                 }
@@ -191,20 +210,20 @@
         }
         Behaviour::Hangs => b"",
         Behaviour::Resets => return reset(stream),
-        Behaviour::Busy => b"BUSY\r\n",
-        Behaviour::Errs => b"ERR\r\n",
-        Behaviour::HalfAnswers => b"UP r",
+        Behaviour::Rejects => b"BUSY\r\n",
+        Behaviour::Fails => b"ERR\r\n",
+        Behaviour::TruncatesAnswer => b"UP r",
     };
-    let serves = matches!(behaviour, Behaviour::Serves | Behaviour::Trickles | Behaviour::DropsLater);
-    if stream.write_all(said).is_err() || !serves && behaviour != Behaviour::Hangs {
+    let serves = matches!(behaviour, Behaviour::Serves | Behaviour::Trickles | Behaviour::ResetsLater);
+    if stream.write_all(answer).is_err() || !serves && behaviour != Behaviour::Hangs {
         return;
     }
-    if behaviour == Behaviour::DropsLater {
-        thread::sleep(DROP_AFTER);
+    if behaviour == Behaviour::ResetsLater {
+        thread::sleep(RESET_DELAY);
         return reset(stream);
     }
-    if let Ok(kept) = stream.try_clone() {
-        locked(&shared.streams).push((id, kept));
+    if let Ok(connection) = stream.try_clone() {
+        locked(&shared.connections).push((id, connection));
     }
     while let Some(line) = lines.next(|_| {}) {
         if behaviour != Behaviour::Hangs && stream.write_all(format!("{line}\r\n").as_bytes()).is_err() {
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,215 +1,242 @@
-//! Clients: each asks one relay for a session, keeps to the protocol or not, and writes down what it saw.
-use crate::ledger::{Ending, Ledger, Session};
+//! Clients: each requests a session of one relay, keeps to the protocol or not, and records what it observes.
+use crate::observations::{Answer, ConnectionEnd, PartialRequest, Recorder, Session, SessionEnd};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How a client leaves before it has its answer, if it does.
+/// Whether and how a client cancels before it has its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum Cancellation {
+    /// It waits for its answer.
     Never,
-    /// It closes both ways, or resets, so long after its line.
+    /// It closes the connection so long after its request.
     Close(Duration),
+    /// It resets the connection so long after its request.
     Reset(Duration),
 }
 
-/// One client's plan.
+/// What one client does.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClientPlan {
+    /// The session's id.
     pub id: u64,
+    /// The relay.
     pub relay: usize,
+    /// The relay's address.
     pub address: SocketAddr,
+    /// The listener that it names.
     pub listener: &'static str,
-    pub wait: Duration,
-    /// A client that came back after its session broke.
-    pub returned: bool,
-    /// Bytes in which its line goes out, with a pause behind each; none: whole.
-    pub piece: Option<usize>,
-    pub leave: Leave,
-    /// How long its session lasts.
-    pub life: Duration,
-}
-
-/// An answer may come so long after its time; then the client is sure that none comes.
-pub const PATIENCE: Duration = Duration::from_millis(2_500);
-const CONNECT: Duration = Duration::from_secs(1);
+    /// The time within which it wants an answer.
+    pub timeout: Duration,
+    /// It reconnects after a session that broke.
+    pub reconnects: bool,
+    /// The number of bytes in which its request is sent, with a pause after each; none for all at once.
+    pub piece_bytes: Option<usize>,
+    /// Whether it cancels.
+    pub cancellation: Cancellation,
+    /// The length of its session.
+    pub session_length: Duration,
+}
+
+/// So long after its deadline a client is sure that no answer comes.
+pub const ANSWER_MARGIN: Duration = Duration::from_millis(2_500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Between the pieces of a request, and for what may follow a final answer.
 const PAUSE: Duration = Duration::from_millis(10);
-/// Between the lines of a session, and for a line's way back.
-const BEAT: Duration = Duration::from_millis(300);
-/// A relay that brings nothing back for so long has lost the session.
-const SILENCE: Duration = Duration::from_secs(7);
+/// Between the lines of a session.
+const LINE_INTERVAL: Duration = Duration::from_millis(300);
+/// A relay that passes nothing on for so long has lost the session.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(7);
+/// A client that stopped in the middle of its line waits so long, far beyond the relay's limit.
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a client hears next.
-enum Heard {
+/// What a client receives next.
+enum Received {
     Line(String),
-    End(Ending),
-    /// Nothing by then.
+    End(ConnectionEnd),
+    /// Nothing in time.
     Nothing,
 }
 
 struct Connection {
     stream: TcpStream,
-    bytes: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Connection {
-    fn hear(&mut self, by: Instant) -> Heard {
+    fn open(address: &SocketAddr) -> Option<Connection> {
+        let stream = TcpStream::connect_timeout(address, CONNECT_TIMEOUT).ok()?;
+        Some(Connection { stream, buffer: Vec::new() })
+    }
+
+    fn receive(&mut self, deadline: Instant) -> Received {
         loop {
-            if let Some(end) = self.bytes.windows(2).position(|two| two == b"\r\n") {
-                let line = self.bytes.drain(..end + 2).collect::<Vec<u8>>();
-                return Heard::Line(String::from_utf8_lossy(&line[..end]).into_owned());
+            if let Some(end) = self.buffer.windows(2).position(|two| two == b"\r\n") {
+                let line = self.buffer.drain(..end + 2).collect::<Vec<u8>>();
+                return Received::Line(String::from_utf8_lossy(&line[..end]).into_owned());
             }
-            let left = by.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Heard::Nothing;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Received::Nothing;
             }
-            _ = self.stream.set_read_timeout(Some(left));
-            let mut part = [0; 512];
-            match self.stream.read(&mut part) {
-                Ok(0) => return Heard::End(Ending::Closed),
-                Ok(count) => self.bytes.extend_from_slice(&part[..count]),
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Heard::End(Ending::Reset),
+            _ = self.stream.set_read_timeout(Some(remaining));
+            let mut chunk = [0; 512];
+            match self.stream.read(&mut chunk) {
+                Ok(0) => return Received::End(ConnectionEnd::Closed),
+                Ok(count) => self.buffer.extend_from_slice(&chunk[..count]),
+                Err(e) if is_transient(e.kind()) => {}
+                Err(_) => return Received::End(ConnectionEnd::Reset),
             }
         }
     }
 
-    fn reset(&self) {
+    /// The connection is reset once it is dropped.
+    fn reset_on_drop(&self) {
         _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
+fn is_transient(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
+}
+
 /// Sends half a line, and waits for the end of the connection.
-pub fn stop_half_way(relay: usize, address: SocketAddr, ledger: &Ledger) {
-    /// Far beyond what it is owed.
-    const AT_MOST: Duration = Duration::from_secs(5);
-    let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT) else { return };
-    let since = ledger.now();
-    let mut connection = Connection { stream, bytes: Vec::new() };
+pub fn send_partial_request(relay: usize, address: SocketAddr, recorder: &Recorder) {
+    let Some(mut connection) = Connection::open(&address) else { return };
+    let since = recorder.now();
     if connection.stream.write_all(b"OPEN 0123").is_err() {
         return;
     }
-    let ended = match connection.hear(Instant::now() + AT_MOST) {
-        // The error that it is owed, or the end.
-        Heard::Line(_) | Heard::End(_) => Some(ledger.now()),
-        Heard::Nothing => None,
+    let ended_at = match connection.receive(Instant::now() + PARTIAL_REQUEST_TIMEOUT) {
+        // An error line counts as the end.
+        Received::Line(_) | Received::End(_) => Some(recorder.now()),
+        Received::Nothing => None,
     };
-    ledger.write(|book| book.half_way.push((relay, since, ended)));
-}
-
-/// Plays one client to its end.
-pub fn run(plan: &Plan, ledger: &Ledger) {
-    let Ok(stream) = TcpStream::connect_timeout(&plan.address, CONNECT) else { return };
-    _ = stream.set_nodelay(true);
-    let mut connection = Connection { stream, bytes: Vec::new() };
-    let again = if plan.returned { ",again=1" } else { "" };
-    let wait = plan.wait.as_millis();
-    let line = format!("OPEN {0:016x} {0:016x} c={1},d={wait}{again}\r\n", plan.id, plan.listener);
-    let piece = plan.piece.unwrap_or(line.len());
-    let pieces: Vec<&[u8]> = line.as_bytes().chunks(piece).collect();
-    let (last, first) = pieces.split_last().expect("a line is not empty");
+    let request = PartialRequest { relay, since, ended_at };
+    recorder.record(|observations| observations.partial_requests.push(request));
+}
+
+/// Runs one client to its end.
+pub fn run(plan: &ClientPlan, recorder: &Recorder) {
+    let Some(mut connection) = Connection::open(&plan.address) else { return };
+    _ = connection.stream.set_nodelay(true);
+    let line = request_line(plan);
+    let pieces: Vec<&[u8]> = line.as_bytes().chunks(plan.piece_bytes.unwrap_or(line.len())).collect();
+    let Some((last, first)) = pieces.split_last() else { return };
     for piece in first {
         if connection.stream.write_all(piece).is_err() {
             return;
         }
         std::thread::sleep(PAUSE);
     }
-    // Before its last bytes, so that no backend hears of it first.
-    let asked = ledger.now();
+    // Recorded before the last bytes are sent, so that no backend observes the session first.
+    record_request(plan, recorder);
+    if connection.stream.write_all(last).is_err() {
+        // The request was not accepted: no answer is owed.
+        recorder.record(|observations| _ = observations.sessions.remove(&plan.id));
+        return;
+    }
+    await_answer(&mut connection, plan, recorder);
+}
+
+fn request_line(plan: &ClientPlan) -> String {
+    let reconnect = if plan.reconnects { ",again=1" } else { "" };
+    let timeout = plan.timeout.as_millis();
+    format!("OPEN {0:016x} {0:016x} c={1},d={timeout}{reconnect}\r\n", plan.id, plan.listener)
+}
+
+fn record_request(plan: &ClientPlan, recorder: &Recorder) {
     let session = Session {
         relay: plan.relay,
         listener: plan.listener,
-        asked,
-        wait: plan.wait,
+        requested_at: recorder.now(),
+        timeout: plan.timeout,
         answer: None,
-        after_answer: 0,
-        left: None,
+        lines_after_answer: 0,
+        left_at: None,
         ended: None,
-        moved: false,
+        move_announced: false,
         attempts: Vec::new(),
     };
-    ledger.write(|book| _ = book.sessions.insert(plan.id, session));
-    if connection.stream.write_all(last).is_err() {
-        // It was not taken: nothing is owed.
-        ledger.write(|book| _ = book.sessions.remove(&plan.id));
-        return;
-    }
-    await_answer(&mut connection, plan, ledger);
+    recorder.record(|observations| _ = observations.sessions.insert(plan.id, session));
+}
+
+fn record_end(plan: &ClientPlan, recorder: &Recorder, how: ConnectionEnd) {
+    let at = recorder.now();
+    recorder.record_session(plan.id, |session| session.ended = Some(SessionEnd { at, how }));
+}
+
+fn record_departure(plan: &ClientPlan, recorder: &Recorder) {
+    let now = recorder.now();
+    recorder.record_session(plan.id, |session| session.left_at = Some(now));
 }
 
-fn await_answer(connection: &mut Connection, plan: &Plan, ledger: &Ledger) {
-    let sent = Instant::now();
-    let (after, by_reset) = match plan.leave {
-        Leave::Never => (plan.wait + PATIENCE, None),
-        Leave::Close(after) => (after, Some(false)),
-        Leave::Reset(after) => (after, Some(true)),
+fn await_answer(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
+    let wait = match plan.cancellation {
+        Cancellation::Never => plan.timeout + ANSWER_MARGIN,
+        Cancellation::Close(after) | Cancellation::Reset(after) => after,
     };
-    let note = |change: &dyn Fn(&mut Session)| ledger.session(plan.id, change);
-    match connection.hear(sent + after) {
-        Heard::Line(line) => {
-            let now = ledger.now();
-            note(&|session| session.answer = Some((now, line.clone())));
-            match line.starts_with("UP") {
-                true => pass(connection, plan, ledger),
-                false => finish(connection, plan, ledger),
-            }
+    match connection.receive(Instant::now() + wait) {
+        Received::Line(line) => handle_answer(connection, plan, recorder, line),
+        Received::End(how) => record_end(plan, recorder, how),
+        Received::Nothing => cancel(connection, plan, recorder),
+    }
+}
+
+fn handle_answer(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder, line: String) {
+    let at = recorder.now();
+    let is_open = line.starts_with("UP");
+    recorder.record_session(plan.id, |session| session.answer = Some(Answer { at, line }));
+    if is_open {
+        exchange_lines(connection, plan, recorder);
+    } else {
+        count_further_lines(connection, plan, recorder);
+    }
+}
+
+/// No answer was received in time.
+fn cancel(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
+    match plan.cancellation {
+        Cancellation::Never => record_end(plan, recorder, ConnectionEnd::Silent),
+        Cancellation::Close(_) => {
+            record_departure(plan, recorder);
+            _ = connection.stream.shutdown(Shutdown::Both);
         }
-        Heard::End(ending) => {
-            let now = ledger.now();
-            note(&|session| session.ended = Some((now, ending)));
+        Cancellation::Reset(_) => {
+            record_departure(plan, recorder);
+            connection.reset_on_drop();
         }
-        Heard::Nothing => match by_reset {
-            None => {
-                let now = ledger.now();
-                note(&|session| session.ended = Some((now, Ending::Silent)));
-            }
-            Some(by_reset) => {
-                let now = ledger.now();
-                note(&|session| session.left = Some(now));
-                match by_reset {
-                    true => connection.reset(),
-                    false => _ = connection.stream.shutdown(Shutdown::Both),
-                }
-            }
-        },
     }
 }
 
-/// After a final answer nothing may come but the end.
-fn finish(connection: &mut Connection, plan: &Plan, ledger: &Ledger) {
-    while let Heard::Line(_) = connection.hear(Instant::now() + PAUSE) {
-        ledger.session(plan.id, |session| session.after_answer += 1);
+/// Only the end of the connection may follow a final answer.
+fn count_further_lines(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
+    while let Received::Line(_) = connection.receive(Instant::now() + PAUSE) {
+        recorder.record_session(plan.id, |session| session.lines_after_answer += 1);
     }
 }
 
-/// An open session: lines go out, and come back.
-fn pass(connection: &mut Connection, plan: &Plan, ledger: &Ledger) {
-    let over = Instant::now() + plan.life;
-    let mut heard = Instant::now();
-    while Instant::now() < over {
-        if connection.stream.write_all(b"M 1\r\n").is_err() {
-            // The end lies there to be read.
-        }
-        let beat = Instant::now() + BEAT;
+/// Sends lines of an open session, which are echoed, until its end.
+fn exchange_lines(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
+    let session_end = Instant::now() + plan.session_length;
+    let mut last_line_at = Instant::now();
+    while Instant::now() < session_end {
+        // Where it fails, the end of the connection can still be read.
+        _ = connection.stream.write_all(b"M 1\r\n");
+        let next_line_at = Instant::now() + LINE_INTERVAL;
         loop {
-            match connection.hear(beat) {
-                Heard::Line(line) if line == "MOVE" => {
-                    ledger.session(plan.id, |session| session.moved = true)
-                }
-                Heard::Line(_) => heard = Instant::now(),
-                Heard::End(ending) => {
-                    let now = ledger.now();
-                    return ledger.session(plan.id, |session| session.ended = Some((now, ending)));
+            match connection.receive(next_line_at) {
+                Received::Line(line) if line == "MOVE" => {
+                    recorder.record_session(plan.id, |session| session.move_announced = true);
                 }
-                Heard::Nothing => break,
+                Received::Line(_) => last_line_at = Instant::now(),
+                Received::End(how) => return record_end(plan, recorder, how),
+                Received::Nothing => break,
             }
         }
-        if heard.elapsed() > SILENCE {
-            let now = ledger.now();
-            return ledger.session(plan.id, |session| session.ended = Some((now, Ending::Silent)));
+        if last_line_at.elapsed() > SILENCE_TIMEOUT {
+            return record_end(plan, recorder, ConnectionEnd::Silent);
         }
     }
-    let now = ledger.now();
-    ledger.session(plan.id, |session| session.left = Some(now));
+    record_departure(plan, recorder);
 }
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the list service, after the protocol's page: one address for each relay, so that what was
-//! told to which relay, and when, is known.
-use crate::ledger::{Ledger, Told};
-use crate::{bound, locked};
+//! An emulated discovery service: it serves the endpoint list as the protocol says, at one address for each
+//! relay, so that it is known what was sent to which relay, and when.
+use crate::observations::{ListDelivery, Recorder};
+use crate::{listen_on_loopback, locked};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,94 +9,103 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How it answers calls and watches.
+/// How the service answers requests and watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
+pub enum DiscoveryMode {
     #[default]
+    /// It serves the list.
     Serves,
-    /// Calls are reset, and open watches ended.
+    /// Requests are reset, and open watches end.
     Down,
-    /// Calls are answered 503, and open watches stay.
-    Turns,
-    /// Open watches say nothing any more, for ever; new ones are served.
-    Silences,
+    /// Requests are answered 503, and open watches stay.
+    Rejects,
+    /// Open watches send nothing any more; new ones are served.
+    Silent,
     /// Answers come a second late.
     Slow,
 }
 
-/// How often a watch looks for changes, and how often it says that it lives.
-const LOOK: Duration = Duration::from_millis(5);
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-const LATE: Duration = Duration::from_secs(1);
+/// How often a watch looks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How often an idle watch sends an empty line.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// The delay of a slow answer.
+const SLOW_DELAY: Duration = Duration::from_secs(1);
 
 /// A backend as it is listed.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedBackend {
+    /// Where relays connect.
     pub address: SocketAddr,
+    /// It drains.
     pub draining: bool,
-    /// Unix time in milliseconds; 0 is long ago.
+    /// When it started, in Unix milliseconds; 0 is long ago.
     pub started_ms: i64,
-    /// The version in which it changed last.
+    /// The list's generation in which it changed last.
     generation: u64,
 }
 
 #[derive(Default)]
 struct State {
     generation: u64,
-    listed: Vec<Listed>,
-    mode: Mode,
-    /// Watches that were opened before this stay silent.
+    backends: Vec<ListedBackend>,
+    mode: DiscoveryMode,
+    /// Watches that were opened before this send nothing.
     silent_before: Option<Instant>,
 }
 
-/// The service, at an address for each relay.
+/// The service.
 #[derive(Clone)]
 pub struct Discovery {
+    /// Its address for each relay.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
 }
 
 impl Discovery {
-    pub fn start(relays: usize, ledger: &Ledger) -> Discovery {
+    /// Starts the service with an empty list.
+    pub fn start(relays: usize, recorder: &Recorder) -> Discovery {
         let state = Arc::<Mutex<State>>::default();
         let addresses = (0..relays).map(|relay| {
-            let listener = bound();
+            let listener = listen_on_loopback();
             let address = listener.local_addr().expect("a bound socket has an address");
-            let (state, ledger) = (state.clone(), ledger.clone());
-            thread::spawn(move || accept(&listener, relay, &state, &ledger));
+            let (state, recorder) = (state.clone(), recorder.clone());
+            thread::spawn(move || accept(&listener, relay, &state, &recorder));
             address
         });
         Discovery { addresses: addresses.collect(), state }
     }
 
-    /// Adds a backend, or changes the one at this place of the list.
-    pub fn list(&self, backend: usize, address: SocketAddr, draining: bool, started_ms: i64) {
+    /// Adds a backend, or replaces the one of this number.
+    pub fn list_backend(&self, backend: usize, address: SocketAddr, draining: bool, started_ms: i64) {
         let mut state = locked(&self.state);
         state.generation += 1;
-        let listed = Listed { address, draining, started_ms, generation: state.generation };
-        match state.listed.get_mut(backend) {
-            Some(place) => *place = listed,
-            None => state.listed.push(listed),
+        let listed = ListedBackend { address, draining, started_ms, generation: state.generation };
+        match state.backends.get_mut(backend) {
+            Some(backend) => *backend = listed,
+            None => state.backends.push(listed),
         }
     }
 
-    pub fn set_mode(&self, mode: Mode) {
+    /// Changes how the service answers.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = locked(&self.state);
         state.mode = mode;
-        if mode == Mode::Silences {
+        if mode == DiscoveryMode::Silent {
             state.silent_before = Some(Instant::now());
         }
     }
 
-    /// The whole list as it is now, as a relay's `known`.
-    pub fn whole(&self) -> Value {
+    /// The complete list, for the setting `known` of a relay.
+    pub fn complete_list(&self) -> Value {
         let state = locked(&self.state);
-        value(&state, 0)
+        list_since(&state, 0)
     }
 }
 
-fn value(state: &State, since: u64) -> Value {
-    let changed = state.listed.iter().enumerate().filter(|(_, one)| one.generation > since);
+/// The list of what changed since a generation.
+fn list_since(state: &State, since: u64) -> Value {
+    let changed = state.backends.iter().enumerate().filter(|(_, one)| one.generation > since);
     let entries: Vec<Value> = changed
         .map(|(number, one)| {
             json!({"instanceId": format!("s-{number}"), "hostPort": one.address.to_string(), "zone": "here",
@@ -107,15 +116,15 @@
     json!({"generation": state.generation, "reset": since == 0, "instances": entries})
 }
 
-fn accept(listener: &TcpListener, relay: usize, state: &Arc<Mutex<State>>, ledger: &Ledger) {
+fn accept(listener: &TcpListener, relay: usize, state: &Arc<Mutex<State>>, recorder: &Recorder) {
     for stream in listener.incoming().flatten() {
-        let (state, ledger) = (state.clone(), ledger.clone());
-        thread::spawn(move || serve(stream, relay, &state, &ledger));
+        let (state, recorder) = (state.clone(), recorder.clone());
+        thread::spawn(move || serve(stream, relay, &state, &recorder));
     }
 }
 
-/// The path of a call; none where its head does not come whole.
-fn path(stream: &mut TcpStream) -> Option<String> {
+/// The path of a request; none where its head is not received completely.
+fn read_path(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     let mut part = [0; 512];
     while !head.ends_with(b"\r\n\r\n") {
@@ -127,49 +136,50 @@
     String::from_utf8_lossy(&head).split(' ').nth(1).map(str::to_string)
 }
 
-fn serve(mut stream: TcpStream, relay: usize, state: &Mutex<State>, ledger: &Ledger) {
+fn serve(mut stream: TcpStream, relay: usize, state: &Mutex<State>, recorder: &Recorder) {
     _ = stream.set_nodelay(true);
     let opened = Instant::now();
-    let Some(path) = path(&mut stream) else { return };
+    let Some(path) = read_path(&mut stream) else { return };
     match locked(state).mode {
-        Mode::Down => {
+        DiscoveryMode::Down => {
             _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
-        Mode::Turns => {
+        DiscoveryMode::Rejects => {
             _ = stream.write_all(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
             return;
         }
-        Mode::Slow => thread::sleep(LATE),
-        Mode::Serves | Mode::Silences => {}
+        DiscoveryMode::Slow => thread::sleep(SLOW_DELAY),
+        DiscoveryMode::Serves | DiscoveryMode::Silent => {}
     }
     if stream.write_all(b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n").is_err() {
         return;
     }
     match path.split_once("since=").and_then(|(_, tail)| tail.parse().ok()) {
-        None => _ = tell(&mut stream, relay, state, 0, ledger),
-        Some(since) => watch(stream, relay, state, since, opened, ledger),
+        None => _ = send_changes(&mut stream, relay, state, 0, recorder),
+        Some(since) => watch(stream, relay, state, since, opened, recorder),
     }
 }
 
-/// Writes what changed since a version, and returns the version told; none where it can't be written.
-fn tell(
+/// Sends what changed since a generation. Returns the generation sent; none where it could not be written.
+fn send_changes(
     stream: &mut TcpStream,
     relay: usize,
     state: &Mutex<State>,
     since: u64,
-    ledger: &Ledger,
+    recorder: &Recorder,
 ) -> Option<u64> {
-    let (text, generation, told) = {
+    let (text, generation, changes) = {
         let state = locked(state);
-        let changed = state.listed.iter().enumerate().filter(|(_, one)| one.generation > since);
-        let told: Vec<(usize, bool)> = changed.map(|(number, one)| (number, one.draining)).collect();
-        (value(&state, since).to_string() + "\n", state.generation, told)
+        let changed = state.backends.iter().enumerate().filter(|(_, one)| one.generation > since);
+        let changes: Vec<(usize, bool)> = changed.map(|(number, one)| (number, one.draining)).collect();
+        (list_since(&state, since).to_string() + "\n", state.generation, changes)
     };
     stream.write_all(text.as_bytes()).ok()?;
-    let at = ledger.now();
-    let told = told.into_iter().map(|(backend, draining)| Told { relay, backend, draining, at });
-    ledger.write(|book| book.told.extend(told));
+    let at = recorder.now();
+    let delivery = |(backend, draining)| ListDelivery { relay, backend, draining, at };
+    let deliveries = changes.into_iter().map(delivery);
+    recorder.record(|observations| observations.list_deliveries.extend(deliveries));
     Some(generation)
 }
 
@@ -179,32 +189,33 @@
     state: &Mutex<State>,
     mut since: u64,
     opened: Instant,
-    ledger: &Ledger,
+    recorder: &Recorder,
 ) {
-    let mut spoke = Instant::now();
+    let mut last_sent_at = Instant::now();
     loop {
         let (generation, mode, silent) = {
             let state = locked(state);
             (state.generation, state.mode, state.silent_before.is_some_and(|before| opened < before))
         };
-        if mode == Mode::Down {
+        if mode == DiscoveryMode::Down {
             return;
         }
         if silent {
-            // It stays open and says nothing, till its peer ends it.
+            // It stays open and sends nothing until its peer ends it.
             _ = stream.read(&mut [0; 16]);
             return;
         }
         if generation > since {
-            let Some(told) = tell(&mut stream, relay, state, since, ledger) else { return };
-            (since, spoke) = (told, Instant::now());
+            let Some(sent) = send_changes(&mut stream, relay, state, since, recorder) else { return };
+            since = sent;
+            last_sent_at = Instant::now();
         }
-        if spoke.elapsed() >= EMPTY_LINE {
+        if last_sent_at.elapsed() >= KEEPALIVE_INTERVAL {
             if stream.write_all(b"\n").is_err() {
                 return;
             }
-            spoke = Instant::now();
+            last_sent_at = Instant::now();
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- /dev/null
+++ b/soak/src/harness.rs
@@ -0,0 +1,451 @@
+//! Runs a plan: starts relays, backends and discovery, lets clients connect and faults begin and end, and
+//! checks what was observed.
+use crate::backend::{Backend, Behaviour};
+use crate::client::{self, Cancellation, ClientPlan};
+use crate::discovery::{Discovery, DiscoveryMode};
+use crate::faults::{FaultControl, SystemFault};
+use crate::link::LinkMode;
+use crate::locked;
+use crate::observations::{Impairment, Interval, ListChange, Recorder, Timestamp};
+use crate::oracle::{self, Violation};
+use crate::plan::Plan;
+use crate::process::Relay;
+use crate::report::Report;
+use crate::schedule::{FaultKind, ScheduledFault};
+use crate::settings::{shared_configuration, LISTENERS, REQUEST_TIMEOUT, SETTINGS};
+use oorandom::Rand64;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+const TICK: Duration = Duration::from_millis(5);
+/// The front stops sending clients to a relay so long after it was requested to stop.
+const FRONT_DELAY: Duration = Duration::from_millis(300);
+const RELOAD_INTERVAL: Duration = Duration::from_millis(300);
+/// From the beginning of one pause to that of the next, unless the pauses are longer.
+const PAUSE_INTERVAL: Duration = Duration::from_millis(600);
+/// So long after the last client its end is observed.
+const FINAL_DELAY: Duration = Duration::from_secs(1);
+/// Clients of a reconnect storm.
+const STORM_CLIENTS: usize = 60;
+/// The bytes in which slow requests are sent.
+const SLOW_PIECE_BYTES: usize = 12;
+/// By then a new process has taken over from its predecessor, or has ended.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Discovery may answer late for so long after a fault.
+const DISCOVERY_RECOVERY: Duration = Duration::from_secs(1);
+/// The value with which every call fails.
+const ALWAYS: i64 = 1_000;
+
+/// Everything that runs.
+struct Harness {
+    plan: Plan,
+    recorder: Recorder,
+    discovery: Discovery,
+    backends: Vec<Backend>,
+    relays: Vec<Arc<Mutex<Relay>>>,
+    relay_addresses: Vec<SocketAddr>,
+    controls: Vec<Arc<FaultControl>>,
+    /// Relays that start again as soon as their processes have ended.
+    to_restart: Vec<usize>,
+    /// Whether the front sends clients to a relay.
+    in_front: Vec<Arc<AtomicBool>>,
+    threads: Vec<JoinHandle<()>>,
+    /// Faults in force that make clients cancel.
+    cancelling: u32,
+    /// Faults in force that make clients send slowly.
+    slow: u32,
+    random: Rand64,
+    last_session: u64,
+}
+
+fn unix_milliseconds() -> i64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as i64)
+}
+
+/// Runs a plan and checks it.
+///
+/// # Panics
+/// A relay is not ready after its first start.
+pub fn run(plan: &Plan) -> Report {
+    _ = std::fs::remove_dir_all(&plan.folder);
+    std::fs::create_dir_all(&plan.folder).expect("a folder for the run");
+    let mut harness = Harness::start(plan);
+    let mut waiting: Vec<ScheduledFault> = plan.faults.clone();
+    let mut in_force: Vec<ScheduledFault> = Vec::new();
+    let started_at = harness.recorder.now();
+    let mut next_client = Duration::ZERO;
+    loop {
+        let now = harness.recorder.now() - started_at;
+        if now >= plan.length {
+            break;
+        }
+        while let Some(position) = waiting.iter().position(|fault| fault.from <= now) {
+            let fault = waiting.remove(position);
+            harness.begin_fault(&fault);
+            in_force.push(fault);
+        }
+        while let Some(position) = in_force.iter().position(|fault| fault.until <= now) {
+            let fault = in_force.remove(position);
+            harness.end_fault(&fault);
+        }
+        while next_client <= now {
+            harness.start_client(false);
+            next_client += harness.draw_interval();
+        }
+        harness.observe_exits();
+        harness.restart_relays();
+        thread::sleep(TICK);
+    }
+    in_force.iter().for_each(|fault| harness.end_fault(fault));
+    harness.finish(started_at)
+}
+
+/// Prepares a relay with its own part of the configuration, and starts it.
+fn start_relay(
+    plan: &Plan,
+    number: usize,
+    discovery: &Discovery,
+    configuration: &Value,
+    recorder: &Recorder,
+) -> Relay {
+    let mut relay = Relay::new(number, &plan.program, &plan.folder, configuration.clone(), recorder.clone());
+    relay.config["discovery"] = json!(discovery.addresses[number].to_string());
+    relay.config["operator"] = json!(crate::unused_address().to_string());
+    relay.config["seed"] = json!(format!("{:016x}", plan.seed * 1_000 + number as u64));
+    if plan.keeps_state {
+        let state = plan.folder.join(format!("state-{number}"));
+        std::fs::create_dir_all(&state).expect("a folder for a store");
+        relay.config["state"] = json!(state.display().to_string());
+    }
+    relay.start();
+    relay
+}
+
+impl Harness {
+    fn start(plan: &Plan) -> Harness {
+        let recorder = Recorder::default();
+        let discovery = Discovery::start(plan.relays, &recorder);
+        let backends: Vec<Backend> =
+            (0..plan.backends).map(|number| Backend::start(number, recorder.clone())).collect();
+        for (number, backend) in backends.iter().enumerate() {
+            discovery.list_backend(number, backend.address, false, 0);
+        }
+        let configuration = shared_configuration(plan, discovery.complete_list());
+        let relays: Vec<Relay> = (0..plan.relays)
+            .map(|number| start_relay(plan, number, &discovery, &configuration, &recorder))
+            .collect();
+        let relay_addresses = relays.iter().map(|relay| relay.listen).collect();
+        let controls = relays.iter().map(|relay| relay.control.clone()).collect();
+        let relays = relays.into_iter().map(|mut relay| {
+            let is_ready = relay.wait_until_ready();
+            assert!(is_ready, "relay {} is not ready: {}", relay.number, relay.log_path().display());
+            Arc::new(Mutex::new(relay))
+        });
+        Harness {
+            relays: relays.collect(),
+            relay_addresses,
+            controls,
+            to_restart: Vec::new(),
+            in_front: (0..plan.relays).map(|_| Arc::new(AtomicBool::new(true))).collect(),
+            plan: plan.clone(),
+            recorder,
+            discovery,
+            backends,
+            threads: Vec::new(),
+            cancelling: 0,
+            slow: 0,
+            random: Rand64::new(u128::from(plan.seed)),
+            last_session: 0,
+        }
+    }
+
+    fn draw(&mut self, end: u64) -> u64 {
+        self.random.rand_range(0..end)
+    }
+
+    /// The time between two clients, exponentially distributed.
+    fn draw_interval(&mut self) -> Duration {
+        let seconds = -(1.0 - self.random.rand_float()).ln() / self.plan.sessions_per_second;
+        Duration::from_secs_f64(seconds)
+    }
+
+    /// Starts one client at a relay that is in front; none where no relay is.
+    fn start_client(&mut self, reconnects: bool) {
+        let in_front: Vec<usize> =
+            (0..self.relays.len()).filter(|relay| self.in_front[*relay].load(Ordering::Relaxed)).collect();
+        if in_front.is_empty() {
+            return;
+        }
+        let plan = self.draw_client(&in_front, reconnects);
+        let recorder = self.recorder.clone();
+        self.threads.push(thread::spawn(move || client::run(&plan, &recorder)));
+    }
+
+    fn draw_client(&mut self, in_front: &[usize], reconnects: bool) -> ClientPlan {
+        let relay = in_front[self.draw(in_front.len() as u64) as usize];
+        self.last_session += 1;
+        let cancels_after = Duration::from_millis(self.draw(400));
+        let cancellation = match self.draw(4) {
+            0 if self.cancelling > 0 => Cancellation::Close(cancels_after),
+            1 if self.cancelling > 0 => Cancellation::Reset(cancels_after),
+            _ => Cancellation::Never,
+        };
+        let listener = LISTENERS[self.draw(LISTENERS.len() as u64) as usize];
+        let session_length = Duration::from_millis(500 + self.draw(3_000));
+        ClientPlan {
+            id: self.plan.seed << 32 | self.last_session,
+            relay,
+            address: self.relay_addresses[relay],
+            listener,
+            timeout: REQUEST_TIMEOUT,
+            reconnects,
+            piece_bytes: (self.slow > 0).then_some(SLOW_PIECE_BYTES),
+            cancellation,
+            session_length,
+        }
+    }
+
+    /// Lists a backend as up or draining; `is_start` where it has just started.
+    fn change_list(&self, backend: usize, draining: bool, is_start: bool) {
+        let change = ListChange { backend, draining, is_start, at: self.recorder.now() };
+        self.recorder.record(|observations| observations.list_changes.push(change));
+        let started_ms = if is_start { unix_milliseconds() } else { 0 };
+        self.discovery.list_backend(backend, self.backends[backend].address, draining, started_ms);
+    }
+
+    /// The time of a fault that begins now.
+    fn impairment(&self, subject: usize, length: Duration) -> Impairment {
+        let from = self.recorder.now();
+        Impairment { subject, from, until: from + length }
+    }
+
+    fn begin_fault(&mut self, fault: &ScheduledFault) {
+        let length = fault.until.saturating_sub(fault.from);
+        match fault.kind {
+            FaultKind::SystemCalls { relay, fault, value } => {
+                self.begin_system_fault(relay, fault, value, length);
+            }
+            FaultKind::Stop { relay } => self.stop_relay(relay, true),
+            FaultKind::StopUnderTraffic { relay } => self.stop_relay(relay, false),
+            FaultKind::ReloadThenStop { relay } => {
+                _ = self.relays[relay].try_lock().map(|relay| relay.reload());
+                self.stop_relay(relay, true);
+            }
+            FaultKind::HotRestart { relay } => self.hot_restart(relay),
+            FaultKind::Kill { relay } => {
+                let relay = self.relays[relay].clone();
+                self.threads.push(thread::spawn(move || locked(&relay).kill()));
+            }
+            FaultKind::Pause { relay, each } => self.pause_repeatedly(relay, length, each),
+            FaultKind::Reload { relay } => {
+                self.repeat(relay, length, RELOAD_INTERVAL, |relay| relay.reload());
+            }
+            FaultKind::Backend { backend, behaviour } => self.backends[backend].set_behaviour(behaviour),
+            FaultKind::ResetSessions { backend } => self.backends[backend].reset_sessions(),
+            FaultKind::Link { backend, mode } => self.begin_link_fault(backend, mode, length),
+            FaultKind::NoRoute { backend } => {
+                let port = i64::from(self.backends[backend].address.port());
+                self.set_unreachable_port(port);
+            }
+            FaultKind::Drain { backend } => self.change_list(backend, true, false),
+            FaultKind::NewBackend => {
+                let number = self.backends.len();
+                self.backends.push(Backend::start(number, self.recorder.clone()));
+                self.change_list(number, false, true);
+            }
+            FaultKind::Discovery { mode } => self.begin_discovery_fault(mode, length),
+            FaultKind::ClientsCancel => self.cancelling += 1,
+            FaultKind::SlowRequests => self.slow += 1,
+            FaultKind::PartialRequests => self.send_partial_requests(),
+            FaultKind::ReconnectStorm => (0..STORM_CLIENTS).for_each(|_| self.start_client(true)),
+        }
+    }
+
+    fn end_fault(&mut self, fault: &ScheduledFault) {
+        match fault.kind {
+            FaultKind::SystemCalls { relay, fault, .. } => self.controls[relay].set(fault, 0),
+            FaultKind::Stop { relay }
+            | FaultKind::StopUnderTraffic { relay }
+            | FaultKind::ReloadThenStop { relay }
+            | FaultKind::Kill { relay } => self.to_restart.push(relay),
+            FaultKind::Backend { backend, .. } => self.backends[backend].set_behaviour(Behaviour::Serves),
+            FaultKind::Drain { backend } => self.change_list(backend, false, false),
+            FaultKind::Discovery { .. } => self.discovery.set_mode(DiscoveryMode::Serves),
+            FaultKind::Link { backend, .. } => self.backends[backend].link.set_mode(LinkMode::Normal),
+            FaultKind::NoRoute { .. } => self.set_unreachable_port(0),
+            FaultKind::ClientsCancel => self.cancelling -= 1,
+            FaultKind::SlowRequests => self.slow -= 1,
+            FaultKind::Pause { .. }
+            | FaultKind::Reload { .. }
+            | FaultKind::HotRestart { .. }
+            | FaultKind::ResetSessions { .. }
+            | FaultKind::PartialRequests
+            | FaultKind::NewBackend
+            | FaultKind::ReconnectStorm => {}
+        }
+    }
+
+    fn begin_system_fault(&self, relay: usize, fault: SystemFault, value: i64, length: Duration) {
+        let impairment = self.impairment(relay, length);
+        self.recorder.record(|observations| {
+            if fault == SystemFault::Accept && value == ALWAYS {
+                observations.accept_outages.push(impairment);
+            }
+            if fault == SystemFault::BrokenClient {
+                observations.broken_client_connections.push(impairment);
+            }
+        });
+        self.controls[relay].set(fault, value);
+    }
+
+    fn begin_link_fault(&self, backend: usize, mode: LinkMode, length: Duration) {
+        if mode == LinkMode::Stalls {
+            let stall = self.impairment(backend, length);
+            self.recorder.record(|observations| observations.link_stalls.push(stall));
+        }
+        self.backends[backend].link.set_mode(mode);
+    }
+
+    fn begin_discovery_fault(&self, mode: DiscoveryMode, length: Duration) {
+        if mode != DiscoveryMode::Silent {
+            let from = self.recorder.now();
+            let outage = Interval { from, until: from + length + DISCOVERY_RECOVERY };
+            self.recorder.record(|observations| observations.discovery_outages.push(outage));
+        }
+        self.discovery.set_mode(mode);
+    }
+
+    /// Makes a port unreachable for all relays; 0 for none.
+    fn set_unreachable_port(&self, port: i64) {
+        for control in &self.controls {
+            control.set(SystemFault::Unreachable, port);
+        }
+    }
+
+    fn send_partial_requests(&mut self) {
+        for (relay, &address) in self.relay_addresses.iter().enumerate() {
+            let recorder = self.recorder.clone();
+            let send = move || client::send_partial_request(relay, address, &recorder);
+            self.threads.push(thread::spawn(send));
+        }
+    }
+
+    fn pause_repeatedly(&mut self, relay: usize, length: Duration, each: Duration) {
+        let recorder = self.recorder.clone();
+        self.repeat(relay, length, PAUSE_INTERVAL.max(each * 2), move |relay| {
+            let from = recorder.now();
+            relay.signal(libc::SIGSTOP);
+            thread::sleep(each);
+            relay.signal(libc::SIGCONT);
+            let pause = Impairment { subject: relay.number, from, until: recorder.now() };
+            recorder.record(|observations| observations.pauses.push(pause));
+        });
+    }
+
+    /// Does something to a relay again and again for a time.
+    fn repeat(
+        &mut self,
+        relay: usize,
+        length: Duration,
+        interval: Duration,
+        action: impl Fn(&Relay) + Send + 'static,
+    ) {
+        let relay = self.relays[relay].clone();
+        let recorder = self.recorder.clone();
+        let until = recorder.now() + length;
+        self.threads.push(thread::spawn(move || {
+            while recorder.now() < until {
+                action(&locked(&relay));
+                thread::sleep(interval);
+            }
+        }));
+    }
+
+    fn stop_relay(&mut self, relay: usize, front_notices: bool) {
+        let in_front = self.in_front[relay].clone();
+        let relay = self.relays[relay].clone();
+        self.threads.push(thread::spawn(move || {
+            locked(&relay).begin_stop();
+            thread::sleep(FRONT_DELAY);
+            if front_notices {
+                in_front.store(false, Ordering::Relaxed);
+            }
+            locked(&relay).finish_stop(REQUEST_TIMEOUT.saturating_sub(FRONT_DELAY));
+        }));
+    }
+
+    /// A new process takes over from a relay's running one, which is requested to stop once that is done.
+    fn hot_restart(&mut self, relay: usize) {
+        let relay = self.relays[relay].clone();
+        let predecessor = match relay.try_lock() {
+            Ok(mut relay) => relay.is_running().then(|| relay.start_successor()).flatten(),
+            Err(_) => None,
+        };
+        let Some(predecessor) = predecessor else { return };
+        self.threads.push(thread::spawn(move || {
+            thread::sleep(TAKEOVER_TIMEOUT);
+            let mut relay = locked(&relay);
+            if relay.is_running() && relay.wait_until_ready() {
+                drop(relay);
+                predecessor.stop(REQUEST_TIMEOUT);
+            } else {
+                relay.resume(predecessor);
+            }
+        }));
+    }
+
+    /// Records the processes that have exited.
+    fn observe_exits(&self) {
+        for relay in &self.relays {
+            if let Ok(mut relay) = relay.try_lock() {
+                relay.is_running();
+            }
+        }
+    }
+
+    /// Starts the relays again that are to restart and whose processes have ended.
+    fn restart_relays(&mut self) {
+        for number in std::mem::take(&mut self.to_restart) {
+            if !self.restart_relay(number) {
+                self.to_restart.push(number);
+            }
+        }
+    }
+
+    /// Starts a relay again. Returns false where its process still runs.
+    fn restart_relay(&mut self, number: usize) -> bool {
+        let Ok(mut relay) = self.relays[number].try_lock() else { return false };
+        if relay.is_running() {
+            return false;
+        }
+        relay.start();
+        drop(relay);
+        let relay = self.relays[number].clone();
+        let in_front = self.in_front[number].clone();
+        self.threads.push(thread::spawn(move || {
+            locked(&relay).wait_until_ready();
+            in_front.store(true, Ordering::Relaxed);
+        }));
+        true
+    }
+
+    fn finish(mut self, started_at: Timestamp) -> Report {
+        self.threads.drain(..).for_each(|thread| _ = thread.join());
+        thread::sleep(FINAL_DELAY);
+        let injected_failures = self.relays.iter().map(|relay| locked(relay).control.injected()).sum();
+        for relay in &self.relays {
+            locked(relay).is_running();
+        }
+        let observations = self.recorder.snapshot();
+        let since_start = |violation: Violation| {
+            let at = violation.at.saturating_sub(started_at);
+            Violation { at, ..violation }
+        };
+        let violations = oracle::check(&observations, &SETTINGS).into_iter().map(since_start).collect();
+        Report { observations, violations, injected_failures }
+    }
+}
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,23 +1,28 @@
-//! A randomized fault soak: real relay processes on loopback, stand-ins of backends, discovery and clients,
-//! troubles that overlap in time, and an oracle that knows nothing of the relays but what came over sockets.
+//! A randomized fault-injection soak: real relay processes on loopback, emulated backends, discovery and
+//! clients, faults that overlap in time, and an oracle that knows of the relays only what was observed over
+//! sockets.
+#![warn(missing_docs)]
+
 pub mod backend;
 pub mod client;
 pub mod discovery;
 pub mod faults;
-pub mod ledger;
+pub mod harness;
 pub mod link;
+pub mod observations;
 pub mod oracle;
 pub mod plan;
 pub mod process;
-pub mod run;
-pub mod trouble;
+pub mod report;
+pub mod schedule;
+pub mod settings;
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A bound socket at a loopback address that no other test of this machine takes meanwhile.
-pub fn bound() -> TcpListener {
+/// A listening socket at a loopback address that no other test on this machine uses.
+pub fn listen_on_loopback() -> TcpListener {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let [high, low] = number.to_be_bytes();
@@ -26,8 +31,8 @@
 }
 
 /// An address that nobody listens at.
-pub fn free() -> SocketAddr {
-    bound().local_addr().expect("a bound socket has an address")
+pub fn unused_address() -> SocketAddr {
+    listen_on_loopback().local_addr().expect("a bound socket has an address")
 }
 
 /// The value behind a lock, whether or not another thread panicked with it.
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,6 +1,7 @@
-//! A fault proxy on the way from relays to one backend: delays, stalls, drops, resets, half lines, single bytes.
-use crate::ledger::{At, Ledger};
-use crate::{bound, locked};
+//! A faulty link: a proxy between relays and one backend that delays, stalls, drops, resets, truncates or
+//! splits what passes through it.
+use crate::observations::{Recorder, Timestamp};
+use crate::{listen_on_loopback, locked};
 use socket2::SockRef;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -9,73 +10,78 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the way does with bytes.
+/// What a link does with bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkMode {
     #[default]
-    Sound,
-    /// Each piece takes longer, both ways.
+    /// Passes them on.
+    Normal,
+    /// Passes them on after a delay, in both directions.
     Delays,
-    /// Nothing goes on while it lasts; what waits goes on behind it.
+    /// Holds them back until the mode changes.
     Stalls,
-    /// What comes is lost, and the connection stays open.
+    /// Loses them; the connection stays open.
     Drops,
-    /// Connections are reset as bytes come.
+    /// Resets the connection.
     Resets,
-    /// Of what comes from the backend a half goes on, then a reset.
-    HalfLines,
-    /// One byte at a time.
+    /// Passes on half of what a backend sends, then resets the connection.
+    Truncates,
+    /// Passes on single bytes.
     SingleBytes,
 }
 
 const DELAY: Duration = Duration::from_millis(40);
-const POLL: Duration = Duration::from_millis(10);
-const BETWEEN_BYTES: Duration = Duration::from_micros(300);
+/// How often a stalled link looks whether it goes on.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const BYTE_INTERVAL: Duration = Duration::from_micros(300);
 
 #[derive(Default)]
 struct State {
-    way: Way,
-    /// When the first byte came from a relay, by the proxy's own address towards the backend.
-    begun: HashMap<SocketAddr, At>,
+    mode: LinkMode,
+    /// When the first byte of a connection was received from a relay, by the proxy's own address towards the
+    /// backend.
+    first_bytes: HashMap<SocketAddr, Timestamp>,
 }
 
-/// The proxy of one backend.
+/// The link to one backend.
 #[derive(Clone)]
 pub struct Link {
-    /// What the list tells relays.
+    /// The address at which relays connect.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Link {
-    pub fn start(backend: SocketAddr, ledger: Ledger, link: Arc<Mutex<Option<Link>>>) -> Link {
-        let listener = bound();
+    /// Starts the proxy of a backend's address, and makes it known in `link`.
+    pub fn start(backend: SocketAddr, recorder: Recorder, link: Arc<Mutex<Option<Link>>>) -> Link {
+        let listener = listen_on_loopback();
         let address = listener.local_addr().expect("a bound socket has an address");
         let state = Arc::<Mutex<State>>::default();
-        let made = Link { address, state: state.clone() };
-        *locked(&link) = Some(made.clone());
-        thread::spawn(move || accept(&listener, backend, &state, &ledger));
-        made
+        let started = Link { address, state: state.clone() };
+        *locked(&link) = Some(started.clone());
+        thread::spawn(move || accept(&listener, backend, &state, &recorder));
+        started
     }
 
-    pub fn set(&self, way: Way) {
-        locked(&self.state).way = way;
+    /// Changes what the link does.
+    pub fn set_mode(&self, mode: LinkMode) {
+        locked(&self.state).mode = mode;
     }
 
-    /// When a relay began what came to the backend from an address.
-    pub fn begun(&self, from: SocketAddr) -> Option<At> {
-        locked(&self.state).begun.get(&from).copied()
+    /// When the first byte of a connection was received from a relay, by the address that the backend sees.
+    pub fn first_byte_at(&self, from: SocketAddr) -> Option<Timestamp> {
+        locked(&self.state).first_bytes.get(&from).copied()
     }
 }
 
-fn accept(listener: &TcpListener, backend: SocketAddr, state: &Arc<Mutex<State>>, ledger: &Ledger) {
+fn accept(listener: &TcpListener, backend: SocketAddr, state: &Arc<Mutex<State>>, recorder: &Recorder) {
     for relay in listener.incoming().flatten() {
         let Ok(server) = TcpStream::connect(backend) else { continue };
         let Ok(own) = server.local_addr() else { continue };
         for (from, to, first) in [(&relay, &server, true), (&server, &relay, false)] {
             let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
-            let (state, ledger) = (state.clone(), ledger.clone());
-            thread::spawn(move || carry(from, to, first.then_some(own), &state, &ledger));
+            let (state, recorder) = (state.clone(), recorder.clone());
+            thread::spawn(move || pass_all(from, to, first.then_some(own), &state, &recorder));
         }
     }
 }
@@ -85,8 +91,15 @@
     _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Carries bytes one way till its side ends. `own`: the proxy's address towards the backend, on the way there.
-fn carry(mut from: TcpStream, to: TcpStream, own: Option<SocketAddr>, state: &Mutex<State>, ledger: &Ledger) {
+/// Passes on bytes in one direction until its side ends. `own` is the proxy's address towards the backend,
+/// where the bytes go there.
+fn pass_all(
+    mut from: TcpStream,
+    to: TcpStream,
+    own: Option<SocketAddr>,
+    state: &Mutex<State>,
+    recorder: &Recorder,
+) {
     _ = to.set_nodelay(true);
     let mut bytes = [0; 2048];
     loop {
@@ -99,41 +112,47 @@
             }
             Err(_) => return reset(&to),
         };
-        let now = ledger.now();
-        let way = {
+        let now = recorder.now();
+        let mode = {
             let mut state = locked(state);
             if let Some(own) = own {
-                state.begun.entry(own).or_insert(now);
+                state.first_bytes.entry(own).or_insert(now);
             }
-            state.way
+            state.mode
         };
-        if !pass_on(&bytes[..count], &to, way, own.is_none(), state) {
+        if !pass_on(&bytes[..count], &to, mode, own.is_none(), state) {
             reset(&from);
             return reset(&to);
         }
     }
 }
 
-/// False where the connection is to be reset.
-fn pass_on(bytes: &[u8], mut to: &TcpStream, way: Way, from_backend: bool, state: &Mutex<State>) -> bool {
-    match way {
-        Way::Sound => {}
-        Way::Delays => thread::sleep(DELAY),
-        Way::Stalls => {
-            while locked(state).way == Way::Stalls {
-                thread::sleep(POLL);
+/// Passes on some bytes. Returns false where the connection is to be reset.
+fn pass_on(
+    bytes: &[u8],
+    mut to: &TcpStream,
+    mode: LinkMode,
+    from_backend: bool,
+    state: &Mutex<State>,
+) -> bool {
+    match mode {
+        LinkMode::Normal => {}
+        LinkMode::Delays => thread::sleep(DELAY),
+        LinkMode::Stalls => {
+            while locked(state).mode == LinkMode::Stalls {
+                thread::sleep(POLL_INTERVAL);
             }
         }
-        Way::Drops => return true,
-        Way::Resets => return false,
-        Way::HalfLines if from_backend => {
+        LinkMode::Drops => return true,
+        LinkMode::Resets => return false,
+        LinkMode::Truncates if from_backend => {
             _ = to.write_all(&bytes[..bytes.len() / 2]);
             return false;
         }
-        Way::HalfLines => {}
-        Way::SingleBytes => {
+        LinkMode::Truncates => {}
+        LinkMode::SingleBytes => {
             return bytes.iter().all(|byte| {
-                thread::sleep(BETWEEN_BYTES);
+                thread::sleep(BYTE_INTERVAL);
                 to.write_all(&[*byte]).is_ok()
             });
         }
--- /dev/null
+++ b/soak/src/oracle/processes.rs
@@ -0,0 +1,111 @@
+//! Rules of relay processes, of clients that stop in the middle of their line, and of backends that warm up.
+use super::{Rule, Settings, Violation, HARNESS_MARGIN};
+use crate::observations::{ExitReason, ListChange, Observations, Process, Timestamp};
+use std::time::Duration;
+
+/// A started process is ready within this time.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A client that stopped in the middle of its line gets an error or the end within this time.
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// From this budget on the bound is the tighter of the two.
+const LARGE_BUDGET: f64 = 30.0;
+
+/// Processes are ready in time, exit in time, and do not crash.
+pub(super) fn check_processes(observations: &Observations, violations: &mut Vec<Violation>) {
+    for process in &observations.processes {
+        let mut violate = |rule, at, details: &str| {
+            let details = format!("relay {}: {details}", process.relay);
+            violations.push(Violation { rule, at, details });
+        };
+        if let Some(ended) = process.ended {
+            match ended.reason {
+                ExitReason::KilledAtTimeLimit => {
+                    violate(Rule::StopInTime, ended.at, "still there as its time was up");
+                }
+                ExitReason::Crashed => violate(Rule::NoCrash, ended.at, "it ended unasked"),
+                ExitReason::Killed | ExitReason::Exited => {}
+            }
+        }
+        if is_late(process) {
+            violate(Rule::Ready, process.started_at, "not ready within 10 s");
+        }
+    }
+}
+
+fn is_late(process: &Process) -> bool {
+    let limit = process.started_at + READY_TIMEOUT;
+    let ended_before = process.ended.is_some_and(|ended| ended.at < limit);
+    process.ready_at.is_none_or(|ready_at| ready_at > limit) && !ended_before
+}
+
+/// Clients that stop in the middle of their line get an error, or the end, in time.
+pub(super) fn check_partial_requests(observations: &Observations, violations: &mut Vec<Violation>) {
+    for request in &observations.partial_requests {
+        let limit = request.since + PARTIAL_REQUEST_TIMEOUT + HARNESS_MARGIN;
+        let was_paused = observations.pauses.iter().any(|pause| {
+            pause.subject == request.relay && pause.from <= limit && pause.until >= request.since
+        });
+        if !was_paused && request.ended_at.is_none_or(|ended_at| ended_at > limit) {
+            let details = format!("relay {}: half a line, and no end; {:?}", request.relay, request.ended_at);
+            violations.push(Violation { rule: Rule::PartialRequestEnded, at: request.since, details });
+        }
+    }
+}
+
+/// A backend that warms up gets no more attempts in a window than its budget, with a margin for chance.
+pub(super) fn check_warm_up_budget(
+    observations: &Observations,
+    settings: &Settings,
+    violations: &mut Vec<Violation>,
+) {
+    for start in observations.list_changes.iter().filter(|change| change.is_start) {
+        let attempts = attempts_while_warming_up(observations, settings, start);
+        let mut excesses = attempts.iter().enumerate().filter_map(|(last, &at)| {
+            let window_start = |begun: &&Timestamp| **begun + settings.overload_window > at;
+            let count = attempts[..=last].iter().filter(window_start).count();
+            let bound = attempts_allowed(settings, at - start.at);
+            (count as f64 > bound).then_some(Excess { at, count, bound })
+        });
+        if let Some(Excess { at, count, bound }) = excesses.next() {
+            let details =
+                format!("{count} dials at cold backend {} where {bound:.1} are allowed", start.backend);
+            violations.push(Violation { rule: Rule::WarmUpBudget, at, details });
+        }
+    }
+}
+
+/// More attempts in a window than are allowed.
+struct Excess {
+    at: Timestamp,
+    count: usize,
+    bound: f64,
+}
+
+/// The times of all attempts at a backend during its slow start, sorted.
+fn attempts_while_warming_up(
+    observations: &Observations,
+    settings: &Settings,
+    start: &ListChange,
+) -> Vec<Timestamp> {
+    let warm_at = start.at + settings.warm_up;
+    let all = observations.sessions.values().flat_map(|session| &session.attempts);
+    let at_backend = all.filter(|attempt| attempt.backend == start.backend);
+    let times = at_backend.map(|attempt| attempt.started_at);
+    let mut while_warming_up: Vec<Timestamp> = times.filter(|at| *at >= start.at && *at < warm_at).collect();
+    while_warming_up.sort();
+    while_warming_up
+}
+
+/// The attempts in a window that a backend may get at an age: its budget, and a few standard deviations more.
+fn attempts_allowed(settings: &Settings, age: Duration) -> f64 {
+    let warm_up = settings.warm_up.as_secs_f64();
+    let progress = age.as_secs_f64() / warm_up;
+    let fraction = settings.initial_capacity + (1.0 - settings.initial_capacity) * progress;
+    let rate = settings.overload_multiple * fraction * settings.capacity / warm_up;
+    let budget = rate * settings.overload_window.as_secs_f64();
+    if budget < LARGE_BUDGET {
+        budget + 3.0 * budget.sqrt() + 3.0
+    } else {
+        budget + 2.0 * budget.sqrt() + 2.0
+    }
+}
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,7 +1,7 @@
-//! Relay processes: started with the fault injection library, told to stop or to reload, killed. None outlives
-//! the harness.
-use crate::faults::{Control, LIBRARY};
-use crate::ledger::{End, Ledger, Life};
+//! Relay processes: started with the fault injection library, requested to stop or to reload, killed. None
+//! outlives the harness.
+use crate::faults::{FaultControl, LIBRARY};
+use crate::observations::{ExitReason, Process, ProcessEnd, Recorder, Timestamp};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,68 +11,74 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// After SIGTERM a process is left alone for the longest dial timeout, 3 s at most, and so long.
+/// A process is killed so long after SIGTERM and the longest dial timeout.
 pub const KILL_MARGIN: Duration = Duration::from_millis(700);
-const READY: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// One relay: its configuration and its running process.
 pub struct Relay {
+    /// Its number.
     pub number: usize,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
-    pub control: Arc<Control>,
-    pub text: Value,
-    /// Environment variables of its processes beside the library's: planted faults.
+    /// Which of its system calls fail.
+    pub control: Arc<FaultControl>,
+    /// Its configuration file.
+    pub config: Value,
+    /// Further environment variables of its processes.
     pub environment: Vec<(String, String)>,
-    /// Where its processes' standard error goes; a file of the relay's folder if it is not set.
+    /// Where its processes log; a file of the relay's folder where it is not set.
     pub log: Option<PathBuf>,
     folder: PathBuf,
     program: PathBuf,
     child: Option<Child>,
-    life: Option<usize>,
-    ledger: Ledger,
+    /// The position of its last process in the observations.
+    process: Option<usize>,
+    recorder: Recorder,
 }
 
 impl Relay {
-    /// Nothing runs yet. `program` is started as `PROGRAM relay serve --config FILE`.
-    pub fn new(number: usize, program: &Path, folder: &Path, text: Value, ledger: Ledger) -> Relay {
-        let listen = crate::free();
+    /// A relay that is not started. `program` will be started as `PROGRAM relay serve --config FILE`.
+    pub fn new(number: usize, program: &Path, folder: &Path, mut config: Value, recorder: Recorder) -> Relay {
+        let listen = crate::unused_address();
         let folder = folder.join(format!("relay-{number}"));
         std::fs::create_dir_all(&folder).expect("a folder for a relay");
-        let control = Arc::new(Control::new(&folder.join("faults"), listen.port()).expect("a control file"));
-        let mut text = text;
-        text["listen"] = json!(listen.to_string());
-        text["name"] = json!(format!("relay-{number}"));
-        text["settings"]["SlotNo"] = json!(number);
+        let control =
+            Arc::new(FaultControl::new(&folder.join("faults"), listen.port()).expect("a control file"));
+        config["listen"] = json!(listen.to_string());
+        config["name"] = json!(format!("relay-{number}"));
+        config["settings"]["SlotNo"] = json!(number);
         Relay {
             number,
             listen,
             control,
-            text,
+            config,
             environment: Vec::new(),
             log: None,
             folder,
             program: program.to_path_buf(),
             child: None,
-            life: None,
-            ledger,
+            process: None,
+            recorder,
         }
     }
 
-    pub fn log(&self) -> PathBuf {
+    /// The path of its log.
+    pub fn log_path(&self) -> PathBuf {
         self.log.clone().unwrap_or_else(|| self.folder.join("log"))
     }
 
     fn write_config(&self) -> PathBuf {
         let path = self.folder.join("config.json");
-        std::fs::write(&path, self.text.to_string()).expect("a configuration");
+        std::fs::write(&path, self.config.to_string()).expect("a configuration");
         path
     }
 
-    /// Starts a process; `until_ready` waits for it. The system kills it as the calling thread ends.
+    /// Starts a process; `wait_until_ready` waits for it. The system kills it when the calling thread ends.
     pub fn start(&mut self) {
         let config = self.write_config();
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log()).expect("a log");
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_path()).expect("a log");
         let mut command = Command::new(&self.program);
         command.args(["relay", "serve", "-vv", "--config"]).arg(config);
         command.env("TMPDIR", &self.folder).env("LD_PRELOAD", LIBRARY).env("FAULTS_FILE", &self.control.path);
@@ -81,7 +87,7 @@
         }
         command.envs(self.environment.iter().cloned());
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        // SAFETY: prctl is safe between fork and exec; it only sets what happens as the parent ends.
+        // SAFETY: prctl is safe between fork and exec; it only sets what happens when the parent ends.
         unsafe {
             command.pre_exec(|| match libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) {
                 0 => Ok(()),
@@ -89,48 +95,56 @@
             });
         }
         self.child = Some(command.spawn().expect("the relay starts"));
-        let started = self.ledger.now();
-        let life = Life { relay: self.number, started, ready: None, told_to_stop: None, ended: None };
-        self.life = Some(self.ledger.write(|book| {
-            book.lives.push(life);
-            book.lives.len() - 1
+        let process = Process {
+            relay: self.number,
+            started_at: self.recorder.now(),
+            ready_at: None,
+            stop_requested_at: None,
+            ended: None,
+        };
+        self.process = Some(self.recorder.record(|observations| {
+            observations.processes.push(process);
+            observations.processes.len() - 1
         }));
     }
 
-    /// Starts a process that is to take the running one's place, and returns the one that runs.
+    /// Starts a process that is to take over from the running one, and returns the running one.
     pub fn start_successor(&mut self) -> Option<Predecessor> {
-        let (child, life) = (self.child.take()?, self.life?);
+        let child = self.child.take()?;
+        let process = self.process?;
         // Each process has an address of its own for operators.
-        self.text["operator"] = json!(crate::free().to_string());
+        self.config["operator"] = json!(crate::unused_address().to_string());
         self.start();
-        Some(Predecessor { child, life, ledger: self.ledger.clone() })
+        Some(Predecessor { child, process, recorder: self.recorder.clone() })
     }
 
     /// Goes on with a process whose successor did not start.
-    pub fn keep(&mut self, before: Predecessor) {
-        (self.child, self.life) = (Some(before.child), Some(before.life));
+    pub fn resume(&mut self, predecessor: Predecessor) {
+        self.child = Some(predecessor.child);
+        self.process = Some(predecessor.process);
     }
 
-    fn note(&self, change: impl FnOnce(&mut Life)) {
-        if let Some(life) = self.life {
-            self.ledger.write(|book| change(&mut book.lives[life]));
+    fn record(&self, change: impl FnOnce(&mut Process)) {
+        if let Some(process) = self.process {
+            self.recorder.record(|observations| change(&mut observations.processes[process]));
         }
     }
 
-    /// Waits till it answers `PING`, for a bounded time; false where it does not.
-    pub fn until_ready(&mut self) -> bool {
+    /// Waits until it answers `PING`, for a bounded time. Returns whether it does.
+    pub fn wait_until_ready(&mut self) -> bool {
         let started = Instant::now();
-        while started.elapsed() < READY {
-            if pings(self.listen) {
-                let now = self.ledger.now();
-                self.note(|life| life.ready = Some(now));
+        while started.elapsed() < READY_TIMEOUT {
+            if answers_ping(self.listen) {
+                let now = self.recorder.now();
+                self.record(|process| process.ready_at = Some(now));
                 return true;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
+    /// Sends a signal to its process, where one runs.
     pub fn signal(&self, signal: libc::c_int) {
         if let Some(child) = &self.child {
             // SAFETY: it is our own child, and is not reaped as long as this value holds it.
@@ -138,40 +152,47 @@
         }
     }
 
-    /// Reads the configuration anew. A process so young that its program has not begun is left alone: the system
-    /// ends it by any signal, whatever the program is.
+    /// Makes it reload its configuration. A process whose program has not begun yet is left alone, as any
+    /// signal would end it.
     pub fn reload(&self) {
-        const BEGUN: Duration = Duration::from_millis(30);
-        let life = self.life.map(|life| self.ledger.write(|book| book.lives[life].started));
-        if life.is_some_and(|started| self.ledger.now() >= started + BEGUN) {
+        const PROGRAM_START: Duration = Duration::from_millis(30);
+        if self.started_at().is_some_and(|started_at| self.recorder.now() >= started_at + PROGRAM_START) {
             self.write_config();
             self.signal(libc::SIGHUP);
         }
     }
 
-    /// Whether a process runs; one that has ended unasked is written down.
-    pub fn runs(&mut self) -> bool {
+    fn started_at(&self) -> Option<Timestamp> {
+        let process = self.process?;
+        Some(self.recorder.record(|observations| observations.processes[process].started_at))
+    }
+
+    /// Whether a process runs. Records the end of one that has exited.
+    pub fn is_running(&mut self) -> bool {
         let Some(child) = &mut self.child else { return false };
         if child.try_wait().expect("our own child").is_none() {
             return true;
         }
         self.child = None;
-        let now = self.ledger.now();
-        self.note(|life| {
-            let end = if life.told_to_stop.is_some() { End::Left } else { End::Crashed };
-            life.ended = Some((now, end));
+        let at = self.recorder.now();
+        self.record(|process| {
+            let is_requested = process.stop_requested_at.is_some();
+            let reason = if is_requested { ExitReason::Exited } else { ExitReason::Crashed };
+            process.ended = Some(ProcessEnd { at, reason });
         });
         false
     }
 
+    /// Kills its process, where one runs.
     pub fn kill(&mut self) {
-        if !self.runs() {
+        if !self.is_running() {
             return;
         }
-        let now = self.ledger.now();
-        self.note(|life| {
-            let end = if life.told_to_stop.is_some() { End::TooLate } else { End::Killed };
-            life.ended = Some((now, end));
+        let at = self.recorder.now();
+        self.record(|process| {
+            let is_requested = process.stop_requested_at.is_some();
+            let reason = if is_requested { ExitReason::KilledAtTimeLimit } else { ExitReason::Killed };
+            process.ended = Some(ProcessEnd { at, reason });
         });
         if let Some(mut child) = self.child.take() {
             _ = child.kill();
@@ -179,52 +200,56 @@
         }
     }
 
-    /// Tells it to stop. `watch_stop` has to be called till it has ended.
+    /// Requests it to stop; `finish_stop` waits for it.
     pub fn begin_stop(&self) {
-        let now = self.ledger.now();
-        self.note(|life| life.told_to_stop = Some(now));
+        let now = self.recorder.now();
+        self.record(|process| process.stop_requested_at = Some(now));
         self.signal(libc::SIGTERM);
     }
 
-    /// Waits till it has left, or kills it as its time is up.
+    /// Waits until it has exited, or kills it at its time limit.
     pub fn finish_stop(&mut self, longest_wait: Duration) {
-        let by = Instant::now() + longest_wait + KILL_MARGIN;
-        while Instant::now() < by {
-            if !self.runs() {
+        let limit = Instant::now() + longest_wait + KILL_MARGIN;
+        while Instant::now() < limit {
+            if !self.is_running() {
                 return;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         self.kill();
     }
 }
 
-/// A process whose place another one takes.
+/// A process that a new one takes over from.
 pub struct Predecessor {
     child: Child,
-    life: usize,
-    ledger: Ledger,
+    process: usize,
+    recorder: Recorder,
 }
 
 impl Predecessor {
-    /// Tells it to stop, and kills it as its time is up.
+    /// Requests it to stop, and kills it at its time limit.
     pub fn stop(mut self, longest_wait: Duration) {
-        let now = self.ledger.now();
-        self.ledger.write(|book| book.lives[self.life].told_to_stop = Some(now));
+        let now = self.recorder.now();
+        self.record(|process| process.stop_requested_at = Some(now));
         // SAFETY: it is our own child, and is not reaped as long as this value holds it.
         unsafe { libc::kill(self.child.id() as libc::pid_t, libc::SIGTERM) };
-        let by = Instant::now() + longest_wait + KILL_MARGIN;
-        let mut end = End::TooLate;
-        while Instant::now() < by && end == End::TooLate {
+        let limit = Instant::now() + longest_wait + KILL_MARGIN;
+        let mut reason = ExitReason::KilledAtTimeLimit;
+        while Instant::now() < limit && reason == ExitReason::KilledAtTimeLimit {
             if self.child.try_wait().expect("our own child").is_some() {
-                end = End::Left;
+                reason = ExitReason::Exited;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         _ = self.child.kill();
         _ = self.child.wait();
-        let now = self.ledger.now();
-        self.ledger.write(|book| book.lives[self.life].ended = Some((now, end)));
+        let at = self.recorder.now();
+        self.record(|process| process.ended = Some(ProcessEnd { at, reason }));
+    }
+
+    fn record(&self, change: impl FnOnce(&mut Process)) {
+        self.recorder.record(|observations| change(&mut observations.processes[self.process]));
     }
 }
 
@@ -237,7 +262,7 @@
     }
 }
 
-fn pings(listen: SocketAddr) -> bool {
+fn answers_ping(listen: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(listen) else { return false };
     _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
     if stream.write_all(b"PING\r\n").is_err() {
--- /dev/null
+++ b/soak/src/report.rs
@@ -0,0 +1,89 @@
+//! The report of a run: what was observed, and the rules that were violated.
+use crate::observations::{Observations, Session, SessionEnd, Timestamp};
+use crate::oracle::Violation;
+use crate::schedule::ScheduledFault;
+use std::collections::BTreeMap;
+
+/// The outcome of a run.
+pub struct Report {
+    /// What was observed.
+    pub observations: Observations,
+    /// The violations, by their times since the beginning of the run.
+    pub violations: Vec<Violation>,
+    /// System calls that failed by injection, in all processes.
+    pub injected_failures: i64,
+}
+
+/// A kind of fault and an event of a session or process that happened while it lasted.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct FaultEvent {
+    /// The name of the fault's kind.
+    pub fault: String,
+    /// The name of the event.
+    pub event: &'static str,
+}
+
+/// An event of a session or process, by its name.
+struct NamedEvent {
+    name: &'static str,
+    at: Timestamp,
+}
+
+impl Report {
+    /// The number of sessions by the first word of their answers; `none` for no answer.
+    pub fn answers(&self) -> BTreeMap<String, usize> {
+        let mut counts = BTreeMap::new();
+        for session in self.observations.sessions.values() {
+            let answer = session.answer.as_ref();
+            let word = answer.and_then(|answer| answer.line.split(' ').next()).unwrap_or("none");
+            *counts.entry(word.to_string()).or_insert(0) += 1;
+        }
+        counts
+    }
+
+    /// How often each kind of event happened during each kind of fault.
+    pub fn coverage(&self, faults: &[ScheduledFault]) -> BTreeMap<FaultEvent, usize> {
+        let events = self.events();
+        let mut counts = BTreeMap::new();
+        for fault in faults {
+            for event in events.iter().filter(|event| event.at >= fault.from && event.at <= fault.until) {
+                let key = FaultEvent { fault: fault.kind.name(), event: event.name };
+                *counts.entry(key).or_insert(0) += 1;
+            }
+        }
+        counts
+    }
+
+    fn events(&self) -> Vec<NamedEvent> {
+        let mut events = Vec::new();
+        for session in self.observations.sessions.values() {
+            add_session_events(session, &mut events);
+        }
+        for delivery in &self.observations.list_deliveries {
+            events.push(NamedEvent { name: "list change", at: delivery.at });
+        }
+        for process in &self.observations.processes {
+            events.push(NamedEvent { name: "start", at: process.started_at });
+            let stop = process.stop_requested_at.map(|at| NamedEvent { name: "stop", at });
+            events.extend(stop);
+        }
+        events
+    }
+}
+
+fn add_session_events(session: &Session, events: &mut Vec<NamedEvent>) {
+    events.push(NamedEvent { name: "request", at: session.requested_at });
+    for (number, attempt) in session.attempts.iter().enumerate() {
+        let name = if number == 0 { "dial" } else { "repeat" };
+        events.push(NamedEvent { name, at: attempt.started_at });
+    }
+    if let Some(answer) = &session.answer {
+        let name = if answer.line.starts_with("UP") { "up" } else { "refusal or failure" };
+        events.push(NamedEvent { name, at: answer.at });
+    }
+    if let Some(SessionEnd { at, .. }) = session.ended {
+        let name = if session.move_announced { "move" } else { "end" };
+        events.push(NamedEvent { name, at });
+    }
+    events.extend(session.left_at.map(|at| NamedEvent { name: "client leaves", at }));
+}
