--- a/model_checker/src/cluster/mod.rs
+++ b/model_checker/src/cluster/mod.rs
@@ -19,7 +19,7 @@
 pub use transition::Transition;
 
 use crate::search::Model;
-use hallrelay_disruption::Thing;
+use hallrelay_disruption::Target;
 use hallrelay_raft::{Id, Voter};
 
 /// How many lease holders may be disrupted at once.
@@ -65,8 +65,8 @@
 }
 
 /// A lease holder as the state machine names it.
-fn holder_name(holder: usize) -> Thing {
-    Thing::Relay(format!("h{holder}"))
+fn holder_name(holder: usize) -> Target {
+    Target::Relay(format!("h{holder}"))
 }
 
 impl Model for ClusterModel {
--- a/model_checker/src/cluster/recovery.rs
+++ b/model_checker/src/cluster/recovery.rs
@@ -3,7 +3,7 @@
 use super::initial::request_lease;
 use super::state::{ClusterState, Holder};
 use super::{holder_name, ClusterModel};
-use hallrelay_disruption::{Command, Condition, Place};
+use hallrelay_disruption::{Command, FailureDomain, HealthState};
 use hallrelay_raft::{Event, Timer};
 
 /// Election timeouts that expire, one server after another, until a cluster counts as stuck.
@@ -41,16 +41,17 @@
     fn grants_lease(&self, state: &mut ClusterState, leader: usize) -> bool {
         for holder in 0..self.holders {
             state.holders[holder] = Holder::default();
-            let thing = holder_name(holder);
-            let is_up = Command::Seen { thing, place: Place::default(), condition: Condition::Up };
+            let target = holder_name(holder);
+            let is_up =
+                Command::Observe { target, domain: FailureDomain::default(), health: HealthState::Up };
             self.propose(state, leader, holder, &is_up);
             self.settle(state);
-            let free = Command::Free { thing: holder_name(holder), by: "a person".to_string() };
+            let free = Command::Reclaim { target: holder_name(holder), requested_by: "a person".to_string() };
             self.propose(state, leader, holder, &free);
             self.settle(state);
         }
         self.propose(state, leader, 0, &request_lease(0, FINAL_REQUEST));
         self.settle(state);
-        state.holders[0].grant > 0
+        state.holders[0].lease_id > 0
     }
 }
