--- /dev/null
+++ b/config/src/consensus.rs
@@ -0,0 +1,108 @@
+//! What the relays of a fleet agree on, and which of them vote: the keys `voters`, `budgets`, `begin_within`,
+//! `moves_per_s`, `kind` and `group` of the table `fleet`.
+use crate::at::At;
+use crate::fleet::{is_name, MAX_NAME_BYTES};
+use hallrelay_balancer::types::Micros;
+use hallrelay_disruption::{Budget, Kind, Scope, BUDGETS};
+
+/// Seconds in which a lease must be begun, unless configured: long enough to learn of it and to begin; a
+/// request that waits for the same budget waits no longer.
+const DEFAULT_LEASE_START_S: f64 = 10.0;
+/// Sessions moved in a second, unless configured: half a minute for a backend's hundreds.
+const DEFAULT_MIGRATIONS_PER_S: u32 = 20;
+/// Largest number of voters.
+const MAX_VOTERS: usize = 7;
+
+/// The voters, and what they agree on.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ConsensusConfig {
+    /// Names of the voting relays: 1 to 7, by custom three or five.
+    pub voters: Vec<String>,
+    /// Disruption budgets.
+    pub budgets: Vec<Budget>,
+    /// A lease that is not begun within this expires.
+    pub lease_start_timeout: Micros,
+    /// Sessions that the whole fleet moves off draining backends in a second.
+    pub migrations_per_s: u32,
+    /// What this relay is counted with by budgets of scope `kind`; empty where it is not.
+    pub kind: String,
+    /// What this relay is counted with by budgets of scope `group`; empty where it is not.
+    pub group: String,
+}
+
+/// Reads the keys from the table `fleet`; `voters` is its key of that name.
+///
+/// # Errors
+/// A text that names the faulty key and what was wanted.
+pub(crate) fn decode(table: &At, voters: &At) -> Result<ConsensusConfig, String> {
+    let voters = decode_voters(voters)?;
+    let budgets = table.option("budgets").map_or(Ok(Vec::new()), |at| decode_budgets(&at))?;
+    let lease_start_s =
+        table.option("begin_within").map_or(Ok(DEFAULT_LEASE_START_S), |at| match at.num()? {
+            seconds if (1.0..=3600.0).contains(&seconds) => Ok(seconds),
+            _ => at.wrong("1 to 3600 s"),
+        })?;
+    let migrations_per_s =
+        table.option("moves_per_s").map_or(Ok(DEFAULT_MIGRATIONS_PER_S), |at| match at.small()? {
+            migrations if (1..=100_000).contains(&migrations) => Ok(migrations),
+            _ => at.wrong("1 to 100000 a second"),
+        })?;
+    Ok(ConsensusConfig {
+        voters,
+        budgets,
+        lease_start_timeout: (lease_start_s * 1e6) as Micros,
+        migrations_per_s,
+        kind: decode_label(table, "kind")?,
+        group: decode_label(table, "group")?,
+    })
+}
+
+fn decode_voters(at: &At) -> Result<Vec<String>, String> {
+    let names = at.list()?;
+    let names = names.iter().map(|name| Ok(name.text()?.to_string())).collect::<Result<Vec<_>, String>>()?;
+    let has_duplicate = (1..names.len()).any(|i| names[..i].contains(&names[i]));
+    let is_valid = !names.is_empty() && names.len() <= MAX_VOTERS && names.iter().all(|name| is_name(name));
+    if has_duplicate || !is_valid {
+        return at.wrong("1 to 7 different names of relays, three or five by custom");
+    }
+    Ok(names)
+}
+
+/// A text of the table, empty where it is left out.
+fn decode_label(table: &At, key: &str) -> Result<String, String> {
+    table.option(key).map_or(Ok(String::new()), |at| match at.text()? {
+        text if text.len() <= MAX_NAME_BYTES => Ok(text.to_string()),
+        _ => at.wrong("64 bytes at most"),
+    })
+}
+
+fn decode_budgets(at: &At) -> Result<Vec<Budget>, String> {
+    let list = at.list()?;
+    if list.len() > BUDGETS {
+        return at.wrong("64 budgets at most");
+    }
+    list.iter().map(decode_budget).collect()
+}
+
+fn decode_budget(at: &At) -> Result<Budget, String> {
+    const KINDS: [(&str, Kind); 2] = [("relay", Kind::Relay), ("backend", Kind::Server)];
+    const SCOPES: [(&str, Scope); 4] =
+        [("fleet", Scope::Fleet), ("zone", Scope::Zone), ("kind", Scope::Kind), ("group", Scope::Group)];
+    let of = one_of(&at.key("of")?, &KINDS, "relay or backend")?;
+    let scope = one_of(&at.key("scope")?, &SCOPES, "fleet, zone, kind or group")?;
+    let count: Option<u32> = at.option("count").map(|at| at.small()).transpose()?;
+    let part = at.option("share").map(|at| match at.num()? {
+        part if (0.0..=1.0).contains(&part) => Ok((part * 1e6).round() as u32),
+        _ => at.wrong("0 to 1"),
+    });
+    let part = part.transpose()?;
+    if count.is_none() && part.is_none() {
+        return at.wrong("a count, a share, or both");
+    }
+    Ok(Budget { of, scope, count, part })
+}
+
+fn one_of<T: Clone>(at: &At, words: &[(&str, T)], wanted: &str) -> Result<T, String> {
+    let found = words.iter().find(|(word, _)| at.text().is_ok_and(|text| text == *word));
+    found.map_or_else(|| at.wrong(wanted), |(_, value)| Ok(value.clone()))
+}
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,5 +1,6 @@
 //! The one place where configuration is read, checked and given its defaults. Every complaint names its key.
 mod at;
+pub mod consensus;
 pub mod facts;
 pub mod fleet;
 pub mod limits;
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -1,7 +1,7 @@
 //! What one relay is told at its start: its addresses, limits, settings and the list as it last had it.
 use crate::at::At;
 use crate::facts::{self, Site};
-use crate::fleet::{self, Fleet};
+use crate::fleet::{self, FleetConfig};
 use crate::limits::{Limits, Uses};
 use crate::list::{self, List};
 use serde_json::Value;
@@ -16,7 +16,7 @@
     /// Where operators' calls come; none where nobody calls.
     pub operator: Option<SocketAddr>,
     /// The other relays; none where this one is to know of none.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
     /// The folder in which it keeps what it must know after a restart; none where nothing is kept.
     pub state: Option<PathBuf>,
     /// Of the settings: the same where these are.
@@ -51,7 +51,7 @@
     pub fn fixed(&self, later: &Node) -> Vec<&'static str> {
         let (own, new) = (&self.site.facts, &later.site.facts);
         let fleet = match (&self.fleet, &later.fleet) {
-            (Some(own), Some(new)) => own.fixed(new).to_vec(),
+            (Some(own), Some(new)) => own.fixed_keys(new).to_vec(),
             (own, new) => vec![("fleet", own.is_some() != new.is_some())],
         };
         let keys = [
@@ -137,8 +137,8 @@
         path => Ok(PathBuf::from(path)),
     });
     let state = state.transpose()?;
-    let votes = fleet.as_ref().and_then(|fleet| fleet.voters.as_ref());
-    if votes.is_some_and(|voters| voters.names.contains(&name)) && state.is_none() {
+    let consensus = fleet.as_ref().and_then(|fleet| fleet.consensus.as_ref());
+    if consensus.is_some_and(|consensus| consensus.voters.contains(&name)) && state.is_none() {
         return Err(
             "state is left out, and fleet.voters names this relay: a voter must not forget".to_string()
         );
@@ -152,7 +152,7 @@
         operator,
         fleet,
         state,
-        digest: fleet::digest(settings.value),
+        digest: fleet::settings_digest(settings.value),
         seed: seed(top.key("seed")?)?,
         known: top.option("known").map_or(Ok(List::default()), |at| list::strict(&at))?,
         site,
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -1,8 +1,8 @@
 //! One day: servers, clients, auditor and service figure together, for whoever drives them.
 use crate::audit::Audit;
-use crate::beliefs::Beliefs;
 use crate::clients::{Clients, Does};
 use crate::links::{Arrival, Links};
+use crate::membership_audit::MembershipAudit;
 use crate::script::{Act, Deed};
 use crate::servers::{Servers, Told};
 use crate::service::{Outcome, Service};
@@ -18,9 +18,10 @@
     pub clients: Clients,
     pub audit: Audit,
     pub service: Service,
-    /// The ways between relays, and what these believe of each other.
+    /// Links between relays.
     pub links: Links,
-    pub beliefs: Beliefs,
+    /// Auditor of the relays' views of each other.
+    pub membership_audit: MembershipAudit,
     /// By relay: whether the way to its list service is cut.
     pub list_cut: Vec<bool>,
     forget_at: Micros,
@@ -59,7 +60,7 @@
             audit: Audit::new(s, places, names, begin),
             service: Service::new(s, begin),
             links: Links::new(s.net.server_ms.us(), seed),
-            beliefs: Beliefs::new(s.relays.count, begin),
+            membership_audit: MembershipAudit::new(s.relays.count, begin),
             list_cut: vec![false; s.relays.count],
             servers,
             forget_at: begin,
@@ -82,7 +83,7 @@
             self.audit.look(now);
             if self.s.relays.fleet {
                 self.look_at_links(now);
-                self.beliefs.look(now);
+                self.membership_audit.check_pending(now);
             }
             self.sort(now, todo);
         }
@@ -115,14 +116,14 @@
                 Told::Act(Act::Rate { times }) => self.clients.rate_times(times),
                 Told::Act(Act::Reconnect { part, within }) => self.clients.reconnect(now, part, within),
                 Told::Act(Act::Relay { relay, deed }) => todo.deeds.push((relay, deed)),
-                Told::Act(Act::Links { trouble, harm: Some((ways, harm)) }) => {
-                    self.links.begin(trouble, ways, harm);
+                Told::Act(Act::Links { trouble, fault: Some((links, fault)) }) => {
+                    self.links.start_fault(trouble, links, fault);
                     self.look_at_links(now);
                 }
-                Told::Act(Act::Links { trouble, harm: None }) => {
+                Told::Act(Act::Links { trouble, fault: None }) => {
                     // Cut till now, and no longer.
                     self.look_at_links(now);
-                    self.links.end(now, trouble, &mut todo.arrivals);
+                    self.links.end_fault(now, trouble, &mut todo.arrivals);
                 }
                 Told::Act(Act::CutList { relay, cut }) => {
                     self.list_cut[relay] = cut;
@@ -143,16 +144,16 @@
     }
 
     fn look_at_links(&mut self, now: Micros) {
-        self.beliefs.cut(now, |relay| self.links.cut(relay));
+        self.membership_audit.links_cut(now, |relay| self.links.is_cut(relay));
     }
 
     pub fn outcome(&self) -> Outcome {
         let mut out = self.service.outcome(&self.s, self.seed, &self.servers, &self.clients, &self.audit);
         if self.s.relays.fleet {
-            let mut fleet = self.beliefs.outcome();
-            let p = self.links.passed;
-            fleet.datagrams = [p.sent, p.arrived, p.lost, p.damaged];
-            out.fleet = Some(fleet);
+            let mut membership = self.membership_audit.outcome();
+            let counts = self.links.counts;
+            membership.datagrams = [counts.sent, counts.arrived, counts.lost, counts.corrupted];
+            out.membership = Some(membership);
         }
         out
     }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -2,11 +2,11 @@
 //! are stepped on whole microseconds, draw chance from a seed, and give the same outputs for the same inputs.
 //! `net` puts them on sockets of 127.0.0.0/8.
 pub mod audit;
-pub mod beliefs;
 pub mod clients;
 pub mod day;
 pub mod links;
 pub mod list;
+pub mod membership_audit;
 pub mod net;
 pub mod node;
 pub mod script;
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -1,207 +1,259 @@
-//! The ways between relays, each directed pair by itself: what is cut, lost, doubled, late, out of order,
-//! damaged or held. No I/O: what is sent comes back with the times at which it arrives.
+//! Emulated links between relays, one for each ordered pair: datagrams are dropped, duplicated, delayed,
+//! reordered, corrupted or held. No I/O: what is sent comes back with the times at which it arrives.
 use crate::tools::Chance;
 use hallrelay_balancer::types::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Directed pairs of so many relays.
+/// A set of links, each from one relay to another, of so many relays numbered from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ways {
-    count: usize,
-    on: Vec<bool>,
+pub struct LinkSet {
+    relay_count: usize,
+    contains: Vec<bool>,
 }
 
-impl Ways {
-    pub fn none(count: usize) -> Ways {
-        Ways { count, on: vec![false; count * count] }
+impl LinkSet {
+    /// No link.
+    pub fn none(relay_count: usize) -> LinkSet {
+        LinkSet { relay_count, contains: vec![false; relay_count * relay_count] }
     }
 
-    /// From any of some to any of others, and back unless it is one way; all stand for themselves where a
-    /// list is empty.
-    pub fn between(count: usize, from: &[usize], to: &[usize], one_way: bool) -> Ways {
-        let all: Vec<usize> = (0..count).collect();
+    /// From each of some to each of others, and back unless `one_way`. An empty list stands for all relays.
+    pub fn between(relay_count: usize, from: &[usize], to: &[usize], one_way: bool) -> LinkSet {
+        let all: Vec<usize> = (0..relay_count).collect();
         let or_all = |some: &[usize]| if some.is_empty() { all.clone() } else { some.to_vec() };
-        let mut ways = Ways::none(count);
+        let mut links = LinkSet::none(relay_count);
         for a in or_all(from) {
             for b in or_all(to) {
-                ways.set(a, b);
+                links.insert(a, b);
                 if !one_way {
-                    ways.set(b, a);
+                    links.insert(b, a);
                 }
             }
         }
-        ways
+        links
     }
 
-    /// All ways but those inside a group, and those of the bridge.
-    pub fn apart(count: usize, groups: &[Vec<usize>], bridge: Option<usize>) -> Ways {
-        let halves = [(0..count / 2).collect(), (count / 2..count).collect()];
+    /// All links but those within a group and those of the bridge. Without groups, two halves.
+    pub fn partition(relay_count: usize, groups: &[Vec<usize>], bridge: Option<usize>) -> LinkSet {
+        let halves = [(0..relay_count / 2).collect(), (relay_count / 2..relay_count).collect()];
         let groups = if groups.is_empty() { &halves[..] } else { groups };
-        let group = |relay: usize| groups.iter().position(|group| group.contains(&relay));
-        let places: Vec<Option<usize>> = (0..count).map(group).collect();
-        let mut ways = Ways::none(count);
-        for a in 0..count {
-            for b in 0..count {
-                let together = places[a].is_some() && places[a] == places[b];
-                if !together && bridge != Some(a) && bridge != Some(b) {
-                    ways.set(a, b);
+        let group_of = |relay: usize| groups.iter().position(|group| group.contains(&relay));
+        let group_by_relay: Vec<Option<usize>> = (0..relay_count).map(group_of).collect();
+        let mut links = LinkSet::none(relay_count);
+        for a in 0..relay_count {
+            for b in 0..relay_count {
+                let same_group = group_by_relay[a].is_some() && group_by_relay[a] == group_by_relay[b];
+                if !same_group && bridge != Some(a) && bridge != Some(b) {
+                    links.insert(a, b);
                 }
             }
         }
-        ways
+        links
     }
 
-    fn set(&mut self, from: usize, to: usize) {
+    fn insert(&mut self, from: usize, to: usize) {
         if from != to {
-            self.on[from * self.count + to] = true;
+            self.contains[from * self.relay_count + to] = true;
         }
     }
 
-    pub fn has(&self, from: usize, to: usize) -> bool {
-        self.on[from * self.count + to]
+    /// Whether the link from one relay to another is in the set.
+    pub fn contains(&self, from: usize, to: usize) -> bool {
+        self.contains[from * self.relay_count + to]
     }
 
-    /// Whether any of a relay's ways is among them.
-    pub fn meet(&self, relay: usize) -> bool {
-        (0..self.count).any(|other| self.has(relay, other) || self.has(other, relay))
+    /// Whether any link from or to a relay is in the set.
+    pub fn touches(&self, relay: usize) -> bool {
+        (0..self.relay_count).any(|other| self.contains(relay, other) || self.contains(other, relay))
     }
 }
 
-/// What a trouble does to what goes a way.
+/// A fault of links. Fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Harm {
+pub enum LinkFault {
+    /// All datagrams are dropped, and streams fail.
     Cut,
+    /// A fraction is dropped.
     Loss(f64),
-    Double(f64),
-    /// Later by a time between two; what was sent later may overtake.
+    /// A fraction arrives twice.
+    Duplicate(f64),
+    /// Each is delayed by a random time between two; it may be overtaken.
     Delay([Micros; 2]),
-    /// A part of it waits so long, and the rest overtakes it.
+    /// A fraction is delayed by a random time between two.
     Reorder(f64, [Micros; 2]),
-    /// One byte of this part is another one.
-    Damage(f64),
+    /// One byte of a fraction is changed.
+    Corrupt(f64),
+    /// All are held until the fault ends; streams fail.
     Hold,
 }
 
-/// What arrives, when, where.
+/// A datagram that arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
+    /// When it arrives.
     pub at: Micros,
+    /// Relay that sent it.
     pub from: usize,
+    /// Relay that receives it.
     pub to: usize,
+    /// The datagram.
     pub bytes: Vec<u8>,
 }
 
-/// Counted over all ways.
+/// Datagrams over all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct DatagramCounts {
+    /// Sent by relays.
     pub sent: u64,
+    /// Arrived, or scheduled to; duplicates count.
     pub arrived: u64,
+    /// Dropped.
     pub lost: u64,
-    pub damaged: u64,
+    /// Corrupted on the way.
+    pub corrupted: u64,
 }
 
+/// A fault in force.
+struct ActiveFault {
+    links: Rc<LinkSet>,
+    fault: LinkFault,
+}
+
+/// A datagram that a `Hold` fault keeps.
+struct HeldDatagram {
+    fault_id: usize,
+    arrival: Arrival,
+}
+
+/// What becomes of one datagram.
+struct Fate {
+    copies: usize,
+    delay: Micros,
+    held_by: Option<usize>,
+}
+
+/// All links, and the faults in force.
 pub struct Links {
-    /// One way, where nothing is wrong.
-    way: Micros,
-    harms: BTreeMap<usize, (Rc<Ways>, Harm)>,
-    held: Vec<(usize, Arrival)>,
-    rng: Chance,
-    pub passed: Passed,
+    /// From one relay to another, without a fault.
+    latency: Micros,
+    faults: BTreeMap<usize, ActiveFault>,
+    held: Vec<HeldDatagram>,
+    random: Chance,
+    /// Counted since the start.
+    pub counts: DatagramCounts,
 }
 
-/// Datagrams that one trouble holds at most; the oldest are lost first.
-const HELD: usize = 1 << 16;
+/// Datagrams that are held at most; the oldest are dropped first.
+const MAX_HELD: usize = 1 << 16;
+/// Random stream of the links: a day without link faults draws nothing from it.
+const RANDOM_STREAM: u64 = 0x11_4b5;
 
 impl Links {
-    pub fn new(way: Micros, seed: u64) -> Links {
-        // A stream of chance of its own: a day without troubles on the ways draws nothing.
-        const STREAM: u64 = 0x11_4b5;
-        let rng = Chance::new(seed, STREAM);
-        Links { way, harms: BTreeMap::new(), held: Vec::new(), rng, passed: Passed::default() }
+    /// Links without faults.
+    pub fn new(latency: Micros, seed: u64) -> Links {
+        Links {
+            latency,
+            faults: BTreeMap::new(),
+            held: Vec::new(),
+            random: Chance::new(seed, RANDOM_STREAM),
+            counts: DatagramCounts::default(),
+        }
     }
 
-    /// A trouble begins, by its number.
-    pub fn begin(&mut self, trouble: usize, ways: Rc<Ways>, harm: Harm) {
-        self.harms.insert(trouble, (ways, harm));
+    /// A fault starts, under an id of its own.
+    pub fn start_fault(&mut self, fault_id: usize, links: Rc<LinkSet>, fault: LinkFault) {
+        self.faults.insert(fault_id, ActiveFault { links, fault });
     }
 
-    /// It is over; what it held arrives now.
-    pub fn end(&mut self, now: Micros, trouble: usize, out: &mut Vec<Arrival>) {
-        self.harms.remove(&trouble);
-        let (over, kept) = std::mem::take(&mut self.held).into_iter().partition(|held| held.0 == trouble);
-        self.held = kept;
-        let over: Vec<(usize, Arrival)> = over;
-        for (_, arrival) in over {
-            self.passed.arrived += 1;
-            out.push(Arrival { at: now + self.way, ..arrival });
+    /// A fault ends; what it held is on its way now.
+    pub fn end_fault(&mut self, now: Micros, fault_id: usize, out: &mut Vec<Arrival>) {
+        self.faults.remove(&fault_id);
+        let at = now + self.latency;
+        for held in self.held.extract_if(.., |held| held.fault_id == fault_id) {
+            self.counts.arrived += 1;
+            out.push(Arrival { at, ..held.arrival });
         }
     }
 
-    /// A datagram is sent.
+    /// A relay sends a datagram.
     pub fn send(&mut self, now: Micros, from: usize, to: usize, mut bytes: Vec<u8>, out: &mut Vec<Arrival>) {
-        self.passed.sent += 1;
-        let (mut later, mut copies, mut hold) = (0, 1, None);
-        for (trouble, (ways, harm)) in &self.harms {
-            if !ways.has(from, to) {
-                continue;
-            }
-            match *harm {
-                Harm::Cut => copies = 0,
-                Harm::Loss(part) if self.rng.part() < part => copies = 0,
-                Harm::Double(part) if self.rng.part() < part => copies *= 2,
-                Harm::Delay(times) => later += self.rng.between(times),
-                Harm::Reorder(part, times) if self.rng.part() < part => later += self.rng.between(times),
-                Harm::Damage(part) if self.rng.part() < part => {
-                    let at = self.rng.below(bytes.len());
-                    if let Some(byte) = bytes.get_mut(at) {
-                        *byte ^= 1 + self.rng.below(255) as u8;
-                        self.passed.damaged += 1;
-                    }
+        self.counts.sent += 1;
+        let fate = self.fate(from, to, &mut bytes);
+        if fate.copies == 0 {
+            self.counts.lost += 1;
+        }
+        for _ in 0..fate.copies {
+            let at = now + self.latency + fate.delay;
+            let arrival = Arrival { at, from, to, bytes: bytes.clone() };
+            match fate.held_by {
+                Some(fault_id) => self.hold(HeldDatagram { fault_id, arrival }),
+                None => {
+                    self.counts.arrived += 1;
+                    out.push(arrival);
                 }
-                Harm::Hold => hold = Some(*trouble),
-                Harm::Loss(_) | Harm::Double(_) | Harm::Reorder(..) | Harm::Damage(_) => {}
             }
         }
-        if copies == 0 {
-            self.passed.lost += 1;
-        }
-        for _ in 0..copies {
-            let arrival = Arrival { at: now + self.way + later, from, to, bytes: bytes.clone() };
-            match hold {
-                Some(trouble) => {
-                    if self.held.len() >= HELD {
-                        self.held.remove(0);
-                        self.passed.lost += 1;
-                    }
-                    self.held.push((trouble, arrival));
+    }
+
+    /// Draws what the faults in force do to a datagram, and corrupts it where one of them does.
+    fn fate(&mut self, from: usize, to: usize, bytes: &mut [u8]) -> Fate {
+        let mut fate = Fate { copies: 1, delay: 0, held_by: None };
+        for (fault_id, active) in &self.faults {
+            if !active.links.contains(from, to) {
+                continue;
+            }
+            match active.fault {
+                LinkFault::Cut => fate.copies = 0,
+                LinkFault::Loss(fraction) if self.random.part() < fraction => fate.copies = 0,
+                LinkFault::Duplicate(fraction) if self.random.part() < fraction => fate.copies *= 2,
+                LinkFault::Delay(times) => fate.delay += self.random.between(times),
+                LinkFault::Reorder(fraction, times) if self.random.part() < fraction => {
+                    fate.delay += self.random.between(times);
                 }
-                None => {
-                    self.passed.arrived += 1;
-                    out.push(arrival);
+                LinkFault::Corrupt(fraction) if self.random.part() < fraction => {
+                    let index = self.random.below(bytes.len());
+                    if let Some(byte) = bytes.get_mut(index) {
+                        *byte ^= 1 + self.random.below(255) as u8;
+                        self.counts.corrupted += 1;
+                    }
                 }
+                LinkFault::Hold => fate.held_by = Some(*fault_id),
+                LinkFault::Loss(_)
+                | LinkFault::Duplicate(_)
+                | LinkFault::Reorder(..)
+                | LinkFault::Corrupt(_) => {}
             }
         }
+        fate
+    }
+
+    fn hold(&mut self, held: HeldDatagram) {
+        if self.held.len() >= MAX_HELD {
+            self.held.remove(0);
+            self.counts.lost += 1;
+        }
+        self.held.push(held);
     }
 
-    /// Whether a stream from one relay to another would stand just now, and how much later its bytes come;
-    /// what is lost, doubled or damaged in a part mends itself there.
-    pub fn stream(&mut self, from: usize, to: usize) -> Option<Micros> {
-        let mut later = self.way;
-        for (ways, harm) in self.harms.values() {
-            let (there, back) = (ways.has(from, to), ways.has(to, from));
-            match *harm {
-                Harm::Cut | Harm::Hold if there || back => return None,
-                Harm::Delay(times) if there || back => later += self.rng.between(times),
+    /// Latency of a stream from one relay to another; none where it cannot stand just now. Streams recover
+    /// from loss, duplication and corruption, so only delays count.
+    pub fn stream_latency(&mut self, from: usize, to: usize) -> Option<Micros> {
+        let mut latency = self.latency;
+        for active in self.faults.values() {
+            let is_affected = active.links.contains(from, to) || active.links.contains(to, from);
+            match active.fault {
+                LinkFault::Cut | LinkFault::Hold if is_affected => return None,
+                LinkFault::Delay(times) if is_affected => latency += self.random.between(times),
                 _ => {}
             }
         }
-        Some(later)
+        Some(latency)
     }
 
-    /// Whether nothing goes one of a relay's ways just now.
-    pub fn cut(&self, relay: usize) -> bool {
-        let cuts = |harm: &Harm| matches!(harm, Harm::Cut | Harm::Hold);
-        self.harms.values().any(|(ways, harm)| cuts(harm) && ways.meet(relay))
+    /// Whether a fault in force stops all datagrams on one of a relay's links.
+    pub fn is_cut(&self, relay: usize) -> bool {
+        let stops_all = |fault: &LinkFault| matches!(fault, LinkFault::Cut | LinkFault::Hold);
+        self.faults.values().any(|active| stops_all(&active.fault) && active.links.touches(relay))
     }
 }
--- a/emulator/src/net/links.rs
+++ b/emulator/src/net/links.rs
@@ -1,5 +1,6 @@
-//! The ways between relays on sockets: each relay is given out at an address of the rig's, where what others
-//! send it comes first; the rig tells the sender by its address, and sends on from the sender's own.
+//! Emulated links on sockets: each relay is advertised at an address of the proxy's, which receives what
+//! others send to the relay, passes it through the emulated links, and forwards it from the sender's own
+//! advertised address. The sender is told by the address that it sends from.
 use super::{free_port, Shared};
 use crate::links::Arrival;
 use hallrelay_balancer::types::Micros;
@@ -12,140 +13,170 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::Notify;
 
-/// Where the relays listen for each other, and where each of them is given out.
+/// Addresses of all relays, by their numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct RelayAddresses {
+    /// Where the relays listen for each other.
     pub listen: Vec<SocketAddr>,
-    pub reached: Vec<SocketAddr>,
+    /// Where the proxy listens in their place.
+    pub advertised: Vec<SocketAddr>,
 }
 
-impl Places {
-    pub fn free(count: usize) -> Result<Places, String> {
-        let at = |net: u8| -> Result<Vec<SocketAddr>, String> {
+impl RelayAddresses {
+    /// Free ports for so many relays.
+    ///
+    /// # Errors
+    /// A text for the user, where a port cannot be had.
+    pub fn free(count: usize) -> Result<RelayAddresses, String> {
+        let in_net = |net: u8| -> Result<Vec<SocketAddr>, String> {
             let ip = |relay: usize| Ipv4Addr::new(127, net, (relay / 250) as u8, (relay % 250 + 1) as u8);
             (0..count).map(|relay| free_port(ip(relay))).collect()
         };
-        // Away from servers (127.16 on), relays (127.8) and operators (127.11).
-        Ok(Places { listen: at(9)?, reached: at(10)? })
+        // Apart from backends (127.16 on), relays (127.8) and operators (127.11).
+        Ok(RelayAddresses { listen: in_net(9)?, advertised: in_net(10)? })
     }
 
     fn relay_at(&self, ip: IpAddr) -> Option<usize> {
-        self.listen.iter().position(|at| at.ip() == ip)
+        self.listen.iter().position(|addr| addr.ip() == ip)
     }
 }
 
-/// A stream that a cut holds is let go after this, as its relays do.
-const HELD: Duration = Duration::from_secs(3);
+/// A stream on a link that is cut is closed after this, as relays close theirs.
+const CUT_STREAM_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which an open stream's link is checked for a cut.
+const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A datagram that is due within this is forwarded at once: timers have no finer resolution.
+const TIMER_RESOLUTION: Micros = 1_000;
+/// With no datagram scheduled the queue is looked at this often.
+const IDLE_INTERVAL: Micros = 1_000_000;
 
-struct Rig {
+struct LinkProxy {
     host: Shared,
-    places: Places,
-    datagrams: Vec<UdpSocket>,
-    /// What is on its way, by the time of its arrival.
-    mail: RefCell<BTreeMap<(Micros, u64), Arrival>>,
-    last: Cell<u64>,
-    posted: Notify,
+    addresses: RelayAddresses,
+    /// By relay, the socket at its advertised address.
+    sockets: Vec<UdpSocket>,
+    /// Datagrams that arrive later, by time and order.
+    scheduled: RefCell<BTreeMap<(Micros, u64), Arrival>>,
+    last_order: Cell<u64>,
+    datagram_scheduled: Notify,
 }
 
-/// Carries what relays say to each other, till it is dropped with its runtime.
-pub async fn serve(places: Places, host: &Shared) -> Result<(), String> {
-    let mut datagrams = Vec::new();
-    let mut streams = Vec::new();
-    for &at in &places.reached {
-        let told = |e: std::io::Error| format!("the ways between relays: {at}: {e}");
-        datagrams.push(UdpSocket::bind(at).await.map_err(told)?);
-        streams.push(TcpListener::bind(at).await.map_err(told)?);
+/// Starts forwarding what relays send each other; it ends with the runtime.
+///
+/// # Errors
+/// A text for the user, where an advertised address cannot be bound.
+pub async fn serve(addresses: RelayAddresses, host: &Shared) -> Result<(), String> {
+    let mut sockets = Vec::new();
+    let mut listeners = Vec::new();
+    for &addr in &addresses.advertised {
+        let with_addr = |e: std::io::Error| format!("the ways between relays: {addr}: {e}");
+        sockets.push(UdpSocket::bind(addr).await.map_err(with_addr)?);
+        listeners.push(TcpListener::bind(addr).await.map_err(with_addr)?);
     }
-    let (mail, last, posted) = (RefCell::default(), Cell::new(0), Notify::new());
-    let rig = Rc::new(Rig { host: host.clone(), places, datagrams, mail, last, posted });
-    for (to, listener) in streams.into_iter().enumerate() {
-        tokio::task::spawn_local(rig.clone().take_datagrams(to));
-        tokio::task::spawn_local(rig.clone().take_streams(to, listener));
+    let proxy = Rc::new(LinkProxy {
+        host: host.clone(),
+        addresses,
+        sockets,
+        scheduled: RefCell::default(),
+        last_order: Cell::new(0),
+        datagram_scheduled: Notify::new(),
+    });
+    for (to, listener) in listeners.into_iter().enumerate() {
+        tokio::task::spawn_local(proxy.clone().receive_datagrams(to));
+        tokio::task::spawn_local(proxy.clone().accept_streams(to, listener));
     }
-    tokio::task::spawn_local(rig.deliver());
+    tokio::task::spawn_local(proxy.forward_scheduled());
     Ok(())
 }
 
-impl Rig {
-    async fn take_datagrams(self: Rc<Rig>, to: usize) {
-        let mut bytes = [0; 2048];
+impl LinkProxy {
+    async fn receive_datagrams(self: Rc<LinkProxy>, to: usize) {
+        let mut buffer = [0; 2048];
         loop {
-            let Ok((len, from)) = self.datagrams[to].recv_from(&mut bytes).await else { continue };
-            let Some(from) = self.places.relay_at(from.ip()) else { continue };
+            let Ok((length, from)) = self.sockets[to].recv_from(&mut buffer).await else { continue };
+            let Some(from) = self.addresses.relay_at(from.ip()) else { continue };
+            let bytes = buffer[..length].to_vec();
             let mut arrivals = Vec::new();
-            self.host.with(|day, now, _| day.links.send(now, from, to, bytes[..len].to_vec(), &mut arrivals));
-            self.post(arrivals);
+            self.host.with(|day, now, _| day.links.send(now, from, to, bytes, &mut arrivals));
+            self.schedule(arrivals);
         }
     }
 
-    fn post(&self, arrivals: Vec<Arrival>) {
-        // What is to arrive within this is there: timers tell no shorter times.
-        const NOW: Micros = 1_000;
+    fn schedule(&self, arrivals: Vec<Arrival>) {
         let now = self.host.now();
         for arrival in arrivals {
-            if arrival.at <= now + NOW {
-                self.arrives(&arrival);
-            } else {
-                self.last.set(self.last.get() + 1);
-                self.mail.borrow_mut().insert((arrival.at, self.last.get()), arrival);
-                self.posted.notify_one();
+            if arrival.at <= now + TIMER_RESOLUTION {
+                self.forward(&arrival);
+                continue;
             }
+            let order = self.last_order.get() + 1;
+            self.last_order.set(order);
+            self.scheduled.borrow_mut().insert((arrival.at, order), arrival);
+            self.datagram_scheduled.notify_one();
         }
     }
 
-    fn arrives(&self, arrival: &Arrival) {
-        // A relay that is down has no socket there: it is lost.
-        _ = self.datagrams[arrival.from].try_send_to(&arrival.bytes, self.places.listen[arrival.to]);
+    /// A relay that is down has no socket there: the datagram is lost.
+    fn forward(&self, arrival: &Arrival) {
+        let to = self.addresses.listen[arrival.to];
+        _ = self.sockets[arrival.from].try_send_to(&arrival.bytes, to);
     }
 
-    async fn deliver(self: Rc<Rig>) {
+    async fn forward_scheduled(self: Rc<LinkProxy>) {
         loop {
-            self.post(std::mem::take(&mut *self.host.arrivals.borrow_mut()));
+            self.schedule(std::mem::take(&mut *self.host.arrivals.borrow_mut()));
             let now = self.host.now();
-            let due: Vec<Arrival> = {
-                let mut mail = self.mail.borrow_mut();
-                let later = mail.split_off(&(now + 1, 0));
-                std::mem::replace(&mut *mail, later).into_values().collect()
-            };
-            due.iter().for_each(|arrival| self.arrives(arrival));
-            let next = self.mail.borrow().first_key_value().map(|(key, _)| key.0);
-            let next = next.unwrap_or(now + 1_000_000);
+            for arrival in self.take_due(now) {
+                self.forward(&arrival);
+            }
+            let next = self.scheduled.borrow().first_key_value().map(|((at, _), _)| *at);
+            let next = next.unwrap_or(now + IDLE_INTERVAL);
             tokio::select! {
                 () = tokio::time::sleep_until(self.host.clock.at(next)) => {}
-                () = self.posted.notified() => {}
+                () = self.datagram_scheduled.notified() => {}
                 () = self.host.let_go.notified() => {}
             }
         }
     }
 
-    async fn take_streams(self: Rc<Rig>, to: usize, listener: TcpListener) {
+    fn take_due(&self, now: Micros) -> Vec<Arrival> {
+        let mut scheduled = self.scheduled.borrow_mut();
+        let later = scheduled.split_off(&(now + 1, 0));
+        std::mem::replace(&mut *scheduled, later).into_values().collect()
+    }
+
+    async fn accept_streams(self: Rc<LinkProxy>, to: usize, listener: TcpListener) {
         loop {
             let Ok((stream, from)) = listener.accept().await else { continue };
-            let Some(from) = self.places.relay_at(from.ip()) else { continue };
-            tokio::task::spawn_local(self.clone().stream(from, to, stream));
+            let Some(from) = self.addresses.relay_at(from.ip()) else { continue };
+            tokio::task::spawn_local(self.clone().forward_stream(from, to, stream));
         }
     }
 
-    fn way(&self, from: usize, to: usize) -> Option<Micros> {
-        self.host.day.borrow_mut().links.stream(from, to)
+    fn stream_latency(&self, from: usize, to: usize) -> Option<Micros> {
+        self.host.day.borrow_mut().links.stream_latency(from, to)
     }
 
-    async fn stream(self: Rc<Rig>, from: usize, to: usize, mut near: TcpStream) {
-        let Some(later) = self.way(from, to) else { return tokio::time::sleep(HELD).await };
-        tokio::time::sleep(Duration::from_micros(later)).await;
-        let Ok(socket) = TcpSocket::new_v4() else { return };
-        let own = SocketAddr::new(self.places.reached[from].ip(), 0);
-        let Ok(()) = socket.bind(own) else { return };
-        let Ok(mut far) = socket.connect(self.places.listen[to]).await else { return };
-        let cut = async {
-            while self.way(from, to).is_some() {
-                tokio::time::sleep(Duration::from_millis(20)).await;
-            }
-            tokio::time::sleep(HELD).await;
+    async fn forward_stream(self: Rc<LinkProxy>, from: usize, to: usize, mut inbound: TcpStream) {
+        let Some(latency) = self.stream_latency(from, to) else {
+            return tokio::time::sleep(CUT_STREAM_TIMEOUT).await;
         };
+        tokio::time::sleep(Duration::from_micros(latency)).await;
+        let Ok(socket) = TcpSocket::new_v4() else { return };
+        let source = SocketAddr::new(self.addresses.advertised[from].ip(), 0);
+        let Ok(()) = socket.bind(source) else { return };
+        let Ok(mut outbound) = socket.connect(self.addresses.listen[to]).await else { return };
         tokio::select! {
-            _ = copy_bidirectional(&mut near, &mut far) => {}
-            () = cut => {}
+            _ = copy_bidirectional(&mut inbound, &mut outbound) => {}
+            () = self.held_by_cut(from, to) => {}
+        }
+    }
+
+    /// Returns once the link has been cut for as long as a stream is held.
+    async fn held_by_cut(&self, from: usize, to: usize) {
+        while self.stream_latency(from, to).is_some() {
+            tokio::time::sleep(CUT_CHECK_INTERVAL).await;
         }
+        tokio::time::sleep(CUT_STREAM_TIMEOUT).await;
     }
 }
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -8,10 +8,10 @@
 pub mod server;
 
 use crate::audit::DialOver;
-use crate::beliefs::Is;
 use crate::clients::{mix, Ask, Does};
 use crate::day::{Day, Todo};
 use crate::links::Arrival;
+use crate::membership_audit::ProcessState;
 use crate::script::Deed;
 use crate::servers::{ConnNo, Told, Word};
 use crate::service::BadFigures;
@@ -309,7 +309,7 @@
     pub fn relay_ended(self: &Rc<Host>, relay: usize) {
         self.with(|day, now, _| {
             day.audit.relay_ends(now, relay);
-            day.beliefs.is(now, relay, Is::Down);
+            day.membership_audit.process_changed(now, relay, ProcessState::Down);
             day.servers.forgets(relay);
             day.clients.relay_is(now, relay, false);
         });
@@ -319,14 +319,15 @@
     pub fn relay_stops(self: &Rc<Host>, relay: usize) {
         self.with(|day, now, _| {
             day.clients.relay_is(now, relay, false);
-            day.beliefs.is(now, relay, Is::Stopping);
+            day.membership_audit.process_changed(now, relay, ProcessState::Stopping);
         });
     }
 
     /// A relay's process stands still from now on, or goes on.
     pub fn relay_stalls(self: &Rc<Host>, relay: usize, stalls: bool) {
         self.with(|day, now, _| {
-            day.beliefs.is(now, relay, if stalls { Is::Stalled } else { Is::Up });
+            let process = if stalls { ProcessState::Stalled } else { ProcessState::Up };
+            day.membership_audit.process_changed(now, relay, process);
             if stalls {
                 day.audit.relay_stalls(relay);
             } else {
@@ -339,7 +340,7 @@
     pub async fn relay_started(self: &Rc<Host>, relay: usize, within: Duration) -> bool {
         self.with(|day, now, _| {
             day.audit.relay_starts(now, relay);
-            day.beliefs.is(now, relay, Is::Up);
+            day.membership_audit.process_changed(now, relay, ProcessState::Up);
         });
         let addr = self.relays.borrow()[relay];
         let pinged = async {
--- a/emulator/src/script.rs
+++ b/emulator/src/script.rs
@@ -1,6 +1,6 @@
 //! Troubles of a scenario as single acts at their times: whom they meet is drawn from the seed. They may
 //! overlap, and each ends by itself.
-use crate::links::{Harm, Ways};
+use crate::links::{LinkFault, LinkSet};
 use crate::tools::{Chance, Queue};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::{Drains, Fault, Scenario, Trouble, TroubleKind};
@@ -79,10 +79,10 @@
         relay: usize,
         deed: Deed,
     },
-    /// Something is wrong with ways between relays from now on, or no more.
+    /// A fault of links between relays starts, or ends.
     Links {
         trouble: usize,
-        harm: Option<(Rc<Ways>, Harm)>,
+        fault: Option<(Rc<LinkSet>, LinkFault)>,
     },
     /// A relay and the list service, or a relay and a server, don't hear each other.
     CutList {
@@ -290,13 +290,13 @@
                     }
                 }
             }
-            TroubleKind::LinkCut | TroubleKind::LinkSplit => self.come_and_go(to, Harm::Cut),
-            TroubleKind::LinkLoss => self.links(from, to, Harm::Loss(strength)),
-            TroubleKind::LinkDouble => self.links(from, to, Harm::Double(strength)),
-            TroubleKind::LinkDelay => self.links(from, to, Harm::Delay(self.delays())),
-            TroubleKind::LinkReorder => self.links(from, to, Harm::Reorder(strength, self.delays())),
-            TroubleKind::LinkDamage => self.links(from, to, Harm::Damage(strength)),
-            TroubleKind::LinkHold => self.links(from, to, Harm::Hold),
+            TroubleKind::LinkCut | TroubleKind::LinkSplit => self.come_and_go(to, LinkFault::Cut),
+            TroubleKind::LinkLoss => self.links(from, to, LinkFault::Loss(strength)),
+            TroubleKind::LinkDouble => self.links(from, to, LinkFault::Duplicate(strength)),
+            TroubleKind::LinkDelay => self.links(from, to, LinkFault::Delay(self.delays())),
+            TroubleKind::LinkReorder => self.links(from, to, LinkFault::Reorder(strength, self.delays())),
+            TroubleKind::LinkDamage => self.links(from, to, LinkFault::Corrupt(strength)),
+            TroubleKind::LinkHold => self.links(from, to, LinkFault::Hold),
             TroubleKind::ListCut => {
                 for relay in self.met_relays() {
                     self.acts.at(from, Act::CutList { relay, cut: true });
@@ -343,25 +343,25 @@
         self.t.delay_ms.map(|ms| ms.us())
     }
 
-    fn links(&mut self, from: Micros, to: Micros, harm: Harm) {
+    fn links(&mut self, from: Micros, to: Micros, fault: LinkFault) {
         let (count, trouble, t) = (self.s.relays.count, self.i, self.t);
-        let ways = match t.kind {
-            TroubleKind::LinkSplit => Ways::apart(count, &t.groups, t.bridge),
-            _ => Ways::between(count, &t.from, &t.to, t.one_way),
+        let links = match t.kind {
+            TroubleKind::LinkSplit => LinkSet::partition(count, &t.groups, t.bridge),
+            _ => LinkSet::between(count, &t.from, &t.to, t.one_way),
         };
-        self.acts.at(from, Act::Links { trouble, harm: Some((Rc::new(ways), harm)) });
-        self.acts.at(to, Act::Links { trouble, harm: None });
+        self.acts.at(from, Act::Links { trouble, fault: Some((Rc::new(links), fault)) });
+        self.acts.at(to, Act::Links { trouble, fault: None });
     }
 
     /// All the time, or for the first half of each period.
-    fn come_and_go(&mut self, to: Micros, harm: Harm) {
+    fn come_and_go(&mut self, to: Micros, fault: LinkFault) {
         let every = self.t.every_s.us();
         if every == 0 {
-            return self.links(self.from, to, harm);
+            return self.links(self.from, to, fault);
         }
         let mut at = self.from;
         while at < to {
-            self.links(at, (at + every / 2).min(to), harm);
+            self.links(at, (at + every / 2).min(to), fault);
             at += every;
         }
     }
--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -1,7 +1,7 @@
 //! What the day was: seconds asked for and well served, samples for the page, and the service figure.
 use crate::audit::{Audit, Breach};
-use crate::beliefs::FleetOutcome;
 use crate::clients::Clients;
+use crate::membership_audit::MembershipOutcome;
 use crate::script;
 use crate::servers::{Servers, Told};
 use hallrelay_balancer::types::Micros;
@@ -99,9 +99,9 @@
     /// Dials of a relay to a server that it had been told to leave, in this life of its process or before.
     #[serde(default, skip_serializing_if = "is_none")]
     pub stale_dials: u64,
-    /// What the relays believed of each other, where they know each other.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<FleetOutcome>,
+    /// What the membership audit found, where the relays know each other.
+    #[serde(default, rename = "fleet", skip_serializing_if = "Option::is_none")]
+    pub membership: Option<MembershipOutcome>,
     /// Relays that were let out, where that is agreed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outs: Option<Outs>,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -240,7 +240,7 @@
 }
 
 fn end(o: &Outcome) -> End {
-    let wrong = o.fleet.as_ref().is_some_and(|fleet| fleet.findings_in_all > 0);
+    let wrong = o.membership.as_ref().is_some_and(|membership| membership.finding_count > 0);
     if wrong || o.breaches_in_all > 0 || o.relays.iter().any(|r| r.crashed) {
         End::Broken
     } else if o.partial.is_some() {
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,5 +1,6 @@
 //! What a run was, in ten lines of text and as one page.
-use crate::fleet;
+use crate::html::escape;
+use crate::membership_report;
 use hallrelay_emulator::service::{Outcome, Sample};
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -82,8 +83,8 @@
             b.came, b.answered, b.left_waiting
         );
     }
-    if let Some(fleet) = &o.fleet {
-        fleet::text(fleet, &mut t);
+    if let Some(membership) = &o.membership {
+        membership_report::text(membership, &mut t);
     }
     if o.breaches_in_all == 0 {
         _ = writeln!(t, "rules: all four kept over {} sessions", o.sessions_seen);
@@ -125,11 +126,11 @@
         td,th{{padding:2px 10px;text-align:right;border-bottom:1px solid #ddd}}\
         .bad{{color:#b00020}}svg{{max-width:100%;height:auto}}</style></head><body>\
         <h1>{name}</h1><p>{way}, seed {seed}: <b{class}>{verdict}</b></p><pre>{text}</pre>",
-        name = safe(&o.name),
+        name = escape(&o.name),
         way = on(o),
         seed = o.seed,
         class = if o.breaches_in_all == 0 { "" } else { " class=\"bad\"" },
-        text = safe(&text(o))
+        text = escape(&text(o))
     );
     let figure = |title: &str, unit: &str, lines: &[Line]| plot(o, title, unit, lines);
     let line = |name: &str, value: &dyn Fn(&Sample) -> f64| Line {
@@ -181,12 +182,12 @@
         _ = write!(
             p,
             "<tr><td>{}</td><td>{a:.2}</td><td>{b:.2}</td><td>{c:.2}</td><td>{d:.1}</td><td>{part:.2}%</td></tr>",
-            safe(&l.name)
+            escape(&l.name)
         );
     }
     p += "</table>";
-    if let Some(fleet) = &o.fleet {
-        p += &fleet::page(o, fleet);
+    if let Some(membership) = &o.membership {
+        p += &membership_report::page(o, membership);
     }
     if !o.breaches.is_empty() {
         p += "<h2 class=\"bad\">Broken rules</h2>";
@@ -197,24 +198,20 @@
                 "<p>Rule {} at {:.3} s, session {}: {}</p><pre>{}</pre>",
                 b.rule,
                 b.at as f64 / 1e6,
-                safe(&b.session),
-                safe(&b.what),
-                safe(&lines)
+                escape(&b.session),
+                escape(&b.what),
+                escape(&lines)
             );
         }
     }
     p += "<h2>What happened</h2><pre>";
     for mark in &o.log {
-        _ = writeln!(p, "{:8.2} s  {}", mark.at, safe(&mark.text));
+        _ = writeln!(p, "{:8.2} s  {}", mark.at, escape(&mark.text));
     }
     p += "</pre></body></html>\n";
     Ok(p)
 }
 
-pub(crate) fn safe(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
-}
-
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -3,7 +3,7 @@
 use hallrelay_config::scenario::{Scenario, TroubleKind};
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::day::Day;
-use hallrelay_emulator::net::links::{self, Places};
+use hallrelay_emulator::net::links::{self, RelayAddresses};
 use hallrelay_emulator::net::{bad, free_port, list, places, server, Clock, Host, Shared};
 use hallrelay_emulator::node::{self, Place};
 use hallrelay_emulator::script::Deed;
@@ -102,8 +102,8 @@
     s: &'a Scenario,
     seed: u64,
     host: Shared,
-    /// The ways between relays, where they know each other.
-    ways: Option<Places>,
+    /// Addresses for the emulated links, where relays know each other.
+    addresses: Option<RelayAddresses>,
     relays: Vec<Relay>,
     options: &'a Options<'a>,
 }
@@ -123,16 +123,16 @@
             "relays.count is {count}: on sockets {MOST_RELAYS} at most, play it with --virtual"
         ));
     }
-    let ways = if s.relays.fleet { Some(Places::free(s.relays.count)?) } else { None };
+    let addresses = if s.relays.fleet { Some(RelayAddresses::free(s.relays.count)?) } else { None };
     let (places, listens) = (places(s.relays.count, s.server_count())?, listens(s)?);
     let clock = Clock::anchored();
     // Relays start and standing sessions come up before the day begins.
     let before = 1_000_000 + s.load.standing as u64 * 500;
     let host = Host::new(Day::new(s, seed, clock.now() + before), clock, places, listens);
-    let mut stage = Stage { s, seed, host, ways, relays: Vec::new(), options };
+    let mut stage = Stage { s, seed, host, addresses, relays: Vec::new(), options };
     stage.serve_fleet().await?;
-    if let Some(ways) = &stage.ways {
-        links::serve(ways.clone(), &stage.host).await?;
+    if let Some(addresses) = &stage.addresses {
+        links::serve(addresses.clone(), &stage.host).await?;
     }
     for relay in 0..s.relays.count {
         let file = |end: &str| options.out.join(format!("relay-{relay}.{end}"));
@@ -194,14 +194,14 @@
     }
 
     fn place(&self, relay: usize, seed: u64) -> Place {
-        let fleet = self.ways.as_ref().map(|ways| (ways.listen[relay], ways.reached.clone()));
+        let fleet = self.addresses.as_ref().map(|all| (all.listen[relay], all.advertised.clone()));
         let state = self.options.out.join(format!("relay-{relay}.state")).display().to_string();
         let state = self.s.relays.state.then_some(state);
         Place { operator: self.relays[relay].operator, state, fleet, ..place(relay, seed, &self.host) }
     }
 
-    /// Asks all relays that are up what they believe of each other.
-    fn ask_all(&self) {
+    /// Polls all relays that are up for their views of each other.
+    fn poll_views(&self) {
         for (relay, r) in self.relays.iter().enumerate() {
             let Some(at) = r.operator.filter(|_| r.process.is_some() && !r.stalled) else { continue };
             if r.asked.replace(true) {
@@ -210,7 +210,7 @@
             let (host, asked) = (self.host.clone(), r.asked.clone());
             tokio::task::spawn_local(async move {
                 if let Ok(status) = hallrelay_relay::status::ask(at).await {
-                    host.with(|day, now, _| day.beliefs.told(now, relay, &status));
+                    host.with(|day, now, _| day.membership_audit.status_reported(now, relay, &status));
                 }
                 asked.set(false);
             });
@@ -287,7 +287,7 @@
                     looked += 1;
                     self.look(looked);
                     if self.s.relays.fleet {
-                        self.ask_all();
+                        self.poll_views();
                     }
                 }
             }
--- /dev/null
+++ b/lab/src/virt/membership.rs
@@ -0,0 +1,154 @@
+//! Membership in virtual time: datagrams and streams between relays over the emulated links, stalls of their
+//! processes, and polls of their views.
+use super::*;
+use hallrelay_emulator::links::Arrival;
+use hallrelay_emulator::membership_audit::ProcessState;
+use hallrelay_membership::message::{decode, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
+use hallrelay_membership::{Effect as MembershipEffect, Event as MembershipEvent};
+use hallrelay_relay::reducer::{OperatorReply, OperatorRequest};
+
+/// Where a relay is advertised.
+pub(super) fn advertised(relay: usize) -> SocketAddr {
+    SocketAddr::from(([127, 10, (relay >> 8) as u8, relay as u8], 7946))
+}
+
+/// Where a relay itself listens.
+fn listen(relay: usize) -> SocketAddr {
+    SocketAddr::from(([127, 9, (relay >> 8) as u8, relay as u8], 7946))
+}
+
+/// The relay that is advertised at an address, if it is one of so many.
+fn relay_at(addr: SocketAddr, count: usize) -> Option<usize> {
+    let SocketAddr::V4(addr) = addr else { return None };
+    let [_, net, high, low] = addr.ip().octets();
+    let relay = usize::from(high) << 8 | usize::from(low);
+    (net == 10 && relay < count).then_some(relay)
+}
+
+/// Where a relay listens, and where all relays are advertised.
+pub(super) fn addresses(relay: usize, count: usize) -> (SocketAddr, Vec<SocketAddr>) {
+    (listen(relay), (0..count).map(advertised).collect())
+}
+
+/// What is on its way from one relay to another.
+pub(super) enum Transmission {
+    Datagram(Vec<u8>),
+    /// The frame on a stream that the sender opened.
+    StreamRequest(Vec<u8>),
+    /// The answer on a stream that the receiver opened.
+    StreamResponse(Vec<u8>),
+}
+
+impl Virtual<'_> {
+    /// Carries out an effect that is for membership's sockets.
+    pub(super) fn carry_out_membership(&mut self, from: usize, effect: MembershipEffect) {
+        let count = self.relays.len();
+        match effect {
+            MembershipEffect::SendDatagram { to, bytes } => {
+                let Some(to) = relay_at(to, count) else { return };
+                let mut arrivals = Vec::new();
+                self.day.links.send(self.now, from, to, bytes, &mut arrivals);
+                self.schedule_arrivals(arrivals);
+            }
+            MembershipEffect::OpenStream { to, bytes } => {
+                let Some(to) = relay_at(to, count) else { return };
+                // There and back to connect, and there with the frame.
+                if let Some(latency) = self.day.links.stream_latency(from, to) {
+                    let transmission = Transmission::StreamRequest(bytes);
+                    self.later(3 * latency, Ev::Transmission { from, to, transmission });
+                }
+            }
+            MembershipEffect::ReplyOnStream { stream, bytes: Some(bytes) } => {
+                let to = stream as usize;
+                if let Some(latency) = self.day.links.stream_latency(from, to) {
+                    let transmission = Transmission::StreamResponse(bytes);
+                    self.later(latency, Ev::Transmission { from, to, transmission });
+                }
+            }
+            MembershipEffect::ReplyOnStream { bytes: None, .. } | MembershipEffect::SetListening { .. } => {}
+            // The reducer has carried these out.
+            MembershipEffect::SetTimer { .. }
+            | MembershipEffect::Log { .. }
+            | MembershipEffect::MemberChanged { .. }
+            | MembershipEffect::EndpointListRequested { .. }
+            | MembershipEffect::EndpointListReceived { .. }
+            | MembershipEffect::UserMessageReceived { .. } => {}
+        }
+    }
+
+    pub(super) fn schedule_arrivals(&mut self, arrivals: Vec<Arrival>) {
+        for Arrival { at, from, to, bytes } in arrivals {
+            let transmission = Transmission::Datagram(bytes);
+            self.queue.at(at, Ev::Transmission { from, to, transmission });
+        }
+    }
+
+    /// A relay receives something; what is no packet of its fleet is dropped, as its sockets do.
+    pub(super) fn receive_transmission(&mut self, from: usize, to: usize, transmission: Transmission) {
+        let (bytes, max_bytes) = match &transmission {
+            Transmission::Datagram(bytes) => (bytes, MAX_DATAGRAM_BYTES),
+            Transmission::StreamRequest(bytes) | Transmission::StreamResponse(bytes) => {
+                (bytes, MAX_FRAME_BYTES)
+            }
+        };
+        let event = match decode(&self.day.s.name, bytes, max_bytes) {
+            Err(error) => MembershipEvent::PacketsDropped { reason: error.into(), count: 1 },
+            Ok(packet) => {
+                let packet = Box::new(packet);
+                let sender = advertised(from);
+                match transmission {
+                    Transmission::Datagram(_) => MembershipEvent::DatagramReceived { from: sender, packet },
+                    Transmission::StreamRequest(_) => {
+                        MembershipEvent::StreamRequest { stream: from as u64, from: sender, packet }
+                    }
+                    Transmission::StreamResponse(_) => MembershipEvent::StreamResponse { packet },
+                }
+            }
+        };
+        self.step(to, Event::Membership(event));
+    }
+
+    /// A relay's process stalls; what comes meanwhile waits.
+    pub(super) fn stall(&mut self, relay: usize) {
+        if self.relays[relay].mind.is_some() && self.relays[relay].stalled.is_none() {
+            self.relays[relay].stalled = Some(Vec::new());
+            self.day.audit.relay_stalls(relay);
+            self.day.membership_audit.process_changed(self.now, relay, ProcessState::Stalled);
+        }
+    }
+
+    /// A relay's process goes on; what came meanwhile is there at once, in its order.
+    pub(super) fn wake(&mut self, relay: usize) {
+        let Some(waiting) = self.relays[relay].stalled.take() else { return };
+        self.day.audit.relay_wakes(self.now, relay);
+        self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
+        for event in waiting {
+            self.queue.at(self.now, event);
+        }
+    }
+
+    /// Polls all relays for their views, and schedules the next poll.
+    pub(super) fn poll_views(&mut self) {
+        for relay in 0..self.relays.len() {
+            if self.relays[relay].stalled.is_some() {
+                continue;
+            }
+            let Some(mind) = self.relays[relay].mind.as_mut() else { continue };
+            let mut effects = Vec::new();
+            let request = Event::OperatorCall { call: 0, what: OperatorRequest::Membership };
+            mind.step(self.now, request, &mut effects);
+            for effect in effects {
+                if let Effect::Reply { reply: OperatorReply::Membership(Some(status)), .. } = effect {
+                    self.day.membership_audit.status_reported(self.now, relay, &status);
+                }
+            }
+        }
+        // Often enough to tell tenths of a second, where that costs little.
+        let interval = match self.relays.len() {
+            0..=16 => 100_000,
+            17..=64 => 250_000,
+            _ => 1_000_000,
+        };
+        self.later(interval, Ev::PollViews);
+    }
+}
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -1,7 +1,7 @@
 //! A day in virtual time: the relays' reducers with their modules, driven against the models without a
 //! socket. One queue of events, one seed; the same seed gives the same day to the byte.
-mod fleet;
 mod list;
+mod membership;
 mod outs;
 mod sessions;
 
@@ -11,9 +11,9 @@
 use hallrelay_config::node::{self as config, Node, Told as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
 use hallrelay_emulator::audit::{Answer, DialOver};
-use hallrelay_emulator::beliefs::Is;
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
 use hallrelay_emulator::day::{Day, Todo};
+use hallrelay_emulator::membership_audit::ProcessState;
 use hallrelay_emulator::node::{self, Place};
 use hallrelay_emulator::script::Deed;
 use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Told, Word};
@@ -107,13 +107,13 @@
         watch: u32,
     },
     /// Something comes from another relay.
-    Between {
+    Transmission {
         from: usize,
         to: usize,
-        way: fleet::Way,
+        transmission: membership::Transmission,
     },
-    /// All relays are asked what they believe of each other.
-    Ask,
+    /// All relays are polled for their views of each other.
+    PollViews,
     /// An operator asks for a relay to be let out once more, or brings it back.
     WantsOut {
         relay: usize,
@@ -141,8 +141,8 @@
             | Ev::TimesOut { relay, .. }
             | Ev::Silent { relay, .. } => Some(*relay),
             Ev::Line(ask) => Some(ask.relay),
-            Ev::Between { to, .. } => Some(*to),
-            Ev::Client { .. } | Ev::Dialled { .. } | Ev::Closed { .. } | Ev::Ask => None,
+            Ev::Transmission { to, .. } => Some(*to),
+            Ev::Client { .. } | Ev::Dialled { .. } | Ev::Closed { .. } | Ev::PollViews => None,
             // An operator's matter, who waits as long.
             Ev::WantsOut { .. } | Ev::BringsBack { .. } => None,
             // The server and the list service do their part; what they say waits.
@@ -282,7 +282,7 @@
             seed: mix(self.day.seed ^ (relay as u64) << 32 ^ u64::from(life) << 48),
             operator: None,
             state: self.day.s.relays.state.then(|| "virtual".to_string()),
-            fleet: self.day.s.relays.fleet.then(|| fleet::places(relay, self.day.s.relays.count)),
+            fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
         };
         let text = node::text(&self.day.s, &place, &self.day.servers.book, |i| addr(i).to_string());
         config::parse(text.to_string().as_bytes(), &Given::default())
@@ -294,7 +294,7 @@
         self.day.clients.standing(self.now, servers, &mut todo.does);
         self.carry_out(&mut todo)?;
         if self.day.s.relays.fleet {
-            self.ask_all();
+            self.poll_views();
         }
         let mut partial = None;
         // Often enough to look alive, seldom enough to cost nothing.
@@ -370,7 +370,7 @@
         r.watches.clear();
         r.known = known;
         self.day.audit.relay_starts(self.now, relay);
-        self.day.beliefs.is(self.now, relay, Is::Up);
+        self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
         self.day.clients.relay_is(self.now, relay, true);
         self.effects(relay, out);
         Ok(())
@@ -389,7 +389,7 @@
         r.past.clear();
         let lines = std::mem::take(&mut r.lines);
         self.day.audit.relay_ends(self.now, relay);
-        self.day.beliefs.is(self.now, relay, Is::Down);
+        self.day.membership_audit.process_changed(self.now, relay, ProcessState::Down);
         self.day.servers.forgets(relay);
         self.day.clients.relay_is(self.now, relay, false);
         let (way, client_way) = (self.way(), self.client_way());
@@ -469,8 +469,8 @@
             Ev::Silent { relay, life, sess, conn } if alive(self, relay, life) => {
                 self.silent(relay, sess, conn);
             }
-            Ev::Between { from, to, way } => self.between(from, to, way),
-            Ev::Ask => self.ask_all(),
+            Ev::Transmission { from, to, transmission } => self.receive_transmission(from, to, transmission),
+            Ev::PollViews => self.poll_views(),
             Ev::WantsOut { relay, stay } => self.wants_out(relay, stay),
             Ev::BringsBack { relay } => self.brings_back(relay),
             // Of a relay that has ended meanwhile.
@@ -486,7 +486,7 @@
             self.day.sort(self.now, todo);
             let (told, does) = (std::mem::take(&mut todo.told), std::mem::take(&mut todo.does));
             let deeds = std::mem::take(&mut todo.deeds);
-            self.arrivals(std::mem::take(&mut todo.arrivals));
+            self.schedule_arrivals(std::mem::take(&mut todo.arrivals));
             let (news, down) = (std::mem::take(&mut todo.list_news), todo.list_down.take());
             told.into_iter().for_each(|one| self.told(one, todo));
             does.into_iter().for_each(|one| self.does(one));
@@ -503,7 +503,7 @@
                 match deed {
                     Deed::Kill => self.ends(relay),
                     Deed::Stop => {
-                        self.day.beliefs.is(self.now, relay, Is::Stopping);
+                        self.day.membership_audit.process_changed(self.now, relay, ProcessState::Stopping);
                         self.day.clients.relay_is(self.now, relay, false);
                         self.step(relay, Event::StopRequested);
                     }
@@ -512,8 +512,8 @@
                         self.starts(relay)?;
                     }
                     Deed::WantOut(stay) => self.wants_out(relay, stay),
-                    Deed::Stall => self.stalls(relay),
-                    Deed::Wake => self.wakes(relay),
+                    Deed::Stall => self.stall(relay),
+                    Deed::Wake => self.wake(relay),
                     // A virtual relay is one process all its life: sessions and member go on as they are.
                     Deed::Replace => {}
                     Deed::Reload => {
@@ -590,7 +590,7 @@
                 Effect::Exit => self.exits(relay),
                 Effect::Reply { call, reply } => self.replied(relay, call, &reply),
                 Effect::Pong { .. } | Effect::RejectPing { .. } => {}
-                Effect::Membership(effect) => self.fleet(relay, effect),
+                Effect::Membership(effect) => self.carry_out_membership(relay, effect),
                 Effect::Persist { kept, .. } => self.keep(relay, kept),
                 Effect::PersistVoterWrites { life, number, kept } => {
                     kept.into_iter().for_each(|one| self.keep(relay, one));
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -27,14 +27,14 @@
 
 /// Whether one relay was held to be in a state by at least so many others.
 fn held(o: &Outcome, subject: &str, state: &str) -> usize {
-    let beliefs = &o.fleet.as_ref().expect("they know each other").beliefs;
+    let changes = &o.membership.as_ref().expect("they know each other").view_changes;
     let by: std::collections::BTreeSet<usize> =
-        beliefs.iter().filter(|b| b.subject == subject && b.state == state).map(|b| b.observer).collect();
+        changes.iter().filter(|b| b.subject == subject && b.state == state).map(|b| b.observer).collect();
     by.len()
 }
 
 fn last_words(o: &Outcome) -> Vec<&str> {
-    let lanes = &o.fleet.as_ref().expect("they know each other").lanes;
+    let lanes = &o.membership.as_ref().expect("they know each other").lanes;
     lanes.iter().map(|lane| lane.last().map_or("", |word| word.word.as_str())).collect()
 }
 
@@ -69,13 +69,26 @@
 relays = [1]
 "#;
     let (o, code) = rehearse("cuts", "count = 5", 30, more);
-    let fleet = o.fleet.as_ref().expect("they know each other");
-    assert_eq!((&fleet.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
+    let membership = o.membership.as_ref().expect("they know each other");
+    assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
     // Who stood still, who died, who left: told apart, and known to those who could.
-    assert!(held(&o, "relay-2", "gone") >= 3 && held(&o, "relay-3", "gone") >= 3, "{:?}", fleet.beliefs);
-    assert!(held(&o, "relay-1", "left") >= 3 && held(&o, "relay-1", "gone") == 0, "{:?}", fleet.beliefs);
-    assert_eq!((held(&o, "relay-4", "gone"), held(&o, "relay-0", "gone")), (0, 0), "{:?}", fleet.beliefs);
-    assert!(fleet.deaths.count >= 3 && fleet.returns.count >= 3);
+    assert!(
+        held(&o, "relay-2", "gone") >= 3 && held(&o, "relay-3", "gone") >= 3,
+        "{:?}",
+        membership.view_changes
+    );
+    assert!(
+        held(&o, "relay-1", "left") >= 3 && held(&o, "relay-1", "gone") == 0,
+        "{:?}",
+        membership.view_changes
+    );
+    assert_eq!(
+        (held(&o, "relay-4", "gone"), held(&o, "relay-0", "gone")),
+        (0, 0),
+        "{:?}",
+        membership.view_changes
+    );
+    assert!(membership.deaths.count >= 3 && membership.returns.count >= 3);
     assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 7, "a kill and a replacement");
     assert!(o.relays.iter().all(|r| !r.crashed));
 }
@@ -106,12 +119,16 @@
 relays = [5]
 "#;
     let (o, code) = rehearse("halves", "count = 6", 36, more);
-    let fleet = o.fleet.as_ref().expect("they know each other");
-    assert_eq!((&fleet.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
-    assert!(held(&o, "relay-0", "gone") >= 2 && held(&o, "relay-3", "gone") >= 2, "{:?}", fleet.beliefs);
-    assert_eq!(last_words(&o), ["whole"; 6], "{:?}", fleet.lanes);
-    let [sent, arrived, lost, damaged] = fleet.datagrams;
-    assert!(lost > 50 && damaged > 50 && sent >= arrived, "{:?}", fleet.datagrams);
+    let membership = o.membership.as_ref().expect("they know each other");
+    assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
+    assert!(
+        held(&o, "relay-0", "gone") >= 2 && held(&o, "relay-3", "gone") >= 2,
+        "{:?}",
+        membership.view_changes
+    );
+    assert_eq!(last_words(&o), ["whole"; 6], "{:?}", membership.lanes);
+    let [sent, arrived, lost, damaged] = membership.datagrams;
+    assert!(lost > 50 && damaged > 50 && sent >= arrived, "{:?}", membership.datagrams);
 }
 
 /// Relays, servers and list service go dark at once, twice for the relays; as they return two relays are cut
@@ -152,11 +169,11 @@
 "#;
     let relays = "count = 4\nstate = true\nknown = \"first\"\nretry_after_ms = 1500";
     let (o, code) = rehearse("power", relays, 32, more);
-    let fleet = o.fleet.as_ref().expect("they know each other");
-    assert_eq!((&fleet.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
+    let membership = o.membership.as_ref().expect("they know each other");
+    assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
     assert_eq!((o.stale_dials, o.cold_falls), (0, 0), "{:?}", o.log);
     assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 10);
-    assert_eq!(last_words(&o), ["whole"; 4], "{:?}", fleet.lanes);
+    assert_eq!(last_words(&o), ["whole"; 4], "{:?}", membership.lanes);
     let last = o.samples.last().expect("some");
     assert!(last.open > 20, "clients are served again: {last:?}");
 }
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -9,7 +9,7 @@
 //! (known to one other each), last_known (seconds till the last one knew), damaged (datagrams),
 //! whole_at_end (relays that then call the fleet whole).
 use hallrelay_config::scenario;
-use hallrelay_emulator::beliefs::FleetOutcome;
+use hallrelay_emulator::membership_audit::MembershipOutcome;
 use hallrelay_emulator::service::Outcome;
 use hallrelay_lab::{keys, virt};
 use std::path::Path;
@@ -35,13 +35,13 @@
         "open" => f64::from(o.most_open),
         "cold_falls" => f64::from(o.cold_falls),
         "stale" => o.stale_dials as f64,
-        "findings" => fleet(o)?.findings_in_all as f64,
-        "gone" => fleet(o)?.beliefs.iter().filter(|b| b.state == "gone").count() as f64,
-        "deaths" => fleet(o)?.deaths.count as f64,
-        "last_known" => fleet(o)?.deaths.last,
-        "damaged" => fleet(o)?.datagrams[3] as f64,
+        "findings" => membership(o)?.finding_count as f64,
+        "gone" => membership(o)?.view_changes.iter().filter(|b| b.state == "gone").count() as f64,
+        "deaths" => membership(o)?.deaths.count as f64,
+        "last_known" => membership(o)?.deaths.last,
+        "damaged" => membership(o)?.datagrams[3] as f64,
         "whole_at_end" => {
-            let last = fleet(o)?.lanes.iter().filter_map(|lane| lane.last());
+            let last = membership(o)?.lanes.iter().filter_map(|lane| lane.last());
             last.filter(|word| word.word == "whole").count() as f64
         }
         "starts" => o.relays.iter().map(|r| f64::from(r.starts)).sum(),
@@ -49,8 +49,8 @@
     })
 }
 
-fn fleet(o: &Outcome) -> Result<&FleetOutcome, String> {
-    o.fleet.as_ref().ok_or("the relays know nothing of each other".to_string())
+fn membership(o: &Outcome) -> Result<&MembershipOutcome, String> {
+    o.membership.as_ref().ok_or("the relays know nothing of each other".to_string())
 }
 
 fn expect(o: &Outcome, line: &str) -> Result<(), String> {
--- /dev/null
+++ b/membership/src/apply.rs
@@ -0,0 +1,157 @@
+//! Applies updates to the member table, and answers those about this relay.
+use crate::events::Effect;
+use crate::members::{Member, MAX_MEMBERS};
+use crate::message::DropReason;
+use crate::suspicion::MIN_SUSPICION_TIMEOUT;
+use crate::update::{merge, Incarnation, MemberState, MergeOutcome, Precedence, Update};
+use crate::Membership;
+use std::rc::Rc;
+
+impl Membership {
+    /// Applies a member's own statement about itself, which came from its address.
+    pub(crate) fn apply_update_of_sender(&mut self, update: Update, out: &mut Vec<Effect>) {
+        let name = update.name.clone();
+        let incarnation = update.incarnation;
+        let addr = update.addr;
+        let was_dead = self.members.get(&name).is_some_and(|member| member.state() == MemberState::Dead);
+        self.apply_update(update, None, out);
+        let Some(member) = self.members.get_mut(&name) else { return };
+        if member.update.incarnation != incarnation || member.update.addr != addr {
+            return;
+        }
+        member.last_received = Some(self.now);
+        member.source = None;
+        if was_dead && member.state().is_live() {
+            self.push_pull_after_heal(addr, out);
+        }
+    }
+
+    /// Applies an update about any member; `source` is the member that sent it, none for the member itself
+    /// and for this relay's own verdicts.
+    pub(crate) fn apply_update(
+        &mut self,
+        mut update: Update,
+        source: Option<&Rc<str>>,
+        out: &mut Vec<Effect>,
+    ) {
+        if update.name == self.local.name {
+            return self.apply_update_about_self(&update, out);
+        }
+        let Some(held) = self.members.get_mut(&update.name) else {
+            return self.add_member(update, source, out);
+        };
+        let precedence = update.precedence_over(&held.update);
+        // A member that this relay just received from is asked first whether it is dead.
+        let received_lately = held.last_received.is_some_and(|at| self.now < at + MIN_SUSPICION_TIMEOUT);
+        let is_same_death = update.state == MemberState::Dead && precedence == Precedence::Same;
+        if is_same_death && received_lately && source.is_some() {
+            update.state = MemberState::Suspect;
+        }
+        let outcome = merge(held.state(), update.state, precedence);
+        match outcome {
+            MergeOutcome::Ignore => return,
+            MergeOutcome::RefreshMetadata => {
+                if source.is_none() && update.state == MemberState::Alive {
+                    held.update.metadata = update.metadata;
+                }
+                return;
+            }
+            _ => {}
+        }
+        if source.is_some() {
+            held.source = source.cloned();
+        }
+        if outcome == MergeOutcome::ConfirmSuspicion {
+            return self.confirm_suspicion(&update);
+        }
+        if precedence == Precedence::Same {
+            // What is held came from the member itself, or from nearer to it than its reporter.
+            update.metadata = held.update.metadata.clone();
+        }
+        self.replace_update(update, outcome, out);
+    }
+
+    /// An update won over the one that was held.
+    fn replace_update(&mut self, update: Update, outcome: MergeOutcome, out: &mut Vec<Effect>) {
+        let name = update.name.clone();
+        let Some(previous) = self.members.replace(&update, self.now) else { return };
+        self.suspicions.remove(&name);
+        let was_live = previous.state.is_live();
+        let is_live = update.state.is_live();
+        if is_live && !was_live {
+            self.add_live_member(&name);
+        } else if was_live && !is_live {
+            self.members.remove_live(&name);
+            self.detector.cancel_probes_of(&name);
+        }
+        self.disseminate(&update);
+        if outcome == MergeOutcome::StartSuspicion {
+            return self.start_suspicion(update, out);
+        }
+        let restarted = previous.incarnation.start != update.incarnation.start;
+        if !was_live || !is_live || restarted {
+            let Update { state, reporter, .. } = update;
+            out.push(Effect::MemberChanged { name, state, reporter, restarted });
+        }
+    }
+
+    /// A name that was not known becomes a member, if it is live and there is room.
+    fn add_member(&mut self, update: Update, source: Option<&Rc<str>>, out: &mut Vec<Effect>) {
+        if !update.state.is_live() {
+            return;
+        }
+        if self.members.len() >= MAX_MEMBERS {
+            return self.counters.count_dropped(DropReason::TableFull, 1);
+        }
+        let name = update.name.clone();
+        self.members.insert(Member {
+            update: update.clone(),
+            since: self.now,
+            last_received: None,
+            source: source.cloned(),
+            reached_through: None,
+        });
+        self.add_live_member(&name);
+        self.disseminate(&update);
+        let state = MemberState::Alive;
+        out.push(Effect::MemberChanged { name, state, reporter: None, restarted: false });
+        if update.state == MemberState::Suspect {
+            self.start_suspicion(update, out);
+        }
+    }
+
+    /// Refutes what others hold against this relay (SWIM section 4.2): it raises its own incarnation past
+    /// theirs.
+    pub(crate) fn apply_update_about_self(&mut self, update: &Update, out: &mut Vec<Effect>) {
+        if update.addr != self.local.addr {
+            if update.state.is_live() {
+                self.record_name_conflict(update, out);
+            }
+            return;
+        }
+        if self.left {
+            return;
+        }
+        let Incarnation { start, counter } = update.incarnation;
+        let is_later_start = start > self.incarnation.start;
+        let is_same_start = start == self.incarnation.start;
+        let is_not_older = is_same_start && counter >= self.incarnation.counter;
+        let is_refutable = is_not_older && update.state != MemberState::Alive;
+        // Said by another process that spoke for this relay.
+        let is_ahead = is_same_start && counter > self.incarnation.counter;
+        if is_later_start {
+            // Of an earlier process, by a clock that was ahead: this process is the later one all the same.
+            self.incarnation = Incarnation { start: start + 1, counter: 0 };
+        } else if is_refutable || is_ahead {
+            self.incarnation.counter = counter + 1;
+        } else {
+            return;
+        }
+        if is_refutable {
+            // Somebody missed its answers: it may be late itself (Lifeguard).
+            self.counters.refutations += 1;
+            self.detector.local_health.degrade(1);
+        }
+        self.disseminate_own_update();
+    }
+}
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -1,175 +1,248 @@
-//! The bytes between relays: a version, a checksum, a postcard head, then claims to the end. A datagram holds
-//! as many as fit; a stream's frame holds the whole table.
-use crate::member::Claim;
+//! The wire format between relays: a version byte, a CRC-32, a postcard header, then updates up to the end. A
+//! datagram carries as many updates as fit; a frame on a stream carries the whole member table.
+use crate::update::Update;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Counted up with each change that an older relay would misread; others are dropped and counted.
-pub const VERSION: u8 = 1;
-/// Bytes of a datagram at most: within the least packet that every path takes whole (1,280 of IPv6, less
-/// 40 and 8 of head).
-pub const DATAGRAM: usize = 1_200;
-/// Bytes of a stream's frame at most: some thousand members.
-pub const FRAME: usize = 256 << 10;
-/// Bytes of a name, of a relay or of a fleet, and of a version.
-pub const NAME: usize = 64;
-/// Listeners whose sessions a relay tells of; further ones count in the sum alone.
-pub const LISTENERS: usize = 16;
-/// Version and checksum.
-const HEAD: usize = 5;
+/// Raised with each change that an older relay would misread; packets of other versions are dropped and
+/// counted.
+pub const PROTOCOL_VERSION: u8 = 1;
+/// Largest datagram in bytes: IPv6's minimum MTU of 1,280 bytes less 48 bytes of headers, rounded down.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// Largest frame on a stream in bytes: some thousand members.
+pub const MAX_FRAME_BYTES: usize = 256 << 10;
+/// Longest name of a relay, and longest version, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Listeners whose sessions are reported one by one; further ones are in the sum alone.
+pub const MAX_LISTENERS: usize = 16;
+/// Bytes of the version and the checksum.
+const PREFIX_BYTES: usize = 5;
 
-/// What is said.
+/// The body of a packet. Variants are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
-    /// Wants an `Ack` of the same number.
+pub enum MessageBody {
+    /// SWIM's direct probe; answered with an `Ack` of the same sequence number.
     Ping {
-        seq: u32,
+        /// Sequence number of the sender's probe.
+        sequence: u32,
     },
+    /// Answer to a `Ping`, or to a `PingRequest` whose target answered.
     Ack {
-        seq: u32,
+        /// Sequence number of the probe that is answered.
+        sequence: u32,
     },
-    /// Wants another member pinged, as the sender had no answer, and an `Ack` or a `Nack` for it.
-    Ask {
-        seq: u32,
-        name: Rc<str>,
+    /// SWIM's indirect probe: asks the receiver to ping another member on the sender's behalf.
+    PingRequest {
+        /// Sequence number of the sender's probe.
+        sequence: u32,
+        /// Name of the member to ping.
+        target: Rc<str>,
+        /// Address of the member to ping.
         addr: SocketAddr,
     },
-    /// The one that was asked for does not answer here either: the way to the asker is whole.
+    /// Lifeguard's nack: the target of a `PingRequest` has not answered yet. It shows that the way between
+    /// the two that talk works.
     Nack {
-        seq: u32,
+        /// Sequence number of the probe that is answered.
+        sequence: u32,
     },
-    /// News alone.
+    /// Carries updates alone.
     Gossip,
-    /// All that the sender holds; wants the same back.
-    Exchange,
-    Exchanged,
-    /// Wants what the other holds of the list of servers; the users' own bytes, of which nothing here is
-    /// read.
-    Recall,
-    Recalled {
-        told: Vec<u8>,
+    /// Anti-entropy: carries the sender's member table, and asks for the receiver's. On streams.
+    PushPullRequest,
+    /// The receiver's member table.
+    PushPullResponse,
+    /// Asks for the receiver's endpoint list. On streams.
+    EndpointListRequest,
+    /// The endpoint list.
+    EndpointListResponse {
+        /// The user's bytes; membership does not read them.
+        bytes: Vec<u8>,
     },
-    /// The users' own bytes for this member alone; nothing comes back.
-    Word {
+    /// A message of membership's user to one member, on a datagram or a stream; nothing comes back.
+    User {
+        /// The user's bytes; membership does not read them.
         bytes: Vec<u8>,
     },
 }
 
+/// What stands before the updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Head {
+struct Header {
     fleet: Rc<str>,
-    own: Claim,
-    body: Body,
+    sender: Update,
+    body: MessageBody,
 }
 
+/// One decoded datagram or frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packet {
+    /// Name of the sender's fleet.
     pub fleet: Rc<str>,
-    /// The sender, of its own word.
-    pub own: Claim,
-    pub body: Body,
-    pub news: Vec<Claim>,
+    /// The sender's own statement about itself.
+    pub sender: Update,
+    /// The message.
+    pub body: MessageBody,
+    /// Piggybacked updates, or the sender's member table.
+    pub updates: Vec<Update>,
+}
+
+/// Why bytes are no packet of this fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// Another version of the protocol.
+    #[error("unsupported protocol version")]
+    UnsupportedVersion,
+    /// Too long, too short, a wrong checksum, or out of bounds.
+    #[error("malformed packet")]
+    Malformed,
+    /// Of another fleet.
+    #[error("packet of another fleet")]
+    WrongFleet,
 }
 
-/// Why bytes are dropped.
+/// Why something that was received is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fault {
-    /// Another version of the messages.
-    Version,
-    /// Too long, too short, a wrong checksum, or what no sender writes.
-    Damaged,
-    OtherFleet,
+pub enum DropReason {
+    /// [`DecodeError::UnsupportedVersion`].
+    UnsupportedVersion,
+    /// [`DecodeError::Malformed`].
+    Malformed,
+    /// [`DecodeError::WrongFleet`].
+    WrongFleet,
     /// From an address that is neither configured nor a member's.
-    Stranger,
-    /// More than is read in a second.
-    Flood,
-    /// A member too many.
-    Full,
+    UnknownSender,
+    /// More datagrams than are read in a second.
+    RateLimited,
+    /// An update about one member more than the table holds.
+    TableFull,
 }
 
-impl Fault {
-    pub const ALL: [Fault; 6] =
-        [Fault::Version, Fault::Damaged, Fault::OtherFleet, Fault::Stranger, Fault::Flood, Fault::Full];
+impl DropReason {
+    /// All reasons, in the order of the metrics.
+    pub const ALL: [DropReason; 6] = [
+        DropReason::UnsupportedVersion,
+        DropReason::Malformed,
+        DropReason::WrongFleet,
+        DropReason::UnknownSender,
+        DropReason::RateLimited,
+        DropReason::TableFull,
+    ];
 
-    pub fn word(self) -> &'static str {
+    /// The word of status answers and metrics.
+    pub fn as_str(self) -> &'static str {
         match self {
-            Fault::Version => "version",
-            Fault::Damaged => "damaged",
-            Fault::OtherFleet => "other_fleet",
-            Fault::Stranger => "stranger",
-            Fault::Flood => "flood",
-            Fault::Full => "full",
+            DropReason::UnsupportedVersion => "version",
+            DropReason::Malformed => "damaged",
+            DropReason::WrongFleet => "other_fleet",
+            DropReason::UnknownSender => "stranger",
+            DropReason::RateLimited => "flood",
+            DropReason::TableFull => "full",
+        }
+    }
+}
+
+impl From<DecodeError> for DropReason {
+    fn from(error: DecodeError) -> DropReason {
+        match error {
+            DecodeError::UnsupportedVersion => DropReason::UnsupportedVersion,
+            DecodeError::Malformed => DropReason::Malformed,
+            DecodeError::WrongFleet => DropReason::WrongFleet,
         }
     }
 }
 
-/// A claim as it stands in messages; empty where it can't be written, which no sender's claim comes to.
-pub fn written(claim: &Claim) -> Vec<u8> {
-    postcard::to_stdvec(claim).unwrap_or_default()
+/// The bytes of an update within a packet; empty if it cannot be encoded, which no update of ours comes to.
+pub fn encode_update(update: &Update) -> Vec<u8> {
+    postcard::to_stdvec(update).unwrap_or_default()
 }
 
-/// Writes a head and as many written claims, in their order, as fit into `most` bytes; how many did.
+/// An encoded packet.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EncodedPacket {
+    /// The whole packet.
+    pub bytes: Vec<u8>,
+    /// How many of the updates fitted, from the first on.
+    pub update_count: usize,
+}
+
+/// Encodes a packet with as many of the encoded updates, in their order, as fit into `max_bytes`. The header
+/// is always written whole, so a long body may exceed `max_bytes`.
 pub fn encode<'a>(
     fleet: &Rc<str>,
-    own: &Claim,
-    body: Body,
-    news: impl Iterator<Item = &'a [u8]>,
-    most: usize,
-) -> (Vec<u8>, usize) {
-    let head = Head { fleet: fleet.clone(), own: own.clone(), body };
-    let start = vec![VERSION, 0, 0, 0, 0];
-    // Writing to memory can't go wrong for these types; what has no head is dropped where it comes.
-    let mut bytes = postcard::to_extend(&head, start.clone()).unwrap_or(start);
-    let mut fit = 0;
-    for claim in news {
-        if bytes.len() + claim.len() > most {
+    sender: &Update,
+    body: MessageBody,
+    updates: impl Iterator<Item = &'a [u8]>,
+    max_bytes: usize,
+) -> EncodedPacket {
+    let header = Header { fleet: fleet.clone(), sender: sender.clone(), body };
+    let prefix = vec![PROTOCOL_VERSION, 0, 0, 0, 0];
+    // Encoding these types to memory cannot fail; a packet without a header is dropped where it arrives.
+    let mut bytes = postcard::to_extend(&header, prefix.clone()).unwrap_or(prefix);
+    let mut update_count = 0;
+    for update in updates {
+        if bytes.len() + update.len() > max_bytes {
             break;
         }
-        bytes.extend_from_slice(claim);
-        fit += 1;
+        bytes.extend_from_slice(update);
+        update_count += 1;
     }
-    let sum = crc32fast::hash(&bytes[HEAD..]);
-    bytes[1..HEAD].copy_from_slice(&sum.to_le_bytes());
-    (bytes, fit)
+    let checksum = crc32fast::hash(&bytes[PREFIX_BYTES..]);
+    bytes[1..PREFIX_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    EncodedPacket { bytes, update_count }
 }
 
-/// Reads what `encode` wrote, for a fleet's name; anything else is a fault, and costs no more than its bytes.
-pub fn decode(fleet: &str, bytes: &[u8], most: usize) -> Result<Packet, Fault> {
-    if bytes.len() < HEAD || bytes.len() > most {
-        return Err(Fault::Damaged);
-    }
-    let (start, rest) = bytes.split_at(HEAD);
-    if start[0] != VERSION {
-        return Err(Fault::Version);
+/// Decodes what [`encode`] wrote for a fleet.
+///
+/// # Errors
+/// [`DecodeError`] for anything else, whatever the bytes are; memory used stays within a multiple of their
+/// length.
+pub fn decode(fleet: &str, bytes: &[u8], max_bytes: usize) -> Result<Packet, DecodeError> {
+    if bytes.len() < PREFIX_BYTES || bytes.len() > max_bytes {
+        return Err(DecodeError::Malformed);
     }
-    if crc32fast::hash(rest).to_le_bytes() != start[1..] {
-        return Err(Fault::Damaged);
+    let (prefix, payload) = bytes.split_at(PREFIX_BYTES);
+    if prefix[0] != PROTOCOL_VERSION {
+        return Err(DecodeError::UnsupportedVersion);
     }
-    let (head, mut rest) = postcard::take_from_bytes::<Head>(rest).map_err(|_| Fault::Damaged)?;
-    if *head.fleet != *fleet {
-        return Err(Fault::OtherFleet);
+    if crc32fast::hash(payload).to_le_bytes() != prefix[1..] {
+        return Err(DecodeError::Malformed);
     }
-    let mut news = Vec::new();
-    while !rest.is_empty() {
-        let (claim, left) = postcard::take_from_bytes::<Claim>(rest).map_err(|_| Fault::Damaged)?;
-        news.push(claim);
-        rest = left;
+    let (header, rest) = postcard::take_from_bytes::<Header>(payload).map_err(|_| DecodeError::Malformed)?;
+    if *header.fleet != *fleet {
+        return Err(DecodeError::WrongFleet);
     }
-    let asked = match &head.body {
-        Body::Ask { name, .. } => name.len(),
-        _ => 1,
+    let updates = decode_updates(rest)?;
+    let target_fits = match &header.body {
+        MessageBody::PingRequest { target, .. } => target.len() <= MAX_NAME_BYTES,
+        _ => true,
     };
-    if !news.iter().chain([&head.own]).all(sound) || asked > NAME {
-        return Err(Fault::Damaged);
+    if !target_fits || !updates.iter().chain([&header.sender]).all(is_valid) {
+        return Err(DecodeError::Malformed);
+    }
+    Ok(Packet { fleet: header.fleet, sender: header.sender, body: header.body, updates })
+}
+
+fn decode_updates(mut bytes: &[u8]) -> Result<Vec<Update>, DecodeError> {
+    let mut updates = Vec::new();
+    while !bytes.is_empty() {
+        let (update, rest) =
+            postcard::take_from_bytes::<Update>(bytes).map_err(|_| DecodeError::Malformed)?;
+        updates.push(update);
+        bytes = rest;
     }
-    Ok(Packet { fleet: head.fleet, own: head.own, body: head.body, news })
+    Ok(updates)
 }
 
-/// What a sound sender may say: bounded names, an address that can be sent to.
-fn sound(claim: &Claim) -> bool {
-    let named = |name: &str| !name.is_empty() && name.len() <= NAME;
-    let by = claim.by.as_deref().is_none_or(named);
-    let about = claim.about.version.len() <= NAME && claim.about.load.len() <= LISTENERS;
-    named(&claim.name) && by && about && claim.addr.port() != 0 && !claim.addr.ip().is_unspecified()
+/// Whether names are within their bounds, and the address can be sent to.
+fn is_valid(update: &Update) -> bool {
+    let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+    let metadata = &update.metadata;
+    is_name(&update.name)
+        && update.reporter.as_deref().is_none_or(is_name)
+        && metadata.version.len() <= MAX_NAME_BYTES
+        && metadata.listener_sessions.len() <= MAX_LISTENERS
+        && update.addr.port() != 0
+        && !update.addr.ip().is_unspecified()
 }
--- a/membership/src/status.rs
+++ b/membership/src/status.rs
@@ -1,124 +1,184 @@
-//! What a relay believes, as operators read it.
-use crate::member::State;
+//! A relay's view of its fleet, as operators read it: the JSON answer of `GET /v1/fleet`. Keys and words of
+//! the answer are fixed; a field with another name carries its key as `rename`.
+use crate::members::Member;
 use crate::membership::Membership;
+use crate::update::{MemberState, Update};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// The whole answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
+    /// Name of the fleet.
     pub fleet: String,
+    /// Name of the relay that answers.
     pub name: String,
+    /// Its address.
     pub addr: String,
+    /// Start of its incarnation.
     pub start: u64,
+    /// Counter of its incarnation.
     pub incarnation: u32,
-    /// Relays that there are by the settings, and those that this one hears itself, it among them.
-    pub configured: usize,
-    pub hears: usize,
+    /// Number of relays by configuration, this one included.
+    #[serde(rename = "configured")]
+    pub configured_relays: usize,
+    /// Number of relays that this one received from lately, itself included.
+    #[serde(rename = "hears")]
+    pub reachable_relays: usize,
     /// `whole`, `parts missing`, `cut off`; `silent` where another process speaks for this relay.
-    pub believes: String,
-    /// How much it doubts itself, from 0 to 8.
-    pub doubt: u32,
-    /// How far the relay is on its way back: `dark`, `remembering`, `asking`, `trickle`, `open`. Its own word
-    /// on its servers, which membership knows nothing of.
-    #[serde(default)]
-    pub returning: String,
-    /// Another relay of this one's name, and whether that one holds the name.
-    pub twin: Option<Twin>,
+    #[serde(rename = "believes")]
+    pub view: String,
+    /// Lifeguard's local health score, from 0 (healthy) to 8.
+    #[serde(rename = "doubt")]
+    pub local_health: u32,
+    /// Stage of the relay's recovery after a start: `dark`, `remembering`, `asking`, `trickle`, `open`.
+    /// Filled in by the relay; older ones leave it out.
+    #[serde(default, rename = "returning")]
+    pub recovery_stage: String,
+    /// Another process of this relay's name.
+    #[serde(rename = "twin")]
+    pub name_conflict: Option<NameConflictStatus>,
+    /// Packets and updates dropped, by reason.
     pub dropped: BTreeMap<String, u64>,
     /// This relay first, then the others by name.
     pub members: Vec<MemberStatus>,
 }
 
+/// Another process of this relay's name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Twin {
+pub struct NameConflictStatus {
+    /// Address of the other process.
     pub addr: String,
+    /// Start of the other process.
     pub start: u64,
-    pub holds: bool,
+    /// Whether the other process holds the name in the others' tables.
+    #[serde(rename = "holds")]
+    pub holds_name: bool,
 }
 
+/// One member of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
+    /// Name of the member.
     pub name: String,
+    /// Its address.
     pub addr: String,
-    /// `alive`, `suspect`, `gone`, `left`.
+    /// `alive`, `suspect`, `gone` (dead), `left`.
     pub state: String,
-    /// How long it has been so, and how long ago it was heard itself, in milliseconds; none where it never
-    /// was.
+    /// How long it has been in this state, in milliseconds.
     pub since_ms: u64,
-    pub heard_ms: Option<u64>,
-    /// Who told of it last where that was not itself, and who accuses it.
-    pub told_by: Option<String>,
-    pub accused_by: Vec<String>,
+    /// How long ago the relay received from it, in milliseconds; none where it never did.
+    #[serde(rename = "heard_ms")]
+    pub last_received_ms: Option<u64>,
+    /// Who sent the last update about it, where that was not the member itself.
+    #[serde(rename = "told_by")]
+    pub source: Option<String>,
+    /// Who suspects it.
+    #[serde(rename = "accused_by")]
+    pub suspected_by: Vec<String>,
+    /// Start of its incarnation.
     pub start: u64,
+    /// Counter of its incarnation.
     pub incarnation: u32,
+    /// Version of its program.
     pub version: String,
-    /// Of its settings, eight hexadecimal digits.
-    pub digest: String,
-    pub duty: String,
+    /// Checksum of its settings, eight hexadecimal digits.
+    #[serde(rename = "digest")]
+    pub settings_digest: String,
+    /// `starting`, `serving`, `draining`, `stopping`.
+    #[serde(rename = "duty")]
+    pub lifecycle: String,
+    /// Its open sessions.
     pub sessions: u32,
-    pub load: Vec<u32>,
+    /// Its open sessions by listener.
+    #[serde(rename = "load")]
+    pub listener_sessions: Vec<u32>,
 }
 
 impl Status {
-    /// Whether all relays are there and this one hears them.
+    /// Whether all configured relays are there and this one reaches them.
     pub fn is_whole(&self) -> bool {
-        self.believes == "whole"
+        self.view == "whole"
+    }
+}
+
+impl MemberStatus {
+    /// What an update holds; the rest is this relay's own.
+    fn of(update: &Update) -> MemberStatus {
+        let metadata = &update.metadata;
+        MemberStatus {
+            name: update.name.to_string(),
+            addr: update.addr.to_string(),
+            state: update.state.as_str().to_string(),
+            start: update.incarnation.start,
+            incarnation: update.incarnation.counter,
+            version: metadata.version.to_string(),
+            settings_digest: format!("{:08x}", metadata.settings_digest),
+            lifecycle: metadata.lifecycle.as_str().to_string(),
+            sessions: metadata.sessions,
+            listener_sessions: metadata.listener_sessions.clone(),
+            ..MemberStatus::default()
+        }
     }
 }
 
 impl Membership {
-    /// As of a time.
+    /// The view as of a time.
     pub fn status(&self, now: Micros) -> Status {
-        let own = self.own();
-        let of = |claim: &crate::Claim| MemberStatus {
-            name: claim.name.to_string(),
-            addr: claim.addr.to_string(),
-            state: claim.state.word().to_string(),
-            start: claim.rank.start,
-            incarnation: claim.rank.incarnation,
-            version: claim.about.version.to_string(),
-            digest: format!("{:08x}", claim.about.digest),
-            duty: claim.about.duty.word().to_string(),
-            sessions: claim.about.sessions,
-            load: claim.about.load.clone(),
-            ..MemberStatus::default()
-        };
-        let mut members = vec![MemberStatus { heard_ms: Some(0), ..of(&self.own_claim()) }];
-        members.extend(self.members().map(|m| MemberStatus {
-            since_ms: now.saturating_sub(m.since) / 1000,
-            heard_ms: m.heard.map(|at| now.saturating_sub(at) / 1000),
-            told_by: m.told_by.as_ref().map(ToString::to_string),
-            accused_by: self.accusers(&m.claim.name).map(ToString::to_string).collect(),
-            ..of(&m.claim)
-        }));
-        let alive = 1 + self.members().filter(|m| m.claim.state == State::Alive).count();
-        let missing = self.members().any(|m| matches!(m.claim.state, State::Suspect | State::Gone));
-        let believes = match () {
-            () if !self.speaks() => "silent",
-            () if self.cut_off() => "cut off",
-            () if missing || alive < own.configured => "parts missing",
-            () => "whole",
-        };
-        let own_rank = (self.rank().start, own.addr);
+        let local = self.local();
+        let mut members = vec![self.local_status()];
+        members.extend(self.members().map(|member| self.member_status(member, now)));
+        let dropped = &self.counters.dropped;
+        let name_conflict = self.name_conflict().map(|conflict| NameConflictStatus {
+            addr: conflict.addr.to_string(),
+            start: conflict.start,
+            holds_name: self.is_overridden_by(&conflict),
+        });
         Status {
-            fleet: own.fleet.to_string(),
-            name: own.name.to_string(),
-            addr: own.addr.to_string(),
-            start: self.rank().start,
-            incarnation: self.rank().incarnation,
-            configured: own.configured,
-            hears: self.hears(),
-            believes: believes.to_string(),
-            doubt: self.health(),
-            returning: String::new(),
-            twin: self.twin().map(|(addr, start)| Twin {
-                addr: addr.to_string(),
-                start,
-                holds: (start, addr) > own_rank,
-            }),
-            dropped: self.counts.dropped.iter().map(|(f, n)| (f.word().to_string(), *n)).collect(),
+            fleet: local.fleet.to_string(),
+            name: local.name.to_string(),
+            addr: local.addr.to_string(),
+            start: self.incarnation().start,
+            incarnation: self.incarnation().counter,
+            configured_relays: local.configured_relays,
+            reachable_relays: self.reachable_count(),
+            view: self.view().to_string(),
+            local_health: self.local_health(),
+            recovery_stage: String::new(),
+            name_conflict,
+            dropped: dropped.iter().map(|(reason, count)| (reason.as_str().to_string(), *count)).collect(),
             members,
         }
     }
+
+    fn local_status(&self) -> MemberStatus {
+        MemberStatus { last_received_ms: Some(0), ..MemberStatus::of(&self.own_update()) }
+    }
+
+    fn member_status(&self, member: &Member, now: Micros) -> MemberStatus {
+        MemberStatus {
+            since_ms: now.saturating_sub(member.since) / 1000,
+            last_received_ms: member.last_received.map(|at| now.saturating_sub(at) / 1000),
+            source: member.source.as_ref().map(ToString::to_string),
+            suspected_by: self.reporters(member.name()).map(ToString::to_string).collect(),
+            ..MemberStatus::of(&member.update)
+        }
+    }
+
+    /// The word for the whole view.
+    fn view(&self) -> &'static str {
+        let count = |state: MemberState| self.members().filter(|member| member.state() == state).count();
+        let alive = 1 + count(MemberState::Alive);
+        let missing = count(MemberState::Suspect) + count(MemberState::Dead);
+        if !self.is_active() {
+            "silent"
+        } else if self.is_partitioned() {
+            "cut off"
+        } else if missing > 0 || alive < self.local().configured_relays {
+            "parts missing"
+        } else {
+            "whole"
+        }
+    }
 }
--- a/membership/tests/fixtures.rs
+++ b/membership/tests/fixtures.rs
@@ -1,9 +1,12 @@
 //! The bytes of each message between relays, as released builds write them: each file is decoded to the value
 //! that stands here, and the value is encoded to the same bytes again.
 use hallrelay_membership::message::{
-    decode, encode, written, Body, Packet, DATAGRAM, FRAME, LISTENERS, NAME,
+    decode, encode, encode_update, MessageBody, Packet, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, MAX_LISTENERS,
+    MAX_NAME_BYTES,
+};
+use hallrelay_membership::{
+    Incarnation, LocalMember, MemberMetadata, MemberState, Membership, ReportedLifecycle, Update,
 };
-use hallrelay_membership::{About, Claim, Duty, Membership, Own, Rank, State};
 use std::collections::BTreeSet;
 use std::fs;
 use std::net::SocketAddr;
@@ -28,34 +31,41 @@
 }
 
 /// The sender of all messages here.
-fn sender() -> Claim {
-    Claim {
+fn sender() -> Update {
+    Update {
         name: "relay-1".into(),
         addr: v4(1),
-        rank: Rank { start: 1_800_000_000_000_000, incarnation: 3 },
-        state: State::Alive,
-        by: None,
-        about: About {
+        incarnation: Incarnation { start: 1_800_000_000_000_000, counter: 3 },
+        state: MemberState::Alive,
+        reporter: None,
+        metadata: MemberMetadata {
             version: "0.4.0".into(),
-            digest: 0xdead_beef,
-            duty: Duty::Serving,
+            settings_digest: 0xdead_beef,
+            lifecycle: ReportedLifecycle::Serving,
             sessions: 1_234,
-            load: vec![1_000, 200, 34],
+            listener_sessions: vec![1_000, 200, 34],
         },
     }
 }
 
 /// A member with nothing but defaults in what it says of itself.
-fn member(name: &str, addr: SocketAddr, state: State, by: Option<&str>) -> Claim {
-    let rank = Rank { start: 1_800_000_000_000_001, incarnation: 0 };
-    Claim { name: name.into(), addr, rank, state, by: by.map(Into::into), about: About::default() }
+fn member(name: &str, addr: SocketAddr, state: MemberState, reporter: Option<&str>) -> Update {
+    let incarnation = Incarnation { start: 1_800_000_000_000_001, counter: 0 };
+    Update {
+        name: name.into(),
+        addr,
+        incarnation,
+        state,
+        reporter: reporter.map(Into::into),
+        metadata: MemberMetadata::default(),
+    }
 }
 
-/// A claim of each state, with an accuser and without.
-fn each_state() -> Vec<Claim> {
+/// An update of each state, with a reporter and without.
+fn each_state() -> Vec<Update> {
     let mut all = Vec::new();
-    for state in State::ALL {
-        let name = format!("relay-{}", state.word());
+    for state in MemberState::ALL {
+        let name = format!("relay-{}", state.as_str());
         all.push(member(&name, v4(10), state, None));
         all.push(member(&name, v6(11), state, Some("relay-1")));
     }
@@ -63,108 +73,139 @@
 }
 
 /// Each lifecycle state that a relay says of itself.
-fn each_duty() -> Vec<Claim> {
-    let duties = [Duty::Starting, Duty::Serving, Duty::Draining, Duty::Stopping];
-    let one = |duty: Duty| {
-        let about = About { duty, version: "1.2.3".into(), ..About::default() };
-        Claim { about, ..member(duty.word(), v4(20), State::Alive, None) }
+fn each_lifecycle() -> Vec<Update> {
+    let all = [
+        ReportedLifecycle::Starting,
+        ReportedLifecycle::Serving,
+        ReportedLifecycle::Draining,
+        ReportedLifecycle::Stopping,
+    ];
+    let one = |lifecycle: ReportedLifecycle| {
+        let metadata = MemberMetadata { lifecycle, version: "1.2.3".into(), ..MemberMetadata::default() };
+        Update { metadata, ..member(lifecycle.as_str(), v4(20), MemberState::Alive, None) }
     };
-    duties.map(one).to_vec()
+    all.map(one).to_vec()
 }
 
 /// The least and the most of each field.
-fn limits() -> Vec<Claim> {
-    let most = About {
-        version: "v".repeat(NAME).as_str().into(),
-        digest: u32::MAX,
-        duty: Duty::Stopping,
+fn limits() -> Vec<Update> {
+    let most = MemberMetadata {
+        version: "v".repeat(MAX_NAME_BYTES).as_str().into(),
+        settings_digest: u32::MAX,
+        lifecycle: ReportedLifecycle::Stopping,
         sessions: u32::MAX,
-        load: vec![u32::MAX; LISTENERS],
+        listener_sessions: vec![u32::MAX; MAX_LISTENERS],
     };
-    let long = "n".repeat(NAME);
-    let rank = Rank { start: u64::MAX, incarnation: u32::MAX };
+    let long = "n".repeat(MAX_NAME_BYTES);
+    let incarnation = Incarnation { start: u64::MAX, counter: u32::MAX };
     vec![
-        Claim { rank: Rank::default(), ..member("a", ([0, 0, 0, 1], 1).into(), State::Alive, None) },
-        Claim { rank, about: most, ..member(&long, v6(u16::MAX), State::Suspect, Some(&long)) },
+        Update {
+            incarnation: Incarnation::default(),
+            ..member("a", ([0, 0, 0, 1], 1).into(), MemberState::Alive, None)
+        },
+        Update {
+            incarnation,
+            metadata: most,
+            ..member(&long, v6(u16::MAX), MemberState::Suspect, Some(&long))
+        },
     ]
 }
 
 /// More members than a datagram holds.
-fn many(count: usize) -> Vec<Claim> {
+fn many(count: usize) -> Vec<Update> {
     let one = |i: usize| {
         let addr = ([10, 1, (i >> 8) as u8, i as u8], 7946).into();
-        member(&format!("other-{i}"), addr, State::ALL[i % 4], None)
+        member(&format!("other-{i}"), addr, MemberState::ALL[i % 4], None)
     };
     (0..count).map(one).collect()
 }
 
-/// Name of the file, the message's own part, the claims that ride on it, and the bytes that it may have.
-fn cases() -> Vec<(&'static str, Body, Vec<Claim>, usize)> {
-    let ask = |addr| Body::Ask { seq: 9, name: "relay-7".into(), addr };
-    let longest = Body::Ask { seq: u32::MAX, name: "n".repeat(NAME).as_str().into(), addr: v6(7) };
+/// Name of the file, the message's own part, the updates that ride on it, and the bytes that it may have.
+fn cases() -> Vec<(&'static str, MessageBody, Vec<Update>, usize)> {
+    let ask = |addr| MessageBody::PingRequest { sequence: 9, target: "relay-7".into(), addr };
+    let longest = MessageBody::PingRequest {
+        sequence: u32::MAX,
+        target: "n".repeat(MAX_NAME_BYTES).as_str().into(),
+        addr: v6(7),
+    };
     vec![
-        ("ping.bin", Body::Ping { seq: 7 }, vec![], DATAGRAM),
-        ("ping_limit.bin", Body::Ping { seq: u32::MAX }, vec![], DATAGRAM),
-        ("ack.bin", Body::Ack { seq: 128 }, vec![], DATAGRAM),
-        ("ask_v4.bin", ask(v4(7)), vec![], DATAGRAM),
-        ("ask_v6.bin", ask(v6(7)), vec![], DATAGRAM),
-        ("ask_limit.bin", longest, vec![], DATAGRAM),
-        ("nack.bin", Body::Nack { seq: 16_384 }, vec![], DATAGRAM),
-        ("gossip.bin", Body::Gossip, each_state(), DATAGRAM),
-        ("ping_with_duties.bin", Body::Ping { seq: 1 }, each_duty(), DATAGRAM),
-        ("ack_with_limits.bin", Body::Ack { seq: 0 }, limits(), DATAGRAM),
-        ("gossip_full.bin", Body::Gossip, many(100), DATAGRAM),
-        ("exchange.bin", Body::Exchange, each_state(), FRAME),
-        ("exchanged.bin", Body::Exchanged, many(300), FRAME),
-        ("recall.bin", Body::Recall, vec![], FRAME),
-        ("recalled.bin", Body::Recalled { told: br#"{"source":"10.0.0.9:1"}"#.to_vec() }, vec![], FRAME),
-        ("recalled_empty.bin", Body::Recalled { told: vec![] }, vec![], FRAME),
-        ("word.bin", Body::Word { bytes: (0..=255).collect() }, vec![], DATAGRAM),
-        ("word_long.bin", Body::Word { bytes: vec![0x5a; DATAGRAM] }, vec![], FRAME),
+        ("ping.bin", MessageBody::Ping { sequence: 7 }, vec![], MAX_DATAGRAM_BYTES),
+        ("ping_limit.bin", MessageBody::Ping { sequence: u32::MAX }, vec![], MAX_DATAGRAM_BYTES),
+        ("ack.bin", MessageBody::Ack { sequence: 128 }, vec![], MAX_DATAGRAM_BYTES),
+        ("ask_v4.bin", ask(v4(7)), vec![], MAX_DATAGRAM_BYTES),
+        ("ask_v6.bin", ask(v6(7)), vec![], MAX_DATAGRAM_BYTES),
+        ("ask_limit.bin", longest, vec![], MAX_DATAGRAM_BYTES),
+        ("nack.bin", MessageBody::Nack { sequence: 16_384 }, vec![], MAX_DATAGRAM_BYTES),
+        ("gossip.bin", MessageBody::Gossip, each_state(), MAX_DATAGRAM_BYTES),
+        ("ping_with_duties.bin", MessageBody::Ping { sequence: 1 }, each_lifecycle(), MAX_DATAGRAM_BYTES),
+        ("ack_with_limits.bin", MessageBody::Ack { sequence: 0 }, limits(), MAX_DATAGRAM_BYTES),
+        ("gossip_full.bin", MessageBody::Gossip, many(100), MAX_DATAGRAM_BYTES),
+        ("exchange.bin", MessageBody::PushPullRequest, each_state(), MAX_FRAME_BYTES),
+        ("exchanged.bin", MessageBody::PushPullResponse, many(300), MAX_FRAME_BYTES),
+        ("recall.bin", MessageBody::EndpointListRequest, vec![], MAX_FRAME_BYTES),
+        (
+            "recalled.bin",
+            MessageBody::EndpointListResponse { bytes: br#"{"source":"10.0.0.9:1"}"#.to_vec() },
+            vec![],
+            MAX_FRAME_BYTES,
+        ),
+        ("recalled_empty.bin", MessageBody::EndpointListResponse { bytes: vec![] }, vec![], MAX_FRAME_BYTES),
+        ("word.bin", MessageBody::User { bytes: (0..=255).collect() }, vec![], MAX_DATAGRAM_BYTES),
+        (
+            "word_long.bin",
+            MessageBody::User { bytes: vec![0x5a; MAX_DATAGRAM_BYTES] },
+            vec![],
+            MAX_FRAME_BYTES,
+        ),
     ]
 }
 
-fn bytes_of(own: &Claim, body: &Body, news: &[Claim], most: usize) -> (Vec<u8>, usize) {
-    let news: Vec<Vec<u8>> = news.iter().map(written).collect();
-    encode(&FLEET.into(), own, body.clone(), news.iter().map(Vec::as_slice), most)
+fn bytes_of(sender: &Update, body: &MessageBody, updates: &[Update], most: usize) -> (Vec<u8>, usize) {
+    let updates: Vec<Vec<u8>> = updates.iter().map(encode_update).collect();
+    let packet = encode(&FLEET.into(), sender, body.clone(), updates.iter().map(Vec::as_slice), most);
+    (packet.bytes, packet.update_count)
 }
 
 #[test]
 fn each_message_is_decoded_and_written_the_same() {
-    for (name, body, mut news, most) in cases() {
-        let (bytes, fit) = bytes_of(&sender(), &body, &news, most);
-        news.truncate(fit);
+    for (name, body, mut updates, most) in cases() {
+        let (bytes, fit) = bytes_of(&sender(), &body, &updates, most);
+        updates.truncate(fit);
         let stored = file(name);
         assert_eq!(bytes, stored, "{name}: encoded");
         let packet = decode(FLEET, &stored, most).unwrap_or_else(|e| panic!("{name}: {e:?}"));
-        assert_eq!(packet, Packet { fleet: FLEET.into(), own: sender(), body, news }, "{name}: decoded");
-        let again = bytes_of(&packet.own, &packet.body, &packet.news, most);
+        assert_eq!(
+            packet,
+            Packet { fleet: FLEET.into(), sender: sender(), body, updates },
+            "{name}: decoded"
+        );
+        let again = bytes_of(&packet.sender, &packet.body, &packet.updates, most);
         assert_eq!(again, (stored, fit), "{name}: encoded again");
     }
-    let fit = |name: &str, most: usize| decode(FLEET, &file(name), most).map(|packet| packet.news.len());
-    assert_eq!(fit("gossip.bin", DATAGRAM), Ok(8));
-    assert_eq!(fit("exchanged.bin", FRAME), Ok(300));
-    assert!(fit("gossip_full.bin", DATAGRAM).is_ok_and(|fit| (20..100).contains(&fit)));
+    let fit = |name: &str, most: usize| decode(FLEET, &file(name), most).map(|packet| packet.updates.len());
+    assert_eq!(fit("gossip.bin", MAX_DATAGRAM_BYTES), Ok(8));
+    assert_eq!(fit("exchanged.bin", MAX_FRAME_BYTES), Ok(300));
+    assert!(fit("gossip_full.bin", MAX_DATAGRAM_BYTES).is_ok_and(|fit| (20..100).contains(&fit)));
 }
 
 /// A process that takes over a relay reads the table that the one before it wrote.
 #[test]
 fn the_table_for_the_next_process_is_read_and_written_the_same() {
-    let own = Own {
+    let local = LocalMember {
         fleet: FLEET.into(),
         name: sender().name,
         addr: sender().addr,
         start: 1,
-        about: sender().about,
+        metadata: sender().metadata,
         peers: vec![v4(2)],
-        configured: 3,
-        seed: 1,
+        configured_relays: 3,
+        random_seed: 1,
     };
-    let mut membership = Membership::new(own);
-    membership.inherit(1_800_000_000_000_100, &file("exchanged.bin"));
-    assert_eq!(membership.rank(), Rank { incarnation: 4, ..sender().rank });
-    assert_eq!(membership.members().count(), 150, "those that may be there");
-    assert_eq!(membership.estate(), file("estate.bin"));
+    let mut membership = Membership::new(local);
+    membership.restore(1_800_000_000_000_100, &file("exchanged.bin"));
+    assert_eq!(membership.incarnation(), Incarnation { counter: 4, ..sender().incarnation });
+    assert_eq!(membership.members().count(), 150, "those that are live");
+    assert_eq!(membership.snapshot(), file("estate.bin"));
 }
 
 #[test]
--- a/membership/tests/messages.rs
+++ b/membership/tests/messages.rs
@@ -1,13 +1,14 @@
 //! The bytes between relays: what is written is read; what is damaged, cut short, of another version or of
 //! another fleet is a fault by name, whatever the bytes are, and never more than that.
 use hallrelay_membership::message::{
-    decode, encode, written, Body, Fault, Packet, DATAGRAM, FRAME, LISTENERS, NAME,
+    decode, encode, encode_update, DecodeError, MessageBody, Packet, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES,
+    MAX_LISTENERS, MAX_NAME_BYTES,
 };
-use hallrelay_membership::{About, Claim, Duty, Rank, State};
+use hallrelay_membership::{Incarnation, MemberMetadata, MemberState, ReportedLifecycle, Update};
 use oorandom::Rand64;
 use std::net::SocketAddr;
 
-fn claim(rng: &mut Rand64) -> Claim {
+fn update(rng: &mut Rand64) -> Update {
     let below = |rng: &mut Rand64, end: u64| rng.rand_range(0..end);
     let v6 = below(rng, 4) == 0;
     let port = 1 + below(rng, 60_000) as u16;
@@ -15,38 +16,40 @@
         true => ([0x2001, 0xdb8, 0, 0, 0, 0, 0, 1 + below(rng, 99) as u16], port).into(),
         false => ([10, 0, below(rng, 256) as u8, 1 + below(rng, 255) as u8], port).into(),
     };
-    let name = "n".repeat(1 + below(rng, NAME as u64) as usize);
-    Claim {
+    let name = "n".repeat(1 + below(rng, MAX_NAME_BYTES as u64) as usize);
+    Update {
         name: name.into(),
         addr,
-        rank: Rank { start: rng.rand_u64() >> below(rng, 64), incarnation: rng.rand_u64() as u32 },
-        state: State::ALL[below(rng, 4) as usize],
-        by: (below(rng, 2) == 0).then(|| "accuser".into()),
-        about: About {
+        incarnation: Incarnation { start: rng.rand_u64() >> below(rng, 64), counter: rng.rand_u64() as u32 },
+        state: MemberState::ALL[below(rng, 4) as usize],
+        reporter: (below(rng, 2) == 0).then(|| "accuser".into()),
+        metadata: MemberMetadata {
             version: "0.4.0".into(),
-            digest: rng.rand_u64() as u32,
-            duty: Duty::Draining,
+            settings_digest: rng.rand_u64() as u32,
+            lifecycle: ReportedLifecycle::Draining,
             sessions: below(rng, 100_000) as u32,
-            load: (0..below(rng, LISTENERS as u64 + 1)).map(|i| i as u32).collect(),
+            listener_sessions: (0..below(rng, MAX_LISTENERS as u64 + 1)).map(|i| i as u32).collect(),
         },
     }
 }
 
 fn sample(rng: &mut Rand64, most: usize) -> (Packet, Vec<u8>) {
-    let name: std::rc::Rc<str> = "relay".into();
+    let target: std::rc::Rc<str> = "relay".into();
     let bodies = [
-        Body::Ping { seq: 7 },
-        Body::Ask { seq: 9, name, addr: "10.0.0.1:7".parse().expect("an address") },
-        Body::Gossip,
-        Body::Exchange,
+        MessageBody::Ping { sequence: 7 },
+        MessageBody::PingRequest { sequence: 9, target, addr: "10.0.0.1:7".parse().expect("an address") },
+        MessageBody::Gossip,
+        MessageBody::PushPullRequest,
     ];
-    let (own, fleet) = (claim(rng), "trunk".into());
-    let news: Vec<Claim> = (0..rng.rand_range(0..40)).map(|_| claim(rng)).collect();
+    let sender = update(rng);
+    let fleet = "trunk".into();
+    let updates: Vec<Update> = (0..rng.rand_range(0..40)).map(|_| update(rng)).collect();
     let body = bodies[rng.rand_range(0..4) as usize].clone();
-    let bytes: Vec<Vec<u8>> = news.iter().map(written).collect();
-    let (bytes, fit) = encode(&fleet, &own, body.clone(), bytes.iter().map(Vec::as_slice), most);
-    assert!(bytes.len() <= most && fit <= news.len());
-    (Packet { fleet, own, body, news: news[..fit].to_vec() }, bytes)
+    let encoded: Vec<Vec<u8>> = updates.iter().map(encode_update).collect();
+    let packet = encode(&fleet, &sender, body.clone(), encoded.iter().map(Vec::as_slice), most);
+    assert!(packet.bytes.len() <= most && packet.update_count <= updates.len());
+    let updates = updates[..packet.update_count].to_vec();
+    (Packet { fleet, sender, body, updates }, packet.bytes)
 }
 
 #[test]
@@ -54,18 +57,19 @@
     let mut rng = Rand64::new(1);
     let mut full = 0;
     for _ in 0..2_000 {
-        let (packet, bytes) = sample(&mut rng, DATAGRAM);
-        full += usize::from(bytes.len() > DATAGRAM - 250);
-        assert_eq!(decode("trunk", &bytes, DATAGRAM), Ok(packet));
-        assert_eq!(decode("other", &bytes, DATAGRAM), Err(Fault::OtherFleet));
+        let (packet, bytes) = sample(&mut rng, MAX_DATAGRAM_BYTES);
+        full += usize::from(bytes.len() > MAX_DATAGRAM_BYTES - 250);
+        assert_eq!(decode("trunk", &bytes, MAX_DATAGRAM_BYTES), Ok(packet));
+        assert_eq!(decode("other", &bytes, MAX_DATAGRAM_BYTES), Err(DecodeError::WrongFleet));
     }
     assert!(full > 500, "many datagrams are full: {full}");
     // A thousand members fit into one frame.
-    let claims: Vec<Vec<u8>> = (0..1_000).map(|_| written(&claim(&mut rng))).collect();
-    let own = claim(&mut rng);
-    let (bytes, fit) =
-        encode(&"trunk".into(), &own, Body::Exchanged, claims.iter().map(Vec::as_slice), FRAME);
-    assert_eq!((fit, decode("trunk", &bytes, FRAME).map(|p| p.news.len())), (1_000, Ok(1_000)));
+    let updates: Vec<Vec<u8>> = (0..1_000).map(|_| encode_update(&update(&mut rng))).collect();
+    let sender = update(&mut rng);
+    let updates = updates.iter().map(Vec::as_slice);
+    let packet = encode(&"trunk".into(), &sender, MessageBody::PushPullResponse, updates, MAX_FRAME_BYTES);
+    let decoded = decode("trunk", &packet.bytes, MAX_FRAME_BYTES).map(|packet| packet.updates.len());
+    assert_eq!((packet.update_count, decoded), (1_000, Ok(1_000)));
 }
 
 #[test]
@@ -76,14 +80,18 @@
         for at in 0..bytes.len() {
             let mut damaged = bytes.clone();
             damaged[at] ^= 1 + rng.rand_range(0..255) as u8;
-            let wanted = if at == 0 { Fault::Version } else { Fault::Damaged };
-            assert_eq!(decode("trunk", &damaged, DATAGRAM), Err(wanted), "byte {at}");
-            assert_eq!(decode("trunk", &bytes[..at], DATAGRAM), Err(Fault::Damaged), "cut at {at}");
+            let wanted = if at == 0 { DecodeError::UnsupportedVersion } else { DecodeError::Malformed };
+            assert_eq!(decode("trunk", &damaged, MAX_DATAGRAM_BYTES), Err(wanted), "byte {at}");
+            assert_eq!(
+                decode("trunk", &bytes[..at], MAX_DATAGRAM_BYTES),
+                Err(DecodeError::Malformed),
+                "cut at {at}"
+            );
         }
         let mut longer = bytes.clone();
         longer.push(0);
-        assert_eq!(decode("trunk", &longer, DATAGRAM), Err(Fault::Damaged));
-        assert_eq!(decode("trunk", &bytes, bytes.len() - 1), Err(Fault::Damaged), "over the bound");
+        assert_eq!(decode("trunk", &longer, MAX_DATAGRAM_BYTES), Err(DecodeError::Malformed));
+        assert_eq!(decode("trunk", &bytes, bytes.len() - 1), Err(DecodeError::Malformed), "over the bound");
     }
 }
 
@@ -109,10 +117,12 @@
         }
         let sum = crc32fast::hash(&bytes[5..]);
         bytes[1..5].copy_from_slice(&sum.to_le_bytes());
-        if let Ok(packet) = decode("trunk", &bytes, DATAGRAM) {
+        if let Ok(packet) = decode("trunk", &bytes, MAX_DATAGRAM_BYTES) {
             sound += 1;
-            let all = packet.news.iter().chain([&packet.own]);
-            assert!(all.clone().all(|c| !c.name.is_empty() && c.name.len() <= NAME && c.addr.port() != 0));
+            let all = packet.updates.iter().chain([&packet.sender]);
+            assert!(all
+                .clone()
+                .all(|u| !u.name.is_empty() && u.name.len() <= MAX_NAME_BYTES && u.addr.port() != 0));
         }
     }
     assert!(sound > 1_000, "some are sound still: {sound}");
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::shelf::{self, Shelf};
 use crate::status;
 use clap::{Parser, Subcommand};
-use hallrelay_config::fleet::Fleet;
+use hallrelay_config::fleet::FleetConfig;
 use hallrelay_config::node::{self, Node, Told};
 use slog::{o, Drain};
 use std::net::SocketAddr;
@@ -144,13 +144,13 @@
                 None => println!("operators have nowhere to call: operator is not given"),
             }
             if let Some(fleet) = &node.fleet {
-                let Fleet { name, listen, advertise, peers, voters } = fleet;
+                let FleetConfig { name, listen, advertise, peers, consensus } = fleet;
                 println!(
                     "fleet {name} on {listen}, reached at {advertise}, {} addresses of others",
                     peers.len()
                 );
-                if let Some(voters) = voters {
-                    let (names, budgets) = (&voters.names, voters.budgets.len());
+                if let Some(consensus) = consensus {
+                    let (names, budgets) = (&consensus.voters, consensus.budgets.len());
                     println!("what may be out is agreed by {}, {budgets} budgets", names.join(", "));
                 }
             }
--- a/relay/src/figures.rs
+++ b/relay/src/figures.rs
@@ -1,7 +1,7 @@
 //! Figures in the words and the form that operators read: a line each, `NAME:VALUE|KIND`.
 use crate::lines::plain;
 use crate::reducer::Figures;
-use hallrelay_membership::State;
+use hallrelay_membership::MemberState;
 use std::fmt::Write;
 
 pub fn text(figures: &Figures) -> String {
@@ -27,26 +27,26 @@
         let counts = [("batches", store.batches), ("failures", store.failures), ("refused", store.refused)];
         counts.iter().for_each(|(name, value)| line(&format!("store_{name}"), *value, 'c'));
     }
-    if let Some(fleet) = &figures.fleet {
-        let c = &fleet.counts;
-        for (state, n) in State::ALL.iter().zip(fleet.states) {
-            line(&format!("fleet_{}", state.word()), n as u64, 'g');
+    if let Some(membership) = &figures.membership {
+        let c = &membership.counters;
+        for (state, n) in MemberState::ALL.iter().zip(membership.members_by_state) {
+            line(&format!("fleet_{}", state.as_str()), n as u64, 'g');
         }
-        line("fleet_heard_relays", fleet.hears as u64, 'g');
+        line("fleet_heard_relays", membership.reachable_relays as u64, 'g');
         let counts = [
-            ("sent", c.sent),
-            ("sent_bytes", c.sent_bytes),
-            ("heard", c.heard),
+            ("sent", c.datagrams_sent),
+            ("sent_bytes", c.bytes_sent),
+            ("heard", c.packets_received),
             ("probes", c.probes),
-            ("accused", c.accused),
-            ("buried", c.buried),
-            ("refuted", c.refuted),
-            ("late", c.late),
-            ("hearsay", fleet.hearsay),
+            ("accused", c.suspicions),
+            ("buried", c.declared_dead),
+            ("refuted", c.refutations),
+            ("late", c.stalls),
+            ("hearsay", membership.peer_lists_accepted),
         ];
         counts.iter().for_each(|(name, value)| line(&format!("fleet_{name}"), *value, 'c'));
-        for (what, n) in &c.dropped {
-            line(&format!("fleet_dropped.{}", what.word()), *n, 'c');
+        for (reason, n) in &c.dropped {
+            line(&format!("fleet_dropped.{}", reason.as_str()), *n, 'c');
         }
     }
     text
--- /dev/null
+++ b/relay/src/net/membership.rs
@@ -0,0 +1,306 @@
+//! Membership's sockets: a UDP socket for datagrams, and a TCP listener on the same port for streams that
+//! carry whole tables. What is no packet of this fleet is dropped and counted here, and the datagrams read in
+//! a second are bounded, so that other senders cannot delay sessions.
+use super::{accept, listener, Hub};
+use crate::clock::span;
+use crate::reducer::Event;
+use crate::socket::{self, Steady};
+use hallrelay_config::fleet::FleetConfig;
+use hallrelay_membership::message::{
+    decode, DecodeError, DropReason, Packet, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES,
+};
+use hallrelay_membership::Event as MembershipEvent;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
+use tokio::sync::{oneshot, Semaphore};
+use tokio::task::AbortHandle;
+use tokio::time::timeout;
+use tokio_util::bytes::{Bytes, BytesMut};
+use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
+
+/// Streams of other relays that wait to be accepted.
+const BACKLOG: u32 = 64;
+/// Between two attempts to bind a port that the process before this one has still: it closes it within
+/// moments of handing over.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// The read limit of a second is divided into so many slots: a flood stops reading for the rest of one slot,
+/// less than after which a ping is sent again.
+const SLOTS_PER_SECOND: u32 = 20;
+
+/// Both sockets, on one port.
+pub struct BoundSockets {
+    datagrams: UdpSocket,
+    streams: TcpListener,
+}
+
+/// Binds both sockets.
+///
+/// # Errors
+/// That of the bind that failed, with the address and its key in the configuration.
+pub async fn bind(addr: SocketAddr) -> io::Result<BoundSockets> {
+    let with_key = |e: io::Error| io::Error::new(e.kind(), format!("fleet.listen {addr}: {e}"));
+    let datagrams = socket::once_there_is_room(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
+    let streams = listener::bind(addr, BACKLOG).await.map_err(with_key)?;
+    Ok(BoundSockets { datagrams, streams })
+}
+
+/// The socket that datagrams are sent from; none while it is closed.
+type SharedSocket = Rc<RefCell<Option<Rc<UdpSocket>>>>;
+
+/// Streams of other relays that wait for their answer, by number.
+type PendingReplies = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Option<Vec<u8>>>>>>;
+
+/// Carries out membership's effects.
+pub struct MembershipSockets {
+    config: Rc<FleetConfig>,
+    hub: Hub,
+    /// Bound at the start; none where another process has the port still.
+    bound: Option<BoundSockets>,
+    socket: SharedSocket,
+    task: Option<AbortHandle>,
+    replies: PendingReplies,
+    /// Limits the streams that this relay opens.
+    outbound_streams: Arc<Semaphore>,
+}
+
+impl MembershipSockets {
+    /// Closed until [`MembershipSockets::set_listening`]; `bound` are sockets that are bound already.
+    pub fn new(config: FleetConfig, bound: Option<BoundSockets>, hub: Hub) -> MembershipSockets {
+        let outbound_streams = Arc::new(Semaphore::new(hub.limits().fleet_streams));
+        MembershipSockets {
+            config: Rc::new(config),
+            hub,
+            bound,
+            socket: Rc::default(),
+            task: None,
+            replies: Rc::default(),
+            outbound_streams,
+        }
+    }
+
+    /// Opens both sockets, or closes them.
+    pub fn set_listening(&mut self, enabled: bool) {
+        self.task.take().inspect(AbortHandle::abort);
+        self.socket.borrow_mut().take();
+        if enabled {
+            let task = serve(
+                self.bound.take(),
+                self.config.clone(),
+                self.socket.clone(),
+                self.replies.clone(),
+                self.hub.clone(),
+            );
+            self.task = Some(tokio::task::spawn_local(task).abort_handle());
+        }
+    }
+
+    /// Sends a datagram. One that the socket does not take at once is dropped, as if it were lost on its way.
+    pub fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
+        if let Some(socket) = self.socket.borrow().as_ref() {
+            if let Err(e) = socket.try_send_to(bytes, to) {
+                slog::debug!(self.hub.log, "a datagram did not go"; "to" => %to, "error" => %e);
+            }
+        }
+    }
+
+    /// Sends a frame on a new stream, and reports its answer. Where all streams are in use nothing is sent.
+    pub fn open_stream(&self, to: SocketAddr, bytes: Vec<u8>) {
+        let Ok(permit) = self.outbound_streams.clone().try_acquire_owned() else { return };
+        let config = self.config.clone();
+        let hub = self.hub.clone();
+        tokio::task::spawn_local(async move {
+            let limit = span(hub.limits().fleet_stream);
+            match timeout(limit, exchange_frames(&config, to, bytes)).await {
+                Ok(Ok(Ok(packet))) => {
+                    let packet = Box::new(packet);
+                    hub.tell(Event::Membership(MembershipEvent::StreamResponse { packet })).await;
+                }
+                Ok(Ok(Err(error))) => report_dropped(&hub, error.into(), 1).await,
+                Ok(Err(e)) => slog::debug!(hub.log, "a relay is not reached"; "at" => %to, "error" => %e),
+                Err(_) => slog::debug!(hub.log, "a relay does not answer"; "at" => %to),
+            }
+            drop(permit);
+        });
+    }
+
+    /// Ends a stream that another relay opened, with the answer if there is one.
+    pub fn reply(&self, stream: u64, bytes: Option<Vec<u8>>) {
+        if let Some(reply) = self.replies.borrow_mut().remove(&stream) {
+            // The stream may have timed out.
+            _ = reply.send(bytes);
+        }
+    }
+}
+
+async fn report_dropped(hub: &Hub, reason: DropReason, count: u64) {
+    hub.tell(Event::Membership(MembershipEvent::PacketsDropped { reason, count })).await;
+}
+
+/// Binds the sockets unless they are bound, and reads both until the task is aborted.
+async fn serve(
+    bound: Option<BoundSockets>,
+    config: Rc<FleetConfig>,
+    socket: SharedSocket,
+    replies: PendingReplies,
+    hub: Hub,
+) {
+    let bound = match bound {
+        Some(bound) => bound,
+        None => bind_when_free(config.listen, &hub).await,
+    };
+    let datagrams = Rc::new(bound.datagrams);
+    *socket.borrow_mut() = Some(datagrams.clone());
+    let read = read_datagrams(datagrams, &config, &hub);
+    let accept = accept_streams(bound.streams, &config, replies, &hub);
+    tokio::join!(read, accept);
+}
+
+/// Binds once the process before this one has closed the port.
+async fn bind_when_free(addr: SocketAddr, hub: &Hub) -> BoundSockets {
+    let mut logged = false;
+    loop {
+        match bind(addr).await {
+            Ok(bound) => return bound,
+            Err(e) if !logged => {
+                logged = true;
+                slog::info!(hub.log, "waiting for the fleet's port"; "error" => %e);
+            }
+            Err(_) => {}
+        }
+        tokio::time::sleep(BIND_RETRY_INTERVAL).await;
+    }
+}
+
+/// Reads as many datagrams as a slot allows, and reports what was dropped once a second.
+async fn read_datagrams(socket: Rc<UdpSocket>, config: &FleetConfig, hub: &Hub) {
+    let mut slot = tokio::time::interval(Duration::from_secs(1) / SLOTS_PER_SECOND);
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+    let mut left_in_slot = 0u32;
+    let mut slots = 0u32;
+    let mut dropped = BTreeMap::<DropReason, u64>::new();
+    loop {
+        tokio::select! {
+            biased;
+            _ = slot.tick() => {
+                left_in_slot = hub.limits().fleet_datagrams / SLOTS_PER_SECOND;
+                slots += 1;
+                if slots.is_multiple_of(SLOTS_PER_SECOND) {
+                    for (reason, count) in std::mem::take(&mut dropped) {
+                        report_dropped(hub, reason, count).await;
+                    }
+                }
+            }
+            received = socket.recv_from(&mut buffer), if left_in_slot > 0 => {
+                // An error here is of a datagram that was sent before; the next read may succeed.
+                let Ok((length, from)) = received else { continue };
+                left_in_slot -= 1;
+                if left_in_slot == 0 {
+                    *dropped.entry(DropReason::RateLimited).or_default() += 1;
+                }
+                match decode(&config.name, &buffer[..length], MAX_DATAGRAM_BYTES) {
+                    Ok(packet) => {
+                        let packet = Box::new(packet);
+                        let event = MembershipEvent::DatagramReceived { from, packet };
+                        hub.tell(Event::Membership(event)).await;
+                    }
+                    Err(error) => *dropped.entry(error.into()).or_default() += 1,
+                }
+            }
+        }
+    }
+}
+
+/// Accepts other relays' streams; each is served by a task of its own.
+async fn accept_streams(listener: TcpListener, config: &FleetConfig, replies: PendingReplies, hub: &Hub) {
+    let inbound_streams = Arc::new(Semaphore::new(hub.limits().fleet_streams));
+    let mut last_number = 0;
+    loop {
+        let stream = accept::next(&listener, "another relay's stream", hub).await;
+        // A stream over the limit is closed at once: the other relay tries again.
+        let Ok(permit) = inbound_streams.clone().try_acquire_owned() else { continue };
+        last_number += 1;
+        let number = last_number;
+        let fleet = config.name.clone();
+        let replies = replies.clone();
+        let hub = hub.clone();
+        tokio::task::spawn_local(async move {
+            let limit = span(hub.limits().fleet_stream);
+            if timeout(limit, serve_stream(number, stream, &fleet, &replies, &hub)).await.is_err() {
+                slog::debug!(hub.log, "another relay's stream was not whole in time");
+            }
+            replies.borrow_mut().remove(&number);
+            drop(permit);
+        });
+    }
+}
+
+/// Reads one frame, and writes the answer to it.
+async fn serve_stream(number: u64, stream: TcpStream, fleet: &str, replies: &PendingReplies, hub: &Hub) {
+    let Ok(from) = stream.peer_addr() else { return };
+    let mut stream = Steady(stream);
+    let frame = read_frame(&mut stream).await.map_err(|_| DecodeError::Malformed);
+    let packet = match frame.and_then(|frame| decode(fleet, &frame, MAX_FRAME_BYTES)) {
+        Ok(packet) => Box::new(packet),
+        Err(error) => return report_dropped(hub, error.into(), 1).await,
+    };
+    let (reply, replied) = oneshot::channel();
+    replies.borrow_mut().insert(number, reply);
+    let event = MembershipEvent::StreamRequest { stream: number, from, packet };
+    hub.tell(Event::Membership(event)).await;
+    if let Ok(Some(bytes)) = replied.await {
+        _ = write_frame(&mut stream, bytes).await;
+    }
+}
+
+/// Sends a frame on a new stream and reads the answer. The stream comes from the address that this relay
+/// listens on, as the other checks it against the address that is reported.
+async fn exchange_frames(
+    config: &FleetConfig,
+    to: SocketAddr,
+    bytes: Vec<u8>,
+) -> io::Result<Result<Packet, DecodeError>> {
+    let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let own = config.listen.ip();
+    if !own.is_unspecified() && own.is_ipv4() == to.is_ipv4() {
+        socket.bind(SocketAddr::new(own, 0))?;
+    }
+    let mut stream = Steady(socket.connect(to).await?);
+    write_frame(&mut stream, bytes).await?;
+    let frame = read_frame(&mut stream).await?;
+    Ok(decode(&config.name, &frame, MAX_FRAME_BYTES))
+}
+
+/// Frames have their length before them, four bytes, most significant first.
+fn frame_codec() -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
+}
+
+fn write_frame(stream: &mut Steady, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>> + '_ {
+    let mut frame = BytesMut::new();
+    let encoded = frame_codec().encode(Bytes::from(bytes), &mut frame);
+    async move {
+        encoded?;
+        stream.write_all(&frame).await
+    }
+}
+
+async fn read_frame(stream: &mut Steady) -> io::Result<BytesMut> {
+    let mut codec = frame_codec();
+    let mut buffer = BytesMut::new();
+    loop {
+        if let Some(frame) = codec.decode(&mut buffer)? {
+            return Ok(frame);
+        }
+        if stream.read_buf(&mut buffer).await? == 0 {
+            return Err(io::ErrorKind::UnexpectedEof.into());
+        }
+    }
+}
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -6,10 +6,11 @@
 mod discovery;
 mod end;
 mod first_line;
-mod fleet;
 mod handover;
 #[cfg(test)]
 mod interleaving_tests;
+mod listener;
+mod membership;
 mod operator;
 mod pass;
 mod peers;
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,19 +1,20 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
 use super::permit::Terms;
-use super::{accept, discovery, fleet, handover, operator, peers, probe, stop, store, Command, Hub};
+use super::{
+    accept, discovery, handover, listener, membership, operator, peers, probe, stop, store, Command, Hub,
+};
 use crate::clock::span;
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
-use crate::socket;
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
-use hallrelay_membership::Effect as Told;
+use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_store::writer::Health;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
@@ -31,7 +32,7 @@
     /// Whether connections are taken here; other processes, and where they come.
     taking: watch::Sender<bool>,
     door: Option<Door>,
-    links: Option<fleet::Links>,
+    membership_sockets: Option<membership::MembershipSockets>,
     keeper: Option<store::Keeper>,
     /// Dials that wait for a fact to be written: by session its number; till when, and what then goes out.
     tickets: BTreeMap<SessId, u64>,
@@ -67,23 +68,26 @@
     let offer = door.as_deref().map_or(Ok(None), |path| handover::ask(path, &node));
     let offer = offer.map_err(std::io::Error::other)?;
     let (before, listener) = match offer {
-        Some(offer) => (Some(offer.talk), from_std(offer.listener)?),
-        None => (None, listen(node.listen, BACKLOG).await?),
+        Some(offer) => (Some(offer.talk), listener::from_std(offer.listener)?),
+        None => (None, listener::bind(node.listen, BACKLOG).await?),
     };
     let listener = Rc::new(listener);
     let (to_calls, mut calls) = mpsc::channel(limits.callers);
     if let Some(place) = node.operator {
         // Guards a caller that comes behind a crowd: where the queue is full its first packet is dropped, and
         // the next one comes a second later.
-        let listener = listen(place, BACKLOG).await?;
+        let listener = listener::bind(place, BACKLOG).await?;
         tokio::task::spawn_local(operator::run(listener, to_calls, hub.clone()));
     }
-    let links = match &node.fleet {
+    let membership_sockets = match &node.fleet {
         None => None,
         // The process before this one has the port till it gives its place.
-        Some(told) if before.is_some() => Some(fleet::Links::new(told.clone(), None, hub.clone())),
-        Some(told) => {
-            Some(fleet::Links::new(told.clone(), Some(fleet::bind(told.listen).await?), hub.clone()))
+        Some(config) if before.is_some() => {
+            Some(membership::MembershipSockets::new(config.clone(), None, hub.clone()))
+        }
+        Some(config) => {
+            let bound = membership::bind(config.listen).await?;
+            Some(membership::MembershipSockets::new(config.clone(), Some(bound), hub.clone()))
         }
     };
     let mut keeper = node.state.as_deref().map(|path| store::Keeper::new(path, limits.state_bytes));
@@ -107,7 +111,7 @@
         calls: BTreeMap::new(),
         taking,
         door: door.map(|path| Door { path, listener: listener.clone(), wait: None }),
-        links,
+        membership_sockets,
         keeper,
         tickets: BTreeMap::new(),
         waiting: VecDeque::new(),
@@ -167,24 +171,6 @@
     }
 }
 
-fn from_std(listener: std::net::TcpListener) -> std::io::Result<TcpListener> {
-    listener.set_nonblocking(true)?;
-    TcpListener::from_std(listener)
-}
-
-/// Listens at a place.
-pub(super) async fn listen(place: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
-    let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("{place}: {e}"));
-    socket::once_there_is_room(|| async { listen_now(place, backlog) }).await.map_err(named)
-}
-
-fn listen_now(place: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
-    let socket = if place.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?;
-    socket.bind(place)?;
-    socket.listen(backlog)
-}
-
 impl Hands {
     fn called(&mut self, what: OperatorRequest, answer: oneshot::Sender<OperatorReply>) -> Event {
         self.asked += 1;
@@ -345,22 +331,7 @@
                     // The path is the other process's to take.
                     self.door.as_mut().and_then(|door| door.wait.take()).inspect(AbortHandle::abort);
                 }
-                Effect::Membership(effect) => {
-                    let Some(links) = &mut self.links else { continue };
-                    match effect {
-                        Told::Open { on } => links.open(on),
-                        Told::Send { to, bytes } => links.send(to, &bytes),
-                        Told::Visit { to, bytes } => links.visit(to, bytes),
-                        Told::Answer { stream, bytes } => links.answer(stream, bytes),
-                        // These are the reducer's own by now.
-                        Told::Alarm { .. }
-                        | Told::Note { .. }
-                        | Told::Found { .. }
-                        | Told::Asked { .. }
-                        | Told::Said { .. }
-                        | Told::Recalled { .. } => {}
-                    }
-                }
+                Effect::Membership(effect) => self.carry_out_membership(effect),
                 Effect::Log { what } => slog::info!(self.hub.log, "{}", what),
                 Effect::Abort { why } => {
                     let why = format!("the running process keeps its place: {why}");
@@ -371,6 +342,23 @@
         }
     }
 
+    fn carry_out_membership(&mut self, effect: MembershipEffect) {
+        let Some(sockets) = &mut self.membership_sockets else { return };
+        match effect {
+            MembershipEffect::SetListening { enabled } => sockets.set_listening(enabled),
+            MembershipEffect::SendDatagram { to, bytes } => sockets.send_datagram(to, &bytes),
+            MembershipEffect::OpenStream { to, bytes } => sockets.open_stream(to, bytes),
+            MembershipEffect::ReplyOnStream { stream, bytes } => sockets.reply(stream, bytes),
+            // The reducer has carried these out.
+            MembershipEffect::SetTimer { .. }
+            | MembershipEffect::Log { .. }
+            | MembershipEffect::MemberChanged { .. }
+            | MembershipEffect::EndpointListRequested { .. }
+            | MembershipEffect::EndpointListReceived { .. }
+            | MembershipEffect::UserMessageReceived { .. } => {}
+        }
+    }
+
     /// Leaves no path behind that nobody answers at.
     fn close_door(&mut self) {
         if let Some(door) = self.door.take().filter(|door| door.wait.is_some()) {
--- a/relay/src/reducer/agreed.rs
+++ b/relay/src/reducer/agreed.rs
@@ -7,10 +7,10 @@
 use super::{note, Effect, Reducer, Timer};
 use crate::talk::{Talk, Told};
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::fleet::Voters;
+use hallrelay_config::consensus::ConsensusConfig;
 use hallrelay_disruption::judge::Tally;
 use hallrelay_disruption::{Command, Outcome, State, Thing};
-use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Event as MembershipEvent;
 use hallrelay_raft::{self as agreement, Event, Id, Index, Node, Role, Voter, Write};
 use hallrelay_recovery::{Kept, Stored};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,7 +28,7 @@
 pub(super) struct Agreed {
     pub own: Rc<str>,
     /// As configured.
-    pub told: Voters,
+    pub told: ConsensusConfig,
     pub names: BTreeMap<Id, Rc<str>>,
     /// Where this relay is a voter that knows what it promised.
     pub node: Option<Node>,
@@ -60,8 +60,8 @@
 }
 
 impl Agreed {
-    pub(super) fn new(own: &str, told: &Voters, seed: u64, now: Micros) -> Agreed {
-        let names = told.names.iter().map(|name| (server_id(name), Rc::from(name.as_str()))).collect();
+    pub(super) fn new(own: &str, told: &ConsensusConfig, seed: u64, now: Micros) -> Agreed {
+        let names = told.voters.iter().map(|name| (server_id(name), Rc::from(name.as_str()))).collect();
         let chance = oorandom::Rand64::new(u128::from(seed) << 64 | u128::from(now) << 1 | 1);
         Agreed {
             own: own.into(),
@@ -83,7 +83,7 @@
             // No earlier life of this relay has said one as late.
             last_call: now,
             shut: Default::default(),
-            moves: told.moves,
+            moves: told.migrations_per_s,
             owed: 0,
             said: BTreeMap::new(),
             evidence: Evidence::default(),
@@ -288,7 +288,10 @@
     }
 
     pub(super) fn talk(&mut self, to: &Rc<str>, talk: &Talk, out: &mut Vec<Effect>) {
-        self.fleet(Fleet::Say { name: Some(to.clone()), bytes: talk.encode() }, out);
+        self.step_membership(
+            MembershipEvent::SendUserMessage { to: Some(to.clone()), bytes: talk.encode() },
+            out,
+        );
     }
 
     /// A member's word. Only voters' words on what is agreed count.
--- a/relay/src/reducer/duty.rs
+++ b/relay/src/reducer/duty.rs
@@ -134,7 +134,7 @@
             Nothing | Refuse => {}
         }
         if from != next {
-            self.tell_fleet(out);
+            self.refresh_metadata(out);
         }
         act
     }
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -1,5 +1,5 @@
 //! What operators are told in numbers: counted where the state changes, read as a whole.
-use super::{FleetFigures, Reducer};
+use super::{MembershipMetrics, Reducer};
 use crate::net::permit::Denials;
 use hallrelay_store::writer::Health;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     pub known: usize,
     pub avoided: usize,
     /// Of the other relays; none where this one is told of none.
-    pub fleet: Option<Box<FleetFigures>>,
+    pub membership: Option<Box<MembershipMetrics>>,
     /// Of the store; none where nothing is kept.
     pub store: Option<Box<Health>>,
 }
@@ -68,7 +68,7 @@
             waiting: self.sessions.values().filter(|s| s.stage.waits()).count(),
             known: listed.clone().count(),
             avoided: listed.filter(|(&server, _)| self.module.avoids(self.now, server)).count(),
-            fleet: self.fleet_figures(),
+            membership: self.membership_metrics(),
             store: self.store.clone(),
             ..self.figures.clone()
         }
--- a/relay/src/reducer/hearsay.rs
+++ b/relay/src/reducer/hearsay.rs
@@ -3,7 +3,7 @@
 use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{self, Instance, List};
-use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Event as MembershipEvent;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -30,7 +30,7 @@
 impl Reducer {
     /// Asks others where discovery says nothing: this relay has its place, and its start is over.
     pub(super) fn begin_to_ask(&mut self, out: &mut Vec<Effect>) {
-        if self.fleet.is_some() {
+        if self.membership.is_some() {
             out.push(Effect::StartTimer { after: FIRST, alarm: Timer::PollPeers });
         }
     }
@@ -41,7 +41,7 @@
         }
         let again = if self.informed { LATER } else { AGAIN };
         out.push(Effect::StartTimer { after: again, alarm: Timer::PollPeers });
-        self.fleet(Fleet::Recall, out);
+        self.step_membership(MembershipEvent::PollEndpointList, out);
     }
 
     /// Another relay asks for the list as it stands here.
@@ -55,7 +55,7 @@
             }
         });
         let bytes = told.and_then(|told| serde_json::to_vec(&told).ok());
-        self.fleet(Fleet::Told { stream, bytes }, out);
+        self.step_membership(MembershipEvent::EndpointListReply { stream, bytes }, out);
     }
 
     /// What another relay says of the list. Discovery's own word, where it came meanwhile, outranks it.
@@ -101,7 +101,7 @@
 
     /// Discovery tells that servers are gone: no other's word brings them back.
     pub(super) fn remember_gone(&mut self, list: &List) {
-        if self.fleet.is_none() {
+        if self.membership.is_none() {
             return;
         }
         if list.whole {
--- a/relay/src/reducer/look.rs
+++ b/relay/src/reducer/look.rs
@@ -5,8 +5,8 @@
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_disruption::judge::Tally;
 use hallrelay_disruption::{Command, Condition, Place, Stage, Step, Thing};
-use hallrelay_membership::membership::Event as Fleet;
-use hallrelay_membership::{Duty, State as Member};
+use hallrelay_membership::Event as MembershipEvent;
+use hallrelay_membership::{MemberState, ReportedLifecycle};
 use serde::Serialize;
 
 /// How often; a drain that is agreed is heard by all within it, and a failure takes room as soon.
@@ -76,10 +76,10 @@
         let shut = Talk::Shut {
             index: a.applied,
             servers: a.shut_servers().into_iter().collect(),
-            moves: a.told.moves,
+            moves: a.told.migrations_per_s,
         };
         let own = a.own.clone();
-        self.fleet(Fleet::Say { name: None, bytes: shut.encode() }, out);
+        self.step_membership(MembershipEvent::SendUserMessage { to: None, bytes: shut.encode() }, out);
         let judged = self.judged();
         for command in self.due_commands().into_iter().chain(judged) {
             let call = 0; // nobody waits for its answer
@@ -110,7 +110,10 @@
         a.said.insert(a.own.clone(), Said { at: now, zone, kind, group, serving, left });
         let others: Vec<_> = a.names.values().filter(|name| **name != a.own).cloned().collect();
         for name in others {
-            self.fleet(Fleet::Say { name: Some(name), bytes: said.clone() }, out);
+            self.step_membership(
+                MembershipEvent::SendUserMessage { to: Some(name), bytes: said.clone() },
+                out,
+            );
         }
     }
 
@@ -137,7 +140,7 @@
         }
         for (thing, r) in a.state.things() {
             let since = a.since.get(thing).map_or(self.now, |since| since.1);
-            if r.stage == Stage::Granted && self.now >= since + a.told.begin_within {
+            if r.stage == Stage::Granted && self.now >= since + a.told.lease_start_timeout {
                 due.push(Command::Lapse { thing: thing.clone(), grant: r.grant });
             }
             // Who was let out and says by now that it serves is back, or never began.
@@ -159,22 +162,26 @@
 
     /// The other relays as membership has them, and this one.
     fn relays_seen(&self) -> Vec<(Thing, Place, Condition)> {
-        let (Some(a), Some(fleet)) = (&self.agreed, &self.fleet) else { return Vec::new() };
+        let (Some(a), Some(membership)) = (&self.agreed, &self.membership) else { return Vec::new() };
         let place = |name: &str| {
             let said = a.said.get(name);
             let of = |get: fn(&Said) -> &String| said.map(get).cloned().unwrap_or_default();
             Place { zone: of(|s| &s.zone), kind: of(|s| &s.kind), group: of(|s| &s.group) }
         };
-        let condition = |state: Member, duty: Duty| match (state, duty) {
-            (Member::Alive | Member::Suspect, Duty::Serving) => Condition::Up,
-            (Member::Alive | Member::Suspect, Duty::Starting) => Condition::Cold,
+        let condition = |state: MemberState, lifecycle: ReportedLifecycle| match (state, lifecycle) {
+            (MemberState::Alive | MemberState::Suspect, ReportedLifecycle::Serving) => Condition::Up,
+            (MemberState::Alive | MemberState::Suspect, ReportedLifecycle::Starting) => Condition::Cold,
             _ => Condition::Down,
         };
-        let others = fleet.members().filter(|m| a.said.contains_key(&m.claim.name));
+        let others = membership.members().filter(|m| a.said.contains_key(m.name()));
         let mut seen: Vec<_> = others
             .map(|m| {
-                let name = &m.claim.name;
-                (Thing::Relay(name.to_string()), place(name), condition(m.claim.state, m.claim.about.duty))
+                let name = m.name();
+                (
+                    Thing::Relay(name.to_string()),
+                    place(name),
+                    condition(m.state(), m.update.metadata.lifecycle),
+                )
             })
             .collect();
         let own = if self.serves() { Condition::Up } else { Condition::Down };
--- /dev/null
+++ b/relay/src/reducer/membership.rs
@@ -0,0 +1,150 @@
+//! Membership within a relay's state: what the relay reports of itself, when its process speaks for it, and
+//! what becomes of membership's effects. Nothing here goes to the balancer: it reckons with the configured
+//! number of relays, however many are reachable.
+use super::duty::Duty;
+use super::{note, Effect, Reducer, Timer};
+use hallrelay_balancer::types::Micros;
+use hallrelay_config::node::Node;
+use hallrelay_membership::message::MAX_LISTENERS;
+use hallrelay_membership::status::Status;
+use hallrelay_membership::{
+    Counters, Effect as MembershipEffect, Event as MembershipEvent, LocalMember, MemberMetadata, MemberState,
+    Membership, ReportedLifecycle,
+};
+use std::rc::Rc;
+
+/// Metrics of the other relays, where there are any by configuration.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct MembershipMetrics {
+    /// Membership's own counters.
+    pub counters: Counters,
+    /// Members in each state, in the order of [`MemberState::ALL`]; this relay itself counts as alive.
+    pub members_by_state: [usize; 4],
+    /// Relays that this one received from lately, itself included.
+    pub reachable_relays: usize,
+    /// Endpoint lists accepted from other relays while discovery was unavailable.
+    pub peer_lists_accepted: u64,
+}
+
+/// Membership of a relay that starts now; none where no fleet is configured.
+pub(super) fn new_membership(node: &Node, now: Micros) -> Option<Membership> {
+    let fleet = node.fleet.as_ref()?;
+    Some(Membership::new(LocalMember {
+        fleet: fleet.name.as_str().into(),
+        name: node.name.as_str().into(),
+        addr: fleet.advertise,
+        start: now,
+        metadata: MemberMetadata::default(),
+        peers: fleet.peers.clone(),
+        configured_relays: node.site.facts.relays as usize,
+        random_seed: node.seed,
+    }))
+}
+
+impl Reducer {
+    /// Steps membership, and carries out what of its effects is the reducer's own.
+    pub(super) fn step_membership(&mut self, event: MembershipEvent, out: &mut Vec<Effect>) {
+        let Some(membership) = &mut self.membership else { return };
+        let mut effects = Vec::new();
+        membership.step(self.now, event, &mut effects);
+        for effect in effects {
+            self.apply_membership_effect(effect, out);
+        }
+    }
+
+    fn apply_membership_effect(&mut self, effect: MembershipEffect, out: &mut Vec<Effect>) {
+        match effect {
+            MembershipEffect::SetTimer { after } => {
+                out.push(Effect::StartTimer { after, alarm: Timer::Membership })
+            }
+            MembershipEffect::Log { message } => note(message, out),
+            MembershipEffect::MemberChanged { name, state, reporter, restarted } => {
+                let details = match (state, &reporter) {
+                    (MemberState::Dead, Some(reporter)) => format!(", says {reporter}"),
+                    _ if restarted => ", started anew".to_string(),
+                    _ => String::new(),
+                };
+                note(format!("relay {name} is {}{details}", state.as_str()), out);
+            }
+            MembershipEffect::EndpointListRequested { stream } => self.tell_list(stream, out),
+            MembershipEffect::EndpointListReceived { from, bytes } => self.heard_say(&from, &bytes, out),
+            MembershipEffect::UserMessageReceived { from, bytes } => self.said(&from, &bytes, out),
+            for_sockets => out.push(Effect::Membership(for_sockets)),
+        }
+    }
+
+    /// Membership's timer. What this relay reports of itself is refreshed first.
+    pub(super) fn membership_timer_expired(&mut self, out: &mut Vec<Effect>) {
+        self.refresh_metadata(out);
+        self.step_membership(MembershipEvent::TimerExpired, out);
+    }
+
+    /// Hands membership what this relay reports of itself, as it is now.
+    pub(super) fn refresh_metadata(&mut self, out: &mut Vec<Effect>) {
+        if self.membership.is_some() {
+            let metadata = self.own_metadata();
+            self.step_membership(MembershipEvent::MetadataChanged { metadata }, out);
+        }
+    }
+
+    fn own_metadata(&self) -> MemberMetadata {
+        MemberMetadata {
+            version: Rc::from(env!("CARGO_PKG_VERSION")),
+            settings_digest: self.node.digest,
+            lifecycle: self.reported_lifecycle(),
+            sessions: self.sessions.len() as u32,
+            listener_sessions: self.sessions_by_listener(),
+        }
+    }
+
+    fn sessions_by_listener(&self) -> Vec<u32> {
+        let listeners = &self.node.site.listeners;
+        let mut counts = vec![0; listeners.len().min(MAX_LISTENERS)];
+        for session in self.sessions.values() {
+            // A session whose listener was removed meanwhile counts in the sum alone.
+            let index = listeners.iter().position(|listener| **listener == *session.listener);
+            if let Some(count) = index.and_then(|index| counts.get_mut(index)) {
+                *count += 1;
+            }
+        }
+        counts
+    }
+
+    fn reported_lifecycle(&self) -> ReportedLifecycle {
+        match self.duty {
+            Duty::Waiting => ReportedLifecycle::Starting,
+            Duty::Serving if !self.can_place() => ReportedLifecycle::Starting,
+            Duty::Serving | Duty::Relieved => ReportedLifecycle::Serving,
+            Duty::Draining | Duty::Away => ReportedLifecycle::Draining,
+            Duty::Stopping | Duty::Leaving => ReportedLifecycle::Stopping,
+        }
+    }
+
+    /// The relay ends, on purpose: the process that speaks for it announces that.
+    pub(super) fn leave_fleet(&mut self, out: &mut Vec<Effect>) {
+        if self.place.has() {
+            self.step_membership(MembershipEvent::Leave, out);
+        }
+    }
+
+    /// The answer of `GET /v1/fleet`; none where no fleet is configured.
+    pub(super) fn fleet_status(&self) -> Option<Box<Status>> {
+        let mut status = self.membership.as_ref()?.status(self.now);
+        status.recovery_stage = self.returning().word().to_string();
+        Some(Box::new(status))
+    }
+
+    /// Membership's part of the metrics; none where no fleet is configured.
+    pub(super) fn membership_metrics(&self) -> Option<Box<MembershipMetrics>> {
+        let membership = self.membership.as_ref()?;
+        let count = |state| membership.members().filter(|member| member.state() == state).count();
+        let mut members_by_state = MemberState::ALL.map(count);
+        members_by_state[0] += 1;
+        Some(Box::new(MembershipMetrics {
+            counters: membership.counters.clone(),
+            members_by_state,
+            reachable_relays: membership.reachable_count(),
+            peer_lists_accepted: self.hearsay.into(),
+        }))
+    }
+}
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -6,10 +6,10 @@
 mod events;
 mod evidence;
 mod figures;
-mod fleet;
 mod hearsay;
 mod keep;
 mod look;
+mod membership;
 mod place;
 mod release;
 mod servers;
@@ -21,7 +21,7 @@
 pub use duty::Word;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
-pub use fleet::FleetFigures;
+pub use membership::MembershipMetrics;
 pub use wish::Want;
 
 use duty::{Duty, Sign};
@@ -141,7 +141,7 @@
     owed: usize,
     figures: Figures,
     place: Place,
-    fleet: Option<Membership>,
+    membership: Option<Membership>,
     /// What the store held, till the start has gone by it; how the store does.
     stored: Option<Box<Stored>>,
     store: Option<Box<Health>>,
@@ -177,7 +177,7 @@
             held: (0, 0),
             module: Relay::new(node.site.facts.clone(), node.seed),
             figures: Figures::of(&node.site.listeners),
-            fleet: None,
+            membership: None,
             stored: None,
             store: None,
             agreed: None,
@@ -210,8 +210,8 @@
     /// Begins with the list as this relay last had it.
     pub fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
-        let voters = self.node.fleet.as_ref().and_then(|fleet| fleet.voters.as_ref());
-        let agreed = voters.map(|told| agreed::Agreed::new(&self.node.name, told, self.node.seed, now));
+        let consensus = self.node.fleet.as_ref().and_then(|fleet| fleet.consensus.as_ref());
+        let agreed = consensus.map(|told| agreed::Agreed::new(&self.node.name, told, self.node.seed, now));
         self.agreed = agreed.map(Box::new);
         let stored = self.stored.take();
         self.begin_to_agree(stored.as_deref(), out);
@@ -221,7 +221,7 @@
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
         self.generation = Some(known.generation);
         let start = now.max(recovered.start);
-        self.fleet = fleet::membership(&self.node, start);
+        self.membership = membership::new_membership(&self.node, start);
         self.list(known, out);
         self.remember_turns(&recovered, out);
         if self.place.before().is_none() {
@@ -288,7 +288,7 @@
             Event::SessionHandoverFailed { sess } => self.stays(sess),
             Event::SessionAdopted { sess, session } => self.inherited(sess, *session, out),
             Event::HotRestart(event) => self.placed(event, out),
-            Event::Membership(event) => self.fleet(event, out),
+            Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store = Some(health),
             Event::Timer(alarm) => self.alarm(alarm, out),
             Event::StopRequested => _ = self.turn(Sign::Stop, out),
@@ -354,7 +354,7 @@
             Timer::MigrateBatch(_) => {}
             Timer::HandoverOffer(peer) => self.placed(handover::Event::Due { peer }, out),
             Timer::HandoverProgress => self.holding(out),
-            Timer::Membership => self.fleet_alarm(out),
+            Timer::Membership => self.membership_timer_expired(out),
             Timer::RequestEndpointList => self.ask_list(out),
             Timer::PollPeers => self.recall(out),
             Timer::Voter(alarm, round) => self.agreed_alarm(alarm, round, out),
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -6,7 +6,7 @@
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::place::{Act, Event as Heard, Peer, PATIENCE};
 use hallrelay_hot_restart::{Message, Server, Session, State};
-use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Event as MembershipEvent;
 use hallrelay_membership::Membership;
 
 impl Reducer {
@@ -18,8 +18,8 @@
             None => {
                 out.push(Effect::SetAccepting { on: true });
                 out.push(Effect::SetTakeoverListener { open: true });
-                self.tell_fleet(out);
-                self.fleet(Fleet::Begin, out);
+                self.refresh_metadata(out);
+                self.step_membership(MembershipEvent::Activate, out);
             }
         }
     }
@@ -39,7 +39,7 @@
                     note("the new process died, and this one takes connections again", out);
                     self.turn(Sign::Return, out);
                     out.push(Effect::SetStoreOwnership { on: true });
-                    self.fleet(Fleet::Begin, out);
+                    self.step_membership(MembershipEvent::Activate, out);
                     out.push(Effect::SetTakeoverListener { open: true });
                 }
                 Act::Take(state) => self.take_over(state, out),
@@ -64,7 +64,7 @@
         out.push(Effect::SetTakeoverListener { open: false });
         self.turn(Sign::Yield, out);
         // One process speaks for the relay: this one is still before the other can begin.
-        self.fleet(Fleet::Yield, out);
+        self.step_membership(MembershipEvent::Deactivate, out);
         self.cease_to_agree();
         out.push(Effect::SetStoreOwnership { on: false });
         out.push(Effect::SendToProcess { peer, message: Message::Yours(state) });
@@ -147,7 +147,7 @@
             draining: self.draining().map(|since| self.now - since),
             open: self.sessions.values().map(|s| s.id).collect(),
             connections: (self.sessions.len() + self.aside.len()) as u32,
-            fleet: self.fleet.as_ref().map(Membership::estate),
+            fleet: self.membership.as_ref().map(Membership::snapshot),
             shut: self.agreed.as_ref().map(|a| (a.shut.0, a.shut.1.iter().cloned().collect())),
         }
     }
@@ -157,7 +157,7 @@
             note("the process before this one died as it was to be replaced", out);
             self.turn(Sign::Take, out);
             out.push(Effect::SetStoreOwnership { on: true });
-            self.fleet(Fleet::Begin, out);
+            self.step_membership(MembershipEvent::Activate, out);
             return out.push(Effect::SetTakeoverListener { open: true });
         };
         note("this process has the place of the one before it", out);
@@ -176,8 +176,8 @@
         };
         let servers = state.servers.into_iter().filter_map(memory).collect();
         self.tell(Input::Remember { step: state.step, servers }, out);
-        if let (Some(fleet), Some(known)) = (&mut self.fleet, &state.fleet) {
-            fleet.inherit(self.now, known);
+        if let (Some(membership), Some(snapshot)) = (&mut self.membership, &state.fleet) {
+            membership.restore(self.now, snapshot);
         }
         if let Some((index, shut)) = state.shut {
             self.shut(index, shut.into_iter().collect(), out);
@@ -191,7 +191,7 @@
             }
         }
         out.push(Effect::SetStoreOwnership { on: true });
-        self.fleet(Fleet::Begin, out);
+        self.step_membership(MembershipEvent::Activate, out);
         out.push(Effect::SetTakeoverListener { open: true });
     }
 
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -3,7 +3,7 @@
 use hallrelay_balancer::types::{Input, ListKind};
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
-use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Event as MembershipEvent;
 use std::net::SocketAddr;
 
 impl Reducer {
@@ -56,10 +56,10 @@
         if let (Some(own), Some(new)) = (&mut self.node.fleet, &node.fleet) {
             if own.peers != new.peers {
                 own.peers.clone_from(&new.peers);
-                self.fleet(Fleet::Peers { peers: new.peers.clone() }, out);
+                self.step_membership(MembershipEvent::PeersChanged { peers: new.peers.clone() }, out);
             }
         }
-        self.tell_fleet(out);
+        self.refresh_metadata(out);
         self.ask_at(node.discovery, out);
     }
 
--- a/relay/src/status.rs
+++ b/relay/src/status.rs
@@ -79,30 +79,34 @@
     _ = writeln!(
         t,
         "fleet {}, as {} believes: {}; it hears {} of {} configured (itself among them)",
-        s.fleet, s.name, s.believes, s.hears, s.configured
+        s.fleet, s.name, s.view, s.reachable_relays, s.configured_relays
     );
-    if !s.returning.is_empty() && s.returning != "open" {
-        _ = writeln!(t, "its service is on its way back: {}", s.returning);
+    if !s.recovery_stage.is_empty() && s.recovery_stage != "open" {
+        _ = writeln!(t, "its service is on its way back: {}", s.recovery_stage);
     }
-    if let Some(twin) = &s.twin {
-        let holds = if twin.holds { "that one holds the name" } else { "this one holds the name" };
-        _ = writeln!(t, "another relay at {} has this one's name; {holds}, as the later start", twin.addr);
+    if let Some(conflict) = &s.name_conflict {
+        let holds = if conflict.holds_name { "that one holds the name" } else { "this one holds the name" };
+        _ = writeln!(
+            t,
+            "another relay at {} has this one's name; {holds}, as the later start",
+            conflict.addr
+        );
     }
     let dropped: Vec<String> = s.dropped.iter().map(|(what, n)| format!("{n} {what}")).collect();
     if !dropped.is_empty() {
         _ = writeln!(t, "messages dropped: {}", dropped.join(", "));
     }
-    if s.doubt > 0 {
-        _ = writeln!(t, "it doubts itself {} of 8: it was late, or is told that it was", s.doubt);
+    if s.local_health > 0 {
+        _ = writeln!(t, "it doubts itself {} of 8: it was late, or is told that it was", s.local_health);
     }
     let row = |m: &MemberStatus, own: bool| {
-        let heard = match (&m.told_by, m.heard_ms) {
+        let heard = match (&m.source, m.last_received_ms) {
             _ if own => "itself".to_string(),
             (Some(by), _) => format!("by {by}"),
             (None, Some(ms)) => format!("{} ago", ago(ms)),
             (None, None) => "never".to_string(),
         };
-        let state = match m.accused_by.as_slice() {
+        let state = match m.suspected_by.as_slice() {
             [] => m.state.clone(),
             by => format!("{}, says {}", m.state, by.join(" and ")),
         };
@@ -112,10 +116,10 @@
             state,
             since,
             heard,
-            m.duty.clone(),
+            m.lifecycle.clone(),
             m.sessions.to_string(),
             m.version.clone(),
-            m.digest.clone(),
+            m.settings_digest.clone(),
             m.addr.clone(),
         ]
     };
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -73,8 +73,8 @@
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("as r0 believes: whole; it hears 3 of 3") && text.contains("r2 "), "{text}");
     let first = of(&fleet.relays[0], "r2").expect("a member");
-    assert_eq!((first.duty.as_str(), first.version.as_str()), ("serving", env!("CARGO_PKG_VERSION")));
-    assert_eq!(first.digest, status(&fleet.relays[0]).expect("a status").members[0].digest);
+    assert_eq!((first.lifecycle.as_str(), first.version.as_str()), ("serving", env!("CARGO_PKG_VERSION")));
+    assert_eq!(first.settings_digest, status(&fleet.relays[0]).expect("a status").members[0].settings_digest);
 
     fleet.relays.pop().expect("three");
     for relay in &fleet.relays {
@@ -82,7 +82,7 @@
     }
     let (code, text) = said(fleet.relays[0].operator, &["--json"]);
     let told: Status = serde_json::from_str(&text).expect("a status");
-    assert_eq!((code, told.believes.as_str(), told.hears), (Some(1), "parts missing", 2));
+    assert_eq!((code, told.view.as_str(), told.reachable_relays), (Some(1), "parts missing", 2));
 
     let again = fleet.sites[2].start();
     fleet.relays.push(again);
@@ -98,7 +98,7 @@
     fleet.until_whole();
     assert_eq!(fleet.relays[1].call("POST", "/v1/relay/drain").0, 200);
     for relay in &fleet.relays {
-        until("the drain is told", || of(relay, "r1").is_some_and(|m| m.duty == "draining"));
+        until("the drain is told", || of(relay, "r1").is_some_and(|m| m.lifecycle == "draining"));
     }
     fleet.relays[2].signal("TERM");
     let mut leaving = fleet.relays.pop().expect("three");
@@ -136,7 +136,7 @@
         let new = fleet.sites[1].start();
         new.until_ready();
         let mut old = std::mem::replace(&mut fleet.relays[1], new);
-        until("the old one is silent", || status(&old).is_some_and(|s| s.believes == "silent"));
+        until("the old one is silent", || status(&old).is_some_and(|s| s.view == "silent"));
         fleet.until_whole();
         old.signal("TERM");
         until("the old one leaves", || old.has_ended());
@@ -199,10 +199,14 @@
     until("it serves", || later.ready());
     until("the later one holds", || of(&fleet.relays[0], "r1").is_some_and(|m| m.addr == place.to_string()));
     until("the first is told", || {
-        status(&fleet.relays[1]).and_then(|s| s.twin).is_some_and(|t| t.holds && t.addr == place.to_string())
+        status(&fleet.relays[1])
+            .and_then(|s| s.name_conflict)
+            .is_some_and(|t| t.holds_name && t.addr == place.to_string())
     });
     until("the later is told", || {
-        status(&later).and_then(|s| s.twin).is_some_and(|t| !t.holds && t.addr == fleet.places[1].to_string())
+        status(&later)
+            .and_then(|s| s.name_conflict)
+            .is_some_and(|t| !t.holds_name && t.addr == fleet.places[1].to_string())
     });
     assert!(!later.has_ended() && !fleet.relays[1].has_ended());
     assert!(said(fleet.relays[1].operator, &[]).1.contains("has this one's name; that one holds the name"));
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -16,11 +16,11 @@
 //!   `probe NAME HOW|load=X [piled=X]`, `stop`, `run`. `first LINE` and `said LINE` show what a parser makes
 //!   of a line, `node KEY..` what is said where that key of the configuration is missing, or is as `=VALUE`
 //!   behind it says.
-mod fleet;
 mod loopback;
+mod membership;
 
-pub use fleet::Members;
 pub use loopback::Loopback;
+pub use membership::MembershipSubject;
 
 use crate::{dial_end, millis, num, option, probe_end, range, Fault, Subject};
 use hallrelay_balancer::types::Micros;
@@ -299,8 +299,8 @@
         OperatorReply::Blocked(why) => format!("held {why}"),
         OperatorReply::Committed(what) => format!("said {what}"),
         OperatorReply::Leases(told) => format!("grants {}", told.as_deref().unwrap_or("none")),
-        OperatorReply::Membership(told) => {
-            format!("fleet {}", told.as_ref().map_or("none", |s| s.believes.as_str()))
+        OperatorReply::Membership(status) => {
+            format!("fleet {}", status.as_ref().map_or("none", |s| s.view.as_str()))
         }
         OperatorReply::Metrics(figures) => {
             let text = hallrelay_relay::figures::text(figures);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -10,7 +10,7 @@
 
 use hallrelay_balancer::types::*;
 use hallrelay_balancer::Relay;
-use helpers::{Loopback, Members, Program};
+use helpers::{Loopback, MembershipSubject, Program};
 use std::collections::BTreeMap;
 
 pub type Fault = String;
@@ -303,7 +303,7 @@
 
 #[test]
 fn membership() {
-    play_all::<Members>("fleet");
+    play_all::<MembershipSubject>("fleet");
 }
 
 #[test]
