--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The table `fleet` of a relay's configuration: where the relay listens for the other relays and finds them,
 //! and what they agree on. Without the table no socket is opened for them.
 use crate::at::At;
-use crate::consensus::{self, ConsensusConfig};
+use crate::coordination::{self, CoordinationConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
     /// Addresses at which other relays may be found; this relay's own address among them does no harm.
     pub peers: Vec<SocketAddr>,
     /// What the relays agree on; none where no voters are configured.
-    pub consensus: Option<ConsensusConfig>,
+    pub coordination: Option<CoordinationConfig>,
 }
 
 /// A key, and whether it differs between two configurations.
@@ -51,7 +51,7 @@
             ("fleet.name", self.name != later.name),
             ("fleet.listen", self.listen != later.listen),
             ("fleet.advertise", self.advertise != later.advertise),
-            ("fleet.voters", self.consensus != later.consensus),
+            ("fleet.voters", self.coordination != later.coordination),
         ]
     }
 }
@@ -83,7 +83,10 @@
         listen,
         advertise,
         peers: peer_list.iter().map(addr).collect::<Result<_, _>>()?,
-        consensus: table.option("voters").map(|voters| consensus::decode(&table, &voters)).transpose()?,
+        coordination: table
+            .option("voters")
+            .map(|voters| coordination::decode(&table, &voters))
+            .transpose()?,
     }))
 }
 
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -137,8 +137,8 @@
         path => Ok(PathBuf::from(path)),
     });
     let state = state.transpose()?;
-    let consensus = fleet.as_ref().and_then(|fleet| fleet.consensus.as_ref());
-    if consensus.is_some_and(|consensus| consensus.voters.contains(&name)) && state.is_none() {
+    let coordination = fleet.as_ref().and_then(|fleet| fleet.coordination.as_ref());
+    if coordination.is_some_and(|config| config.voters.contains(&name)) && state.is_none() {
         return Err(
             "state is left out, and fleet.voters names this relay: a voter must not forget".to_string()
         );
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -68,7 +68,7 @@
             }
             MembershipEffect::EndpointListRequested { stream } => self.tell_list(stream, out),
             MembershipEffect::EndpointListReceived { from, bytes } => self.heard_say(&from, &bytes, out),
-            MembershipEffect::UserMessageReceived { from, bytes } => self.said(&from, &bytes, out),
+            MembershipEffect::UserMessageReceived { from, bytes } => self.receive_control(&from, &bytes, out),
             for_sockets => out.push(Effect::Membership(for_sockets)),
         }
     }
