--- a/relay/src/fleet_table.rs
+++ b/relay/src/fleet_table.rs
@@ -1,67 +1,87 @@
-//! The table that `hallrelay fleet status` prints.
+//! The text that `hallrelay fleet status` prints: some lines on the whole view, then a table of the members.
 use hallrelay_membership::status::{MemberStatus, Status};
 use std::fmt::Write;
 
+/// The table's columns.
+const HEADER: [&str; COLUMNS] =
+    ["relay", "state", "since", "heard", "duty", "sessions", "version", "settings", "address"];
+const COLUMNS: usize = 9;
+
+type Row = [String; COLUMNS];
+
 /// One relay's view of its fleet as text, that relay first.
-pub fn table(s: &Status) -> String {
-    let mut t = String::new();
-    _ = writeln!(
-        t,
-        "fleet {}, as {} believes: {}; it hears {} of {} configured (itself among them)",
-        s.fleet, s.name, s.believes, s.hears, s.configured
+pub fn table(status: &Status) -> String {
+    let mut text = summary(status);
+    let mut rows = vec![HEADER.map(String::from)];
+    rows.extend(status.members.iter().enumerate().map(|(i, member)| row(member, i == 0)));
+    let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+    let widths: [usize; COLUMNS] = std::array::from_fn(width);
+    for row in &rows {
+        let cells = row.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}"));
+        let line = cells.collect::<Vec<_>>().join("  ");
+        _ = writeln!(text, "{}", line.trim_end());
+    }
+    text
+}
+
+/// The lines before the table.
+fn summary(status: &Status) -> String {
+    let mut text = format!(
+        "fleet {}, as {} believes: {}; it hears {} of {} configured (itself among them)\n",
+        status.fleet, status.name, status.view, status.reachable_relays, status.configured_relays
     );
-    if !s.returning.is_empty() && s.returning != "open" {
-        _ = writeln!(t, "its service is on its way back: {}", s.returning);
+    if !status.recovery_stage.is_empty() && status.recovery_stage != "open" {
+        _ = writeln!(text, "its service is on its way back: {}", status.recovery_stage);
     }
-    if let Some(twin) = &s.twin {
-        let holds = if twin.holds { "that one holds the name" } else { "this one holds the name" };
-        _ = writeln!(t, "another relay at {} has this one's name; {holds}, as the later start", twin.addr);
+    if let Some(conflict) = &status.name_conflict {
+        let holder = if conflict.holds_name { "that one" } else { "this one" };
+        _ = writeln!(
+            text,
+            "another relay at {} has this one's name; {holder} holds the name, as the later start",
+            conflict.addr
+        );
     }
-    let dropped: Vec<String> = s.dropped.iter().map(|(what, n)| format!("{n} {what}")).collect();
-    if !dropped.is_empty() {
-        _ = writeln!(t, "messages dropped: {}", dropped.join(", "));
+    if !status.dropped.is_empty() {
+        let dropped: Vec<String> =
+            status.dropped.iter().map(|(reason, count)| format!("{count} {reason}")).collect();
+        _ = writeln!(text, "messages dropped: {}", dropped.join(", "));
     }
-    if s.doubt > 0 {
-        _ = writeln!(t, "it doubts itself {} of 8: it was late, or is told that it was", s.doubt);
+    if status.local_health > 0 {
+        let health = status.local_health;
+        _ = writeln!(text, "it doubts itself {health} of 8: it was late, or is told that it was");
     }
-    let row = |m: &MemberStatus, own: bool| {
-        let heard = match (&m.told_by, m.heard_ms) {
-            _ if own => "itself".to_string(),
-            (Some(by), _) => format!("by {by}"),
-            (None, Some(ms)) => format!("{} ago", ago(ms)),
-            (None, None) => "never".to_string(),
-        };
-        let state = match m.accused_by.as_slice() {
-            [] => m.state.clone(),
-            by => format!("{}, says {}", m.state, by.join(" and ")),
-        };
-        let since = if own { "-".to_string() } else { ago(m.since_ms) };
-        [
-            m.name.clone(),
-            state,
-            since,
-            heard,
-            m.duty.clone(),
-            m.sessions.to_string(),
-            m.version.clone(),
-            m.digest.clone(),
-            m.addr.clone(),
-        ]
+    text
+}
+
+fn row(member: &MemberStatus, is_local: bool) -> Row {
+    let state = match member.suspected_by.as_slice() {
+        [] => member.state.clone(),
+        reporters => format!("{}, says {}", member.state, reporters.join(" and ")),
     };
-    let head = ["relay", "state", "since", "heard", "duty", "sessions", "version", "settings", "address"];
-    let mut rows = vec![head.map(String::from)];
-    rows.extend(s.members.iter().enumerate().map(|(i, m)| row(m, i == 0)));
-    let width = |i: usize| rows.iter().map(|row| row[i].chars().count()).max().unwrap_or(0);
-    let widths: [usize; 9] = std::array::from_fn(width);
-    for row in &rows {
-        let cells: Vec<String> =
-            row.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}")).collect();
-        _ = writeln!(t, "{}", cells.join("  ").trim_end());
+    let since = if is_local { "-".to_string() } else { duration(member.since_ms) };
+    [
+        member.name.clone(),
+        state,
+        since,
+        last_received(member, is_local),
+        member.lifecycle.clone(),
+        member.sessions.to_string(),
+        member.version.clone(),
+        member.settings_digest.clone(),
+        member.addr.clone(),
+    ]
+}
+
+fn last_received(member: &MemberStatus, is_local: bool) -> String {
+    match (&member.source, member.last_received_ms) {
+        _ if is_local => "itself".to_string(),
+        (Some(source), _) => format!("by {source}"),
+        (None, Some(ms)) => format!("{} ago", duration(ms)),
+        (None, None) => "never".to_string(),
     }
-    t
 }
 
-fn ago(ms: u64) -> String {
+fn duration(ms: u64) -> String {
     match ms {
         0..1_000 => format!("{ms} ms"),
         1_000..120_000 => format!("{:.1} s", ms as f64 / 1e3),
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -5,7 +5,7 @@
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_disruption::{Command, FailureDomain, HealthState, ItemState, Lease, LeaseState, Target};
-use hallrelay_membership::{Duty, State as Member};
+use hallrelay_membership::{MemberState, ReportedLifecycle};
 
 /// A committed drain reaches all relays within this time, and a failure takes room as soon.
 const REVIEW_INTERVAL: Micros = 1_000_000;
@@ -70,7 +70,7 @@
         let excluded = ControlMessage::Excluded {
             index: c.applied_index,
             backends: c.backends_out().into_iter().collect(),
-            moves_per_s: c.config.moves,
+            moves_per_s: c.config.moves_per_s,
         };
         self.broadcast_control(&excluded, out);
         let analysis = self.wave_analysis();
@@ -109,7 +109,7 @@
     /// A grant that was not begun in time.
     fn expiry(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let c = self.coordination.as_ref()?;
-        let is_late = self.now >= c.granted_since(target, self.now) + c.config.begin_within;
+        let is_late = self.now >= c.granted_since(target, self.now) + c.config.lease_start_timeout;
         (lease.state == LeaseState::Granted && is_late)
             .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
     }
@@ -130,17 +130,17 @@
 
     /// The other relays as membership has them, and this one.
     fn observed_relays(&self) -> Vec<Observation> {
-        let (Some(c), Some(fleet)) = (&self.coordination, &self.fleet) else { return Vec::new() };
+        let (Some(c), Some(membership)) = (&self.coordination, &self.membership) else { return Vec::new() };
         let observation = |name: &str, health| Observation {
             target: Target::Relay(name.to_string()),
             domain: c.reports.get(name).map(|report| report.domain.clone()).unwrap_or_default(),
             health,
         };
-        let reporting = fleet.members().filter(|member| c.reports.contains_key(&member.claim.name));
+        let reporting = membership.members().filter(|member| c.reports.contains_key(member.name()));
         let mut observed: Vec<_> = reporting
             .map(|member| {
-                let health = member_health(member.claim.state, member.claim.about.duty);
-                observation(&member.claim.name, health)
+                let health = member_health(member.state(), member.update.metadata.lifecycle);
+                observation(member.name(), health)
             })
             .collect();
         let own = if self.serves() { HealthState::Up } else { HealthState::Down };
@@ -197,10 +197,10 @@
     }
 }
 
-fn member_health(state: Member, duty: Duty) -> HealthState {
-    match (state, duty) {
-        (Member::Alive | Member::Suspect, Duty::Serving) => HealthState::Up,
-        (Member::Alive | Member::Suspect, Duty::Starting) => HealthState::WarmingUp,
+fn member_health(state: MemberState, lifecycle: ReportedLifecycle) -> HealthState {
+    match (state, lifecycle) {
+        (MemberState::Alive | MemberState::Suspect, ReportedLifecycle::Serving) => HealthState::Up,
+        (MemberState::Alive | MemberState::Suspect, ReportedLifecycle::Starting) => HealthState::WarmingUp,
         _ => HealthState::Down,
     }
 }
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -1,10 +1,10 @@
 //! The whole answer of `/v1/metrics`, compared as text with `fixtures/metrics.txt`. Each field has a value of
 //! its own, so that two that change places are found.
-use hallrelay_membership::membership::Counts;
-use hallrelay_membership::message::Fault;
+use hallrelay_membership::message::DropReason;
+use hallrelay_membership::Counters;
 use hallrelay_relay::figures::text;
 use hallrelay_relay::net::permit::Denials;
-use hallrelay_relay::reducer::{Figures, FleetFigures, Outcomes};
+use hallrelay_relay::reducer::{Figures, MembershipMetrics, Outcomes};
 use hallrelay_store::writer::Health;
 use std::collections::BTreeMap;
 
@@ -14,19 +14,24 @@
     // A name that no line may carry as it is.
     let odd = Outcomes { taken: 301, passed: 302, dropped: 303, failed: 304, abandoned: 305 };
     let listeners = [("alpha", first), ("beta-2", second), ("g:h|i j\nk\u{e9}", odd)];
-    let dropped = Fault::ALL.into_iter().zip(801..).collect();
-    let counts = Counts {
-        sent: 701,
-        sent_bytes: 702,
-        heard: 703,
+    let dropped = DropReason::ALL.into_iter().zip(801..).collect();
+    let counters = Counters {
+        datagrams_sent: 701,
+        bytes_sent: 702,
+        packets_received: 703,
         probes: 704,
-        accused: 705,
-        buried: 706,
-        refuted: 707,
-        late: 708,
+        suspicions: 705,
+        declared_dead: 706,
+        refutations: 707,
+        stalls: 708,
         dropped,
     };
-    let fleet = FleetFigures { counts, states: [901, 902, 903, 904], hears: 905, hearsay: 906 };
+    let membership = MembershipMetrics {
+        counters,
+        members_by_state: [901, 902, 903, 904],
+        reachable_relays: 905,
+        peer_lists_accepted: 906,
+    };
     let store = Health {
         durable: 501,
         failing: Some("no space".to_string()),
@@ -45,7 +50,7 @@
         waiting: 408,
         known: 409,
         avoided: 410,
-        fleet: Some(Box::new(fleet)),
+        membership: Some(Box::new(membership)),
         store: Some(Box::new(store)),
     }
 }
@@ -57,7 +62,7 @@
 
 #[test]
 fn without_fleet_and_store_their_lines_are_absent() {
-    let bare = Figures { fleet: None, store: None, ..figures() };
+    let bare = Figures { membership: None, store: None, ..figures() };
     let all = include_str!("fixtures/metrics.txt").lines();
     let wanted: Vec<&str> =
         all.filter(|line| !line.starts_with("node.store_") && !line.starts_with("node.fleet_")).collect();
