--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -21,7 +21,7 @@
 use hallrelay_emulator::tools::Queue;
 use hallrelay_recovery::fact::VERSION;
 use hallrelay_recovery::{Kept, Stored};
-use hallrelay_relay::lines::Open;
+use hallrelay_relay::lines::SessionRequest;
 use hallrelay_relay::reducer::{Effect, Event, Reducer, Timer};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -40,7 +40,7 @@
         let line = Line { mark, dials: 0, conn: None, open: false, doubted: false, over: false };
         r.lines.insert(sess, line);
         let margin = r.limits.answer_margin;
-        let open = Open {
+        let open = SessionRequest {
             id: mark,
             listener: self.day.s.listeners[ask.listener].name.clone(),
             key: ask.key,
@@ -48,7 +48,7 @@
             returned: ask.again,
             wait_ms: ask.wait / 1000,
             at: ask.at.map(|server| self.day.servers.book.plates[server].id.clone()),
-            ..Open::default()
+            ..SessionRequest::default()
         };
         let left = ask.wait.saturating_sub(margin + self.client_way());
         self.step(relay, Event::ClientConnected { conn: sess });
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -3,7 +3,7 @@
 use hallrelay_balancer::types::{DialEnd, Phase, Report};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_lab::losses::parse::{line, Entry, Line, Opening};
-use hallrelay_relay::lines::Open;
+use hallrelay_relay::lines::SessionRequest;
 use hallrelay_relay::reducer::{Effect, Event};
 use std::fmt::Debug;
 use std::io::{BufRead, BufReader, Write};
@@ -27,8 +27,8 @@
     parsed("effect", &effect)
 }
 
-fn open(at: Option<&str>) -> Open {
-    Open {
+fn open(at: Option<&str>) -> SessionRequest {
+    SessionRequest {
         id: 11,
         listener: "a \"b } key: 9".to_string(),
         key: 22,
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line, for `hallrelay` itself and for programs that start a relay of their own.
 use crate::drain_command::{self, DrainCommand};
 use crate::fleet_table;
-use crate::net::{serve, stop};
+use crate::net::{serve, signals};
 use crate::operator_client;
 use crate::release_command::{self, ReleaseCommand};
 use crate::shelf::{self, Shelf};
@@ -110,9 +110,10 @@
 
 /// Does what the command line asks for, to its end; the exit status where all went as it should.
 pub fn run(what: What) -> Result<u8, String> {
-    // A program that may have held signals back from its first moment on: only a relay that serves catches them.
+    // A program that may have held signals back from its first moment on: only a relay that serves catches
+    // them.
     if !matches!(what, What::Serve { .. }) {
-        stop::open();
+        signals::unblock();
     }
     match what {
         What::Fleet { what: FleetWhat::Status { at, json } } => {
@@ -163,7 +164,7 @@
             println!("{:#?}", node.limits);
         }
         What::Serve { given, verbose } => {
-            stop::hold();
+            signals::block();
             let node = given.read(&given.told())?;
             let level = match verbose {
                 0 => slog::Level::Info,
--- a/relay/src/control_message.rs
+++ b/relay/src/control_message.rs
@@ -1,5 +1,5 @@
-//! Control messages between relays: Raft, proposals and their results, status reports, and backends excluded by
-//! the log. Membership carries them as opaque bytes.
+//! Control messages between relays: Raft, proposals and their results, status reports, and backends excluded
+//! by the log. Membership carries them as opaque bytes.
 use hallrelay_disruption::{FailureDomain, Outcome, SessionCounts, Target};
 use hallrelay_raft::Message;
 use serde::{Deserialize, Serialize};
--- a/relay/src/figures.rs
+++ b/relay/src/figures.rs
@@ -1,5 +1,5 @@
 //! Figures in the words and the form that operators read: a line each, `NAME:VALUE|KIND`.
-use crate::lines::plain;
+use crate::lines::sanitize;
 use crate::reducer::Figures;
 use hallrelay_membership::State;
 use std::fmt::Write;
@@ -8,7 +8,7 @@
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: char| _ = writeln!(text, "node.{name}:{value}|{kind}");
     for (listener, n) in &figures.listeners {
-        let listener = plain(listener);
+        let listener = sanitize(listener);
         let counts = [("passed", n.passed), ("dropped", n.dropped), ("bad_gateway", n.failed)];
         counts.iter().for_each(|(name, value)| line(&format!("{name}.{listener}"), *value, 'c'));
     }
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -16,7 +16,7 @@
 pub const STATS: &[u8] = b"STATS\r\n";
 
 /// The whole lines among some bytes, without their ends.
-pub fn whole(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
+pub fn complete_lines(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut left = bytes;
     std::iter::from_fn(move || {
         let at = left.windows(END.len()).position(|w| w == END)?;
@@ -28,13 +28,13 @@
 
 /// What a client's first line says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum First {
+pub enum FirstLine {
     Ping,
-    Open(Open),
+    Open(SessionRequest),
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Open {
+pub struct SessionRequest {
     /// This connection's own mark.
     pub id: u64,
     pub listener: String,
@@ -67,14 +67,14 @@
 }
 
 /// A first line without its end; none where it is not of the protocol's form.
-pub fn first(line: &[u8]) -> Option<First> {
+pub fn parse_first_line(line: &[u8]) -> Option<FirstLine> {
     let text = std::str::from_utf8(line).ok()?;
     if text == "PING" {
-        return Some(First::Ping);
+        return Some(FirstLine::Ping);
     }
     let head = ("OPEN ", hex16, ' ', hex16, ' ').map(|(_, id, _, key, _)| (id, key));
     let ((id, key), pairs) = (head, pairs).parse(text).ok()?;
-    let mut open = Open { id, key, ..Open::default() };
+    let mut open = SessionRequest { id, key, ..SessionRequest::default() };
     let (mut names, mut wait) = (Vec::with_capacity(pairs.len()), None);
     for (name, value) in pairs {
         if names.contains(&name) {
@@ -96,7 +96,7 @@
         }
     }
     (open.wait_ms, open.wait_at) = wait?;
-    (!open.listener.is_empty()).then_some(First::Open(open))
+    (!open.listener.is_empty()).then_some(FirstLine::Open(open))
 }
 
 fn flag(value: &str) -> Option<bool> {
@@ -105,7 +105,7 @@
 
 /// What a backend says, in the first line of its answer or among later ones.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum BackendReply {
     Up,
     Bye(Option<Report>),
     Move,
@@ -116,23 +116,23 @@
     Other,
 }
 
-pub fn said(line: &[u8], order: ReportOrder) -> Said {
-    let Ok(text) = std::str::from_utf8(line) else { return Said::Other };
-    let Ok((word, tail)) = split.parse(text) else { return Said::Other };
+pub fn parse_backend_reply(line: &[u8], order: ReportOrder) -> BackendReply {
+    let Ok(text) = std::str::from_utf8(line) else { return BackendReply::Other };
+    let Ok((word, tail)) = split.parse(text) else { return BackendReply::Other };
     let report = || {
         let values = pairs.parse(tail?).ok()?;
         Some(order.find(|name| values.iter().find(|v| v.0 == name).and_then(|v| figure(v.1))))
     };
     match word {
-        "UP" => Said::Up,
-        "BYE" => Said::Bye(report()),
-        "MOVE" => Said::Move,
-        "ERR" => Said::Error(report()),
+        "UP" => BackendReply::Up,
+        "BYE" => BackendReply::Bye(report()),
+        "MOVE" => BackendReply::Move,
+        "ERR" => BackendReply::Error(report()),
         // What may not be read as a refusal is none: that a dial never ran is to be said, not guessed.
-        "BUSY" if tail.is_none() || tail.is_some_and(refusal) => Said::Busy(report()),
-        "PONG" => Said::Pong(report()),
-        "LOAD" => tail.and_then(figure).map_or(Said::Other, Said::Load),
-        _ => Said::Other,
+        "BUSY" if tail.is_none() || tail.is_some_and(refusal) => BackendReply::Busy(report()),
+        "PONG" => BackendReply::Pong(report()),
+        "LOAD" => tail.and_then(figure).map_or(BackendReply::Other, BackendReply::Load),
+        _ => BackendReply::Other,
     }
 }
 
@@ -159,12 +159,12 @@
 }
 
 /// A name in which nothing can be taken for the marks of a form or of a path.
-pub fn plain(name: &str) -> String {
+pub fn sanitize(name: &str) -> String {
     let fit = |c: char| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' };
     name.chars().map(fit).collect()
 }
 
 /// The client's first line as it goes on: unchanged but for how long the relay will wait.
-pub fn onward(line: &[u8], wait_at: &Range<usize>, wait_ms: u64) -> Vec<u8> {
+pub fn rewrite_timeout(line: &[u8], wait_at: &Range<usize>, wait_ms: u64) -> Vec<u8> {
     [&line[..wait_at.start], wait_ms.to_string().as_bytes(), &line[wait_at.end..], END].concat()
 }
--- /dev/null
+++ b/relay/src/net/close.rs
@@ -0,0 +1,91 @@
+//! Final answers and the end of connections: an answer is written whole, then the connection is shut down so
+//! that the other side can still read it.
+use super::{Command, Hub};
+use crate::clock::span;
+use crate::socket;
+use hallrelay_balancer::types::Micros;
+use socket2::SockRef;
+use std::io::ErrorKind;
+use std::net::Shutdown;
+use std::os::fd::AsRawFd;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::Receiver;
+use tokio::time::timeout;
+
+/// Writes a final answer and closes gracefully, or at once when the reducer sheds the connection.
+pub async fn send_final_answer(
+    client: TcpStream,
+    answer: &[u8],
+    commands: &mut Receiver<Command>,
+    hub: &Hub,
+) {
+    if !write_all(&client, answer, hub.limits().end).await {
+        return;
+    }
+    // The answer is out: shedding loses only the graceful close. Other commands that were queued before have
+    // no meaning any more; closing on them would cut off a session that was told to migrate as it ended.
+    let shed = async { while !matches!(commands.recv().await, Some(Command::Shed) | None) {} };
+    tokio::select! {
+        biased;
+        () = close_gracefully(client, hub) => {}
+        () = shed => {}
+    }
+}
+
+/// Writes as much of an answer as the system takes at once, and closes.
+pub fn send_without_waiting(client: TcpStream, answer: &[u8]) {
+    _ = socket::try_write(&client, answer);
+}
+
+/// Writes all bytes within a time in microseconds; false where it could not.
+pub async fn write_all(stream: &TcpStream, mut bytes: &[u8], within: Micros) -> bool {
+    let write = async {
+        while !bytes.is_empty() {
+            stream.writable().await?;
+            match socket::try_write(stream, bytes) {
+                Ok(count) => bytes = &bytes[count..],
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(())
+    };
+    matches!(timeout(span(within), write).await, Ok(Ok(())))
+}
+
+/// Ends the sending and discards what still arrives until the other side ends too: closing over unread bytes
+/// would reset the connection, and the answer could be lost with it.
+pub async fn close_gracefully(stream: TcpStream, hub: &Hub) {
+    if SockRef::from(&stream).shutdown(Shutdown::Write).is_err() {
+        return;
+    }
+    let drain = async {
+        while stream.readable().await.is_ok() {
+            match socket::try_read(&stream, &mut hub.discarded.borrow_mut()) {
+                Ok(0) => return,
+                Err(e) if e.kind() != ErrorKind::WouldBlock => return,
+                _ => {}
+            }
+        }
+    };
+    _ = timeout(span(hub.limits().end), drain).await;
+}
+
+/// Ends a connection by a reset.
+pub fn reset(stream: TcpStream) {
+    _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+}
+
+/// The kernel's `TCP_INFO` of a connection.
+pub fn tcp_info(stream: &TcpStream) -> Option<libc::tcp_info> {
+    // SAFETY: the buffer is a plain struct of the size that is handed over, and outlives the call.
+    unsafe {
+        let mut info: libc::tcp_info = std::mem::zeroed();
+        let mut size = size_of::<libc::tcp_info>() as libc::socklen_t;
+        let place = (&raw mut info).cast();
+        let fd = stream.as_raw_fd();
+        let done = libc::getsockopt(fd, libc::IPPROTO_TCP, libc::TCP_INFO, place, &raw mut size);
+        (done == 0).then_some(info)
+    }
+}
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -1,99 +1,129 @@
-//! One dial: connect, send the first line, wait for the backend's first word. Dropping it gives it up.
-use super::permit::{permit, Denied, Permit, Terms};
-use super::read::{self, State};
-use super::{end, Hub};
+//! One dial: connect, send the first line, wait for the backend's first answer. Dropping the future gives it
+//! up.
+use super::dial_permit::{self, Denied, DialConditions, DialPermit};
+use super::read::{self, ClientState};
+use super::{close, Hub};
 use crate::buffer::Buffer;
 use crate::clock::span;
-use crate::lines::{self, Said};
+use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
-use crate::socket::NotConnected;
+use crate::socket::ConnectError;
 use hallrelay_balancer::types::{DialEnd, Micros, Report};
+use hallrelay_config::limits::Limits;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
+/// A backend that has accepted a session.
 pub struct Backend {
+    /// The connection to it.
     pub stream: TcpStream,
+    /// What was read behind the answer.
     pub buffer: Buffer,
-    /// The line with which it took the session, for the client.
-    pub up: Vec<u8>,
+    /// The line with which it accepted the session, with its end, for the client.
+    pub acceptance: Vec<u8>,
 }
 
-pub struct Order<'a> {
+/// What a dial needs.
+pub struct DialRequest<'a> {
+    /// The backend's address.
     pub addr: SocketAddr,
+    /// The first line as it is forwarded, with its end.
     pub line: &'a [u8],
-    pub wait: Micros,
-    pub terms: Terms,
+    /// How long the whole dial may take, in microseconds.
+    pub timeout: Micros,
+    /// Checked before the connect and before the first byte.
+    pub conditions: DialConditions,
 }
 
-pub enum Ended {
-    Up(Backend),
-    /// Served to its end at once, with this line.
-    Over((Vec<u8>, Option<Report>)),
-    Not(DialEnd, Option<Report>),
-    /// Not begun: this machine could not, or the backend is to be left; no fault of its own.
-    NotBegun,
-    /// Not begun: its client does not wait any more.
-    Client(State),
+/// How a dial ended.
+pub enum DialOutcome {
+    /// The backend accepted the session.
+    Accepted(Backend),
+    /// The backend served the session to its end with this line; its load report, where it gave one.
+    Completed { line: Vec<u8>, report: Option<Report> },
+    /// It failed, and how.
+    Failed(DialEnd, Option<Report>),
+    /// Not started, for no fault of the backend's: this machine could not, or the backend drains.
+    NotStarted,
+    /// Not started: the client does not wait any more.
+    ClientGone(ClientState),
 }
 
-fn denied(why: Denied) -> Ended {
-    match why {
-        Denied::Client(stirred) => Ended::Client(stirred),
-        Denied::Late => Ended::Not(DialEnd::Moot, None),
-        Denied::Leaving => Ended::NotBegun,
+impl From<Denied> for DialOutcome {
+    fn from(reason: Denied) -> DialOutcome {
+        match reason {
+            Denied::Client(state) => DialOutcome::ClientGone(state),
+            Denied::Late => DialOutcome::Failed(DialEnd::Moot, None),
+            Denied::Draining => DialOutcome::NotStarted,
+        }
     }
 }
 
-/// Writes a first line, for which it takes a permit that was made at this moment.
-async fn send(stream: &TcpStream, line: &[u8], wait: Micros, _permit: Permit) -> bool {
-    end::write(stream, line, wait).await
+/// Runs one dial to its outcome. Whether the last byte of the line was written tells whether it may have run.
+pub async fn run(request: DialRequest<'_>, client: &TcpStream, hub: &Hub) -> DialOutcome {
+    let limits = hub.limits();
+    let deadline = Instant::now() + span(request.timeout);
+    let stream = match send_first_line(&request, deadline, client, hub).await {
+        Ok(stream) => stream,
+        Err(outcome) => return outcome,
+    };
+    hub.tell(Event::FirstLineForwarded).await;
+    receive_answer(stream, deadline, &limits, hub).await
 }
 
-/// Whether the last byte of the line was written tells whether the dial may have run.
-pub async fn run(order: Order<'_>, client: &TcpStream, hub: &Hub) -> Ended {
-    let Order { addr, line, wait, terms } = order;
-    let limits = hub.limits();
-    let over = Instant::now() + span(wait);
-    let never = Ended::Not(DialEnd::Unconnected, None);
-    if let Err(why) = permit(terms, client, hub) {
-        return denied(why);
-    }
-    let stream = match hub.connect(addr, over.min(hub.clock.at(terms.by))).await {
+/// Connects and writes the first line; the outcome where either is not done.
+async fn send_first_line(
+    request: &DialRequest<'_>,
+    deadline: Instant,
+    client: &TcpStream,
+    hub: &Hub,
+) -> Result<TcpStream, DialOutcome> {
+    let conditions = request.conditions;
+    dial_permit::check(conditions, client, hub)?;
+    let connect_by = deadline.min(hub.clock.at(conditions.start_by));
+    let stream = match hub.connect(request.addr, connect_by).await {
         Ok(stream) => stream,
-        Err(NotConnected::Local(why)) => {
-            slog::warn!(hub.log, "this machine can't connect"; "error" => %why);
-            return Ended::NotBegun;
+        Err(ConnectError::Local(error)) => {
+            slog::warn!(hub.log, "this machine can't connect"; "error" => %error);
+            return Err(DialOutcome::NotStarted);
+        }
+        Err(ConnectError::Remote(_) | ConnectError::TimedOut) => {
+            return Err(DialOutcome::Failed(DialEnd::Unconnected, None));
         }
-        Err(NotConnected::Remote(_) | NotConnected::Late) => return never,
-    };
-    let permit = match permit(terms, client, hub) {
-        Ok(permit) => permit,
-        Err(why) => return denied(why),
     };
-    if !send(&stream, line, wait, permit).await {
-        return never;
+    let permit = dial_permit::check(conditions, client, hub)?;
+    if !write_permitted(&stream, request, permit).await {
+        return Err(DialOutcome::Failed(DialEnd::Unconnected, None));
     }
-    hub.tell(Event::FirstLineForwarded).await;
+    Ok(stream)
+}
+
+/// Writes a first line, which takes a permit that was made just now.
+async fn write_permitted(stream: &TcpStream, request: &DialRequest<'_>, _permit: DialPermit) -> bool {
+    close::write_all(stream, request.line, request.timeout).await
+}
+
+async fn receive_answer(stream: TcpStream, deadline: Instant, limits: &Limits, hub: &Hub) -> DialOutcome {
     let mut buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
-    let answer = read::line(&stream, &mut buffer, limits.line);
-    let Ok(answer) = timeout_at(over, answer).await else {
-        return Ended::Not(DialEnd::Timeout, None);
+    let answer = read::read_line(&stream, &mut buffer, limits.line);
+    let Ok(answer) = timeout_at(deadline, answer).await else {
+        return DialOutcome::Failed(DialEnd::Timeout, None);
     };
-    let Ok(mut up) = answer else { return Ended::Not(DialEnd::Reset, None) };
-    match lines::said(&up, hub.order()) {
-        Said::Up => {
-            up.extend_from_slice(lines::END);
-            Ended::Up(Backend { stream, buffer, up })
+    let Ok(mut line) = answer else { return DialOutcome::Failed(DialEnd::Reset, None) };
+    match lines::parse_backend_reply(&line, hub.order()) {
+        BackendReply::Up => {
+            line.extend_from_slice(lines::END);
+            DialOutcome::Accepted(Backend { stream, buffer, acceptance: line })
         }
-        Said::Bye(report) => {
-            up.extend_from_slice(lines::END);
-            Ended::Over((up, report))
+        BackendReply::Bye(report) => {
+            line.extend_from_slice(lines::END);
+            DialOutcome::Completed { line, report }
         }
-        Said::Move => Ended::Not(DialEnd::Recalled, None),
-        Said::Busy(report) => Ended::Not(DialEnd::Full, report),
-        Said::Error(report) => Ended::Not(DialEnd::Error, report),
-        // A line that no backend of this protocol sends: it may have run.
-        _ => Ended::Not(DialEnd::Error, None),
+        BackendReply::Move => DialOutcome::Failed(DialEnd::Recalled, None),
+        BackendReply::Busy(report) => DialOutcome::Failed(DialEnd::Full, report),
+        BackendReply::Error(report) => DialOutcome::Failed(DialEnd::Error, report),
+        // No backend of this protocol sends another line first: the dial may have run.
+        _ => DialOutcome::Failed(DialEnd::Error, None),
     }
 }
--- /dev/null
+++ b/relay/src/net/dial_permit.rs
@@ -0,0 +1,89 @@
+//! The one place that decides whether a dial may start now.
+//!
+//! A dial is checked before the connect and again just before the first byte. The first line is written only
+//! with a `DialPermit` in hand. Each denial is counted by its reason.
+use super::read::{self, ClientState};
+use super::Hub;
+use hallrelay_balancer::types::{Micros, ServerId};
+use std::cell::Cell;
+use tokio::net::TcpStream;
+
+/// Proof that all conditions held when it was made; consumed by the write that it allows.
+pub struct DialPermit(());
+
+/// The conditions under which a dial was decided.
+#[derive(Clone, Copy, Debug)]
+pub struct DialConditions {
+    /// The backend; `None` for a session that was open there before this process started and may go nowhere
+    /// else.
+    pub server: Option<ServerId>,
+    /// The latest start, by the relay's clock in microseconds.
+    pub start_by: Micros,
+}
+
+/// Why a dial may not start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Denied {
+    /// The client has closed, left, or sent more.
+    Client(ClientState),
+    /// The dial was decided too long ago, since the process was not scheduled meanwhile.
+    Late,
+    /// The backend drains or has left the endpoint list.
+    Draining,
+}
+
+/// Denied dials by reason.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Denials {
+    /// The client did not wait any more.
+    pub client: u64,
+    /// The decision was too old.
+    pub late: u64,
+    /// The backend was draining.
+    pub leaving: u64,
+}
+
+/// The running counts of denials.
+#[derive(Default)]
+pub struct DenialCounter(Cell<Denials>);
+
+impl DenialCounter {
+    /// The counts so far.
+    pub fn counts(&self) -> Denials {
+        self.0.get()
+    }
+
+    fn add(&self, reason: Denied) {
+        let mut counts = self.0.get();
+        match reason {
+            Denied::Client(_) => counts.client += 1,
+            Denied::Late => counts.late += 1,
+            Denied::Draining => counts.leaving += 1,
+        }
+        self.0.set(counts);
+    }
+}
+
+/// Checks the conditions of a dial against what is known at this moment.
+///
+/// # Errors
+/// The first condition that does not hold; it is counted, and logged at debug.
+pub(super) fn check(conditions: DialConditions, client: &TcpStream, hub: &Hub) -> Result<DialPermit, Denied> {
+    let Some(reason) = violated(conditions, client, hub) else { return Ok(DialPermit(())) };
+    hub.denials.add(reason);
+    slog::debug!(hub.log, "a dial is not begun"; "server" => conditions.server, "why" => ?reason);
+    Err(reason)
+}
+
+/// The first condition that does not hold.
+fn violated(conditions: DialConditions, client: &TcpStream, hub: &Hub) -> Option<Denied> {
+    let state = read::client_state(client);
+    if state != ClientState::Waiting {
+        return Some(Denied::Client(state));
+    }
+    if conditions.server.is_some_and(|server| hub.leaving.borrow().contains(&server)) {
+        return Some(Denied::Draining);
+    }
+    // A process that was not scheduled for a while must not exceed a drain's grace.
+    (hub.clock.now() > conditions.start_by).then_some(Denied::Late)
+}
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -1,144 +1,211 @@
-//! The watch on the list of backends: one call that stays open and brings a line for each change. Where no
-//! version is known there, a call for the whole list comes before it. One that falls silent is doubted, and
-//! the next one opened beside it: whichever speaks first goes on.
+//! The watch on the endpoint list: one HTTP call that stays open and brings a JSON value for each change.
+//!
+//! Where no version of the list is known, a call for the whole list comes first. A watch that falls silent is
+//! doubted, and the next one is opened beside it: whichever brings something first goes on.
 use super::Hub;
 use crate::clock::span;
 use crate::reducer::Event;
-use crate::socket::{self, Steady};
-use crate::values::{Part, Values};
+use crate::socket::{self, ConnectError, RetryingStream};
+use crate::values::{Part, Values, ValuesError};
 use hallrelay_config::list::{self, List};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1;
 use hyper::{header, Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::future::{pending, Future};
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Watches until the watch breaks, and tells of that.
+const LIST_PATH: &str = "/registry/instances";
+
+/// The callers' limit on a whole call is the shorter one.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Why a watch is over. Its text goes to the log.
+#[derive(Debug, Error)]
+enum WatchError {
+    #[error("{0}")]
+    Connect(#[from] ConnectError),
+    #[error("{0}")]
+    Http(#[from] hyper::Error),
+    #[error("{0}")]
+    Request(#[from] hyper::http::Error),
+    /// The body of the whole list is broken or too large.
+    #[error("{0}")]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    #[error("discovery answered {0}")]
+    Status(StatusCode),
+    /// What discovery sent is no list.
+    #[error("{0}")]
+    List(String),
+    #[error("{0}")]
+    Stream(#[from] ValuesError),
+    #[error("discovery ended it")]
+    Ended,
+    #[error("discovery did not answer in time")]
+    NoAnswer,
+    #[error("discovery did not tell the whole list in time")]
+    NoList,
+}
+
+/// Watches the list until the watch fails, and reports that.
 pub async fn run(id: u32, addr: SocketAddr, since: Option<u64>, hub: Hub) {
-    let why = watch(id, addr, since, &hub).await;
-    slog::info!(hub.log, "the watch of the list is over"; "at" => %addr, "why" => why);
+    let Err(error) = Watch { id, addr, hub: &hub }.run(since).await;
+    slog::info!(hub.log, "the watch of the list is over"; "at" => %addr, "why" => %error);
     hub.tell(Event::EndpointWatchFailed { watch: id }).await;
 }
 
-const LIST: &str = "/registry/instances";
-
-async fn whole(addr: SocketAddr, most: usize) -> Result<List, String> {
-    let body = Limited::new(call(addr, LIST).await?, most).collect().await.map_err(|e| e.to_string())?;
-    list::parse(&body.to_bytes())
+async fn fetch_list(addr: SocketAddr, max_bytes: usize) -> Result<List, WatchError> {
+    let body = Limited::new(call(addr, LIST_PATH).await?, max_bytes).collect().await;
+    list::parse(&body.map_err(WatchError::Body)?.to_bytes()).map_err(WatchError::List)
 }
 
-async fn call(addr: SocketAddr, path: &str) -> Result<Incoming, String> {
-    // The callers' limit on the whole call is the shorter one.
-    const CONNECT: Duration = Duration::from_secs(10);
-    let stream =
-        socket::connect(addr, Instant::now() + CONNECT, |_| false).await.map_err(|e| e.to_string())?;
-    let stream = TokioIo::new(Steady(stream));
-    let (mut sender, connection) = http1::handshake(stream).await.map_err(|e| e.to_string())?;
-    // Ends with the answer's body, or as the sender is dropped.
+/// One GET; the body of its answer.
+async fn call(addr: SocketAddr, path: &str) -> Result<Incoming, WatchError> {
+    let stream = socket::connect(addr, Instant::now() + CONNECT_TIMEOUT, |_| false).await?;
+    let stream = TokioIo::new(RetryingStream(stream));
+    let (mut sender, connection) = http1::handshake(stream).await?;
+    // It ends with the answer's body, or as the sender is dropped.
     tokio::task::spawn_local(connection);
-    let ask = Request::get(path).header(header::HOST, addr.to_string()).body(Empty::<Bytes>::new());
-    let answer = sender.send_request(ask.map_err(|e| e.to_string())?).await.map_err(|e| e.to_string())?;
+    let request = Request::get(path).header(header::HOST, addr.to_string()).body(Empty::<Bytes>::new())?;
+    let answer = sender.send_request(request).await?;
     match answer.status() {
         StatusCode::OK => Ok(answer.into_body()),
-        status => Err(format!("discovery answered {status}")),
+        status => Err(WatchError::Status(status)),
     }
 }
 
-/// A call that stays open.
-struct Open {
+/// An open watch call.
+struct OpenCall {
     body: Incoming,
     values: Values,
 }
 
-impl Open {
-    /// The next list that it brings; none where it says no more than that it lives.
-    async fn next(&mut self, most: usize) -> Result<Option<List>, String> {
+impl OpenCall {
+    /// The next list that it brings; `None` where it only shows that it is alive.
+    async fn next(&mut self, max_bytes: usize) -> Result<Option<List>, WatchError> {
         loop {
-            match self.values.next(most)? {
-                Some(Part::Value(text)) => return list::parse(&text).map(Some),
+            match self.values.next(max_bytes)? {
+                Some(Part::Value(text)) => return list::parse(&text).map(Some).map_err(WatchError::List),
                 Some(Part::Blank) => return Ok(None),
                 None => {}
             }
-            match self.body.frame().await {
-                Some(Ok(frame)) => {
-                    if let Ok(data) = frame.into_data() {
-                        self.values.add(&data);
-                    }
-                }
-                Some(Err(e)) => return Err(e.to_string()),
-                None => return Err("discovery ended it".to_string()),
+            let frame = self.body.frame().await.ok_or(WatchError::Ended)??;
+            if let Ok(data) = frame.into_data() {
+                self.values.add(&data);
             }
         }
     }
 }
 
-/// Opens one, from a version on, and waits for the first that it says.
-async fn opened(addr: SocketAddr, since: u64, hub: Hub) -> Result<(Open, Option<List>), String> {
+/// The next list of an open call; never completes where there is none.
+async fn next_list(call: &mut Option<OpenCall>, max_bytes: usize) -> Result<Option<List>, WatchError> {
+    match call {
+        Some(call) => call.next(max_bytes).await,
+        None => pending().await,
+    }
+}
+
+/// The call that is being opened; never completes where there is none.
+async fn completed(opening: &mut Option<Opening>) -> Result<Opened, WatchError> {
+    match opening {
+        Some(opening) => opening.await,
+        None => pending().await,
+    }
+}
+
+/// A call that was just opened, with the first thing that it brought.
+struct Opened {
+    call: OpenCall,
+    list: Option<List>,
+}
+
+/// Opens a call from a version on, and waits for the first thing that it brings.
+async fn open(addr: SocketAddr, since: u64, hub: Hub) -> Result<Opened, WatchError> {
     let limits = hub.limits();
-    let path = format!("{LIST}?follow=1&since={since}");
+    let path = format!("{LIST_PATH}?follow=1&since={since}");
     let first = async {
-        let mut open = Open { body: call(addr, &path).await?, values: Values::default() };
-        let list = open.next(limits.list).await?;
-        Ok((open, list))
+        let mut call = OpenCall { body: call(addr, &path).await?, values: Values::default() };
+        let list = call.next(limits.list).await?;
+        Ok(Opened { call, list })
     };
-    timeout(span(limits.discovery_first), first)
-        .await
-        .unwrap_or_else(|_| Err("discovery did not answer in time".to_string()))
+    timeout(span(limits.discovery_first), first).await.unwrap_or(Err(WatchError::NoAnswer))
 }
 
-/// Returns why the watch is over.
-async fn watch(id: u32, addr: SocketAddr, since: Option<u64>, hub: &Hub) -> String {
-    let limits = hub.limits();
-    let mut since = match since {
-        Some(since) => since,
-        None => match timeout(span(limits.discovery_first), whole(addr, limits.list)).await {
-            Ok(Ok(list)) => {
-                let since = list.generation;
-                hub.tell(Event::EndpointListReceived { watch: id, list: List { whole: true, ..list } }).await;
-                since
-            }
-            Ok(Err(why)) => return why,
-            Err(_) => return "discovery did not tell the whole list in time".to_string(),
-        },
-    };
-    let mut open: Option<Open> = None;
-    let mut next = Some(Box::pin(opened(addr, since, hub.clone())));
-    // Since when it has said nothing whole: bytes of a value that never ends are no sign of life.
-    let mut last = Instant::now();
-    loop {
-        let (now, list) = tokio::select! {
-            biased;
-            // What the one that is open says settles any doubt about it.
-            said = async { open.as_mut().expect("asked for").next(limits.list).await }, if open.is_some() => {
-                match said {
-                    Ok(list) => (open.take(), list),
-                    // Another one is out already.
-                    Err(_) if next.is_some() => {
-                        open = None;
-                        continue;
+type Opening = Pin<Box<dyn Future<Output = Result<Opened, WatchError>>>>;
+
+/// A watch with the number by which the reducer knows it.
+struct Watch<'a> {
+    id: u32,
+    addr: SocketAddr,
+    hub: &'a Hub,
+}
+
+impl Watch<'_> {
+    async fn run(&self, since: Option<u64>) -> Result<Infallible, WatchError> {
+        let limits = self.hub.limits();
+        let mut since = match since {
+            Some(since) => since,
+            None => self.whole_list().await?,
+        };
+        let mut current: Option<OpenCall> = None;
+        let mut opening = Some(self.open(since));
+        // When it last brought something whole: bytes of a value that never ends are no sign of life.
+        let mut last_heard = Instant::now();
+        loop {
+            let (call, list) = tokio::select! {
+                biased;
+                // What the open call brings settles any doubt about it.
+                next = next_list(&mut current, limits.list), if current.is_some() => {
+                    match next {
+                        Ok(list) => (current.take(), list),
+                        // Another one is being opened already.
+                        Err(_) if opening.is_some() => {
+                            current = None;
+                            continue;
+                        }
+                        Err(error) => return Err(error),
                     }
-                    Err(why) => return why,
                 }
+                opened = completed(&mut opening), if opening.is_some() => {
+                    let Opened { call, list } = opened?;
+                    (Some(call), list)
+                }
+                // One that is silent for too long is doubted: it may miss changes. The next is opened beside
+                // it, from the version that was received last.
+                () = sleep_until(last_heard + span(limits.discovery_doubt)), if opening.is_none() => {
+                    slog::debug!(self.hub.log, "the watch of the list is doubted"; "at" => %self.addr);
+                    opening = Some(self.open(since));
+                    continue;
+                }
+            };
+            current = call;
+            opening = None;
+            last_heard = Instant::now();
+            if let Some(list) = list {
+                since = if list.whole { list.generation } else { list.generation.max(since) };
+                self.hub.tell(Event::EndpointListReceived { watch: self.id, list }).await;
             }
-            said = async { next.as_mut().expect("asked for").await }, if next.is_some() => match said {
-                Ok((now, list)) => (Some(now), list),
-                Err(why) => return why,
-            },
-            // Guards what a silent watch misses: one that says nothing in time is doubted, and the next is
-            // asked for beside it, from the version that was heard last.
-            () = sleep_until(last + span(limits.discovery_doubt)), if next.is_none() => {
-                slog::debug!(hub.log, "the watch of the list is doubted"; "at" => %addr);
-                next = Some(Box::pin(opened(addr, since, hub.clone())));
-                continue;
-            }
-        };
-        (open, next, last) = (now, None, Instant::now());
-        if let Some(list) = list {
-            since = if list.whole { list.generation } else { list.generation.max(since) };
-            hub.tell(Event::EndpointListReceived { watch: id, list }).await;
         }
     }
+
+    fn open(&self, since: u64) -> Opening {
+        Box::pin(open(self.addr, since, self.hub.clone()))
+    }
+
+    /// Fetches and reports the whole list; returns its version.
+    async fn whole_list(&self) -> Result<u64, WatchError> {
+        let limits = self.hub.limits();
+        let fetched = timeout(span(limits.discovery_first), fetch_list(self.addr, limits.list)).await;
+        let list = fetched.unwrap_or(Err(WatchError::NoList))?;
+        let since = list.generation;
+        let list = List { whole: true, ..list };
+        self.hub.tell(Event::EndpointListReceived { watch: self.id, list }).await;
+        Ok(since)
+    }
 }
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -1,106 +1,173 @@
-//! Reads a connection's first line, for a bounded time from its start. What is not of the protocol's form
-//! gets an error, and ends that connection alone.
-use super::read::{self, more, Unfit};
-use super::{admit, end, Command, Hub};
+//! Reads a connection's first line within a bounded time. What does not follow the protocol gets an error and
+//! ends that connection alone.
+use super::await_answer::{self, ClientRequest};
+use super::read::{self, ReadError};
+use super::{close, Command, Hub};
 use crate::buffer::Buffer;
 use crate::clock::span;
-use crate::lines::{self, First};
+use crate::lines::{self, FirstLine, SessionRequest};
 use crate::reducer::Event;
 use hallrelay_balancer::types::SessId;
+use hallrelay_config::limits::Limits;
+use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep_until, Instant};
 
 /// What the connection brought next.
-enum Next {
+enum Input {
     Line(Vec<u8>),
-    /// Some bytes of one.
+    /// Some bytes of a line.
     Part,
-    /// The end, before a line was whole; or the connection broke.
-    Ended,
-    Broke,
-    /// Too long a line, or none in time.
-    Odd,
-    Told(Option<Command>),
+    /// The other side ended its sending before a line was complete.
+    Closed,
+    Broken,
+    /// A line that is too long, or none in time.
+    Invalid,
+    Command(Option<Command>),
 }
 
-pub async fn run(conn: SessId, client: TcpStream, mut commands: Receiver<Command>, hub: &Hub) {
+/// What is done about an input.
+enum Step {
+    Continue,
+    Parse(Vec<u8>),
+    /// The connection is over; nothing more is sent.
+    Close,
+    /// The connection is over after a rejection, as far as it can be written at once.
+    Reject,
+    ReportViolation,
+}
+
+/// A connection whose first line is awaited.
+struct NewConnection<'a> {
+    conn: SessId,
+    client: TcpStream,
+    buffer: Buffer,
+    hub: &'a Hub,
+    limits: Rc<Limits>,
+    connected_at: Instant,
+    /// The first line has to be complete by then.
+    deadline: Instant,
+    /// Answers to `PING` that are still due. Their commands take places in this task's bounded queue, in
+    /// which the final answer must find one: no more is read while half of the places may be taken.
+    pending_pongs: usize,
+}
+
+/// Serves a new connection to its end.
+pub async fn run(conn: SessId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
     let limits = hub.limits();
-    // One time for all that comes before the session: what says something now and then would stay for ever.
-    let came = Instant::now();
-    let mut over = came + span(limits.first_line);
-    let mut buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
+    // One time for all that comes before the session: a client that sends a little now and then would stay
+    // for ever.
+    let connected_at = Instant::now();
+    let deadline = connected_at + span(limits.first_line);
+    let buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
     hub.tell(Event::ClientConnected { conn }).await;
-    // Guards the final answer against one that asks without end: what waits for this task has few places, and
-    // an answer that finds none is lost. No more is read than half of them can hold.
-    let mut pings = 0;
-    loop {
-        let next = tokio::select! {
-            biased;
-            // A line that is there before a word that its place is wanted, and before its time is up: the
-            // relay may have stood still while it lay there.
-            line = more(&client, &mut buffer, limits.line), if pings < limits.commands / 2 => match line {
-                Ok(Some(line)) => Next::Line(line),
-                Ok(None) => Next::Part,
-                Err(Unfit::Ended) => Next::Ended,
-                Err(Unfit::Broke) => Next::Broke,
-                Err(Unfit::Long) => Next::Odd,
-            },
-            command = commands.recv() => Next::Told(command),
-            () = sleep_until(over) => Next::Odd,
-        };
-        let line = match next {
-            Next::Line(line) => line,
-            Next::Part => {
-                // Guards a client that is slow: as long as its line grows it has a little more time.
-                let pause = Instant::now() + span(limits.first_line_pause);
-                over = over.max(pause.min(came + span(limits.first_line_most)));
-                hub.tell(Event::FirstLineStarted { conn }).await;
-                continue;
-            }
-            Next::Ended => return,
-            // Nothing of it ran; whoever is there still may come again.
-            Next::Broke => return end::at_once(client, &lines::busy(0)),
-            Next::Odd => return admit::rejected(conn, client, commands, hub).await,
-            Next::Told(Some(Command::Shed)) => {
-                // Its line may lie there unread, in more than one read: then it is a session like others.
-                while matches!(buffer.read_now(&client), Ok(1..)) {}
-                match buffer.take_line() {
-                    Some(line) => line,
-                    None => return end::at_once(client, &lines::busy(0)),
+    let pending_pongs = 0;
+    NewConnection { conn, client, buffer, hub, limits, connected_at, deadline, pending_pongs }
+        .run(commands)
+        .await;
+}
+
+impl NewConnection<'_> {
+    async fn run(mut self, mut commands: Receiver<Command>) {
+        loop {
+            let input = self.next_input(&mut commands).await;
+            let line = match self.handle(input).await {
+                Step::Continue => continue,
+                Step::Parse(line) => line,
+                Step::Close => return,
+                // Nothing of it ran, so the client may come again.
+                Step::Reject => return close::send_without_waiting(self.client, &lines::busy(0)),
+                Step::ReportViolation => return self.report_violation(commands).await,
+            };
+            match lines::parse_first_line(&line) {
+                // A client that sends more before it is answered does not speak this protocol.
+                Some(FirstLine::Open(request)) if !self.buffer.holds_more(&self.client) => {
+                    return self.open_session(line, request, commands).await;
+                }
+                // A client that pings for ever is ended by the deadline.
+                Some(FirstLine::Ping) if Instant::now() < self.deadline => {
+                    self.pending_pongs += 1;
+                    self.hub.tell(Event::Ping { conn: self.conn }).await;
+                }
+                _ => {
+                    let bytes = line.len();
+                    slog::debug!(self.hub.log, "a first line is odd"; "conn" => self.conn, "bytes" => bytes);
+                    return self.report_violation(commands).await;
                 }
             }
-            Next::Told(Some(Command::Pong(line))) => {
-                pings = pings.saturating_sub(1);
-                if !end::write(&client, line, limits.end).await {
-                    return;
+        }
+    }
+
+    async fn next_input(&mut self, commands: &mut Receiver<Command>) -> Input {
+        let may_read = self.pending_pongs < self.limits.commands / 2;
+        tokio::select! {
+            biased;
+            // A line that is there goes before a command to shed the connection, and before its deadline: the
+            // process may not have been scheduled while the line lay there.
+            read = read::read_some(&self.client, &mut self.buffer, self.limits.line), if may_read => {
+                match read {
+                    Ok(Some(line)) => Input::Line(line),
+                    Ok(None) => Input::Part,
+                    Err(ReadError::Closed) => Input::Closed,
+                    Err(ReadError::Broken) => Input::Broken,
+                    Err(ReadError::TooLong) => Input::Invalid,
                 }
-                continue;
             }
-            // Doubts are of open sessions; the others are answers to what was not said here.
-            Next::Told(Some(Command::Doubt(_))) => continue,
-            Next::Told(_) => return,
-        };
-        match lines::first(&line) {
-            // Who sends more before it is answered speaks another protocol; what follows has no meaning here.
-            Some(First::Open(open)) if !buffer.holds_more(&client) => {
-                let wait = open.wait_ms.saturating_mul(1000);
-                let age = read::age_of_last(&client).min(wait);
-                let left = wait.saturating_sub(age + limits.answer_margin);
-                let wait_at = open.wait_at.clone();
-                hub.tell(Event::SessionRequested { sess: conn, open, left }).await;
-                let asked = admit::Asked { line, wait_at };
-                return admit::run(conn, client, buffer, asked, commands, hub).await;
+            command = commands.recv() => Input::Command(command),
+            () = sleep_until(self.deadline) => Input::Invalid,
+        }
+    }
+
+    async fn handle(&mut self, input: Input) -> Step {
+        match input {
+            Input::Line(line) => Step::Parse(line),
+            Input::Part => {
+                self.extend_deadline();
+                self.hub.tell(Event::FirstLineStarted { conn: self.conn }).await;
+                Step::Continue
             }
-            // Guards against one that asks without end: lines go before the time in which one must begin.
-            Some(First::Ping) if Instant::now() < over => {
-                pings += 1;
-                hub.tell(Event::Ping { conn }).await;
+            Input::Closed => Step::Close,
+            Input::Broken => Step::Reject,
+            Input::Invalid => Step::ReportViolation,
+            Input::Command(Some(Command::Shed)) => {
+                // The line may lie there unread, in more than one read: then it is a session like others.
+                while matches!(self.buffer.read_now(&self.client), Ok(1..)) {}
+                self.buffer.take_line().map_or(Step::Reject, Step::Parse)
             }
-            _ => {
-                slog::debug!(hub.log, "a first line is odd"; "conn" => conn, "bytes" => line.len());
-                return admit::rejected(conn, client, commands, hub).await;
+            Input::Command(Some(Command::Pong(line))) => {
+                self.pending_pongs = self.pending_pongs.saturating_sub(1);
+                let written = close::write_all(&self.client, line, self.limits.end).await;
+                if written {
+                    Step::Continue
+                } else {
+                    Step::Close
+                }
             }
+            // It is meant for open sessions; the other commands answer what this task has not reported.
+            Input::Command(Some(Command::Doubt(_))) => Step::Continue,
+            Input::Command(_) => Step::Close,
         }
     }
+
+    /// A slow client has a little more time for as long as its line grows.
+    fn extend_deadline(&mut self) {
+        let pause_ends = Instant::now() + span(self.limits.first_line_pause);
+        let latest = self.connected_at + span(self.limits.first_line_most);
+        self.deadline = self.deadline.max(pause_ends.min(latest));
+    }
+
+    async fn open_session(self, line: Vec<u8>, open: SessionRequest, commands: Receiver<Command>) {
+        let wait = open.wait_ms.saturating_mul(1000);
+        let age = read::age_of_last_bytes(&self.client).min(wait);
+        let left = wait.saturating_sub(age + self.limits.answer_margin);
+        let timeout_range = open.wait_at.clone();
+        self.hub.tell(Event::SessionRequested { sess: self.conn, open, left }).await;
+        let request = ClientRequest { line, timeout_range };
+        await_answer::run(self.conn, self.client, self.buffer, request, commands, self.hub).await;
+    }
+
+    async fn report_violation(self, commands: Receiver<Command>) {
+        await_answer::reject_protocol_violation(self.conn, self.client, commands, self.hub).await;
+    }
 }
--- a/relay/src/net/fleet.rs
+++ b/relay/src/net/fleet.rs
@@ -4,7 +4,7 @@
 use super::{accept, Hub};
 use crate::clock::span;
 use crate::reducer::Event;
-use crate::socket::{self, Steady};
+use crate::socket::{self, RetryingStream};
 use hallrelay_config::fleet::Fleet;
 use hallrelay_membership::membership::Event as Heard;
 use hallrelay_membership::message::{decode, Fault, Packet, DATAGRAM, FRAME};
@@ -37,7 +37,7 @@
 
 pub async fn bind(at: SocketAddr) -> io::Result<Bound> {
     let named = |e: io::Error| io::Error::new(e.kind(), format!("fleet.listen {at}: {e}"));
-    let datagrams = socket::once_there_is_room(|| UdpSocket::bind(at)).await.map_err(named)?;
+    let datagrams = socket::retry_without_resources(|| UdpSocket::bind(at)).await.map_err(named)?;
     let streams = super::serve::listen(at, BACKLOG).await.map_err(named)?;
     Ok(Bound { datagrams, streams })
 }
@@ -202,7 +202,7 @@
 
 async fn visited(id: u64, stream: TcpStream, name: &str, answers: &Answers, hub: &Hub) {
     let Ok(from) = stream.peer_addr() else { return };
-    let mut stream = Steady(stream);
+    let mut stream = RetryingStream(stream);
     let packet = match read_frame(&mut stream).await.map(|frame| decode(name, &frame, FRAME)) {
         Ok(Ok(packet)) => Box::new(packet),
         Ok(Err(what)) => return dropped(hub, what, 1).await,
@@ -223,7 +223,7 @@
     if !own.is_unspecified() && own.is_ipv4() == to.is_ipv4() {
         socket.bind(SocketAddr::new(own, 0))?;
     }
-    let mut stream = Steady(socket.connect(to).await?);
+    let mut stream = RetryingStream(socket.connect(to).await?);
     write_frame(&mut stream, bytes).await?;
     let frame = read_frame(&mut stream).await?;
     Ok(decode(&fleet.name, &frame, FRAME).map(Box::new))
@@ -233,7 +233,7 @@
     LengthDelimitedCodec::builder().max_frame_length(FRAME).new_codec()
 }
 
-fn write_frame(stream: &mut Steady, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>> + '_ {
+fn write_frame(stream: &mut RetryingStream, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>> + '_ {
     let mut framed = BytesMut::new();
     let coded = codec().encode(Bytes::from(bytes), &mut framed);
     async move {
@@ -242,7 +242,7 @@
     }
 }
 
-async fn read_frame(stream: &mut Steady) -> io::Result<BytesMut> {
+async fn read_frame(stream: &mut RetryingStream) -> io::Result<BytesMut> {
     let (mut codec, mut buffer) = (codec(), BytesMut::new());
     loop {
         if let Some(frame) = codec.decode(&mut buffer)? {
--- a/relay/src/net/handover.rs
+++ b/relay/src/net/handover.rs
@@ -1,9 +1,9 @@
 //! The Unix socket over which a process gives its place to the next one: in `$TMPDIR`, open to its owner
 //! alone, a line of JSON a message, the listening socket beside the offer.
 use super::peers::{Out, Sockets};
-use super::{accept, pass, Hub};
+use super::{accept, proxy, Hub};
 use crate::clock::span;
-use crate::lines::plain;
+use crate::lines::sanitize;
 use crate::reducer::Event;
 use crate::socket::uninterrupted;
 use hallrelay_config::node::Node;
@@ -40,7 +40,7 @@
     // What the system has room for in an address, with its end.
     const LONGEST_PATH: usize = 107;
     let folder = std::env::var_os("TMPDIR").filter(|f| !f.is_empty()).ok_or("TMPDIR is not set")?;
-    let path = Path::new(&folder).join(format!("hallrelay-{:.64}.sock", plain(&node.name)));
+    let path = Path::new(&folder).join(format!("hallrelay-{:.64}.sock", sanitize(&node.name)));
     if path.as_os_str().len() > LONGEST_PATH {
         return Err("the path of TMPDIR is too long");
     }
@@ -155,7 +155,7 @@
             // For a moment: the door stays for whoever comes next.
             Err(e) => {
                 slog::warn!(hub.log, "a process at the door was not let in"; "error" => %e);
-                tokio::time::sleep(accept::REST).await;
+                tokio::time::sleep(accept::ACCEPT_BACKOFF).await;
                 continue;
             }
         };
@@ -281,7 +281,7 @@
                 let hub = hub.clone();
                 tokio::task::spawn_local(async move {
                     let (conn, commands) = hub.register();
-                    pass::resume(conn, session, sockets, commands, &hub).await;
+                    proxy::resume(conn, session, sockets, commands, &hub).await;
                     hub.conns.borrow_mut().remove(&conn);
                     hub.tell(Event::ClientDisconnected { sess: conn }).await;
                 });
--- /dev/null
+++ b/relay/src/net/health_check.rs
@@ -0,0 +1,117 @@
+//! Health checks of one backend, one at a time, on a connection that is kept for the next one.
+use super::{close, read, Hub};
+use crate::buffer::Buffer;
+use crate::clock::span;
+use crate::lines::{self, BackendReply};
+use crate::reducer::Event;
+use crate::socket::{self, ConnectError};
+use hallrelay_balancer::types::{DialEnd, Report, ServerId};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::Receiver;
+use tokio::time::{timeout, Instant};
+
+/// A connection for health checks, with what was read from it.
+struct Connection {
+    addr: SocketAddr,
+    stream: TcpStream,
+    buffer: Buffer,
+}
+
+/// Why a check got no load report from a healthy backend.
+struct CheckFailure {
+    end: DialEnd,
+    /// What the backend reported beside its refusal.
+    report: Option<Report>,
+}
+
+impl From<DialEnd> for CheckFailure {
+    fn from(end: DialEnd) -> CheckFailure {
+        CheckFailure { end, report: None }
+    }
+}
+
+/// Runs the checks that are requested until no more can be. `keep` tells whether a connection may be kept
+/// between two.
+pub async fn run(server: ServerId, keep: bool, mut requests: Receiver<SocketAddr>, hub: Hub) {
+    let mut idle: Option<Connection> = None;
+    loop {
+        let request = if idle.is_some() {
+            match timeout(span(hub.limits().probe_idle), requests.recv()).await {
+                Ok(request) => request,
+                Err(_) => {
+                    idle = None;
+                    continue;
+                }
+            }
+        } else {
+            requests.recv().await
+        };
+        let Some(addr) = request else { return };
+        let usable = idle.take().filter(|kept| kept.addr == addr && is_idle(&kept.stream));
+        let (end, report) = match timeout(span(hub.limits().probe), check(addr, usable, &hub)).await {
+            Ok(Ok((report, connection))) => {
+                idle = Some(connection).filter(|_| keep);
+                (DialEnd::Ok, report)
+            }
+            Ok(Err(failure)) => (failure.end, failure.report),
+            Err(_) => (DialEnd::Timeout, None),
+        };
+        hub.tell(Event::HealthCheckEnded { server, end, report }).await;
+    }
+}
+
+/// One check, on the idle connection where there is one.
+///
+/// Backends may close or forget idle connections: one that resets as it is used, or stays silent for half of
+/// the time, is no failure. The check is repeated on a new connection within the same time.
+async fn check(
+    addr: SocketAddr,
+    idle: Option<Connection>,
+    hub: &Hub,
+) -> Result<(Option<Report>, Connection), CheckFailure> {
+    let limits = hub.limits();
+    if let Some(mut connection) = idle {
+        match timeout(span(limits.probe / 2), request_report(&mut connection, hub)).await {
+            Err(_) | Ok(Err(CheckFailure { end: DialEnd::Reset, .. })) => {}
+            Ok(result) => return result.map(|report| (report, connection)),
+        }
+    }
+    let stream = connect(addr, hub).await?;
+    let buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
+    let mut connection = Connection { addr, stream, buffer };
+    let report = request_report(&mut connection, hub).await?;
+    Ok((report, connection))
+}
+
+/// Whether a kept connection is still open and silent.
+fn is_idle(stream: &TcpStream) -> bool {
+    let mut byte = [0u8; 1];
+    matches!(socket::try_read(stream, &mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
+}
+
+async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, CheckFailure> {
+    let deadline = Instant::now() + span(hub.limits().connect);
+    hub.connect(addr, deadline).await.map_err(|error| match error {
+        // A fault of this machine says nothing of the backend.
+        ConnectError::Local(_) => DialEnd::Moot.into(),
+        ConnectError::Remote(_) | ConnectError::TimedOut => DialEnd::Unconnected.into(),
+    })
+}
+
+/// Asks for a load report; `None` where the backend is healthy and reports no load.
+async fn request_report(connection: &mut Connection, hub: &Hub) -> Result<Option<Report>, CheckFailure> {
+    let limits = hub.limits();
+    let Connection { stream, buffer, .. } = connection;
+    if !close::write_all(stream, lines::STATS, limits.probe).await {
+        return Err(DialEnd::Reset.into());
+    }
+    let reply = read::read_line(stream, buffer, limits.line).await.map_err(|_| DialEnd::Reset)?;
+    match lines::parse_backend_reply(&reply, hub.order()) {
+        BackendReply::Pong(report) => Ok(report),
+        BackendReply::Busy(report) => Err(CheckFailure { end: DialEnd::Full, report }),
+        BackendReply::Error(report) => Err(CheckFailure { end: DialEnd::Error, report }),
+        _ => Err(DialEnd::Error.into()),
+    }
+}
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -6,7 +6,7 @@
 mod probes;
 mod waiting;
 
-use super::permit::Terms;
+use super::dial_permit::DialConditions;
 use super::{first_line, Command, Hub};
 use crate::reducer::Event;
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
@@ -215,7 +215,7 @@
 
     fn dials(&self, conn: SessId, dial: u32, at: &TcpListener, within: Micros) {
         let addr = at.local_addr().expect("its address");
-        let terms = Terms { server: Some(SERVER), by: self.hub.clock.now() + within };
+        let terms = DialConditions { server: Some(SERVER), start_by: self.hub.clock.now() + within };
         self.says(conn, Command::Dial { dial, addr, wait: 1_500_000, terms });
     }
 }
--- a/relay/src/net/interleaving_tests/probes.rs
+++ b/relay/src/net/interleaving_tests/probes.rs
@@ -1,6 +1,6 @@
 //! Probes on a connection that is kept, and that its backend closes as it idles.
 use super::{bound, hub, play, soon, taken};
-use crate::net::probe;
+use crate::net::health_check;
 use crate::reducer::Event;
 use hallrelay_balancer::types::DialEnd;
 use tokio::sync::mpsc;
@@ -14,7 +14,7 @@
             let backend = bound().await;
             let addr = backend.local_addr().expect("its address");
             let (ask, asked) = mpsc::channel(1);
-            tokio::task::spawn_local(probe::run(7, true, asked, play.hub.clone()));
+            tokio::task::spawn_local(health_check::run(7, true, asked, play.hub.clone()));
             ask.send(addr).await.expect("it serves");
             let mut first = taken(&backend).await;
             assert_eq!(first.hears().await, "STATS\r\n");
@@ -41,15 +41,15 @@
     }
 }
 
-/// A backend, or what lies on the way, has forgotten a connection that idled: nothing comes back on it, not even a
-/// reset. It is asked anew on another one within the probe's time, and has not failed.
+/// A backend, or what lies on the way, has forgotten a connection that idled: nothing comes back on it, not
+/// even a reset. It is asked anew on another one within the probe's time, and has not failed.
 #[test]
 fn a_connection_forgotten_as_it_idled_is_no_fault() {
     play(|mut play| async move {
         let backend = bound().await;
         let addr = backend.local_addr().expect("its address");
         let (ask, asked) = mpsc::channel(1);
-        tokio::task::spawn_local(probe::run(7, true, asked, play.hub.clone()));
+        tokio::task::spawn_local(health_check::run(7, true, asked, play.hub.clone()));
         ask.send(addr).await.expect("it serves");
         let mut first = taken(&backend).await;
         first.hears().await;
@@ -75,7 +75,7 @@
         let (hub, mut events) = hub(|limits| limits.probe_idle = 20_000);
         let backend = bound().await;
         let (ask, asked) = mpsc::channel(1);
-        tokio::task::spawn_local(probe::run(7, true, asked, hub));
+        tokio::task::spawn_local(health_check::run(7, true, asked, hub));
         ask.send(backend.local_addr().expect("its address")).await.expect("it serves");
         let mut server = taken(&backend).await;
         server.hears().await;
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -268,8 +268,8 @@
     });
 }
 
-/// A backend is to be left from a moment between the decision and the first byte: nothing is sent to it, though
-/// the connection is up.
+/// A backend is to be left from a moment between the decision and the first byte: nothing is sent to it,
+/// though the connection is up.
 #[test]
 fn a_backend_that_drains_during_a_connect_gets_no_line() {
     play(|mut play| async move {
@@ -285,7 +285,7 @@
         play.hub.leaving.borrow_mut().insert(SERVER);
         assert_eq!(play.event().await, Event::DialNotStarted { sess: conn, dial: 0 });
         untouched(&backend).await;
-        assert_eq!(play.hub.denials.now().leaving, 2);
+        assert_eq!(play.hub.denials.counts().leaving, 2);
     });
 }
 
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -1,28 +1,28 @@
 //! The tasks, by stage: accept, first line, admit, dial, pass, end; beside them probe, discovery and stop.
 //! `serve` runs them round the reducer.
 mod accept;
-mod admit;
+mod await_answer;
+mod close;
 mod dial;
+pub mod dial_permit;
 mod discovery;
-mod end;
 mod first_line;
 mod fleet;
 mod handover;
+mod health_check;
 #[cfg(test)]
 mod interleaving_tests;
 mod operator;
-mod pass;
 mod peers;
-pub mod permit;
-mod probe;
+mod proxy;
 mod read;
 pub mod serve;
-pub mod stop;
+pub mod signals;
 mod store;
 
 use crate::clock::Clock;
 use crate::reducer::Event;
-use crate::socket::{self, NotConnected};
+use crate::socket::{self, ConnectError};
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
@@ -46,7 +46,7 @@
         addr: SocketAddr,
         wait: Micros,
         /// It was decided by what held then.
-        terms: permit::Terms,
+        terms: dial_permit::DialConditions,
     },
     Pass,
     Answer(Vec<u8>),
@@ -70,7 +70,7 @@
     last_id: Rc<Cell<SessId>>,
     /// Servers to which nothing new may be sent, as the reducer knows them.
     leaving: Rc<RefCell<BTreeSet<ServerId>>>,
-    denials: Rc<permit::Counted>,
+    denials: Rc<dial_permit::DenialCounter>,
     /// When a connection to any server came up last.
     connected_at: Rc<Cell<Micros>>,
     /// Ways to other processes of this relay.
@@ -128,12 +128,12 @@
         (id, commands)
     }
 
-    /// Connects to a server. A way that is missing to this one alone, as others come up meanwhile, is the server's
-    /// trouble and not this machine's.
-    async fn connect(&self, addr: SocketAddr, by: Instant) -> Result<TcpStream, NotConnected> {
+    /// Connects to a server. A way that is missing to this one alone, as others come up meanwhile, is the
+    /// server's trouble and not this machine's.
+    async fn connect(&self, addr: SocketAddr, by: Instant) -> Result<TcpStream, ConnectError> {
         let began = self.clock.now();
         let others_come_up = || self.connected_at.get() >= began;
-        let is_remote = |e: &std::io::Error| socket::may_be_one_way(e) && others_come_up();
+        let is_remote = |e: &std::io::Error| socket::may_concern_one_route(e) && others_come_up();
         let stream = socket::connect(addr, by, is_remote).await?;
         self.connected_at.set(self.clock.now());
         Ok(stream)
--- a/relay/src/net/operator.rs
+++ b/relay/src/net/operator.rs
@@ -5,7 +5,7 @@
 use crate::clock::span;
 use crate::figures;
 use crate::reducer::{DrainRequest, OperatorReply, OperatorRequest};
-use crate::socket::Steady;
+use crate::socket::RetryingStream;
 use hallrelay_disruption::{Command, RolloutPlan, Target};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -136,7 +136,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(span(limits.call))
         .max_buf_size(limits.call_head)
-        .serve_connection(TokioIo::new(Steady(stream)), service);
+        .serve_connection(TokioIo::new(RetryingStream(stream)), service);
     // One time for the whole call: a body that never ends is cut off as well.
     match timeout(span(limits.call), served).await {
         Ok(Ok(())) => {}
--- /dev/null
+++ b/relay/src/net/proxy.rs
@@ -0,0 +1,373 @@
+//! An open session: lines pass both ways unchanged, and what they tell of load and latency is reported to the
+//! reducer.
+use super::dial::Backend;
+use super::peers::{self, Sockets};
+use super::{close, Command, Hub};
+use crate::buffer::Buffer;
+use crate::lines::{self, BackendReply};
+use crate::reducer::Event;
+use hallrelay_balancer::types::{DialEnd, Micros, Report, SessId};
+use hallrelay_hot_restart::place::Peer;
+use hallrelay_hot_restart::Session;
+use std::collections::VecDeque;
+use std::io::ErrorKind;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::Receiver;
+use tokio::time::sleep_until;
+
+/// The extra time for an answer that may lie unread, in microseconds: long enough to read it, short against
+/// the silence after which a message counts as lost.
+const UNREAD_GRACE: Micros = 20_000;
+
+/// How an open session ends, as its task sees it.
+enum SessionEnd {
+    ClientClosed,
+    /// The client's connection failed, or it violates the protocol.
+    ClientBroken,
+    /// The backend ended it.
+    Backend(BackendEnd),
+    /// The reducer migrates it.
+    Migrated,
+    /// Another process takes it over.
+    HandedOver(Peer, Box<Session>),
+    Closed,
+}
+
+/// How a backend ended a session, and the load report that came with its last line.
+#[derive(Clone, Copy)]
+struct BackendEnd {
+    end: DialEnd,
+    report: Option<Report>,
+}
+
+impl BackendEnd {
+    /// Without a last line.
+    const RESET: BackendEnd = BackendEnd { end: DialEnd::Reset, report: None };
+}
+
+/// A message that has waited too long for its answer.
+#[derive(Clone, Copy)]
+struct OverdueMessage {
+    /// When it was sent, in microseconds.
+    sent_at: Micros,
+    /// Until then its answer may still lie unread.
+    grace_ends: Micros,
+}
+
+/// Watches the lines of a session for latency, load and the backend's last line.
+struct LineObserver<'a> {
+    conn: SessId,
+    hub: &'a Hub,
+    /// When the client sent the messages whose answers are awaited, oldest first.
+    unanswered: VecDeque<Micros>,
+    overdue: Option<OverdueMessage>,
+    /// The longest wait for an answer, in microseconds.
+    answer_timeout: Micros,
+    /// The backend's last line, once it was read.
+    backend_end: Option<BackendEnd>,
+}
+
+impl<'a> LineObserver<'a> {
+    fn new(conn: SessId, hub: &'a Hub) -> LineObserver<'a> {
+        let answer_timeout = hub.limits().silence;
+        let unanswered = VecDeque::new();
+        LineObserver { conn, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
+    }
+
+    /// Takes complete lines from the client; false where one is too long.
+    fn client_lines(&mut self, lines: &[u8]) -> bool {
+        let now = self.hub.clock.now();
+        let limits = self.hub.limits();
+        lines::complete_lines(lines).all(|line| {
+            if self.unanswered.len() < limits.unanswered {
+                self.unanswered.push_back(now);
+            }
+            line.len() <= limits.line
+        })
+    }
+
+    /// Takes complete lines from the backend; false where one is too long.
+    async fn backend_lines(&mut self, lines: &[u8]) -> bool {
+        let max_bytes = self.hub.limits().line;
+        let report_order = self.hub.order();
+        for line in lines::complete_lines(lines) {
+            if line.len() > max_bytes {
+                return false;
+            }
+            match lines::parse_backend_reply(line, report_order) {
+                BackendReply::Load(load) => {
+                    self.hub.tell(Event::LoadReported { sess: self.conn, load }).await;
+                }
+                BackendReply::Bye(report) => {
+                    self.backend_end = Some(BackendEnd { end: DialEnd::Ok, report });
+                }
+                BackendReply::Move => {
+                    self.backend_end = Some(BackendEnd { end: DialEnd::Recalled, report: None });
+                }
+                _ => self.answered().await,
+            }
+        }
+        true
+    }
+
+    /// A line of the backend answers the oldest message.
+    async fn answered(&mut self) {
+        if let Some(sent_at) = self.unanswered.pop_front() {
+            let time = self.hub.clock.now() - sent_at;
+            self.hub.tell(Event::MessageLatency { sess: self.conn, time }).await;
+        }
+    }
+
+    /// When the oldest message counts as lost.
+    fn answer_deadline(&self) -> Option<Micros> {
+        let sent_at = *self.unanswered.front()?;
+        let overdue = self.overdue.filter(|overdue| overdue.sent_at == sent_at);
+        Some(overdue.map_or(sent_at + self.answer_timeout, |overdue| overdue.grace_ends))
+    }
+
+    /// Whether the oldest message is lost. It gets one grace first, in which an answer is read that arrived
+    /// while this process was not scheduled.
+    fn is_lost(&mut self) -> bool {
+        let Some(&sent_at) = self.unanswered.front() else { return false };
+        let grace_ends = self.hub.clock.now() + UNREAD_GRACE;
+        let before = self.overdue.replace(OverdueMessage { sent_at, grace_ends });
+        before.is_some_and(|overdue| overdue.sent_at == sent_at)
+    }
+
+    /// Carries out a command; how the session ends by it, where it does.
+    fn command(&mut self, command: Option<Command>) -> Option<SessionEnd> {
+        match command {
+            Some(Command::Move) => Some(SessionEnd::Migrated),
+            Some(Command::PassOn(peer, session)) => Some(SessionEnd::HandedOver(peer, session)),
+            Some(Command::Doubt(suspect)) => {
+                let limits = self.hub.limits();
+                // Where the backend fails its health checks, a message gets no more time than these.
+                self.answer_timeout = if suspect { limits.probe } else { limits.silence };
+                None
+            }
+            // Meant for the connection before it was a session.
+            Some(Command::Pong(_) | Command::Shed) => None,
+            _ => Some(SessionEnd::Closed),
+        }
+    }
+
+    /// The backend's connection is over: with its last line, or without one.
+    fn backend_closed(&mut self) -> SessionEnd {
+        SessionEnd::Backend(self.backend_end.take().unwrap_or(BackendEnd::RESET))
+    }
+}
+
+/// Proxies a session that a backend has accepted, from the acceptance line to the end.
+pub async fn run(
+    conn: SessId,
+    client: TcpStream,
+    from_client: Buffer,
+    backend: Backend,
+    commands: Receiver<Command>,
+    hub: &Hub,
+) {
+    let Backend { stream: backend, buffer: from_backend, acceptance } = backend;
+    let mut observer = LineObserver::new(conn, hub);
+    if !close::write_all(&client, &acceptance, hub.limits().stuck).await {
+        return close::reset(backend);
+    }
+    drop(acceptance);
+    if !(observer.client_lines(from_client.lines()) && observer.backend_lines(from_backend.lines()).await) {
+        return close::reset(backend);
+    }
+    OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
+}
+
+/// Continues a session of another process, once the reducer has adopted it.
+pub async fn resume(
+    conn: SessId,
+    session: Box<Session>,
+    sockets: Sockets,
+    mut commands: Receiver<Command>,
+    hub: &Hub,
+) {
+    let Sockets { client, backend } = sockets;
+    let limits = hub.limits();
+    let from_client = Buffer::holding(&session.up, limits.buffer_first, limits.buffer_most);
+    let from_backend = Buffer::holding(&session.down, limits.buffer_first, limits.buffer_most);
+    let mut observer = LineObserver::new(conn, hub);
+    let now = hub.clock.now();
+    observer.unanswered = session.unanswered.iter().map(|ago| now.saturating_sub(*ago)).collect();
+    hub.tell(Event::SessionAdopted { sess: conn, session }).await;
+    // No other command can be queued: the session had no place before.
+    if let Some(Command::Pass) = commands.recv().await {
+        OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
+    }
+}
+
+/// Both connections of an open session, and what was read from each and not yet written to the other.
+struct OpenSession<'a> {
+    client: TcpStream,
+    from_client: Buffer,
+    backend: TcpStream,
+    from_backend: Buffer,
+    observer: LineObserver<'a>,
+}
+
+impl OpenSession<'_> {
+    async fn run(mut self, mut commands: Receiver<Command>) {
+        let conn = self.observer.conn;
+        let hub = self.observer.hub;
+        loop {
+            match self.proxy(&mut commands).await {
+                // A session whose last line was read ends here, at once.
+                SessionEnd::HandedOver(peer, session) if self.observer.backend_end.is_none() => {
+                    match self.hand_over(peer, session).await {
+                        Some(session) => self = session,
+                        None => return,
+                    }
+                    hub.tell(Event::SessionHandoverFailed { sess: conn }).await;
+                }
+                SessionEnd::HandedOver(..) => hub.tell(Event::SessionHandoverFailed { sess: conn }).await,
+                SessionEnd::ClientClosed => return self.client_closed().await,
+                SessionEnd::ClientBroken => {
+                    close::reset(self.backend);
+                    // The client may be there still: it is told as far as it can be.
+                    return say_last(self.client, &self.from_backend, lines::MOVE, &mut commands, hub).await;
+                }
+                SessionEnd::Closed => return,
+                SessionEnd::Backend(BackendEnd { end, report }) => {
+                    hub.tell(Event::SessionEnded { sess: conn, end, report }).await;
+                    // A client that got no last line is told to come again.
+                    let word: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
+                    drop(self.backend);
+                    return say_last(self.client, &self.from_backend, word, &mut commands, hub).await;
+                }
+                SessionEnd::Migrated => {
+                    drop(self.backend);
+                    let end = DialEnd::Recalled;
+                    hub.tell(Event::SessionEnded { sess: conn, end, report: None }).await;
+                    return say_last(self.client, &self.from_backend, lines::MOVE, &mut commands, hub).await;
+                }
+            }
+        }
+    }
+
+    /// Hands the session over to another process; returns it where that could not take it, and `None` where
+    /// it is over for this process.
+    async fn hand_over(self, peer: Peer, session: Box<Session>) -> Option<Self> {
+        let OpenSession { client, from_client, backend, from_backend, observer } = self;
+        let hub = observer.hub;
+        let now = hub.clock.now();
+        let session = Box::new(Session {
+            up: from_client.rest().to_vec(),
+            down: from_backend.rest().to_vec(),
+            unanswered: observer.unanswered.iter().map(|sent_at| now - sent_at).collect(),
+            ..*session
+        });
+        match peers::pass(peer, session, Sockets { client, backend }, hub).await {
+            Ok(()) => {
+                hub.tell(Event::SessionHandedOver { sess: observer.conn }).await;
+                None
+            }
+            Err(Some(Sockets { client, backend })) => {
+                Some(OpenSession { client, from_client, backend, from_backend, observer })
+            }
+            // Its sockets are of no use to this process any more.
+            Err(None) => None,
+        }
+    }
+
+    /// The client has closed: what it sent still goes to the backend.
+    async fn client_closed(self) {
+        let hub = self.observer.hub;
+        hub.tell(Event::ClientDisconnected { sess: self.observer.conn }).await;
+        if close::write_all(&self.backend, self.from_client.lines(), hub.limits().end).await {
+            close::close_gracefully(self.backend, hub).await;
+        }
+    }
+
+    /// Passes lines until the session ends or is to be handed over.
+    async fn proxy(&mut self, commands: &mut Receiver<Command>) -> SessionEnd {
+        let OpenSession { client, from_client, backend, from_backend, observer } = self;
+        let limits = observer.hub.limits();
+        let clock = observer.hub.clock;
+        let max_partial = limits.line + lines::END.len();
+        // Since when the client has taken nothing of what waits for it.
+        let mut stalled_since: Option<Micros> = None;
+        loop {
+            let to_client = !from_backend.lines().is_empty();
+            let to_backend = !from_client.lines().is_empty();
+            stalled_since = if to_client { stalled_since.or(Some(clock.now())) } else { None };
+            let stalled_until = stalled_since.map(|since| since + limits.stuck);
+            // While the client takes nothing, the backend's silence is the client's doing.
+            let wake = stalled_until.or(observer.answer_deadline());
+            let wake_at = clock.at(wake.unwrap_or_default());
+            tokio::select! {
+                biased;
+                // Commands are few, and a busy session would delay them. Then what has come, the backend's
+                // first, since its end is known by it; then what is to go; last the time, so that all that
+                // lay unread was read before it counts.
+                command = commands.recv() => {
+                    if let Some(end) = observer.command(command) {
+                        return end;
+                    }
+                }
+                count = from_backend.fill(backend), if from_backend.has_room() => match count {
+                    Ok(0) | Err(_) => return observer.backend_closed(),
+                    Ok(_) => {
+                        let valid = observer.backend_lines(from_backend.fresh()).await;
+                        if !valid || from_backend.partial() > max_partial {
+                            from_backend.reject_fresh();
+                            return SessionEnd::Backend(BackendEnd::RESET);
+                        }
+                    }
+                },
+                count = from_client.fill(client), if from_client.has_room() => match count {
+                    Ok(0) => return SessionEnd::ClientClosed,
+                    Ok(_) if observer.client_lines(from_client.fresh())
+                        && from_client.partial() <= max_partial => {}
+                    // A line that is too long ends the session as a failed connection does.
+                    _ => return SessionEnd::ClientBroken,
+                },
+                ready = backend.writable(), if to_backend => {
+                    if ready.is_err() || write_some(from_client, backend).is_err() {
+                        return observer.backend_closed();
+                    }
+                }
+                ready = client.writable(), if to_client => {
+                    match ready.and_then(|()| write_some(from_backend, client)) {
+                        Ok(0) => {}
+                        Ok(_) => stalled_since = None,
+                        Err(_) => return SessionEnd::ClientBroken,
+                    }
+                }
+                () = sleep_until(wake_at), if wake.is_some() => {
+                    match stalled_since {
+                        Some(_) => return SessionEnd::ClientBroken,
+                        None if observer.is_lost() => return SessionEnd::Backend(BackendEnd::RESET),
+                        None => {}
+                    }
+                }
+            }
+        }
+    }
+}
+
+/// Sends the complete lines that wait, then a last one, and closes.
+async fn say_last(
+    client: TcpStream,
+    from_backend: &Buffer,
+    last: &[u8],
+    commands: &mut Receiver<Command>,
+    hub: &Hub,
+) {
+    let answer = [from_backend.lines(), last].concat();
+    close::send_final_answer(client, &answer, commands, hub).await;
+}
+
+/// Writes as much of the complete lines as the system takes.
+fn write_some(buffer: &mut Buffer, stream: &TcpStream) -> std::io::Result<usize> {
+    match buffer.write(stream) {
+        Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(0),
+        written => {
+            buffer.shrink();
+            written
+        }
+    }
+}
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,6 +1,8 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
-use super::permit::Terms;
-use super::{accept, discovery, fleet, handover, operator, peers, probe, stop, store, Command, Hub};
+use super::dial_permit::DialConditions;
+use super::{
+    accept, discovery, fleet, handover, health_check, operator, peers, signals, store, Command, Hub,
+};
 use crate::clock::span;
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
@@ -54,8 +56,8 @@
     reread: impl Fn() -> Result<Node, String> + 'static,
     log: slog::Logger,
 ) -> std::io::Result<()> {
-    let signals = stop::Signals::caught()?;
-    stop::open();
+    let signals = signals::Signals::install()?;
+    signals::unblock();
     let limits = node.limits;
     let (hub, mut arrived) = Hub::new(limits, node.site.report, log.clone());
     let clock = hub.clock;
@@ -120,7 +122,7 @@
     stored.into_iter().for_each(|stored| reducer.remember(stored));
     reducer.start(clock.now(), &mut effects);
     hands.carry_out(&mut effects);
-    tokio::task::spawn_local(stop::run(signals, reread, hub));
+    tokio::task::spawn_local(signals::run(signals, reread, hub));
     while hands.exit.is_none() {
         let next = hands.alarms.first_key_value().map_or(Micros::MAX / 2, |((at, _), _)| *at);
         let next = hands.waiting.front().map_or(next, |wait| wait.1.min(next));
@@ -175,7 +177,7 @@
 /// Listens at a place.
 pub(super) async fn listen(place: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
     let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("{place}: {e}"));
-    socket::once_there_is_room(|| async { listen_now(place, backlog) }).await.map_err(named)
+    socket::retry_without_resources(|| async { listen_now(place, backlog) }).await.map_err(named)
 }
 
 fn listen_now(place: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
@@ -237,7 +239,7 @@
                 Effect::RejectPing { conn } => self.hub.command(conn, Command::Pong(lines::BUSY)),
                 Effect::Reply { call, mut reply } => {
                     if let OperatorReply::Metrics(figures) = &mut reply {
-                        figures.denials = self.hub.denials.now();
+                        figures.denials = self.hub.denials.counts();
                     }
                     // Who asked may be gone by now.
                     _ = self.calls.remove(&call).map(|answer| answer.send(reply));
@@ -249,7 +251,7 @@
                     self.hub.leaving.borrow_mut().remove(&server);
                 }
                 Effect::Dial { sess, dial, server, addr, wait, begin } => {
-                    let terms = Terms { server, by: self.hub.clock.now() + begin };
+                    let terms = DialConditions { server, start_by: self.hub.clock.now() + begin };
                     let command = Command::Dial { dial, addr, wait, terms };
                     let ticket = self.tickets.remove(&sess);
                     let unwritten = |t: &u64| self.keeper.as_ref().is_some_and(|keeper| !keeper.settled(*t));
@@ -383,7 +385,7 @@
         let to = self.probes.entry(server).or_insert_with(|| {
             // The module asks for one probe of a server at a time.
             let (to, asked) = mpsc::channel(1);
-            tokio::task::spawn_local(probe::run(server, keep, asked, self.hub.clone()));
+            tokio::task::spawn_local(health_check::run(server, keep, asked, self.hub.clone()));
             to
         });
         if to.try_send(addr).is_err() {
--- a/relay/src/net/store.rs
+++ b/relay/src/net/store.rs
@@ -125,8 +125,8 @@
         _ = self.begin_close();
     }
 
-    /// Writes at the end of the process, and waits for it no longer than a slow sync takes: a disk that stands
-    /// still holds up no stop.
+    /// Writes at the end of the process, and waits for it no longer than a slow sync takes: a disk that
+    /// stands still holds up no stop.
     pub fn finish(&mut self) {
         const WRITTEN: Duration = Duration::from_millis(40);
         _ = self.begin_close().recv_timeout(WRITTEN);
--- a/relay/src/reducer/coordination.rs
+++ b/relay/src/reducer/coordination.rs
@@ -1,5 +1,6 @@
-//! What a relay holds of the fleet's coordination: the replicated state and the voter behind it, who leads, requests
-//! of operators that wait, reports of other relays, and the backends excluded. Times in microseconds.
+//! What a relay holds of the fleet's coordination: the replicated state and the voter behind it, who leads,
+//! requests of operators that wait, reports of other relays, and the backends excluded. Times in
+//! microseconds.
 use super::drain_requests::PendingRequest;
 use super::outcome_counts::OutcomeCounts;
 use super::servers::server_id;
--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -1,5 +1,5 @@
-//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in them, and
-//! the rollout with what is due to whoever deploys. Fields are named as the JSON keys.
+//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in them,
+//! and the rollout with what is due to whoever deploys. Fields are named as the JSON keys.
 use super::coordination::Coordination;
 use super::leader_review::EXCLUSION_DELAY;
 use super::Reducer;
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -1,6 +1,6 @@
-//! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to the
-//! leader again and again until it is answered or its time is up; a granted drain begins only once its beginning is
-//! committed. Times in microseconds.
+//! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to
+//! the leader again and again until it is answered or its time is up; a granted drain begins only once its
+//! beginning is committed. Times in microseconds.
 use super::duty::Sign;
 use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::control_message::{ControlMessage, ProposalResult};
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,6 +1,6 @@
 //! What comes to the reducer, what it asks for, and what operators ask of it and hear.
 use super::{DrainRequest, Figures, Word};
-use crate::lines::Open;
+use crate::lines::SessionRequest;
 use hallrelay_balancer::types::{DialEnd, Micros, Report, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
@@ -69,7 +69,7 @@
     /// A client's first line, and what is left of its dial timeout.
     SessionRequested {
         sess: SessId,
-        open: Open,
+        open: SessionRequest,
         left: Micros,
     },
     /// What a connection sends is not of the protocol, or it sends nothing.
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,5 +1,5 @@
-//! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one rate.
-//! What was heard last holds until a later word, so a relay without a leader readmits none.
+//! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one
+//! rate. What was heard last holds until a later word, so a relay without a leader readmits none.
 use super::coordination::ExcludedBackends;
 use super::{note, Effect, Reducer, Stage};
 use crate::control_message::RemainingSessions;
@@ -23,7 +23,8 @@
         self.exclude_backends(index, ids, out);
     }
 
-    /// Takes over the excluded backends as of an index; an earlier index than the known one counts for nothing.
+    /// Takes over the excluded backends as of an index; an earlier index than the known one counts for
+    /// nothing.
     pub(super) fn exclude_backends(&mut self, index: Index, ids: BTreeSet<String>, out: &mut Vec<Effect>) {
         let Some(c) = &mut self.coordination else { return };
         if index < c.excluded.index || c.excluded.ids == ids {
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -1,6 +1,6 @@
 //! What operators are told in numbers: counted where the state changes, read as a whole.
 use super::{FleetFigures, Reducer};
-use crate::net::permit::Denials;
+use crate::net::dial_permit::Denials;
 use hallrelay_store::writer::Health;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -1,6 +1,6 @@
-//! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what it
-//! observes of relays and backends, expires grants that nobody began, notes who serves again, and tells all relays
-//! which backends are excluded. Times in microseconds.
+//! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what
+//! it observes of relays and backends, expires grants that nobody began, notes who serves again, and tells
+//! all relays which backends are excluded. Times in microseconds.
 use super::{Effect, Reducer, Server, Timer};
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
@@ -114,8 +114,8 @@
             .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
     }
 
-    /// A relay that is out and reports that it serves is back, or never began. One that is out for the rollout
-    /// serves on: whoever deploys says when it is updated.
+    /// A relay that is out and reports that it serves is back, or never began. One that is out for the
+    /// rollout serves on: whoever deploys says when it is updated.
     fn relay_return(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let c = self.coordination.as_ref()?;
         let Target::Relay(name) = target else { return None };
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Backends of the log that discovery does not have. None from a leader that discovery never answered: its list
-    /// may be old.
+    /// Backends of the log that discovery does not have. None from a leader that discovery never answered:
+    /// its list may be old.
     fn removed_backends(&self) -> Vec<Observation> {
         let Some(c) = self.coordination.as_ref().filter(|_| self.spoken.is_some()) else { return Vec::new() };
         let is_listed = |id: &String| {
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -154,7 +154,8 @@
     coordination: Option<Box<coordination::Coordination>>,
     /// This relay's own sessions as of its last report.
     reported_counts: SessionCounts,
-    /// When discovery spoke last in this life, and before that; how often others told of the list before it did.
+    /// When discovery spoke last in this life, and before that; how often others told of the list before it
+    /// did.
     spoken: Option<Micros>,
     spoken_before: Option<Micros>,
     hearsay: u32,
--- a/relay/src/reducer/outcome_counts.rs
+++ b/relay/src/reducer/outcome_counts.rs
@@ -1,4 +1,5 @@
-//! Counts of sessions by target, as all relays report them, and those since the present wave of a rollout began.
+//! Counts of sessions by target, as all relays report them, and those since the present wave of a rollout
+//! began.
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{ItemState, Rollout, RolloutPhase, SessionCounts, Target};
 use std::collections::BTreeMap;
@@ -28,8 +29,8 @@
         self.total.entry(target).or_default().add(counts);
     }
 
-    /// Follows the rollout's wave: since when its sessions are counted, or none where that begins now, or nothing
-    /// is to be counted.
+    /// Follows the rollout's wave: since when its sessions are counted, or none where that begins now, or
+    /// nothing is to be counted.
     pub fn follow_wave(&mut self, rollout: &Rollout, now: Micros) -> Option<Micros> {
         if !matches!(rollout.phase, RolloutPhase::Running | RolloutPhase::Analyzing) {
             self.baseline = None;
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -206,8 +206,8 @@
         }
     }
 
-    /// What discovery told the process before this one. Till discovery has spoken to this one it holds like its
-    /// own word; then only what shuts servers does, as far as it is newer.
+    /// What discovery told the process before this one. Till discovery has spoken to this one it holds like
+    /// its own word; then only what shuts servers does, as far as it is newer.
     fn heard_from_before(&mut self, told: &serde_json::Value, out: &mut Vec<Effect>) {
         let Ok(mut list) = list::parse(told.to_string().as_bytes()) else { return };
         if self.generation.is_some_and(|own| own >= list.generation) {
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -1,5 +1,5 @@
-//! A relay's part in a rollout: it counts its sessions and reports them, and the leader analyzes the present wave
-//! from all relays' reports. All else of a rollout happens inside the replicated state.
+//! A relay's part in a rollout: it counts its sessions and reports them, and the leader analyzes the present
+//! wave from all relays' reports. All else of a rollout happens inside the replicated state.
 use super::{Reducer, ServerId};
 use crate::control_message::TargetCounts;
 use hallrelay_balancer::types::DialEnd;
@@ -51,8 +51,8 @@
         total.since(reported)
     }
 
-    /// The leader's analysis of the present wave, where there is a verdict. A wave passes, or lacks sessions, only
-    /// once all of it is updated; one that fails more sessions than the old build does so at once.
+    /// The leader's analysis of the present wave, where there is a verdict. A wave passes, or lacks sessions,
+    /// only once all of it is updated; one that fails more sessions than the old build does so at once.
     pub(super) fn wave_analysis(&mut self) -> Option<Command> {
         let now = self.now;
         let c = self.coordination.as_mut()?;
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -89,12 +89,13 @@
         Entry { server, phase, came_up: started, zone, cell: one.cell }
     }
 
-    /// When a server started, by this process' clock. The list's times are of another machine's wall clock, and
-    /// either clock may have been set: a start that lies ahead is none of this clock's, nor is one of a server that a
-    /// change names first which lies long before the list that did not name it. Such a server counts as started
-    /// now, since it may be cold. (A whole list may name what started at any time.)
+    /// When a server started, by this process' clock. The list's times are of another machine's wall clock,
+    /// and either clock may have been set: a start that lies ahead is none of this clock's, nor is one of a
+    /// server that a change names first which lies long before the list that did not name it. Such a server
+    /// counts as started now, since it may be cold. (A whole list may name what started at any time.)
     fn started_here(&self, server: ServerId, came_up: Micros, kind: ListKind) -> Micros {
-        // Discovery notices a start late, by some ten seconds at most, and tells it later still where it is slow.
+        // Discovery notices a start late, by some ten seconds at most, and tells it later still where it is
+        // slow.
         const LATE: Micros = 60_000_000;
         if came_up == 0 {
             return 0;
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,11 +1,11 @@
 //! Sessions and connections that are none: from the first line to the end.
 use super::{Delay, Effect, Reducer, Sess, Stage, Timer};
-use crate::lines::Open;
+use crate::lines::SessionRequest;
 use hallrelay_balancer::types::{Asked, DialEnd, Input, Micros, Report, SessId};
 use std::rc::Rc;
 
-/// Between two dials of a standing connection: often enough within the time that these have, seldom enough for
-/// a full backend.
+/// Between two dials of a standing connection: often enough within the time that these have, seldom enough
+/// for a full backend.
 const STANDING_AGAIN: Micros = 200_000;
 
 /// The program's own answer after so many dials: a refusal where nothing was sent, else a failure.
@@ -76,7 +76,7 @@
         Some(s)
     }
 
-    pub(super) fn opened(&mut self, sess: SessId, open: Open, left: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn opened(&mut self, sess: SessId, open: SessionRequest, left: Micros, out: &mut Vec<Effect>) {
         let listener = self.node.site.listeners.iter().position(|name| *name == open.listener);
         // Guards the open session whose mark another client sends, and times that no client would wait.
         // (A connection that stood before may name a time of its own, which counts for nothing here.)
--- a/relay/src/reducer/voter.rs
+++ b/relay/src/reducer/voter.rs
@@ -1,13 +1,13 @@
-//! The Raft voter that a relay hosts: its node, its election and heartbeat timers, the proposals that wait for a
-//! commit, and what of the log is on the disk. Times in microseconds.
+//! The Raft voter that a relay hosts: its node, its election and heartbeat timers, the proposals that wait
+//! for a commit, and what of the log is on the disk. Times in microseconds.
 use hallrelay_balancer::types::Micros;
 use hallrelay_raft::{Effect, Event, Id, Index, Node, PersistentState, Role, Timer, Voter, Write};
 use hallrelay_recovery::Kept;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Election timeout at least, and at random up to twice that: four heartbeats, and longer than a process stalls on
-/// a busy machine.
+/// Election timeout at least, and at random up to twice that: four heartbeats, and longer than a process
+/// stalls on a busy machine.
 const ELECTION_TIMEOUT: Micros = 1_000_000;
 const HEARTBEAT_INTERVAL: Micros = 250_000;
 /// Log entries from which the log is compacted into a snapshot.
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -1,5 +1,5 @@
-//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies what is
-//! committed. A proposal is answered once its command is applied.
+//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies
+//! what is committed. A proposal is answered once its command is applied.
 use super::coordination::{Coordination, ExcludedBackends};
 use super::servers::server_id;
 use super::voter::Proposer;
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -1,4 +1,5 @@
-//! `hallrelay release`: asks a relay to start a rollout, to halt, resume or roll it back, and prints its status.
+//! `hallrelay release`: asks a relay to start a rollout, to halt, resume or roll it back, and prints its
+//! status.
 use crate::drain_command::{print_answer, KindArg, OperatorAddr, RequestArgs};
 use crate::operator_client::{get, post, Answer, CallError};
 use serde_json::json;
--- a/relay/src/socket.rs
+++ b/relay/src/socket.rs
@@ -1,19 +1,20 @@
-//! Socket calls as Linux documents them: interrupted ones are made again, and failures to connect are told
-//! apart by whether they lie at this machine or at the other one.
+//! Socket calls as Linux documents them: interrupted calls are repeated, and a failure to connect is
+//! attributed to this machine or to the other side.
 use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Makes a call till it is not interrupted (EINTR): nothing was done then, and nothing is wrong.
+/// Repeats a call for as long as it is interrupted (EINTR), when nothing was done.
 ///
 /// # Errors
-/// All others that the call gives.
+/// All others of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -26,66 +27,70 @@
 /// Reads what the runtime knows to be there.
 ///
 /// # Errors
-/// `WouldBlock` where nothing is; any other one is of a connection that is over.
+/// `WouldBlock` where nothing is; any other error means that the connection is over.
 pub fn try_read(stream: &TcpStream, to: &mut [u8]) -> io::Result<usize> {
     uninterrupted(|| stream.try_read(to))
 }
 
-/// Writes as much as there is room for.
+/// Writes as much as the system takes.
 ///
 /// # Errors
-/// `WouldBlock` where there is none; any other one is of a connection that is over.
+/// `WouldBlock` where it takes nothing; any other error means that the connection is over.
 pub fn try_write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     uninterrupted(|| stream.try_write(bytes))
 }
 
 /// Why there is no connection.
-#[derive(Debug)]
-pub enum NotConnected {
-    /// This machine could not begin one: no descriptor, port, memory or route just now. It tells nothing of the
-    /// other side.
-    Local(io::Error),
+#[derive(Debug, Error)]
+pub enum ConnectError {
+    /// This machine could not begin one: no descriptor, port, memory or route just now. It says nothing of
+    /// the other side.
+    #[error("this machine can't connect: {0}")]
+    Local(#[source] io::Error),
     /// The other side refused it, or can't be reached.
-    Remote(io::Error),
-    /// It did not come up in time.
-    Late,
+    #[error("{0}")]
+    Remote(#[source] io::Error),
+    /// It was not established in time.
+    #[error("no connection came up in time")]
+    TimedOut,
 }
 
-impl std::fmt::Display for NotConnected {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            NotConnected::Local(e) => write!(f, "this machine can't connect: {e}"),
-            NotConnected::Remote(e) => write!(f, "{e}"),
-            NotConnected::Late => write!(f, "no connection came up in time"),
-        }
-    }
-}
+/// How long a start waits for the machine's resources, of the 10 s in which a relay has to be ready.
+const RESOURCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Opens a socket at a start, for which the machine may have no room at the moment: tried again for 5 s, of the
-/// 10 s in which a start is owed.
+/// Between two tries to open a socket at a start.
+const RESOURCE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Between two tries to connect while this machine can't: seldom enough not to spin, often against the
+/// shortest connect timeout (40 ms).
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Opens a socket at a start, and retries for 5 s while the machine has no descriptors, buffers or memory for
+/// it.
 ///
 /// # Errors
-/// Any other one, at once; the last one as the time is over.
-pub async fn once_there_is_room<T, F>(mut open: impl FnMut() -> F) -> io::Result<T>
+/// Any other error at once; the last one after that time.
+pub async fn retry_without_resources<T, F>(mut open: impl FnMut() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
 {
-    const PATIENCE: Duration = Duration::from_secs(5);
-    const REST: Duration = Duration::from_millis(20);
-    const NO_ROOM: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
-    let by = Instant::now() + PATIENCE;
+    const NO_RESOURCES: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+    let deadline = Instant::now() + RESOURCE_TIMEOUT;
     loop {
         match open().await {
-            Err(e) if e.raw_os_error().is_some_and(|n| NO_ROOM.contains(&n)) && Instant::now() < by => {
-                sleep(REST).await;
+            Err(e)
+                if e.raw_os_error().is_some_and(|n| NO_RESOURCES.contains(&n))
+                    && Instant::now() < deadline =>
+            {
+                sleep(RESOURCE_RETRY_INTERVAL).await;
             }
             done => return done,
         }
     }
 }
 
-/// Whether a failure of this machine's may be of the way to one address alone.
-pub fn may_be_one_way(error: &io::Error) -> bool {
+/// Whether a local failure may concern the route to one address alone.
+pub fn may_concern_one_route(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|number| [libc::ENETUNREACH, libc::EADDRNOTAVAIL].contains(&number))
 }
 
@@ -105,18 +110,16 @@
     error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
 }
 
-/// Connects. While this machine can't, it is tried again, bounded by `by`, unless `is_remote` says of the error that
-/// it lies at the other side after all.
+/// Connects before a deadline. While this machine can't, it retries, unless `is_remote` tells that the error
+/// lies at the other side after all.
 ///
 /// # Errors
-/// As `NotConnected` tells.
+/// See `ConnectError`.
 pub async fn connect(
     addr: SocketAddr,
-    by: Instant,
+    deadline: Instant,
     is_remote: impl Fn(&io::Error) -> bool,
-) -> Result<TcpStream, NotConnected> {
-    // Seldom enough not to spin, often against the shortest limit of a connect (40 ms).
-    const REST: Duration = Duration::from_millis(10);
+) -> Result<TcpStream, ConnectError> {
     let mut local = None;
     let attempts = async {
         loop {
@@ -124,26 +127,27 @@
                 Err(e) if is_local(&e) && !is_remote(&e) => local = Some(e),
                 done => return done,
             }
-            sleep(REST).await;
+            sleep(CONNECT_RETRY_INTERVAL).await;
         }
     };
-    match timeout_at(by, attempts).await {
+    match timeout_at(deadline, attempts).await {
         Ok(Ok(stream)) => {
-            // Lines are short and wait for nothing.
+            // Lines are short and must not be delayed.
             _ = stream.set_nodelay(true);
             Ok(stream)
         }
-        Ok(Err(e)) => Err(NotConnected::Remote(e)),
-        Err(_) => Err(local.map_or(NotConnected::Late, NotConnected::Local)),
+        Ok(Err(e)) => Err(ConnectError::Remote(e)),
+        Err(_) => Err(local.map_or(ConnectError::TimedOut, ConnectError::Local)),
     }
 }
 
-/// A connection for code that takes an interruption for its end. A short read or write is followed by the next
-/// one at once: the runtime's own streams take it for the last that there is, and wait for the system to say
-/// more, which it does only as more comes.
-pub struct Steady(pub TcpStream);
+/// A connection for code that takes an interrupted call for the end of the stream.
+///
+/// A short read or write is followed by the next one at once: the runtime's own streams wait for readiness
+/// after it, which the system signals only as more arrives.
+pub struct RetryingStream(pub TcpStream);
 
-impl AsyncRead for Steady {
+impl AsyncRead for RetryingStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -159,7 +163,7 @@
     }
 }
 
-impl AsyncWrite for Steady {
+impl AsyncWrite for RetryingStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
--- a/relay/src/values.rs
+++ b/relay/src/values.rs
@@ -1,6 +1,8 @@
 //! JSON values as they come on a stream, one behind the other, on one line or many, in pieces of any size.
 //! Nothing here reads a socket or knows what a value means.
 
+use thiserror::Error;
+
 /// What comes next on the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
@@ -10,6 +12,17 @@
     Blank,
 }
 
+/// Why a stream can't be read any further.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ValuesError {
+    /// A byte between two values is no white space.
+    #[error("the list is not JSON: a value begins with neither {{ nor [")]
+    NotJson,
+    /// A value has more bytes than this limit.
+    #[error("a value of the list is over {0} bytes")]
+    TooLarge(usize),
+}
+
 /// Collects what has come of the next value. It looks at each byte once.
 #[derive(Default)]
 pub struct Values {
@@ -33,7 +46,7 @@
     /// # Errors
     /// What stands between values is no white space, or a value has more bytes than `most`: with that the
     /// stream means nothing any more.
-    pub fn next(&mut self, most: usize) -> Result<Option<Part>, String> {
+    pub fn next(&mut self, most: usize) -> Result<Option<Part>, ValuesError> {
         while let Some(&byte) = self.bytes.get(self.seen) {
             self.seen += 1;
             let was = self.depth;
@@ -49,14 +62,14 @@
                     return Ok(Some(Part::Blank));
                 }
                 _ if was == 0 && !byte.is_ascii_whitespace() => {
-                    return Err("the list is not JSON: a value begins with neither { nor [".to_string());
+                    return Err(ValuesError::NotJson);
                 }
                 _ => {}
             }
             match (was, self.depth) {
                 (0, 0) => _ = self.take(),
                 (1, 0) => return Ok(Some(Part::Value(self.take()))),
-                _ if self.seen > most => return Err(format!("a value of the list is over {most} bytes")),
+                _ if self.seen > most => return Err(ValuesError::TooLarge(most)),
                 _ => {}
             }
         }
--- a/relay/tests/cuts.rs
+++ b/relay/tests/cuts.rs
@@ -2,7 +2,7 @@
 //! with what another one had read.
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_relay::buffer::Buffer;
-use hallrelay_relay::lines::{self, First};
+use hallrelay_relay::lines::{self, FirstLine};
 use std::io::Write;
 use tokio::net::{TcpListener, TcpStream};
 
@@ -18,7 +18,7 @@
 }
 
 fn wanted() -> Vec<Vec<u8>> {
-    lines::whole(TEXT).map(<[u8]>::to_vec).collect()
+    lines::complete_lines(TEXT).map(<[u8]>::to_vec).collect()
 }
 
 fn take_all(buffer: &mut Buffer, into: &mut Vec<Vec<u8>>) {
@@ -50,7 +50,11 @@
         }
         assert_eq!(got, wanted(), "cut at {cut}");
         // What was told to be new is every whole line once.
-        assert_eq!(lines::whole(&fresh).map(<[u8]>::to_vec).collect::<Vec<_>>(), wanted(), "cut at {cut}");
+        assert_eq!(
+            lines::complete_lines(&fresh).map(<[u8]>::to_vec).collect::<Vec<_>>(),
+            wanted(),
+            "cut at {cut}"
+        );
         assert_eq!(buffer.rest(), b"half");
     }
 }
@@ -75,13 +79,13 @@
 #[test]
 fn a_part_of_a_line_is_never_read_as_another_one() {
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000";
-    assert!(matches!(lines::first(line), Some(First::Open(_))));
+    assert!(matches!(lines::parse_first_line(line), Some(FirstLine::Open(_))));
     let order = ReportOrder { load: Some(1), piled: None, held: Some(0), by_cores: false };
     for cut in 0..line.len() {
-        let whole: Vec<_> = lines::whole(&line[..cut]).collect();
+        let whole: Vec<_> = lines::complete_lines(&line[..cut]).collect();
         assert!(whole.is_empty(), "cut at {cut}: {whole:?}");
         // What follows the cut is not of the form of a first line.
-        assert!(cut == 0 || lines::first(&line[cut..]).is_none(), "cut at {cut}");
-        _ = lines::said(&line[..cut], order);
+        assert!(cut == 0 || lines::parse_first_line(&line[cut..]).is_none(), "cut at {cut}");
+        _ = lines::parse_backend_reply(&line[..cut], order);
     }
 }
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -11,7 +11,7 @@
 use hallrelay_relay::control_message::{
     ControlMessage, ProposalResult, RelayStatus, RemainingSessions, TargetCounts,
 };
-use hallrelay_relay::lines::Open;
+use hallrelay_relay::lines::SessionRequest;
 use hallrelay_relay::reducer::{DrainRequest, Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -266,7 +266,13 @@
             self.sessions += 1;
             let sess = self.sessions;
             let at = Some(text(name));
-            let open = Open { id: sess.into(), listener: text("low"), at, wait_ms: 1000, ..Open::default() };
+            let open = SessionRequest {
+                id: sess.into(),
+                listener: text("low"),
+                at,
+                wait_ms: 1000,
+                ..SessionRequest::default()
+            };
             self.step(Event::ClientConnected { conn: sess });
             self.step(Event::SessionRequested { sess, open, left: SECOND });
             if i + cut >= count {
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -3,7 +3,7 @@
 use hallrelay_membership::membership::Counts;
 use hallrelay_membership::message::Fault;
 use hallrelay_relay::figures::text;
-use hallrelay_relay::net::permit::Denials;
+use hallrelay_relay::net::dial_permit::Denials;
 use hallrelay_relay::reducer::{Figures, FleetFigures, Outcomes};
 use hallrelay_store::writer::Health;
 use std::collections::BTreeMap;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -2,7 +2,7 @@
 //! what broke. `hallrelay-soak relay ...` is the relay itself, as the harness starts it.
 use clap::{Parser, Subcommand};
 use hallrelay_relay::cli as relay;
-use hallrelay_relay::net::stop;
+use hallrelay_relay::net::signals;
 use hallrelay_soak::plan::Plan;
 use hallrelay_soak::{oracle, run, trouble};
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
 
 fn main() -> ExitCode {
     // As the relay's own program does.
-    stop::hold();
+    signals::block();
     match Line::parse().what {
         What::Relay(line) => match relay::run(line.what) {
             Ok(status) => ExitCode::from(status),
@@ -68,7 +68,7 @@
             }
         },
         What::Run(options) => {
-            stop::open();
+            signals::unblock();
             soak(&options)
         }
     }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -214,7 +214,12 @@
                 let at_backend = option(words, "at").map(str::to_string);
                 let id = option(words, "mark").map_or(Ok(u64::from(num::<u32>(at(1)?)?)), num)?;
                 let listener = at(2)?.to_string();
-                let open = lines::Open { id, listener, at: at_backend, ..lines::Open::default() };
+                let open = lines::SessionRequest {
+                    id,
+                    listener,
+                    at: at_backend,
+                    ..lines::SessionRequest::default()
+                };
                 Event::SessionRequested { sess: sess()?, open, left: millis(wait)? }
             }
             "up" => Event::SessionEstablished { sess: sess()?, dial: num(at(2)?)? },
@@ -329,16 +334,18 @@
         match words.first().copied().unwrap_or("") {
             "first" => {
                 let line = words[1..].join(" ").replace("\\t", "\t");
-                let read = lines::first(line.as_bytes());
+                let read = lines::parse_first_line(line.as_bytes());
                 self.said.push(read.map_or("not well formed".to_string(), |first| match first {
-                    lines::First::Ping => "ping".to_string(),
-                    lines::First::Open(o) => {
-                        let onward = lines::onward(line.as_bytes(), &o.wait_at, 7);
+                    lines::FirstLine::Ping => "ping".to_string(),
+                    lines::FirstLine::Open(o) => {
+                        let onward = lines::rewrite_timeout(line.as_bytes(), &o.wait_at, 7);
                         format!("{} goes on as {}", o.listener, String::from_utf8_lossy(&onward).trim_end())
                     }
                 }));
             }
-            "said" => self.said.push(format!("{:?}", lines::said(words[1..].join(" ").as_bytes(), order))),
+            "said" => self
+                .said
+                .push(format!("{:?}", lines::parse_backend_reply(words[1..].join(" ").as_bytes(), order))),
             "node" => {
                 let mut text = self.text("127.0.0.1:2");
                 let (key, path) = words[1..].split_last().ok_or("which key?")?;
