--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -2,7 +2,7 @@
 //! what was violated. `hallrelay-soak relay ...` is the relay itself, as the harness starts it.
 use clap::{Parser, Subcommand};
 use hallrelay_relay::cli as relay;
-use hallrelay_relay::net::stop;
+use hallrelay_relay::net::signals;
 use hallrelay_soak::harness;
 use hallrelay_soak::oracle::{self, Rule};
 use hallrelay_soak::plan::Plan;
@@ -87,7 +87,7 @@
 
 fn main() -> ExitCode {
     // As the relay's own program does.
-    stop::hold();
+    signals::block();
     match Cli::parse().command {
         Command::Relay(line) => match relay::run(line.what) {
             Ok(status) => ExitCode::from(status),
@@ -97,7 +97,7 @@
             }
         },
         Command::Run(args) => {
-            stop::open();
+            signals::unblock();
             run_seeds(&args)
         }
     }
