--- a/relay/src/net/listener.rs
+++ b/relay/src/net/listener.rs
@@ -10,7 +10,7 @@
 /// That of the call which failed, with the address.
 pub async fn bind(addr: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let with_addr = |e: io::Error| io::Error::new(e.kind(), format!("{addr}: {e}"));
-    socket::once_there_is_room(|| async { bind_now(addr, backlog) }).await.map_err(with_addr)
+    socket::retry_without_resources(|| async { bind_now(addr, backlog) }).await.map_err(with_addr)
 }
 
 fn bind_now(addr: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -4,7 +4,7 @@
 use super::{accept, listener, Hub};
 use crate::clock::span;
 use crate::reducer::Event;
-use crate::socket::{self, Steady};
+use crate::socket::{self, RetryingStream};
 use hallrelay_config::fleet::FleetConfig;
 use hallrelay_membership::message::{
     decode, DecodeError, DropReason, Packet, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES,
@@ -47,7 +47,7 @@
 /// That of the bind that failed, with the address and its key in the configuration.
 pub async fn bind(addr: SocketAddr) -> io::Result<BoundSockets> {
     let with_key = |e: io::Error| io::Error::new(e.kind(), format!("fleet.listen {addr}: {e}"));
-    let datagrams = socket::once_there_is_room(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
+    let datagrams = socket::retry_without_resources(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
     let streams = listener::bind(addr, BACKLOG).await.map_err(with_key)?;
     Ok(BoundSockets { datagrams, streams })
 }
@@ -245,7 +245,7 @@
 /// Reads one frame, and writes the answer to it.
 async fn serve_stream(number: u64, stream: TcpStream, fleet: &str, replies: &PendingReplies, hub: &Hub) {
     let Ok(from) = stream.peer_addr() else { return };
-    let mut stream = Steady(stream);
+    let mut stream = RetryingStream(stream);
     let frame = read_frame(&mut stream).await.map_err(|_| DecodeError::Malformed);
     let packet = match frame.and_then(|frame| decode(fleet, &frame, MAX_FRAME_BYTES)) {
         Ok(packet) => Box::new(packet),
@@ -272,7 +272,7 @@
     if !own.is_unspecified() && own.is_ipv4() == to.is_ipv4() {
         socket.bind(SocketAddr::new(own, 0))?;
     }
-    let mut stream = Steady(socket.connect(to).await?);
+    let mut stream = RetryingStream(socket.connect(to).await?);
     write_frame(&mut stream, bytes).await?;
     let frame = read_frame(&mut stream).await?;
     Ok(decode(&config.name, &frame, MAX_FRAME_BYTES))
@@ -283,7 +283,7 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-fn write_frame(stream: &mut Steady, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>> + '_ {
+fn write_frame(stream: &mut RetryingStream, bytes: Vec<u8>) -> impl Future<Output = io::Result<()>> + '_ {
     let mut frame = BytesMut::new();
     let encoded = frame_codec().encode(Bytes::from(bytes), &mut frame);
     async move {
@@ -292,7 +292,7 @@
     }
 }
 
-async fn read_frame(stream: &mut Steady) -> io::Result<BytesMut> {
+async fn read_frame(stream: &mut RetryingStream) -> io::Result<BytesMut> {
     let mut codec = frame_codec();
     let mut buffer = BytesMut::new();
     loop {
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,13 +1,8 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
-<<<<<<< HEAD
-use super::permit::Terms;
-use super::{
-    accept, discovery, handover, listener, membership, operator, peers, probe, stop, store, Command, Hub,
-=======
 use super::dial_permit::DialConditions;
 use super::{
-    accept, discovery, fleet, handover, health_check, operator, peers, signals, store, Command, Hub,
->>>>>>> part-session
+    accept, discovery, handover, health_check, listener, membership, operator, peers, signals, store,
+    Command, Hub,
 };
 use crate::clock::span;
 use crate::lines;
@@ -177,27 +172,6 @@
     }
 }
 
-<<<<<<< HEAD
-=======
-fn from_std(listener: std::net::TcpListener) -> std::io::Result<TcpListener> {
-    listener.set_nonblocking(true)?;
-    TcpListener::from_std(listener)
-}
-
-/// Listens at a place.
-pub(super) async fn listen(place: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
-    let named = |e: std::io::Error| std::io::Error::new(e.kind(), format!("{place}: {e}"));
-    socket::retry_without_resources(|| async { listen_now(place, backlog) }).await.map_err(named)
-}
-
-fn listen_now(place: SocketAddr, backlog: u32) -> std::io::Result<TcpListener> {
-    let socket = if place.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?;
-    socket.bind(place)?;
-    socket.listen(backlog)
-}
-
->>>>>>> part-session
 impl Hands {
     fn called(&mut self, what: OperatorRequest, answer: oneshot::Sender<OperatorReply>) -> Event {
         self.asked += 1;
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -1,11 +1,6 @@
 //! What operators are told in numbers: counted where the state changes, read as a whole.
-<<<<<<< HEAD
 use super::{MembershipMetrics, Reducer};
-use crate::net::permit::Denials;
-=======
-use super::{FleetFigures, Reducer};
 use crate::net::dial_permit::Denials;
->>>>>>> part-session
 use hallrelay_store::writer::Health;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -3,13 +3,8 @@
 use hallrelay_membership::message::DropReason;
 use hallrelay_membership::Counters;
 use hallrelay_relay::figures::text;
-<<<<<<< HEAD
-use hallrelay_relay::net::permit::Denials;
-use hallrelay_relay::reducer::{Figures, MembershipMetrics, Outcomes};
-=======
 use hallrelay_relay::net::dial_permit::Denials;
-use hallrelay_relay::reducer::{Figures, FleetFigures, Outcomes};
->>>>>>> part-session
+use hallrelay_relay::reducer::{Figures, MembershipMetrics, Outcomes};
 use hallrelay_store::writer::Health;
 use std::collections::BTreeMap;
 
