--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -5,9 +5,9 @@
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_disruption::{Command, FailureDomain, HealthState, ItemState, Lease, LeaseState, Target};
-use hallrelay_membership::{Duty, State as Member};
+use hallrelay_membership::{MemberState, ReportedLifecycle};
 
-/// A committed drain reaches all relays within this time, and a failure takes room as soon.
+/// A committed drain reaches all relays within this time, and a failure uses up its budget as soon.
 const REVIEW_INTERVAL: Micros = 1_000_000;
 /// Commands of one review: after a partition of a thousand all are committed within some seconds.
 const MAX_COMMANDS: usize = 64;
@@ -78,7 +78,7 @@
         let excluded = ControlMessage::Excluded {
             index: coordination.applied_index,
             backends: coordination.backends_out().into_iter().collect(),
-            moves_per_s: coordination.config.moves,
+            moves_per_s: coordination.config.moves_per_s,
         };
         self.broadcast_control(&excluded, out);
         let analysis = self.wave_analysis();
@@ -117,8 +117,8 @@
     /// A grant that was not begun in time.
     fn expiry(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let coordination = self.coordination.as_ref()?;
-        let is_late =
-            self.now >= coordination.granted_since(target, self.now) + coordination.config.begin_within;
+        let is_late = self.now
+            >= coordination.granted_since(target, self.now) + coordination.config.lease_start_timeout;
         (lease.state == LeaseState::Granted && is_late)
             .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
     }
@@ -142,18 +142,20 @@
 
     /// The other relays as membership has them, and this one.
     fn observed_relays(&self) -> Vec<Observation> {
-        let (Some(coordination), Some(fleet)) = (&self.coordination, &self.fleet) else { return Vec::new() };
+        let (Some(coordination), Some(membership)) = (&self.coordination, &self.membership) else {
+            return Vec::new();
+        };
         let observation = |name: &str, health| Observation {
             target: Target::Relay(name.to_string()),
             domain: coordination.reports.get(name).map(|report| report.domain.clone()).unwrap_or_default(),
             health,
         };
         let reporting =
-            fleet.members().filter(|member| coordination.reports.contains_key(&member.claim.name));
+            membership.members().filter(|member| coordination.reports.contains_key(member.name()));
         let mut observed: Vec<_> = reporting
             .map(|member| {
-                let health = member_health(member.claim.state, member.claim.about.duty);
-                observation(&member.claim.name, health)
+                let health = member_health(member.state(), member.update.metadata.lifecycle);
+                observation(member.name(), health)
             })
             .collect();
         let own = if self.serves() { HealthState::Up } else { HealthState::Down };
@@ -212,10 +214,10 @@
     }
 }
 
-fn member_health(state: Member, duty: Duty) -> HealthState {
-    match (state, duty) {
-        (Member::Alive | Member::Suspect, Duty::Serving) => HealthState::Up,
-        (Member::Alive | Member::Suspect, Duty::Starting) => HealthState::WarmingUp,
+fn member_health(state: MemberState, lifecycle: ReportedLifecycle) -> HealthState {
+    match (state, lifecycle) {
+        (MemberState::Alive | MemberState::Suspect, ReportedLifecycle::Serving) => HealthState::Up,
+        (MemberState::Alive | MemberState::Suspect, ReportedLifecycle::Starting) => HealthState::WarmingUp,
         _ => HealthState::Down,
     }
 }
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -13,8 +13,8 @@
 impl Reducer {
     /// The coordination of this relay, where voters are configured.
     pub(super) fn configured_coordination(&self) -> Option<Box<Coordination>> {
-        let voters = self.node.fleet.as_ref()?.voters.as_ref()?;
-        Some(Box::new(Coordination::new(&self.node.name, voters, self.node.seed, self.now)))
+        let config = self.node.fleet.as_ref()?.coordination.as_ref()?;
+        Some(Box::new(Coordination::new(&self.node.name, config, self.node.seed, self.now)))
     }
 
     /// Starts the voter with what the store holds: before this relay's start, or as it takes the store over.
