--- a/soak/shim/faults.rs
+++ b/soak/shim/faults.rs
@@ -1,15 +1,16 @@
 //! Fault injection for one relay process, loaded by LD_PRELOAD: system calls fail as Linux documents. Which
-//! ones, and how often, stands in a file that `FAULTS_FILE` names and the test harness changes meanwhile: an
-//! array of `SLOTS` 64-bit integers, by the indexes below. Chances are in a thousand calls.
+//! ones, and how often, is read from the control file that `FAULTS_FILE` names and that the harness changes
+//! while the process runs: an array of `SLOTS` 64-bit integers with the indexes below. Values are
+//! probabilities in a thousand calls unless said otherwise.
 #![allow(clippy::missing_safety_doc)]
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicI64, AtomicPtr, AtomicU64, Ordering};
 
 const SLOTS: usize = 24;
 /// Reads and writes of TCP sockets that are interrupted (EINTR).
-const INTERRUPTED: usize = 0;
+const INTERRUPTED_IO: usize = 0;
 /// Reads and writes of TCP sockets that take one byte.
-const SHORT: usize = 1;
+const SHORT_IO: usize = 1;
 /// `connect` and `socket` that fail for a moment.
 const CONNECT: usize = 2;
 const SOCKET: usize = 3;
@@ -18,25 +19,25 @@
 /// Reads that find the connection broken (ETIMEDOUT, EHOSTUNREACH): of backends and of clients.
 const BROKEN_BACKEND: usize = 5;
 const BROKEN_CLIENT: usize = 6;
-/// Seconds by which the wall clock is off.
+/// The wall clock is off by the value, in seconds.
 const WALL_CLOCK: usize = 7;
 /// Syncs (EIO) and writes of files (ENOSPC) that fail.
 const SYNC: usize = 8;
 const FILE_WRITE: usize = 9;
 /// Waits for events that are interrupted.
-const WAIT: usize = 10;
+const INTERRUPTED_WAIT: usize = 10;
 /// TCP writes before which the process stands still for 0.15 s.
-const STALL: usize = 11;
-/// The port at which the relay listens for clients: no chance.
+const STALLED_WRITE: usize = 11;
+/// The value is the port at which the relay listens for clients.
 const CLIENT_PORT: usize = 12;
-/// What was injected in all, counted here.
+/// The number of calls that failed, counted by this library.
 const INJECTED: usize = 13;
-/// Milliseconds for which a sync stands still.
+/// Each sync takes the value, in milliseconds.
 const SLOW_SYNC: usize = 14;
-/// Writes to clients that are told to have gone out and did not: no system does so. It plants a fault, for the
-/// proof that the harness finds one.
-const SWALLOWED: usize = 15;
-/// A port to which no connect goes (ENETUNREACH), as where the way to one machine is gone.
+/// Writes to clients that are reported as successful and lost. No system does so: it proves that the oracle
+/// finds lost answers.
+const LOST_WRITE: usize = 15;
+/// The value is a port that cannot be reached (ENETUNREACH), as without a route to one machine.
 const UNREACHABLE: usize = 16;
 
 const EIO: c_int = 5;
@@ -54,7 +55,7 @@
 const SOL_SOCKET: c_int = 1;
 const SO_TYPE: c_int = 3;
 const RTLD_NEXT: *mut c_void = -1isize as *mut c_void;
-const STANDSTILL: Timespec = Timespec { seconds: 0, nanoseconds: 150_000_000 };
+const WRITE_STALL: Timespec = Timespec { seconds: 0, nanoseconds: 150_000_000 };
 
 #[repr(C)]
 pub struct Timespec {
@@ -74,8 +75,14 @@
     fn __errno_location() -> *mut c_int;
     fn getenv(name: *const c_char) -> *const c_char;
     fn open(path: *const c_char, flags: c_int, ...) -> c_int;
-    fn mmap(at: *mut c_void, size: usize, protection: c_int, flags: c_int, fd: c_int, offset: i64)
-        -> *mut c_void;
+    fn mmap(
+        at: *mut c_void,
+        size: usize,
+        protection: c_int,
+        flags: c_int,
+        fd: c_int,
+        offset: i64,
+    ) -> *mut c_void;
     fn getsockopt(fd: c_int, level: c_int, name: c_int, value: *mut c_void, size: *mut u32) -> c_int;
     fn getsockname(fd: c_int, address: *mut InetAddress, size: *mut u32) -> c_int;
     fn shutdown(fd: c_int, how: c_int) -> c_int;
@@ -85,7 +92,7 @@
 static CONTROL: AtomicPtr<AtomicI64> = AtomicPtr::new(std::ptr::null_mut());
 static CHANCE: AtomicU64 = AtomicU64::new(0x9e37_79b9_7f4a_7c15);
 
-/// Maps the control file, once.
+/// Maps the control file at the first call.
 fn control() -> Option<&'static [AtomicI64]> {
     let mut at = CONTROL.load(Ordering::Acquire);
     if at.is_null() {
@@ -110,13 +117,14 @@
     Some(unsafe { std::slice::from_raw_parts(at, SLOTS) })
 }
 
-fn value(slot: usize) -> i64 {
+/// The value of a slot; 0 without a control file.
+fn slot_value(slot: usize) -> i64 {
     control().map_or(0, |all| all[slot].load(Ordering::Relaxed))
 }
 
 /// Draws whether a call of this kind fails, and counts it.
-fn hits(slot: usize) -> Option<u64> {
-    let chance = value(slot);
+fn draw_failure(slot: usize) -> Option<u64> {
+    let chance = slot_value(slot);
     if chance <= 0 {
         return None;
     }
@@ -131,18 +139,19 @@
     hit.then_some(x >> 32)
 }
 
-fn fails(error: c_int) -> isize {
+/// Sets `errno`; the return value of a call that fails.
+fn fail_with(error: c_int) -> isize {
     // SAFETY: the address is this thread's own.
     unsafe { *__errno_location() = error };
     -1
 }
 
-/// One of some errors.
-fn one_of(draw: u64, errors: &[c_int]) -> isize {
-    fails(errors[(draw % errors.len() as u64) as usize])
+/// Fails with one of some errors.
+fn fail_with_one_of(draw: u64, errors: &[c_int]) -> isize {
+    fail_with(errors[(draw % errors.len() as u64) as usize])
 }
 
-/// Whether it is a TCP socket, and its own port.
+/// The local port of a TCP socket; none for other descriptors.
 fn tcp_port(fd: c_int) -> Option<u16> {
     let (mut kind, mut size) = (0 as c_int, 4u32);
     let mut address = InetAddress { family: 0, port: 0, rest: [0; 12] };
@@ -160,30 +169,36 @@
     Some(u16::from_be(address.port))
 }
 
-/// What a read meets, if anything: an interruption, or a connection that is broken from now on.
+/// The failure of a read: an interruption, or a connection that is broken from now on.
 fn read_fault(fd: c_int) -> Option<isize> {
     let port = tcp_port(fd)?;
-    if hits(INTERRUPTED).is_some() {
-        return Some(fails(EINTR));
+    if draw_failure(INTERRUPTED_IO).is_some() {
+        return Some(fail_with(EINTR));
     }
-    let side = if i64::from(port) == value(CLIENT_PORT) { BROKEN_CLIENT } else { BROKEN_BACKEND };
-    let draw = hits(side)?;
+    let side = if i64::from(port) == slot_value(CLIENT_PORT) { BROKEN_CLIENT } else { BROKEN_BACKEND };
+    let draw = draw_failure(side)?;
     // SAFETY: it breaks a connection of this process.
     unsafe { shutdown(fd, 2) };
-    Some(one_of(draw, &[ETIMEDOUT, EHOSTUNREACH]))
+    Some(fail_with_one_of(draw, &[ETIMEDOUT, EHOSTUNREACH]))
 }
 
+/// The failure of a write: an interruption. A stall delays the write and is none.
 fn write_fault(fd: c_int) -> Option<isize> {
     tcp_port(fd)?;
-    if hits(STALL).is_some() {
+    if draw_failure(STALLED_WRITE).is_some() {
         // SAFETY: it waits.
-        unsafe { nanosleep(&STANDSTILL, std::ptr::null_mut()) };
+        unsafe { nanosleep(&WRITE_STALL, std::ptr::null_mut()) };
     }
-    hits(INTERRUPTED).map(|_| fails(EINTR))
+    draw_failure(INTERRUPTED_IO).map(|_| fail_with(EINTR))
 }
 
-fn shortened(fd: c_int, size: usize) -> usize {
-    if size > 1 && value(SHORT) > 0 && tcp_port(fd).is_some() && hits(SHORT).is_some() { 1 } else { size }
+/// The bytes that a read or write may transfer.
+fn transfer_size(fd: c_int, size: usize) -> usize {
+    if size > 1 && slot_value(SHORT_IO) > 0 && tcp_port(fd).is_some() && draw_failure(SHORT_IO).is_some() {
+        1
+    } else {
+        size
+    }
 }
 
 /// The next definition of a function, as the dynamic linker finds it.
@@ -216,7 +231,7 @@
     if let Some(fault) = read_fault(fd) {
         return fault;
     }
-    next!(c"read", Read)(fd, to, shortened(fd, size))
+    next!(c"read", Read)(fd, to, transfer_size(fd, size))
 }
 
 #[no_mangle]
@@ -224,7 +239,7 @@
     if let Some(fault) = read_fault(fd) {
         return fault;
     }
-    next!(c"recv", Receive)(fd, to, shortened(fd, size), flags)
+    next!(c"recv", Receive)(fd, to, transfer_size(fd, size), flags)
 }
 
 #[no_mangle]
@@ -240,10 +255,10 @@
     if let Some(fault) = write_fault(fd) {
         return fault;
     }
-    if value(FILE_WRITE) > 0 && fd > 2 && is_file(fd) && hits(FILE_WRITE).is_some() {
-        return fails(ENOSPC);
+    if slot_value(FILE_WRITE) > 0 && fd > 2 && is_file(fd) && draw_failure(FILE_WRITE).is_some() {
+        return fail_with(ENOSPC);
     }
-    next!(c"write", Write)(fd, from, shortened(fd, size))
+    next!(c"write", Write)(fd, from, transfer_size(fd, size))
 }
 
 #[no_mangle]
@@ -251,13 +266,13 @@
     if let Some(fault) = write_fault(fd) {
         return fault;
     }
-    if value(SWALLOWED) > 0
-        && tcp_port(fd).map(i64::from) == Some(value(CLIENT_PORT))
-        && hits(SWALLOWED).is_some()
+    if slot_value(LOST_WRITE) > 0
+        && tcp_port(fd).map(i64::from) == Some(slot_value(CLIENT_PORT))
+        && draw_failure(LOST_WRITE).is_some()
     {
         return size as isize;
     }
-    next!(c"send", Send)(fd, from, shortened(fd, size), flags)
+    next!(c"send", Send)(fd, from, transfer_size(fd, size), flags)
 }
 
 #[no_mangle]
@@ -271,12 +286,15 @@
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const c_void, size: u32) -> c_int {
     let inet = !address.is_null() && *address.cast::<u16>() == AF_INET;
-    let unreachable = value(UNREACHABLE);
-    if inet && unreachable > 0 && i64::from(u16::from_be((*address.cast::<InetAddress>()).port)) == unreachable {
-        return fails(ENETUNREACH) as c_int;
+    let unreachable = slot_value(UNREACHABLE);
+    if inet
+        && unreachable > 0
+        && i64::from(u16::from_be((*address.cast::<InetAddress>()).port)) == unreachable
+    {
+        return fail_with(ENETUNREACH) as c_int;
     }
-    if let Some(draw) = inet.then(|| hits(CONNECT)).flatten() {
-        return one_of(draw, &[ENETUNREACH, EADDRNOTAVAIL]) as c_int;
+    if let Some(draw) = inet.then(|| draw_failure(CONNECT)).flatten() {
+        return fail_with_one_of(draw, &[ENETUNREACH, EADDRNOTAVAIL]) as c_int;
     }
     next!(c"connect", Address)(fd, address, size)
 }
@@ -284,24 +302,24 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let inet = domain == c_int::from(AF_INET);
-    if let Some(draw) = inet.then(|| hits(SOCKET)).flatten() {
-        return one_of(draw, &[ENFILE, ENOBUFS]) as c_int;
+    if let Some(draw) = inet.then(|| draw_failure(SOCKET)).flatten() {
+        return fail_with_one_of(draw, &[ENFILE, ENOBUFS]) as c_int;
     }
     next!(c"socket", Socket)(domain, kind, protocol)
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn accept4(fd: c_int, address: *mut c_void, size: *mut u32, flags: c_int) -> c_int {
-    if let Some(draw) = hits(ACCEPT) {
-        return one_of(draw, &[ECONNABORTED, ENFILE, ENOBUFS, EINTR]) as c_int;
+    if let Some(draw) = draw_failure(ACCEPT) {
+        return fail_with_one_of(draw, &[ECONNABORTED, ENFILE, ENOBUFS, EINTR]) as c_int;
     }
     next!(c"accept4", Accept)(fd, address, size, flags)
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(fd: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int {
-    if hits(WAIT).is_some() {
-        return fails(EINTR) as c_int;
+    if draw_failure(INTERRUPTED_WAIT).is_some() {
+        return fail_with(EINTR) as c_int;
     }
     next!(c"epoll_wait", Wait)(fd, events, most, timeout)
 }
@@ -311,13 +329,13 @@
     const REALTIME: c_int = 0;
     let done = next!(c"clock_gettime", ClockGet)(clock, time);
     if done == 0 && clock == REALTIME {
-        (*time).seconds += value(WALL_CLOCK);
+        (*time).seconds += slot_value(WALL_CLOCK);
     }
     done
 }
 
-/// Whether it is a regular file: neither sockets nor pipes can seek, and event descriptors stay at 0 wherever
-/// they are told to go.
+/// Whether it is a regular file: sockets and pipes cannot seek, and event descriptors stay at 0 after any
+/// seek.
 unsafe fn is_file(fd: c_int) -> bool {
     const FROM_START: c_int = 0;
     const FROM_HERE: c_int = 1;
@@ -329,9 +347,9 @@
     fn lseek(fd: c_int, offset: i64, from: c_int) -> i64;
 }
 
-/// A disk that stands still.
-unsafe fn stand_still() {
-    let time = value(SLOW_SYNC);
+/// Delays a sync.
+unsafe fn delay_sync() {
+    let time = slot_value(SLOW_SYNC);
     if time > 0 {
         let time = Timespec { seconds: time / 1000, nanoseconds: time % 1000 * 1_000_000 };
         nanosleep(&time, std::ptr::null_mut());
@@ -340,18 +358,18 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    stand_still();
-    if hits(SYNC).is_some() {
-        return fails(EIO) as c_int;
+    delay_sync();
+    if draw_failure(SYNC).is_some() {
+        return fail_with(EIO) as c_int;
     }
     next!(c"fsync", Sync)(fd)
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    stand_still();
-    if hits(SYNC).is_some() {
-        return fails(EIO) as c_int;
+    delay_sync();
+    if draw_failure(SYNC).is_some() {
+        return fail_with(EIO) as c_int;
     }
     next!(c"fdatasync", Sync)(fd)
 }
--- a/soak/src/oracle/attempts.rs
+++ b/soak/src/oracle/attempts.rs
@@ -29,14 +29,14 @@
     for (number, attempt) in session.attempts.iter().enumerate().skip(1) {
         let earlier = &session.attempts[..number];
         if is_forbidden_repetition(session.listener, earlier, attempt, settings) {
-            let details = format!("dial {number} after one that may have run");
+            let details = format!("attempt {number} after one that may have run");
             checked.violate(Rule::NoDuplicate, attempt.started_at, &details);
         }
         let previous = &earlier[number - 1];
         let still_open =
             previous.ended_at.is_none_or(|ended_at| ended_at > attempt.started_at + END_OBSERVED);
         if still_open && !was_held_back(observations, previous, attempt) {
-            let details = format!("dial {number} while the one before was out");
+            let details = format!("attempt {number} while the one before was open");
             checked.violate(Rule::OneAttempt, attempt.started_at, &details);
         }
     }
@@ -91,13 +91,14 @@
         let grace = settings.drain_grace + SOCKET_MARGIN + HARNESS_MARGIN;
         if let Some(informed) = informed.filter(|informed| started_at > *informed + grace) {
             let late = started_at - informed;
-            let details = format!("dial {number} to backend {} {late:?} after it was told", attempt.backend);
+            let details =
+                format!("attempt {number} to backend {} {late:?} after its drain was known", attempt.backend);
             checked.violate(Rule::NoneToDraining, started_at, &details);
         }
         let limit = CLIENT_GONE_DELAY + HARNESS_MARGIN;
         if let Some(left_at) = session.left_at.filter(|left_at| started_at > *left_at + limit) {
             let late = started_at - left_at;
-            let details = format!("dial {number} {late:?} after its client had gone");
+            let details = format!("attempt {number} {late:?} after its client had gone");
             checked.violate(Rule::NoneForGoneClient, started_at, &details);
         }
     }
--- a/soak/src/oracle/processes.rs
+++ b/soak/src/oracle/processes.rs
@@ -20,9 +20,9 @@
         if let Some(ended) = process.ended {
             match ended.reason {
                 ExitReason::KilledAtTimeLimit => {
-                    violate(Rule::StopInTime, ended.at, "still there as its time was up");
+                    violate(Rule::StopInTime, ended.at, "did not exit in time");
                 }
-                ExitReason::Crashed => violate(Rule::NoCrash, ended.at, "it ended unasked"),
+                ExitReason::Crashed => violate(Rule::NoCrash, ended.at, "exited without a request"),
                 ExitReason::Killed | ExitReason::Exited => {}
             }
         }
@@ -46,7 +46,8 @@
             pause.subject == request.relay && pause.from <= limit && pause.until >= request.since
         });
         if !was_paused && request.ended_at.is_none_or(|ended_at| ended_at > limit) {
-            let details = format!("relay {}: half a line, and no end; {:?}", request.relay, request.ended_at);
+            let details =
+                format!("relay {}: a partial request and no end; {:?}", request.relay, request.ended_at);
             violations.push(Violation { rule: Rule::PartialRequestEnded, at: request.since, details });
         }
     }
@@ -67,8 +68,10 @@
             (count as f64 > bound).then_some(Excess { at, count, bound })
         });
         if let Some(Excess { at, count, bound }) = excesses.next() {
-            let details =
-                format!("{count} dials at cold backend {} where {bound:.1} are allowed", start.backend);
+            let details = format!(
+                "{count} attempts at backend {}, which warms up, where {bound:.1} are allowed",
+                start.backend
+            );
             violations.push(Violation { rule: Rule::WarmUpBudget, at, details });
         }
     }
--- a/soak/src/oracle/sessions.rs
+++ b/soak/src/oracle/sessions.rs
@@ -71,7 +71,7 @@
         return check_missing_answer(observations, late_from, checked);
     };
     if answer.at > late_from && !is_excused(observations, session) {
-        let details = format!("'{}' {:?} after its time", answer.line, answer.at - deadline);
+        let details = format!("'{}' {:?} after its deadline", answer.line, answer.at - deadline);
         checked.violate(Rule::Answered, answer.at, &details);
     } else if answer.line.starts_with("UP") {
         check_open_session(observations, checked);
@@ -87,7 +87,7 @@
     let end_after =
         |ended: SessionEnd| format!("{:?} after {:?}", ended.how, ended.at - session.requested_at);
     let ended = session.ended.map(end_after);
-    let details = format!("no answer; {} dials; {ended:?}", session.attempts.len());
+    let details = format!("no answer; {} attempts; {ended:?}", session.attempts.len());
     checked.violate(Rule::Answered, session.requested_at, &details);
 }
 
@@ -107,7 +107,7 @@
             checked.violate(Rule::EndAnnounced, ended.at, &details);
         }
     } else if ended.how == ConnectionEnd::Silent {
-        checked.violate(Rule::EndAnnounced, ended.at, "nothing came back for 7 s");
+        checked.violate(Rule::EndAnnounced, ended.at, "nothing was received for 7 s");
     } else if last_attempt.ended_at.is_none_or(|ended_at| ended_at > ended.at) {
         // Where the backend ended it first, the end of the connection is announcement enough.
         let details = format!("{:?} without MOVE while its backend served it", ended.how);
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -14,7 +14,7 @@
     pub injected_failures: i64,
 }
 
-/// A kind of fault and an event of a session or process that happened while it lasted.
+/// A kind of fault, and an event of a session or process that happened while it lasted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FaultEvent {
     /// The name of the fault's kind.
