--- a/model_checker/src/rollout.rs
+++ b/model_checker/src/rollout/mod.rs
@@ -1,12 +1,18 @@
 //! A model of a rollout over the replicated state machine: all orders of what deployers, leaders and
 //! operators do, with failures. One state machine stands for all voters; that they have the same is checked
 //! by [`crate::cluster`].
+mod state;
+mod transition;
+
+pub use state::RolloutState;
+pub use transition::Transition;
+
 use crate::search::Model;
 use hallrelay_disruption::{
-    AnalysisPolicy, Budget, Command, FailureDomain, HealthState, ItemState, LeaseState, Rollout, RolloutItem,
-    RolloutPhase, RolloutPlan, Scope, State as StateMachine, Target, TargetKind, Wave,
+    AnalysisPolicy, Budget, Command, FailureDomain, HealthState, ItemState, LeaseState, RolloutItem,
+    RolloutPhase, RolloutPlan, Scope, State as StateMachine, TargetKind, Wave,
 };
-use std::fmt::{Display, Formatter};
+use state::{backend_name, backends_out};
 
 /// Backends: two waves of one and two, and one that is in no wave.
 const BACKENDS: usize = 4;
@@ -42,64 +48,6 @@
     }
 }
 
-/// A state of the model.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RolloutState {
-    state_machine: StateMachine,
-    /// The state before the last halt, until the leader changes.
-    before_halt: Option<StateMachine>,
-    /// The rollout is halted, and nobody has resumed it or rolled it back since.
-    is_halted: bool,
-    /// Failures that may still occur.
-    failures: u8,
-    /// Commands that operators may still give.
-    operator_commands: u8,
-    /// An invariant that was violated by a transition.
-    violated: Option<&'static str>,
-}
-
-/// A transition of the model. Backends are given by their positions.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Transition {
-    /// A deployer reports a step as done or failed.
-    ReportStep {
-        /// The backend.
-        backend: usize,
-        /// The step is done.
-        succeeded: bool,
-    },
-    /// The leader observes the health of a backend.
-    Observe {
-        /// The backend.
-        backend: usize,
-        /// Its health.
-        health: HealthState,
-    },
-    /// The leader has analyzed a wave.
-    Analyze {
-        /// The wave is as good as before.
-        passed: bool,
-    },
-    /// An operator halts the rollout.
-    Halt,
-    /// An operator resumes the rollout.
-    Resume,
-    /// An operator rolls the rollout back.
-    RollBack,
-    /// An operator takes out the backend that is in no wave.
-    TakeOut,
-    /// The backend that is in no wave is back.
-    Return,
-    /// The leader changes.
-    LeaderChange,
-}
-
-impl Display for Transition {
-    fn fmt(&self, f: &mut Formatter) -> std::fmt::Result {
-        write!(f, "{self:?}")
-    }
-}
-
 /// The parameters of the model.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutModel {
@@ -111,10 +59,6 @@
     pub operator_commands: u8,
 }
 
-fn backend_name(backend: usize) -> Target {
-    Target::Backend(format!("s{backend}"))
-}
-
 fn operator() -> String {
     "ann".to_string()
 }
@@ -123,91 +67,6 @@
     String::new()
 }
 
-fn backends_out(state_machine: &StateMachine) -> usize {
-    let is_out = |state| matches!(state, LeaseState::Granted | LeaseState::Out | LeaseState::Returning);
-    state_machine.leases().filter(|(_, lease)| is_out(lease.state)).count()
-}
-
-/// Backends whose disruption has begun.
-fn disrupted_backends(state_machine: &StateMachine) -> Vec<Target> {
-    let disrupted = state_machine.leases().filter(|(_, lease)| lease.state == LeaseState::Out);
-    disrupted.map(|(target, _)| target.clone()).collect()
-}
-
-impl RolloutState {
-    fn rollout(&self) -> Option<&Rollout> {
-        self.state_machine.rollout()
-    }
-
-    fn is_over(&self) -> bool {
-        self.rollout().is_some_and(|rollout| rollout.phase.is_over())
-    }
-
-    fn lease_state(&self, backend: usize) -> Option<LeaseState> {
-        self.state_machine.lease(&backend_name(backend)).map(|lease| lease.state)
-    }
-
-    /// The number of a backend's grant; 0 for none.
-    fn lease_id(&self, backend: usize) -> u64 {
-        self.state_machine.lease(&backend_name(backend)).map_or(0, |lease| lease.lease_id)
-    }
-
-    fn has_halted_phase(&self) -> bool {
-        let phase = self.rollout().map(|rollout| rollout.phase);
-        matches!(phase, Some(RolloutPhase::Halted | RolloutPhase::RollbackHalted))
-    }
-
-    fn apply(&mut self, command: &Command) {
-        let before = disrupted_backends(&self.state_machine);
-        self.state_machine.apply(command);
-        let begins = disrupted_backends(&self.state_machine).iter().any(|backend| !before.contains(backend));
-        // What was requested by hand may begin while the rollout is halted.
-        let is_requested = matches!(command, Command::Begin { .. });
-        if self.is_halted && begins && !is_requested {
-            self.violated = Some("no step begins after a halt");
-        }
-    }
-
-    /// Whether a deployer has a step of the rollout to do on a backend.
-    fn has_step_to_do(&self, backend: usize) -> bool {
-        let Some(rollout) = self.rollout() else { return false };
-        let item = rollout.items.iter().find(|item| item.target == backend_name(backend));
-        let is_due =
-            item.is_some_and(|item| matches!(item.state, ItemState::Updating | ItemState::RollingBack));
-        is_due && self.lease_state(backend) == Some(LeaseState::Out)
-    }
-
-    fn add_backend_transitions(&self, backend: usize, enabled: &mut Vec<Transition>) {
-        let Some(lease) = self.state_machine.lease(&backend_name(backend)) else { return };
-        if self.has_step_to_do(backend) {
-            enabled.push(Transition::ReportStep { backend, succeeded: true });
-            if self.failures > 0 {
-                enabled.push(Transition::ReportStep { backend, succeeded: false });
-            }
-        }
-        match lease.health {
-            HealthState::Up if self.failures > 0 => {
-                enabled.push(Transition::Observe { backend, health: HealthState::Down });
-            }
-            HealthState::Up => {}
-            _ => enabled.push(Transition::Observe { backend, health: HealthState::Up }),
-        }
-    }
-
-    fn add_operator_transitions(&self, enabled: &mut Vec<Transition>) {
-        if self.operator_commands == 0 {
-            return;
-        }
-        enabled.extend([Transition::Halt, Transition::Resume, Transition::RollBack]);
-        if self.lease_state(UNPLANNED_BACKEND) == Some(LeaseState::InService) {
-            enabled.push(Transition::TakeOut);
-        }
-        if self.before_halt.is_some() {
-            enabled.push(Transition::LeaderChange);
-        }
-    }
-}
-
 impl RolloutModel {
     fn initial_state_machine() -> StateMachine {
         let mut state_machine = StateMachine::default();
