--- /dev/null
+++ b/relay/src/net/operator/mod.rs
@@ -0,0 +1,95 @@
+//! The operators' address: HTTP/1.1, one call a connection.
+//!
+//! Requests go to the reducer ahead of all that waits from sessions. Connections here have places of their
+//! own, and the oldest one gives its place up to a new one where all are taken.
+mod response;
+mod routes;
+
+use super::{accept, Hub};
+use crate::clock::span;
+use crate::reducer::{OperatorReply, OperatorRequest};
+use crate::socket::RetryingStream;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Bytes, Incoming};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use routes::Route;
+use std::collections::VecDeque;
+use std::convert::Infallible;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::JoinHandle;
+use tokio::time::timeout;
+
+/// A request with the place where its reply goes.
+pub(super) struct OperatorCall {
+    pub request: OperatorRequest,
+    pub reply: oneshot::Sender<OperatorReply>,
+}
+
+type Calls = mpsc::Sender<OperatorCall>;
+
+/// Serves operators for as long as the process runs.
+pub(super) async fn run(listener: TcpListener, calls: Calls, hub: Hub) {
+    let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
+    loop {
+        let stream = accept::next(&listener, "an operator's connection", &hub).await;
+        open.retain(|task| !task.is_finished());
+        if open.len() >= hub.limits().callers {
+            // Connections that hold a place and never complete a call must not keep others out.
+            open.pop_front().inspect(JoinHandle::abort);
+        }
+        open.push_back(tokio::task::spawn_local(serve(stream, calls.clone(), hub.clone())));
+    }
+}
+
+async fn serve(stream: TcpStream, calls: Calls, hub: Hub) {
+    let limits = hub.limits();
+    let service = service_fn(|request| async {
+        let response = respond(request, &calls, limits.call_body).await;
+        Ok::<_, Infallible>(response)
+    });
+    let served = http1::Builder::new()
+        .keep_alive(false)
+        .timer(TokioTimer::new())
+        .header_read_timeout(span(limits.call))
+        .max_buf_size(limits.call_head)
+        .serve_connection(TokioIo::new(RetryingStream(stream)), service);
+    // One time for the whole call, so that a body that never ends is cut off as well.
+    match timeout(span(limits.call), served).await {
+        Ok(Ok(())) => {}
+        Ok(Err(e)) => slog::debug!(hub.log, "an operator's call is broken"; "error" => %e),
+        Err(_) => slog::debug!(hub.log, "an operator's call was not whole in time"),
+    }
+}
+
+async fn respond(request: Request<Incoming>, calls: &Calls, max_body: usize) -> Response<Full<Bytes>> {
+    let Some(route) = Route::find(request.uri().path()) else {
+        return response::text(StatusCode::NOT_FOUND, "no such call");
+    };
+    if request.method() != route.method {
+        return response::method_not_allowed(route.method);
+    }
+    let body = match Limited::new(request.into_body(), max_body).collect().await {
+        Ok(body) => body.to_bytes(),
+        Err(e) if e.is::<LengthLimitError>() => {
+            return response::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+        }
+        Err(_) => return response::text(StatusCode::BAD_REQUEST, "the body is not whole"),
+    };
+    match route.request(&body) {
+        Ok(request) => call(request, calls).await,
+        Err(reason) => response::text(StatusCode::BAD_REQUEST, reason.to_string()),
+    }
+}
+
+/// Passes a request to the reducer and waits for its reply.
+async fn call(request: OperatorRequest, calls: &Calls) -> Response<Full<Bytes>> {
+    let (reply, replied) = oneshot::channel();
+    if calls.send(OperatorCall { request, reply }).await.is_err() {
+        return response::stopping();
+    }
+    replied.await.map_or_else(|_| response::stopping(), response::from_reply)
+}
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -6,7 +6,7 @@
 };
 use crate::clock::span;
 use crate::lines;
-use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
+use crate::reducer::{Effect, Event, OperatorReply, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
 use hallrelay_membership::Effect as MembershipEffect;
@@ -132,7 +132,7 @@
         let event = tokio::select! {
             biased;
             // Before all that waits from sessions: a crowd of these may not delay an operator.
-            Some((what, answer)) = calls.recv() => Some(hands.called(what, answer)),
+            Some(call) = calls.recv() => Some(hands.called(call)),
             event = arrived.recv() => event,
             Some(now) = changed(&mut health) => Some(hands.store_told(now)),
             () = sleep_until(clock.at(next)) => None,
@@ -173,11 +173,11 @@
 }
 
 impl Hands {
-    fn called(&mut self, what: OperatorRequest, answer: oneshot::Sender<OperatorReply>) -> Event {
+    fn called(&mut self, call: operator::OperatorCall) -> Event {
         self.asked += 1;
-        let call = self.asked as u32;
-        self.calls.insert(call, answer);
-        Event::OperatorCall { call, what }
+        let id = self.asked as u32;
+        self.calls.insert(id, call.reply);
+        Event::OperatorCall { call: id, what: call.request }
     }
 
     fn store_told(&mut self, now: Health) -> Event {
