--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -119,7 +119,7 @@
     Check { scenario: PathBuf },
     /// A relay, as rehearsals start it.
     #[command(hide = true)]
-    Relay(hallrelay_relay::cli::Line),
+    Relay(hallrelay_relay::cli::Cli),
 }
 
 #[derive(Args, Clone)]
@@ -172,7 +172,9 @@
 
 fn run(what: What) -> Result<End, String> {
     match what {
-        What::Relay(line) => hallrelay_relay::cli::run(line.what).map(|_| End::Well),
+        What::Relay(line) => {
+            hallrelay_relay::cli::run(line.command).map(|_| End::Well).map_err(|e| e.to_string())
+        }
         What::Check { scenario } => {
             let s = load(Some(&scenario))?;
             println!(
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -9,58 +9,71 @@
 use hallrelay_config::fleet::FleetConfig;
 use hallrelay_config::node::{self, Node, Told};
 use slog::{o, Drain};
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use thiserror::Error;
+use tokio::runtime::Runtime;
+use tokio::task::LocalSet;
 
 /// A balancer for long-lived connections over a fleet of backends.
 #[derive(Parser)]
 #[command(name = "hallrelay", version)]
-pub struct Line {
+pub struct Cli {
+    /// What to do.
     #[command(subcommand)]
-    pub what: What,
+    pub command: Command,
 }
 
+/// The subcommands.
 #[derive(Subcommand)]
-pub enum What {
+pub enum Command {
     /// Run one relay, until it is told to stop and is empty.
     Serve {
+        /// The configuration.
         #[command(flatten)]
-        given: Given,
-        /// Log more: what is turned away or comes too late; given twice, every event and effect.
+        run_args: RunArgs,
+        /// Log more: what is rejected or comes too late; given twice, every event and effect.
         #[arg(long, short, action = clap::ArgAction::Count)]
         verbose: u8,
     },
     /// Read and check a relay's configuration, say what it holds, and do nothing else.
     Check {
+        /// The configuration.
         #[command(flatten)]
-        given: Given,
+        run_args: RunArgs,
     },
     /// Ask a relay about the fleet that it belongs to.
     Fleet {
+        /// What to ask.
         #[command(subcommand)]
-        what: FleetWhat,
+        command: FleetCommand,
     },
     /// What may be out, as it is agreed across the fleet: let out, bring back, see.
     Drain {
+        /// What to do.
         #[command(subcommand)]
-        what: DrainCommand,
+        command: DrainCommand,
     },
     /// A release in waves over what is agreed: begin, halt, go on, go back.
     Release {
+        /// What to do.
         #[command(subcommand)]
-        what: ReleaseCommand,
+        command: ReleaseCommand,
     },
     /// Look at the store that a relay keeps in its state folder.
     Store {
+        /// What to do.
         #[command(subcommand)]
-        what: Shelf,
+        command: Shelf,
     },
     /// Print the version.
     Version,
 }
 
+/// The subcommands of `fleet`.
 #[derive(Subcommand)]
-pub enum FleetWhat {
+pub enum FleetCommand {
     /// Each relay as the asked one knows it. Exit 0: whole; 1: parts are missing; 2: no answer.
     Status {
         /// The asked relay's second address (`operator` of its configuration).
@@ -72,8 +85,9 @@
     },
 }
 
+/// Where the configuration is, and what overrides its keys.
 #[derive(clap::Args)]
-pub struct Given {
+pub struct RunArgs {
     /// The relay's configuration, JSON.
     #[arg(long, env = "NODE_CONFIG")]
     config: PathBuf,
@@ -91,8 +105,30 @@
     operator: Option<String>,
 }
 
-impl Given {
-    fn told(&self) -> Told {
+/// Why a command could not be carried out.
+#[derive(Debug, Error)]
+pub enum CliError {
+    /// The configuration can't be read, or a key of it is wrong.
+    #[error("{}: {reason}", path.display())]
+    Configuration {
+        /// The configuration's file.
+        path: PathBuf,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The async runtime does not start.
+    #[error("the runtime does not start: {0}")]
+    Runtime(#[source] io::Error),
+    /// The relay could not start or go on.
+    #[error("cannot serve: {0}")]
+    Serve(#[source] io::Error),
+    /// An answer can't be written as JSON.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+}
+
+impl RunArgs {
+    fn overrides(&self) -> Told {
         Told {
             name: self.name.clone(),
             listen: self.listen.clone(),
@@ -101,91 +137,112 @@
         }
     }
 
-    fn read(&self, told: &Told) -> Result<Node, String> {
-        let named = |what: String| format!("{}: {what}", self.config.display());
-        let text = std::fs::read(&self.config).map_err(|e| named(e.to_string()))?;
-        node::parse(&text, told).map_err(named)
+    fn read(&self, overrides: &Told) -> Result<Node, CliError> {
+        let error = |reason: String| CliError::Configuration { path: self.config.clone(), reason };
+        let text = std::fs::read(&self.config).map_err(|e| error(e.to_string()))?;
+        node::parse(&text, overrides).map_err(error)
     }
 }
 
-/// Does what the command line asks for, to its end; the exit status where all went as it should.
-pub fn run(what: What) -> Result<u8, String> {
-    // A program that may have held signals back from its first moment on: only a relay that serves catches
-    // them.
-    if !matches!(what, What::Serve { .. }) {
+/// A runtime for one thread, as every command uses it.
+///
+/// # Errors
+/// What the system refuses to it.
+pub(crate) fn runtime() -> Result<Runtime, CliError> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::Runtime)
+}
+
+/// Runs a command to its end; the exit status where it could be carried out.
+///
+/// # Errors
+/// What kept it from being carried out.
+pub fn run(command: Command) -> Result<u8, CliError> {
+    // The process may have blocked signals at its start, and only a relay that serves handles them.
+    if !matches!(command, Command::Serve { .. }) {
         signals::unblock();
     }
-    match what {
-        What::Fleet { what: FleetWhat::Status { at, json } } => {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let runtime = runtime.map_err(|e| format!("the runtime does not start: {e}"))?;
-            let status = match runtime.block_on(operator_client::fleet_status(at)) {
-                Ok(status) => status,
-                Err(why) => {
-                    eprintln!("hallrelay: {why}");
-                    return Ok(2);
-                }
-            };
-            if json {
-                println!("{}", serde_json::to_string_pretty(&status).map_err(|e| e.to_string())?);
-            } else {
-                print!("{}", fleet_table::table(&status));
-            }
-            return Ok(u8::from(!status.is_whole()));
-        }
-        What::Drain { what } => return drain_command::run(what),
-        What::Release { what } => return release_command::run(what),
-        What::Store { what } => return Ok(shelf::run(&what)),
-        What::Version => println!("hallrelay {}", env!("CARGO_PKG_VERSION")),
-        What::Check { given } => {
-            let node = given.read(&given.told())?;
-            let (site, known) = (&node.site, &node.known);
-            println!("{} on {}, discovery at {}", node.name, node.listen, node.discovery);
-            match node.operator {
-                Some(place) => println!("operators call at {place}"),
-                None => println!("operators have nowhere to call: operator is not given"),
-            }
-            if let Some(fleet) = &node.fleet {
-                let FleetConfig { name, listen, advertise, peers, coordination } = fleet;
-                println!(
-                    "fleet {name} on {listen}, reached at {advertise}, {} addresses of others",
-                    peers.len()
-                );
-                if let Some(config) = coordination {
-                    let (names, budgets) = (&config.voters, config.budgets.len());
-                    println!("what may be out is agreed by {}, {budgets} budgets", names.join(", "));
-                }
-            }
-            if let Some(state) = &node.state {
-                println!("what it keeps is in {}", state.display());
-            }
-            println!("listeners {:?}, zones {:?}", site.listeners, site.zones);
-            println!("{} backends known, list version {}", known.instances.len(), known.generation);
-            println!("{:#?}", node.limits);
-        }
-        What::Serve { given, verbose } => {
-            signals::block();
-            let node = given.read(&given.told())?;
-            let level = match verbose {
-                0 => slog::Level::Info,
-                1 => slog::Level::Debug,
-                _ => slog::Level::Trace,
-            };
-            let drain = slog_term::FullFormat::new(slog_term::PlainDecorator::new(std::io::stderr())).build();
-            // Lines are written by a thread of their own, and dropped rather than waited for.
-            let drain = slog_async::Async::new(drain.fuse())
-                .chan_size(node.limits.log_lines)
-                .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
-                .build();
-            let log = slog::Logger::root(drain.filter_level(level).fuse(), o!());
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let runtime = runtime.map_err(|e| format!("the runtime does not start: {e}"))?;
-            let local = tokio::task::LocalSet::new();
-            let again = given.told().again();
-            let reread = move || given.read(&again);
-            let served = local.block_on(&runtime, serve::run(node, reread, log));
-            served.map_err(|e| format!("cannot serve: {e}"))?;
+    match command {
+        Command::Serve { run_args, verbose } => serve(run_args, verbose),
+        Command::Check { run_args } => check(&run_args),
+        Command::Fleet { command: FleetCommand::Status { at, json } } => fleet_status(at, json),
+        Command::Drain { command } => drain_command::run(command),
+        Command::Release { command } => release_command::run(command),
+        Command::Store { command } => Ok(shelf::run(&command)),
+        Command::Version => {
+            println!("hallrelay {}", env!("CARGO_PKG_VERSION"));
+            Ok(0)
         }
     }
+}
+
+fn serve(run_args: RunArgs, verbose: u8) -> Result<u8, CliError> {
+    signals::block();
+    let node = run_args.read(&run_args.overrides())?;
+    let log = logger(verbose, node.limits.log_lines);
+    let at_reload = run_args.overrides().again();
+    let read_configuration = move || run_args.read(&at_reload);
+    let serving = serve::run(node, read_configuration, log);
+    LocalSet::new().block_on(&runtime()?, serving).map_err(CliError::Serve)?;
+    Ok(0)
+}
+
+/// The log, on standard error. `verbose` counts the flags `-v`; a thread of its own writes at most `max_lines` behind,
+/// and lines beyond are dropped and counted.
+fn logger(verbose: u8, max_lines: usize) -> slog::Logger {
+    let level = match verbose {
+        0 => slog::Level::Info,
+        1 => slog::Level::Debug,
+        _ => slog::Level::Trace,
+    };
+    let decorator = slog_term::PlainDecorator::new(io::stderr());
+    let drain = slog_term::FullFormat::new(decorator).build();
+    let drain = slog_async::Async::new(drain.fuse())
+        .chan_size(max_lines)
+        .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
+        .build();
+    slog::Logger::root(drain.filter_level(level).fuse(), o!())
+}
+
+fn check(run_args: &RunArgs) -> Result<u8, CliError> {
+    let node = run_args.read(&run_args.overrides())?;
+    println!("{} on {}, discovery at {}", node.name, node.listen, node.discovery);
+    match node.operator {
+        Some(addr) => println!("operators call at {addr}"),
+        None => println!("operators have nowhere to call: operator is not given"),
+    }
+    if let Some(fleet) = &node.fleet {
+        print_fleet(fleet);
+    }
+    if let Some(state) = &node.state {
+        println!("what it keeps is in {}", state.display());
+    }
+    println!("listeners {:?}, zones {:?}", node.site.listeners, node.site.zones);
+    println!("{} backends known, list version {}", node.known.instances.len(), node.known.generation);
+    println!("{:#?}", node.limits);
     Ok(0)
 }
+
+fn fleet_status(addr: SocketAddr, json: bool) -> Result<u8, CliError> {
+    let status = match runtime()?.block_on(operator_client::fleet_status(addr)) {
+        Ok(status) => status,
+        Err(reason) => {
+            eprintln!("hallrelay: {reason}");
+            return Ok(2);
+        }
+    };
+    if json {
+        println!("{}", serde_json::to_string_pretty(&status)?);
+    } else {
+        print!("{}", fleet_table::table(&status));
+    }
+    Ok(u8::from(!status.is_whole()))
+}
+
+fn print_fleet(fleet: &FleetConfig) {
+    let FleetConfig { name, listen, advertise, peers, coordination } = fleet;
+    println!("fleet {name} on {listen}, reached at {advertise}, {} addresses of others", peers.len());
+    if let Some(config) = coordination {
+        let voters = config.voters.join(", ");
+        println!("what may be out is agreed by {voters}, {} budgets", config.budgets.len());
+    }
+}
--- a/relay/src/drain_command.rs
+++ b/relay/src/drain_command.rs
@@ -1,5 +1,6 @@
 //! `hallrelay drain`: asks a relay to take a target out of service within the disruption budgets, and prints
 //! the answer.
+use crate::cli::{self, CliError};
 use crate::operator_client::{get, post, Answer, CallError};
 use serde_json::json;
 use std::future::Future;
@@ -109,17 +110,15 @@
 }
 
 /// Runs the command; its exit status.
-pub fn run(command: DrainCommand) -> Result<u8, String> {
+pub fn run(command: DrainCommand) -> Result<u8, CliError> {
     print_answer(call(command))
 }
 
 /// Prints a relay's answer: exit 0 for HTTP status 200, 1 for another, 2 without an answer.
 pub fn print_answer<E: std::fmt::Display>(
     call: impl Future<Output = Result<Answer, E>>,
-) -> Result<u8, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("the runtime does not start: {e}"))?;
-    match runtime.block_on(call) {
+) -> Result<u8, CliError> {
+    match cli::runtime()?.block_on(call) {
         Ok(Answer { status: 200, text }) => {
             println!("{}", text.trim_end());
             Ok(0)
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -1,16 +1,16 @@
 //! `hallrelay`: the command line.
 use clap::Parser;
-use hallrelay_relay::cli::{run, Line};
+use hallrelay_relay::cli::{run, Cli};
 use hallrelay_relay::net::signals;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // Guards a reload in the first milliseconds of a start, which would end the program: before all else.
+    // Before all else: a reload in the first milliseconds would end the process.
     signals::block();
-    match run(Line::parse().what) {
+    match run(Cli::parse().command) {
         Ok(status) => ExitCode::from(status),
-        Err(what) => {
-            eprintln!("hallrelay: {what}");
+        Err(error) => {
+            eprintln!("hallrelay: {error}");
             ExitCode::FAILURE
         }
     }
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -12,6 +12,7 @@
 use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_store::writer::Health;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -51,9 +52,9 @@
 }
 
 /// Serves until it is told to stop and is empty.
-pub async fn run(
+pub async fn run<E: Display + 'static>(
     node: Node,
-    reread: impl Fn() -> Result<Node, String> + 'static,
+    read_configuration: impl Fn() -> Result<Node, E> + 'static,
     log: slog::Logger,
 ) -> std::io::Result<()> {
     let signals = signals::Signals::install()?;
@@ -125,7 +126,7 @@
     stored.into_iter().for_each(|stored| reducer.remember(stored));
     reducer.start(clock.now(), &mut effects);
     hands.carry_out(&mut effects);
-    tokio::task::spawn_local(signals::run(signals, reread, hub));
+    tokio::task::spawn_local(signals::run(signals, read_configuration, hub));
     while hands.exit.is_none() {
         let next = hands.alarms.first_key_value().map_or(Micros::MAX / 2, |((at, _), _)| *at);
         let next = hands.waiting.front().map_or(next, |wait| wait.1.min(next));
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -1,5 +1,6 @@
 //! `hallrelay release`: asks a relay to start a rollout, to halt, resume or roll it back, and prints its
 //! status.
+use crate::cli::CliError;
 use crate::drain_command::{print_answer, KindArg, OperatorAddr, RequestArgs};
 use crate::operator_client::{get, post, Answer, CallError};
 use serde_json::json;
@@ -62,7 +63,7 @@
 }
 
 /// Runs the command; its exit status.
-pub fn run(command: ReleaseCommand) -> Result<u8, String> {
+pub fn run(command: ReleaseCommand) -> Result<u8, CliError> {
     print_answer(call(command))
 }
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -29,7 +29,7 @@
     /// Runs seeds one after the other; exit status 1 where a rule was violated.
     Run(RunArgs),
     /// The relay's own command line.
-    Relay(relay::Line),
+    Relay(relay::Cli),
 }
 
 #[derive(clap::Args)]
@@ -89,7 +89,7 @@
     // As the relay's own program does.
     signals::block();
     match Cli::parse().command {
-        Command::Relay(line) => match relay::run(line.what) {
+        Command::Relay(line) => match relay::run(line.command) {
             Ok(status) => ExitCode::from(status),
             Err(what) => {
                 eprintln!("hallrelay: {what}");
