--- a/relay/tests/common/agreed.rs
+++ b/relay/tests/common/coordination.rs
@@ -1,11 +1,11 @@
-//! Processes that agree on who may be out, before the same backends.
+//! Fleets of relay processes that coordinate disruptions, with backends that all of them serve.
 use super::discovery::instance;
 use super::{free, until, Counted, Relay, Site};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// Relays r0, r1, ... of one fleet, the first of which vote, before the same backends b-0, b-1, ...
+/// Relays r0, r1, ... of one fleet, the first of which are voters, and their backends b-0, b-1, ...
 pub struct Fleet {
     pub sites: Vec<Site>,
     pub relays: Vec<Option<Relay>>,
@@ -13,14 +13,14 @@
 }
 
 impl Fleet {
-    pub fn started(name: &str, count: usize, voters: usize, budgets: &Value) -> Fleet {
-        let fleet = Fleet::begun(name, count, voters, 3, budgets);
-        fleet.until_known(count);
+    pub fn start_in_service(name: &str, count: usize, voters: usize, budgets: &Value) -> Fleet {
+        let fleet = Fleet::start(name, count, voters, 3, budgets);
+        fleet.until_all_in_service(count);
         fleet
     }
 
-    /// The same before so many backends, not waited for.
-    pub fn begun(name: &str, count: usize, voters: usize, backends: usize, budgets: &Value) -> Fleet {
+    /// Starts a fleet with so many backends, and waits for nothing.
+    pub fn start(name: &str, count: usize, voters: usize, backends: usize, budgets: &Value) -> Fleet {
         let places: Vec<SocketAddr> = (0..count).map(|_| free()).collect();
         let peers: Vec<String> = places.iter().map(ToString::to_string).collect();
         let voters: Vec<String> = (0..voters).map(|i| format!("r{i}")).collect();
@@ -51,7 +51,7 @@
         self.relays[i] = None;
     }
 
-    pub fn start(&mut self, i: usize) {
+    pub fn start_relay(&mut self, i: usize) {
         self.relays[i] = Some(self.sites[i].start());
     }
 
@@ -59,43 +59,47 @@
         self.relays.iter().flatten()
     }
 
-    /// The one that leads, by its own word; none where that is nobody, or more than one.
+    /// The leader by its own status; none where no relay leads, or more than one.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |(i, r): (usize, &Option<Relay>)| (told(r.as_ref()?)?["leads"] == true).then_some(i);
+        let leads = |(i, r): (usize, &Option<Relay>)| (leases(r.as_ref()?)?["leads"] == true).then_some(i);
         let all: Vec<usize> = self.relays.iter().enumerate().filter_map(leads).collect();
         (all.len() == 1).then(|| all[0])
     }
 
-    pub fn until_led(&self) -> usize {
-        until("one leads", || self.leader().is_some());
-        self.leader().expect("one leads")
+    pub fn until_leader(&self) -> usize {
+        until("there is a leader", || self.leader().is_some());
+        self.leader().expect("there is a leader")
     }
 
-    /// A leader has seen all relays and backends, and all that run are in.
-    pub fn until_known(&self, relays: usize) {
-        until("all are seen and in", || {
-            let told = self.leader().and_then(|i| told(self.relay(i)));
+    /// The leader has observed all relays and backends, and all of them are in service.
+    pub fn until_all_in_service(&self, relays: usize) {
+        until("all are observed and in service", || {
+            let status = self.leader().and_then(|i| leases(self.relay(i)));
             let all = relays + self.backends.len();
-            told.is_some_and(|t| t["known"] == all && t["things"] == json!([]))
+            status.is_some_and(|s| s["known"] == all && s["things"] == json!([]))
         });
     }
 
-    pub fn until_stage(&self, what: &str, stage: &str) {
-        until(&format!("{what} is {stage}"), || {
-            self.leader().and_then(|i| row(self.relay(i), what)).is_some_and(|r| r["stage"] == stage)
+    pub fn until_lease_state(&self, target: &str, state: &str) {
+        until(&format!("{target} is {state}"), || {
+            self.leader()
+                .and_then(|i| lease_row(self.relay(i), target))
+                .is_some_and(|row| row["stage"] == state)
         });
     }
 }
 
-pub fn told(relay: &Relay) -> Option<Value> {
+/// The answer of `/v1/grants`.
+pub fn leases(relay: &Relay) -> Option<Value> {
     let (code, text) =
         std::net::TcpStream::connect(relay.operator).ok().map(|_| relay.call("GET", "/v1/grants"))?;
     (code == 200).then(|| serde_json::from_str(text.split("\r\n\r\n").nth(1)?).ok())?
 }
 
-pub fn row(relay: &Relay, what: &str) -> Option<Value> {
-    let told = told(relay)?;
-    told["things"].as_array()?.iter().find(|row| row["what"] == what).cloned()
+/// A target's row of that answer: one that is not in service, or not up.
+pub fn lease_row(relay: &Relay, target: &str) -> Option<Value> {
+    let status = leases(relay)?;
+    status["things"].as_array()?.iter().find(|row| row["what"] == target).cloned()
 }
 
 pub fn post(relay: &Relay, path: &str, body: &Value) -> (u16, String) {
@@ -104,11 +108,11 @@
     relay.say((head + &body).as_bytes())
 }
 
-/// The command's exit status and all that it says.
-pub fn said(relay: &Relay, what: &str, words: &[&str]) -> (Option<i32>, String) {
+/// Runs a subcommand of `hallrelay` at a relay: its exit status, and its output on both streams.
+pub fn run_command(relay: &Relay, subcommand: &str, arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
     let at = relay.operator.to_string();
-    let output = super::output(command.arg(what).args(words).args(["--at", &at]));
+    let output = super::output(command.arg(subcommand).args(arguments).args(["--at", &at]));
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -1,7 +1,7 @@
 #![allow(dead_code)] // each test takes of it what it uses
 //! A relay's process on free ports of 127.0.0.1, with backends that take every session and echo its lines.
 //! Nothing outlives the test: processes are killed as they are dropped, and every wait is bounded.
-pub mod agreed;
+pub mod coordination;
 pub mod discovery;
 pub mod load;
 
--- a/relay/tests/grants.rs
+++ b/relay/tests/drains.rs
@@ -1,14 +1,14 @@
-//! Several processes that agree on who may be out: voters killed, stalled, robbed of their disk, cut down to a
-//! minority, all dark at once. Verdicts by who drains, by what reaches which backend, and by counts.
+//! Drains that several processes coordinate: voters killed, stalled, without their disk, reduced to a minority,
+//! all without power at once. Checked by which relays drain, and by the sessions that reach each backend.
 mod common;
 
-use common::agreed::{post, row, said, told, Fleet};
+use common::coordination::{lease_row, leases, post, run_command, Fleet};
 use common::{until, Client, Relay};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-fn said_at(relay: &Relay, words: &[&str]) -> (Option<i32>, String) {
-    said(relay, "drain", words)
+fn drain_command(relay: &Relay, arguments: &[&str]) -> (Option<i32>, String) {
+    run_command(relay, "drain", arguments)
 }
 
 fn drain(relay: &Relay) -> (u16, String) {
@@ -19,13 +19,13 @@
     relay.call("GET", "/v1/readyz").1.contains("draining")
 }
 
-fn one() -> Value {
+fn one_of_each_kind() -> Value {
     json!([{"of": "relay", "scope": "fleet", "count": 1}, {"of": "backend", "scope": "fleet", "count": 1}])
 }
 
 #[test]
-fn one_relay_at_a_time_whoever_asks() {
-    let fleet = Fleet::started("one", 4, 3, &one());
+fn one_relay_drains_at_a_time_whichever_is_asked() {
+    let fleet = Fleet::start_in_service("one", 4, 3, &one_of_each_kind());
     // All four are asked at the same moment.
     let codes: Vec<u16> = std::thread::scope(|scope| {
         let asked: Vec<_> = fleet.running().map(|relay| scope.spawn(|| drain(relay).0)).collect();
@@ -44,62 +44,63 @@
         code == 409 && why.contains("at most 1 relay of the fleet") && why.contains(&format!("relay r{out}"))
     );
     // Past the budgets, and said so.
-    let (code, text) = said_at(fleet.relay(next), &["relay", "--force", "--by", "bo", "--why", "it burns"]);
+    let (code, text) =
+        drain_command(fleet.relay(next), &["relay", "--force", "--by", "bo", "--why", "it burns"]);
     assert_eq!(code, Some(0), "{text}");
-    fleet.until_stage(&format!("relay r{next}"), "out");
-    let leader = fleet.until_led();
-    let forced = row(fleet.relay(leader), &format!("relay r{next}")).expect("it is out");
+    fleet.until_lease_state(&format!("relay r{next}"), "out");
+    let leader = fleet.until_leader();
+    let forced = lease_row(fleet.relay(leader), &format!("relay r{next}")).expect("it is out");
     assert!(forced["forced"] == true && forced["by"] == "bo" && forced["why"] == "it burns");
     for i in [out, next] {
         assert_eq!(fleet.relay(i).call("POST", "/v1/relay/activate").0, 200);
     }
-    fleet.until_known(4);
+    fleet.until_all_in_service(4);
     let third = (out + 2) % 4;
     assert_eq!(drain(fleet.relay(third)).0, 200);
 }
 
-/// The leader dies while one is out: it takes room itself, what was agreed holds, and after a power loss too.
+/// The leader dies while a relay is out: it uses up the budget, and leases hold, after a power loss too.
 #[test]
-fn a_dead_leader_and_a_power_loss_forget_nothing() {
-    let mut fleet = Fleet::started("dead", 4, 3, &one());
+fn leases_survive_a_dead_leader_and_a_power_loss() {
+    let mut fleet = Fleet::start_in_service("dead", 4, 3, &one_of_each_kind());
     assert_eq!(drain(fleet.relay(3)).0, 200);
-    let leader = fleet.until_led();
+    let leader = fleet.until_leader();
     fleet.kill(leader);
-    let other = fleet.until_led();
+    let other = fleet.until_leader();
     assert_ne!(other, leader);
-    fleet.until_stage("relay r3", "out");
+    fleet.until_lease_state("relay r3", "out");
     let next = (0..3).find(|i| *i != leader && *i != other).expect("a third voter");
     assert_eq!(drain(fleet.relay(next)).0, 409);
-    fleet.start(leader);
+    fleet.start_relay(leader);
     // All of them lose power.
     (0..4).for_each(|i| fleet.kill(i));
-    (0..4).for_each(|i| fleet.start(i));
-    fleet.until_led();
-    // It has started anew and serves: the drain that was agreed is over.
-    fleet.until_known(4);
+    (0..4).for_each(|i| fleet.start_relay(i));
+    fleet.until_leader();
+    // It has started anew and serves: the committed drain is over.
+    fleet.until_all_in_service(4);
     assert_eq!(drain(fleet.relay(next)).0, 200);
     assert_eq!(drain(fleet.relay(leader)).0, 409);
 }
 
-/// A minority lets nobody out, and serves; a stalled leader wakes and leads no more.
+/// A minority grants no lease, and serves; a stalled leader wakes and leads no more.
 #[test]
-fn a_minority_serves_and_lets_nobody_out() {
-    let mut fleet = Fleet::started("minority", 4, 3, &one());
-    let leader = fleet.until_led();
+fn a_minority_serves_and_grants_no_lease() {
+    let mut fleet = Fleet::start_in_service("minority", 4, 3, &one_of_each_kind());
+    let leader = fleet.until_leader();
     fleet.relay(leader).signal("STOP");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-    let leads = |i: &usize| told(fleet.relay(*i)).is_some_and(|t| t["leads"] == true);
+    let leads = |i: &usize| leases(fleet.relay(*i)).is_some_and(|t| t["leads"] == true);
     until("another leads", || others.iter().any(leads));
     let (code, why) = drain(fleet.relay(3));
     assert!(
         code == 409 && why.contains(&format!("relay r{leader} (not up)")),
-        "the stalled one takes room: {why}"
+        "the stalled one counts: {why}"
     );
     fleet.relay(leader).signal("CONT");
     until("the old one follows", || {
-        told(fleet.relay(leader)).is_some_and(|t| t["leads"] == false && t["role"] == "following")
+        leases(fleet.relay(leader)).is_some_and(|t| t["leads"] == false && t["role"] == "following")
     });
-    fleet.until_known(4);
+    fleet.until_all_in_service(4);
     others.iter().for_each(|i| fleet.kill(*i));
     let (code, why) = drain(fleet.relay(3));
     assert_eq!(code, 409, "{why}");
@@ -108,43 +109,45 @@
         let mut client = Client::open(fleet.sites[i].listen, "low").expect("it serves");
         assert!(client.echoes());
     }
-    fleet.start(others[0]);
-    fleet.until_led();
+    fleet.start_relay(others[0]);
+    fleet.until_leader();
 }
 
-/// A voter whose disk is lost votes no more till the others have let it in, as another voter.
+/// A voter whose disk is lost votes no more until the others have added it, as another voter.
 #[test]
-fn a_lost_disk_is_let_in_anew() {
-    let mut fleet = Fleet::started("disk", 3, 3, &json!([{"of": "relay", "scope": "fleet", "count": 2}]));
+fn a_voter_without_its_disk_is_added_anew() {
+    let mut fleet =
+        Fleet::start_in_service("disk", 3, 3, &json!([{"of": "relay", "scope": "fleet", "count": 2}]));
     assert_eq!(drain(fleet.relay(2)).0, 200);
-    let leader = fleet.until_led();
+    let leader = fleet.until_leader();
     let lost = (0..3).find(|i| *i != leader && *i != 2).unwrap_or((leader + 1) % 3);
     fleet.kill(lost);
     std::fs::remove_dir_all(fleet.sites[lost].folder.join("state")).expect("a state");
-    fleet.start(lost);
-    until("it is let in", || {
-        told(fleet.relay(lost))
+    fleet.start_relay(lost);
+    until("it is added", || {
+        leases(fleet.relay(lost))
             .is_some_and(|t| t["role"] == "following" && t["voters"] == 3 && t["index"] != 0)
     });
     // It counts: with another dead the two still agree.
     let dead = (0..3).find(|i| *i != lost && *i != 2).expect("another");
     fleet.kill(dead);
-    fleet.until_led();
-    fleet.until_stage("relay r2", if lost == 2 { "in" } else { "out" });
+    fleet.until_leader();
+    fleet.until_lease_state("relay r2", if lost == 2 { "in" } else { "out" });
 }
 
-/// One backend for the whole fleet: nothing new goes there, its sessions are moved, a second one waits.
+/// One backend for the whole fleet: nothing new goes there, its sessions are migrated, a second one waits.
 #[test]
-fn a_backend_drains_for_all() {
-    let fleet = Fleet::started("backend", 3, 3, &one());
+fn a_backend_drains_for_the_whole_fleet() {
+    let fleet = Fleet::start_in_service("backend", 3, 3, &one_of_each_kind());
     let mut clients: Vec<Client> =
         (0..30).map(|i| Client::open(fleet.sites[i % 3].listen, "low").expect("it serves")).collect();
     assert!(clients.iter_mut().all(Client::echoes));
     let there = fleet.backends[1].opened();
     assert!(there > 0);
-    let (code, text) = said_at(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
+    let (code, text) =
+        drain_command(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
     assert_eq!((code, text.trim()), (Some(0), "backend b-1 drains"));
-    let (code, text) = said_at(fleet.relay(1), &["backend", "b-0"]);
+    let (code, text) = drain_command(fleet.relay(1), &["backend", "b-0"]);
     assert!(
         code == Some(1) && text.contains("at most 1 backend of the fleet; out: backend b-1 (out)"),
         "{text}"
@@ -156,57 +159,58 @@
         Client::open(fleet.sites[i % 3].listen, "low").expect("it serves");
     }
     assert_eq!(fleet.backends[1].opened(), before, "nothing new goes there");
-    let leader = fleet.until_led();
-    until("it is empty", || row(fleet.relay(leader), "backend b-1").is_some_and(|r| r["left"] == 0));
+    let leader = fleet.until_leader();
+    until("it is empty", || lease_row(fleet.relay(leader), "backend b-1").is_some_and(|r| r["left"] == 0));
     let moved = clients.iter_mut().filter_map(Client::hears_now).filter(|line| line == "MOVE").count();
     assert_eq!(moved as u64, there, "each of them is moved, and no other");
-    assert_eq!(said_at(fleet.relay(2), &["back", "b-1"]).0, Some(0));
+    assert_eq!(drain_command(fleet.relay(2), &["back", "b-1"]).0, Some(0));
     until("it serves again", || {
         Client::open(fleet.sites[0].listen, "low").expect("it serves");
         fleet.backends[1].opened() > before
     });
-    fleet.until_known(3);
-    let (code, text) = said_at(fleet.relay(2), &["backend", "b-9"]);
+    fleet.until_all_in_service(3);
+    let (code, text) = drain_command(fleet.relay(2), &["backend", "b-9"]);
     assert!(code == Some(1) && text.contains("no leader has seen it yet"), "{text}");
 }
 
-/// Granted to one who dies before it begins: the grant lapses, and the next has its turn.
+/// A relay that dies while it is out counts as out until it is reclaimed, and as down until it is up.
 #[test]
-fn who_is_out_and_never_heard_of_is_freed_by_a_person() {
-    let mut fleet = Fleet::started("freed", 4, 3, &one());
+fn a_relay_that_died_while_out_is_reclaimed_by_a_person() {
+    let mut fleet = Fleet::start_in_service("freed", 4, 3, &one_of_each_kind());
     assert_eq!(drain(fleet.relay(3)).0, 200);
     fleet.kill(3);
-    let leader = fleet.until_led();
-    until("it is down", || row(fleet.relay(leader), "relay r3").is_some_and(|r| r["condition"] == "down"));
-    let row3 = row(fleet.relay(leader), "relay r3").expect("it is out");
+    let leader = fleet.until_leader();
+    until("it is down", || {
+        lease_row(fleet.relay(leader), "relay r3").is_some_and(|r| r["condition"] == "down")
+    });
+    let row3 = lease_row(fleet.relay(leader), "relay r3").expect("it is out");
     assert_eq!(row3["stage"], "out");
     let begun = Instant::now();
-    assert_eq!(said_at(fleet.relay(0), &["free", "relay", "r3", "--by", "bo"]).0, Some(0));
-    assert_eq!(row(fleet.relay(leader), "relay r3").expect("it is down")["stage"], "in");
+    assert_eq!(drain_command(fleet.relay(0), &["free", "relay", "r3", "--by", "bo"]).0, Some(0));
+    assert_eq!(lease_row(fleet.relay(leader), "relay r3").expect("it is down")["stage"], "in");
     assert_eq!(drain(fleet.relay(1)).0, 409, "freed, and still not up");
-    fleet.start(3);
-    fleet.until_known(4);
+    fleet.start_relay(3);
+    fleet.until_all_in_service(4);
     assert_eq!(drain(fleet.relay(1)).0, 200);
     assert!(begun.elapsed() < Duration::from_secs(20));
 }
 
-/// A voter's place is taken by a process that dies at once: it has the place back, and what it had applied counts
-/// once.
+/// A voter hands over to a process that dies at once: it takes over again, and applies the log once.
 #[test]
-fn a_voter_that_has_its_place_back_has_the_state_of_the_others() {
-    let mut fleet = Fleet::started("back", 3, 3, &one());
+fn a_voter_after_a_failed_hot_restart_has_the_state_of_the_others() {
+    let mut fleet = Fleet::start_in_service("back", 3, 3, &one_of_each_kind());
     assert_eq!(drain(fleet.relay(2)).0, 200);
     assert_eq!(fleet.relay(2).call("POST", "/v1/relay/activate").0, 200);
-    fleet.until_known(3);
+    fleet.until_all_in_service(3);
     let mut new = fleet.sites[1].start();
     new.until_ready();
     new.child.kill().expect("it lives");
     until("the old one votes again", || {
-        told(fleet.relay(1)).is_some_and(|t| t["role"] != "no voter" && t["index"] != 0)
+        leases(fleet.relay(1)).is_some_and(|t| t["role"] != "no voter" && t["index"] != 0)
     });
-    fleet.until_known(3);
+    fleet.until_all_in_service(3);
     assert_eq!(drain(fleet.relay(2)).0, 200);
-    let grant = |i: usize| row(fleet.relay(i), "relay r2").map(|r| r["grant"].clone());
+    let grant = |i: usize| lease_row(fleet.relay(i), "relay r2").map(|r| r["grant"].clone());
     until("both have heard", || grant(0).is_some() && grant(1).is_some());
     assert_eq!(grant(0), grant(1), "the same log, the same numbers");
 }
--- a/relay/tests/release.rs
+++ b/relay/tests/rollouts.rs
@@ -1,8 +1,8 @@
-//! Releases over several processes: a stand-in for whoever deploys replaces relays and changes backends as
-//! they are due, while clients come. Halted by a person and by a bad build, the leader killed meanwhile.
+//! Rollouts over several processes under load: a stand-in for whoever deploys replaces relays and updates
+//! backends as they are due. Halted by a person and by a bad build, with the leader killed meanwhile.
 mod common;
 
-use common::agreed::{post, row, said, told, Fleet};
+use common::coordination::{lease_row, leases, post, run_command, Fleet};
 use common::load::Load;
 use common::until;
 use serde_json::{json, Value};
@@ -25,8 +25,8 @@
     release(fleet).and_then(|told| told["due"].as_array().cloned()).unwrap_or_default()
 }
 
-fn did(fleet: &Fleet, one: &Value) {
-    let body = json!({one["kind"].as_str().expect("a kind"): one["name"], "grant": one["grant"]});
+fn mark_done(fleet: &Fleet, due: &Value) {
+    let body = json!({due["kind"].as_str().expect("a kind"): due["name"], "grant": due["grant"]});
     until("what was done is agreed", || {
         let Some(leader) = fleet.leader() else { return false };
         let (code, text) = post(fleet.relay(leader), "/v1/release/did", &body);
@@ -54,7 +54,7 @@
 
 fn start(fleet: &Fleet, text: &str) -> (Option<i32>, String) {
     let path = plan(fleet, text);
-    said(fleet.relay(fleet.until_led()), "release", &["start", path.to_str().expect("a path")])
+    run_command(fleet.relay(fleet.until_leader()), "release", &["start", path.to_str().expect("a path")])
 }
 
 fn listens(fleet: &Fleet) -> Vec<SocketAddr> {
@@ -65,7 +65,7 @@
 #[test]
 fn relays_are_replaced_in_waves_through_a_halt_and_a_dead_leader() {
     let budgets = json!([{"of": "relay", "scope": "fleet", "count": 1}]);
-    let mut fleet = Fleet::started("waves", 4, 3, &budgets);
+    let mut fleet = Fleet::start_in_service("waves", 4, 3, &budgets);
     let (code, text) =
         start(&fleet, "build = \"b2\"\nof = \"relay\"\nby = \"ann\"\n[[wave]]\nname = [\"r3\"]\n");
     assert!(code == Some(2) && text.contains("plan.toml") && text.contains("name"), "{text}");
@@ -86,31 +86,31 @@
             assert_eq!(one["build"], "b2");
             let name = one["name"].as_str().expect("a name").to_string();
             replace(&mut fleet, &name);
-            did(&fleet, one);
+            mark_done(&fleet, one);
             done.push(name);
         }
         if done.len() == 2 && !halted {
             halted = true;
-            let leader = fleet.until_led();
-            assert_eq!(said(fleet.relay(leader), "release", &["halt", "--why", "lunch"]).0, Some(0));
+            let leader = fleet.until_leader();
+            assert_eq!(run_command(fleet.relay(leader), "release", &["halt", "--why", "lunch"]).0, Some(0));
             fleet.kill(leader);
-            let other = fleet.until_led();
+            let other = fleet.until_leader();
             assert_eq!(phase(&fleet), "halted");
-            fleet.start(leader);
+            fleet.start_relay(leader);
             // It may be the one that is due: nobody can take the place of a process that is not there yet.
             fleet.relay(leader).until_ready();
             // What had begun by then goes to its end; nothing begins after it.
             if let Some(one) = due(&fleet).first() {
                 let name = one["name"].as_str().expect("a name").to_string();
                 replace(&mut fleet, &name);
-                did(&fleet, one);
+                mark_done(&fleet, one);
                 done.push(name);
             }
             std::thread::sleep(Duration::from_millis(2_500));
             assert_eq!((phase(&fleet).as_str(), due(&fleet).len()), ("halted", 0));
-            let now = fleet.until_led();
+            let now = fleet.until_leader();
             assert!(now != leader || other != leader);
-            assert_eq!(said(fleet.relay(now), "release", &["resume"]).0, Some(0));
+            assert_eq!(run_command(fleet.relay(now), "release", &["resume"]).0, Some(0));
         }
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -121,7 +121,7 @@
         ("r3", "r0 r1 r2 r3"),
         "each once, the canary first"
     );
-    fleet.until_known(4);
+    fleet.until_all_in_service(4);
     // One was killed outright for the halt: its clients find nobody there for a moment.
     let (opened, missed) = (load.opened.load(Ordering::SeqCst), load.missed());
     assert!(opened > 200 && missed < opened / 3, "{missed} of {opened}");
@@ -131,7 +131,7 @@
 #[test]
 fn a_bad_build_of_a_backend_halts_and_goes_back() {
     let budgets = json!([{"of": "backend", "scope": "fleet", "count": 1}]);
-    let fleet = Fleet::started("bad", 3, 3, &budgets);
+    let fleet = Fleet::start_in_service("bad", 3, 3, &budgets);
     let load = Load::begin(listens(&fleet));
     let text = "build = \"b2\"\nof = \"backend\"\nby = \"ann\"\n[judge]\nsessions = 12\nworse = 0.1\nwithin_s = 60\n\
         [[wave]]\nnames = [\"b-1\"]\n[[wave]]\nshare = 1\n";
@@ -142,7 +142,7 @@
     assert_eq!((&one["name"], &one["build"]), (&json!("b-1"), &json!("b2")));
     let before = fleet.backends[1].opened();
     fleet.backends[1].bad.store(true, Ordering::SeqCst);
-    did(&fleet, &one);
+    mark_done(&fleet, &one);
     until("it halts by itself", || phase(&fleet) == "halted");
     let met = fleet.backends[1].opened() - before;
     let why = release(&fleet).expect("a release")["why"].to_string();
@@ -150,15 +150,15 @@
     assert!((3..=30).contains(&met), "{met} sessions met it");
     std::thread::sleep(Duration::from_millis(1_500));
     assert!(due(&fleet).is_empty(), "nothing begins after it");
-    let leader = fleet.until_led();
-    assert_eq!(said(fleet.relay(leader), "release", &["back"]).0, Some(0));
+    let leader = fleet.until_leader();
+    assert_eq!(run_command(fleet.relay(leader), "release", &["back"]).0, Some(0));
     until("it is to go back", || !due(&fleet).is_empty());
     let one = due(&fleet).remove(0);
     assert_eq!((&one["name"], &one["build"]), (&json!("b-1"), &Value::Null));
     fleet.backends[1].bad.store(false, Ordering::SeqCst);
-    did(&fleet, &one);
+    mark_done(&fleet, &one);
     until("all is back", || phase(&fleet) == "back");
-    assert!(row(fleet.relay(leader), "backend b-0").is_none() && told(fleet.relay(leader)).is_some());
+    assert!(lease_row(fleet.relay(leader), "backend b-0").is_none() && leases(fleet.relay(leader)).is_some());
     // Whom it dropped was dialled elsewhere: these are repeatable.
     assert_eq!(load.missed(), 0);
 }
--- a/relay/tests/wide.rs
+++ b/relay/tests/wide.rs
@@ -3,7 +3,7 @@
 //! were told.
 mod common;
 
-use common::agreed::Fleet;
+use common::coordination::Fleet;
 use common::load::Load;
 use serde_json::{json, Value};
 use std::collections::{BTreeSet, VecDeque};
@@ -73,9 +73,9 @@
     let turns = std::env::var("WIDE_TURNS").ok().and_then(|n| n.parse().ok()).unwrap_or(TURNS);
     let budgets = json!([{"of": "backend", "scope": "fleet", "count": BUDGET}]);
     let began = Instant::now();
-    let mut fleet = Fleet::begun("wide", RELAYS, VOTERS, BACKENDS, &budgets);
+    let mut fleet = Fleet::start("wide", RELAYS, VOTERS, BACKENDS, &budgets);
     until("all are seen and in", || {
-        let told = fleet.leader().and_then(|i| common::agreed::told(fleet.relay(i)));
+        let told = fleet.leader().and_then(|i| common::coordination::leases(fleet.relay(i)));
         told.is_some_and(|t| t["known"] == RELAYS + BACKENDS && t["things"] == json!([]))
     });
     println!("all of {RELAYS} and {BACKENDS} are seen after {:?}", began.elapsed());
@@ -101,7 +101,7 @@
         fleet.kill(leader);
         until("another leads", || fleet.leader().is_some_and(|now| now != leader));
         failover = killed.elapsed();
-        fleet.start(leader);
+        fleet.start_relay(leader);
         let stalled = (0..VOTERS).find(|i| *i != leader && fleet.leader() != Some(*i)).expect("some follow");
         fleet.relay(stalled).signal("STOP");
         std::thread::sleep(Duration::from_secs(3));
@@ -124,7 +124,7 @@
     assert!(out.most > 1, "some at a time");
     assert!(opened > 100 && missed * 50 <= opened, "{missed} of {opened} sessions missed");
     until("all are in", || {
-        let told = fleet.leader().and_then(|i| common::agreed::told(fleet.relay(i)));
+        let told = fleet.leader().and_then(|i| common::coordination::leases(fleet.relay(i)));
         told.is_some_and(|t| t["things"] == json!([]))
     });
 }
