--- a/disruption/src/lease.rs
+++ b/disruption/src/lease.rs
@@ -73,6 +73,23 @@
     (Returning, Reclaimed, InService),
 ];
 
+/// A request for a lease, from an operator or the rollout.
+pub(crate) struct LeaseRequest<'a> {
+    pub id: u64,
+    pub requested_by: &'a str,
+    pub reason: &'a str,
+    pub force: bool,
+}
+
+impl LeaseRequest<'_> {
+    /// Enters the request in a lease.
+    pub fn write_to(&self, lease: &mut Lease) {
+        lease.request_id = self.id;
+        lease.requested_by = self.requested_by.to_string();
+        lease.reason = self.reason.to_string();
+    }
+}
+
 /// A target with its health, and its lease where it has one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lease {
--- a/disruption/src/state/leases.rs
+++ b/disruption/src/state/leases.rs
@@ -3,29 +3,13 @@
 use crate::budget::Budget;
 use crate::command::Outcome;
 use crate::error::CommandError;
-use crate::lease::{Lease, LeaseEvent, LeaseState};
+use crate::lease::{Lease, LeaseEvent, LeaseRequest, LeaseState};
 use crate::limits::{MAX_TARGETS, MAX_WAITING};
 use crate::target::{FailureDomain, HealthState, Target};
 
 /// Targets that an answer to a waiting request names; status has them all.
 const MAX_NAMED_UNAVAILABLE: usize = 8;
 
-/// A request for a lease, from an operator or the rollout.
-pub(super) struct LeaseRequest<'a> {
-    pub id: u64,
-    pub requested_by: &'a str,
-    pub reason: &'a str,
-    pub force: bool,
-}
-
-impl LeaseRequest<'_> {
-    fn write_to(&self, lease: &mut Lease) {
-        lease.request_id = self.id;
-        lease.requested_by = self.requested_by.to_string();
-        lease.reason = self.reason.to_string();
-    }
-}
-
 impl State {
     /// Applies an event to a target's lease.
     pub(super) fn apply_to_lease(&mut self, target: &Target, event: LeaseEvent) -> Result<(), CommandError> {
--- a/disruption/src/state/mod.rs
+++ b/disruption/src/state/mod.rs
@@ -6,10 +6,9 @@
 use crate::budget::Budget;
 use crate::command::{Command, Outcome, VERSION};
 use crate::error::CommandError;
-use crate::lease::{Lease, LeaseEvent};
+use crate::lease::{Lease, LeaseEvent, LeaseRequest};
 use crate::rollout::{Rollout, RolloutEvent};
 use crate::target::Target;
-use leases::LeaseRequest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/disruption/src/state/rollout.rs
+++ b/disruption/src/state/rollout.rs
@@ -1,9 +1,8 @@
 //! The rollout as part of the state: it requests leases in its own name, and advances as they are granted and
 //! as targets return.
-use super::leases::LeaseRequest;
 use super::State;
 use crate::error::CommandError;
-use crate::lease::{Lease, LeaseEvent, LeaseState};
+use crate::lease::{Lease, LeaseEvent, LeaseRequest, LeaseState};
 use crate::plan::RolloutPlan;
 use crate::rollout::{ItemState, Rollout, RolloutEvent, RolloutItem, RolloutPhase};
 use crate::target::Target;
