--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -4,8 +4,8 @@
 use hallrelay_raft::{Entry, Snapshot, Voter, What};
 use hallrelay_recovery::fact::{ServerTold, VERSION};
 use hallrelay_recovery::{Fact, Kept, Stored};
-use hallrelay_store::log::{Found, LOG, NEXT};
-use hallrelay_store::{Folder, Key, Store, Value};
+use hallrelay_store::log::{LOG_FILE, NEXT_LOG_FILE};
+use hallrelay_store::{Change, Directory, Key, LogSummary, Store, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
@@ -34,12 +34,12 @@
         copy
     }
 
-    fn open(&self) -> Store<Folder> {
-        Store::open(Folder::open(&self.0).expect("a folder"), CAPACITY).expect("a store")
+    fn open(&self) -> Store<Directory> {
+        Store::open(Directory::open(&self.0).expect("a folder"), CAPACITY).expect("a store")
     }
 
     fn log(&self) -> Vec<u8> {
-        std::fs::read(self.0.join(LOG)).expect("a log")
+        std::fs::read(self.0.join(LOG_FILE)).expect("a log")
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 fn fixture_log(name: &str) -> Vec<u8> {
-    std::fs::read(fixture(name).join(LOG)).expect("a fixture")
+    std::fs::read(fixture(name).join(LOG_FILE)).expect("a fixture")
 }
 
 fn instance(id: &str, phase: Phase, came_up: Micros) -> Instance {
@@ -133,18 +133,20 @@
     }
 }
 
-fn write(store: &mut Store<Folder>) {
+fn write(store: &mut Store<Directory>) {
     for batch in batches() {
         let value = |bytes| Value { version: VERSION, bytes };
-        let entry =
-            |one: Kept| (Key { kind: one.fact as u8, name: one.name.into_bytes() }, one.bytes.map(value));
+        let entry = |one: Kept| Change {
+            key: Key { kind: one.fact as u8, name: one.name.into_bytes() },
+            value: one.bytes.map(value),
+        };
         store.commit(batch.into_iter().map(entry).collect()).expect("a sound disk");
     }
 }
 
-fn read(store: &Store<Folder>) -> Stored {
+fn read(store: &Store<Directory>) -> Stored {
     let mut stored = Stored::default();
-    for (key, value) in store.all() {
+    for (key, value) in store.iter() {
         stored.take(key.kind, value.version, &key.name, &value.bytes);
     }
     stored
@@ -154,7 +156,7 @@
 fn a_voters_folder_is_read_whole_and_left_as_it_is() {
     let folder = Temporary::copy_of("voter");
     let store = folder.open();
-    assert_eq!(store.found, Found { records: 9, torn: 0, generation: 1 });
+    assert_eq!(store.summary(), LogSummary { records: 9, torn_bytes: 0, generation: 1 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(folder.log(), fixture_log("voter"));
@@ -164,7 +166,7 @@
 fn a_compacted_folder_holds_the_same() {
     let folder = Temporary::copy_of("compacted");
     let store = folder.open();
-    assert_eq!(store.found, Found { records: 1, torn: 0, generation: 2 });
+    assert_eq!(store.summary(), LogSummary { records: 1, torn_bytes: 0, generation: 2 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(folder.log(), fixture_log("compacted"));
@@ -175,13 +177,13 @@
 fn a_torn_folder_is_repaired() {
     let folder = Temporary::copy_of("torn");
     let torn = (fixture_log("torn").len() - fixture_log("voter").len()) as u64;
-    assert!(torn > 0 && folder.0.join(NEXT).exists());
+    assert!(torn > 0 && folder.0.join(NEXT_LOG_FILE).exists());
     let store = folder.open();
-    assert_eq!(store.found, Found { records: 9, torn, generation: 1 });
+    assert_eq!(store.summary(), LogSummary { records: 9, torn_bytes: torn, generation: 1 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(folder.log(), fixture_log("voter"));
-    assert!(!folder.0.join(NEXT).exists());
+    assert!(!folder.0.join(NEXT_LOG_FILE).exists());
 }
 
 #[test]
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -2,8 +2,8 @@
 use crate::drain;
 use crate::net::{serve, stop};
 use crate::release;
-use crate::shelf::{self, Shelf};
 use crate::status;
+use crate::store_command::{self, StoreCommand};
 use clap::{Parser, Subcommand};
 use hallrelay_config::fleet::Fleet;
 use hallrelay_config::node::{self, Node, Told};
@@ -52,7 +52,7 @@
     /// Look at the store that a relay keeps in its state folder.
     Store {
         #[command(subcommand)]
-        what: Shelf,
+        what: StoreCommand,
     },
     /// Print the version.
     Version,
@@ -133,7 +133,7 @@
         }
         What::Drain { what } => return drain::run(what),
         What::Release { what } => return release::run(what),
-        What::Store { what } => return Ok(shelf::run(&what)),
+        What::Store { what } => return Ok(store_command::run(&what)),
         What::Version => println!("hallrelay {}", env!("CARGO_PKG_VERSION")),
         What::Check { given } => {
             let node = given.read(&given.told())?;
--- a/relay/src/figures.rs
+++ b/relay/src/figures.rs
@@ -22,9 +22,9 @@
     line("known_backends", figures.known as u64, 'g');
     line("skipped_backends", figures.avoided as u64, 'g');
     if let Some(store) = &figures.store {
-        line("store_failing", u64::from(store.failing.is_some()), 'g');
-        line("store_bytes", store.bytes, 'g');
-        let counts = [("batches", store.batches), ("failures", store.failures), ("refused", store.refused)];
+        line("store_failing", u64::from(store.last_error.is_some()), 'g');
+        line("store_bytes", store.file_bytes, 'g');
+        let counts = [("batches", store.batches), ("failures", store.failures), ("refused", store.rejected)];
         counts.iter().for_each(|(name, value)| line(&format!("store_{name}"), *value, 'c'));
     }
     if let Some(fleet) = &figures.fleet {
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -17,8 +17,8 @@
 mod probe;
 mod read;
 pub mod serve;
+mod state_store;
 pub mod stop;
-mod store;
 
 use crate::clock::Clock;
 use crate::reducer::Event;
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,6 +1,7 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
 use super::permit::Terms;
-use super::{accept, discovery, fleet, handover, operator, peers, probe, stop, store, Command, Hub};
+use super::state_store::StateStore;
+use super::{accept, discovery, fleet, handover, operator, peers, probe, stop, Command, Hub};
 use crate::clock::span;
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
@@ -8,7 +9,7 @@
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
 use hallrelay_membership::Effect as Told;
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,7 +33,7 @@
     taking: watch::Sender<bool>,
     door: Option<Door>,
     links: Option<fleet::Links>,
-    keeper: Option<store::Keeper>,
+    state_store: Option<StateStore>,
     /// Dials that wait for a fact to be written: by session its number; till when, and what then goes out.
     tickets: BTreeMap<SessId, u64>,
     waiting: VecDeque<(u64, Micros, SessId, Command)>,
@@ -86,13 +87,13 @@
             Some(fleet::Links::new(told.clone(), Some(fleet::bind(told.listen).await?), hub.clone()))
         }
     };
-    let mut keeper = node.state.as_deref().map(|path| store::Keeper::new(path, limits.state_bytes));
-    let mut health = keeper.as_ref().map(store::Keeper::watch);
+    let mut state_store = node.state.as_deref().map(|path| StateStore::new(path, limits.state_bytes));
+    let mut health = state_store.as_ref().map(StateStore::watch_health);
     let mut stored = None;
-    if let Some(keeper) = keeper.as_mut().filter(|_| before.is_none()) {
-        stored = tokio::time::timeout(span(limits.state_open), keeper.open()).await.ok().and_then(Result::ok);
+    if let Some(store) = state_store.as_mut().filter(|_| before.is_none()) {
+        stored = tokio::time::timeout(span(limits.state_open), store.open()).await.ok().and_then(Result::ok);
         if stored.is_none() {
-            slog::warn!(log, "what was kept is not there in time: this relay begins without it");
+            slog::warn!(log, "the state store was not opened in time: this relay starts without its state");
         }
     }
     slog::info!(log, "serving"; "name" => &node.name, "listen" => %node.listen, "limits" => ?limits);
@@ -108,7 +109,7 @@
         taking,
         door: door.map(|path| Door { path, listener: listener.clone(), wait: None }),
         links,
-        keeper,
+        state_store,
         tickets: BTreeMap::new(),
         waiting: VecDeque::new(),
         vows: VecDeque::new(),
@@ -151,15 +152,15 @@
     let ended = hands.exit.take().unwrap_or(Ok(()));
     slog::info!(log, "stopping"; "well" => ended.is_ok());
     hands.close_door();
-    hands.keeper.iter_mut().for_each(store::Keeper::finish);
+    hands.state_store.iter_mut().for_each(StateStore::finish);
     ended
 }
 
 /// How the store does, as that changes; never where there is none.
-async fn changed(health: &mut Option<watch::Receiver<Health>>) -> Option<Health> {
+async fn changed(health: &mut Option<watch::Receiver<WriterHealth>>) -> Option<WriterHealth> {
     match health {
         Some(health) => {
-            // The keeper lives as long as the program.
+            // The store lives as long as the program.
             health.changed().await.ok()?;
             Some(health.borrow_and_update().clone())
         }
@@ -193,24 +194,27 @@
         Event::OperatorCall { call, what }
     }
 
-    fn store_told(&mut self, now: Health) -> Event {
-        if let Some(why) = &now.failing {
-            slog::warn!(self.hub.log, "what is to be kept is not written"; "why" => why);
+    fn store_told(&mut self, now: WriterHealth) -> Event {
+        if let Some(why) = &now.last_error {
+            slog::warn!(self.hub.log, "the state can't be written"; "error" => why);
         }
         Event::StoreHealth(Box::new(now))
     }
 
     /// A voter's promise that is on the disk.
     fn vowed(&mut self) -> Option<(u32, u64)> {
-        let durable = self.keeper.as_ref()?.durable();
+        let durable = self.state_store.as_ref()?.durable_ticket();
         let (_, life, number) = self.vows.pop_front_if(|vow| vow.0 <= durable)?;
         Some((life, number))
     }
 
     /// Lets dials go whose fact is written, or has taken too long: service does not wait for a disk.
     fn dial_on(&mut self, now: Micros) {
-        let Some(keeper) = &self.keeper else { return };
-        while self.waiting.front().is_some_and(|(ticket, until, ..)| *until <= now || keeper.settled(*ticket))
+        let Some(store) = &self.state_store else { return };
+        while self
+            .waiting
+            .front()
+            .is_some_and(|(ticket, until, ..)| *until <= now || store.is_settled(*ticket))
         {
             if let Some((_, _, sess, dial)) = self.waiting.pop_front() {
                 self.hub.command(sess, dial);
@@ -252,7 +256,8 @@
                     let terms = Terms { server, by: self.hub.clock.now() + begin };
                     let command = Command::Dial { dial, addr, wait, terms };
                     let ticket = self.tickets.remove(&sess);
-                    let unwritten = |t: &u64| self.keeper.as_ref().is_some_and(|keeper| !keeper.settled(*t));
+                    let unwritten =
+                        |t: &u64| self.state_store.as_ref().is_some_and(|store| !store.is_settled(*t));
                     match ticket.filter(unwritten) {
                         Some(ticket) => {
                             let until = self.hub.clock.now() + self.hub.limits().state_wait;
@@ -262,32 +267,32 @@
                     }
                 }
                 Effect::Persist { kept, before } => {
-                    let ticket = self.keeper.as_ref().and_then(|keeper| keeper.put(kept));
+                    let ticket = self.state_store.as_ref().and_then(|store| store.persist(kept));
                     if let (Some(sess), Some(ticket)) = (before, ticket) {
                         self.tickets.insert(sess, ticket);
                     }
                 }
                 Effect::PersistVoterWrites { life, number, kept } => {
-                    let Some(keeper) = &self.keeper else { continue };
-                    let tickets: Vec<_> = kept.into_iter().map(|one| keeper.put(one)).collect();
+                    let Some(store) = &self.state_store else { continue };
+                    let tickets: Vec<_> = kept.into_iter().map(|one| store.persist(one)).collect();
                     // What can't be put is never told to be written: the voter waits, and votes no more.
                     if let Some(all) = tickets.into_iter().collect::<Option<Vec<_>>>() {
                         self.vows.push_back((all.into_iter().max().unwrap_or(0), life, number));
                     }
                 }
                 Effect::SetStoreOwnership { on } => {
-                    if let Some(keeper) = &mut self.keeper {
+                    if let Some(store) = &mut self.state_store {
                         match on {
                             // Most of what it held this process knows by now.
                             true => {
-                                let (held, hub) = (keeper.open(), self.hub.clone());
+                                let (held, hub) = (store.open(), self.hub.clone());
                                 tokio::task::spawn_local(async move {
                                     if let Ok(held) = held.await {
                                         hub.tell(Event::StoreReopened(Box::new(held))).await;
                                     }
                                 });
                             }
-                            false => keeper.close(),
+                            false => store.close(),
                         }
                     }
                 }
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -11,7 +11,7 @@
 use hallrelay_hot_restart::{Message, Session};
 use hallrelay_membership::status::Status;
 use hallrelay_recovery::{Kept, Stored};
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::net::SocketAddr;
 
 /// What an operator may ask for.
@@ -161,7 +161,7 @@
     /// The store is this process's by now: what it held.
     StoreReopened(Box<Stored>),
     /// How the store does, as it changes.
-    StoreHealth(Box<Health>),
+    StoreHealth(Box<WriterHealth>),
     Timer(Timer),
     StopRequested,
 }
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -1,7 +1,7 @@
 //! What operators are told in numbers: counted where the state changes, read as a whole.
 use super::{FleetFigures, Reducer};
 use crate::net::permit::Denials;
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -36,7 +36,7 @@
     /// Of the other relays; none where this one is told of none.
     pub fleet: Option<Box<FleetFigures>>,
     /// Of the store; none where nothing is kept.
-    pub store: Option<Box<Health>>,
+    pub store: Option<Box<WriterHealth>>,
 }
 
 impl Figures {
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -33,7 +33,7 @@
 use hallrelay_hot_restart::place::{self as handover, Peer, Place};
 use hallrelay_membership::Membership;
 use hallrelay_recovery::Stored;
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -144,7 +144,7 @@
     fleet: Option<Membership>,
     /// What the store held, till the start has gone by it; how the store does.
     stored: Option<Box<Stored>>,
-    store: Option<Box<Health>>,
+    store: Option<Box<WriterHealth>>,
     /// What is agreed across the fleet; none where nothing is.
     agreed: Option<Box<agreed::Agreed>>,
     /// What was told of this relay's own sessions.
--- a/store/examples/measure.rs
+++ b/store/examples/measure.rs
@@ -1,38 +1,39 @@
-//! What the store costs: recovery of a million records, a value put while a disk writes, a batch made
+//! Measures the store: recovery of a million records, a change submitted while the disk writes, a batch made
 //! durable.
 //!   cargo run --release -p hallrelay-store --example measure [FOLDER]
 use hallrelay_store::writer::Writer;
-use hallrelay_store::{Folder, Key, Store, Value};
+use hallrelay_store::{Change, Directory, Key, Store, Value};
 use std::time::Instant;
 
 fn main() -> Result<(), String> {
-    let folder = std::env::args().nth(1).map_or_else(std::env::temp_dir, Into::into);
-    let folder = folder.join(format!("hallrelay-measure-{}", std::process::id()));
+    let directory = std::env::args().nth(1).map_or_else(std::env::temp_dir, Into::into);
+    let directory = directory.join(format!("hallrelay-measure-{}", std::process::id()));
     let told = |e: &dyn std::fmt::Display| e.to_string();
-    let open = || Store::open(Folder::open(&folder).map_err(|e| told(&e))?, 1 << 30).map_err(|e| told(&e));
+    let open =
+        || Store::open(Directory::open(&directory).map_err(|e| told(&e))?, 1 << 30).map_err(|e| told(&e));
     let key = |n: u64| Key { kind: 3, name: format!("server-{n}").into_bytes() };
     let value = |n: u64| Value { version: 1, bytes: format!("{n:0100}").into_bytes() };
 
     let mut store = open()?;
     const RECORDS: u64 = 1_000_000;
     for from in (0..RECORDS).step_by(1_000) {
-        let batch = (from..from + 1_000).map(|n| (key(n), Some(value(n)))).collect();
+        let batch = (from..from + 1_000).map(|n| Change::set(key(n), value(n))).collect();
         store.commit(batch).map_err(|e| told(&e))?;
     }
-    let bytes = store.size().0;
+    let bytes = store.size().file_bytes;
     drop(store);
     let started = Instant::now();
     let store = open()?;
     let took = started.elapsed();
-    println!("{} facts, {} MB, recovered in {:.2} s", store.all().count(), bytes >> 20, took.as_secs_f64());
+    println!("{} facts, {} MB, recovered in {:.2} s", store.iter().count(), bytes >> 20, took.as_secs_f64());
     drop(store);
 
-    std::fs::remove_dir_all(&folder).map_err(|e| told(&e))?;
+    std::fs::remove_dir_all(&directory).map_err(|e| told(&e))?;
     let mut store = open()?;
     let started = Instant::now();
     const BATCHES: u64 = 500;
     for n in 0..BATCHES {
-        store.commit(vec![(key(n), Some(value(n)))]).map_err(|e| told(&e))?;
+        store.commit(vec![Change::set(key(n), value(n))]).map_err(|e| told(&e))?;
     }
     println!("a batch durable after {:.0} us", started.elapsed().as_micros() as f64 / BATCHES as f64);
 
@@ -41,9 +42,9 @@
     let values: Vec<_> = (0..PUTS).map(|n| (key(n % 2_000), value(n))).collect();
     let started = Instant::now();
     for (key, value) in values {
-        writer.put(key, Some(value)).ok_or("no room")?;
+        writer.submit(Change::set(key, value)).ok_or("the queue is full")?;
     }
     println!("a value put in {:.2} us", started.elapsed().as_nanos() as f64 / 1e3 / PUTS as f64);
     drop(writer);
-    std::fs::remove_dir_all(&folder).map_err(|e| told(&e))
+    std::fs::remove_dir_all(&directory).map_err(|e| told(&e))
 }
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,76 +1,94 @@
-//! All that the store asks of a disk, and real files that do it.
+//! What the store needs of a disk ([`Disk`]), and its implementation over a directory of real files.
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Files of one folder, by name. A write is durable only after a `sync` of its file, and a new name only
-/// after a `sync_names`. Errors are those of the system; what a failed write left behind is unknown.
+/// The file whose advisory lock keeps a second process out of a directory.
+const LOCK_FILE: &str = "lock";
+
+/// Files of one directory, by name.
+///
+/// A write is durable only after [`sync`](Disk::sync) of its file, and a new, renamed or removed name only
+/// after [`sync_directory`](Disk::sync_directory). Errors are those of the system; what a failed write left
+/// behind is unknown.
 pub trait Disk {
-    /// A file's bytes, `most` of them at most; none where there is no file of that name.
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>>;
-    /// Puts bytes at a place of a file, which is made where there is none.
-    fn write(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()>;
-    fn truncate(&mut self, name: &str, len: u64) -> io::Result<()>;
+    /// A file's bytes, the first `max_bytes` of them at most; `None` where there is no file of that name.
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>>;
+    /// Writes bytes at an offset of a file, which is created where it is missing.
+    fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Sets the length of a file in bytes.
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
+    /// Makes all earlier writes to a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// One name in place of another, in one step.
+    /// Gives a file another name, atomically; a file that had this name is gone.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file; no error where there is none of that name.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    fn sync_names(&mut self) -> io::Result<()>;
+    /// Makes all earlier changes of names durable.
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A folder of real files, held by one process at a time.
-pub struct Folder {
+/// A directory of real files, locked by one process at a time.
+pub struct Directory {
     path: PathBuf,
-    /// Held as long as this lives; the system lets go of it where the process dies.
+    /// Keeps the advisory lock as long as it lives; the system releases it where the process dies.
     _lock: File,
-    open: Option<(String, File)>,
+    /// The file that was written last, kept open.
+    open_file: Option<OpenFile>,
+}
+
+struct OpenFile {
+    name: String,
+    file: File,
 }
 
-impl Folder {
-    /// Makes the folder where it is missing, and takes its lock; an error of kind `WouldBlock` where another
-    /// process holds it.
-    pub fn open(path: &Path) -> io::Result<Folder> {
+impl Directory {
+    /// Creates the directory where it is missing, and takes its lock.
+    ///
+    /// # Errors
+    /// `WouldBlock` where another process holds the lock; otherwise what the system reports.
+    pub fn open(path: &Path) -> io::Result<Directory> {
         std::fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)?;
-        Ok(Folder { path: path.to_path_buf(), _lock: lock, open: None })
+        Ok(Directory { path: path.to_path_buf(), _lock: lock, open_file: None })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|open| open.0 != name) {
+        if self.open_file.as_ref().is_none_or(|open| open.name != name) {
             let mut options = OpenOptions::new();
             let file =
                 options.create(true).truncate(false).read(true).write(true).open(self.path.join(name))?;
-            self.open = Some((name.to_string(), file));
+            self.open_file = Some(OpenFile { name: name.to_string(), file });
         }
-        match &mut self.open {
-            Some((_, file)) => Ok(file),
+        match &mut self.open_file {
+            Some(open) => Ok(&mut open.file),
             None => Err(io::ErrorKind::NotFound.into()),
         }
     }
 }
 
-impl Disk for Folder {
-    fn read(&mut self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
+impl Disk for Directory {
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
         let file = match File::open(self.path.join(name)) {
             Ok(file) => file,
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(e),
         };
-        let mut bytes = Vec::with_capacity(file.metadata()?.len().min(most) as usize);
-        file.take(most).read_to_end(&mut bytes)?;
+        let mut bytes = Vec::with_capacity(file.metadata()?.len().min(max_bytes) as usize);
+        file.take(max_bytes).read_to_end(&mut bytes)?;
         Ok(Some(bytes))
     }
 
-    fn write(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let file = self.file(name)?;
-        file.seek(SeekFrom::Start(at))?;
+        file.seek(SeekFrom::Start(offset))?;
         file.write_all(bytes)
     }
 
-    fn truncate(&mut self, name: &str, len: u64) -> io::Result<()> {
-        self.file(name)?.set_len(len)
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
+        self.file(name)?.set_len(length)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
@@ -78,19 +96,19 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         match std::fs::remove_file(self.path.join(name)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
             _ => Ok(()),
         }
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
--- /dev/null
+++ b/store/src/faulty_disk.rs
@@ -0,0 +1,311 @@
+//! A simulated disk for tests, in memory, driven by a seed. Writes are cut short, syncs fail, space runs out;
+//! a power loss may come at any step and loses any subset of the sectors that were not synced, or tears them.
+use crate::disk::Disk;
+use std::collections::BTreeMap;
+use std::io;
+
+/// The bytes that a power loss keeps, loses or tears together.
+const SECTOR_BYTES: usize = 512;
+
+/// How often each fault occurs, per thousand operations.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FaultRates {
+    /// A write that stores only a part of its bytes and fails.
+    pub short_write: u32,
+    /// A write that fails for lack of space, with a part of its bytes stored.
+    pub no_space: u32,
+    /// A sync that fails and forgets what it should have written.
+    pub sync_failure: u32,
+    /// Any operation that fails without an effect.
+    pub other: u32,
+}
+
+/// A change of a file that is not durable yet.
+enum UnsyncedChange {
+    Write(UnsyncedWrite),
+    Length(u64),
+}
+
+struct UnsyncedWrite {
+    offset: u64,
+    bytes: Vec<u8>,
+}
+
+#[derive(Default)]
+struct File {
+    /// What a power loss leaves at the least.
+    durable: Vec<u8>,
+    /// What is read.
+    current: Vec<u8>,
+    unsynced: Vec<UnsyncedChange>,
+}
+
+/// A change of names that is not durable yet; files go by their position.
+enum NameChange {
+    Create { name: String, file: usize },
+    Rename { from: String, to: String },
+    Remove { name: String },
+}
+
+type Names = BTreeMap<String, usize>;
+
+impl NameChange {
+    fn apply(self, names: &mut Names) {
+        match self {
+            NameChange::Create { name, file } => _ = names.insert(name, file),
+            NameChange::Remove { name } => _ = names.remove(&name),
+            NameChange::Rename { from, to } => {
+                if let Some(file) = names.remove(&from) {
+                    names.insert(to, file);
+                }
+            }
+        }
+    }
+}
+
+/// The simulated disk.
+pub struct FaultyDisk {
+    files: Vec<File>,
+    names: Names,
+    durable_names: Names,
+    unsynced_names: Vec<NameChange>,
+    random: Random,
+    /// How often each fault occurs; never at first.
+    pub rates: FaultRates,
+    /// Operations until the power is lost; `None` for never.
+    pub power_loss_after: Option<u64>,
+    operations: u64,
+}
+
+/// Xorshift (Marsaglia 2003), so that the package needs no random number generator.
+struct Random(u64);
+
+impl Random {
+    fn new(seed: u64) -> Random {
+        Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+    }
+
+    fn below(&mut self, end: u64) -> u64 {
+        self.0 ^= self.0 << 13;
+        self.0 ^= self.0 >> 7;
+        self.0 ^= self.0 << 17;
+        (self.0 >> 11) % end.max(1)
+    }
+
+    /// True `rate` times of a thousand.
+    fn occurs(&mut self, rate: u32) -> bool {
+        self.below(1000) < rate.into()
+    }
+}
+
+fn write_at(bytes: &mut Vec<u8>, offset: u64, part: &[u8]) {
+    let start = offset as usize;
+    let end = start + part.len();
+    if bytes.len() < end {
+        bytes.resize(end, 0);
+    }
+    bytes[start..end].copy_from_slice(part);
+}
+
+/// Writes each sector of a write completely, in part or not at all, by chance.
+fn write_some_sectors(bytes: &mut Vec<u8>, write: &UnsyncedWrite, random: &mut Random) {
+    let mut done = 0;
+    while done < write.bytes.len() {
+        let offset = write.offset + done as u64;
+        let left_in_sector = SECTOR_BYTES - (offset as usize % SECTOR_BYTES);
+        let end = (done + left_in_sector).min(write.bytes.len());
+        let sector = &write.bytes[done..end];
+        match random.below(4) {
+            0 => {}
+            1 => {
+                let torn = random.below(sector.len() as u64 + 1) as usize;
+                write_at(bytes, offset, &sector[..torn]);
+            }
+            _ => write_at(bytes, offset, sector),
+        }
+        done = end;
+    }
+}
+
+impl File {
+    /// Applies the changes that were not synced in any order and any subset: a disk writes back as it likes.
+    fn lose_power(&mut self, random: &mut Random) {
+        let mut bytes = std::mem::take(&mut self.durable);
+        let mut changes = std::mem::take(&mut self.unsynced);
+        for i in (1..changes.len()).rev() {
+            changes.swap(i, random.below(i as u64 + 1) as usize);
+        }
+        for change in changes {
+            match change {
+                UnsyncedChange::Length(length) => {
+                    if random.below(2) == 0 {
+                        bytes.resize(length as usize, 0);
+                    }
+                }
+                UnsyncedChange::Write(write) => write_some_sectors(&mut bytes, &write, random),
+            }
+        }
+        self.durable.clone_from(&bytes);
+        self.current = bytes;
+    }
+}
+
+impl FaultyDisk {
+    /// An empty disk without faults.
+    pub fn new(seed: u64) -> FaultyDisk {
+        FaultyDisk {
+            files: Vec::new(),
+            names: Names::new(),
+            durable_names: Names::new(),
+            unsynced_names: Vec::new(),
+            random: Random::new(seed),
+            rates: FaultRates::default(),
+            power_loss_after: None,
+            operations: 0,
+        }
+    }
+
+    /// The disk as it is found after a power loss, without further faults: what was synced, and of the rest
+    /// whatever chance left.
+    pub fn after_power_loss(mut self) -> FaultyDisk {
+        for file in &mut self.files {
+            file.lose_power(&mut self.random);
+        }
+        let kept = self.random.below(self.unsynced_names.len() as u64 + 1) as usize;
+        let mut names = self.durable_names;
+        for change in self.unsynced_names.drain(..).take(kept) {
+            change.apply(&mut names);
+        }
+        self.names = names.clone();
+        self.durable_names = names;
+        self.power_loss_after = None;
+        self.rates = FaultRates::default();
+        self
+    }
+
+    /// The bytes of a file, for tests that damage them; what was not synced is dropped.
+    pub fn bytes(&mut self, name: &str) -> Option<&mut Vec<u8>> {
+        let file = self.names.get(name).and_then(|file| self.files.get_mut(*file))?;
+        file.unsynced.clear();
+        file.current.clone_from(&file.durable);
+        Some(&mut file.current)
+    }
+
+    /// Operations done so far, failed ones included.
+    pub fn operations(&self) -> u64 {
+        self.operations
+    }
+
+    /// Counts an operation, and fails it where a fault occurs.
+    fn begin_operation(&mut self) -> io::Result<()> {
+        self.operations += 1;
+        match &mut self.power_loss_after {
+            Some(0) => return Err(io::Error::other("the power is lost")),
+            Some(left) => *left -= 1,
+            None => {}
+        }
+        if self.random.occurs(self.rates.other) {
+            return Err(io::Error::other("the disk does not answer"));
+        }
+        Ok(())
+    }
+
+    fn file(&mut self, name: &str) -> &mut File {
+        let file = match self.names.get(name) {
+            Some(file) => *file,
+            None => {
+                let file = self.files.len();
+                self.files.push(File::default());
+                self.names.insert(name.to_string(), file);
+                self.unsynced_names.push(NameChange::Create { name: name.to_string(), file });
+                file
+            }
+        };
+        &mut self.files[file]
+    }
+}
+
+impl Disk for FaultyDisk {
+    fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
+        self.begin_operation()?;
+        let bytes = self.names.get(name).map(|file| &self.files[*file].current);
+        Ok(bytes.map(|bytes| bytes[..bytes.len().min(max_bytes as usize)].to_vec()))
+    }
+
+    fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        self.begin_operation()?;
+        let is_short = self.random.occurs(self.rates.short_write);
+        let is_full = self.random.occurs(self.rates.no_space);
+        let written = match is_short || is_full {
+            true => self.random.below(bytes.len() as u64 + 1) as usize,
+            false => bytes.len(),
+        };
+        let part = &bytes[..written];
+        let file = self.file(name);
+        write_at(&mut file.current, offset, part);
+        file.unsynced.push(UnsyncedChange::Write(UnsyncedWrite { offset, bytes: part.to_vec() }));
+        if is_full {
+            return Err(io::ErrorKind::StorageFull.into());
+        }
+        if is_short {
+            return Err(io::ErrorKind::WriteZero.into());
+        }
+        Ok(())
+    }
+
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
+        self.begin_operation()?;
+        let file = self.file(name);
+        file.current.resize(length as usize, 0);
+        file.unsynced.push(UnsyncedChange::Length(length));
+        Ok(())
+    }
+
+    fn sync(&mut self, name: &str) -> io::Result<()> {
+        self.begin_operation()?;
+        let fails = self.random.occurs(self.rates.sync_failure);
+        let file = self.file(name);
+        if fails {
+            // As systems do, it forgets what was to be written back: the bytes are read as written until the
+            // power is lost, and are gone then.
+            file.unsynced.clear();
+            return Err(io::Error::other("a sync failed"));
+        }
+        for change in std::mem::take(&mut file.unsynced) {
+            match change {
+                UnsyncedChange::Write(write) => write_at(&mut file.durable, write.offset, &write.bytes),
+                UnsyncedChange::Length(length) => file.durable.resize(length as usize, 0),
+            }
+        }
+        Ok(())
+    }
+
+    fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
+        self.begin_operation()?;
+        if !self.names.contains_key(from) {
+            return Err(io::ErrorKind::NotFound.into());
+        }
+        let change = || NameChange::Rename { from: from.to_string(), to: to.to_string() };
+        change().apply(&mut self.names);
+        self.unsynced_names.push(change());
+        Ok(())
+    }
+
+    fn remove(&mut self, name: &str) -> io::Result<()> {
+        self.begin_operation()?;
+        if self.names.remove(name).is_some() {
+            self.unsynced_names.push(NameChange::Remove { name: name.to_string() });
+        }
+        Ok(())
+    }
+
+    fn sync_directory(&mut self) -> io::Result<()> {
+        self.begin_operation()?;
+        if self.random.occurs(self.rates.sync_failure) {
+            return Err(io::Error::other("a directory's sync failed"));
+        }
+        self.unsynced_names.clear();
+        self.durable_names = self.names.clone();
+        Ok(())
+    }
+}
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,14 +1,22 @@
-//! A small store for what a relay must remember across restarts: a log of records in one file, an index in
-//! memory, a snapshot written beside it and switched to in one step.
+//! A small write-ahead log for what a relay must remember across restarts.
 //!
-//! A record is whole or it is not there: recovery reads from the front and stops at the first record that is
-//! cut short or does not match its checksum. A batch is one record, so it is whole or not there too. What
-//! `commit` has returned for survives a cut; what it has not may survive, whole. `docs/store.md` has the
-//! bytes.
+//! All values are held in memory, by key; each change is appended to one log file. A compaction writes the
+//! values that are still held to a second file and renames that over the first.
+//!
+//! Each record of the log carries a checksum. Recovery reads from the front and stops at the first record
+//! that is cut short or does not match its checksum. A batch of changes is one record, so it is applied
+//! completely or not at all. What [`Store::commit`] has returned for survives a power loss; a batch that
+//! failed may survive, completely. `docs/store.md` describes the bytes.
+#![warn(missing_docs)]
+
 pub mod disk;
-pub mod faulty;
+pub mod error;
+pub mod faulty_disk;
+pub mod format;
 pub mod log;
 pub mod writer;
 
-pub use disk::{Disk, Folder};
-pub use log::{Fault, Found, Key, Store, Value};
+pub use disk::{Directory, Disk};
+pub use error::StoreError;
+pub use format::{Change, Key, LogSummary, Value};
+pub use log::{Store, StoreSize};
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -1,156 +1,205 @@
-//! Writes on a thread of its own: who puts a value goes on at once. Of one key only the latest value waits; a
-//! disk that fails is tried again, and what came meanwhile is written together.
+//! A thread that writes to a [`Store`], so that whoever has something to store never waits for the disk.
+//!
+//! Of each key only the latest change is queued. A write that fails is retried with a backoff, together with
+//! what was queued meanwhile.
 use crate::disk::Disk;
-use crate::log::{Fault, Key, Store, Value, NAME, VALUE};
+use crate::error::StoreError;
+use crate::format::{Change, Key, Value};
+use crate::log::Store;
 use std::collections::BTreeMap;
+use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Keys that wait at most; one more is not taken.
-const WAITING: usize = 65_536;
-/// After a failure, and with each further one in a row twice as long, up to the most.
-const AGAIN: Duration = Duration::from_millis(200);
-const AGAIN_MOST: Duration = Duration::from_secs(5);
+/// Keys that may be queued; a change of one more is rejected.
+const MAX_QUEUED_KEYS: usize = 65_536;
+/// The pause after a failed write; it doubles with each further failure in a row.
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+/// The longest pause after a failed write.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// A queue is written in batches of about this many bytes, well under the bound of a record.
+const BATCH_BYTES: usize = 1 << 20;
 
 /// How the writing goes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Health {
-    /// All that was put up to this number is durable.
-    pub durable: u64,
-    /// Why the last write failed; none where it did not.
-    pub failing: Option<String>,
-    /// Batches written, writes that failed, values that were not taken.
+pub struct WriterHealth {
+    /// All changes up to this ticket are durable.
+    pub durable_ticket: u64,
+    /// Why the last write failed; `None` where it succeeded.
+    pub last_error: Option<String>,
+    /// Queues written.
     pub batches: u64,
+    /// Writes that failed.
     pub failures: u64,
-    pub refused: u64,
-    /// Bytes of the file.
-    pub bytes: u64,
+    /// Changes that were rejected.
+    pub rejected: u64,
+    /// Bytes of the log file.
+    pub file_bytes: u64,
 }
 
+type Queue = BTreeMap<Key, Option<Value>>;
+
 #[derive(Default)]
 struct Shared {
-    waiting: BTreeMap<Key, Option<Value>>,
-    /// Counted up with each value put.
-    last: u64,
-    stop: bool,
-    health: Health,
+    queue: Queue,
+    /// The ticket of the latest change that was queued.
+    last_ticket: u64,
+    stopping: bool,
+    health: WriterHealth,
 }
 
-pub struct Writer {
-    shared: Arc<(Mutex<Shared>, Condvar)>,
-    thread: Option<JoinHandle<()>>,
+#[derive(Default)]
+struct Channel {
+    shared: Mutex<Shared>,
+    /// Notified as something is queued, and as the writer is to stop.
+    wake: Condvar,
 }
 
-fn lock(of: &Mutex<Shared>) -> MutexGuard<'_, Shared> {
-    // Nobody panics while holding it; if somebody did, what is in it is whole.
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+impl Channel {
+    fn lock(&self) -> MutexGuard<'_, Shared> {
+        // No code panics while it holds the lock, so the data is consistent even if it was poisoned.
+        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// The handle of the writing thread. Dropping it writes what is queued, with one attempt, and ends the
+/// thread.
+pub struct Writer {
+    channel: Arc<Channel>,
+    thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// `told` is called after each write, durable or failed, on the writer's thread.
-    pub fn start<D, F>(store: Store<D>, told: F) -> std::io::Result<Writer>
+    /// Starts the thread. `on_write` is called on it after each write, successful or failed.
+    ///
+    /// # Errors
+    /// Where the system gives no thread.
+    pub fn start<D, F>(store: Store<D>, on_write: F) -> io::Result<Writer>
     where
         D: Disk + Send + 'static,
-        F: FnMut(&Health) + Send + 'static,
+        F: FnMut(&WriterHealth) + Send + 'static,
     {
-        let shared = Arc::new((Mutex::new(Shared::default()), Condvar::new()));
-        let own = shared.clone();
-        let thread = std::thread::Builder::new().name("store".to_string());
-        let thread = thread.spawn(move || write(store, &own, told))?;
-        Ok(Writer { shared, thread: Some(thread) })
+        let channel = Arc::new(Channel::default());
+        let of_thread = channel.clone();
+        let thread = std::thread::Builder::new()
+            .name("store".to_string())
+            .spawn(move || run(store, &of_thread, on_write))?;
+        Ok(Writer { channel, thread: Some(thread) })
     }
 
-    /// Puts a value, or takes it away; the number that `durable` reaches once it is written, or none where it
-    /// is over its bound or too many keys wait.
-    pub fn put(&self, key: Key, value: Option<Value>) -> Option<u64> {
-        let (shared, wake) = &*self.shared;
-        let mut s = lock(shared);
-        // One that could never be written would keep all others waiting.
-        let long = key.name.len() > NAME || value.as_ref().is_some_and(|v| v.bytes.len() > VALUE);
-        if long || (s.waiting.len() >= WAITING && !s.waiting.contains_key(&key)) {
-            s.health.refused += 1;
+    /// Queues a change. Returns its ticket, which [`WriterHealth::durable_ticket`] reaches once it is
+    /// durable; `None` where it was rejected: it is over its bounds, or too many keys are queued.
+    pub fn submit(&self, change: Change) -> Option<u64> {
+        let mut shared = self.channel.lock();
+        let is_full = shared.queue.len() >= MAX_QUEUED_KEYS && !shared.queue.contains_key(&change.key);
+        // A change that can never be written would hold up all others.
+        if !change.is_within_bounds() || is_full {
+            shared.health.rejected += 1;
             return None;
         }
-        s.waiting.insert(key, value);
-        s.last += 1;
-        wake.notify_one();
-        Some(s.last)
+        shared.queue.insert(change.key, change.value);
+        shared.last_ticket += 1;
+        self.channel.wake.notify_one();
+        Some(shared.last_ticket)
     }
 
-    pub fn health(&self) -> Health {
-        lock(&self.shared.0).health.clone()
+    /// How the writing goes at this moment.
+    pub fn health(&self) -> WriterHealth {
+        self.channel.lock().health.clone()
     }
 }
 
 impl Drop for Writer {
-    /// What waits is tried once more.
     fn drop(&mut self) {
-        lock(&self.shared.0).stop = true;
-        self.shared.1.notify_one();
+        self.channel.lock().stopping = true;
+        self.channel.wake.notify_one();
         if let Some(thread) = self.thread.take() {
             _ = thread.join();
         }
     }
 }
 
-fn write<D: Disk>(mut store: Store<D>, shared: &(Mutex<Shared>, Condvar), mut told: impl FnMut(&Health)) {
-    let (shared, wake) = shared;
-    let mut pause = Duration::ZERO;
+/// What the thread writes next.
+struct Work {
+    queue: Queue,
+    /// The ticket of the latest change in the queue.
+    ticket: u64,
+    /// Whether this is the last write.
+    is_last: bool,
+}
+
+fn run<D: Disk>(mut store: Store<D>, channel: &Channel, mut on_write: impl FnMut(&WriterHealth)) {
+    let mut backoff = Duration::ZERO;
     loop {
-        let (batch, upto, stop) = {
-            let mut s = lock(shared);
-            while s.waiting.is_empty() && !s.stop {
-                s = wake.wait(s).unwrap_or_else(PoisonError::into_inner);
-            }
-            if pause > Duration::ZERO && !s.stop {
-                s = wake.wait_timeout_while(s, pause, |s| !s.stop).unwrap_or_else(PoisonError::into_inner).0;
-            }
-            (std::mem::take(&mut s.waiting), s.last, s.stop)
-        };
-        if batch.is_empty() {
+        let work = next_work(channel, backoff);
+        if work.queue.is_empty() {
             return;
         }
-        let result = parts(&mut store, &batch);
-        let health = {
-            let mut s = lock(shared);
-            s.health.bytes = store.size().0;
-            match &result {
-                Ok(()) => {
-                    s.health.batches += 1;
-                    (s.health.durable, s.health.failing, pause) = (upto, None, Duration::ZERO);
-                }
-                Err(fault) => {
-                    s.health.failures += 1;
-                    s.health.failing = Some(fault.to_string());
-                    pause = (pause * 2).clamp(AGAIN, AGAIN_MOST);
-                    // What came meanwhile is newer.
-                    for (key, value) in batch {
-                        s.waiting.entry(key).or_insert(value);
-                    }
-                }
-            }
-            s.health.clone()
+        let is_last = work.is_last;
+        let result = write_queue(&mut store, &work.queue);
+        backoff = match &result {
+            Ok(()) => Duration::ZERO,
+            Err(_) => (backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF),
         };
-        told(&health);
-        if stop {
+        on_write(&record_result(channel, work, result, store.size().file_bytes));
+        if is_last {
             return;
         }
     }
 }
 
-/// A batch in as many records as its size wants.
-fn parts<D: Disk>(store: &mut Store<D>, batch: &BTreeMap<Key, Option<Value>>) -> Result<(), Fault> {
-    // Well under what one record may be, with the largest value on top.
-    const PART: usize = 1 << 20;
-    let (mut part, mut size) = (Vec::new(), 0);
-    for (key, value) in batch {
-        size += key.name.len() + value.as_ref().map_or(0, |v| v.bytes.len());
-        part.push((key.clone(), value.clone()));
-        if size >= PART {
-            store.commit(std::mem::take(&mut part))?;
-            size = 0;
+/// Waits until something is queued or the writer is to stop, and for the backoff after a failure.
+fn next_work(channel: &Channel, backoff: Duration) -> Work {
+    let mut shared = channel.lock();
+    while shared.queue.is_empty() && !shared.stopping {
+        shared = channel.wake.wait(shared).unwrap_or_else(PoisonError::into_inner);
+    }
+    if backoff > Duration::ZERO && !shared.stopping {
+        let waited = channel.wake.wait_timeout_while(shared, backoff, |shared| !shared.stopping);
+        shared = waited.unwrap_or_else(PoisonError::into_inner).0;
+    }
+    Work { queue: std::mem::take(&mut shared.queue), ticket: shared.last_ticket, is_last: shared.stopping }
+}
+
+/// Takes the result of a write into the health; what was not written is queued again.
+fn record_result(
+    channel: &Channel,
+    work: Work,
+    result: Result<(), StoreError>,
+    file_bytes: u64,
+) -> WriterHealth {
+    let mut shared = channel.lock();
+    shared.health.file_bytes = file_bytes;
+    match result {
+        Ok(()) => {
+            shared.health.batches += 1;
+            shared.health.durable_ticket = work.ticket;
+            shared.health.last_error = None;
+        }
+        Err(error) => {
+            shared.health.failures += 1;
+            shared.health.last_error = Some(error.to_string());
+            // A change that was queued meanwhile is newer.
+            for (key, value) in work.queue {
+                shared.queue.entry(key).or_insert(value);
+            }
+        }
+    }
+    shared.health.clone()
+}
+
+/// Writes a queue in as many batches as its size demands.
+fn write_queue<D: Disk>(store: &mut Store<D>, queue: &Queue) -> Result<(), StoreError> {
+    let mut batch = Vec::new();
+    let mut batch_bytes = 0;
+    for (key, value) in queue {
+        batch_bytes += key.name.len() + value.as_ref().map_or(0, |value| value.bytes.len());
+        batch.push(Change { key: key.clone(), value: value.clone() });
+        if batch_bytes >= BATCH_BYTES {
+            store.commit(std::mem::take(&mut batch))?;
+            batch_bytes = 0;
         }
     }
-    store.commit(part)
+    store.commit(batch)
 }
