--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -1,12 +1,18 @@
-//! A relay's place passes from a running process to a new one at the same address: what the two say to each
-//! other, and the states in which either can be. Nothing here reads a socket, a clock or a file.
+//! Hot restart: a new process of a relay takes over the listening socket and the open sessions of the running
+//! one. This package has the messages that the two exchange over a Unix socket ([`message`]) and the state
+//! machine that either runs ([`ownership`]). It reads no socket, clock or file.
 //!
-//! The new process says hello and is offered the listening socket. It says when it is ready; then, in one
-//! step, the old one stops taking connections and sends what it knows, and the new one begins. Until that
-//! step the old one goes on as if there were no other. From then on open sessions pass one by one, each with
-//! both its sockets; who still waits for an answer has it from the old one, and passes once it is up.
+//! The new process connects, says hello, and is offered the listening socket. Once it is ready, and in one
+//! step, the old process stops accepting connections and sends its state, and the new one takes over. Until
+//! that step the old process goes on as if there were no other. Afterwards open sessions are handed over one
+//! by one, each with its client's and its backend's socket. A session that still waits for its answer gets it
+//! from the old process, and is handed over once it is established.
+#![warn(missing_docs)]
+
+pub mod codec;
 pub mod message;
-pub mod place;
+pub mod ownership;
 
-pub use message::{Message, Server, Session, State};
-pub use place::{Act, Event, Place};
+pub use codec::{decode, encode, MessageError};
+pub use message::{ExclusionList, LoadReport, Message, RelayState, ServerState, SessionState, SlowStartTurn};
+pub use ownership::{ListenerOwnership, OwnershipAction, OwnershipEvent, PeerId};
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -1,138 +1,200 @@
-//! What the two processes say: a line of JSON each, of a version that both must know, bounded and checked.
+//! The messages of a hot restart. Each is a line of JSON, whose keys are older than the names here.
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Counted up with each change that the other side would misread.
+/// The version of the messages. It is counted up with each change that the other side would misread; both
+/// sides must have the same.
 pub const VERSION: u32 = 2;
-/// Some ten thousand servers and open marks.
-pub const LONGEST: usize = 4 << 20;
-const NAME: usize = 256;
-/// What a connection's buffer may hold either way.
-const BYTES: usize = 64 << 10;
-const UNANSWERED: usize = 64;
 
+/// What one process says to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Message {
-    /// The new process, which wants the place of a relay of this name and address.
-    Hello { version: u32, name: String, listen: String },
-    /// The old one's listening socket comes beside this.
-    Offer { version: u32 },
-    /// It can't be, or is no more.
-    No { why: String },
-    /// The new process could take over now.
+    /// From the new process: it asks for the listener of a relay.
+    Hello {
+        /// [`VERSION`] of the sender.
+        version: u32,
+        /// The relay's name, which must be the receiver's.
+        name: String,
+        /// The address of the listener, which must be the receiver's.
+        listen: String,
+    },
+    /// The old process offers its listening socket, which is passed along with this message.
+    Offer {
+        /// [`VERSION`] of the sender.
+        version: u32,
+    },
+    /// The request is rejected, or an offer withdrawn.
+    #[serde(rename = "no")]
+    Rejected {
+        /// The reason, for the other process' log.
+        #[serde(rename = "why")]
+        reason: String,
+    },
+    /// The new process is ready to take over.
     Ready {},
-    /// From here on the new process takes all that comes.
-    Yours(Box<State>),
-    /// An open session passes on; its client's socket and its backend's come beside this.
-    Session(Box<Session>),
-    /// What the old process holds still: connections of clients, and sessions among them.
-    Holds { connections: u32, sessions: u32 },
-    /// What the old process' watch heard since it gave its place, in discovery's form: the two are one relay, and
-    /// what one was told the other knows.
-    Listed { list: Value },
+    /// From now on the new process owns the listener; what the old one knew.
+    #[serde(rename = "yours")]
+    TakeOver(Box<RelayState>),
+    /// An open session is handed over; its client's and its backend's socket are passed along.
+    Session(Box<SessionState>),
+    /// What is left at the old process.
+    #[serde(rename = "holds")]
+    Remaining {
+        /// Connections of clients, those with a session included.
+        connections: u32,
+        /// Sessions.
+        sessions: u32,
+    },
+    /// What the old process heard from discovery after it handed over.
+    #[serde(rename = "listed")]
+    EndpointList {
+        /// The list, in discovery's form.
+        list: Value,
+    },
 }
 
-/// What the old process knows and the new one goes on with. Times are ago, in microseconds.
+/// What the old process knew, for the new one to go on with. Times are ages in microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct State {
-    /// The list as last heard, in discovery's form; none where it was never told.
-    pub list: Option<Value>,
-    pub servers: Vec<Server>,
-    /// One session's part of a server.
-    pub step: f64,
-    /// Since when a drain is in force.
-    pub draining: Option<u64>,
-    /// The marks of the sessions that it keeps.
-    pub open: Vec<u64>,
+pub struct RelayState {
+    /// The endpoint list as heard last, in discovery's form; `None` where none was heard.
+    #[serde(rename = "list")]
+    pub endpoint_list: Option<Value>,
+    /// What is known of each server.
+    pub servers: Vec<ServerState>,
+    /// One session's estimated part of a server's capacity.
+    #[serde(rename = "step")]
+    pub session_load: f64,
+    /// How long ago the drain that is in force began; `None` where there is none.
+    #[serde(rename = "draining")]
+    pub draining_age: Option<u64>,
+    /// The ids of the sessions that are still at the old process.
+    #[serde(rename = "open")]
+    pub session_ids: Vec<u64>,
+    /// Connections of clients at the old process, those with a session included.
     pub connections: u32,
-    /// What it knows of the other relays, in the words of their own messages; none where it knows of none.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<Vec<u8>>,
-    /// Servers that were agreed to be out, and by which entry; none where nothing is agreed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub shut: Option<(u64, Vec<String>)>,
+    /// The membership table, encoded as a message between relays; `None` without membership.
+    #[serde(default, rename = "fleet", skip_serializing_if = "Option::is_none")]
+    pub membership: Option<Vec<u8>>,
+    /// Backends excluded by the replicated log; `None` where nothing is replicated.
+    #[serde(default, rename = "shut", skip_serializing_if = "Option::is_none")]
+    pub exclusions: Option<ExclusionList>,
+}
+
+/// Backends that the replicated log excludes.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, Vec<String>)", into = "(u64, Vec<String>)")]
+pub struct ExclusionList {
+    /// The index of the last log entry that was applied.
+    pub log_index: u64,
+    /// The backends' names in the endpoint list.
+    pub backends: Vec<String>,
+}
+
+impl From<(u64, Vec<String>)> for ExclusionList {
+    fn from((log_index, backends): (u64, Vec<String>)) -> ExclusionList {
+        ExclusionList { log_index, backends }
+    }
+}
+
+impl From<ExclusionList> for (u64, Vec<String>) {
+    fn from(list: ExclusionList) -> (u64, Vec<String>) {
+        (list.log_index, list.backends)
+    }
 }
 
 /// An open session: what the new process needs to go on between two bytes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Session {
-    pub mark: u64,
+pub struct SessionState {
+    /// The session's id, chosen by its client.
+    #[serde(rename = "mark")]
+    pub id: u64,
+    /// The name of its listener.
     pub listener: String,
+    /// The name of its server in the endpoint list.
     pub server: String,
+    /// The client's key, the same in all its attempts; 0 is none.
     pub key: u64,
+    /// The session's group; 0 is none.
     pub group: u64,
+    /// Whether the client came back after an interruption or a move.
     pub returned: bool,
-    /// Bytes on their way to the backend and to the client.
-    pub up: Vec<u8>,
-    pub down: Vec<u8>,
-    /// How long ago messages came whose answers are awaited, in microseconds.
-    pub unanswered: Vec<u64>,
+    /// Bytes read from the client and not yet written to the backend.
+    #[serde(rename = "up")]
+    pub to_backend: Vec<u8>,
+    /// Bytes read from the backend and not yet written to the client.
+    #[serde(rename = "down")]
+    pub to_client: Vec<u8>,
+    /// The ages in microseconds of the client's messages that were not answered, the oldest first.
+    #[serde(rename = "unanswered")]
+    pub unanswered_ages: Vec<u64>,
 }
 
-/// What is known of one server, by its name in the list.
+/// What is known of one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Server {
+pub struct ServerState {
+    /// Its name in the endpoint list.
     pub name: String,
-    /// Its last report and how old that is: load, work piled up, sessions held.
-    pub report: Option<(u64, f64, f64, f64)>,
-    /// Probes and connects in a row without an answer.
-    pub misses: u32,
-    /// Sessions placed there of late, less those that left.
-    pub placed: f64,
-    /// How long ago this relay had its last turn at the cold server, and what part of a pause the next takes.
-    pub turn: (u64, f64),
+    /// Its last load report.
+    pub report: Option<LoadReport>,
+    /// Health checks and dials in a row without an answer.
+    #[serde(rename = "misses")]
+    pub consecutive_failures: u32,
+    /// Sessions placed there recently, less those that left since; may be negative.
+    #[serde(rename = "placed")]
+    pub recently_placed: f64,
+    /// This relay's last turn at the server, where that is in slow start.
+    #[serde(rename = "turn")]
+    pub slow_start_turn: SlowStartTurn,
+}
+
+/// A server's load report.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u64, f64, f64, f64)", into = "(u64, f64, f64, f64)")]
+pub struct LoadReport {
+    /// Its age in microseconds.
+    pub age: u64,
+    /// The part of the server's capacity in use.
+    pub load: f64,
+    /// Queued work, in the server's own unit.
+    pub queued: f64,
+    /// Sessions at the server.
+    pub sessions: f64,
 }
 
-pub fn encode(message: &Message) -> Result<Vec<u8>, String> {
-    let mut line = serde_json::to_vec(message).map_err(|e| format!("a message can't be written: {e}"))?;
-    line.push(b'\n');
-    if line.len() > LONGEST {
-        return Err(format!("a message of {} bytes is too long", line.len()));
+impl From<(u64, f64, f64, f64)> for LoadReport {
+    fn from((age, load, queued, sessions): (u64, f64, f64, f64)) -> LoadReport {
+        LoadReport { age, load, queued, sessions }
     }
-    Ok(line)
 }
 
-/// A line without its end.
-pub fn decode(line: &[u8]) -> Result<Message, String> {
-    if line.len() > LONGEST {
-        return Err(format!("a message is over {LONGEST} bytes"));
+impl From<LoadReport> for (u64, f64, f64, f64) {
+    fn from(report: LoadReport) -> (u64, f64, f64, f64) {
+        (report.age, report.load, report.queued, report.sessions)
     }
-    let message: Message = serde_json::from_slice(line).map_err(|e| format!("not a message: {e}"))?;
-    match &message {
-        Message::Hello { version, .. } | Message::Offer { version } if *version != VERSION => {
-            Err(format!("version {version} of the handover, wanted {VERSION}"))
-        }
-        Message::Hello { name, listen, .. } if name.len() > NAME || listen.len() > NAME => {
-            Err(format!("a name is over {NAME} bytes"))
-        }
-        Message::Session(s) if s.up.len().max(s.down.len()) > BYTES || s.unanswered.len() > UNANSWERED => {
-            Err("a session with too much under way".to_string())
-        }
-        Message::Session(s) if s.listener.len().max(s.server.len()) > NAME => {
-            Err(format!("a name is over {NAME} bytes"))
-        }
-        Message::Yours(state) => state.check().map(|()| message),
-        _ => Ok(message),
+}
+
+/// A relay's last turn to send a session to a server in slow start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u64, f64)", into = "(u64, f64)")]
+pub struct SlowStartTurn {
+    /// Its age in microseconds.
+    pub age: u64,
+    /// The part of a pause between turns that the next one waits.
+    pub pause_fraction: f64,
+}
+
+impl From<(u64, f64)> for SlowStartTurn {
+    fn from((age, pause_fraction): (u64, f64)) -> SlowStartTurn {
+        SlowStartTurn { age, pause_fraction }
     }
 }
 
-impl State {
-    fn check(&self) -> Result<(), String> {
-        let sound = |x: f64| x.is_finite() && (0.0..=1e9).contains(&x);
-        for s in &self.servers {
-            let report = s.report.is_none_or(|r| sound(r.1) && sound(r.2) && sound(r.3));
-            // Who left may outnumber who came.
-            if s.name.len() > NAME || !report || !sound(s.placed.abs()) || !sound(s.turn.1) {
-                return Err(format!("what is told of server {:.40} can't be", s.name));
-            }
-        }
-        if !sound(self.step) {
-            return Err(format!("step is {}", self.step));
-        }
-        Ok(())
+impl From<SlowStartTurn> for (u64, f64) {
+    fn from(turn: SlowStartTurn) -> (u64, f64) {
+        (turn.age, turn.pause_fraction)
     }
 }
--- /dev/null
+++ b/hot_restart/src/ownership.rs
@@ -0,0 +1,273 @@
+//! The state machine of a process towards its predecessor, whose listener it takes over, and its successor,
+//! which takes over from it. It decides who owns the listener. Inputs are the other processes' messages and
+//! disconnects, and timeouts that the caller runs.
+use crate::message::{Message, RelayState, VERSION};
+use serde_json::Value;
+
+/// Another process of the same relay, numbered by the caller for as long as it is connected.
+pub type PeerId = u32;
+
+/// How long a successor may take from the offer until it is ready, in microseconds: it reads its
+/// configuration and the endpoint list meanwhile. Whoever starts it waits 6 s for a ready answer.
+pub const READY_TIMEOUT: u64 = 10_000_000;
+
+/// What happens to a process.
+#[derive(Clone, Debug, PartialEq)]
+pub enum OwnershipEvent {
+    /// A message came from another process.
+    Received {
+        /// The sender.
+        peer: PeerId,
+        /// The message, decoded.
+        message: Message,
+    },
+    /// Another process disconnected.
+    Disconnected {
+        /// Which one.
+        peer: PeerId,
+    },
+    /// [`READY_TIMEOUT`] has passed since an offer.
+    ReadyTimeout {
+        /// The process that was offered the listener.
+        peer: PeerId,
+    },
+    /// The connections and sessions that are left here changed.
+    RemainingChanged {
+        /// Connections of clients, those with a session included.
+        connections: u32,
+        /// Sessions.
+        sessions: u32,
+    },
+    /// Discovery told this process something.
+    ListReceived {
+        /// In discovery's form.
+        list: Value,
+    },
+}
+
+/// What the caller is to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum OwnershipAction {
+    /// Send a message; the listening socket goes along with an [`Offer`](Message::Offer).
+    Send {
+        /// The receiver.
+        peer: PeerId,
+        /// The message.
+        message: Message,
+    },
+    /// Close the connection to another process.
+    Disconnect {
+        /// Which one.
+        peer: PeerId,
+    },
+    /// Report a [`ReadyTimeout`](OwnershipEvent::ReadyTimeout) after [`READY_TIMEOUT`].
+    StartReadyTimer {
+        /// The process that was offered the listener.
+        peer: PeerId,
+    },
+    /// Stop accepting connections and send what is known as [`TakeOver`](Message::TakeOver).
+    HandOver {
+        /// The successor.
+        peer: PeerId,
+    },
+    /// The successor died: accept connections again.
+    Resume,
+    /// Accept connections, with what the predecessor knew; `None` where it died before it told.
+    TakeOver(Option<Box<RelayState>>),
+    /// The predecessor keeps the listener: end this process.
+    Abort {
+        /// The predecessor's reason.
+        reason: String,
+    },
+    /// What is left at the predecessor; nothing once it is gone.
+    PredecessorRemaining {
+        /// Connections of clients, those with a session included.
+        connections: u32,
+        /// Sessions.
+        sessions: u32,
+    },
+    /// Discovery told the predecessor something.
+    PredecessorList(Value),
+    /// A line for the log.
+    Log(String),
+}
+
+/// The process whose listener this one takes over.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Predecessor {
+    None,
+    /// It has offered its listener.
+    Offered(PeerId),
+    /// It has handed over its listener, and still has sessions.
+    HandedOver(PeerId),
+}
+
+/// The process that takes over the listener of this one.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Successor {
+    None,
+    /// It was offered the listener and is not ready yet.
+    Offered(PeerId),
+    /// It owns the listener.
+    Owner(PeerId),
+}
+
+/// Whether this process owns the relay's listener, and how it stands with the processes before and after it.
+pub struct ListenerOwnership {
+    name: String,
+    listen: String,
+    predecessor: Predecessor,
+    successor: Successor,
+}
+
+impl ListenerOwnership {
+    /// For a relay of a name and listening address. `predecessor` has offered its listener; without one this
+    /// process owns the listener from the start.
+    pub fn new(name: &str, listen: &str, predecessor: Option<PeerId>) -> ListenerOwnership {
+        ListenerOwnership {
+            name: name.to_string(),
+            listen: listen.to_string(),
+            predecessor: predecessor.map_or(Predecessor::None, Predecessor::Offered),
+            successor: Successor::None,
+        }
+    }
+
+    /// Whether this process owns the listener.
+    pub fn is_owner(&self) -> bool {
+        self.awaited_predecessor().is_none() && self.successor().is_none()
+    }
+
+    /// The predecessor, until it has handed over.
+    pub fn awaited_predecessor(&self) -> Option<PeerId> {
+        match self.predecessor {
+            Predecessor::Offered(peer) => Some(peer),
+            Predecessor::None | Predecessor::HandedOver(_) => None,
+        }
+    }
+
+    /// The successor, once it owns the listener.
+    pub fn successor(&self) -> Option<PeerId> {
+        match self.successor {
+            Successor::Owner(peer) => Some(peer),
+            Successor::None | Successor::Offered(_) => None,
+        }
+    }
+
+    /// Applies an event and appends what the caller is to do.
+    pub fn step(&mut self, event: OwnershipEvent, actions: &mut Vec<OwnershipAction>) {
+        match event {
+            OwnershipEvent::Received { peer, message } => self.receive(peer, message, actions),
+            OwnershipEvent::Disconnected { peer } => self.disconnected(peer, actions),
+            OwnershipEvent::ReadyTimeout { peer } => self.ready_timeout(peer, actions),
+            OwnershipEvent::RemainingChanged { connections, sessions } => {
+                self.send_to_successor(Message::Remaining { connections, sessions }, actions);
+            }
+            OwnershipEvent::ListReceived { list } => {
+                self.send_to_successor(Message::EndpointList { list }, actions);
+            }
+        }
+    }
+
+    fn receive(&mut self, peer: PeerId, message: Message, actions: &mut Vec<OwnershipAction>) {
+        let is_offered = self.predecessor == Predecessor::Offered(peer);
+        let has_handed_over = self.predecessor == Predecessor::HandedOver(peer);
+        match message {
+            Message::Hello { name, listen, .. } => self.receive_hello(peer, &name, &listen, actions),
+            Message::Ready {} if self.successor == Successor::Offered(peer) => {
+                self.successor = Successor::Owner(peer);
+                actions.push(OwnershipAction::HandOver { peer });
+            }
+            Message::TakeOver(state) if is_offered => {
+                self.predecessor = Predecessor::HandedOver(peer);
+                let connections = state.connections;
+                let sessions = state.session_ids.len() as u32;
+                actions.push(OwnershipAction::TakeOver(Some(state)));
+                actions.push(OwnershipAction::PredecessorRemaining { connections, sessions });
+            }
+            Message::Rejected { reason } if is_offered => actions.push(OwnershipAction::Abort { reason }),
+            Message::Remaining { connections, sessions } if has_handed_over => {
+                actions.push(OwnershipAction::PredecessorRemaining { connections, sessions });
+            }
+            Message::EndpointList { list } if has_handed_over => {
+                actions.push(OwnershipAction::PredecessorList(list));
+            }
+            message => {
+                let shown = format!("{message:?}");
+                actions.push(OwnershipAction::Log(format!("an unexpected message: {shown:.60}")));
+                reject(peer, "out of turn", actions);
+                self.disconnected(peer, actions);
+            }
+        }
+    }
+
+    fn receive_hello(&mut self, peer: PeerId, name: &str, listen: &str, actions: &mut Vec<OwnershipAction>) {
+        if let Some(reason) = self.rejection(name, listen) {
+            return reject(peer, reason, actions);
+        }
+        self.successor = Successor::Offered(peer);
+        actions.push(OwnershipAction::Send { peer, message: Message::Offer { version: VERSION } });
+        actions.push(OwnershipAction::StartReadyTimer { peer });
+    }
+
+    /// Why the listener is not offered to a process; `None` where it is.
+    fn rejection(&self, name: &str, listen: &str) -> Option<&'static str> {
+        if name != self.name {
+            return Some("this relay has another name");
+        }
+        if listen != self.listen {
+            return Some("this relay listens elsewhere");
+        }
+        match self.predecessor {
+            Predecessor::Offered(_) => return Some("this process has not taken over yet"),
+            Predecessor::HandedOver(_) => return Some("the last replacement is not over yet"),
+            Predecessor::None => {}
+        }
+        match self.successor {
+            Successor::Offered(_) => Some("another replacement is under way"),
+            Successor::Owner(_) => Some("this process is replaced already"),
+            Successor::None => None,
+        }
+    }
+
+    fn ready_timeout(&mut self, peer: PeerId, actions: &mut Vec<OwnershipAction>) {
+        // An earlier offer's timer, where the peer is not the one that was offered the listener last.
+        if self.successor != Successor::Offered(peer) {
+            return;
+        }
+        self.successor = Successor::None;
+        actions.push(OwnershipAction::Log("the new process was not ready in time".to_string()));
+        reject(peer, "not ready in time", actions);
+    }
+
+    fn disconnected(&mut self, peer: PeerId, actions: &mut Vec<OwnershipAction>) {
+        if self.predecessor == Predecessor::Offered(peer) {
+            // It died as the owner: nobody else accepts connections.
+            self.predecessor = Predecessor::None;
+            actions.push(OwnershipAction::TakeOver(None));
+        } else if self.predecessor == Predecessor::HandedOver(peer) {
+            self.predecessor = Predecessor::None;
+            actions.push(OwnershipAction::PredecessorRemaining { connections: 0, sessions: 0 });
+        }
+        if self.successor == Successor::Offered(peer) {
+            self.successor = Successor::None;
+            let text = "the new process disconnected before it was ready";
+            actions.push(OwnershipAction::Log(text.to_string()));
+        } else if self.successor == Successor::Owner(peer) {
+            self.successor = Successor::None;
+            actions.push(OwnershipAction::Resume);
+        }
+    }
+
+    fn send_to_successor(&self, message: Message, actions: &mut Vec<OwnershipAction>) {
+        if let Some(peer) = self.successor() {
+            actions.push(OwnershipAction::Send { peer, message });
+        }
+    }
+}
+
+/// Tells a process that it gets no listener, and disconnects it.
+fn reject(peer: PeerId, reason: &str, actions: &mut Vec<OwnershipAction>) {
+    let reason = reason.to_string();
+    actions.push(OwnershipAction::Send { peer, message: Message::Rejected { reason } });
+    actions.push(OwnershipAction::Disconnect { peer });
+}
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -298,7 +298,8 @@
 
 fn inherited(what: &str) -> Option<Opening> {
     Some(Opening {
-        id: fields::parsed(what, "mark")?,
+        // Older logs name it `mark`.
+        id: fields::parsed(what, "id").or_else(|| fields::parsed(what, "mark"))?,
         key: fields::parsed(what, "key")?,
         group: fields::parsed(what, "group")?,
         returned: fields::parsed(what, "returned")?,
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -19,8 +19,8 @@
 use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Told, Word};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
 use hallrelay_emulator::tools::Queue;
-use hallrelay_recovery::fact::VERSION;
-use hallrelay_recovery::{Kept, Stored};
+use hallrelay_recovery::record::VERSION;
+use hallrelay_recovery::{Record, StoredState};
 use hallrelay_relay::lines::Open;
 use hallrelay_relay::reducer::{Effect, Event, Reducer, Timer};
 use std::collections::{BTreeMap, HashMap};
@@ -31,7 +31,7 @@
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>);
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>);
     /// What its store held, before the start.
-    fn remember(&mut self, _stored: Stored) {}
+    fn load_state(&mut self, _stored: StoredState) {}
 }
 
 impl Mind for Reducer {
@@ -41,8 +41,8 @@
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         Reducer::step(self, now, event, out);
     }
-    fn remember(&mut self, stored: Stored) {
-        Reducer::remember(self, stored);
+    fn load_state(&mut self, stored: StoredState) {
+        Reducer::load_state(self, stored);
     }
 }
 
@@ -198,7 +198,7 @@
     /// The list as it had it last.
     known: Vec<usize>,
     /// What its store holds, by kind and name; it outlives the process.
-    kept: BTreeMap<(u8, String), Vec<u8>>,
+    stored_records: BTreeMap<(u8, String), Vec<u8>>,
     /// What came while it stands still.
     stalled: Option<Vec<Ev>>,
 }
@@ -263,7 +263,7 @@
             starts: 0,
             limits: node.limits,
             known: Vec::new(),
-            kept: BTreeMap::new(),
+            stored_records: BTreeMap::new(),
             stalled: None,
         });
     }
@@ -356,11 +356,11 @@
         let mut mind = (self.maker)(node);
         let mut out = Vec::new();
         if self.day.s.relays.state {
-            let mut stored = Stored::default();
-            for ((kind, name), bytes) in &self.relays[relay].kept {
-                stored.take(*kind, VERSION, name.as_bytes(), bytes);
+            let mut stored = StoredState::default();
+            for ((kind, name), bytes) in &self.relays[relay].stored_records {
+                stored.add(*kind, VERSION, name.as_bytes(), bytes);
             }
-            mind.remember(stored);
+            mind.load_state(stored);
         }
         mind.start(self.now, &mut out);
         let known = self.day.servers.book.whole();
@@ -591,9 +591,9 @@
                 Effect::Reply { call, reply } => self.replied(relay, call, &reply),
                 Effect::Pong { .. } | Effect::RejectPing { .. } => {}
                 Effect::Membership(effect) => self.fleet(relay, effect),
-                Effect::Persist { kept, .. } => self.keep(relay, kept),
-                Effect::PersistVoterWrites { life, number, kept } => {
-                    kept.into_iter().for_each(|one| self.keep(relay, one));
+                Effect::Persist { record, .. } => self.persist(relay, record),
+                Effect::PersistVoterWrites { life, number, records } => {
+                    records.into_iter().for_each(|one| self.persist(relay, one));
                     // A sync of a disk takes some milliseconds.
                     const SYNC: Micros = 2_000;
                     self.tell(relay, SYNC, Event::VoterWritesDurable { life, number });
@@ -614,9 +614,10 @@
         }
     }
 
-    fn keep(&mut self, relay: usize, kept: Kept) {
-        let (key, all) = ((kept.fact as u8, kept.name), &mut self.relays[relay].kept);
-        match kept.bytes {
+    fn persist(&mut self, relay: usize, record: Record) {
+        let key = (record.kind.number(), record.name);
+        let all = &mut self.relays[relay].stored_records;
+        match record.bytes {
             Some(bytes) => _ = all.insert(key, bytes),
             None => _ = all.remove(&key),
         }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -49,7 +49,7 @@
     }
     let mut inherited = Event::SessionAdopted { sess: 8, session: Default::default() };
     if let Event::SessionAdopted { session, .. } = &mut inherited {
-        (session.mark, session.key, session.group, session.returned) = (11, 22, 33, true);
+        (session.id, session.key, session.group, session.returned) = (11, 22, 33, true);
         session.server = "oak".to_string();
     }
     let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing: false };
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -5,8 +5,8 @@
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::service::Outs;
 use hallrelay_lab::virt;
-use hallrelay_recovery::Stored;
-use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer};
+use hallrelay_recovery::StoredState;
+use hallrelay_relay::reducer::{Effect, Event, LifecycleStatus, OperatorReply, OperatorRequest, Reducer};
 
 fn day() -> Scenario {
     let text = include_str!("../../deploy/example/scenarios/relays-in-turn.toml");
@@ -38,13 +38,14 @@
 
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         if let Event::OperatorCall { call, what: OperatorRequest::Drain(_) } = event {
-            return out.push(Effect::Reply { call, reply: OperatorReply::Accepted("draining") });
+            return out
+                .push(Effect::Reply { call, reply: OperatorReply::Accepted(LifecycleStatus::Draining) });
         }
         self.0.step(now, event, out);
     }
 
-    fn remember(&mut self, stored: Stored) {
-        self.0.remember(stored);
+    fn load_state(&mut self, stored: StoredState) {
+        self.0.load_state(stored);
     }
 }
 
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,9 +1,14 @@
-//! What a relay that starts trusts of what it knew before: a row for each kind of fact, and the one place in
-//! which a stored fact meets what the configuration tells. No file, no clock. `docs/recovery.md`.
-pub mod fact;
-pub mod returning;
-pub mod trust;
+//! What a starting relay takes over from before: the records of its state directory ([`record`], [`stored`]),
+//! how far each kind of record is trusted against the configuration ([`recover`](mod@recover)), and how a
+//! relay's recovery is reported ([`phase`]). No file, no clock; `docs/recovery.md`.
+#![warn(missing_docs)]
 
-pub use fact::{Fact, Kept, Stored};
-pub use returning::{Returning, View};
-pub use trust::{recover, Recovered, Turn};
+pub mod phase;
+pub mod record;
+pub mod recover;
+pub mod stored;
+
+pub use phase::{PhaseInput, RecoveryPhase};
+pub use record::{ListVersion, Record, RecordKind, RelayIdentity};
+pub use recover::{recover, RecoverInput, Recovered, SlowStartSlot};
+pub use stored::{Exclusions, StoredServer, StoredState};
--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -2,8 +2,8 @@
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::Instance;
 use hallrelay_raft::{Entry, Snapshot, Voter, What};
-use hallrelay_recovery::fact::{ServerTold, VERSION};
-use hallrelay_recovery::{Fact, Kept, Stored};
+use hallrelay_recovery::record::VERSION;
+use hallrelay_recovery::{Exclusions, ListVersion, Record, RecordKind, StoredServer, StoredState};
 use hallrelay_store::log::{LOG_FILE, NEXT_LOG_FILE};
 use hallrelay_store::{Change, Directory, Key, LogSummary, Store, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -91,63 +91,63 @@
 }
 
 /// What was written, batch by batch: each kind of record, one that is overwritten and two that are removed.
-fn batches() -> Vec<Vec<Kept>> {
+fn batches() -> Vec<Vec<Record>> {
     let gone = Entry { index: 14, term: 3, what: What::Command(vec![9; 40]) };
     vec![
-        vec![Kept::own("relay-1", 41, WALL)],
-        std::iter::once(Kept::list("10.0.0.1:8500", 9))
-            .chain(instances().iter().map(|one| Kept::server(9, WALL + 5, one)))
+        vec![Record::relay_identity("relay-1", 41, WALL)],
+        std::iter::once(Record::list_version("10.0.0.1:8500", 9))
+            .chain(instances().iter().map(|one| Record::server(9, WALL + 5, one)))
             .collect(),
-        vec![Kept::turn("s-1", WALL + 9), Kept::turn("s-9", WALL + 8)],
-        vec![Kept::vote(BIRTH, 2, None)],
-        entries().iter().chain([&gone]).map(Kept::entry).collect(),
-        vec![Kept::snapshot(&snapshot())],
-        vec![Kept::shut(12, &excluded())],
-        vec![Kept::vote(BIRTH, 3, Some(voters()[2]))],
-        vec![Kept::no_entry(14), Kept::forgotten(Fact::Turn, "s-9")],
+        vec![Record::slow_start_slot("s-1", WALL + 9), Record::slow_start_slot("s-9", WALL + 8)],
+        vec![Record::vote(BIRTH, 2, None)],
+        entries().iter().chain([&gone]).map(Record::log_entry).collect(),
+        vec![Record::snapshot(&snapshot())],
+        vec![Record::exclusions(12, &excluded())],
+        vec![Record::vote(BIRTH, 3, Some(voters()[2]))],
+        vec![Record::log_entry_removed(14), Record::removed(RecordKind::SlowStartSlot, "s-9")],
     ]
 }
 
 /// All of it, as a start reads it.
-fn expected() -> Stored {
+fn expected() -> StoredState {
     let told = |one: Instance| {
-        let server = ServerTold { generation: 9, wall: WALL + 5, instance: one };
+        let server = StoredServer { generation: 9, written_at: WALL + 5, instance: one };
         (server.instance.id.clone(), server)
     };
-    Stored {
-        name: Some("relay-1".to_string()),
-        start: 41,
-        list: Some(("10.0.0.1:8500".to_string(), 9)),
+    StoredState {
+        relay_name: Some("relay-1".to_string()),
+        start_number: 41,
+        list_version: Some(ListVersion { source: "10.0.0.1:8500".to_string(), generation: 9 }),
         servers: instances().map(told).into_iter().collect(),
-        turns: BTreeMap::from([("s-1".to_string(), WALL + 9)]),
-        birth: Some(BIRTH),
-        agreed: hallrelay_raft::Stored {
+        slow_start_slots: BTreeMap::from([("s-1".to_string(), WALL + 9)]),
+        incarnation: Some(BIRTH),
+        raft: hallrelay_raft::Stored {
             term: 3,
             vote: Some(voters()[2]),
             snapshot: snapshot(),
             entries: entries(),
         },
-        shut: (12, excluded()),
-        wall: WALL + 9,
-        odd: 0,
+        exclusions: Exclusions { log_index: 12, backends: excluded() },
+        last_written_at: WALL + 9,
+        unreadable: 0,
     }
 }
 
 fn write(store: &mut Store<Directory>) {
     for batch in batches() {
         let value = |bytes| Value { version: VERSION, bytes };
-        let entry = |one: Kept| Change {
-            key: Key { kind: one.fact as u8, name: one.name.into_bytes() },
+        let entry = |one: Record| Change {
+            key: Key { kind: one.kind.number(), name: one.name.into_bytes() },
             value: one.bytes.map(value),
         };
         store.commit(batch.into_iter().map(entry).collect()).expect("a sound disk");
     }
 }
 
-fn read(store: &Store<Directory>) -> Stored {
-    let mut stored = Stored::default();
+fn read(store: &Store<Directory>) -> StoredState {
+    let mut stored = StoredState::default();
     for (key, value) in store.iter() {
-        stored.take(key.kind, value.version, &key.name, &value.bytes);
+        stored.add(key.kind, value.version, &key.name, &value.bytes);
     }
     stored
 }
@@ -201,15 +201,15 @@
 fn each_record_has_its_bytes() {
     let text = include_str!("fixtures/records.txt");
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let line = |one: &Kept| {
+    let line = |one: &Record| {
         let bytes = one.bytes.as_deref().map_or("removed".to_string(), hex);
-        format!("{} {} [{}] {bytes}", one.fact as u8, one.fact.word(), one.name)
+        format!("{} {} [{}] {bytes}", one.kind.number(), one.kind.label(), one.name)
     };
     let lines: Vec<String> = batches().iter().flatten().map(line).collect();
     assert_eq!(lines, text.lines().collect::<Vec<_>>());
-    for kind in Fact::ALL {
-        let begin = format!("{} {} ", kind as u8, kind.word());
+    for kind in RecordKind::ALL {
+        let begin = format!("{} {} ", kind.number(), kind.label());
         assert!(lines.iter().any(|line| line.starts_with(&begin)), "{kind:?} has no record");
-        assert_eq!(Fact::of(kind as u8), Some(kind));
+        assert_eq!(RecordKind::from_number(kind.number()), Some(kind));
     }
 }
--- /dev/null
+++ b/recovery/tests/recover.rs
@@ -0,0 +1,196 @@
+//! What is taken over from a store, case by case.
+use hallrelay_balancer::types::{Micros, Phase};
+use hallrelay_config::list::{Instance, List};
+use hallrelay_recovery::recover::ObsoleteRecord;
+use hallrelay_recovery::{
+    recover, PhaseInput, Record, RecordKind, RecoverInput, Recovered, RecoveryPhase, SlowStartSlot,
+    StoredState,
+};
+
+const SECOND: Micros = 1_000_000;
+const NOW: Micros = 1_800_000_000 * SECOND;
+const SLOW_START: Micros = 20 * SECOND;
+const DISCOVERY: &str = "10.0.0.1:8500";
+
+fn server(id: &str, phase: Phase, came_up: Micros) -> Instance {
+    Instance {
+        id: id.to_string(),
+        addr: "10.0.0.9:80".parse().expect("an address"),
+        zone: "east".to_string(),
+        cell: 2,
+        phase,
+        came_up,
+    }
+}
+
+fn list(generation: u64, instances: Vec<Instance>) -> List {
+    List { generation, whole: true, instances, ..List::default() }
+}
+
+/// As a relay `r` would have stored it some seconds ago.
+fn stored(records: &[Record]) -> StoredState {
+    let mut stored = StoredState::default();
+    for record in records {
+        let bytes = record.bytes.as_deref().expect("a value");
+        stored.add(record.kind.number(), 1, record.name.as_bytes(), bytes);
+    }
+    assert_eq!(stored.unreadable, 0);
+    stored
+}
+
+fn recovered(configured: &List, records: &[Record]) -> Recovered {
+    recover_from(configured, &stored(records))
+}
+
+fn recover_from(configured: &List, stored: &StoredState) -> Recovered {
+    recover(&RecoverInput {
+        now: NOW,
+        relay_name: "r",
+        discovery: DISCOVERY,
+        slow_start: SLOW_START,
+        configured,
+        stored,
+    })
+}
+
+fn identity() -> Record {
+    Record::relay_identity("r", 41, NOW - 9 * SECOND)
+}
+
+fn server_record(generation: u64, phase: Phase, came_up: Micros) -> Record {
+    Record::server(generation, NOW - 5 * SECOND, &server("s", phase, came_up))
+}
+
+fn obsolete(kind: RecordKind) -> ObsoleteRecord {
+    ObsoleteRecord { kind, name: "s".to_string() }
+}
+
+fn phase(r: &Recovered) -> Option<Phase> {
+    r.list.instances.iter().find(|one| one.id == "s").map(|one| one.phase)
+}
+
+#[test]
+fn a_stored_drain_holds_until_a_later_version_or_restart() {
+    let known = list(7, vec![server("s", Phase::Ready, 100)]);
+    let head = || Record::list_version(DISCOVERY, 9);
+    for shut in [Phase::Draining, Phase::Gone] {
+        let r = recovered(
+            &known,
+            &[identity(), Record::list_version("10.0.0.2:1", 9), server_record(9, shut, 100)],
+        );
+        assert_eq!(phase(&r), Some(shut), "another source's version lifts nothing");
+        // The configuration's list is of a later version of the same list: it says so itself.
+        let later = list(12, vec![server("s", Phase::Ready, 100)]);
+        assert_eq!(
+            phase(&recovered(&later, &[identity(), head(), server_record(9, shut, 100)])),
+            Some(Phase::Ready)
+        );
+        // It has started anew since.
+        let anew = list(7, vec![server("s", Phase::Ready, 200)]);
+        let r = recovered(
+            &anew,
+            &[identity(), Record::list_version("10.0.0.2:1", 9), server_record(9, shut, 100)],
+        );
+        assert_eq!(phase(&r), Some(Phase::Ready));
+    }
+    // The stored list is the later one of the same source: it holds whole, without those who are gone.
+    let r = recovered(&known, &[identity(), head(), server_record(9, Phase::Draining, 100)]);
+    assert_eq!((r.list.generation, phase(&r)), (9, Some(Phase::Draining)));
+    let r = recovered(&known, &[identity(), head(), server_record(9, Phase::Gone, 100)]);
+    assert_eq!((r.list.generation, phase(&r)), (9, None));
+    let older = recovered(&list(10, vec![]), &[identity(), head(), server_record(9, Phase::Ready, 100)]);
+    assert_eq!((older.list.generation, phase(&older)), (10, None), "an older store adds no server");
+}
+
+#[test]
+fn slow_start_slots_stay_used_and_an_unknown_age_is_the_longest_wait() {
+    let known = list(7, vec![server("s", Phase::Ready, 100)]);
+    let slot = |ago: i64| Record::slow_start_slot("s", NOW.saturating_add_signed(-ago * SECOND as i64));
+    let slots = |records: &[Record]| recovered(&known, records).slow_start_slots;
+    let used = |age| vec![SlowStartSlot { server: "s".to_string(), age }];
+    assert_eq!(slots(&[identity(), slot(3)]), used(3 * SECOND));
+    assert_eq!(slots(&[identity(), slot(21)]), [], "it is warm by now");
+    // Written in what is the future now: the clock has gone back.
+    assert_eq!(slots(&[identity(), slot(-60)]), used(0));
+    // The clock stands before another record: no age is known, not even a sound looking one.
+    let r = recovered(&known, &[Record::relay_identity("r", 1, NOW + SECOND), slot(3)]);
+    assert_eq!(r.slow_start_slots, used(0));
+    assert!(r.messages.iter().any(|text| text.contains("ages are unknown")), "{:?}", r.messages);
+    assert_eq!(recovered(&known, &[identity(), slot(21)]).obsolete, [obsolete(RecordKind::SlowStartSlot)]);
+}
+
+#[test]
+fn start_numbers_rise_and_a_foreign_or_empty_store_is_not_used() {
+    let known = list(7, vec![server("s", Phase::Ready, 100)]);
+    assert_eq!(recovered(&known, &[identity()]).min_start_number, 42);
+    let future = Record::relay_identity("r", NOW + 500, NOW);
+    assert_eq!(
+        recovered(&known, &[future]).min_start_number,
+        NOW + 501,
+        "the start rises though the clock went back"
+    );
+    let foreign = [
+        Record::relay_identity("other", 41, NOW),
+        Record::list_version(DISCOVERY, 99),
+        server_record(99, Phase::Gone, 100),
+    ];
+    let r = recovered(&known, &foreign);
+    assert_eq!((phase(&r), r.min_start_number, r.slow_start_slots.len()), (Some(Phase::Ready), 0, 0));
+    assert!(r.messages[0].contains("relay other's"), "{:?}", r.messages);
+    // Nothing of it is there at the next start; the configuration's servers are.
+    // The server, and the records without a name: list version, vote, snapshot, exclusions.
+    assert_eq!((r.obsolete.len(), &r.unstored), (5, &known.instances));
+    let empty = recovered(&known, &[]);
+    assert_eq!((&empty.list, &empty.unstored), (&known, &known.instances));
+    let r = recovered(
+        &list(7, vec![server("s", Phase::Ready, 1), server("t", Phase::Ready, 1)]),
+        &[identity(), server_record(3, Phase::Ready, 1)],
+    );
+    assert_eq!(r.unstored, [server("t", Phase::Ready, 1)]);
+}
+
+#[test]
+fn unreadable_records_are_counted() {
+    let mut s = stored(&[identity(), server_record(9, Phase::Draining, 1)]);
+    s.add(3, 9, b"s", b"{}");
+    s.add(77, 1, b"x", b"{}");
+    s.add(4, 1, b"x", b"not json");
+    s.add(3, 1, b"another name", server_record(9, Phase::Gone, 1).bytes.as_deref().expect("a value"));
+    assert_eq!((s.unreadable, s.servers.len(), s.slow_start_slots.len()), (4, 1, 0));
+    let known = list(7, vec![server("s", Phase::Ready, 1)]);
+    let r = recover_from(&known, &s);
+    assert!(r.messages.iter().any(|text| text.contains("4 records")), "{:?}", r.messages);
+    assert_eq!(phase(&r), Some(Phase::Draining));
+}
+
+/// A removal stored long ago is discarded; one of unknown age holds.
+#[test]
+fn old_removals_are_discarded() {
+    let known = list(7, vec![server("s", Phase::Ready, 100)]);
+    let gone = |wall| Record::server(9, wall, &server("s", Phase::Gone, 100));
+    let week = 7 * 86_400 * SECOND;
+    let r = recovered(&known, &[identity(), gone(NOW - week - 1)]);
+    assert_eq!((phase(&r), r.obsolete), (Some(Phase::Ready), vec![obsolete(RecordKind::Server)]));
+    assert_eq!(phase(&recovered(&known, &[identity(), gone(NOW + week)])), Some(Phase::Gone));
+}
+
+#[test]
+fn the_phases_of_a_recovery() {
+    let input = |servers, servers_in_slow_start, discovery_contacted, list_from_peer| PhaseInput {
+        servers,
+        servers_in_slow_start,
+        discovery_contacted,
+        list_from_peer,
+    };
+    let cases = [
+        (input(0, 0, true, true), "dark"),
+        (input(3, 0, false, false), "remembering"),
+        (input(3, 0, false, true), "asking"),
+        (input(3, 2, false, true), "trickle"),
+        (input(4, 2, true, false), "open"),
+        (input(3, 0, true, true), "open"),
+    ];
+    for (input, label) in cases {
+        assert_eq!(RecoveryPhase::of(&input).label(), label, "{input:?}");
+    }
+}
--- /dev/null
+++ b/relay/src/net/hot_restart.rs
@@ -0,0 +1,384 @@
+//! The Unix socket over which a process hands over to the next one. It lies in `$TMPDIR` and is open to its
+//! owner alone. A message is a line of JSON; the listening socket goes along with the offer, and a session's
+//! sockets with the session.
+use super::peers::{Out, Sockets};
+use super::{accept, pass, Hub};
+use crate::clock::span;
+use crate::lines::plain;
+use crate::reducer::Event;
+use crate::socket::uninterrupted;
+use hallrelay_config::node::Node;
+use hallrelay_hot_restart::codec::MAX_MESSAGE_BYTES;
+use hallrelay_hot_restart::message::VERSION;
+use hallrelay_hot_restart::{decode, encode, Message, MessageError, OwnershipEvent, PeerId, SessionState};
+use rustix::net::{
+    recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags,
+};
+use std::collections::VecDeque;
+use std::future::Future;
+use std::io::{self, IoSlice, IoSliceMut};
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::unix::fs::{FileTypeExt, PermissionsExt};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::io::Interest;
+use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
+use tokio::sync::{mpsc, Semaphore};
+use tokio::time::timeout;
+
+/// The predecessor, as the reducer knows it; processes that connect later are counted from here.
+const PREDECESSOR: PeerId = 0;
+/// The most sockets that go along with one message: a session's client and its backend.
+const MAX_SOCKETS: usize = 2;
+/// What the system allows for the path of a Unix socket, without its terminating zero.
+const MAX_SOCKET_PATH_BYTES: usize = 107;
+/// Bytes that are read at once.
+const READ_BYTES: usize = 16_384;
+
+/// Why there is no path for the socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PathError {
+    #[error("TMPDIR is not set")]
+    NoDirectory,
+    #[error("the path of TMPDIR is too long")]
+    TooLong,
+}
+
+/// Why the running process can't be taken over from.
+#[derive(Debug, thiserror::Error)]
+pub enum TakeoverError {
+    #[error("{}: {source}", .path.display())]
+    Socket { path: PathBuf, source: io::Error },
+    #[error(transparent)]
+    Message(#[from] MessageError),
+    #[error("the running process says too much")]
+    AnswerTooLong,
+    #[error("the running process keeps its place: {reason}")]
+    Rejected { reason: String },
+    #[error("the offer came without a socket")]
+    NoSocket,
+    #[error("the running process does not listen on {0}")]
+    OtherAddress(SocketAddr),
+    #[error("the running process answers {0:?}")]
+    Unexpected(Box<Message>),
+}
+
+/// Why another process' messages are not understood.
+#[derive(Debug, thiserror::Error)]
+enum ReceiveError {
+    #[error(transparent)]
+    Message(#[from] MessageError),
+    #[error("a session came without its sockets")]
+    NoSockets,
+    #[error("a session's socket: {0}")]
+    Socket(#[from] io::Error),
+}
+
+/// Where processes of one relay meet.
+pub fn socket_path(node: &Node) -> Result<PathBuf, PathError> {
+    let directory =
+        std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).ok_or(PathError::NoDirectory)?;
+    let path = Path::new(&directory).join(format!("hallrelay-{:.64}.sock", plain(&node.name)));
+    if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
+        return Err(PathError::TooLong);
+    }
+    Ok(path)
+}
+
+/// What a running process offers.
+pub struct Offer {
+    pub stream: std::os::unix::net::UnixStream,
+    pub listener: std::net::TcpListener,
+}
+
+/// Asks a running process to hand over; `None` where there is none, or it does not answer.
+pub fn request_takeover(path: &Path, node: &Node) -> Result<Option<Offer>, TakeoverError> {
+    // Nobody listens there, or nobody ever did.
+    let Ok(stream) = uninterrupted(|| std::os::unix::net::UnixStream::connect(path)) else {
+        return Ok(None);
+    };
+    stream
+        .set_read_timeout(Some(span(node.limits.offer)))
+        .map_err(|source| TakeoverError::Socket { path: path.to_path_buf(), source })?;
+    let hello = Message::Hello { version: VERSION, name: node.name.clone(), listen: node.listen.to_string() };
+    if io::Write::write_all(&mut &stream, &encode(&hello)?).is_err() {
+        return Ok(None);
+    }
+    let mut incoming = Incoming::default();
+    while !incoming.bytes.ends_with(b"\n") {
+        match incoming.receive(stream.as_fd()) {
+            Ok(1..) if incoming.bytes.len() <= MAX_MESSAGE_BYTES => {}
+            Ok(1..) => return Err(TakeoverError::AnswerTooLong),
+            // It died or hangs: this is an ordinary start, which fails where the address is in use.
+            _ => return Ok(None),
+        }
+    }
+    match decode(incoming.bytes.trim_ascii_end())? {
+        Message::Rejected { reason } => Err(TakeoverError::Rejected { reason }),
+        Message::Offer { .. } => {
+            let socket = incoming.sockets.pop_front().ok_or(TakeoverError::NoSocket)?;
+            let listener = std::net::TcpListener::from(socket);
+            match listener.local_addr() {
+                Ok(address) if address == node.listen => Ok(Some(Offer { stream, listener })),
+                _ => Err(TakeoverError::OtherAddress(node.listen)),
+            }
+        }
+        other => Err(TakeoverError::Unexpected(Box::new(other))),
+    }
+}
+
+/// What was read and not yet used.
+#[derive(Default)]
+struct Incoming {
+    bytes: Vec<u8>,
+    /// The sockets that came along, in their order.
+    sockets: VecDeque<OwnedFd>,
+}
+
+impl Incoming {
+    /// Reads once; the count of bytes.
+    fn receive(&mut self, from: BorrowedFd) -> io::Result<usize> {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
+        let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+        let mut bytes = [0; READ_BYTES];
+        let received = uninterrupted(|| {
+            let parts = &mut [IoSliceMut::new(&mut bytes)];
+            Ok(recvmsg(from, parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?)
+        })?;
+        for message in ancillary.drain() {
+            if let RecvAncillaryMessage::ScmRights(sockets) = message {
+                self.sockets.extend(sockets);
+            }
+        }
+        self.bytes.extend_from_slice(&bytes[..received.bytes]);
+        Ok(received.bytes)
+    }
+
+    /// Takes a complete message off the front; `None` where there is none yet.
+    fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
+        let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') else {
+            return match self.bytes.len() {
+                0..=MAX_MESSAGE_BYTES => Ok(None),
+                _ => Err(MessageError::ReceivedTooLong),
+            };
+        };
+        let message = decode(&self.bytes[..end])?;
+        self.bytes.drain(..=end);
+        Ok(Some(message))
+    }
+
+    fn next_socket(&mut self) -> Result<TcpStream, ReceiveError> {
+        let socket = self.sockets.pop_front().ok_or(ReceiveError::NoSockets)?;
+        let stream = std::net::TcpStream::from(socket);
+        stream.set_nonblocking(true)?;
+        Ok(TcpStream::from_std(stream)?)
+    }
+}
+
+/// Writes once; the sockets go along with the first byte.
+fn send_with_sockets(to: BorrowedFd, bytes: &[u8], sockets: &[BorrowedFd]) -> io::Result<usize> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    ancillary.push(SendAncillaryMessage::ScmRights(sockets));
+    uninterrupted(|| Ok(sendmsg(to, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?))
+}
+
+/// Sends a line within the time in which a process must read; whether it was sent completely.
+async fn send_line(stream: &UnixStream, line: &[u8], sockets: &[BorrowedFd<'_>], hub: &Hub) -> bool {
+    let send = async {
+        let mut sent = 0;
+        while sent < line.len() {
+            stream.writable().await?;
+            let along = if sent == 0 { sockets } else { &[] };
+            let result = stream.try_io(Interest::WRITABLE, || match along {
+                [] => uninterrupted(|| Ok(rustix::io::write(stream, &line[sent..])?)),
+                _ => send_with_sockets(stream.as_fd(), line, along),
+            });
+            match result {
+                Ok(count) => sent += count,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(())
+    };
+    matches!(timeout(span(hub.limits().offer), send).await, Ok(Ok(())))
+}
+
+/// Accepts processes that want to take over, until it is dropped.
+pub async fn accept_processes(path: PathBuf, listener: Rc<TcpListener>, hub: Hub) {
+    let takeover_listener = match bind(&path) {
+        Ok(bound) => bound,
+        Err(e) => {
+            slog::warn!(hub.log, "no other process can take over from this one"; "error" => %e);
+            return;
+        }
+    };
+    let connections = Arc::new(Semaphore::new(hub.limits().visitors));
+    let mut last_peer = PREDECESSOR;
+    loop {
+        let Ok(permit) = connections.clone().acquire_owned().await else { return };
+        let stream = match takeover_listener.accept().await {
+            Ok((stream, _)) => stream,
+            // A passing failure: the socket stays for whoever connects next.
+            Err(e) => {
+                slog::warn!(hub.log, "a process that wants to take over was not accepted"; "error" => %e);
+                tokio::time::sleep(accept::REST).await;
+                continue;
+            }
+        };
+        if !is_same_user(&stream) {
+            slog::warn!(hub.log, "a process of another user wants to take over");
+            continue;
+        }
+        last_peer = last_peer.wrapping_add(1).max(PREDECESSOR + 1);
+        let exchange = exchange(last_peer, stream, Some(listener.clone()), hub.clone());
+        tokio::task::spawn_local(async move {
+            exchange.await;
+            drop(permit);
+        });
+    }
+}
+
+fn is_same_user(stream: &UnixStream) -> bool {
+    // SAFETY: geteuid reads a number and can't fail.
+    let own = unsafe { libc::geteuid() };
+    stream.peer_cred().is_ok_and(|peer| peer.uid() == own)
+}
+
+fn bind(path: &Path) -> io::Result<UnixListener> {
+    match std::fs::symlink_metadata(path) {
+        // Left by a process that died or has handed over.
+        Ok(existing) if existing.file_type().is_socket() => std::fs::remove_file(path)?,
+        Ok(_) => return Err(io::Error::other(format!("{} is no socket", path.display()))),
+        Err(_) => {}
+    }
+    let listener = UnixListener::bind(path)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
+    Ok(listener)
+}
+
+/// Exchanges messages with another process until either side disconnects. From the call on, messages to it
+/// are queued.
+fn exchange(
+    peer: PeerId,
+    stream: UnixStream,
+    listener: Option<Rc<TcpListener>>,
+    hub: Hub,
+) -> impl Future<Output = ()> {
+    let (to_peer, outgoing) = mpsc::channel(hub.limits().passing);
+    hub.peers.borrow_mut().insert(peer, to_peer);
+    Exchange { peer, stream, listener, hub }.run(outgoing)
+}
+
+struct Exchange {
+    peer: PeerId,
+    stream: UnixStream,
+    /// Goes along with an offer.
+    listener: Option<Rc<TcpListener>>,
+    hub: Hub,
+}
+
+impl Exchange {
+    async fn run(self, mut outgoing: mpsc::Receiver<Out>) {
+        let mut incoming = Incoming::default();
+        loop {
+            let goes_on = tokio::select! {
+                biased;
+                // What the other process says may change what is sent to it.
+                ready = self.stream.readable() => self.read(ready, &mut incoming).await,
+                out = outgoing.recv() => match out {
+                    None => false,
+                    Some(Out::Say(message)) => self.send(&message).await,
+                    Some(Out::Pass(line, sockets, result)) => {
+                        let along = [sockets.client.as_fd(), sockets.backend.as_fd()];
+                        let is_sent = send_line(&self.stream, &line, &along, &self.hub).await;
+                        // The task that waits for the result is of this process, and lives.
+                        _ = result.send(if is_sent { Ok(()) } else { Err(sockets) });
+                        is_sent
+                    }
+                }
+            };
+            if !goes_on {
+                break;
+            }
+        }
+        self.hub.peers.borrow_mut().remove(&self.peer);
+        return_sessions(outgoing).await;
+        self.hub.tell(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.peer })).await;
+    }
+
+    /// Reads once and handles the complete messages; whether the exchange goes on.
+    async fn read(&self, ready: io::Result<()>, incoming: &mut Incoming) -> bool {
+        let received = ready
+            .and_then(|()| self.stream.try_io(Interest::READABLE, || incoming.receive(self.stream.as_fd())));
+        match received {
+            Ok(1..) => {}
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
+            _ => return false,
+        }
+        let Err(error) = self.handle_messages(incoming).await else { return true };
+        slog::warn!(self.hub.log, "another process is not understood"; "error" => %error);
+        let rejection = encode(&Message::Rejected { reason: error.to_string() }).unwrap_or_default();
+        send_line(&self.stream, &rejection, &[], &self.hub).await;
+        false
+    }
+
+    async fn handle_messages(&self, incoming: &mut Incoming) -> Result<(), ReceiveError> {
+        while let Some(message) = incoming.next_message()? {
+            match message {
+                Message::Session(session) if self.peer == PREDECESSOR => {
+                    let client = incoming.next_socket()?;
+                    let backend = incoming.next_socket()?;
+                    adopt(session, Sockets { client, backend }, self.hub.clone());
+                }
+                message => {
+                    let event = OwnershipEvent::Received { peer: self.peer, message };
+                    self.hub.tell(Event::HotRestart(event)).await;
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Sends a message; whether the exchange goes on.
+    async fn send(&self, message: &Message) -> bool {
+        let Ok(line) = encode(message) else { return false };
+        let is_offer = matches!(message, Message::Offer { .. });
+        let offered = self.listener.as_ref().filter(|_| is_offer);
+        let along: Vec<BorrowedFd> = offered.iter().map(|listener| listener.as_fd()).collect();
+        send_line(&self.stream, &line, &along, &self.hub).await
+    }
+}
+
+/// Sessions that were still to be handed over go back to their tasks.
+async fn return_sessions(mut outgoing: mpsc::Receiver<Out>) {
+    outgoing.close();
+    while let Some(out) = outgoing.recv().await {
+        if let Out::Pass(_, sockets, result) = out {
+            _ = result.send(Err(sockets));
+        }
+    }
+}
+
+/// Runs a task for a session of the predecessor.
+fn adopt(session: Box<SessionState>, sockets: Sockets, hub: Hub) {
+    tokio::task::spawn_local(async move {
+        let (conn, commands) = hub.register();
+        pass::resume(conn, session, sockets, commands, &hub).await;
+        hub.conns.borrow_mut().remove(&conn);
+        hub.tell(Event::ClientDisconnected { sess: conn }).await;
+    });
+}
+
+/// Exchanges messages with the predecessor from now on.
+pub fn begin(stream: std::os::unix::net::UnixStream, hub: &Hub) -> io::Result<PeerId> {
+    stream.set_nonblocking(true)?;
+    let stream = UnixStream::from_std(stream)?;
+    tokio::task::spawn_local(exchange(PREDECESSOR, stream, None, hub.clone()));
+    Ok(PREDECESSOR)
+}
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -7,7 +7,7 @@
 mod end;
 mod first_line;
 mod fleet;
-mod handover;
+mod hot_restart;
 #[cfg(test)]
 mod interleaving_tests;
 mod operator;
@@ -26,8 +26,7 @@
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
-use hallrelay_hot_restart::place::Peer;
-use hallrelay_hot_restart::Session;
+use hallrelay_hot_restart::{PeerId, SessionState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -52,7 +51,7 @@
     Answer(Vec<u8>),
     Move,
     /// Another process goes on with its session.
-    PassOn(Peer, Box<Session>),
+    PassOn(PeerId, Box<SessionState>),
     Close,
     /// Whether its backend's silence is to tell sooner.
     Doubt(bool),
@@ -74,7 +73,7 @@
     /// When a connection to any server came up last.
     connected_at: Rc<Cell<Micros>>,
     /// Ways to other processes of this relay.
-    peers: Rc<RefCell<BTreeMap<Peer, mpsc::Sender<peers::Out>>>>,
+    peers: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<peers::Out>>>>,
     /// As the configuration in force has them.
     tuned: Rc<RefCell<(Rc<Limits>, ReportOrder)>>,
     clock: Clock,
--- a/relay/src/net/operator.rs
+++ b/relay/src/net/operator.rs
@@ -178,13 +178,13 @@
         return say(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
     match reply.await {
-        Ok(OperatorReply::Accepted(word)) => say(StatusCode::OK, word),
-        Ok(OperatorReply::Unavailable(word)) => {
-            let mut no = say(StatusCode::SERVICE_UNAVAILABLE, word);
+        Ok(OperatorReply::Accepted(status)) => say(StatusCode::OK, status.label()),
+        Ok(OperatorReply::Unavailable(status)) => {
+            let mut no = say(StatusCode::SERVICE_UNAVAILABLE, status.label());
             no.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
             no
         }
-        Ok(OperatorReply::Conflict(word)) => say(StatusCode::CONFLICT, word),
+        Ok(OperatorReply::Conflict(status)) => say(StatusCode::CONFLICT, status.label()),
         Ok(OperatorReply::Blocked(why)) => say(StatusCode::CONFLICT, why),
         Ok(OperatorReply::Committed(what)) => say(StatusCode::OK, what),
         Ok(OperatorReply::Leases(None)) => say(StatusCode::NOT_FOUND, "nothing of it is agreed here"),
--- a/relay/src/net/pass.rs
+++ b/relay/src/net/pass.rs
@@ -6,8 +6,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use hallrelay_balancer::types::{DialEnd, Micros, Report, SessId};
-use hallrelay_hot_restart::place::Peer;
-use hallrelay_hot_restart::Session;
+use hallrelay_hot_restart::{PeerId, SessionState};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
@@ -23,7 +22,7 @@
     /// The reducer wants it moved.
     Moved,
     /// Another process is to go on with it.
-    Passed(Peer, Box<Session>),
+    Passed(PeerId, Box<SessionState>),
     Closed,
 }
 
@@ -118,17 +117,18 @@
 /// Goes on with a session that another process had, once the reducer has it.
 pub async fn resume(
     conn: SessId,
-    session: Box<Session>,
+    session: Box<SessionState>,
     sockets: Sockets,
     mut commands: Receiver<Command>,
     hub: &Hub,
 ) {
     let Sockets { client, backend } = sockets;
     let (first, most) = (hub.limits().buffer_first, hub.limits().buffer_most);
-    let (up, down) = (Buffer::holding(&session.up, first, most), Buffer::holding(&session.down, first, most));
+    let (up, down) =
+        (Buffer::holding(&session.to_backend, first, most), Buffer::holding(&session.to_client, first, most));
     let mut observer = LineObserver::new(conn, hub);
     let now = hub.clock.now();
-    observer.unanswered = session.unanswered.iter().map(|ago| now.saturating_sub(*ago)).collect();
+    observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
     hub.tell(Event::SessionAdopted { sess: conn, session }).await;
     // Nothing else can have been told to it: it had no place before.
     if let Some(Command::Pass) = commands.recv().await {
@@ -149,10 +149,10 @@
         match both(&client, &mut up, &backend, &mut down, &mut commands, &mut observer).await {
             // One whose last word was heard ends here, at once.
             Over::Passed(peer, session) if observer.last.is_none() => {
-                let session = Box::new(Session {
-                    up: up.rest().to_vec(),
-                    down: down.rest().to_vec(),
-                    unanswered: observer.unanswered.iter().map(|then| hub.clock.now() - then).collect(),
+                let session = Box::new(SessionState {
+                    to_backend: up.rest().to_vec(),
+                    to_client: down.rest().to_vec(),
+                    unanswered_ages: observer.unanswered.iter().map(|then| hub.clock.now() - then).collect(),
                     ..*session
                 });
                 match peers::pass(peer, session, Sockets { client, backend }, hub).await {
--- a/relay/src/net/peers.rs
+++ b/relay/src/net/peers.rs
@@ -1,8 +1,6 @@
 //! What goes to another process of this relay, and how a session's task sends it there.
 use super::Hub;
-use hallrelay_hot_restart::message::encode;
-use hallrelay_hot_restart::place::Peer;
-use hallrelay_hot_restart::{Message, Session};
+use hallrelay_hot_restart::{encode, Message, PeerId, SessionState};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
@@ -21,8 +19,8 @@
 
 /// Passes a session on to another process; where that is not there any more, its sockets come back.
 pub async fn pass(
-    peer: Peer,
-    session: Box<Session>,
+    peer: PeerId,
+    session: Box<SessionState>,
     sockets: Sockets,
     hub: &Hub,
 ) -> Result<(), Option<Sockets>> {
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,7 +1,7 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
 use super::permit::Terms;
 use super::state_store::StateStore;
-use super::{accept, discovery, fleet, handover, operator, peers, probe, stop, Command, Hub};
+use super::{accept, discovery, fleet, hot_restart, operator, peers, probe, stop, Command, Hub};
 use crate::clock::span;
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
@@ -31,7 +31,7 @@
     calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
     /// Whether connections are taken here; other processes, and where they come.
     taking: watch::Sender<bool>,
-    door: Option<Door>,
+    takeover: Option<TakeoverListener>,
     links: Option<fleet::Links>,
     state_store: Option<StateStore>,
     /// Dials that wait for a fact to be written: by session its number; till when, and what then goes out.
@@ -42,11 +42,11 @@
     exit: Option<std::io::Result<()>>,
 }
 
-/// Where the next process may come, and what it is offered.
-struct Door {
+/// Where the next process may connect, and the listener that it is offered.
+struct TakeoverListener {
     path: PathBuf,
     listener: Rc<TcpListener>,
-    wait: Option<AbortHandle>,
+    task: Option<AbortHandle>,
 }
 
 /// Serves until it is told to stop and is empty.
@@ -63,12 +63,14 @@
     // A wave of clients that return at once waits here, and not for its own next try.
     const BACKLOG: u32 = 1024;
     // Only where operators run it: without a second address nobody could tell when a new process is ready.
-    let none = |why: &&str| slog::warn!(log, "no process can take this one's place"; "why" => *why);
-    let door = node.operator.and_then(|_| handover::door(&node).inspect_err(none).ok());
-    let offer = door.as_deref().map_or(Ok(None), |path| handover::ask(path, &node));
+    let no_path = |error: &hot_restart::PathError| {
+        slog::warn!(log, "no other process can take over from this one"; "error" => %error);
+    };
+    let takeover_path = node.operator.and_then(|_| hot_restart::socket_path(&node).inspect_err(no_path).ok());
+    let offer = takeover_path.as_deref().map_or(Ok(None), |path| hot_restart::request_takeover(path, &node));
     let offer = offer.map_err(std::io::Error::other)?;
     let (before, listener) = match offer {
-        Some(offer) => (Some(offer.talk), from_std(offer.listener)?),
+        Some(offer) => (Some(offer.stream), from_std(offer.listener)?),
         None => (None, listen(node.listen, BACKLOG).await?),
     };
     let listener = Rc::new(listener);
@@ -107,7 +109,7 @@
         watches: BTreeMap::new(),
         calls: BTreeMap::new(),
         taking,
-        door: door.map(|path| Door { path, listener: listener.clone(), wait: None }),
+        takeover: takeover_path.map(|path| TakeoverListener { path, listener: listener.clone(), task: None }),
         links,
         state_store,
         tickets: BTreeMap::new(),
@@ -116,9 +118,9 @@
         exit: None,
     };
     tokio::task::spawn_local(accept::run(listener, taken, hub.clone()));
-    let before = before.map(|talk| handover::begin(talk, &hub)).transpose()?;
+    let before = before.map(|talk| hot_restart::begin(talk, &hub)).transpose()?;
     let (mut reducer, mut effects) = (Reducer::new(node, before), Vec::new());
-    stored.into_iter().for_each(|stored| reducer.remember(stored));
+    stored.into_iter().for_each(|stored| reducer.load_state(stored));
     reducer.start(clock.now(), &mut effects);
     hands.carry_out(&mut effects);
     tokio::task::spawn_local(stop::run(signals, reread, hub));
@@ -151,7 +153,7 @@
     }
     let ended = hands.exit.take().unwrap_or(Ok(()));
     slog::info!(log, "stopping"; "well" => ended.is_ok());
-    hands.close_door();
+    hands.close_takeover_listener();
     hands.state_store.iter_mut().for_each(StateStore::finish);
     ended
 }
@@ -266,15 +268,15 @@
                         None => self.hub.command(sess, command),
                     }
                 }
-                Effect::Persist { kept, before } => {
-                    let ticket = self.state_store.as_ref().and_then(|store| store.persist(kept));
+                Effect::Persist { record, before } => {
+                    let ticket = self.state_store.as_ref().and_then(|store| store.persist(record));
                     if let (Some(sess), Some(ticket)) = (before, ticket) {
                         self.tickets.insert(sess, ticket);
                     }
                 }
-                Effect::PersistVoterWrites { life, number, kept } => {
+                Effect::PersistVoterWrites { life, number, records } => {
                     let Some(store) = &self.state_store else { continue };
-                    let tickets: Vec<_> = kept.into_iter().map(|one| store.persist(one)).collect();
+                    let tickets: Vec<_> = records.into_iter().map(|one| store.persist(one)).collect();
                     // What can't be put is never told to be written: the voter waits, and votes no more.
                     if let Some(all) = tickets.into_iter().collect::<Option<Vec<_>>>() {
                         self.vows.push_back((all.into_iter().max().unwrap_or(0), life, number));
@@ -341,14 +343,16 @@
                 // What was said goes out first.
                 Effect::DisconnectProcess { peer } => _ = self.hub.peers.borrow_mut().remove(&peer),
                 Effect::SetTakeoverListener { open: true } => {
-                    let Some(door) = &mut self.door else { continue };
-                    let wait = handover::wait(door.path.clone(), door.listener.clone(), self.hub.clone());
+                    let Some(takeover) = &mut self.takeover else { continue };
+                    let path = takeover.path.clone();
+                    let listener = takeover.listener.clone();
+                    let wait = hot_restart::accept_processes(path, listener, self.hub.clone());
                     let wait = tokio::task::spawn_local(wait).abort_handle();
-                    door.wait.replace(wait).inspect(AbortHandle::abort);
+                    takeover.task.replace(wait).inspect(AbortHandle::abort);
                 }
                 Effect::SetTakeoverListener { open: false } => {
                     // The path is the other process's to take.
-                    self.door.as_mut().and_then(|door| door.wait.take()).inspect(AbortHandle::abort);
+                    self.takeover.as_mut().and_then(|one| one.task.take()).inspect(AbortHandle::abort);
                 }
                 Effect::Membership(effect) => {
                     let Some(links) = &mut self.links else { continue };
@@ -377,9 +381,9 @@
     }
 
     /// Leaves no path behind that nobody answers at.
-    fn close_door(&mut self) {
-        if let Some(door) = self.door.take().filter(|door| door.wait.is_some()) {
-            _ = std::fs::remove_file(door.path);
+    fn close_takeover_listener(&mut self) {
+        if let Some(takeover) = self.takeover.take().filter(|one| one.task.is_some()) {
+            _ = std::fs::remove_file(takeover.path);
         }
     }
 
--- a/relay/src/net/state_store.rs
+++ b/relay/src/net/state_store.rs
@@ -1,7 +1,7 @@
 //! The relay's state store: opened on a thread of its own, retried where that fails, and closed as another
 //! process takes over. Nothing here makes the relay wait longer than its limits say.
-use hallrelay_recovery::fact::VERSION;
-use hallrelay_recovery::{Kept, Stored};
+use hallrelay_recovery::record::VERSION;
+use hallrelay_recovery::{Record, StoredState};
 use hallrelay_store::writer::{Writer, WriterHealth};
 use hallrelay_store::{Change, Directory, Key, Store, StoreError, Value};
 use std::collections::BTreeMap;
@@ -76,16 +76,16 @@
 }
 
 /// The store of a directory and all that it holds.
-fn open_store(path: &Path, capacity: u64) -> Result<(Store<Directory>, Stored), OpenError> {
+fn open_store(path: &Path, capacity: u64) -> Result<(Store<Directory>, StoredState), OpenError> {
     let directory = Directory::open(path).map_err(|source| match source.kind() {
         io::ErrorKind::WouldBlock => OpenError::Locked(path.to_path_buf()),
         _ => OpenError::Directory { path: path.to_path_buf(), source },
     })?;
     let store = Store::open(directory, capacity)
         .map_err(|source| OpenError::Store { path: path.to_path_buf(), source })?;
-    let mut stored = Stored::default();
+    let mut stored = StoredState::default();
     for (key, value) in store.iter() {
-        stored.take(key.kind, value.version, &key.name, &value.bytes);
+        stored.add(key.kind, value.version, &key.name, &value.bytes);
     }
     Ok((store, stored))
 }
@@ -104,7 +104,7 @@
 
     /// Opens the store on a thread of its own, which retries until that succeeds or the store is closed. What
     /// the store held is sent once.
-    pub fn open(&mut self) -> oneshot::Receiver<Stored> {
+    pub fn open(&mut self) -> oneshot::Receiver<StoredState> {
         let (send_stored, stored) = oneshot::channel();
         self.current = Opening::new();
         let opening = self.current.clone();
@@ -144,8 +144,8 @@
 
     /// Stores a record. Returns the ticket that `durable_ticket` reaches once it is durable; `None` where
     /// that is not to be waited for: the store is being opened, is closed, or rejected the record.
-    pub fn persist(&self, record: Kept) -> Option<u64> {
-        let key = Key { kind: record.fact as u8, name: record.name.into_bytes() };
+    pub fn persist(&self, record: Record) -> Option<u64> {
+        let key = Key { kind: record.kind.number(), name: record.name.into_bytes() };
         let value = record.bytes.map(|bytes| Value { version: VERSION, bytes });
         match &mut *self.current.lock() {
             WriterSlot::Open(writer) => writer.submit(Change { key, value }),
@@ -176,7 +176,7 @@
     capacity: u64,
     opening: &Opening,
     health: &watch::Sender<WriterHealth>,
-    send_stored: oneshot::Sender<Stored>,
+    send_stored: oneshot::Sender<StoredState>,
 ) {
     let mut backoff = MIN_OPEN_BACKOFF;
     while !opening.is_closed.load(Ordering::Relaxed) {
@@ -201,7 +201,7 @@
     path: &Path,
     capacity: u64,
     health: &watch::Sender<WriterHealth>,
-) -> Result<(Writer, Stored), OpenError> {
+) -> Result<(Writer, StoredState), OpenError> {
     let (store, stored) = open_store(path, capacity)?;
     let health = health.clone();
     let writer = Writer::start(store, move |now| _ = health.send_replace(now.clone()))?;
--- a/relay/src/reducer/agreed.rs
+++ b/relay/src/reducer/agreed.rs
@@ -12,7 +12,7 @@
 use hallrelay_disruption::{Command, Outcome, State, Thing};
 use hallrelay_membership::membership::Event as Fleet;
 use hallrelay_raft::{self as agreement, Event, Id, Index, Node, Role, Voter, Write};
-use hallrelay_recovery::{Kept, Stored};
+use hallrelay_recovery::{Record, StoredState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -115,18 +115,18 @@
 
 impl Reducer {
     /// What the store held of it, told before the start or as the store is this process's.
-    pub(super) fn begin_to_agree(&mut self, stored: Option<&Stored>, out: &mut Vec<Effect>) {
+    pub(super) fn begin_to_agree(&mut self, stored: Option<&StoredState>, out: &mut Vec<Effect>) {
         let (now, seed) = (self.now, self.node.seed);
         let Some(a) = &mut self.agreed else { return };
-        let own = stored.filter(|stored| stored.name.as_deref().is_none_or(|name| *name == *a.own));
-        if let Some(stored) = own.filter(|stored| stored.shut.0 >= a.shut.0) {
-            a.shut.clone_from(&stored.shut);
+        let own = stored.filter(|stored| stored.relay_name.as_deref().is_none_or(|name| *name == *a.own));
+        if let Some(stored) = own.filter(|stored| stored.exclusions.log_index >= a.shut.0) {
+            a.shut = (stored.exclusions.log_index, stored.exclusions.backends.clone());
         }
         // A voter whose disk is not read does not know what it promised.
         if stored.is_none() || !a.votes() || a.node.is_some() {
             return;
         }
-        let (birth, agreed) = match own.and_then(|own| Some((own.birth?, own.agreed.clone()))) {
+        let (birth, agreed) = match own.and_then(|own| Some((own.incarnation?, own.raft.clone()))) {
             Some(known) => known,
             None => {
                 note("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
@@ -134,7 +134,7 @@
             }
         };
         // A birth that is not on the disk is none after the next start.
-        out.push(Effect::Persist { kept: Kept::vote(birth, agreed.term, agreed.vote), before: None });
+        out.push(Effect::Persist { record: Record::vote(birth, agreed.term, agreed.vote), before: None });
         // Guards a process that has its place back: the log is applied from its beginning once more.
         (a.state, a.applied) = Default::default();
         let mut told = Vec::new();
@@ -185,8 +185,8 @@
                     self.talk(&name, &Talk::Post(post), out);
                 }
                 agreement::Effect::Write { number, write } => {
-                    let (life, kept) = (a.life, a.written(write));
-                    out.push(Effect::PersistVoterWrites { life, number, kept });
+                    let (life, records) = (a.life, a.written(write));
+                    out.push(Effect::PersistVoterWrites { life, number, records });
                 }
                 agreement::Effect::Alarm(alarm) => {
                     let after = match alarm {
@@ -327,20 +327,20 @@
 
 impl Agreed {
     /// A write as facts for the store.
-    fn written(&mut self, write: Write) -> Vec<Kept> {
+    fn written(&mut self, write: Write) -> Vec<Record> {
         let (first, last) = self.kept;
         match write {
-            Write::Vote { term, vote } => vec![Kept::vote(self.birth, term, vote)],
+            Write::Vote { term, vote } => vec![Record::vote(self.birth, term, vote)],
             Write::Log { from, entries } => {
                 let end = from + entries.len() as Index - 1;
                 self.kept = (first.min(from), end);
-                let gone = (end + 1..=last).map(Kept::no_entry);
-                entries.iter().map(Kept::entry).chain(gone).collect()
+                let gone = (end + 1..=last).map(Record::log_entry_removed);
+                entries.iter().map(Record::log_entry).chain(gone).collect()
             }
             Write::Snapshot { snapshot, entries } => {
                 let stays = |index: &Index| entries.iter().any(|entry| entry.index == *index);
-                let gone = (first..=last).filter(|index| !stays(index)).map(Kept::no_entry);
-                let kept = std::iter::once(Kept::snapshot(&snapshot)).chain(gone).collect();
+                let gone = (first..=last).filter(|index| !stays(index)).map(Record::log_entry_removed);
+                let kept = std::iter::once(Record::snapshot(&snapshot)).chain(gone).collect();
                 self.kept = (snapshot.index + 1, snapshot.index + entries.len() as Index);
                 kept
             }
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,5 +1,5 @@
 //! What comes to the reducer, what it asks for, and what operators ask of it and hear.
-use super::{Figures, Want, Word};
+use super::{Figures, LifecycleStatus, Want};
 use crate::lines::Open;
 use hallrelay_balancer::types::{DialEnd, Micros, Report, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
@@ -7,10 +7,9 @@
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::Command;
-use hallrelay_hot_restart::place::{self as handover, Peer};
-use hallrelay_hot_restart::{Message, Session};
+use hallrelay_hot_restart::{Message, OwnershipEvent, PeerId, SessionState};
 use hallrelay_membership::status::Status;
-use hallrelay_recovery::{Kept, Stored};
+use hallrelay_recovery::{Record, StoredState};
 use hallrelay_store::writer::WriterHealth;
 use std::net::SocketAddr;
 
@@ -36,11 +35,11 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorReply {
-    Accepted(Word),
-    /// No, not now, with a word why.
-    Unavailable(Word),
+    Accepted(LifecycleStatus),
+    /// Not now.
+    Unavailable(LifecycleStatus),
     /// What was asked for can't be, as things stand.
-    Conflict(Word),
+    Conflict(LifecycleStatus),
     /// Not by what is agreed across the fleet; why.
     Blocked(String),
     /// Agreed; what.
@@ -137,20 +136,21 @@
         call: u32,
         what: OperatorRequest,
     },
-    /// Another process has this one's session, or could not take it.
+    /// The successor has the session.
     SessionHandedOver {
         sess: SessId,
     },
+    /// The successor could not take the session.
     SessionHandoverFailed {
         sess: SessId,
     },
-    /// This one has a session of the process before it.
+    /// A session of the predecessor was handed over to this process.
     SessionAdopted {
         sess: SessId,
-        session: Box<Session>,
+        session: Box<SessionState>,
     },
-    /// Something came from the process before or after this one.
-    HotRestart(handover::Event),
+    /// Something came from the predecessor or the successor.
+    HotRestart(OwnershipEvent),
     /// Something came from another relay.
     Membership(hallrelay_membership::Event),
     /// What was to be written for a life of the voter is on the disk, up to a number.
@@ -158,9 +158,9 @@
         life: u32,
         number: u64,
     },
-    /// The store is this process's by now: what it held.
-    StoreReopened(Box<Stored>),
-    /// How the store does, as it changes.
+    /// The store was opened again: what it held.
+    StoreReopened(Box<StoredState>),
+    /// How writing to the store goes, as it changes.
     StoreHealth(Box<WriterHealth>),
     Timer(Timer),
     StopRequested,
@@ -175,9 +175,9 @@
     RedialPreExisting(SessId),
     /// Sessions are moved while the relay stops or drains; of the how-manieth time that it does so.
     MigrateBatch(u32),
-    /// An offered place was not taken.
-    HandoverOffer(Peer),
-    /// The process that took this one's place is told what is held here still.
+    /// A process that was offered the listener was not ready in time.
+    HandoverOffer(PeerId),
+    /// The successor is told what remains here.
     HandoverProgress,
     /// Something of membership is due.
     Membership,
@@ -189,7 +189,7 @@
     PendingRequest(u32),
     /// The list is watched anew where it comes unasked.
     RequestEndpointList,
-    /// Others are asked for the list, if discovery has not spoken by now.
+    /// Others are polled for the list, if discovery has not answered by now.
     PollPeers,
 }
 
@@ -239,8 +239,8 @@
     /// Another process goes on with it.
     HandOverSession {
         sess: SessId,
-        peer: Peer,
-        session: Box<Session>,
+        peer: PeerId,
+        session: Box<SessionState>,
     },
     /// An error for what is not of the protocol.
     ReportProtocolError {
@@ -281,28 +281,28 @@
     },
     /// What is said to another process, and the end of it.
     SendToProcess {
-        peer: Peer,
+        peer: PeerId,
         message: Message,
     },
     DisconnectProcess {
-        peer: Peer,
+        peer: PeerId,
     },
-    /// Other processes may come to take this one's place, or no more.
+    /// Other processes may connect to take over from this one, or no more.
     SetTakeoverListener {
         open: bool,
     },
-    /// A fact goes to the store; the dial of a session may go once it is written, or that takes too long.
+    /// A record goes to the store; the dial of a session waits until it is durable, or that takes too long.
     Persist {
-        kept: Kept,
+        record: Record,
         before: Option<SessId>,
     },
     /// What a voter promises: it is told as all of it is on the disk.
     PersistVoterWrites {
         life: u32,
         number: u64,
-        kept: Vec<Kept>,
+        records: Vec<Record>,
     },
-    /// The store is this process's, or another's.
+    /// The store is opened by this process, or closed for another one.
     SetStoreOwnership {
         on: bool,
     },
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -69,7 +69,7 @@
             known: listed.clone().count(),
             avoided: listed.filter(|(&server, _)| self.module.avoids(self.now, server)).count(),
             fleet: self.fleet_figures(),
-            store: self.store.clone(),
+            store: self.store_health.clone(),
             ..self.figures.clone()
         }
     }
--- a/relay/src/reducer/fleet.rs
+++ b/relay/src/reducer/fleet.rs
@@ -1,6 +1,6 @@
 //! Membership as a part of the relay's state: what it says of itself, when it speaks, and what is told of it.
 //! Nothing here goes to the module: whoever is heard or not, it reckons with the configured number of relays.
-use super::duty::Duty;
+use super::lifecycle::Lifecycle;
 use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
@@ -53,8 +53,8 @@
                     };
                     note(format!("relay {name} is {}{how}", state.word()), out);
                 }
-                Told::Asked { stream } => self.tell_list(stream, out),
-                Told::Recalled { name, told } => self.heard_say(&name, &told, out),
+                Told::Asked { stream } => self.send_list_to_peer(stream, out),
+                Told::Recalled { name, told } => self.receive_peer_list(&name, &told, out),
                 Told::Said { name, bytes } => self.said(&name, &bytes, out),
                 other => out.push(Effect::Membership(other)),
             }
@@ -84,12 +84,12 @@
                 *n += 1;
             }
         }
-        let duty = match self.duty {
-            Duty::Waiting => Said::Starting,
-            Duty::Serving if !self.can_place() => Said::Starting,
-            Duty::Serving | Duty::Relieved => Said::Serving,
-            Duty::Draining | Duty::Away => Said::Draining,
-            Duty::Stopping | Duty::Leaving => Said::Stopping,
+        let duty = match self.lifecycle {
+            Lifecycle::AwaitingTakeover => Said::Starting,
+            Lifecycle::Serving if !self.has_servers() => Said::Starting,
+            Lifecycle::Serving | Lifecycle::HandedOver => Said::Serving,
+            Lifecycle::Draining | Lifecycle::HandedOverDraining => Said::Draining,
+            Lifecycle::Stopping | Lifecycle::HandedOverStopping => Said::Stopping,
         };
         About {
             version: Rc::from(env!("CARGO_PKG_VERSION")),
@@ -102,14 +102,14 @@
 
     /// The relay ends: the process that has its place says so, on purpose.
     pub(super) fn leave_fleet(&mut self, out: &mut Vec<Effect>) {
-        if self.place.has() {
+        if self.ownership.is_owner() {
             self.fleet(Event::Leave, out);
         }
     }
 
     pub(super) fn fleet_status(&self) -> Option<Box<Status>> {
         let mut status = self.fleet.as_ref()?.status(self.now);
-        status.returning = self.returning().word().to_string();
+        status.returning = self.recovery_phase().label().to_string();
         Some(Box::new(status))
     }
 
@@ -122,7 +122,7 @@
             counts: fleet.counts.clone(),
             states,
             hears: fleet.hears(),
-            hearsay: self.hearsay.into(),
+            hearsay: self.peer_lists_received.into(),
         }))
     }
 }
--- /dev/null
+++ b/relay/src/reducer/lifecycle.rs
@@ -0,0 +1,269 @@
+//! The lifecycle of this process: whether it serves, drains, stops, or has been replaced by another process.
+//! One table decides what each command, signal and handover does in each state.
+use super::{note, Effect, Reducer};
+use hallrelay_balancer::types::Micros;
+use hallrelay_config::limits::Limits;
+use std::fmt;
+
+/// The state of this process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum Lifecycle {
+    /// Its predecessor still owns the listener.
+    AwaitingTakeover,
+    #[default]
+    Serving,
+    Draining,
+    Stopping,
+    /// Its successor owns the listener; sessions that are left here go on.
+    HandedOver,
+    /// The same, while a drain goes on.
+    HandedOverDraining,
+    /// The same, told to stop.
+    HandedOverStopping,
+}
+
+/// What changes the state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LifecycleEvent {
+    /// An operator's command.
+    Drain,
+    /// An operator's command.
+    Activate,
+    /// A signal.
+    Stop,
+    /// This process takes over from its predecessor.
+    TakeOver,
+    /// The same, from one that was draining.
+    TakeOverDraining,
+    /// The successor takes over.
+    HandOver,
+    /// The successor died.
+    SuccessorDied,
+}
+
+/// What a change of state does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LifecycleAction {
+    /// Connections are accepted.
+    StartAccepting,
+    /// Sessions are moved away, batch by batch.
+    StartDraining,
+    /// Both.
+    StartAcceptingAndDraining,
+    /// Sessions that were not moved stay, and `PING` is answered again.
+    StopDraining,
+    /// No connection is accepted any more.
+    StopAccepting,
+    /// Nothing; the command is confirmed.
+    Confirm,
+    /// Nothing; the command is rejected.
+    Reject,
+}
+
+/// A row of the table.
+struct Transition {
+    from: Lifecycle,
+    event: LifecycleEvent,
+    to: Lifecycle,
+    action: LifecycleAction,
+}
+
+const fn row(from: Lifecycle, event: LifecycleEvent, to: Lifecycle, action: LifecycleAction) -> Transition {
+    Transition { from, event, to, action }
+}
+
+/// An event that is not listed for a state changes nothing and is confirmed.
+const TRANSITIONS: &[Transition] = {
+    use Lifecycle::*;
+    use LifecycleAction::*;
+    use LifecycleEvent::*;
+    &[
+        row(AwaitingTakeover, TakeOver, Serving, StartAccepting),
+        row(AwaitingTakeover, TakeOverDraining, Draining, StartAcceptingAndDraining),
+        row(AwaitingTakeover, Drain, AwaitingTakeover, Reject),
+        row(AwaitingTakeover, Activate, AwaitingTakeover, Reject),
+        row(AwaitingTakeover, Stop, HandedOverStopping, StartDraining),
+        row(Serving, Drain, Draining, StartDraining),
+        row(Serving, Stop, Stopping, StartDraining),
+        row(Serving, HandOver, HandedOver, StopAccepting),
+        row(Draining, Activate, Serving, StopDraining),
+        row(Draining, Stop, Stopping, StartDraining),
+        row(Draining, HandOver, HandedOverDraining, StopAccepting),
+        row(Stopping, Activate, Stopping, Reject),
+        row(Stopping, HandOver, HandedOverStopping, StopAccepting),
+        row(HandedOver, Drain, HandedOver, Reject),
+        row(HandedOver, Activate, HandedOver, Reject),
+        row(HandedOver, Stop, HandedOverStopping, StartDraining),
+        row(HandedOver, SuccessorDied, Serving, StartAccepting),
+        row(HandedOverDraining, Drain, HandedOverDraining, Reject),
+        row(HandedOverDraining, Activate, HandedOverDraining, Reject),
+        row(HandedOverDraining, Stop, HandedOverStopping, StartDraining),
+        row(HandedOverDraining, SuccessorDied, Draining, StartAccepting),
+        row(HandedOverStopping, Drain, HandedOverStopping, Reject),
+        row(HandedOverStopping, Activate, HandedOverStopping, Reject),
+    ]
+};
+
+/// The state as operators see it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LifecycleStatus {
+    /// The process does not accept connections yet, or knows no server.
+    Starting,
+    /// It accepts connections.
+    Serving,
+    /// It moves its sessions to other relays, on an operator's command.
+    Draining,
+    /// It moves its sessions to other relays and ends.
+    Stopping,
+    /// Another process owns the listener.
+    Replaced,
+}
+
+impl LifecycleStatus {
+    /// The word in operators' answers and in the log.
+    pub fn label(self) -> &'static str {
+        match self {
+            LifecycleStatus::Starting => "starting",
+            LifecycleStatus::Serving => "serving",
+            LifecycleStatus::Draining => "draining",
+            LifecycleStatus::Stopping => "stopping",
+            LifecycleStatus::Replaced => "replaced",
+        }
+    }
+}
+
+impl fmt::Display for LifecycleStatus {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(self.label())
+    }
+}
+
+/// When sessions are moved, in microseconds after the state was entered.
+pub(super) struct MigrationSchedule {
+    /// When the first ones are moved.
+    pub start: Micros,
+    /// When none is left.
+    pub end: Micros,
+}
+
+impl Lifecycle {
+    fn status(self) -> LifecycleStatus {
+        match self {
+            Lifecycle::AwaitingTakeover => LifecycleStatus::Starting,
+            Lifecycle::Serving => LifecycleStatus::Serving,
+            Lifecycle::Draining => LifecycleStatus::Draining,
+            Lifecycle::Stopping => LifecycleStatus::Stopping,
+            Lifecycle::HandedOver | Lifecycle::HandedOverDraining | Lifecycle::HandedOverStopping => {
+                LifecycleStatus::Replaced
+            }
+        }
+    }
+
+    pub(super) fn migration_schedule(self, limits: &Limits) -> MigrationSchedule {
+        match self {
+            Lifecycle::Draining | Lifecycle::HandedOverDraining => {
+                MigrationSchedule { start: limits.drain_from, end: limits.drain_by }
+            }
+            Lifecycle::HandedOverStopping => {
+                MigrationSchedule { start: limits.leave_from, end: limits.leave_by }
+            }
+            Lifecycle::AwaitingTakeover
+            | Lifecycle::Serving
+            | Lifecycle::Stopping
+            | Lifecycle::HandedOver => MigrationSchedule { start: limits.stop_from, end: limits.stop_by },
+        }
+    }
+
+    /// Whether a drain or a stop goes on in the next state, counted from its first moment.
+    fn continues_in(self, next: Lifecycle) -> bool {
+        matches!(
+            (self, next),
+            (Lifecycle::Draining, Lifecycle::HandedOverDraining)
+                | (Lifecycle::HandedOverDraining, Lifecycle::Draining)
+                | (Lifecycle::Stopping, Lifecycle::HandedOverStopping)
+        )
+    }
+}
+
+impl Reducer {
+    pub(super) fn apply_lifecycle_event(
+        &mut self,
+        event: LifecycleEvent,
+        out: &mut Vec<Effect>,
+    ) -> LifecycleAction {
+        let from = self.lifecycle;
+        let row = TRANSITIONS.iter().find(|row| row.from == from && row.event == event);
+        let to = row.map_or(from, |row| row.to);
+        let action = row.map_or(LifecycleAction::Confirm, |row| row.action);
+        self.lifecycle = to;
+        if from != to {
+            // The experiment tool reads this line.
+            note(format!("from {} to {}", from.status(), to.status()), out);
+            if !from.continues_in(to) {
+                self.begin_migration_round();
+            }
+        }
+        match action {
+            LifecycleAction::StartDraining => self.start_migration(out),
+            LifecycleAction::StartAccepting => {
+                out.push(Effect::SetAccepting { on: true });
+                self.answer_pings(out);
+            }
+            LifecycleAction::StartAcceptingAndDraining => {
+                out.push(Effect::SetAccepting { on: true });
+                self.start_migration(out);
+            }
+            LifecycleAction::StopAccepting => out.push(Effect::SetAccepting { on: false }),
+            LifecycleAction::StopDraining => self.answer_pings(out),
+            LifecycleAction::Confirm | LifecycleAction::Reject => {}
+        }
+        if from != to {
+            self.tell_fleet(out);
+        }
+        action
+    }
+
+    /// The state as operators see it.
+    pub(super) fn lifecycle_status(&self) -> LifecycleStatus {
+        match self.lifecycle {
+            Lifecycle::Serving if !self.has_servers() => LifecycleStatus::Starting,
+            lifecycle => lifecycle.status(),
+        }
+    }
+
+    pub(super) fn is_stopping(&self) -> bool {
+        matches!(self.lifecycle, Lifecycle::Stopping | Lifecycle::HandedOverStopping)
+    }
+
+    /// When the drain that is in force began.
+    pub(super) fn draining_since(&self) -> Option<Micros> {
+        let is_draining = matches!(self.lifecycle, Lifecycle::Draining | Lifecycle::HandedOverDraining);
+        is_draining.then_some(self.lifecycle_since)
+    }
+
+    /// Whether new sessions are placed here.
+    pub(super) fn is_serving(&self) -> bool {
+        self.lifecycle == Lifecycle::Serving && self.has_servers()
+    }
+
+    /// Whether the list names a server to place sessions on.
+    pub(super) fn has_servers(&self) -> bool {
+        !self.servers.is_empty()
+    }
+
+    /// Answers the connections that sent `PING`: not while the process starts or stops, with a rejection
+    /// while it drains.
+    pub(super) fn answer_pings(&mut self, out: &mut Vec<Effect>) {
+        let accepts = match self.lifecycle {
+            Lifecycle::Serving if self.has_servers() => true,
+            // They were accepted before the handover: both processes are one relay, and that serves.
+            Lifecycle::HandedOver | Lifecycle::HandedOverStopping => true,
+            Lifecycle::Draining | Lifecycle::HandedOverDraining => false,
+            Lifecycle::AwaitingTakeover | Lifecycle::Serving | Lifecycle::Stopping => return,
+        };
+        out.extend(self.pings.drain(..).map(|conn| match accepts {
+            true => Effect::Pong { conn },
+            false => Effect::RejectPing { conn },
+        }));
+    }
+}
--- /dev/null
+++ b/relay/src/reducer/listener_ownership.rs
@@ -0,0 +1,225 @@
+//! Hot restart in the reducer: this process takes over from its predecessor, or hands over to its successor.
+//! The state machine is the package `hot_restart`; this carries its actions out.
+use super::lifecycle::LifecycleEvent;
+use super::{note, Effect, Reducer, Timer};
+use hallrelay_balancer::types::{Input, Memory, Micros, Phase, Report, SessId};
+use hallrelay_config::list::{self, List};
+use hallrelay_hot_restart::ownership::READY_TIMEOUT;
+use hallrelay_hot_restart::{
+    ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, PeerId, RelayState, ServerState,
+    SlowStartTurn,
+};
+use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Membership;
+
+/// Connections and sessions that one process of the relay still has.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct Remaining {
+    /// Connections of clients, those with a session included.
+    pub connections: u32,
+    pub sessions: u32,
+}
+
+/// How often the successor is told what remains here, so that it can use the capacity before clients return.
+const PROGRESS_INTERVAL: Micros = 100_000;
+
+impl Reducer {
+    /// The start is over. Without a predecessor this process owns the listener; else it tells the predecessor
+    /// that it is ready.
+    pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
+        match self.ownership.awaited_predecessor() {
+            Some(peer) => out.push(Effect::SendToProcess { peer, message: Message::Ready {} }),
+            None => {
+                out.push(Effect::SetAccepting { on: true });
+                out.push(Effect::SetTakeoverListener { open: true });
+                self.tell_fleet(out);
+                self.fleet(Fleet::Begin, out);
+            }
+        }
+    }
+
+    pub(super) fn apply_ownership_event(&mut self, event: OwnershipEvent, out: &mut Vec<Effect>) {
+        let mut actions = Vec::new();
+        self.ownership.step(event, &mut actions);
+        for action in actions {
+            self.carry_out_ownership(action, out);
+        }
+    }
+
+    fn carry_out_ownership(&mut self, action: OwnershipAction, out: &mut Vec<Effect>) {
+        match action {
+            OwnershipAction::Send { peer, message } => out.push(Effect::SendToProcess { peer, message }),
+            OwnershipAction::Disconnect { peer } => out.push(Effect::DisconnectProcess { peer }),
+            OwnershipAction::StartReadyTimer { peer } => {
+                out.push(Effect::StartTimer { after: READY_TIMEOUT, alarm: Timer::HandoverOffer(peer) });
+            }
+            OwnershipAction::HandOver { peer } => self.hand_over_to(peer, out),
+            OwnershipAction::Resume => self.resume_ownership(out),
+            OwnershipAction::TakeOver(Some(state)) => self.take_over(*state, out),
+            OwnershipAction::TakeOver(None) => {
+                note("the predecessor died before it handed over", out);
+                self.apply_lifecycle_event(LifecycleEvent::TakeOver, out);
+                self.begin_to_speak_for_relay(out);
+                out.push(Effect::SetTakeoverListener { open: true });
+            }
+            OwnershipAction::Abort { reason } => out.push(Effect::Abort { why: reason }),
+            OwnershipAction::PredecessorRemaining { connections, sessions } => {
+                self.predecessor_remaining = Remaining { connections, sessions };
+                if connections == 0 {
+                    self.predecessor_session_ids.clear();
+                }
+            }
+            OwnershipAction::PredecessorList(list) => self.receive_predecessor_list(&list, out),
+            OwnershipAction::Log(text) => note(text, out),
+        }
+    }
+
+    /// The store and the relay's membership are this process' from now on.
+    fn begin_to_speak_for_relay(&mut self, out: &mut Vec<Effect>) {
+        out.push(Effect::SetStoreOwnership { on: true });
+        self.fleet(Fleet::Begin, out);
+    }
+
+    /// In one step: from here on the successor accepts connections, and knows what this process knew.
+    fn hand_over_to(&mut self, peer: PeerId, out: &mut Vec<Effect>) {
+        let state = Box::new(self.relay_state());
+        self.reported_remaining =
+            Remaining { connections: state.connections, sessions: state.session_ids.len() as u32 };
+        note("the successor takes over from this process", out);
+        out.push(Effect::SetTakeoverListener { open: false });
+        self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
+        // One process speaks for the relay: this one falls silent before the other can begin.
+        self.fleet(Fleet::Yield, out);
+        self.cease_to_agree();
+        out.push(Effect::SetStoreOwnership { on: false });
+        out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
+        let open: Vec<SessId> = self.sessions.keys().copied().collect();
+        open.into_iter().for_each(|sess| self.hand_over_session(sess, out));
+        self.report_remaining(out);
+    }
+
+    fn resume_ownership(&mut self, out: &mut Vec<Effect>) {
+        note("the successor died: this process accepts connections again", out);
+        self.apply_lifecycle_event(LifecycleEvent::SuccessorDied, out);
+        self.begin_to_speak_for_relay(out);
+        out.push(Effect::SetTakeoverListener { open: true });
+    }
+
+    /// What the successor is to know.
+    fn relay_state(&self) -> RelayState {
+        let (session_load, memory) = self.module.memory(self.now);
+        let listed = self.servers.values().map(|v| &v.told).filter(|told| told.phase != Phase::Gone);
+        RelayState {
+            endpoint_list: self.generation.map(|generation| list::encode(generation, true, listed)),
+            servers: memory.into_iter().filter_map(|memory| self.server_state(memory)).collect(),
+            session_load,
+            draining_age: self.draining_since().map(|since| self.now - since),
+            session_ids: self.sessions.values().map(|s| s.id).collect(),
+            connections: (self.sessions.len() + self.aside.len()) as u32,
+            membership: self.fleet.as_ref().map(Membership::estate),
+            exclusions: self
+                .agreed
+                .as_ref()
+                .map(|a| ExclusionList { log_index: a.shut.0, backends: a.shut.1.iter().cloned().collect() }),
+        }
+    }
+
+    fn server_state(&self, memory: Memory) -> Option<ServerState> {
+        let report = memory.report.map(|(age, report)| LoadReport {
+            age,
+            load: report.load.unwrap_or(0.0),
+            queued: report.piled.unwrap_or(0.0),
+            sessions: report.held.unwrap_or(0.0),
+        });
+        Some(ServerState {
+            name: self.servers.get(&memory.server)?.told.id.clone(),
+            report,
+            consecutive_failures: memory.misses,
+            recently_placed: memory.placed,
+            slow_start_turn: SlowStartTurn { age: memory.turn.0, pause_fraction: memory.turn.1 },
+        })
+    }
+
+    /// This process owns the listener from now on, and goes on with what its predecessor knew.
+    fn take_over(&mut self, state: RelayState, out: &mut Vec<Effect>) {
+        note("this process takes over from its predecessor", out);
+        // This process' own watch may have heard more by now. A list that can't be read stops nothing.
+        let list = state.endpoint_list.and_then(|list| list::parse(list.to_string().as_bytes()).ok());
+        if let Some(list) = list {
+            if self.generation.is_none_or(|own| own < list.generation) {
+                self.list(List { whole: true, ..list }, out);
+            }
+        }
+        let servers = state.servers.into_iter().filter_map(|server| self.server_memory(server)).collect();
+        self.tell(Input::Remember { step: state.session_load, servers }, out);
+        if let (Some(fleet), Some(known)) = (&mut self.fleet, &state.membership) {
+            fleet.inherit(self.now, known);
+        }
+        if let Some(exclusions) = state.exclusions {
+            self.shut(exclusions.log_index, exclusions.backends.into_iter().collect(), out);
+        }
+        self.predecessor_session_ids = state.session_ids.into_iter().collect();
+        match state.draining_age {
+            None => _ = self.apply_lifecycle_event(LifecycleEvent::TakeOver, out),
+            Some(age) => {
+                self.apply_lifecycle_event(LifecycleEvent::TakeOverDraining, out);
+                self.lifecycle_since = self.now.saturating_sub(age);
+            }
+        }
+        self.begin_to_speak_for_relay(out);
+        out.push(Effect::SetTakeoverListener { open: true });
+    }
+
+    fn server_memory(&self, state: ServerState) -> Option<Memory> {
+        let report = state.report.map(|report| {
+            let LoadReport { age, load, queued, sessions } = report;
+            (age, Report { load: Some(load), piled: Some(queued), held: Some(sessions) })
+        });
+        Some(Memory {
+            server: *self.ids.get(&state.name)?,
+            report,
+            misses: state.consecutive_failures,
+            placed: state.recently_placed,
+            turn: (state.slow_start_turn.age, state.slow_start_turn.pause_fraction),
+        })
+    }
+
+    /// Tells the successor what discovery told this process: the successor's own watch may not be open.
+    pub(super) fn send_list_to_successor(&mut self, list: &List, out: &mut Vec<Effect>) {
+        if self.ownership.successor().is_some() {
+            let list = list::encode(list.generation, list.whole, list.instances.iter());
+            self.apply_ownership_event(OwnershipEvent::ListReceived { list }, out);
+        }
+    }
+
+    /// What discovery told the predecessor. Until discovery has answered this process it counts like a list
+    /// of its own; afterwards only newer drains and removals count.
+    fn receive_predecessor_list(&mut self, list: &serde_json::Value, out: &mut Vec<Effect>) {
+        let Ok(mut list) = list::parse(list.to_string().as_bytes()) else { return };
+        if self.generation.is_some_and(|own| own >= list.generation) {
+            return;
+        }
+        if self.discovery_contacted.is_some() {
+            list.instances.retain(|one| one.phase != Phase::Ready);
+            list.whole = false;
+        }
+        self.persist_list(&list, out);
+        self.send_list_to_successor(&list, out);
+        self.list(list, out);
+    }
+
+    /// Tells the successor what remains here, as it changes.
+    pub(super) fn report_remaining(&mut self, out: &mut Vec<Effect>) {
+        if self.ownership.is_owner() {
+            return;
+        }
+        let sessions = self.sessions.len() as u32;
+        let remaining = Remaining { connections: sessions + self.aside.len() as u32, sessions };
+        if remaining != self.reported_remaining {
+            self.reported_remaining = remaining;
+            let Remaining { connections, sessions } = remaining;
+            self.apply_ownership_event(OwnershipEvent::RemainingChanged { connections, sessions }, out);
+        }
+        out.push(Effect::StartTimer { after: PROGRESS_INTERVAL, alarm: Timer::HandoverProgress });
+    }
+}
--- a/relay/src/reducer/look.rs
+++ b/relay/src/reducer/look.rs
@@ -67,7 +67,7 @@
 
     pub(super) fn look(&mut self, out: &mut Vec<Effect>) {
         out.push(Effect::StartTimer { after: LOOK, alarm: Timer::LeaderReview });
-        if !self.place.has() {
+        if !self.ownership.is_owner() {
             return;
         }
         self.move_off(out);
@@ -88,7 +88,7 @@
     }
 
     fn say_serving(&mut self, out: &mut Vec<Effect>) {
-        let serving = self.serves();
+        let serving = self.is_serving();
         let left = self.left_on_shut();
         let zone = self.own_zone();
         let tallies = self.tallies();
@@ -177,7 +177,7 @@
                 (Thing::Relay(name.to_string()), place(name), condition(m.claim.state, m.claim.about.duty))
             })
             .collect();
-        let own = if self.serves() { Condition::Up } else { Condition::Down };
+        let own = if self.is_serving() { Condition::Up } else { Condition::Down };
         seen.push((Thing::Relay(a.own.to_string()), place(&a.own), own));
         seen
     }
@@ -204,7 +204,7 @@
             let Thing::Server(name) = thing else { continue };
             let listed = self.ids.get(name).and_then(|id| self.servers.get(id));
             // Guards a leader whose list is dark since its start: it forgets nobody.
-            let known = self.spoken.is_some();
+            let known = self.discovery_contacted.is_some();
             if known && listed.is_none_or(|v| v.told.phase == Phase::Gone) {
                 seen.push((thing.clone(), r.place.clone(), Condition::Gone));
             }
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -2,38 +2,43 @@
 //! decision module its inputs and turns its effects into reading, writing, dialling and timers, which tasks
 //! carry out. It reads no clock and no socket, and decides nothing that the module decides.
 mod agreed;
-mod duty;
+mod draining;
 mod events;
-mod evidence;
 mod figures;
 mod fleet;
-mod hearsay;
-mod keep;
+mod lifecycle;
+mod listener_ownership;
 mod look;
-mod place;
+mod operator_requests;
+mod peer_list;
+mod persistence;
 mod release;
+mod restart_detection;
 mod servers;
+mod session_handover;
 mod sessions;
 mod shut;
 mod watch;
 mod wish;
 
-pub use duty::Word;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
 pub use fleet::FleetFigures;
+pub use lifecycle::LifecycleStatus;
 pub use wish::Want;
 
-use duty::{Duty, Sign};
 use hallrelay_balancer::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::Node;
 use hallrelay_disruption::judge::Tally;
-use hallrelay_hot_restart::place::{self as handover, Peer, Place};
+use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, PeerId};
 use hallrelay_membership::Membership;
-use hallrelay_recovery::Stored;
+use hallrelay_recovery::StoredState;
 use hallrelay_store::writer::WriterHealth;
+use lifecycle::{Lifecycle, LifecycleEvent};
+use listener_ownership::Remaining;
+use restart_detection::ConnectFailureStreak;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -133,61 +138,65 @@
     aside: VecDeque<(SessId, bool)>,
     /// Connections that wait for a `PONG`.
     pings: Vec<SessId>,
-    duty: Duty,
-    /// Since when, and the how-manieth it is.
-    since: Micros,
-    round: u32,
-    /// Thousandths of a session that are to be moved still.
-    owed: usize,
+    lifecycle: Lifecycle,
+    /// When the drain or stop that is in force began.
+    lifecycle_since: Micros,
+    /// Counts drains and stops, so that timers of earlier ones are known.
+    migration_round: u32,
+    /// Thousandths of a session that the next batch moves in addition.
+    migration_credit: usize,
     figures: Figures,
-    place: Place,
+    ownership: ListenerOwnership,
     fleet: Option<Membership>,
-    /// What the store held, till the start has gone by it; how the store does.
-    stored: Option<Box<Stored>>,
-    store: Option<Box<WriterHealth>>,
+    /// What the store held, until the start has used it.
+    stored: Option<Box<StoredState>>,
+    /// How writing to the store goes; `None` until it was reported.
+    store_health: Option<Box<WriterHealth>>,
     /// What is agreed across the fleet; none where nothing is.
     agreed: Option<Box<agreed::Agreed>>,
     /// What was told of this relay's own sessions.
     tallied: Tally,
-    /// When discovery spoke last in this life, and before that; how often others told of the list before it did.
-    spoken: Option<Micros>,
-    spoken_before: Option<Micros>,
-    hearsay: u32,
-    /// One of those had heard it of discovery itself.
-    informed: bool,
-    /// Servers that discovery called gone, and which life of theirs.
-    gone: BTreeMap<String, Micros>,
-    spell: evidence::Spell,
-    /// What the process before this one holds still: connections, and sessions among them.
-    shared: (usize, u32),
-    /// Marks of sessions there.
-    their_marks: HashSet<u64>,
-    /// What the process after this one was told that is held here, in the same terms.
-    held: (u32, u32),
+    /// When discovery answered last since the start; `None` where it has not.
+    discovery_contacted: Option<Micros>,
+    /// When it answered the time before.
+    discovery_contacted_before: Option<Micros>,
+    /// Lists of other relays that came before discovery answered.
+    peer_lists_received: u32,
+    /// Whether discovery had answered one of those relays.
+    peer_knew_discovery: bool,
+    /// Servers that discovery removed, and when they had started.
+    removed_servers: BTreeMap<String, Micros>,
+    connect_failures: ConnectFailureStreak,
+    /// What the predecessor still has.
+    predecessor_remaining: Remaining,
+    /// The ids of the sessions there.
+    predecessor_session_ids: HashSet<u64>,
+    /// What the successor was last told that remains here.
+    reported_remaining: Remaining,
     asks: Vec<module::Effect>,
 }
 
 impl Reducer {
-    /// `before`: the process whose place this one is to take, where there is one.
-    pub fn new(node: Node, before: Option<Peer>) -> Reducer {
+    /// `predecessor`: the process that this one takes over from, where there is one.
+    pub fn new(node: Node, predecessor: Option<PeerId>) -> Reducer {
         Reducer {
-            place: Place::new(&node.name, &node.listen.to_string(), before),
-            shared: (0, 0),
-            their_marks: HashSet::new(),
-            held: (0, 0),
+            ownership: ListenerOwnership::new(&node.name, &node.listen.to_string(), predecessor),
+            predecessor_remaining: Remaining::default(),
+            predecessor_session_ids: HashSet::new(),
+            reported_remaining: Remaining::default(),
             module: Relay::new(node.site.facts.clone(), node.seed),
             figures: Figures::of(&node.site.listeners),
             fleet: None,
             stored: None,
-            store: None,
+            store_health: None,
             agreed: None,
             tallied: Tally::default(),
-            spoken: None,
-            spoken_before: None,
-            hearsay: 0,
-            informed: false,
-            gone: BTreeMap::new(),
-            spell: Default::default(),
+            discovery_contacted: None,
+            discovery_contacted_before: None,
+            peer_lists_received: 0,
+            peer_knew_discovery: false,
+            removed_servers: BTreeMap::new(),
+            connect_failures: ConnectFailureStreak::default(),
             node,
             now: 0,
             sessions: BTreeMap::new(),
@@ -199,10 +208,13 @@
             watch: Watch::default(),
             aside: VecDeque::new(),
             pings: Vec::new(),
-            duty: if before.is_some() { Duty::Waiting } else { Duty::default() },
-            since: 0,
-            round: 0,
-            owed: 0,
+            lifecycle: match predecessor {
+                Some(_) => Lifecycle::AwaitingTakeover,
+                None => Lifecycle::Serving,
+            },
+            lifecycle_since: 0,
+            migration_round: 0,
+            migration_credit: 0,
             asks: Vec::new(),
         }
     }
@@ -216,23 +228,23 @@
         let stored = self.stored.take();
         self.begin_to_agree(stored.as_deref(), out);
         self.begin_to_look(out);
-        let recovered = stored.map(|stored| self.recovered(now, &stored, out)).unwrap_or_default();
+        let recovered = stored.map(|stored| self.recover_state(now, &stored, out)).unwrap_or_default();
         let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
         self.generation = Some(known.generation);
-        let start = now.max(recovered.start);
+        let start = now.max(recovered.min_start_number);
         self.fleet = fleet::membership(&self.node, start);
         self.list(known, out);
-        self.remember_turns(&recovered, out);
-        if self.place.before().is_none() {
-            self.keep_own(start, out);
-            self.begin_to_ask(out);
+        self.restore_slow_start_slots(&recovered, out);
+        if self.ownership.awaited_predecessor().is_none() {
+            self.persist_identity(start, out);
+            self.start_polling_peers(out);
         }
         // Where the module counts on being told unasked, the watch that tells it is the program's own.
         if !self.node.site.facts.must_watch {
             self.ask_list(out);
         }
-        self.begin(out);
+        self.begin_ownership(out);
     }
 
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
@@ -243,7 +255,7 @@
             Event::ProtocolViolation { conn } => self.odd(conn, out),
             Event::Ping { conn } => {
                 self.pings.push(conn);
-                self.pong(out);
+                self.answer_pings(out);
             }
             Event::SessionRequested { sess, open, left } => self.opened(sess, open, left, out),
             Event::ClientDisconnected { sess } => {
@@ -281,17 +293,17 @@
                 self.reload(*node, out);
             }
             Event::ConfigurationRejected => self.figures.load_errors += 1,
-            Event::OperatorCall { call, what } => self.called(call, what, out),
+            Event::OperatorCall { call, what } => self.operator_call(call, what, out),
             Event::VoterWritesDurable { life, number } => self.vowed(life, number, out),
             Event::StoreReopened(stored) => self.begin_to_agree(Some(&stored), out),
             Event::SessionHandedOver { sess } => self.left(sess, out),
-            Event::SessionHandoverFailed { sess } => self.stays(sess),
-            Event::SessionAdopted { sess, session } => self.inherited(sess, *session, out),
-            Event::HotRestart(event) => self.placed(event, out),
+            Event::SessionHandoverFailed { sess } => self.session_handover_failed(sess),
+            Event::SessionAdopted { sess, session } => self.adopt_session(sess, *session, out),
+            Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.fleet(event, out),
-            Event::StoreHealth(health) => self.store = Some(health),
+            Event::StoreHealth(health) => self.store_health = Some(health),
             Event::Timer(alarm) => self.alarm(alarm, out),
-            Event::StopRequested => _ = self.turn(Sign::Stop, out),
+            Event::StopRequested => _ = self.apply_lifecycle_event(LifecycleEvent::Stop, out),
             // Of a dial or a session that is over.
             Event::SessionEstablished { .. }
             | Event::DialEnded { .. }
@@ -316,7 +328,7 @@
                 (s.stage, s.server, s.dials) = (Stage::Dial, Some(server), s.dials + 1);
                 let dial = s.dials - 1;
                 if let Some(addr) = self.servers.get(&server).map(|v| v.told.addr) {
-                    self.keep_turn(server, sess, out);
+                    self.persist_slow_start_slot(server, sess, out);
                     let begin = self.node.limits.connect.min(window.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial { sess, dial, server: Some(server), addr, wait, begin });
                 }
@@ -350,13 +362,15 @@
                     self.lapse(sess, out);
                 }
             }
-            Timer::MigrateBatch(round) if round == self.round => self.empty(out),
+            Timer::MigrateBatch(round) if round == self.migration_round => self.migrate_batch(out),
             Timer::MigrateBatch(_) => {}
-            Timer::HandoverOffer(peer) => self.placed(handover::Event::Due { peer }, out),
-            Timer::HandoverProgress => self.holding(out),
+            Timer::HandoverOffer(peer) => {
+                self.apply_ownership_event(OwnershipEvent::ReadyTimeout { peer }, out)
+            }
+            Timer::HandoverProgress => self.report_remaining(out),
             Timer::Membership => self.fleet_alarm(out),
             Timer::RequestEndpointList => self.ask_list(out),
-            Timer::PollPeers => self.recall(out),
+            Timer::PollPeers => self.poll_peers(out),
             Timer::Voter(alarm, round) => self.agreed_alarm(alarm, round, out),
             Timer::LeaderReview => self.look(out),
             Timer::PendingRequest(ops) => self.wish_again(ops, out),
--- /dev/null
+++ b/relay/src/reducer/operator_requests.rs
@@ -0,0 +1,50 @@
+//! Operators' requests: most are answered at once, those that need the replicated log once it has decided.
+use super::lifecycle::{Lifecycle, LifecycleAction, LifecycleEvent, LifecycleStatus};
+use super::{Effect, OperatorReply, OperatorRequest, Reducer};
+
+/// The answer to requests that need the replicated log, where there is none.
+const NO_VOTERS: &str = "fleet.voters is not configured here: backends drain by their list";
+
+impl Reducer {
+    pub(super) fn operator_call(&mut self, call: u32, what: OperatorRequest, out: &mut Vec<Effect>) {
+        let reply = match what {
+            // A relay that does not serve needs no lease to drain.
+            OperatorRequest::Drain(want)
+                if self.agrees() && (want.server.is_some() || self.lifecycle == Lifecycle::Serving) =>
+            {
+                return self.want(call, *want, out);
+            }
+            OperatorRequest::Propose { command, words } if self.agrees() => {
+                return self.say_agreed(call, *command, words, out);
+            }
+            OperatorRequest::Drain(want) if want.server.is_some() => {
+                OperatorReply::Blocked(NO_VOTERS.to_string())
+            }
+            OperatorRequest::Propose { .. } => OperatorReply::Blocked(NO_VOTERS.to_string()),
+            OperatorRequest::Leases => OperatorReply::Leases(self.grants_status()),
+            OperatorRequest::Rollout => OperatorReply::Leases(self.release_status()),
+            OperatorRequest::Membership => OperatorReply::Membership(self.fleet_status()),
+            OperatorRequest::Metrics => OperatorReply::Metrics(Box::new(self.figures())),
+            OperatorRequest::Readiness => self.readiness(),
+            OperatorRequest::Drain(_) => self.command(LifecycleEvent::Drain, out),
+            OperatorRequest::Activate => self.command(LifecycleEvent::Activate, out),
+        };
+        out.push(Effect::Reply { call, reply });
+    }
+
+    fn readiness(&self) -> OperatorReply {
+        match self.lifecycle_status() {
+            LifecycleStatus::Serving => OperatorReply::Accepted(LifecycleStatus::Serving),
+            status => OperatorReply::Unavailable(status),
+        }
+    }
+
+    fn command(&mut self, event: LifecycleEvent, out: &mut Vec<Effect>) -> OperatorReply {
+        let action = self.apply_lifecycle_event(event, out);
+        let status = self.lifecycle_status();
+        match action {
+            LifecycleAction::Reject => OperatorReply::Conflict(status),
+            _ => OperatorReply::Accepted(status),
+        }
+    }
+}
--- /dev/null
+++ b/relay/src/reducer/persistence.rs
@@ -0,0 +1,129 @@
+//! What a relay stores as it happens, and what a start takes over of it.
+use super::{note, Effect, Reducer, Server};
+use hallrelay_balancer::types::{Input, Memory, Micros, Phase, ServerId, SessId};
+use hallrelay_config::list::{Instance, List};
+use hallrelay_recovery::{recover, PhaseInput, Record, RecoverInput, Recovered, RecoveryPhase, StoredState};
+
+impl Reducer {
+    /// Hands over what the store held; before [`Reducer::start`].
+    pub fn load_state(&mut self, stored: StoredState) {
+        self.stored = Some(Box::new(stored));
+    }
+
+    fn persist(&mut self, record: Record, out: &mut Vec<Effect>) {
+        out.push(Effect::Persist { record, before: None });
+    }
+
+    /// What a start takes over of the stored state; the store is brought up to date with it.
+    pub(super) fn recover_state(
+        &mut self,
+        now: Micros,
+        stored: &StoredState,
+        out: &mut Vec<Effect>,
+    ) -> Recovered {
+        let mut recovered = recover(&RecoverInput {
+            now,
+            relay_name: &self.node.name,
+            discovery: &self.node.discovery.to_string(),
+            slow_start: self.node.site.facts.cold,
+            configured: &self.node.known,
+            stored,
+        });
+        for message in std::mem::take(&mut recovered.messages) {
+            note(message, out);
+        }
+        for record in std::mem::take(&mut recovered.obsolete) {
+            self.persist(Record::removed(record.kind, &record.name), out);
+        }
+        for server in std::mem::take(&mut recovered.removed) {
+            self.removed_servers.insert(server.name, server.started_at);
+        }
+        for instance in &recovered.unstored {
+            self.persist(Record::server(recovered.list.generation, now, instance), out);
+        }
+        recovered
+    }
+
+    /// Turns at servers in slow start that were used before the restart count as used.
+    pub(super) fn restore_slow_start_slots(&mut self, recovered: &Recovered, out: &mut Vec<Effect>) {
+        if recovered.slow_start_slots.is_empty() {
+            return;
+        }
+        let (step, memory) = self.module.memory(self.now);
+        // Of all other servers what the module begins with.
+        let mut servers: Vec<Memory> = memory.into_iter().map(|m| Memory { report: None, ..m }).collect();
+        for slot in &recovered.slow_start_slots {
+            let Some(server) = self.ids.get(&slot.server) else { continue };
+            if let Some(memory) = servers.iter_mut().find(|m| m.server == *server) {
+                memory.turn = (slot.age, 1.0);
+            }
+        }
+        self.tell(Input::Remember { step, servers }, out);
+    }
+
+    /// How far this relay's recovery is.
+    pub(super) fn recovery_phase(&self) -> RecoveryPhase {
+        let slow_start = self.node.site.facts.cold;
+        let ready = self.servers.values().filter(|v| v.told.phase == Phase::Ready);
+        let in_slow_start = |v: &&Server| v.is_cold(self.now, slow_start);
+        RecoveryPhase::of(&PhaseInput {
+            servers: ready.clone().count(),
+            servers_in_slow_start: ready.filter(in_slow_start).count(),
+            discovery_contacted: self.discovery_contacted.is_some(),
+            list_from_peer: self.peer_lists_received > 0,
+        })
+    }
+
+    /// This process is the relay from now on.
+    pub(super) fn persist_identity(&mut self, start_number: u64, out: &mut Vec<Effect>) {
+        if self.node.state.is_some() {
+            self.persist(Record::relay_identity(&self.node.name, start_number, self.now), out);
+        }
+    }
+
+    /// Stores what a list of discovery changes, before the list is applied: servers that differ from what is
+    /// known, and those that a complete list leaves out.
+    pub(super) fn persist_list(&mut self, list: &List, out: &mut Vec<Effect>) {
+        if self.node.state.is_none() {
+            return;
+        }
+        let changed = list.instances.iter().filter(|one| self.known_instance(&one.id) != Some(*one));
+        let removed = if list.whole { self.left_out_by(list) } else { Vec::new() };
+        let changed: Vec<Instance> = changed.cloned().chain(removed).collect();
+        for instance in &changed {
+            self.persist(Record::server(list.generation, self.now, instance), out);
+        }
+        let version = Record::list_version(&self.node.discovery.to_string(), list.generation);
+        self.persist(version, out);
+    }
+
+    fn known_instance(&self, id: &str) -> Option<&Instance> {
+        self.servers.get(self.ids.get(id)?).map(|v| &v.told)
+    }
+
+    /// Servers that a complete list no longer names, as removed ones.
+    fn left_out_by(&self, list: &List) -> Vec<Instance> {
+        let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
+        let known = self.servers.values().map(|v| &v.told);
+        let left_out = known.filter(|told| told.phase != Phase::Gone && !is_named(&told.id));
+        left_out.map(|told| Instance { phase: Phase::Gone, ..told.clone() }).collect()
+    }
+
+    /// Stores a turn at a server in slow start before the dial that uses it goes out, so that a relay that
+    /// crashes again and again keeps its rate.
+    pub(super) fn persist_slow_start_slot(&mut self, server: ServerId, sess: SessId, out: &mut Vec<Effect>) {
+        if self.node.state.is_none() {
+            return;
+        }
+        let Some(v) = self.servers.get(&server) else { return };
+        if !v.is_cold(self.now, self.node.site.facts.cold) {
+            return;
+        }
+        let (_, memory) = self.module.memory(self.now);
+        let was_used_now = memory.iter().any(|m| m.server == server && m.turn == (0, 1.0));
+        if was_used_now {
+            let record = Record::slow_start_slot(&v.told.id, self.now);
+            out.push(Effect::Persist { record, before: Some(sess) });
+        }
+    }
+}
--- /dev/null
+++ b/relay/src/reducer/restart_detection.rs
@@ -0,0 +1,91 @@
+//! Detects restarts of servers from their own answers while discovery says nothing: a server that accepted no
+//! connection and then answers has most likely restarted in between, and starts slowly.
+//!
+//! After a power loss nobody tells of restarts, and an old list calls every server warm. Where a network was
+//! merely interrupted, its servers are spared for one slow start, unless discovery tells otherwise.
+use super::Reducer;
+use hallrelay_balancer::types::{DialEnd, Input, ListKind, ServerId};
+
+/// Failed connects in a row after which a server that answers counts as restarted; one may be a lost packet.
+const MIN_FAILED_CONNECTS: u32 = 2;
+/// Failed connects in a row, at any servers and without an answer, after which all servers count as down. A
+/// relay with few sessions contacts each server too seldom to see each of them fail.
+const STREAK_CONNECTS: u32 = 6;
+/// Different servers that such a streak must cover.
+const STREAK_SERVERS: usize = 3;
+
+/// Failed connects since any server answered, and the servers they went to.
+#[derive(Default)]
+pub(super) struct ConnectFailureStreak {
+    failures: u32,
+    servers: [Option<ServerId>; STREAK_SERVERS],
+}
+
+impl ConnectFailureStreak {
+    /// Adds a failure. True once for a streak: as it becomes long enough.
+    fn add(&mut self, server: ServerId) -> bool {
+        let slot = self.servers.iter().position(|one| one.is_none_or(|one| one == server));
+        if let Some(slot) = slot {
+            self.servers[slot] = Some(server);
+        }
+        let was_complete = self.is_complete();
+        self.failures = self.failures.saturating_add(1);
+        self.is_complete() && !was_complete
+    }
+
+    fn is_complete(&self) -> bool {
+        self.failures >= STREAK_CONNECTS && self.servers.iter().all(Option::is_some)
+    }
+}
+
+/// Whether a contact proves that the server runs. Silence does not: the connection was made, and no answer
+/// came.
+fn is_answer(end: DialEnd) -> bool {
+    matches!(end, DialEnd::Ok | DialEnd::Full | DialEnd::Error | DialEnd::Recalled)
+}
+
+impl Reducer {
+    /// A dial or a health check of a server ended.
+    pub(super) fn observe_contact(
+        &mut self,
+        server: Option<ServerId>,
+        end: DialEnd,
+        out: &mut Vec<super::Effect>,
+    ) {
+        if self.node.state.is_none() && self.node.fleet.is_none() {
+            return;
+        }
+        let Some(server) = server.filter(|server| self.servers.contains_key(server)) else { return };
+        if end == DialEnd::Unconnected {
+            self.count_failed_connect(server);
+        } else if is_answer(end) {
+            self.connect_failures = ConnectFailureStreak::default();
+            self.server_answered(server, out);
+        }
+    }
+
+    fn count_failed_connect(&mut self, server: ServerId) {
+        if let Some(v) = self.servers.get_mut(&server) {
+            v.refused += 1;
+        }
+        if self.connect_failures.add(server) {
+            for v in self.servers.values_mut() {
+                v.refused = v.refused.max(MIN_FAILED_CONNECTS);
+            }
+        }
+    }
+
+    fn server_answered(&mut self, server: ServerId, out: &mut Vec<super::Effect>) {
+        // A watch that is open tells of restarts itself.
+        let is_discovery_unavailable = self.watch.before.is_none();
+        let Some(v) = self.servers.get_mut(&server) else { return };
+        let failed_connects = std::mem::take(&mut v.refused);
+        if failed_connects < MIN_FAILED_CONNECTS || !is_discovery_unavailable {
+            return;
+        }
+        let mut instance = v.told.clone();
+        instance.came_up = self.now;
+        let entry = self.entry(instance, ListKind::Changes);
+        self.tell(Input::List { kind: ListKind::Changes, entries: vec![entry] }, out);
+    }
+}
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -10,7 +10,7 @@
     pub(super) fn probed(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
         // One may be lost to a busy moment.
         const MISSES: u32 = 2;
-        self.meets(Some(server), end, out);
+        self.observe_contact(Some(server), end, out);
         let Some(v) = self.servers.get_mut(&server) else { return };
         v.probing = false;
         let missed = matches!(end, DialEnd::Timeout | DialEnd::Unconnected);
@@ -42,7 +42,7 @@
         self.tell_leaving(kind, &entries, out);
         self.tell(Input::List { kind, entries }, out);
         self.forget(out);
-        self.pong(out);
+        self.answer_pings(out);
     }
 
     /// Tells the tasks which servers are to be left from now on, before anything is decided by it.
@@ -104,7 +104,7 @@
             return v.started;
         }
         let ahead = came_up > self.now;
-        let before = self.spoken_before.filter(|_| kind == ListKind::Changes);
+        let before = self.discovery_contacted_before.filter(|_| kind == ListKind::Changes);
         let long_ago = before.is_some_and(|then| came_up.saturating_add(LATE) < then);
         if ahead || long_ago {
             self.now
--- /dev/null
+++ b/relay/src/reducer/session_handover.rs
@@ -0,0 +1,68 @@
+//! Open sessions that pass from one process of the relay to the next.
+use super::{Effect, Reducer, Sess, Stage};
+use hallrelay_balancer::types::{Asked, Input, SessId};
+use hallrelay_hot_restart::SessionState;
+
+impl Reducer {
+    /// Hands an open session over to the process that owns the listener. In a drain it is moved to another
+    /// relay instead.
+    pub(super) fn hand_over_session(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+        let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
+            return;
+        };
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Pass) else { return };
+        let Some(told) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.told) else { return };
+        let session = SessionState {
+            id: s.id,
+            listener: s.listener.to_string(),
+            server: told.id.clone(),
+            key: s.asked.key,
+            group: s.asked.group,
+            returned: s.asked.returned,
+            ..SessionState::default()
+        };
+        s.stage = Stage::Passing;
+        out.push(Effect::HandOverSession { sess, peer, session: Box::new(session) });
+    }
+
+    /// The other process could not take it: it stays here, and moves as this process drains.
+    pub(super) fn session_handover_failed(&mut self, sess: SessId) {
+        if let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Passing) {
+            s.stage = Stage::Pass;
+        }
+    }
+
+    /// An open session of the predecessor, in the middle of its life.
+    pub(super) fn adopt_session(&mut self, sess: SessId, session: SessionState, out: &mut Vec<Effect>) {
+        let listeners = &self.node.site.listeners;
+        // This process' configuration may no longer have its listener; an open session needs none.
+        let listener = listeners.iter().position(|name| *name == session.listener).unwrap_or(0);
+        let SessionState { key, group, returned, .. } = session;
+        let asked = Asked { listener, key, group, returned, left: 0 };
+        let server = self.ids.get(&session.server).copied();
+        let adopted = Sess {
+            id: session.id,
+            listener: session.listener.as_str().into(),
+            asked,
+            stage: Stage::Pass,
+            server,
+            dials: 1,
+            due: self.now,
+            told: None,
+            standing: false,
+        };
+        self.predecessor_session_ids.remove(&session.id);
+        self.marks.insert(session.id);
+        self.sessions.insert(sess, adopted);
+        let remaining = &mut self.predecessor_remaining;
+        remaining.connections = remaining.connections.saturating_sub(1);
+        remaining.sessions = remaining.sessions.saturating_sub(1);
+        out.push(Effect::StartProxying { sess });
+        // At a server that the list no longer names the session goes on, and the module need not know.
+        if let Some(server) = server {
+            self.tell(Input::AlreadyOpen { sess, server, asked }, out);
+        }
+        // This process may have a successor by now.
+        self.hand_over_session(sess, out);
+    }
+}
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -29,7 +29,9 @@
     /// left, the oldest connection that has said nothing gives up its own; then who has paused longest.
     pub(super) fn came(&mut self, conn: SessId, out: &mut Vec<Effect>) {
         self.aside.push_back((conn, false));
-        if self.shared.0 + self.sessions.len() + self.aside.len() > self.node.limits.clients {
+        if self.predecessor_remaining.connections as usize + self.sessions.len() + self.aside.len()
+            > self.node.limits.clients
+        {
             let at = self.aside.iter().position(|one| !one.1 && one.0 != conn).unwrap_or(0);
             out.extend(self.aside.remove(at).map(|(conn, _)| Effect::ShedConnection { conn }));
         }
@@ -81,7 +83,7 @@
         // Guards the open session whose mark another client sends, and times that no client would wait.
         // (A connection that stood before may name a time of its own, which counts for nothing here.)
         let timely = open.at.is_some() || left <= self.node.limits.wait;
-        let marked = self.marks.contains(&open.id) || self.their_marks.contains(&open.id);
+        let marked = self.marks.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
         let fit = timely && !marked;
         let Some(listener) = listener.filter(|_| fit) else { return self.odd(sess, out) };
         self.aside.retain(|one| one.0 != sess);
@@ -112,10 +114,10 @@
         self.figures.of_listener(&s.listener).taken += 1;
         self.marks.insert(s.id);
         self.sessions.insert(sess, s);
-        // The descriptors that the process before this one holds are this one's too.
-        let full =
-            self.shared.1 > 0 && self.sessions.len() as u32 + self.shared.1 > self.node.limits.sessions;
-        if full || !self.takes() || self.leaves() {
+        // The limit is on both processes of the relay together.
+        let remaining = self.predecessor_remaining.sessions;
+        let full = remaining > 0 && self.sessions.len() as u32 + remaining > self.node.limits.sessions;
+        if full || !self.accepts_sessions() || self.is_past_stop_deadline() {
             return self.answer(sess, Effect::Reject { sess, retry_after: 0 }, out);
         }
         out.push(Effect::StartTimer { after: left, alarm: Timer::AnswerDeadline(sess) });
@@ -179,7 +181,7 @@
         };
         s.stage = Stage::Pass;
         let server = s.server;
-        self.meets(server, DialEnd::Ok, out);
+        self.observe_contact(server, DialEnd::Ok, out);
         self.counts(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         self.figures.of_listener(&s.listener).passed += 1;
@@ -192,7 +194,7 @@
             }
             _ => self.tell(Input::Stands { sess, dial }, out),
         }
-        self.pass_on(sess, out);
+        self.hand_over_session(sess, out);
     }
 
     pub(super) fn dial_ended(
@@ -216,7 +218,7 @@
             self.figures.of_listener(&s.listener).passed += 1;
             self.over(sess);
         }
-        self.meets(server, end, out);
+        self.observe_contact(server, end, out);
         self.counts(server, end);
         self.tell(Input::DialEnded { sess, dial, end, settled, report }, out);
     }
--- a/relay/src/reducer/shut.rs
+++ b/relay/src/reducer/shut.rs
@@ -5,7 +5,7 @@
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::{Stage as Out, Thing};
 use hallrelay_raft::Index;
-use hallrelay_recovery::Kept;
+use hallrelay_recovery::Record;
 use std::collections::BTreeSet;
 
 impl Reducer {
@@ -24,9 +24,9 @@
         }
         let changed: Vec<String> = a.shut.1.symmetric_difference(&servers).cloned().collect();
         a.shut = (index, servers);
-        let kept = Kept::shut(a.shut.0, &a.shut.1);
+        let record = Record::exclusions(a.shut.0, &a.shut.1);
         if self.node.state.is_some() {
-            out.push(Effect::Persist { kept, before: None });
+            out.push(Effect::Persist { record, before: None });
         }
         note(format!("by what is agreed {} backends are out", self.shut_now().len()), out);
         let told = changed.iter().filter_map(|name| self.servers.get(self.ids.get(name)?));
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -29,10 +29,10 @@
         } else if w.before != Some(watch) {
             return;
         }
-        self.spoken_before = self.spoken.replace(self.now);
-        self.remember_gone(&list);
-        self.keep_list(&list, out);
-        self.tell_successor(&list, out);
+        self.discovery_contacted_before = self.discovery_contacted.replace(self.now);
+        self.remember_removed_servers(&list);
+        self.persist_list(&list, out);
+        self.send_list_to_successor(&list, out);
         self.list(list, out);
     }
 
@@ -73,7 +73,7 @@
         }
         // Guards a stop that is under way: whoever will end this process counts from what held as it was told
         // to stop.
-        if self.stops() {
+        if self.is_stopping() {
             self.node.limits.stop_no_later(&before);
         }
         self.node.digest = node.digest;
--- a/relay/src/reducer/wish.rs
+++ b/relay/src/reducer/wish.rs
@@ -1,6 +1,6 @@
 //! What operators ask of what is agreed: to be out, to be back, to be freed. A wish is asked of the leader
 //! till it is answered or its time is up; what it grants is begun only once the beginning is agreed.
-use super::duty::Sign;
+use super::lifecycle::{LifecycleEvent, LifecycleStatus};
 use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::talk::{Talk, Told};
 use hallrelay_balancer::types::Micros;
@@ -182,8 +182,8 @@
     fn begins(&mut self, thing: &Thing, out: &mut Vec<Effect>) -> OperatorReply {
         match thing {
             Thing::Relay(_) => {
-                self.turn(Sign::Drain, out);
-                OperatorReply::Accepted("draining")
+                self.apply_lifecycle_event(LifecycleEvent::Drain, out);
+                OperatorReply::Accepted(LifecycleStatus::Draining)
             }
             Thing::Server(name) => OperatorReply::Committed(format!("backend {name} drains")),
         }
--- a/relay/src/store_command.rs
+++ b/relay/src/store_command.rs
@@ -1,5 +1,5 @@
 //! The command `hallrelay store`: looks at a relay's state directory, and compacts its log.
-use hallrelay_recovery::Fact;
+use hallrelay_recovery::RecordKind;
 use hallrelay_store::format::{inspect, Inspection};
 use hallrelay_store::log::LOG_FILE;
 use hallrelay_store::{Change, Directory, Key, Store, StoreError, Value};
@@ -82,7 +82,7 @@
 
 /// The name of a kind of records in the output.
 fn kind_label(kind: u8) -> String {
-    Fact::of(kind).map_or(format!("kind {kind}"), |kind| kind.word().to_string())
+    RecordKind::from_number(kind).map_or(format!("kind {kind}"), |kind| kind.label().to_string())
 }
 
 /// How much of one kind a store holds.
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -4,7 +4,7 @@
 use hallrelay_config::node::{self, Node, Told as Given};
 use hallrelay_disruption::{Command, Fault, Judge, Kind, Outcome, Plan, Thing, Wave};
 use hallrelay_raft::{Entry, Post, Say, Snapshot, Voter, What};
-use hallrelay_recovery::Stored;
+use hallrelay_recovery::StoredState;
 use hallrelay_relay::lines::Open;
 use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer, Want};
 use hallrelay_relay::talk::{Talk, Told};
@@ -163,7 +163,7 @@
         let (alarms, told) = (BTreeMap::new(), String::new());
         let mut host = Host { reducer, now, alarms, asked: 0, calls: 0, sessions: 0, told };
         let mut out = Vec::new();
-        host.reducer.remember(Stored::default());
+        host.reducer.load_state(StoredState::default());
         host.reducer.start(now, &mut out);
         host.carry(out);
         host
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -27,8 +27,7 @@
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::node::{self, Node, Told};
 use hallrelay_hot_restart::message::VERSION;
-use hallrelay_hot_restart::place::Event as Place;
-use hallrelay_hot_restart::{Message, Session, State};
+use hallrelay_hot_restart::{Message, OwnershipEvent, RelayState, SessionState};
 use hallrelay_relay::lines;
 use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer};
 use serde_json::{json, Value};
@@ -160,14 +159,14 @@
             "stays" => Event::SessionHandoverFailed { sess: sess()? },
             "inherits" => {
                 let (listener, server) = (at(2)?.to_string(), at(3)?.to_string());
-                let mark = u64::from(sess()?);
-                let session = Session { mark, listener, server, ..Session::default() };
+                let id = u64::from(sess()?);
+                let session = SessionState { id, listener, server, ..SessionState::default() };
                 Event::SessionAdopted { sess: sess()?, session: Box::new(session) }
             }
             "peer" => {
                 let peer = num(at(1)?)?;
                 let message = match at(2)? {
-                    "left" => return Ok(vec![Event::HotRestart(Place::Left { peer })]),
+                    "left" => return Ok(vec![Event::HotRestart(OwnershipEvent::Disconnected { peer })]),
                     "hello" => Message::Hello {
                         version: VERSION,
                         name: "n1".to_string(),
@@ -175,15 +174,15 @@
                     },
                     "ready" => Message::Ready {},
                     "yours" => {
-                        let draining = option(words, "draining").map(millis).transpose()?;
-                        let open = Vec::from_iter(option(words, "mark").map(num).transpose()?);
-                        let connections = open.len() as u32;
-                        Message::Yours(Box::new(State {
-                            step: 0.02,
-                            draining,
-                            open,
+                        let draining_age = option(words, "draining").map(millis).transpose()?;
+                        let session_ids = Vec::from_iter(option(words, "mark").map(num).transpose()?);
+                        let connections = session_ids.len() as u32;
+                        Message::TakeOver(Box::new(RelayState {
+                            session_load: 0.02,
+                            draining_age,
+                            session_ids,
                             connections,
-                            ..State::default()
+                            ..RelayState::default()
                         }))
                     }
                     "listed" => {
@@ -193,13 +192,13 @@
                         });
                         let instances: Vec<Value> = instances.collect();
                         let generation = num::<u64>(at(3)?)?;
-                        Message::Listed {
+                        Message::EndpointList {
                             list: json!({"generation": generation, "reset": false, "instances": instances}),
                         }
                     }
                     other => return Err(format!("unknown message '{other}'")),
                 };
-                Event::HotRestart(Place::Said { peer, message })
+                Event::HotRestart(OwnershipEvent::Received { peer, message })
             }
             "written" => Event::FirstLineForwarded,
             "call" => Event::OperatorCall { call: num(at(1)?)?, what: call(at(2)?)? },
@@ -402,23 +401,27 @@
             Effect::SetAccepting { on } => if *on { "accept" } else { "leave the door" }.to_string(),
             Effect::SetTakeoverListener { .. } => "alarm".to_string(),
             Effect::SendToProcess { peer, message } => match message {
-                Message::No { why } => format!("tell {peer} no, {why}"),
-                Message::Yours(state) => {
+                Message::Rejected { reason } => format!("tell {peer} no, {reason}"),
+                Message::TakeOver(state) => {
                     format!(
                         "tell {peer} yours, with {} open and {} servers",
-                        state.open.len(),
+                        state.session_ids.len(),
                         state.servers.len()
                     )
                 }
-                Message::Holds { connections, sessions } => format!("tell {peer} {connections} {sessions}"),
-                Message::Listed { list } => format!("tell {peer} the list of version {}", list["generation"]),
+                Message::Remaining { connections, sessions } => {
+                    format!("tell {peer} {connections} {sessions}")
+                }
+                Message::EndpointList { list } => {
+                    format!("tell {peer} the list of version {}", list["generation"])
+                }
                 Message::Session(_) | Message::Hello { .. } => format!("tell {peer} what is not asked for"),
                 Message::Offer { .. } => format!("tell {peer} offer"),
                 Message::Ready {} => format!("tell {peer} ready"),
             },
             Effect::HandOverSession { sess, peer, .. } => format!("pass {sess} on to {peer}"),
             Effect::DisconnectProcess { peer } => format!("part from {peer}"),
-            Effect::Persist { kept, .. } => format!("keep {} {}", kept.fact.word(), kept.name),
+            Effect::Persist { record, .. } => format!("keep {} {}", record.kind.label(), record.name),
             Effect::PersistVoterWrites { number, .. } => format!("vow {number}"),
             Effect::SetStoreOwnership { .. } => "alarm".to_string(),
             Effect::Membership(effect) => format!("to the fleet {effect:?}"),
