--- a/recovery/src/stored.rs
+++ b/recovery/src/stored.rs
@@ -43,7 +43,7 @@
     /// The incarnation of a voter's disk; `None` where the relay was no voter.
     pub incarnation: Option<u64>,
     /// A voter's term, vote, snapshot and log entries.
-    pub raft: hallrelay_raft::Stored,
+    pub raft: hallrelay_raft::PersistentState,
     /// Backends that were excluded.
     pub exclusions: Exclusions,
     /// The latest time at which anything was written, by the system's clock.
@@ -86,7 +86,7 @@
                 let content: VoteContent = postcard::from_bytes(bytes).ok()?;
                 self.incarnation = Some(content.incarnation);
                 self.raft.term = content.term;
-                self.raft.vote = content.vote;
+                self.raft.voted_for = content.vote;
             }
             RecordKind::LogEntry => self.add_log_entry(postcard::from_bytes(bytes).ok()?),
             RecordKind::Snapshot => self.raft.snapshot = postcard::from_bytes(bytes).ok()?,
