--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -90,7 +90,7 @@
         self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
         // One process speaks for the relay: this one falls silent before the other can begin.
         self.fleet(Fleet::Yield, out);
-        self.cease_to_agree();
+        self.stop_voter();
         out.push(Effect::SetStoreOwnership { on: false });
         out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
         let open: Vec<SessId> = self.sessions.keys().copied().collect();
@@ -117,10 +117,10 @@
             session_ids: self.sessions.values().map(|s| s.id).collect(),
             connections: (self.sessions.len() + self.aside.len()) as u32,
             membership: self.fleet.as_ref().map(Membership::estate),
-            exclusions: self
-                .agreed
-                .as_ref()
-                .map(|a| ExclusionList { log_index: a.shut.0, backends: a.shut.1.iter().cloned().collect() }),
+            exclusions: self.coordination.as_ref().map(|coordination| ExclusionList {
+                log_index: coordination.excluded.index,
+                backends: coordination.excluded.ids.iter().cloned().collect(),
+            }),
         }
     }
 
@@ -156,7 +156,7 @@
             fleet.inherit(self.now, known);
         }
         if let Some(exclusions) = state.exclusions {
-            self.shut(exclusions.log_index, exclusions.backends.into_iter().collect(), out);
+            self.exclude_backends(exclusions.log_index, exclusions.backends.into_iter().collect(), out);
         }
         self.predecessor_session_ids = state.session_ids.into_iter().collect();
         match state.draining_age {
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,37 +1,42 @@
 //! The one place where the relay's state changes: `step` takes an event and appends effects. It hands the
 //! decision module its inputs and turns its effects into reading, writing, dialling and timers, which tasks
 //! carry out. It reads no clock and no socket, and decides nothing that the module decides.
-mod agreed;
+mod control;
+mod coordination;
+mod disruption_status;
+mod drain_requests;
 mod draining;
 mod events;
+mod excluded_backends;
 mod figures;
 mod fleet;
+mod leader_review;
 mod lifecycle;
 mod listener_ownership;
-mod look;
 mod operator_requests;
+mod outcome_counts;
 mod peer_list;
 mod persistence;
-mod release;
 mod restart_detection;
+mod rollout;
 mod servers;
 mod session_handover;
 mod sessions;
-mod shut;
+mod voter;
+mod voter_host;
 mod watch;
-mod wish;
 
+pub use drain_requests::DrainRequest;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
 pub use fleet::FleetFigures;
 pub use lifecycle::LifecycleStatus;
-pub use wish::Want;
 
 use hallrelay_balancer::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::Node;
-use hallrelay_disruption::judge::Tally;
+use hallrelay_disruption::SessionCounts;
 use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, PeerId};
 use hallrelay_membership::Membership;
 use hallrelay_recovery::StoredState;
@@ -91,8 +96,8 @@
     /// Connections in a row that were not made.
     refused: u32,
     delay: Delay,
-    /// Sessions that came to an answer there since that was told.
-    tally: Tally,
+    /// Of sessions that came to an answer there since the last report.
+    session_counts: SessionCounts,
 }
 
 impl Server {
@@ -152,10 +157,10 @@
     stored: Option<Box<StoredState>>,
     /// How writing to the store goes; `None` until it was reported.
     store_health: Option<Box<WriterHealth>>,
-    /// What is agreed across the fleet; none where nothing is.
-    agreed: Option<Box<agreed::Agreed>>,
-    /// What was told of this relay's own sessions.
-    tallied: Tally,
+    /// Disruptions coordinated across the fleet; none where no voters are configured.
+    coordination: Option<Box<coordination::Coordination>>,
+    /// This relay's own sessions as of its last report.
+    reported_counts: SessionCounts,
     /// When discovery answered last since the start; `None` where it has not.
     discovery_contacted: Option<Micros>,
     /// When it answered the time before.
@@ -189,8 +194,8 @@
             fleet: None,
             stored: None,
             store_health: None,
-            agreed: None,
-            tallied: Tally::default(),
+            coordination: None,
+            reported_counts: SessionCounts::default(),
             discovery_contacted: None,
             discovery_contacted_before: None,
             peer_lists_received: 0,
@@ -222,12 +227,10 @@
     /// Begins with the list as this relay last had it.
     pub fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
-        let voters = self.node.fleet.as_ref().and_then(|fleet| fleet.voters.as_ref());
-        let agreed = voters.map(|told| agreed::Agreed::new(&self.node.name, told, self.node.seed, now));
-        self.agreed = agreed.map(Box::new);
+        self.coordination = self.configured_coordination();
         let stored = self.stored.take();
-        self.begin_to_agree(stored.as_deref(), out);
-        self.begin_to_look(out);
+        self.start_voter(stored.as_deref(), out);
+        self.start_review(out);
         let recovered = stored.map(|stored| self.recover_state(now, &stored, out)).unwrap_or_default();
         let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
@@ -276,7 +279,7 @@
                 let Some(s) = self.over(sess) else { return };
                 let dial = s.dials.saturating_sub(1);
                 if end == DialEnd::Reset {
-                    self.counts(s.server, end);
+                    self.count_outcome(s.server, end);
                 }
                 self.tell(Input::DialEnded { sess, dial, end, settled: true, report }, out);
             }
@@ -294,8 +297,8 @@
             }
             Event::ConfigurationRejected => self.figures.load_errors += 1,
             Event::OperatorCall { call, what } => self.operator_call(call, what, out),
-            Event::VoterWritesDurable { life, number } => self.vowed(life, number, out),
-            Event::StoreReopened(stored) => self.begin_to_agree(Some(&stored), out),
+            Event::VoterWritesDurable { life, number } => self.raft_written(life, number, out),
+            Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
             Event::SessionHandedOver { sess } => self.left(sess, out),
             Event::SessionHandoverFailed { sess } => self.session_handover_failed(sess),
             Event::SessionAdopted { sess, session } => self.adopt_session(sess, *session, out),
@@ -371,9 +374,9 @@
             Timer::Membership => self.fleet_alarm(out),
             Timer::RequestEndpointList => self.ask_list(out),
             Timer::PollPeers => self.poll_peers(out),
-            Timer::Voter(alarm, round) => self.agreed_alarm(alarm, round, out),
-            Timer::LeaderReview => self.look(out),
-            Timer::PendingRequest(ops) => self.wish_again(ops, out),
+            Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
+            Timer::LeaderReview => self.review(out),
+            Timer::PendingRequest(ops) => self.retry_request(ops, out),
         }
     }
 }
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -9,20 +9,21 @@
     pub(super) fn operator_call(&mut self, call: u32, what: OperatorRequest, out: &mut Vec<Effect>) {
         let reply = match what {
             // A relay that does not serve needs no lease to drain.
-            OperatorRequest::Drain(want)
-                if self.agrees() && (want.server.is_some() || self.lifecycle == Lifecycle::Serving) =>
+            OperatorRequest::Drain(drain)
+                if self.is_coordinated()
+                    && (drain.backend.is_some() || self.lifecycle == Lifecycle::Serving) =>
             {
-                return self.want(call, *want, out);
+                return self.request_drain(call, *drain, out);
             }
-            OperatorRequest::Propose { command, words } if self.agrees() => {
-                return self.say_agreed(call, *command, words, out);
+            OperatorRequest::Propose { command, words } if self.is_coordinated() => {
+                return self.request_commit(call, *command, words, out);
             }
-            OperatorRequest::Drain(want) if want.server.is_some() => {
+            OperatorRequest::Drain(drain) if drain.backend.is_some() => {
                 OperatorReply::Blocked(NO_VOTERS.to_string())
             }
             OperatorRequest::Propose { .. } => OperatorReply::Blocked(NO_VOTERS.to_string()),
-            OperatorRequest::Leases => OperatorReply::Leases(self.grants_status()),
-            OperatorRequest::Rollout => OperatorReply::Leases(self.release_status()),
+            OperatorRequest::Leases => OperatorReply::Leases(self.grants_answer()),
+            OperatorRequest::Rollout => OperatorReply::Leases(self.release_answer()),
             OperatorRequest::Membership => OperatorReply::Membership(self.fleet_status()),
             OperatorRequest::Metrics => OperatorReply::Metrics(Box::new(self.figures())),
             OperatorRequest::Readiness => self.readiness(),
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -182,7 +182,7 @@
         s.stage = Stage::Pass;
         let server = s.server;
         self.observe_contact(server, DialEnd::Ok, out);
-        self.counts(server, DialEnd::Ok);
+        self.count_outcome(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         self.figures.of_listener(&s.listener).passed += 1;
         out.push(Effect::StartProxying { sess });
@@ -219,7 +219,7 @@
             self.over(sess);
         }
         self.observe_contact(server, end, out);
-        self.counts(server, end);
+        self.count_outcome(server, end);
         self.tell(Input::DialEnded { sess, dial, end, settled, report }, out);
     }
 
