--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -2,9 +2,9 @@
 //! owner alone. A message is a line of JSON; the listening socket goes along with the offer, and a session's
 //! sockets with the session.
 use super::peers::{Out, Sockets};
-use super::{accept, pass, Hub};
+use super::{accept, proxy, Hub};
 use crate::clock::span;
-use crate::lines::plain;
+use crate::lines::sanitize;
 use crate::reducer::Event;
 use crate::socket::uninterrupted;
 use hallrelay_config::node::Node;
@@ -82,7 +82,7 @@
 pub fn socket_path(node: &Node) -> Result<PathBuf, PathError> {
     let directory =
         std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).ok_or(PathError::NoDirectory)?;
-    let path = Path::new(&directory).join(format!("hallrelay-{:.64}.sock", plain(&node.name)));
+    let path = Path::new(&directory).join(format!("hallrelay-{:.64}.sock", sanitize(&node.name)));
     if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
         return Err(PathError::TooLong);
     }
@@ -227,7 +227,7 @@
             // A passing failure: the socket stays for whoever connects next.
             Err(e) => {
                 slog::warn!(hub.log, "a process that wants to take over was not accepted"; "error" => %e);
-                tokio::time::sleep(accept::REST).await;
+                tokio::time::sleep(accept::ACCEPT_BACKOFF).await;
                 continue;
             }
         };
@@ -369,7 +369,7 @@
 fn adopt(session: Box<SessionState>, sockets: Sockets, hub: Hub) {
     tokio::task::spawn_local(async move {
         let (conn, commands) = hub.register();
-        pass::resume(conn, session, sockets, commands, &hub).await;
+        proxy::resume(conn, session, sockets, commands, &hub).await;
         hub.conns.borrow_mut().remove(&conn);
         hub.tell(Event::ClientDisconnected { sess: conn }).await;
     });
--- a/relay/src/reducer/coordination.rs
+++ b/relay/src/reducer/coordination.rs
@@ -1,12 +1,13 @@
-//! What a relay holds of the fleet's coordination: the replicated state and the voter behind it, who leads, requests
-//! of operators that wait, reports of other relays, and the backends excluded. Times in microseconds.
+//! What a relay holds of the fleet's coordination: the replicated state and the voter behind it, who leads,
+//! requests of operators that wait, reports of other relays, and the backends excluded. Times in
+//! microseconds.
 use super::drain_requests::PendingRequest;
 use super::outcome_counts::OutcomeCounts;
 use super::servers::server_id;
 use super::voter::RaftVoter;
 use crate::control_message::RemainingSessions;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::fleet::Voters;
+use hallrelay_config::coordination::CoordinationConfig;
 use hallrelay_disruption::{FailureDomain, LeaseState, State, Target};
 use hallrelay_raft::{Id, Index};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +38,7 @@
 pub(super) struct Coordination {
     pub own_name: Rc<str>,
     /// As configured.
-    pub config: Voters,
+    pub config: CoordinationConfig,
     pub voter_names: BTreeMap<Id, Rc<str>>,
     pub voter: RaftVoter,
     pub state: State,
@@ -60,12 +61,12 @@
 }
 
 impl Coordination {
-    pub fn new(own_name: &str, config: &Voters, seed: u64, now: Micros) -> Coordination {
+    pub fn new(own_name: &str, config: &CoordinationConfig, seed: u64, now: Micros) -> Coordination {
         let voter_name = |name: &String| (server_id(name), Rc::from(name.as_str()));
         Coordination {
             own_name: own_name.into(),
             config: config.clone(),
-            voter_names: config.names.iter().map(voter_name).collect(),
+            voter_names: config.voters.iter().map(voter_name).collect(),
             voter: RaftVoter::new(seed, now),
             state: State::default(),
             applied_index: 0,
@@ -75,7 +76,7 @@
             // Above all request ids of earlier processes of this relay.
             last_request_id: now,
             excluded: ExcludedBackends::default(),
-            moves_per_s: config.moves,
+            moves_per_s: config.moves_per_s,
             owed_moves_milli: 0,
             reports: BTreeMap::new(),
             outcome_counts: OutcomeCounts::default(),
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -218,7 +218,7 @@
             LifecycleAction::Confirm | LifecycleAction::Reject => {}
         }
         if from != to {
-            self.tell_fleet(out);
+            self.refresh_metadata(out);
         }
         action
     }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -9,8 +9,7 @@
     ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, PeerId, RelayState, ServerState,
     SlowStartTurn,
 };
-use hallrelay_membership::membership::Event as Fleet;
-use hallrelay_membership::Membership;
+use hallrelay_membership::{Event as MembershipEvent, Membership};
 
 /// Connections and sessions that one process of the relay still has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,8 +31,8 @@
             None => {
                 out.push(Effect::SetAccepting { on: true });
                 out.push(Effect::SetTakeoverListener { open: true });
-                self.tell_fleet(out);
-                self.fleet(Fleet::Begin, out);
+                self.refresh_metadata(out);
+                self.step_membership(MembershipEvent::Activate, out);
             }
         }
     }
@@ -77,7 +76,7 @@
     /// The store and the relay's membership are this process' from now on.
     fn begin_to_speak_for_relay(&mut self, out: &mut Vec<Effect>) {
         out.push(Effect::SetStoreOwnership { on: true });
-        self.fleet(Fleet::Begin, out);
+        self.step_membership(MembershipEvent::Activate, out);
     }
 
     /// In one step: from here on the successor accepts connections, and knows what this process knew.
@@ -89,7 +88,7 @@
         out.push(Effect::SetTakeoverListener { open: false });
         self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
         // One process speaks for the relay: this one falls silent before the other can begin.
-        self.fleet(Fleet::Yield, out);
+        self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { on: false });
         out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
@@ -116,7 +115,7 @@
             draining_age: self.draining_since().map(|since| self.now - since),
             session_ids: self.sessions.values().map(|s| s.id).collect(),
             connections: (self.sessions.len() + self.aside.len()) as u32,
-            membership: self.fleet.as_ref().map(Membership::estate),
+            membership: self.membership.as_ref().map(Membership::snapshot),
             exclusions: self.coordination.as_ref().map(|coordination| ExclusionList {
                 log_index: coordination.excluded.index,
                 backends: coordination.excluded.ids.iter().cloned().collect(),
@@ -152,8 +151,8 @@
         }
         let servers = state.servers.into_iter().filter_map(|server| self.server_memory(server)).collect();
         self.tell(Input::Remember { step: state.session_load, servers }, out);
-        if let (Some(fleet), Some(known)) = (&mut self.fleet, &state.membership) {
-            fleet.inherit(self.now, known);
+        if let (Some(membership), Some(snapshot)) = (&mut self.membership, &state.membership) {
+            membership.restore(self.now, snapshot);
         }
         if let Some(exclusions) = state.exclusions {
             self.exclude_backends(exclusions.log_index, exclusions.backends.into_iter().collect(), out);
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -9,10 +9,10 @@
 mod events;
 mod excluded_backends;
 mod figures;
-mod fleet;
 mod leader_review;
 mod lifecycle;
 mod listener_ownership;
+mod membership;
 mod operator_requests;
 mod outcome_counts;
 mod peer_list;
@@ -29,8 +29,8 @@
 pub use drain_requests::DrainRequest;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
-pub use fleet::FleetFigures;
 pub use lifecycle::LifecycleStatus;
+pub use membership::MembershipMetrics;
 
 use hallrelay_balancer::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
@@ -152,7 +152,7 @@
     migration_credit: usize,
     figures: Figures,
     ownership: ListenerOwnership,
-    fleet: Option<Membership>,
+    membership: Option<Membership>,
     /// What the store held, until the start has used it.
     stored: Option<Box<StoredState>>,
     /// How writing to the store goes; `None` until it was reported.
@@ -191,7 +191,7 @@
             reported_remaining: Remaining::default(),
             module: Relay::new(node.site.facts.clone(), node.seed),
             figures: Figures::of(&node.site.listeners),
-            fleet: None,
+            membership: None,
             stored: None,
             store_health: None,
             coordination: None,
@@ -236,7 +236,7 @@
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
         self.generation = Some(known.generation);
         let start = now.max(recovered.min_start_number);
-        self.fleet = fleet::membership(&self.node, start);
+        self.membership = membership::new_membership(&self.node, start);
         self.list(known, out);
         self.restore_slow_start_slots(&recovered, out);
         if self.ownership.awaited_predecessor().is_none() {
@@ -303,7 +303,7 @@
             Event::SessionHandoverFailed { sess } => self.session_handover_failed(sess),
             Event::SessionAdopted { sess, session } => self.adopt_session(sess, *session, out),
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
-            Event::Membership(event) => self.fleet(event, out),
+            Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
             Event::Timer(alarm) => self.alarm(alarm, out),
             Event::StopRequested => _ = self.apply_lifecycle_event(LifecycleEvent::Stop, out),
@@ -371,7 +371,7 @@
                 self.apply_ownership_event(OwnershipEvent::ReadyTimeout { peer }, out)
             }
             Timer::HandoverProgress => self.report_remaining(out),
-            Timer::Membership => self.fleet_alarm(out),
+            Timer::Membership => self.membership_timer_expired(out),
             Timer::RequestEndpointList => self.ask_list(out),
             Timer::PollPeers => self.poll_peers(out),
             Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -4,7 +4,7 @@
 use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{self, Instance, List};
-use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Event as MembershipEvent;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -32,7 +32,7 @@
 impl Reducer {
     /// Starts to poll others where discovery does not answer in time.
     pub(super) fn start_polling_peers(&mut self, out: &mut Vec<Effect>) {
-        if self.fleet.is_some() {
+        if self.membership.is_some() {
             out.push(Effect::StartTimer { after: FIRST_POLL_DELAY, alarm: Timer::PollPeers });
         }
     }
@@ -43,7 +43,7 @@
         }
         let after = if self.peer_knew_discovery { SLOW_POLL_INTERVAL } else { POLL_INTERVAL };
         out.push(Effect::StartTimer { after, alarm: Timer::PollPeers });
-        self.fleet(Fleet::Recall, out);
+        self.step_membership(MembershipEvent::PollEndpointList, out);
     }
 
     /// Another relay polls for the list.
@@ -57,7 +57,7 @@
             }
         });
         let bytes = answer.and_then(|answer| serde_json::to_vec(&answer).ok());
-        self.fleet(Fleet::Told { stream, bytes }, out);
+        self.step_membership(MembershipEvent::EndpointListReply { stream, bytes }, out);
     }
 
     /// Another relay's list. It is not used once discovery has answered.
@@ -102,7 +102,7 @@
 
     /// Remembers servers that discovery removes, so that no peer's list brings them back.
     pub(super) fn remember_removed_servers(&mut self, list: &List) {
-        if self.fleet.is_none() {
+        if self.membership.is_none() {
             return;
         }
         if list.whole {
