--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -7,12 +7,13 @@
 };
 use crate::clock::span;
 use crate::lines;
-use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
+use crate::reducer::{Effect, Event, OperatorReply, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
 use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_store::writer::WriterHealth;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -52,9 +53,9 @@
 }
 
 /// Serves until it is told to stop and is empty.
-pub async fn run(
+pub async fn run<E: Display + 'static>(
     node: Node,
-    reread: impl Fn() -> Result<Node, String> + 'static,
+    read_configuration: impl Fn() -> Result<Node, E> + 'static,
     log: slog::Logger,
 ) -> std::io::Result<()> {
     let signals = signals::Signals::install()?;
@@ -128,14 +129,14 @@
     stored.into_iter().for_each(|stored| reducer.load_state(stored));
     reducer.start(clock.now(), &mut effects);
     hands.carry_out(&mut effects);
-    tokio::task::spawn_local(signals::run(signals, reread, hub));
+    tokio::task::spawn_local(signals::run(signals, read_configuration, hub));
     while hands.exit.is_none() {
         let next = hands.alarms.first_key_value().map_or(Micros::MAX / 2, |((at, _), _)| *at);
         let next = hands.waiting.front().map_or(next, |wait| wait.1.min(next));
         let event = tokio::select! {
             biased;
             // Before all that waits from sessions: a crowd of these may not delay an operator.
-            Some((what, answer)) = calls.recv() => Some(hands.called(what, answer)),
+            Some(call) = calls.recv() => Some(hands.called(call)),
             event = arrived.recv() => event,
             Some(now) = changed(&mut health) => Some(hands.store_told(now)),
             () = sleep_until(clock.at(next)) => None,
@@ -176,11 +177,11 @@
 }
 
 impl Hands {
-    fn called(&mut self, what: OperatorRequest, answer: oneshot::Sender<OperatorReply>) -> Event {
+    fn called(&mut self, call: operator::OperatorCall) -> Event {
         self.asked += 1;
-        let call = self.asked as u32;
-        self.calls.insert(call, answer);
-        Event::OperatorCall { call, what }
+        let id = self.asked as u32;
+        self.calls.insert(id, call.reply);
+        Event::OperatorCall { call: id, what: call.request }
     }
 
     fn store_told(&mut self, now: WriterHealth) -> Event {
