--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -2,10 +2,10 @@
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::Instance;
 use hallrelay_raft::{Entry, Payload, Snapshot, Voter};
-use hallrelay_recovery::fact::{ServerTold, VERSION};
-use hallrelay_recovery::{Fact, Kept, Stored};
-use hallrelay_store::log::{Found, LOG, NEXT};
-use hallrelay_store::{Folder, Key, Store, Value};
+use hallrelay_recovery::record::VERSION;
+use hallrelay_recovery::{Exclusions, ListVersion, Record, RecordKind, StoredServer, StoredState};
+use hallrelay_store::log::{LOG_FILE, NEXT_LOG_FILE};
+use hallrelay_store::{Change, Directory, Key, LogSummary, Store, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
@@ -34,12 +34,12 @@
         copy
     }
 
-    fn open(&self) -> Store<Folder> {
-        Store::open(Folder::open(&self.0).expect("a folder"), CAPACITY).expect("a store")
+    fn open(&self) -> Store<Directory> {
+        Store::open(Directory::open(&self.0).expect("a folder"), CAPACITY).expect("a store")
     }
 
     fn log(&self) -> Vec<u8> {
-        std::fs::read(self.0.join(LOG)).expect("a log")
+        std::fs::read(self.0.join(LOG_FILE)).expect("a log")
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 fn fixture_log(name: &str) -> Vec<u8> {
-    std::fs::read(fixture(name).join(LOG)).expect("a fixture")
+    std::fs::read(fixture(name).join(LOG_FILE)).expect("a fixture")
 }
 
 fn instance(id: &str, phase: Phase, came_up: Micros) -> Instance {
@@ -95,61 +95,63 @@
 }
 
 /// What was written, batch by batch: each kind of record, one that is overwritten and two that are removed.
-fn batches() -> Vec<Vec<Kept>> {
+fn batches() -> Vec<Vec<Record>> {
     let gone = Entry { index: 14, term: 3, payload: Payload::Command(vec![9; 40]) };
     vec![
-        vec![Kept::own("relay-1", 41, WALL)],
-        std::iter::once(Kept::list("10.0.0.1:8500", 9))
-            .chain(instances().iter().map(|one| Kept::server(9, WALL + 5, one)))
+        vec![Record::relay_identity("relay-1", 41, WALL)],
+        std::iter::once(Record::list_version("10.0.0.1:8500", 9))
+            .chain(instances().iter().map(|one| Record::server(9, WALL + 5, one)))
             .collect(),
-        vec![Kept::turn("s-1", WALL + 9), Kept::turn("s-9", WALL + 8)],
-        vec![Kept::vote(BIRTH, 2, None)],
-        entries().iter().chain([&gone]).map(Kept::entry).collect(),
-        vec![Kept::snapshot(&snapshot())],
-        vec![Kept::shut(12, &excluded())],
-        vec![Kept::vote(BIRTH, 3, Some(voters()[2]))],
-        vec![Kept::no_entry(14), Kept::forgotten(Fact::Turn, "s-9")],
+        vec![Record::slow_start_slot("s-1", WALL + 9), Record::slow_start_slot("s-9", WALL + 8)],
+        vec![Record::vote(BIRTH, 2, None)],
+        entries().iter().chain([&gone]).map(Record::log_entry).collect(),
+        vec![Record::snapshot(&snapshot())],
+        vec![Record::exclusions(12, &excluded())],
+        vec![Record::vote(BIRTH, 3, Some(voters()[2]))],
+        vec![Record::log_entry_removed(14), Record::removed(RecordKind::SlowStartSlot, "s-9")],
     ]
 }
 
 /// All of it, as a start reads it.
-fn expected() -> Stored {
+fn expected() -> StoredState {
     let told = |one: Instance| {
-        let server = ServerTold { generation: 9, wall: WALL + 5, instance: one };
+        let server = StoredServer { generation: 9, written_at: WALL + 5, instance: one };
         (server.instance.id.clone(), server)
     };
-    Stored {
-        name: Some("relay-1".to_string()),
-        start: 41,
-        list: Some(("10.0.0.1:8500".to_string(), 9)),
+    StoredState {
+        relay_name: Some("relay-1".to_string()),
+        start_number: 41,
+        list_version: Some(ListVersion { source: "10.0.0.1:8500".to_string(), generation: 9 }),
         servers: instances().map(told).into_iter().collect(),
-        turns: BTreeMap::from([("s-1".to_string(), WALL + 9)]),
-        birth: Some(BIRTH),
-        agreed: hallrelay_raft::PersistentState {
+        slow_start_slots: BTreeMap::from([("s-1".to_string(), WALL + 9)]),
+        incarnation: Some(BIRTH),
+        raft: hallrelay_raft::PersistentState {
             term: 3,
             voted_for: Some(voters()[2]),
             snapshot: snapshot(),
             entries: entries(),
         },
-        shut: (12, excluded()),
-        wall: WALL + 9,
-        odd: 0,
+        exclusions: Exclusions { log_index: 12, backends: excluded() },
+        last_written_at: WALL + 9,
+        unreadable: 0,
     }
 }
 
-fn write(store: &mut Store<Folder>) {
+fn write(store: &mut Store<Directory>) {
     for batch in batches() {
         let value = |bytes| Value { version: VERSION, bytes };
-        let entry =
-            |one: Kept| (Key { kind: one.fact as u8, name: one.name.into_bytes() }, one.bytes.map(value));
+        let entry = |one: Record| Change {
+            key: Key { kind: one.kind.number(), name: one.name.into_bytes() },
+            value: one.bytes.map(value),
+        };
         store.commit(batch.into_iter().map(entry).collect()).expect("a sound disk");
     }
 }
 
-fn read(store: &Store<Folder>) -> Stored {
-    let mut stored = Stored::default();
-    for (key, value) in store.all() {
-        stored.take(key.kind, value.version, &key.name, &value.bytes);
+fn read(store: &Store<Directory>) -> StoredState {
+    let mut stored = StoredState::default();
+    for (key, value) in store.iter() {
+        stored.add(key.kind, value.version, &key.name, &value.bytes);
     }
     stored
 }
@@ -158,7 +160,7 @@
 fn a_voters_folder_is_read_whole_and_left_as_it_is() {
     let folder = Temporary::copy_of("voter");
     let store = folder.open();
-    assert_eq!(store.found, Found { records: 9, torn: 0, generation: 1 });
+    assert_eq!(store.summary(), LogSummary { records: 9, torn_bytes: 0, generation: 1 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(folder.log(), fixture_log("voter"));
@@ -168,7 +170,7 @@
 fn a_compacted_folder_holds_the_same() {
     let folder = Temporary::copy_of("compacted");
     let store = folder.open();
-    assert_eq!(store.found, Found { records: 1, torn: 0, generation: 2 });
+    assert_eq!(store.summary(), LogSummary { records: 1, torn_bytes: 0, generation: 2 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(folder.log(), fixture_log("compacted"));
@@ -179,13 +181,13 @@
 fn a_torn_folder_is_repaired() {
     let folder = Temporary::copy_of("torn");
     let torn = (fixture_log("torn").len() - fixture_log("voter").len()) as u64;
-    assert!(torn > 0 && folder.0.join(NEXT).exists());
+    assert!(torn > 0 && folder.0.join(NEXT_LOG_FILE).exists());
     let store = folder.open();
-    assert_eq!(store.found, Found { records: 9, torn, generation: 1 });
+    assert_eq!(store.summary(), LogSummary { records: 9, torn_bytes: torn, generation: 1 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(folder.log(), fixture_log("voter"));
-    assert!(!folder.0.join(NEXT).exists());
+    assert!(!folder.0.join(NEXT_LOG_FILE).exists());
 }
 
 #[test]
@@ -203,15 +205,15 @@
 fn each_record_has_its_bytes() {
     let text = include_str!("fixtures/records.txt");
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let line = |one: &Kept| {
+    let line = |one: &Record| {
         let bytes = one.bytes.as_deref().map_or("removed".to_string(), hex);
-        format!("{} {} [{}] {bytes}", one.fact as u8, one.fact.word(), one.name)
+        format!("{} {} [{}] {bytes}", one.kind.number(), one.kind.label(), one.name)
     };
     let lines: Vec<String> = batches().iter().flatten().map(line).collect();
     assert_eq!(lines, text.lines().collect::<Vec<_>>());
-    for kind in Fact::ALL {
-        let begin = format!("{} {} ", kind as u8, kind.word());
+    for kind in RecordKind::ALL {
+        let begin = format!("{} {} ", kind.number(), kind.label());
         assert!(lines.iter().any(|line| line.starts_with(&begin)), "{kind:?} has no record");
-        assert_eq!(Fact::of(kind as u8), Some(kind));
+        assert_eq!(RecordKind::from_number(kind.number()), Some(kind));
     }
 }
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -7,8 +7,7 @@
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
 use hallrelay_balancer::types::{DialEnd, Micros, Report, SessId};
-use hallrelay_hot_restart::place::Peer;
-use hallrelay_hot_restart::Session;
+use hallrelay_hot_restart::{PeerId, SessionState};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use tokio::net::TcpStream;
@@ -29,7 +28,7 @@
     /// The reducer migrates it.
     Migrated,
     /// Another process takes it over.
-    HandedOver(Peer, Box<Session>),
+    HandedOver(PeerId, Box<SessionState>),
     Closed,
 }
 
@@ -181,18 +180,18 @@
 /// Continues a session of another process, once the reducer has adopted it.
 pub async fn resume(
     conn: SessId,
-    session: Box<Session>,
+    session: Box<SessionState>,
     sockets: Sockets,
     mut commands: Receiver<Command>,
     hub: &Hub,
 ) {
     let Sockets { client, backend } = sockets;
     let limits = hub.limits();
-    let from_client = Buffer::holding(&session.up, limits.buffer_first, limits.buffer_most);
-    let from_backend = Buffer::holding(&session.down, limits.buffer_first, limits.buffer_most);
+    let from_client = Buffer::holding(&session.to_backend, limits.buffer_first, limits.buffer_most);
+    let from_backend = Buffer::holding(&session.to_client, limits.buffer_first, limits.buffer_most);
     let mut observer = LineObserver::new(conn, hub);
     let now = hub.clock.now();
-    observer.unanswered = session.unanswered.iter().map(|ago| now.saturating_sub(*ago)).collect();
+    observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
     hub.tell(Event::SessionAdopted { sess: conn, session }).await;
     // No other command can be queued: the session had no place before.
     if let Some(Command::Pass) = commands.recv().await {
@@ -250,14 +249,14 @@
 
     /// Hands the session over to another process; returns it where that could not take it, and `None` where
     /// it is over for this process.
-    async fn hand_over(self, peer: Peer, session: Box<Session>) -> Option<Self> {
+    async fn hand_over(self, peer: PeerId, session: Box<SessionState>) -> Option<Self> {
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let hub = observer.hub;
         let now = hub.clock.now();
-        let session = Box::new(Session {
-            up: from_client.rest().to_vec(),
-            down: from_backend.rest().to_vec(),
-            unanswered: observer.unanswered.iter().map(|sent_at| now - sent_at).collect(),
+        let session = Box::new(SessionState {
+            to_backend: from_client.rest().to_vec(),
+            to_client: from_backend.rest().to_vec(),
+            unanswered_ages: observer.unanswered.iter().map(|sent_at| now - sent_at).collect(),
             ..*session
         });
         match peers::pass(peer, session, Sockets { client, backend }, hub).await {
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,8 +1,9 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
 use super::dial_permit::DialConditions;
+use super::state_store::StateStore;
 use super::{
-    accept, discovery, handover, health_check, listener, membership, operator, peers, signals, store,
-    Command, Hub,
+    accept, discovery, health_check, hot_restart, listener, membership, operator, peers, signals, Command,
+    Hub,
 };
 use crate::clock::span;
 use crate::lines;
@@ -10,7 +11,7 @@
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
 use hallrelay_membership::Effect as MembershipEffect;
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -33,9 +34,9 @@
     calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
     /// Whether connections are taken here; other processes, and where they come.
     taking: watch::Sender<bool>,
-    door: Option<Door>,
+    takeover: Option<TakeoverListener>,
     membership_sockets: Option<membership::MembershipSockets>,
-    keeper: Option<store::Keeper>,
+    state_store: Option<StateStore>,
     /// Dials that wait for a fact to be written: by session its number; till when, and what then goes out.
     tickets: BTreeMap<SessId, u64>,
     waiting: VecDeque<(u64, Micros, SessId, Command)>,
@@ -44,11 +45,11 @@
     exit: Option<std::io::Result<()>>,
 }
 
-/// Where the next process may come, and what it is offered.
-struct Door {
+/// Where the next process may connect, and the listener that it is offered.
+struct TakeoverListener {
     path: PathBuf,
     listener: Rc<TcpListener>,
-    wait: Option<AbortHandle>,
+    task: Option<AbortHandle>,
 }
 
 /// Serves until it is told to stop and is empty.
@@ -65,12 +66,14 @@
     // A wave of clients that return at once waits here, and not for its own next try.
     const BACKLOG: u32 = 1024;
     // Only where operators run it: without a second address nobody could tell when a new process is ready.
-    let none = |why: &&str| slog::warn!(log, "no process can take this one's place"; "why" => *why);
-    let door = node.operator.and_then(|_| handover::door(&node).inspect_err(none).ok());
-    let offer = door.as_deref().map_or(Ok(None), |path| handover::ask(path, &node));
+    let no_path = |error: &hot_restart::PathError| {
+        slog::warn!(log, "no other process can take over from this one"; "error" => %error);
+    };
+    let takeover_path = node.operator.and_then(|_| hot_restart::socket_path(&node).inspect_err(no_path).ok());
+    let offer = takeover_path.as_deref().map_or(Ok(None), |path| hot_restart::request_takeover(path, &node));
     let offer = offer.map_err(std::io::Error::other)?;
     let (before, listener) = match offer {
-        Some(offer) => (Some(offer.talk), listener::from_std(offer.listener)?),
+        Some(offer) => (Some(offer.stream), listener::from_std(offer.listener)?),
         None => (None, listener::bind(node.listen, BACKLOG).await?),
     };
     let listener = Rc::new(listener);
@@ -92,13 +95,13 @@
             Some(membership::MembershipSockets::new(config.clone(), Some(bound), hub.clone()))
         }
     };
-    let mut keeper = node.state.as_deref().map(|path| store::Keeper::new(path, limits.state_bytes));
-    let mut health = keeper.as_ref().map(store::Keeper::watch);
+    let mut state_store = node.state.as_deref().map(|path| StateStore::new(path, limits.state_bytes));
+    let mut health = state_store.as_ref().map(StateStore::watch_health);
     let mut stored = None;
-    if let Some(keeper) = keeper.as_mut().filter(|_| before.is_none()) {
-        stored = tokio::time::timeout(span(limits.state_open), keeper.open()).await.ok().and_then(Result::ok);
+    if let Some(store) = state_store.as_mut().filter(|_| before.is_none()) {
+        stored = tokio::time::timeout(span(limits.state_open), store.open()).await.ok().and_then(Result::ok);
         if stored.is_none() {
-            slog::warn!(log, "what was kept is not there in time: this relay begins without it");
+            slog::warn!(log, "the state store was not opened in time: this relay starts without its state");
         }
     }
     slog::info!(log, "serving"; "name" => &node.name, "listen" => %node.listen, "limits" => ?limits);
@@ -112,18 +115,18 @@
         watches: BTreeMap::new(),
         calls: BTreeMap::new(),
         taking,
-        door: door.map(|path| Door { path, listener: listener.clone(), wait: None }),
+        takeover: takeover_path.map(|path| TakeoverListener { path, listener: listener.clone(), task: None }),
         membership_sockets,
-        keeper,
+        state_store,
         tickets: BTreeMap::new(),
         waiting: VecDeque::new(),
         vows: VecDeque::new(),
         exit: None,
     };
     tokio::task::spawn_local(accept::run(listener, taken, hub.clone()));
-    let before = before.map(|talk| handover::begin(talk, &hub)).transpose()?;
+    let before = before.map(|talk| hot_restart::begin(talk, &hub)).transpose()?;
     let (mut reducer, mut effects) = (Reducer::new(node, before), Vec::new());
-    stored.into_iter().for_each(|stored| reducer.remember(stored));
+    stored.into_iter().for_each(|stored| reducer.load_state(stored));
     reducer.start(clock.now(), &mut effects);
     hands.carry_out(&mut effects);
     tokio::task::spawn_local(signals::run(signals, read_configuration, hub));
@@ -156,16 +159,16 @@
     }
     let ended = hands.exit.take().unwrap_or(Ok(()));
     slog::info!(log, "stopping"; "well" => ended.is_ok());
-    hands.close_door();
-    hands.keeper.iter_mut().for_each(store::Keeper::finish);
+    hands.close_takeover_listener();
+    hands.state_store.iter_mut().for_each(StateStore::finish);
     ended
 }
 
 /// How the store does, as that changes; never where there is none.
-async fn changed(health: &mut Option<watch::Receiver<Health>>) -> Option<Health> {
+async fn changed(health: &mut Option<watch::Receiver<WriterHealth>>) -> Option<WriterHealth> {
     match health {
         Some(health) => {
-            // The keeper lives as long as the program.
+            // The store lives as long as the program.
             health.changed().await.ok()?;
             Some(health.borrow_and_update().clone())
         }
@@ -181,24 +184,27 @@
         Event::OperatorCall { call: id, what: call.request }
     }
 
-    fn store_told(&mut self, now: Health) -> Event {
-        if let Some(why) = &now.failing {
-            slog::warn!(self.hub.log, "what is to be kept is not written"; "why" => why);
+    fn store_told(&mut self, now: WriterHealth) -> Event {
+        if let Some(why) = &now.last_error {
+            slog::warn!(self.hub.log, "the state can't be written"; "error" => why);
         }
         Event::StoreHealth(Box::new(now))
     }
 
     /// A voter's promise that is on the disk.
     fn vowed(&mut self) -> Option<(u32, u64)> {
-        let durable = self.keeper.as_ref()?.durable();
+        let durable = self.state_store.as_ref()?.durable_ticket();
         let (_, life, number) = self.vows.pop_front_if(|vow| vow.0 <= durable)?;
         Some((life, number))
     }
 
     /// Lets dials go whose fact is written, or has taken too long: service does not wait for a disk.
     fn dial_on(&mut self, now: Micros) {
-        let Some(keeper) = &self.keeper else { return };
-        while self.waiting.front().is_some_and(|(ticket, until, ..)| *until <= now || keeper.settled(*ticket))
+        let Some(store) = &self.state_store else { return };
+        while self
+            .waiting
+            .front()
+            .is_some_and(|(ticket, until, ..)| *until <= now || store.is_settled(*ticket))
         {
             if let Some((_, _, sess, dial)) = self.waiting.pop_front() {
                 self.hub.command(sess, dial);
@@ -240,7 +246,8 @@
                     let terms = DialConditions { server, start_by: self.hub.clock.now() + begin };
                     let command = Command::Dial { dial, addr, wait, terms };
                     let ticket = self.tickets.remove(&sess);
-                    let unwritten = |t: &u64| self.keeper.as_ref().is_some_and(|keeper| !keeper.settled(*t));
+                    let unwritten =
+                        |t: &u64| self.state_store.as_ref().is_some_and(|store| !store.is_settled(*t));
                     match ticket.filter(unwritten) {
                         Some(ticket) => {
                             let until = self.hub.clock.now() + self.hub.limits().state_wait;
@@ -249,33 +256,33 @@
                         None => self.hub.command(sess, command),
                     }
                 }
-                Effect::Persist { kept, before } => {
-                    let ticket = self.keeper.as_ref().and_then(|keeper| keeper.put(kept));
+                Effect::Persist { record, before } => {
+                    let ticket = self.state_store.as_ref().and_then(|store| store.persist(record));
                     if let (Some(sess), Some(ticket)) = (before, ticket) {
                         self.tickets.insert(sess, ticket);
                     }
                 }
-                Effect::PersistVoterWrites { life, number, kept } => {
-                    let Some(keeper) = &self.keeper else { continue };
-                    let tickets: Vec<_> = kept.into_iter().map(|one| keeper.put(one)).collect();
+                Effect::PersistVoterWrites { life, number, records } => {
+                    let Some(store) = &self.state_store else { continue };
+                    let tickets: Vec<_> = records.into_iter().map(|one| store.persist(one)).collect();
                     // What can't be put is never told to be written: the voter waits, and votes no more.
                     if let Some(all) = tickets.into_iter().collect::<Option<Vec<_>>>() {
                         self.vows.push_back((all.into_iter().max().unwrap_or(0), life, number));
                     }
                 }
                 Effect::SetStoreOwnership { on } => {
-                    if let Some(keeper) = &mut self.keeper {
+                    if let Some(store) = &mut self.state_store {
                         match on {
                             // Most of what it held this process knows by now.
                             true => {
-                                let (held, hub) = (keeper.open(), self.hub.clone());
+                                let (held, hub) = (store.open(), self.hub.clone());
                                 tokio::task::spawn_local(async move {
                                     if let Ok(held) = held.await {
                                         hub.tell(Event::StoreReopened(Box::new(held))).await;
                                     }
                                 });
                             }
-                            false => keeper.close(),
+                            false => store.close(),
                         }
                     }
                 }
@@ -324,14 +331,16 @@
                 // What was said goes out first.
                 Effect::DisconnectProcess { peer } => _ = self.hub.peers.borrow_mut().remove(&peer),
                 Effect::SetTakeoverListener { open: true } => {
-                    let Some(door) = &mut self.door else { continue };
-                    let wait = handover::wait(door.path.clone(), door.listener.clone(), self.hub.clone());
+                    let Some(takeover) = &mut self.takeover else { continue };
+                    let path = takeover.path.clone();
+                    let listener = takeover.listener.clone();
+                    let wait = hot_restart::accept_processes(path, listener, self.hub.clone());
                     let wait = tokio::task::spawn_local(wait).abort_handle();
-                    door.wait.replace(wait).inspect(AbortHandle::abort);
+                    takeover.task.replace(wait).inspect(AbortHandle::abort);
                 }
                 Effect::SetTakeoverListener { open: false } => {
                     // The path is the other process's to take.
-                    self.door.as_mut().and_then(|door| door.wait.take()).inspect(AbortHandle::abort);
+                    self.takeover.as_mut().and_then(|one| one.task.take()).inspect(AbortHandle::abort);
                 }
                 Effect::Membership(effect) => self.carry_out_membership(effect),
                 Effect::Log { what } => slog::info!(self.hub.log, "{}", what),
@@ -362,9 +371,9 @@
     }
 
     /// Leaves no path behind that nobody answers at.
-    fn close_door(&mut self) {
-        if let Some(door) = self.door.take().filter(|door| door.wait.is_some()) {
-            _ = std::fs::remove_file(door.path);
+    fn close_takeover_listener(&mut self) {
+        if let Some(takeover) = self.takeover.take().filter(|one| one.task.is_some()) {
+            _ = std::fs::remove_file(takeover.path);
         }
     }
 
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -1,7 +1,7 @@
 //! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to
 //! the leader again and again until it is answered or its time is up; a granted drain begins only once its
 //! beginning is committed. Times in microseconds.
-use super::duty::Sign;
+use super::lifecycle::{LifecycleEvent, LifecycleStatus};
 use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::control_message::{ControlMessage, ProposalResult};
 use hallrelay_balancer::types::Micros;
@@ -232,8 +232,8 @@
     fn begin_drain(&mut self, target: &Target, out: &mut Vec<Effect>) -> OperatorReply {
         match target {
             Target::Relay(_) => {
-                self.turn(Sign::Drain, out);
-                OperatorReply::Accepted("draining")
+                self.apply_lifecycle_event(LifecycleEvent::Drain, out);
+                OperatorReply::Accepted(LifecycleStatus::Draining)
             }
             Target::Backend(id) => OperatorReply::Committed(format!("backend {id} drains")),
         }
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -6,7 +6,7 @@
 use hallrelay_balancer::types::{Phase, SessId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_raft::Index;
-use hallrelay_recovery::Kept;
+use hallrelay_recovery::Record;
 use std::collections::BTreeSet;
 
 /// A session at an excluded backend.
@@ -33,7 +33,7 @@
         }
         let changed: Vec<String> = coordination.excluded.ids.symmetric_difference(&ids).cloned().collect();
         if self.node.state.is_some() {
-            out.push(Effect::Persist { kept: Kept::shut(index, &ids), before: None });
+            out.push(Effect::Persist { record: Record::exclusions(index, &ids), before: None });
         }
         note(format!("by what is agreed {} backends are out", ids.len()), out);
         coordination.excluded = ExcludedBackends { index, ids };
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -36,7 +36,7 @@
 
     pub(super) fn review(&mut self, out: &mut Vec<Effect>) {
         out.push(Effect::StartTimer { after: REVIEW_INTERVAL, alarm: Timer::LeaderReview });
-        if !self.place.has() {
+        if !self.ownership.is_owner() {
             return;
         }
         self.migrate_excluded(out);
@@ -48,7 +48,7 @@
     fn report_status(&mut self, out: &mut Vec<Effect>) {
         let remaining_sessions = self.own_remaining_sessions();
         let session_counts = self.take_session_counts();
-        let (serving, zone) = (self.serves(), self.own_zone());
+        let (serving, zone) = (self.is_serving(), self.own_zone());
         let Some(coordination) = &self.coordination else { return };
         let domain = FailureDomain {
             zone,
@@ -158,7 +158,7 @@
                 observation(member.name(), health)
             })
             .collect();
-        let own = if self.serves() { HealthState::Up } else { HealthState::Down };
+        let own = if self.is_serving() { HealthState::Up } else { HealthState::Down };
         observed.push(observation(&coordination.own_name, own));
         observed
     }
@@ -194,7 +194,8 @@
     /// Backends of the log that discovery does not have. None from a leader that discovery never answered:
     /// its list may be old.
     fn removed_backends(&self) -> Vec<Observation> {
-        let Some(coordination) = self.coordination.as_ref().filter(|_| self.spoken.is_some()) else {
+        let Some(coordination) = self.coordination.as_ref().filter(|_| self.discovery_contacted.is_some())
+        else {
             return Vec::new();
         };
         let is_listed = |id: &String| {
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -7,7 +7,7 @@
 use crate::control_message::{ControlMessage, ProposalResult};
 use hallrelay_disruption::{Command, CommandError, Outcome, State};
 use hallrelay_raft::{self as raft, Event, Index, Voter};
-use hallrelay_recovery::{Kept, Stored};
+use hallrelay_recovery::{Record, StoredState};
 use std::rc::Rc;
 
 impl Reducer {
@@ -18,25 +18,32 @@
     }
 
     /// Starts the voter with what the store holds: before this relay's start, or as it takes the store over.
-    pub(super) fn start_voter(&mut self, stored: Option<&Stored>, out: &mut Vec<Effect>) {
+    pub(super) fn start_voter(&mut self, stored: Option<&StoredState>, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(coordination) = &mut self.coordination else { return };
-        let own =
-            stored.filter(|stored| stored.name.as_deref().is_none_or(|name| *name == *coordination.own_name));
-        if let Some(stored) = own.filter(|stored| stored.shut.0 >= coordination.excluded.index) {
-            coordination.excluded = ExcludedBackends { index: stored.shut.0, ids: stored.shut.1.clone() };
+        let own = stored
+            .filter(|stored| stored.relay_name.as_deref().is_none_or(|name| *name == *coordination.own_name));
+        if let Some(stored) = own.filter(|stored| stored.exclusions.log_index >= coordination.excluded.index)
+        {
+            coordination.excluded = ExcludedBackends {
+                index: stored.exclusions.log_index,
+                ids: stored.exclusions.backends.clone(),
+            };
         }
         // A voter whose disk can't be read does not know what it voted for.
         if stored.is_none() || !coordination.is_voter() || coordination.voter.is_running() {
             return;
         }
-        let known = own.and_then(|own| Some((own.birth?, own.agreed.clone())));
+        let known = own.and_then(|own| Some((own.incarnation?, own.raft.clone())));
         let (incarnation, log) = known.unwrap_or_else(|| {
             note("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
             (self.node.seed ^ now.rotate_left(20) | 1, raft::PersistentState::default())
         });
         // Written before the first vote: an incarnation that is not on the disk is another after a restart.
-        out.push(Effect::Persist { kept: Kept::vote(incarnation, log.term, log.voted_for), before: None });
+        out.push(Effect::Persist {
+            record: Record::vote(incarnation, log.term, log.voted_for),
+            before: None,
+        });
         // A process that has its place back applies the log from the beginning.
         coordination.state = State::default();
         coordination.applied_index = 0;
@@ -88,8 +95,8 @@
                 self.send_control(&name, &ControlMessage::Raft(message), out);
             }
             raft::Effect::Write { number, write } => {
-                let (life, kept) = (coordination.voter.starts(), coordination.voter.records(write));
-                out.push(Effect::PersistVoterWrites { life, number, kept });
+                let (life, records) = (coordination.voter.starts(), coordination.voter.records(write));
+                out.push(Effect::PersistVoterWrites { life, number, records });
             }
             raft::Effect::SetTimer(timer) => {
                 let set = coordination.voter.set_timer(timer);
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -7,7 +7,7 @@
     TargetKind, Wave,
 };
 use hallrelay_raft::{AppendEntries, Entry, Message, MessageBody, Payload, Snapshot, Voter};
-use hallrelay_recovery::Stored;
+use hallrelay_recovery::StoredState;
 use hallrelay_relay::control_message::{
     ControlMessage, ProposalResult, RelayStatus, RemainingSessions, TargetCounts,
 };
@@ -185,7 +185,7 @@
         let (alarms, told) = (BTreeMap::new(), String::new());
         let mut host = Host { reducer, now, alarms, asked: 0, calls: 0, sessions: 0, told };
         let mut out = Vec::new();
-        host.reducer.remember(Stored::default());
+        host.reducer.load_state(StoredState::default());
         host.reducer.start(now, &mut out);
         host.carry(out);
         host
