--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,85 +1,108 @@
-//! Admission: whether a session is dialled, waits for reports, or is refused.
+//! Admission: whether a session is dialled, waits for load reports, or is rejected. The thresholds are those
+//! of HEU, section 7 of Bartolini's "Session based access control in geographically replicated Internet
+//! services".
 
-use super::*;
+use crate::estimate::FleetEstimate;
+use crate::placement::Candidates;
+use crate::relay::{Relay, REPORT_LAG};
+use crate::server::Server;
+use crate::session::{Event, Session};
+use crate::types::{Micros, ServerId, SessId};
 
-const K_RESERVED: f64 = 0.15; // the part of c and of c_id kept for high utility
+/// The fraction of the thresholds that is kept for sessions of high priority (the paper's k_reserved).
+pub(crate) const HIGH_PRIORITY_RESERVE: f64 = 0.15;
+/// Mean age of the reports from which they are too old to reject a session by.
+const MAX_REPORT_AGE: Micros = 2 * REPORT_LAG;
+/// How often a relay that may not probe dials whatever was reported: only a dial tells it more.
+const BLIND_DIAL_INTERVAL: Micros = 3 * REPORT_LAG;
 
 impl Relay {
-    /// What a session may expect now: a dial, a short wait, or its final answer at once.
-    pub(super) fn weigh(&mut self, sess: SessId) -> Event {
-        let g = self.fleet_estimate();
-        let s = &self.sessions[&sess];
-        // Rule 2: a refusal says that trying again is harmless, which is so only where nothing ran unknown.
-        let repeat = s.rule.listener.repeat;
-        let known = matches!(repeat, Repeat::Repeatable | Repeat::Referenced { within: Within::All, .. });
-        let give_up = if known || s.may_have_run.is_none() { Event::Reject } else { Event::Abort };
-        let over = self.now >= s.deadline || s.dials >= s.rule.most_dials;
-        // Where only a dial tells more, one goes out in three seconds whatever was reported.
-        let asks_by_dial = !self.site.may_probe && self.now - self.last_dial >= 3 * LAG;
-        let refused = s.dials == 0 && !asks_by_dial && !self.admits(s, &g);
-        let stale = g.report_age > 2 * LAG && self.now < s.probe_deadline;
-        let pool_for = |only_slots| if over { vec![] } else { self.pool(s, &g, only_slots) };
-        let pool = pool_for(refused && !stale);
-        let asks = |v: &Server| v.misses == 0 && v.last_report.is_none_or(|t| self.now - t > LAG);
-        let paid = |v: &Server| self.site.may_probe && (v.probe_pending || self.probe_credit >= 1.0);
-        let mut awaited = pool.clone();
-        awaited.retain(|id| asks(&self.servers[id]) && paid(&self.servers[id]));
-        if !awaited.is_empty() && self.now < s.probe_deadline {
-            self.sessions.entry(sess).and_modify(|s| s.awaited_probes = awaited);
-            return Event::Wait;
+    /// What a session may expect now: a dial, a short wait for reports, or its final answer at once.
+    pub(crate) fn evaluate(&mut self, id: SessId) -> Event {
+        let fleet = self.fleet_estimate();
+        let session = &self.sessions[&id];
+        let give_up = session.give_up_event();
+        if session.is_exhausted(self.now) {
+            return give_up;
+        }
+        let is_rejected = self.is_over_thresholds(session, &fleet);
+        // By old reports nothing is rejected as long as new ones may come in time.
+        let is_stale = fleet.report_age > MAX_REPORT_AGE && self.now < session.probe_deadline;
+        let candidates = candidates(is_rejected && !is_stale);
+        let mut pool = self.pool(session, &fleet, candidates);
+        let awaited = self.reports_to_await(session, &pool);
+        if !awaited.is_empty() {
+            self.sessions.entry(id).and_modify(|session| session.awaited_probes = awaited);
+            return Event::ReportsAwaited;
+        }
+        if is_rejected && is_stale {
+            pool = self.pool(session, &fleet, Candidates::SpareSlots);
         }
-        let pool = if refused && stale { pool_for(true) } else { pool };
-        let costs = pool.iter().enumerate().map(|(i, id)| {
-            let v = &self.servers[id];
-            (self.tier(v, &s.tried), self.cost(v, s, self.current_load(v, &g), i, 0), *id)
-        });
-        let best = costs.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let Some((.., server)) = best else { return give_up };
-        let high = self.high(s);
-        if give_up == Event::Reject && self.throttled(high) {
+        let Some(server) = self.cheapest(session, &fleet, &pool) else { return give_up };
+        let is_high_priority = self.is_high_priority(session);
+        if give_up == Event::Rejected && self.is_throttled(is_high_priority) {
             return give_up;
         }
-        self.sessions.entry(sess).and_modify(|s| s.server = server);
-        Event::Place
+        self.sessions.entry(id).and_modify(|session| session.server = server);
+        Event::Placed
     }
 
-    /// HEU, as on the design page; with no server that answers there is nothing to test.
-    fn admits(&self, s: &Session, g: &FleetEstimate) -> bool {
-        let (n, c_id, high) = (f64::from(self.own_sessions), f64::from(self.site.max_open), self.high(s));
-        let (t_servers, t_id) = (g.capacity * (1.0 - K_RESERVED), c_id * (1.0 - K_RESERVED));
-        g.capacity == 0.0
-            || (n < t_id && g.busy < t_servers - g.congested)
-            || (high && n < c_id && g.busy < g.capacity - g.congested)
+    /// Whether the thresholds reject a session's first dial; further ones are not tested.
+    fn is_over_thresholds(&self, session: &Session, fleet: &FleetEstimate) -> bool {
+        let is_blind_dial = !self.site.may_probe && self.now - self.last_dial_at >= BLIND_DIAL_INTERVAL;
+        session.dials == 0 && !is_blind_dial && !self.admits(session, fleet)
     }
 
-    /// The set utility from which a listener counts as high: halfway, so that any two are told apart.
-    pub(super) fn high(&self, s: &Session) -> bool {
-        let utilities = self.site.listeners.iter().map(|l| l.utility);
-        let (low, top) = utilities.fold((f64::MAX, 0.0f64), |(a, b), u| (a.min(u), b.max(u)));
-        s.rule.listener.utility >= (low + top) / 2.0
+    /// The thresholds of HEU: all sessions enter while the relay's own sessions are below t_id = c_id -
+    /// k_reserved and the fleet's load below t_servers - x_cong, where t_servers = c - k_reserved; past that
+    /// only those of high priority, while below c_id and c - x_cong. Where no server reported there is
+    /// nothing to test.
+    fn admits(&self, session: &Session, fleet: &FleetEstimate) -> bool {
+        let own_sessions = f64::from(self.own_sessions);
+        let max_sessions = f64::from(self.site.max_sessions);
+        let shared_capacity = fleet.capacity * (1.0 - HIGH_PRIORITY_RESERVE);
+        let shared_sessions = max_sessions * (1.0 - HIGH_PRIORITY_RESERVE);
+        let has_shared_room =
+            own_sessions < shared_sessions && fleet.busy < shared_capacity - fleet.congested;
+        let has_reserved_room = own_sessions < max_sessions && fleet.busy < fleet.capacity - fleet.congested;
+        fleet.capacity == 0.0 || has_shared_room || (self.is_high_priority(session) && has_reserved_room)
     }
 
-    /// Counts a dial that a server took up, and whether its session came about within its target.
-    pub(super) fn count_dial(&mut self, sess: SessId, accepted: bool) {
-        let Some(s) = self.sessions.get(&sess).filter(|s| s.state == State::Dialling) else { return };
-        let in_time = accepted && self.now - s.dialled_at <= s.rule.listener.handshake_target;
-        self.dials.add(self.now, 1.0);
-        self.accepts.add(self.now, f64::from(in_time));
+    /// Whether a listener's priority weight is at or above the middle between the site's lowest and highest,
+    /// so that any two that differ are told apart.
+    pub(crate) fn is_high_priority(&self, session: &Session) -> bool {
+        let weights = self.site.listeners.iter().map(|listener| listener.priority_weight);
+        let (lowest, highest) =
+            weights.fold((f64::MAX, 0.0f64), |(low, high), weight| (low.min(weight), high.max(weight)));
+        session.policy.listener.priority_weight >= (lowest + highest) / 2.0
+    }
+
+    /// The servers of a pool whose reports are worth a wait: old ones, of servers that answer and whose
+    /// probes are paid for, as long as the session may wait.
+    fn reports_to_await(&self, session: &Session, pool: &[ServerId]) -> Vec<ServerId> {
+        if self.now >= session.probe_deadline {
+            return Vec::new();
+        }
+        let is_worth = |id: &&ServerId| {
+            let server = &self.servers[*id];
+            server.misses == 0 && self.is_report_old(server) && self.is_probe_paid(server)
+        };
+        pool.iter().filter(is_worth).copied().collect()
     }
 
-    /// Client-side throttling (Beyer et al., Site Reliability Engineering, chapter 21; `docs/design.md`).
-    fn throttled(&mut self, high: bool) -> bool {
-        const WINDOW: Micros = 4 * SECOND; // tried 8 s
-        const MOST: f64 = 1.5; // dials for each that was accepted of late; tried 2 and 1.2
-        const FEW_DIALS: f64 = 8.0; // dials of all relays that are no sample
-        let sum = |ring: &Ring| ring.sum(self.now, WINDOW);
-        let (dials, least) = (sum(&self.dials), FEW_DIALS / f64::from(self.site.relays));
-        let most = MOST * if high { 1.0 } else { 1.0 - K_RESERVED };
-        let excess = dials - least - most * sum(&self.accepts);
-        let mut faulty = self.servers.values().filter(|v| sum(&v.flow.faults) > 0.0);
-        let shared = excess > 0.0 && faulty.nth(1).is_some();
-        let throttled = shared && self.rng.hits(excess / (dials + 1.0));
-        self.dials.add(self.now, f64::from(throttled));
-        throttled
+    fn is_report_old(&self, server: &Server) -> bool {
+        server.last_report_at.is_none_or(|reported_at| self.now - reported_at > REPORT_LAG)
+    }
+
+    fn is_probe_paid(&self, server: &Server) -> bool {
+        self.site.may_probe && (server.probe_pending || self.probe_credit >= 1.0)
+    }
+}
+
+fn candidates(is_rejected: bool) -> Candidates {
+    if is_rejected {
+        Candidates::SpareSlots
+    } else {
+        Candidates::All
     }
 }
--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -1,114 +1,195 @@
-//! The fleet's estimate: what one relay makes of its reports and of what it placed since.
+//! The estimate of the whole fleet: what one relay makes of the load reports that it has, and of the sessions
+//! that it placed since. Loads and capacities are in servers.
 
-use super::*;
+use crate::outlier::HealthTier;
+use crate::relay::{Relay, FEW_SESSIONS, REPORT_LAG, SECOND};
+use crate::server::Server;
+use crate::types::Micros;
+use std::ops::RangeInclusive;
 
-/// The fleet as HEU sees it: `capacity`, `busy`, `congested` are the paper's c, x_busy, x_cong, in servers.
+/// The fleet as admission sees it.
 #[derive(Clone, Copy, Default)]
-pub(super) struct FleetEstimate {
-    pub(super) capacity: f64,
-    pub(super) busy: f64,
-    pub(super) congested: f64,
-    pub(super) mean_load: f64,
-    pub(super) session_load: f64,  // a session's part of a server
-    pub(super) slot_load: f64,     // the same where it bounds what a cold server gets
-    pub(super) fleet_factor: f64,  // from this relay's own change to that of all relays
-    pub(super) report_age: Micros, // in the mean
-    pub(super) valid_until: Micros,
+pub(crate) struct FleetEstimate {
+    /// Usable capacity (the paper's c), in servers.
+    pub(crate) capacity: f64,
+    /// Load (the paper's x_busy), in servers.
+    pub(crate) busy: f64,
+    /// Capacity of servers that are congested (the paper's x_cong), in servers.
+    pub(crate) congested: f64,
+    /// Mean load of a server.
+    pub(crate) mean_load: f64,
+    /// One session's part of a server.
+    pub(crate) session_load: f64,
+    /// The same where it bounds what a warming server gets.
+    pub(crate) slot_load: f64,
+    /// From this relay's own change to that of all relays.
+    pub(crate) fleet_factor: f64,
+    /// Mean age of the reports.
+    pub(crate) report_age: Micros,
+    /// Until when this is not computed again, unless there is a new report.
+    pub(crate) valid_until: Micros,
 }
 
-/// One session's part of a server at most, wherever load is foreseen.
-pub(super) const MOST_SESSION: f64 = 0.05;
-/// The same for a cold server's budget, as far as reports tell it: of a server that five sessions fill.
-pub(super) const MOST_TOLD: f64 = 0.2;
+/// One session's part of a server, wherever load is foreseen.
+pub(crate) const SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.05;
+/// The same for a warming server's budget, as far as reports tell it: at most that of a server that five
+/// fill.
+pub(crate) const SLOT_LOAD: RangeInclusive<f64> = 0.002..=0.2;
+
+/// How long work that was seen to wait at a server counts: delays are measured each second.
+const QUEUE_DELAY_AGE: Micros = 2 * SECOND;
+
+/// Sums over the servers that take sessions and answer, each weighted by its warm-up.
+#[derive(Default)]
+struct FleetSample {
+    /// All of them.
+    available: f64,
+    /// Those that never reported and whose messages are late: each counts for itself alone.
+    unreported_late: f64,
+    /// Those that reported: a sample of all. The sums below are over these.
+    reported: f64,
+    /// Load with queued work, up to 1 each.
+    load: f64,
+    /// Load as reported.
+    demand: f64,
+    congested: f64,
+    /// Load of congested ones.
+    congested_load: f64,
+    /// Age of the reports, in microseconds.
+    report_age: f64,
+    /// Sessions of all relays, not weighted.
+    sessions: f64,
+}
 
 impl Relay {
-    /// Read from the servers with fresh answers, as a sample of all that are ready and not silent.
-    pub(super) fn fleet_estimate(&mut self) -> FleetEstimate {
-        const USABLE: f64 = 0.85; // how c is read: what fills before messages are late; tried 0.7, 0.85, 1
-        const PRIOR: f64 = 8.0; // sessions that the last figure counts for, beside those that servers hold
-        const ROOM: f64 = 0.6; // a load that leaves the others room for a late one's; always and never tried
+    /// The estimate as of now. It is kept for a while: what is placed meanwhile is added at once (`book`).
+    pub(crate) fn fleet_estimate(&mut self) -> FleetEstimate {
+        const VALID_FOR: Micros = SECOND / 4;
         if self.now < self.estimate.valid_until {
-            return self.estimate; // till the next answer; what is let in meanwhile is booked at once
+            return self.estimate;
         }
-        let (mut all, mut own, mut held, mut sums) = (0.0, 0.0, 0.0, [0.0; 6]);
-        for v in self.servers.values().filter(|v| v.entry.ready() && v.misses == 0) {
-            let warmth = self.warmth(v);
-            all += warmth;
-            let Some(reported_at) = v.last_report else {
-                own += warmth * f64::from(self.queue_delay(v) > self.queue_delay_limit);
-                continue;
-            };
-            let (age, cong) = (self.now - reported_at, self.tier(v, &[]) > 0);
-            let full = (v.load + self.queue_delay(v)).min(1.0);
-            let one = [1.0, full, v.load, f64::from(cong), age as f64, full * f64::from(cong)];
-            sums.iter_mut().zip(one).for_each(|(sum, x)| *sum += x * warmth);
-            held += v.sessions;
+        let sample = self.sample_fleet();
+        let mut estimate = FleetEstimate {
+            valid_until: self.now + VALID_FOR,
+            session_load: self.estimate.session_load,
+            slot_load: self.estimate.slot_load,
+            fleet_factor: self.fleet_factor(),
+            ..FleetEstimate::default()
+        };
+        if sample.reported > 0.0 {
+            self.estimate_session_load(&sample, &mut estimate);
+            self.estimate_load(&sample, &mut estimate);
         }
-        let [k, load, demand, cong, age, late] = sums;
-        let room = f64::from(load - late < ROOM * (k - cong));
-        let load = load - late * room * (1.0 - cong / k.max(1e-9));
-        let (relays, own_sessions) = (f64::from(self.site.relays), f64::from(self.own_sessions));
-        let fleet_factor = relays * own_sessions / (own_sessions + 8.0);
-        let (valid_until, FleetEstimate { session_load, slot_load, .. }) =
-            (self.now + SECOND / 4, self.estimate);
-        let mut g =
-            FleetEstimate { valid_until, session_load, slot_load, fleet_factor, ..FleetEstimate::default() };
-        if k > 0.0 {
-            (g.capacity, g.mean_load, g.congested) = (USABLE * all, load / k, cong / k * (all - own) + own);
-            g.report_age = (age / k) as Micros;
-            let moment = (demand / k * all / (own_sessions * relays).max(1.0)).clamp(0.002, MOST_SESSION);
-            let told = |before: f64, most| ((demand + PRIOR * before) / (held + PRIOR)).clamp(0.002, most);
-            let gain = if self.estimate.capacity > 0.0 { 0.08 } else { 1.0 };
-            g.session_load = match held > 0.0 && self.own_sessions < FEW {
-                true => told(g.session_load, MOST_SESSION),
-                false => g.session_load + (moment - g.session_load) * gain,
-            };
-            g.slot_load = match held > 0.0 && self.own_sessions < FEW {
-                true => told(g.slot_load, MOST_TOLD),
-                false => g.session_load,
+        self.estimate = estimate;
+        estimate
+    }
+
+    fn sample_fleet(&self) -> FleetSample {
+        let mut sample = FleetSample::default();
+        for server in self.servers.values().filter(|server| server.endpoint.ready() && server.misses == 0) {
+            let weight = self.warm_up_fraction(server);
+            sample.available += weight;
+            let Some(reported_at) = server.last_report_at else {
+                sample.unreported_late += weight * f64::from(self.is_late(server));
+                continue;
             };
-            let since = self.net_sessions.sum(self.now, g.report_age + LAG);
-            g.busy = (g.mean_load * (all - own) + own + since * fleet_factor * g.session_load).max(0.0);
+            let load = (server.load + self.queue_delay(server)).min(1.0);
+            let congested = f64::from(self.health_tier(server, &[]) > HealthTier::Healthy);
+            sample.reported += weight;
+            sample.load += load * weight;
+            sample.demand += server.load * weight;
+            sample.congested += congested * weight;
+            sample.report_age += (self.now - reported_at) as f64 * weight;
+            sample.congested_load += load * congested * weight;
+            sample.sessions += server.sessions;
         }
-        self.estimate = g;
-        g
+        sample
     }
 
-    /// The seconds that work waits there, by a report or a message of an open session of the last 2 s.
-    pub(super) fn queue_delay(&self, v: &Server) -> f64 {
-        let recent = |then: Micros| f64::from(self.now - then < 2 * SECOND); // measured each second
-        (v.queue_delay * v.last_report.map_or(0.0, recent)).max(v.message_delay.0 * recent(v.message_delay.1))
+    /// With a handful of sessions a relay's own change is mostly chance, with a hundred it tells that of the
+    /// fleet.
+    fn fleet_factor(&self) -> f64 {
+        /// Own sessions by which half of the change counts.
+        const HALF_TRUSTED: f64 = 8.0;
+        let own_sessions = f64::from(self.own_sessions);
+        f64::from(self.site.relay_count) * own_sessions / (own_sessions + HALF_TRUSTED)
     }
 
-    /// The reported load, or the mean, with what this relay placed since, times four at most (tried 2 and 8).
-    pub(super) fn current_load(&self, v: &Server, g: &FleetEstimate) -> f64 {
-        let since = v.flow.net.sum(self.now, v.last_report.map_or(0, |t| self.now - t) + LAG);
-        let reported = v.last_report.map_or_else(|| g.mean_load * self.warmth(v), |_| v.load); // as it warmed
-        let base = reported + self.queue_delay(v) + g.session_load * since * g.fleet_factor.min(4.0);
-        base.max(f64::from(self.queue_delay(v) > self.queue_delay_limit)) // late: full
+    fn estimate_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
+        /// What fills of a server before its messages are late.
+        const USABLE_CAPACITY: f64 = 0.85;
+        let sampled = sample.available - sample.unreported_late;
+        estimate.capacity = USABLE_CAPACITY * sample.available;
+        estimate.mean_load = sample.counted_load() / sample.reported;
+        estimate.congested = sample.congested / sample.reported * sampled + sample.unreported_late;
+        estimate.report_age = (sample.report_age / sample.reported) as Micros;
+        let placed = self.net_sessions.sum(self.now, estimate.report_age + REPORT_LAG);
+        let placed_load = placed * estimate.fleet_factor * estimate.session_load;
+        let busy = estimate.mean_load * sampled + sample.unreported_late + placed_load;
+        estimate.busy = busy.max(0.0);
     }
 
-    /// Books a session on its server, or off it: from the dial on, so that what is under way counts.
-    pub(super) fn book(&mut self, sess: SessId, by: i32) {
-        let s = &self.sessions[&sess];
-        let weight = if by > 0 && s.state == State::Open { 0.0 } else { s.weight }; // in the reports already
-        let (change, key) = (f64::from(by) * weight, (s.server, s.request.group));
-        self.own_sessions = self.own_sessions.saturating_add_signed(by);
-        // Who comes back and was not here has changed relays: its load is reported. A fifth may be chance.
-        let returned = by > 0 && s.request.returned;
-        let moved =
-            returned && self.disconnects.sum(self.now, 8 * SECOND) < -0.2 * f64::from(self.own_sessions);
-        self.disconnects.add(self.now, f64::from(-by * i32::from(by < 0 || returned && !moved)));
-        let added = if moved { 0.0 } else { change };
-        self.net_sessions.add(self.now, added);
-        self.estimate.busy += added * self.estimate.fleet_factor * self.estimate.session_load;
-        let members = self.groups.entry(key).or_insert(0);
-        *members = members.saturating_add_signed(by);
-        if *members == 0 || key.1 == 0 {
-            self.groups.remove(&key);
+    /// One session's part of a server. Reports tell it where they count sessions; a relay with many sessions
+    /// of its own knows it better by these, as a running mean over some seconds.
+    fn estimate_session_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
+        /// Sessions that the last estimate counts for, beside those that servers report.
+        const PRIOR_SESSIONS: f64 = 8.0;
+        const GAIN: f64 = 0.08;
+        if sample.sessions > 0.0 && self.own_sessions < FEW_SESSIONS {
+            let reported =
+                |before: f64| (sample.demand + PRIOR_SESSIONS * before) / (sample.sessions + PRIOR_SESSIONS);
+            estimate.session_load = clamp(reported(estimate.session_load), &SESSION_LOAD);
+            estimate.slot_load = clamp(reported(estimate.slot_load), &SLOT_LOAD);
+        } else {
+            let fleet_sessions = f64::from(self.own_sessions) * f64::from(self.site.relay_count);
+            let load = sample.demand / sample.reported * sample.available / fleet_sessions.max(1.0);
+            let gain = if self.estimate.capacity > 0.0 { GAIN } else { 1.0 };
+            estimate.session_load += (clamp(load, &SESSION_LOAD) - estimate.session_load) * gain;
+            estimate.slot_load = estimate.session_load;
         }
-        if let Some(v) = self.servers.get_mut(&key.0) {
-            v.flow.net.add(self.now, change);
+    }
+
+    /// How long work waits at a server, in seconds, by its last report or a message of an own session.
+    pub(crate) fn queue_delay(&self, server: &Server) -> f64 {
+        let is_recent = |then: Micros| f64::from(self.now - then < QUEUE_DELAY_AGE);
+        let reported = server.queue_delay * server.last_report_at.map_or(0.0, is_recent);
+        let measured = server.message_delay.seconds * is_recent(server.message_delay.measured_at);
+        reported.max(measured)
+    }
+
+    /// A server's load now: as reported, or the mean of the fleet, with its queued work and what was placed
+    /// there since. A server whose messages are late is full at least.
+    pub(crate) fn current_load(&self, server: &Server, fleet: &FleetEstimate) -> f64 {
+        /// What other relays placed there meanwhile, in own sessions, at most: more is mostly chance.
+        const MAX_FLEET_FACTOR: f64 = 4.0;
+        let report_age = server.last_report_at.map_or(0, |reported_at| self.now - reported_at);
+        let placed = server.net_sessions.sum(self.now, report_age + REPORT_LAG);
+        let reported = match server.last_report_at {
+            Some(_) => server.load,
+            None => fleet.mean_load * self.warm_up_fraction(server),
+        };
+        let placed_load = fleet.session_load * placed * fleet.fleet_factor.min(MAX_FLEET_FACTOR);
+        let load = reported + self.queue_delay(server) + placed_load;
+        load.max(f64::from(self.is_late(server)))
+    }
+}
+
+impl FleetSample {
+    /// The load that counts as busy. Where the others have room for the load of a late server, that counts
+    /// only as far as others are congested too: it counts as congested already, and one slow server would
+    /// close the fleet.
+    fn counted_load(&self) -> f64 {
+        /// A mean load that leaves the others room.
+        const ROOMY_LOAD: f64 = 0.6;
+        let others_have_room =
+            self.load - self.congested_load < ROOMY_LOAD * (self.reported - self.congested);
+        if !others_have_room {
+            return self.load;
         }
+        self.load - self.congested_load * (1.0 - self.congested / self.reported.max(1e-9))
     }
 }
+
+pub(crate) fn clamp(value: f64, range: &RangeInclusive<f64>) -> f64 {
+    value.clamp(*range.start(), *range.end())
+}
--- /dev/null
+++ b/balancer/src/interarrival.rs
@@ -0,0 +1,34 @@
+//! The mean time between arrivals.
+
+use crate::types::Micros;
+
+/// A running mean of the time between arrivals, in microseconds.
+pub(crate) struct MeanInterarrival {
+    last: Option<Micros>,
+    mean: f64,
+}
+
+impl MeanInterarrival {
+    /// The mean before anything arrived, in microseconds: that of a relay of few sessions.
+    const INITIAL_MEAN: f64 = 12e6;
+    /// The weight of the newest interval: enough to follow a burst, and steady to a quarter.
+    const NEWEST_WEIGHT: f64 = 1.0 / 8.0;
+
+    /// Counts an arrival.
+    pub(crate) fn add(&mut self, now: Micros) {
+        if let Some(last) = self.last.replace(now) {
+            self.mean += (now.saturating_sub(last) as f64 - self.mean) * MeanInterarrival::NEWEST_WEIGHT;
+        }
+    }
+
+    /// In microseconds.
+    pub(crate) fn mean(&self) -> f64 {
+        self.mean
+    }
+}
+
+impl Default for MeanInterarrival {
+    fn default() -> MeanInterarrival {
+        MeanInterarrival { last: None, mean: MeanInterarrival::INITIAL_MEAN }
+    }
+}
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -1,58 +1,123 @@
-//! Rebalancing: moves of open sessions from a server that fills up.
+//! Rebalancing: which established sessions are migrated away from a server that fills up.
 
-use super::*;
+use crate::estimate::FleetEstimate;
+use crate::outlier::HealthTier;
+use crate::placement::{Candidates, Position, GROUP_COST, POOL_SIZE};
+use crate::relay::{Relay, REPORT_LAG, ROOM_BELOW_LOAD};
+use crate::server::Server;
+use crate::session::{Event, Session, State};
+use crate::types::{Effect, ServerId, SessId};
+
+/// An established session on the server that is relieved.
+struct Candidate {
+    /// Whether it stays as long as others can be cut off.
+    is_protected: bool,
+    /// What its leaving frees, in sessions.
+    freed: f64,
+    id: SessId,
+}
 
 impl Relay {
-    /// Moves sessions of a server that fills up to where they lose less, a few at each report.
-    pub(super) fn rebalance(&mut self, server: ServerId, out: &mut Vec<Effect>) {
-        const DOUBT: f64 = 0.15; // a move's gain beyond its price: gap, set-up, doubt about old answers
-        let Some(v) = self.servers.get(&server) else { return };
-        let unsettled = self.now - v.last_rebalance < LAG; // what was moved does not show yet
-        if unsettled || !v.entry.ready() || self.current_load(v, &self.estimate) < FULL {
+    /// Migrates sessions of a server that fills up to where they lose less, those first whose leaving frees
+    /// most. Called when a report or a message delay says something new of the server.
+    pub(crate) fn rebalance(&mut self, server_id: ServerId, out: &mut Vec<Effect>) {
+        if !self.is_rebalance_due(server_id) {
             return;
         }
-        let g = self.fleet_estimate();
-        let v = &self.servers[&server];
-        let load = self.current_load(v, &g).max(FULL);
-        // In a slow-down that all share no server is better: some are cut off, for the rest to be well.
-        let shed = v.last_report == Some(self.now)
-            && load > 1.0
-            && self.tier(v, &[]) > 0
-            && g.congested > g.capacity / 2.0;
-        let last = |s: &Session| self.groups.get(&(server, s.request.group)) == Some(&1);
-        let frees = |s: &Session| s.weight + if last(s) { GROUP } else { 0.0 };
-        let open = self.sessions.iter().filter(|(_, s)| s.server == server && s.state == State::Open);
-        let mut mine: Vec<_> = open.map(|(&id, s)| (shed && self.high(s), frees(s), id)).collect();
-        mine.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
-        // The way down to the others' mean, in own sessions: half of it, or all where messages here are late.
-        let late = shed || self.tier(v, &[]) > 0 && g.busy < FULL * g.capacity - g.congested;
-        let way = (load - (g.busy / g.capacity.max(1.0)).min(FULL)) * if late { 1.0 } else { 0.5 };
-        let mut surplus = mine.iter().map(|m| m.1).sum::<f64>() * way / load;
-        for (_, frees, sess) in mine {
-            // Less than one session is moved by chance: all relays together move the right number.
-            if surplus < frees && !self.rng.hits(surplus / frees) {
+        let fleet = self.fleet_estimate();
+        let server = &self.servers[&server_id];
+        let load = self.current_load(server, &fleet).max(ROOM_BELOW_LOAD);
+        let is_shedding = self.is_shedding(server, load, &fleet);
+        let candidates = self.migration_candidates(server_id, is_shedding);
+        let excess = self.excess_load(server, load, is_shedding, &fleet);
+        let mut surplus = candidates.iter().map(|candidate| candidate.freed).sum::<f64>() * excess / load;
+        for Candidate { freed, id, .. } in candidates {
+            // Less than one session is migrated by chance: all relays together move the right number.
+            if surplus < freed && !self.random.is_drawn(surplus / freed) {
                 break;
             }
-            if shed || self.gain(sess, load, &g) > self.site.price_move + DOUBT {
-                surplus -= frees;
-                self.advance(sess, Event::Rebalance, out);
-                self.servers.get_mut(&server).expect("just read").last_rebalance = self.now;
+            if is_shedding || self.is_migration_worth(id, load, &fleet) {
+                surplus -= freed;
+                self.advance(id, Event::MigrationDue, out);
+                self.servers.get_mut(&server_id).expect("just read").last_rebalance_at = self.now;
             }
         }
     }
 
-    /// What a session would lose less where its pool would place it now than where it is.
-    fn gain(&self, sess: SessId, load: f64, g: &FleetEstimate) -> f64 {
-        let s = &self.sessions[&sess];
-        let pool = self.pool(s, g, false);
-        let place = pool.iter().position(|id| *id == s.server).unwrap_or(POOL);
-        let here = self.cost(&self.servers[&s.server], s, load.min(1.2), place, 1);
-        let costs = pool.into_iter().enumerate().filter_map(|(i, id)| {
-            let v = &self.servers[&id];
-            let load = self.current_load(v, g) + g.session_load * s.weight;
-            let usable = id != s.server && self.tier(v, &[]) == 0;
-            (usable && load < FULL).then(|| self.cost(v, s, load, i, 0))
+    /// Whether a server is too full, and what was migrated before shows in its reports.
+    fn is_rebalance_due(&self, server_id: ServerId) -> bool {
+        let Some(server) = self.servers.get(&server_id) else { return false };
+        self.now - server.last_rebalance_at >= REPORT_LAG
+            && server.endpoint.ready()
+            && self.current_load(server, &self.estimate) >= ROOM_BELOW_LOAD
+    }
+
+    /// Whether sessions are cut off for the rest to be well: a congested server that was just reported to be
+    /// asked for more than it can do, in a slow-down that all share, where no server is better.
+    fn is_shedding(&self, server: &Server, load: f64, fleet: &FleetEstimate) -> bool {
+        server.last_report_at == Some(self.now)
+            && load > 1.0
+            && self.is_unhealthy(server)
+            && fleet.congested > fleet.capacity / 2.0
+    }
+
+    /// The established sessions of a server in the order in which they leave.
+    fn migration_candidates(&self, server_id: ServerId, is_shedding: bool) -> Vec<Candidate> {
+        let here = |session: &&Session| session.server == server_id && session.state == State::Established;
+        let established = self.sessions.iter().filter(|(_, session)| here(session));
+        let mut candidates: Vec<Candidate> = established
+            .map(|(&id, session)| Candidate {
+                is_protected: is_shedding && self.is_high_priority(session),
+                freed: self.freed_by(session),
+                id,
+            })
+            .collect();
+        candidates.sort_by(|a, b| a.is_protected.cmp(&b.is_protected).then(b.freed.total_cmp(&a.freed)));
+        candidates
+    }
+
+    /// What a session's leaving frees on its server, in sessions: a group's last one frees what the group
+    /// costs.
+    fn freed_by(&self, session: &Session) -> f64 {
+        let is_last_of_group = self.group_sessions.get(&(session.server, session.request.group)) == Some(&1);
+        session.weight + if is_last_of_group { GROUP_COST } else { 0.0 }
+    }
+
+    /// How much load a server gives up: half of the way down to the mean of all, or all of it where its
+    /// messages are late and the others have room.
+    fn excess_load(&self, server: &Server, load: f64, is_shedding: bool, fleet: &FleetEstimate) -> f64 {
+        let others_have_room = fleet.busy < ROOM_BELOW_LOAD * fleet.capacity - fleet.congested;
+        let is_urgent = is_shedding || (self.is_unhealthy(server) && others_have_room);
+        let mean = (fleet.busy / fleet.capacity.max(1.0)).min(ROOM_BELOW_LOAD);
+        (load - mean) * if is_urgent { 1.0 } else { 0.5 }
+    }
+
+    /// Whether a session loses less where its pool would place it now, by more than the migration costs.
+    fn is_migration_worth(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> bool {
+        /// Beyond the migration's price: the gap, the new handshake, and doubt about old reports.
+        const MARGIN: f64 = 0.15;
+        self.migration_gain(id, load, fleet) > self.site.migration_cost + MARGIN
+    }
+
+    fn migration_gain(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> f64 {
+        /// From there on service is lost anyway.
+        const MAX_COUNTED_LOAD: f64 = 1.2;
+        let session = &self.sessions[&id];
+        let pool = self.pool(session, fleet, Candidates::All);
+        let place = pool.iter().position(|server| *server == session.server).unwrap_or(POOL_SIZE);
+        let here = Position { place, own_members: 1 };
+        let cost_here = self.cost(&self.servers[&session.server], session, load.min(MAX_COUNTED_LOAD), here);
+        let costs = pool.iter().enumerate().filter_map(|(place, other)| {
+            let server = &self.servers[other];
+            let load = self.current_load(server, fleet) + fleet.session_load * session.weight;
+            let is_usable = *other != session.server && !self.is_unhealthy(server);
+            let there = Position { place, own_members: 0 };
+            (is_usable && load < ROOM_BELOW_LOAD).then(|| self.cost(server, session, load, there))
         });
-        here - costs.fold(f64::INFINITY, f64::min)
+        cost_here - costs.fold(f64::INFINITY, f64::min)
+    }
+
+    fn is_unhealthy(&self, server: &Server) -> bool {
+        self.health_tier(server, &[]) > HealthTier::Healthy
     }
 }
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -1,233 +1,364 @@
-//! What the decision module is told, what it may do, and the facts of its site.
-//! Times are whole microseconds on the host's clock; ids are the host's own.
+//! The balancer's interface: the settings of its site, its inputs, and the effects it asks for.
+//!
+//! Times are whole microseconds on the caller's clock, ages and durations too unless a unit is named. Loads
+//! and capacities are fractions of one server, 1.0 being a full one.
 
+/// Microseconds.
 pub type Micros = u64;
+/// A session, as the caller numbers it.
 pub type SessId = u32;
+/// A server, as the caller numbers it. All relays of a fleet must use the same number for the same server.
 pub type ServerId = u32;
 
-/// What running a session's dial twice would do.
+/// What dialling a session a second time may do, once the first dial may have reached a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
+    /// A repeated dial does no harm.
     #[default]
-    Repeatable,
-    /// Repeats are dropped inside the group, for `window` after the first dial that may have run.
-    Referenced {
-        within: Within,
+    Idempotent,
+    /// Dials carry an idempotency key: servers within `scope` drop repeats.
+    Keyed {
+        /// The servers that know each other's keys.
+        scope: KeyScope,
+        /// How long a key is known, from the first dial that may have run.
         window: Micros,
     },
-    OnceOnly,
+    /// A dial that may have run must not be repeated.
+    NonIdempotent,
 }
 
-/// The backends among which a referenced session's repeat is known.
+/// The servers among which an idempotency key is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Within {
+pub enum KeyScope {
+    /// All servers.
     All,
+    /// Those of the zone of the first dial.
     Zone,
+    /// Those of the cell of the first dial.
     Cell,
 }
 
+/// A class of sessions that share their rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listener {
-    pub utility: f64,
-    pub repeat: Repeat,
+    /// What a session is worth; listeners in the upper half of the site's range are of high priority.
+    pub priority_weight: f64,
+    /// Whether a dial may be repeated.
+    pub idempotency: Idempotency,
+    /// Latency objective from the request to the established session.
     pub handshake_target: Micros,
+    /// Latency objective of a message on an established session.
     pub message_target: Micros,
 }
 
-/// What the site tells an instance at its start.
+/// The settings of a site, as one relay of it is given them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SiteFacts {
+pub struct SiteConfig {
+    /// The listeners, by index; one at least.
     pub listeners: Vec<Listener>,
-    pub relays: u32,
-    pub slot: u32,
+    /// Relays that share the servers, this one among them.
+    pub relay_count: u32,
+    /// This relay's number, from 0 to `relay_count` - 1.
+    pub relay_index: u32,
+    /// The zone of this relay.
     pub zone: u8,
+    /// Whether the endpoint list must be watched; otherwise it comes unrequested.
     pub must_watch: bool,
+    /// Whether servers may be probed for load reports.
     pub may_probe: bool,
-    pub groups: bool,
-    pub most_dials: u32,
-    pub max_open: u32,
-    /// Longest retry-after that a client heeds; none where it is not conveyed.
-    pub retry_after: Option<Micros>,
-    pub cold: Micros,
-    pub cold_from: f64,
-    pub fall_multiple: f64,
-    /// How long a cold server bears more than its multiple before it falls over.
-    pub fall: Micros,
-    /// Prices, as parts of the whole result: a session across zones, a move and a probe for each session.
-    pub price_crossing: f64,
-    pub price_move: f64,
-    pub price_probe: f64,
+    /// Whether sessions of one group share work on a server.
+    pub groups_enabled: bool,
+    /// Dials of one session, at most.
+    pub max_dials: u32,
+    /// Sessions of this relay, dialled and established, at most (the paper's c_id).
+    pub max_sessions: u32,
+    /// The longest Retry-After that a client heeds; none where it is not conveyed.
+    pub max_retry_after: Option<Micros>,
+    /// How long a server warms up after its start.
+    pub warm_up: Micros,
+    /// The fraction of its capacity that a server has at its start.
+    pub initial_capacity: f64,
+    /// How many times a full server's sessions a warming server takes up within one warm-up.
+    pub overload_multiple: f64,
+    /// How long a warming server bears more than that before it fails.
+    pub overload_window: Micros,
+    /// Cost of a session in another zone, as a fraction of a session's value.
+    pub cross_zone_cost: f64,
+    /// Cost of a session's migration, in the same unit.
+    pub migration_cost: f64,
+    /// Cost of a probe for each session, in the same unit.
+    pub probe_cost: f64,
 }
 
+/// A server's load report. What is not reported is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Load asked over what the server can do.
+pub struct LoadReport {
+    /// Demand over capacity.
     pub load: Option<f64>,
-    /// Work piled up, in seconds.
-    pub piled: Option<f64>,
-    /// Sessions that the server holds, of all relays.
-    pub held: Option<f64>,
+    /// How long queued work waits, in seconds.
+    pub queue_delay: Option<f64>,
+    /// Sessions of all relays on the server.
+    pub sessions: Option<f64>,
 }
 
+/// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
+    /// Takes new sessions.
     Ready,
+    /// Keeps its sessions, takes no new ones.
     Draining,
+    /// Not in the list.
     #[default]
     Gone,
 }
 
+/// One server of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry {
+pub struct Endpoint {
+    /// The server.
     pub server: ServerId,
+    /// Its state.
     pub phase: Phase,
-    /// Clock time of the last start; 0 is long ago.
-    pub came_up: Micros,
+    /// When it started, on the caller's clock; 0 is long ago.
+    pub started_at: Micros,
+    /// The zone it is in.
     pub zone: u8,
+    /// The cell it is in.
     pub cell: u16,
 }
 
-impl Entry {
+impl Endpoint {
+    /// Whether it takes new sessions.
     pub fn ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 }
 
+/// What an answer about the endpoint list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    Full,
-    Changes,
-    /// The call got no answer, or the watch broke.
-    Broken,
+pub enum ListUpdate {
+    /// All servers; who is not named is gone.
+    Snapshot,
+    /// Only the servers that changed.
+    Delta,
+    /// None: the call got no answer, or the watch broke.
+    WatchFailed,
 }
 
+/// How a dial, an established session or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialEnd {
+    /// It was served.
     Ok,
-    /// Answered with an error: it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Turned away unseen: it never ran.
+    /// The server was full and rejected it; it did not run.
     Full,
+    /// No answer in time; it may have run.
     Timeout,
-    /// No connection came about: it never ran.
+    /// No connection was established; it did not run.
     Unconnected,
+    /// The connection broke; it may have run.
     Reset,
+    /// The caller cancelled it; it may have run.
     Recalled,
-    /// Not sent at all.
+    /// It was not sent.
     Moot,
 }
 
+/// A session that asks to be placed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
+pub struct AdmissionRequest {
+    /// Its listener's index; one beyond the last counts as the last.
     pub listener: usize,
-    /// The client's own mark: a session that comes again carries the same; 0 is none.
+    /// The client's own identifier, the same when it returns; 0 is none.
     pub key: u64,
     /// Sessions of one group share work on a server; 0 is none.
     pub group: u64,
-    /// The client is back after an interruption or a move.
+    /// Whether the client is back after a lost or migrated session.
     pub returned: bool,
-    /// What is left of its dial timeout.
-    pub left: Micros,
+    /// What is left of the client's timeout.
+    pub time_remaining: Micros,
+}
+
+/// What a relay's process hands to the one that takes its place.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Snapshot {
+    /// The estimate of one session's load on a server.
+    pub session_load: f64,
+    /// What is known of each server.
+    pub servers: Vec<ServerSnapshot>,
 }
 
-/// What a relay knows of a server, for the process that goes on in its place. Times are ago.
+/// What a relay knows of one server. Times are ages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct ServerSnapshot {
+    /// The server.
     pub server: ServerId,
-    pub report: Option<(Micros, Report)>,
+    /// Its last load report.
+    pub report: Option<PastReport>,
+    /// Probes and connects in a row that failed.
     pub misses: u32,
-    /// Sessions placed there of late, less those that left.
-    pub placed: f64,
-    /// Its last turn at the cold server, and what part of a pause the next one takes.
-    pub turn: (Micros, f64),
+    /// Sessions placed there in the last seconds, less those that ended.
+    pub recent_sessions: f64,
+    /// Its slow-start slot.
+    pub slot: SlotSnapshot,
+}
+
+/// A load report and its age.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct PastReport {
+    /// How long ago it came.
+    pub age: Micros,
+    /// The report.
+    pub report: LoadReport,
+}
+
+/// The state of a relay's slow-start slot at a server.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct SlotSnapshot {
+    /// How long ago the interval to the next slot began.
+    pub age: Micros,
+    /// The fraction of an interval that the next slot takes.
+    pub interval_fraction: f64,
 }
 
+/// What the relay is told.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The site's facts have changed; sessions keep the rules that they came under.
-    Facts(Box<SiteFacts>),
-    /// What another process knew, whose place this relay takes; `step`, one session's part of a server.
-    Remember {
-        step: f64,
-        servers: Vec<Memory>,
-    },
-    List {
-        kind: ListKind,
-        entries: Vec<Entry>,
-    },
-    Asked {
-        sess: SessId,
-        asked: Asked,
-    },
-    AlreadyOpen {
-        sess: SessId,
+    /// The site's settings have changed; sessions keep the rules that they were requested under.
+    Configure(Box<SiteConfig>),
+    /// What the process knew whose place this relay takes.
+    Restore(Snapshot),
+    /// The endpoint list, or that it could not be read.
+    EndpointList {
+        /// What `endpoints` are.
+        update: ListUpdate,
+        /// Servers of the list; empty where the watch failed.
+        endpoints: Vec<Endpoint>,
+    },
+    /// A session asks to be placed.
+    SessionRequested {
+        /// The session, not known before.
+        session: SessId,
+        /// What it asks for.
+        request: AdmissionRequest,
+    },
+    /// A session was already established before this relay decided anything.
+    SessionAdopted {
+        /// The session, not known before.
+        session: SessId,
+        /// Where it is.
         server: ServerId,
-        asked: Asked,
+        /// What it asked for.
+        request: AdmissionRequest,
     },
-    Stands {
-        sess: SessId,
+    /// The server took a dialled session up.
+    SessionEstablished {
+        /// The session.
+        session: SessId,
+        /// Which of its dials, from 0.
         dial: u32,
     },
-    /// The session's load now.
-    Load {
-        sess: SessId,
+    /// A session's load, in any unit that is the same for all sessions.
+    SessionLoad {
+        /// The session.
+        session: SessId,
+        /// Its load now.
         load: f64,
     },
-    /// Seconds that a message takes at the session's server now.
-    Delay {
-        sess: SessId,
+    /// How long messages take on an established session.
+    MessageDelay {
+        /// The session.
+        session: SessId,
+        /// Seconds.
         delay: f64,
     },
+    /// A dial ended without an established session, or an established session ended at its server.
     DialEnded {
-        sess: SessId,
+        /// The session.
+        session: SessId,
+        /// Which of its dials, from 0; others than the last are ignored.
         dial: u32,
+        /// How.
         end: DialEnd,
+        /// Whether the session is over; otherwise it is placed again.
         settled: bool,
-        report: Option<Report>,
+        /// The load report that came with it.
+        report: Option<LoadReport>,
     },
-    /// Its last dial could not be begun by this machine: it takes no part of the session's dials.
-    NotBegun {
-        sess: SessId,
+    /// This machine could not start the last dial: it does not count.
+    DialNotStarted {
+        /// The session.
+        session: SessId,
+        /// Which of its dials, from 0; others than the last are ignored.
         dial: u32,
     },
-    Left {
-        sess: SessId,
+    /// The client ended the session.
+    SessionEnded {
+        /// The session.
+        session: SessId,
     },
-    Probed {
+    /// A probe ended.
+    ProbeEnded {
+        /// The server.
         server: ServerId,
+        /// How.
         end: DialEnd,
-        report: Option<Report>,
+        /// Its answer.
+        report: Option<LoadReport>,
     },
-    Alarm {
+    /// A timer that was set has expired.
+    TimerExpired {
+        /// As it was set.
         label: u32,
     },
 }
 
+/// What the relay asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// `window`: what is left for the line to go out where rule 2 bounds that.
+    /// Dial a server for a session.
     Dial {
-        sess: SessId,
+        /// The session.
+        session: SessId,
+        /// Where.
         server: ServerId,
-        wait: Micros,
-        window: Option<Micros>,
+        /// How long the dial may take.
+        timeout: Micros,
+        /// Within which the request must be sent, where its idempotency key bounds that.
+        send_within: Option<Micros>,
     },
-    Refuse {
-        sess: SessId,
+    /// Reject a session. The client may try again.
+    Reject {
+        /// The session.
+        session: SessId,
+        /// When to try again; 0 where that is not conveyed.
         retry_after: Micros,
     },
+    /// Close a session that may have run: its client must not take it for rejected.
     TearDown {
-        sess: SessId,
+        /// The session.
+        session: SessId,
     },
-    Move {
-        sess: SessId,
+    /// Tell an established session's client to come again, to be placed elsewhere.
+    Migrate {
+        /// The session.
+        session: SessId,
     },
+    /// Ask a server for a load report.
     Probe {
+        /// The server.
         server: ServerId,
     },
-    Alarm {
+    /// Give `Input::TimerExpired` after a time.
+    SetTimer {
+        /// From now.
         after: Micros,
+        /// Handed back.
         label: u32,
     },
-    Watch,
+    /// Watch the endpoint list.
+    WatchEndpoints,
 }
--- a/tests/decisions_trace.rs
+++ b/balancer/tests/decisions_trace.rs
@@ -4,8 +4,8 @@
 //! would: a changed decision changes all that follows in its site.
 //!
 //! A line of the fixture: site, inputs so far, the hash, then how many effects of each kind there were.
-use hallrelay::logic::Relay;
-use hallrelay::types::*;
+use hallrelay_balancer::types::*;
+use hallrelay_balancer::Relay;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -30,16 +30,16 @@
 /// The kind of an effect, by which it is counted, and its fields.
 fn numbers(effect: &Effect) -> (usize, Vec<u64>) {
     match *effect {
-        Effect::Dial { sess, server, wait, window } => {
-            let window = window.map_or([0, 0], |window| [1, window]);
-            (0, vec![u64::from(sess), u64::from(server), wait, window[0], window[1]])
+        Effect::Dial { session, server, timeout, send_within } => {
+            let window = send_within.map_or([0, 0], |window| [1, window]);
+            (0, vec![u64::from(session), u64::from(server), timeout, window[0], window[1]])
         }
-        Effect::Refuse { sess, retry_after } => (1, vec![u64::from(sess), retry_after]),
-        Effect::TearDown { sess } => (2, vec![u64::from(sess)]),
-        Effect::Move { sess } => (3, vec![u64::from(sess)]),
+        Effect::Reject { session, retry_after } => (1, vec![u64::from(session), retry_after]),
+        Effect::TearDown { session } => (2, vec![u64::from(session)]),
+        Effect::Migrate { session } => (3, vec![u64::from(session)]),
         Effect::Probe { server } => (4, vec![u64::from(server)]),
-        Effect::Alarm { after, label } => (5, vec![after, u64::from(label)]),
-        Effect::Watch => (6, vec![]),
+        Effect::SetTimer { after, label } => (5, vec![after, u64::from(label)]),
+        Effect::WatchEndpoints => (6, vec![]),
     }
 }
 
@@ -66,7 +66,7 @@
 ];
 
 struct Backend {
-    entry: Entry,
+    entry: Endpoint,
     capacity: f64,
     open: u32,
 }
@@ -86,7 +86,7 @@
 }
 
 struct Site {
-    facts: SiteFacts,
+    config: SiteConfig,
     relay: Relay,
     chance: oorandom::Rand64,
     now: Micros,
@@ -105,50 +105,50 @@
     lines: String,
 }
 
-fn facts(number: u32) -> SiteFacts {
-    let listener = |utility, repeat, handshake: Micros, message: Micros| Listener {
-        utility,
-        repeat,
+fn config(number: u32) -> SiteConfig {
+    let listener = |priority_weight, idempotency, handshake: Micros, message: Micros| Listener {
+        priority_weight,
+        idempotency,
         handshake_target: handshake * MILLISECOND,
         message_target: message * MILLISECOND,
     };
-    let referenced = |within, window| Repeat::Referenced { within, window: window * MILLISECOND };
+    let referenced = |scope, window| Idempotency::Keyed { scope, window: window * MILLISECOND };
     let probe = [0.002, 0.0005, 0.008, 0.02, 0.002, 0.002, 0.001, 0.004, 0.002, 0.0];
     let at = number as usize;
-    SiteFacts {
+    SiteConfig {
         listeners: vec![
-            listener(1.0, Repeat::Repeatable, 300, 60),
-            listener(5.0, Repeat::Repeatable, 200, 80),
-            listener(4.0, Repeat::OnceOnly, 300, 60),
-            listener(2.0, referenced(Within::All, 1_000), 400, 90),
-            listener(5.0, referenced(Within::Zone, 800), 300, 60),
-            listener(1.5, referenced(Within::Cell, 1_500), 300, 70),
+            listener(1.0, Idempotency::Idempotent, 300, 60),
+            listener(5.0, Idempotency::Idempotent, 200, 80),
+            listener(4.0, Idempotency::NonIdempotent, 300, 60),
+            listener(2.0, referenced(KeyScope::All, 1_000), 400, 90),
+            listener(5.0, referenced(KeyScope::Zone, 800), 300, 60),
+            listener(1.5, referenced(KeyScope::Cell, 1_500), 300, 70),
         ],
-        relays: [1, 2, 6, 20, 300, 100, 3, 900, 12, 40][at],
-        slot: [0, 1, 3, 7, 120, 99, 2, 850, 11, 0][at],
+        relay_count: [1, 2, 6, 20, 300, 100, 3, 900, 12, 40][at],
+        relay_index: [0, 1, 3, 7, 120, 99, 2, 850, 11, 0][at],
         zone: number as u8 % 3,
         must_watch: number.is_multiple_of(2),
         may_probe: number != 5,
-        groups: number % 3 != 1,
-        most_dials: [4, 3, 2, 4, 4, 3, 1, 4, 5, 4][at],
-        max_open: [1000, 30, 400, 1000, 1000, 500, 60, 200, 1000, 1000][at],
-        retry_after: (!number.is_multiple_of(4)).then_some(u64::from(number) * 300 * MILLISECOND),
-        cold: (8 + 2 * u64::from(number)) * SECOND,
-        cold_from: 0.1 + 0.02 * f64::from(number),
-        fall_multiple: 2.0 + 0.3 * f64::from(number),
-        fall: (800 + 150 * u64::from(number)) * MILLISECOND,
-        price_crossing: [0.0, 0.05, 0.02, 0.0, 0.1, 0.01, 0.0, 0.0, 0.3, 0.02][at],
-        price_move: [0.0, 0.05, 0.01, 0.0, 0.02, 0.0, 0.1, 0.0, 0.01, 0.02][at],
-        price_probe: probe[at],
+        groups_enabled: number % 3 != 1,
+        max_dials: [4, 3, 2, 4, 4, 3, 1, 4, 5, 4][at],
+        max_sessions: [1000, 30, 400, 1000, 1000, 500, 60, 200, 1000, 1000][at],
+        max_retry_after: (!number.is_multiple_of(4)).then_some(u64::from(number) * 300 * MILLISECOND),
+        warm_up: (8 + 2 * u64::from(number)) * SECOND,
+        initial_capacity: 0.1 + 0.02 * f64::from(number),
+        overload_multiple: 2.0 + 0.3 * f64::from(number),
+        overload_window: (800 + 150 * u64::from(number)) * MILLISECOND,
+        cross_zone_cost: [0.0, 0.05, 0.02, 0.0, 0.1, 0.01, 0.0, 0.0, 0.3, 0.02][at],
+        migration_cost: [0.0, 0.05, 0.01, 0.0, 0.02, 0.0, 0.1, 0.0, 0.01, 0.02][at],
+        probe_cost: probe[at],
     }
 }
 
 impl Site {
     fn new(number: u32) -> Site {
-        let facts = facts(number);
+        let config = config(number);
         Site {
-            relay: Relay::new(facts.clone(), 1_000 + u64::from(number)),
-            facts,
+            relay: Relay::new(config.clone(), 1_000 + u64::from(number)),
+            config,
             chance: oorandom::Rand64::new(77 + u128::from(number)),
             now: u64::from(number) * 5 * SECOND,
             backends: BTreeMap::new(),
@@ -181,13 +181,13 @@
         self.due.insert((self.now + after, self.scheduled), due);
     }
 
-    fn add_backend(&mut self, cold: bool) -> Entry {
+    fn add_backend(&mut self, cold: bool) -> Endpoint {
         self.last_server += 1;
         let server = self.last_server;
-        let entry = Entry {
+        let entry = Endpoint {
             server,
             phase: Phase::Ready,
-            came_up: if cold { self.now } else { 0 },
+            started_at: if cold { self.now } else { 0 },
             zone: (server % 3) as u8,
             cell: (server % 5) as u16,
         };
@@ -196,11 +196,11 @@
         entry
     }
 
-    fn report(&mut self, server: ServerId) -> Option<Report> {
+    fn report(&mut self, server: ServerId) -> Option<LoadReport> {
         let noise = self.below(200) as f64 / 1000.0;
         let left_out = self.hits(5);
         let backend = self.backends.get(&server)?;
-        let relays = f64::from(self.facts.relays.min(4));
+        let relays = f64::from(self.config.relay_count.min(4));
         let others = match self.weather {
             Weather::Full => 0.8,
             Weather::AllLate => 1.05,
@@ -212,10 +212,10 @@
             Weather::AllLate => !server.is_multiple_of(4),
             _ => false,
         };
-        let piled = if late { 0.1 + noise } else { noise / 20.0 };
-        let held = (!server.is_multiple_of(7)).then_some(f64::from(backend.open) * relays + 3.0);
+        let queue_delay = if late { 0.1 + noise } else { noise / 20.0 };
+        let sessions = (!server.is_multiple_of(7)).then_some(f64::from(backend.open) * relays + 3.0);
         let load = if late { load + 0.4 } else { load };
-        Some(Report { load: (!left_out).then_some(load), piled: Some(piled), held })
+        Some(LoadReport { load: (!left_out).then_some(load), queue_delay: Some(queue_delay), sessions })
     }
 
     /// Gives the relay an input, adds what comes of it to the chain, and plans the answers.
@@ -239,19 +239,19 @@
 
     /// What a relay knows counts too: it decides later.
     fn write_line(&mut self) {
-        let (step, servers) = self.relay.memory(self.now);
-        self.chain.add(step.to_bits());
-        for memory in servers {
+        let snapshot = self.relay.snapshot(self.now);
+        self.chain.add(snapshot.session_load.to_bits());
+        for memory in snapshot.servers {
             self.chain.add(u64::from(memory.server));
-            if let Some((ago, report)) = memory.report {
-                self.chain.add(ago);
-                let fields = [report.load, report.piled, report.held];
+            if let Some(PastReport { age, report }) = memory.report {
+                self.chain.add(age);
+                let fields = [report.load, report.queue_delay, report.sessions];
                 fields.iter().for_each(|field| self.chain.add(field.unwrap_or(-1.0).to_bits()));
             }
             self.chain.add(u64::from(memory.misses));
-            self.chain.add(memory.placed.to_bits());
-            self.chain.add(memory.turn.0);
-            self.chain.add(memory.turn.1.to_bits());
+            self.chain.add(memory.recent_sessions.to_bits());
+            self.chain.add(memory.slot.age);
+            self.chain.add(memory.slot.interval_fraction.to_bits());
             self.chain.add(u64::from(self.relay.avoids(self.now, memory.server)));
         }
         let counts: Vec<String> = self.effects.iter().map(u64::to_string).collect();
@@ -261,14 +261,14 @@
 
     fn answer(&mut self, effect: Effect) {
         match effect {
-            Effect::Dial { sess, server, .. } => {
+            Effect::Dial { session: sess, server, .. } => {
                 let dial = self.sessions.get(&sess).map_or(0, |one| one.dial + 1);
                 self.sessions.insert(sess, Held { server, dial, up: false });
                 let late = self.weather == Weather::OneLate && server == 2;
                 let after = (if late { 350 } else { 1 + self.below(40) }) * MILLISECOND;
                 self.schedule(after, Due::DialOutcome { sess, dial });
             }
-            Effect::Refuse { sess, .. } | Effect::TearDown { sess } => {
+            Effect::Reject { session: sess, .. } | Effect::TearDown { session: sess } => {
                 self.sessions.remove(&sess);
                 if self.hits(40) {
                     let after = (200 + self.below(1_500)) * MILLISECOND;
@@ -276,7 +276,7 @@
                     self.schedule(after, Due::Input(input));
                 }
             }
-            Effect::Move { sess } => {
+            Effect::Migrate { session: sess } => {
                 let after = (1 + self.below(60)) * MILLISECOND;
                 self.schedule(after, Due::End { sess });
                 let input = self.request(true);
@@ -286,30 +286,33 @@
                 let after = (1 + self.below(30)) * MILLISECOND;
                 self.schedule(after, Due::ProbeAnswer { server });
             }
-            Effect::Alarm { after, label } => self.schedule(after, Due::Input(Input::Alarm { label })),
-            Effect::Watch => {
-                let kind = if self.hits(60) { ListKind::Broken } else { ListKind::Full };
+            Effect::SetTimer { after, label } => {
+                self.schedule(after, Due::Input(Input::TimerExpired { label }))
+            }
+            Effect::WatchEndpoints => {
+                let update = if self.hits(60) { ListUpdate::WatchFailed } else { ListUpdate::Snapshot };
                 let after = (20 + self.below(400)) * MILLISECOND;
-                let entries = match kind {
-                    ListKind::Full => self.backends.values().map(|backend| backend.entry).collect(),
+                let endpoints = match update {
+                    ListUpdate::Snapshot => self.backends.values().map(|backend| backend.entry).collect(),
                     _ => Vec::new(),
                 };
-                self.schedule(after, Due::Input(Input::List { kind, entries }));
+                self.schedule(after, Due::Input(Input::EndpointList { update, endpoints }));
             }
         }
     }
 
     fn request(&mut self, returned: bool) -> Input {
         self.last_session += 1;
-        let asked = Asked {
+        let request = AdmissionRequest {
             listener: self.below(7) as usize,
             key: self.below(1000),
             group: if self.hits(50) { 1 + self.below(9) } else { 0 },
             returned,
-            left: [0, 150, 400, 1_000, 1_000, 2_000, 2_000, 2_000, 2_000, 2_000][self.below(10) as usize]
+            time_remaining: [0, 150, 400, 1_000, 1_000, 2_000, 2_000, 2_000, 2_000, 2_000]
+                [self.below(10) as usize]
                 * MILLISECOND,
         };
-        Input::Asked { sess: self.last_session, asked }
+        Input::SessionRequested { session: self.last_session, request }
     }
 
     fn come_due(&mut self, due: Due) {
@@ -326,12 +329,12 @@
                     Some(_) if self.hits(3) => DialEnd::Full,
                     Some(_) => DialEnd::Ok,
                 };
-                self.step(Input::Probed { server, end, report });
+                self.step(Input::ProbeEnded { server, end, report });
             }
             Due::End { sess } => {
                 if let Some(held) = self.sessions.remove(&sess) {
                     self.leave(held.server);
-                    self.step(Input::Left { sess });
+                    self.step(Input::SessionEnded { session: sess });
                 }
             }
         }
@@ -360,7 +363,7 @@
             if dial == 0 {
                 self.sessions.remove(&sess);
             }
-            return self.step(Input::NotBegun { sess, dial });
+            return self.step(Input::DialNotStarted { session: sess, dial });
         }
         let report = if self.hits(30) { self.report(server) } else { None };
         if self.hits(bad) {
@@ -374,11 +377,17 @@
                 DialEnd::Moot,
             ];
             let end = ends[self.below(7) as usize];
-            return self.step(Input::DialEnded { sess, dial, end, settled: false, report });
+            return self.step(Input::DialEnded { session: sess, dial, end, settled: false, report });
         }
         if self.hits(15) {
             self.sessions.remove(&sess);
-            return self.step(Input::DialEnded { sess, dial, end: DialEnd::Ok, settled: true, report });
+            return self.step(Input::DialEnded {
+                session: sess,
+                dial,
+                end: DialEnd::Ok,
+                settled: true,
+                report,
+            });
         }
         self.sessions.entry(sess).and_modify(|held| held.up = true);
         if let Some(backend) = self.backends.get_mut(&server) {
@@ -386,7 +395,7 @@
         }
         let life = (500 + self.below(15_000)) * MILLISECOND;
         self.schedule(life, Due::End { sess });
-        self.step(Input::Stands { sess, dial });
+        self.step(Input::SessionEstablished { session: sess, dial });
     }
 
     /// One of the open sessions.
@@ -408,7 +417,7 @@
             50..60 => {
                 if let Some((sess, _)) = self.open_session() {
                     let load = 0.2 + self.below(300) as f64 / 100.0;
-                    self.step(Input::Load { sess, load });
+                    self.step(Input::SessionLoad { session: sess, load });
                 }
             }
             60..74 => {
@@ -419,7 +428,7 @@
                         _ => false,
                     };
                     let delay = self.below(50) as f64 / 1000.0 + if late { 0.2 } else { 0.0 };
-                    self.step(Input::Delay { sess, delay });
+                    self.step(Input::MessageDelay { session: sess, delay });
                 }
             }
             74..79 => {
@@ -427,40 +436,44 @@
                     let dial = self.sessions.remove(&sess).map_or(0, |held| held.dial);
                     self.leave(server);
                     let end = [DialEnd::Reset, DialEnd::Ok, DialEnd::Recalled][self.below(3) as usize];
-                    self.step(Input::DialEnded { sess, dial, end, settled: true, report: None });
+                    self.step(Input::DialEnded { session: sess, dial, end, settled: true, report: None });
                 }
             }
             79..87 => self.change_list(),
-            87..90 => self.step(Input::List { kind: ListKind::Broken, entries: Vec::new() }),
+            87..90 => {
+                self.step(Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() })
+            }
             90..93 => {
                 self.last_session += 1;
                 let (sess, listener) = (self.last_session, self.below(6) as usize);
                 let server = 1 + self.below(u64::from(self.last_server)) as ServerId;
-                let asked = Asked { listener, group: self.below(4), left: SECOND, ..Asked::default() };
+                let group = self.below(4);
+                let request =
+                    AdmissionRequest { listener, group, time_remaining: SECOND, ..Default::default() };
                 self.sessions.insert(sess, Held { server, dial: 0, up: true });
                 let life = (500 + self.below(9_000)) * MILLISECOND;
                 self.schedule(life, Due::End { sess });
-                self.step(Input::AlreadyOpen { sess, server, asked });
+                self.step(Input::SessionAdopted { session: sess, server, request });
             }
             93..96 => {
                 let (listener, handshake) = (self.below(6) as usize, 150 + self.below(300));
-                let mut facts = self.facts.clone();
-                facts.listeners[listener].handshake_target = handshake * MILLISECOND;
-                facts.most_dials = 1 + self.below(5) as u32;
-                facts.may_probe = self.number != 5 && !self.hits(10);
-                self.step(Input::Facts(Box::new(facts)));
+                let mut config = self.config.clone();
+                config.listeners[listener].handshake_target = handshake * MILLISECOND;
+                config.max_dials = 1 + self.below(5) as u32;
+                config.may_probe = self.number != 5 && !self.hits(10);
+                self.step(Input::Configure(Box::new(config)));
             }
             96..98 => self.remember(),
             // Of a session that there is not.
-            98 => self.step(Input::Left { sess: 1_000_000 }),
-            _ => self.step(Input::Stands { sess: 1_000_000, dial: 0 }),
+            98 => self.step(Input::SessionEnded { session: 1_000_000 }),
+            _ => self.step(Input::SessionEstablished { session: 1_000_000, dial: 0 }),
         }
     }
 
     fn change_list(&mut self) {
         if self.backends.len() < 12 && self.hits(50) {
             let entry = self.add_backend(true);
-            return self.step(Input::List { kind: ListKind::Changes, entries: vec![entry] });
+            return self.step(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![entry] });
         }
         let at = self.below(self.backends.len() as u64) as usize;
         let server = *self.backends.keys().nth(at).expect("within them");
@@ -468,52 +481,56 @@
         let mut entry = self.backends[&server].entry;
         entry.phase = phases[self.below(4) as usize];
         if self.hits(25) {
-            entry.came_up = self.now;
+            entry.started_at = self.now;
         }
         if entry.phase == Phase::Gone && self.backends.len() > 4 {
             self.backends.remove(&server);
         } else {
             self.backends.entry(server).and_modify(|backend| backend.entry = entry);
         }
-        let kind = if self.hits(20) { ListKind::Full } else { ListKind::Changes };
-        let entries = match kind {
-            ListKind::Full => self.backends.values().map(|backend| backend.entry).collect(),
+        let update = if self.hits(20) { ListUpdate::Snapshot } else { ListUpdate::Delta };
+        let endpoints = match update {
+            ListUpdate::Snapshot => self.backends.values().map(|backend| backend.entry).collect(),
             _ => vec![entry],
         };
-        self.step(Input::List { kind, entries });
+        self.step(Input::EndpointList { update, endpoints });
     }
 
     fn remember(&mut self) {
         let mut servers = Vec::new();
         for server in 1..=self.last_server {
             if self.hits(40) {
-                let report = self.report(server).map(|report| (self.below(3) * SECOND, report));
-                servers.push(Memory {
+                let report =
+                    self.report(server).map(|report| PastReport { age: self.below(3) * SECOND, report });
+                servers.push(ServerSnapshot {
                     server,
                     report,
                     misses: self.below(2) as u32,
-                    placed: self.below(5) as f64,
-                    turn: (self.below(4_000) * MILLISECOND, self.below(1000) as f64 / 1000.0),
+                    recent_sessions: self.below(5) as f64,
+                    slot: SlotSnapshot {
+                        age: self.below(4_000) * MILLISECOND,
+                        interval_fraction: self.below(1000) as f64 / 1000.0,
+                    },
                 });
             }
         }
-        let step = self.below(300) as f64 / 1000.0;
-        self.step(Input::Remember { step, servers });
+        let session_load = self.below(300) as f64 / 1000.0;
+        self.step(Input::Restore(Snapshot { session_load, servers }));
     }
 
     fn play(mut self) -> String {
         for _ in 0..(5 + self.number % 4) {
             self.add_backend(false);
         }
-        let entries = self.backends.values().map(|backend| backend.entry).collect();
-        self.step(Input::List { kind: ListKind::Full, entries });
+        let endpoints = self.backends.values().map(|backend| backend.entry).collect();
+        self.step(Input::EndpointList { update: ListUpdate::Snapshot, endpoints });
         while self.inputs < INPUTS_PER_SITE {
             if self.now >= self.weather_ends {
                 self.weather = WEATHERS[self.below(7) as usize];
                 self.weather_ends = self.now + (1_500 + self.below(3_000)) * MILLISECOND;
             }
             // Each of many relays has few sessions.
-            let usual = 90 + 3 * u64::from(self.facts.relays.min(300));
+            let usual = 90 + 3 * u64::from(self.config.relay_count.min(300));
             let mean = if self.weather == Weather::Storm { usual / 8 } else { usual };
             let next = self.now + 1 + self.below(2 * mean * MILLISECOND);
             while let Some((&key, _)) = self.due.first_key_value().filter(|(key, _)| key.0 <= next) {
