--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,11 +1,11 @@
 //! Turns a relay's settings, in the words of the wire, into the facts that the program reads.
 use crate::at::At;
-use hallrelay_balancer::types::{Listener, Micros, Repeat, Report, SiteFacts, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
 /// What the settings tell, beyond the module's facts, of names and of time on sockets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
-    pub facts: SiteFacts,
+    pub facts: SiteConfig,
     pub report: ReportOrder,
     /// Names of the listeners and of the zones, at the places that the module knows them by.
     pub listeners: Vec<String>,
@@ -23,8 +23,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportOrder {
     pub load: Option<usize>,
-    pub piled: Option<usize>,
-    pub held: Option<usize>,
+    pub queue_delay: Option<usize>,
+    pub sessions: Option<usize>,
     /// Whether `load` is the part of the cores in use, which sites without a better figure report.
     pub by_cores: bool,
 }
@@ -32,19 +32,20 @@
 pub type RawReport = [Option<f64>; 4];
 
 impl ReportOrder {
-    pub fn pick(self, raw: RawReport) -> Report {
+    pub fn pick(self, raw: RawReport) -> LoadReport {
         let at = |i: Option<usize>| i.and_then(|i| raw[i]);
-        Report { load: at(self.load), piled: at(self.piled), held: at(self.held) }
+        LoadReport { load: at(self.load), queue_delay: at(self.queue_delay), sessions: at(self.sessions) }
     }
 
     /// From names and values, as reports stand in lines of text.
-    pub fn find(self, value: impl Fn(&str) -> Option<f64>) -> Report {
+    pub fn find(self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
         // The settings' own words, and those that the protocol's page shows.
         let either = |told, shown| value(told).or_else(|| value(shown));
         let load =
             self.load.and_then(|_| if self.by_cores { either("cpu_share", "util") } else { value("x0") });
-        let held = self.held.and_then(|_| either("busy_reqs", "inflight"));
-        Report { load, piled: self.piled.and_then(|_| value("x1")), held }
+        let sessions = self.sessions.and_then(|_| either("busy_reqs", "inflight"));
+        let queue_delay = self.queue_delay.and_then(|_| value("x1"));
+        LoadReport { load, queue_delay, sessions }
     }
 }
 
@@ -55,20 +56,23 @@
     let message_targets = family.key("MessageAim")?;
     let (listeners_at, targets) = (top.key("Listeners")?, message_targets.list()?);
     let listener = |(i, at): (usize, &At)| -> Result<Listener, String> {
-        let within =
-            at.key("Group")?.word(&[("all", Within::All), ("zone", Within::Zone), ("cell", Within::Cell)])?;
+        let scope = at.key("Group")?.word(&[
+            ("all", KeyScope::All),
+            ("zone", KeyScope::Zone),
+            ("cell", KeyScope::Cell),
+        ])?;
         let window = at.key("Window")?.micros()?;
         let kinds = [
-            ("retryable", Repeat::Repeatable),
-            ("dedup", Repeat::Referenced { within, window }),
-            ("fragile", Repeat::OnceOnly),
+            ("retryable", Idempotency::Idempotent),
+            ("dedup", Idempotency::Keyed { scope, window }),
+            ("fragile", Idempotency::NonIdempotent),
         ];
         let Some(message) = targets.get(i) else {
             return message_targets.wrong("a time for each of Listeners");
         };
         Ok(Listener {
-            utility: at.key("Utility")?.num()?,
-            repeat: at.key("Effect")?.word(&kinds)?,
+            priority_weight: at.key("Utility")?.num()?,
+            idempotency: at.key("Effect")?.word(&kinds)?,
             handshake_target: at.key("HandshakeTarget")?.micros()?,
             message_target: message.micros()?,
         })
@@ -82,32 +86,32 @@
     let fields = report.key("Fields")?.list()?;
     let place = |name: &str| fields.iter().take(4).position(|at| at.value.as_str() == Some(name));
     let (asked, cores) = (place("x0"), place("cpu_share"));
-    let (piled, held) = (place("x1"), place("busy_reqs"));
-    let order = ReportOrder { load: asked.or(cores), piled, held, by_cores: asked.is_none() };
+    let (queue_delay, sessions) = (place("x1"), place("busy_reqs"));
+    let order = ReportOrder { load: asked.or(cores), queue_delay, sessions, by_cores: asked.is_none() };
     let must_watch = top.key("Discovery")?.word(&[("automatic", false), ("subscribe", true)])?;
-    let facts = SiteFacts {
+    let facts = SiteConfig {
         listeners: listeners.iter().enumerate().map(listener).collect::<Result<_, _>>()?,
-        relays: top.key("Instances")?.small::<u32>()?.max(1),
-        slot: top.key("SlotNo")?.small()?,
+        relay_count: top.key("Instances")?.small::<u32>()?.max(1),
+        relay_index: top.key("SlotNo")?.small()?,
         zone: top.key("Zone")?.small()?,
         must_watch,
         may_probe: limits.key("MayProbe")?.yes()?,
-        groups: family.key("Groups")?.yes()?,
-        most_dials: limits.key("MostDials")?.small()?,
-        max_open: limits.key("MaxOpen")?.small()?,
-        retry_after: if limits.key("RetryAfter")?.yes()? {
+        groups_enabled: family.key("Groups")?.yes()?,
+        max_dials: limits.key("MostDials")?.small()?,
+        max_sessions: limits.key("MaxOpen")?.small()?,
+        max_retry_after: if limits.key("RetryAfter")?.yes()? {
             Some(limits.key("MaxRetryAfter")?.micros()?)
         } else {
             None
         },
-        cold: rules.key("Cold")?.micros()?,
-        cold_from: rules.key("ColdFrom")?.num()?,
-        fall_multiple: rules.key("FallMultiple")?.num()?,
+        warm_up: rules.key("Cold")?.micros()?,
+        initial_capacity: rules.key("ColdFrom")?.num()?,
+        overload_multiple: rules.key("FallMultiple")?.num()?,
         // As the protocol's page has it.
-        fall: rules.option("Fall").map_or(Ok(2_000_000), |at| at.micros())?,
-        price_crossing: charges.key("CrossZone")?.num()?,
-        price_move: charges.key("Moves")?.num()?,
-        price_probe: charges.key("Probe")?.num()?,
+        overload_window: rules.option("Fall").map_or(Ok(2_000_000), |at| at.micros())?,
+        cross_zone_cost: charges.key("CrossZone")?.num()?,
+        migration_cost: charges.key("Moves")?.num()?,
+        probe_cost: charges.key("Probe")?.num()?,
     };
     let names = |at: At| -> Result<Vec<String>, String> {
         at.list()?.iter().map(|at| Ok(at.text()?.to_string())).collect()
--- a/config/src/limits.rs
+++ b/config/src/limits.rs
@@ -189,7 +189,7 @@
             // The front goes on sending new connections for 0.2 to 0.4 s.
             // Where others are up nobody has to wait for one: spread over all the time there is, or the
             // sessions of a tenth of a large fleet, stopped together, come to the others as one burst.
-            stop_from: if site.facts.relays > 2 { 400 * MS } else { patience.max(500 * MS) }
+            stop_from: if site.facts.relay_count > 2 { 400 * MS } else { patience.max(500 * MS) }
                 .min(kill - 450 * MS),
             // The last moved need time to leave.
             stop_by: kill - 350 * MS,
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -61,7 +61,7 @@
             ("state", self.state != later.state),
             ("limits", self.sockets != later.sockets),
             ("settings.Discovery", own.must_watch != new.must_watch),
-            ("settings.SlotNo", (own.slot, own.zone) != (new.slot, new.zone)),
+            ("settings.SlotNo", (own.relay_index, own.zone) != (new.relay_index, new.zone)),
         ];
         keys.into_iter().chain(fleet).filter(|key| key.1).map(|key| key.0).collect()
     }
@@ -73,7 +73,9 @@
     /// Takes over other settings, but for what can't change while the program runs.
     pub fn tune(&mut self, mut site: Site) -> Result<(), String> {
         let (own, new) = (&self.site.facts, &mut site.facts);
-        (new.must_watch, new.slot, new.zone) = (own.must_watch, own.slot, own.zone);
+        new.must_watch = own.must_watch;
+        new.relay_index = own.relay_index;
+        new.zone = own.zone;
         (self.site, self.limits) = fitting(site, self.sockets, self.uses())?;
         Ok(())
     }
@@ -83,7 +85,7 @@
 fn fitting(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), String> {
     let limits = Limits::new(&site, sockets, uses)?;
     // C_ID of the design: no more sessions than this machine has descriptors for.
-    site.facts.max_open = site.facts.max_open.min(limits.sessions);
+    site.facts.max_sessions = site.facts.max_sessions.min(limits.sessions);
     Ok((site, limits))
 }
 
--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -7,7 +7,7 @@
 pub use read::parse;
 pub use trouble::{Fault, Trouble, TroubleKind};
 
-use hallrelay_balancer::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
@@ -310,12 +310,12 @@
 }
 
 impl Listener {
-    pub fn repeats(&self) -> Repeat {
-        let within = [Within::All, Within::Zone, Within::Cell][self.within as usize];
+    pub fn repeats(&self) -> Idempotency {
+        let scope = [KeyScope::All, KeyScope::Zone, KeyScope::Cell][self.within as usize];
         match self.repeat {
-            Sort::Repeatable => Repeat::Repeatable,
-            Sort::Referenced => Repeat::Referenced { within, window: self.window_ms.us() },
-            Sort::OnceOnly => Repeat::OnceOnly,
+            Sort::Repeatable => Idempotency::Idempotent,
+            Sort::Referenced => Idempotency::Keyed { scope, window: self.window_ms.us() },
+            Sort::OnceOnly => Idempotency::NonIdempotent,
         }
     }
 }
--- a/emulator/src/audit.rs
+++ b/emulator/src/audit.rs
@@ -1,6 +1,6 @@
 //! The auditor: sees both sides of each session and the list, and proves or disproves the four rules. It
 //! shares nothing with relay and module, and knows them only by what passes.
-use hallrelay_balancer::types::{Micros, Phase, Repeat, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Micros, Phase};
 use hallrelay_config::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -84,7 +84,7 @@
     grace: Micros,
     ask_within: Micros,
     most_dials: u32,
-    repeats: Vec<Repeat>,
+    repeats: Vec<Idempotency>,
     listeners: Vec<String>,
     /// Zones and cells of the servers.
     places: Vec<(usize, u16)>,
@@ -258,7 +258,7 @@
             Answer::Up(_) => self.sessions.get_mut(&mark).expect("just read").up = true,
             Answer::Busy => {
                 let harmless = match self.repeats[s.listener] {
-                    Repeat::Repeatable | Repeat::Referenced { within: Within::All, .. } => true,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. } => true,
                     _ => s.ran.is_none() && s.out.is_none(),
                 };
                 if !harmless {
@@ -317,14 +317,14 @@
         }
         if let Some((then, at)) = ran {
             let legal = match repeat {
-                Repeat::Repeatable => true,
-                Repeat::OnceOnly => false,
-                Repeat::Referenced { within, window } => {
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::Keyed { scope, window } => {
                     let (here, there) = (self.places[server], self.places[at]);
-                    let near = match within {
-                        Within::All => true,
-                        Within::Zone => here.0 == there.0,
-                        Within::Cell => here.1 == there.1,
+                    let near = match scope {
+                        KeyScope::All => true,
+                        KeyScope::Zone => here.0 == there.0,
+                        KeyScope::Cell => here.1 == there.1,
                     };
                     near && first <= then + window + self.slack
                 }
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients and the front that deals them out over the relays. No I/O: open-loop arrivals, lives, what each
 //! does after an answer, a move or a break.
 use crate::tools::{Chance, Queue};
-use hallrelay_balancer::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 use hallrelay_config::scenario::Scenario;
 use std::collections::{BTreeMap, HashMap};
 
@@ -366,8 +366,8 @@
         let l = &self.s.listeners[p.listener];
         let may = harmless
             || match l.repeats() {
-                Repeat::Repeatable => true,
-                Repeat::Referenced { within: Within::All, window } => self.now < p.since + window,
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed { scope: KeyScope::All, window } => self.now < p.since + window,
                 _ => false,
             };
         if p.tries == 0 || !may {
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -7,7 +7,7 @@
 use crate::script::{self, Act};
 use crate::server::{Cores, Life, Machine, Server, Work, CORE};
 use crate::tools::{Chance, Queue};
-use hallrelay_balancer::types::{Micros, Phase, Report};
+use hallrelay_balancer::types::{LoadReport, Micros, Phase};
 use hallrelay_config::scenario::{Drains, Fault, Scenario, Warms};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -139,8 +139,9 @@
 }
 
 impl Figures {
-    pub fn report(self) -> Report {
-        Report { load: Some(self.load), piled: Some(self.piled), held: Some(f64::from(self.inflight)) }
+    pub fn report(self) -> LoadReport {
+        let sessions = Some(f64::from(self.inflight));
+        LoadReport { load: Some(self.load), queue_delay: Some(self.piled), sessions }
     }
 }
 
--- a/lab/src/losses/account.rs
+++ b/lab/src/losses/account.rs
@@ -4,7 +4,7 @@
 use super::histogram::Histogram;
 use super::open::{Open, Stay};
 use super::rows::{Attempts, Ends, Fleet, Losses, Probes, Second, Sessions, Wait};
-use hallrelay_balancer::types::{DialEnd, Micros, Report};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    pub fn probed(&mut self, at: Moment, end: DialEnd, report: Report) {
+    pub fn probed(&mut self, at: Moment, end: DialEnd, report: LoadReport) {
         let second = self.at(at);
         if end != DialEnd::Ok {
             second.probes_failed += 1;
@@ -98,7 +98,7 @@
         if let Some(load) = report.load {
             second.load.add((load.clamp(0.0, 1e6) * 1e3).round() as u32);
         }
-        if let Some(piled) = report.piled {
+        if let Some(piled) = report.queue_delay {
             second.piled_reported += 1;
             second.piled_over += u64::from(piled > PILED_SECONDS);
         }
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -1,6 +1,6 @@
 //! One line of a relay's log, parsed into the entries that the accounting needs.
 use super::fields;
-use hallrelay_balancer::types::{DialEnd, Micros, Phase, Report, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, Phase, SessId};
 use hallrelay_config::list::{self, Instance, List};
 use std::net::SocketAddr;
 
@@ -115,7 +115,7 @@
     },
     Probed {
         end: DialEnd,
-        report: Report,
+        report: LoadReport,
     },
     List(List),
     /// So many lines of the log were dropped, since they came faster than they could be written.
@@ -320,14 +320,18 @@
     })
 }
 
-fn report(what: &str) -> Option<Report> {
+fn report(what: &str) -> Option<LoadReport> {
     if fields::after(what, "report")?.starts_with("None") {
-        return Some(Report::default());
+        return Some(LoadReport::default());
     }
-    Some(Report {
+    // As relays log it, and as earlier ones did.
+    let of = |field, earlier| {
+        fields::optional_number(what, field).or_else(|| fields::optional_number(what, earlier))
+    };
+    Some(LoadReport {
         load: fields::optional_number(what, "load")?,
-        piled: fields::optional_number(what, "piled")?,
-        held: fields::optional_number(what, "held")?,
+        queue_delay: of("queue_delay", "piled")?,
+        sessions: of("sessions", "held")?,
     })
 }
 
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -1,6 +1,6 @@
 //! The form of a relay's log, as `hallrelay-lab losses` reads it, against the types and the program that
 //! write it: a change of either is noticed here.
-use hallrelay_balancer::types::{DialEnd, Phase, Report};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Phase};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_lab::losses::parse::{line, Entry, Line, Opening};
 use hallrelay_relay::lines::Open;
@@ -60,7 +60,7 @@
 fn events_of_sessions_are_read_as_they_are_logged() {
     use DialEnd::{Error, Full, Moot, Ok, Recalled, Reset, Timeout, Unconnected};
     for end in [Ok, Error, Full, Timeout, Unconnected, Reset, Recalled, Moot] {
-        let report = Some(Report { load: Some(0.5), piled: None, held: Some(3.0) });
+        let report = Some(LoadReport { load: Some(0.5), queue_delay: None, sessions: Some(3.0) });
         let entry = event(Event::DialEnded { sess: 1, dial: 2, end, report });
         assert_eq!(entry, Entry::DialEnded { sess: 1, dial: 2, end });
         assert_eq!(event(Event::SessionEnded { sess: 1, end, report: None }), Entry::Ended { sess: 1, end });
@@ -103,11 +103,11 @@
 
 #[test]
 fn probes_and_lists_are_read_as_they_are_logged() {
-    let report = Report { load: Some(0.005), piled: Some(1.0), held: None };
+    let report = LoadReport { load: Some(0.005), queue_delay: Some(1.0), sessions: None };
     let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Ok, report: Some(report) };
     assert_eq!(event(probed), Entry::Probed { end: DialEnd::Ok, report });
     let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Timeout, report: None };
-    assert_eq!(event(probed), Entry::Probed { end: DialEnd::Timeout, report: Report::default() });
+    assert_eq!(event(probed), Entry::Probed { end: DialEnd::Timeout, report: LoadReport::default() });
     let instance = |id: &str, phase, came_up| Instance {
         id: id.to_string(),
         addr: "127.0.1.1:8000".parse().expect("an address"),
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -1,5 +1,5 @@
 //! The lines of the protocol, as parsers. Nothing here reads a socket or decides.
-use hallrelay_balancer::types::Report;
+use hallrelay_balancer::types::LoadReport;
 use hallrelay_config::facts::ReportOrder;
 use std::ops::Range;
 use winnow::ascii::{alpha1, float};
@@ -107,11 +107,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Said {
     Up,
-    Bye(Option<Report>),
+    Bye(Option<LoadReport>),
     Move,
-    Error(Option<Report>),
-    Busy(Option<Report>),
-    Pong(Option<Report>),
+    Error(Option<LoadReport>),
+    Busy(Option<LoadReport>),
+    Pong(Option<LoadReport>),
     Load(f64),
     Other,
 }
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -7,7 +7,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use crate::socket::NotConnected;
-use hallrelay_balancer::types::{DialEnd, Micros, Report};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
@@ -29,8 +29,8 @@
 pub enum Ended {
     Up(Backend),
     /// Served to its end at once, with this line.
-    Over((Vec<u8>, Option<Report>)),
-    Not(DialEnd, Option<Report>),
+    Over((Vec<u8>, Option<LoadReport>)),
+    Not(DialEnd, Option<LoadReport>),
     /// Not begun: this machine could not, or the backend is to be left; no fault of its own.
     NotBegun,
     /// Not begun: its client does not wait any more.
--- a/relay/src/net/pass.rs
+++ b/relay/src/net/pass.rs
@@ -5,7 +5,7 @@
 use crate::buffer::Buffer;
 use crate::lines::{self, Said};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, Micros, Report, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessId};
 use hallrelay_hot_restart::place::Peer;
 use hallrelay_hot_restart::Session;
 use std::collections::VecDeque;
@@ -19,7 +19,7 @@
     ClientEnded,
     ClientBroke,
     /// The backend ended it, with its last word where it had one.
-    Backend(DialEnd, Option<Report>),
+    Backend(DialEnd, Option<LoadReport>),
     /// The reducer wants it moved.
     Moved,
     /// Another process is to go on with it.
@@ -37,7 +37,7 @@
     doubt: Option<(Micros, Micros)>,
     /// How long that is.
     patience: Micros,
-    last: Option<(DialEnd, Option<Report>)>,
+    last: Option<(DialEnd, Option<LoadReport>)>,
 }
 
 impl<'a> LineObserver<'a> {
--- a/relay/src/net/probe.rs
+++ b/relay/src/net/probe.rs
@@ -5,7 +5,7 @@
 use crate::lines::{self, Said};
 use crate::reducer::Event;
 use crate::socket::{self, NotConnected};
-use hallrelay_balancer::types::{DialEnd, Report, ServerId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, ServerId};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
@@ -62,7 +62,7 @@
     matches!(socket::try_read(stream, &mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-type Fault = (DialEnd, Option<Report>);
+type Fault = (DialEnd, Option<LoadReport>);
 
 async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, Fault> {
     let by = Instant::now() + span(hub.limits().connect);
@@ -73,7 +73,7 @@
     })
 }
 
-async fn ask(stream: &TcpStream, buffer: &mut Buffer, hub: &Hub) -> Result<Option<Report>, Fault> {
+async fn ask(stream: &TcpStream, buffer: &mut Buffer, hub: &Hub) -> Result<Option<LoadReport>, Fault> {
     let limits = hub.limits();
     if !end::write(stream, lines::STATS, limits.probe).await {
         return Err((DialEnd::Reset, None));
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,7 +1,7 @@
 //! What comes to the reducer, what it asks for, and what operators ask of it and hear.
 use super::{Figures, Want, Word};
 use crate::lines::Open;
-use hallrelay_balancer::types::{DialEnd, Micros, Report, ServerId, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
 use hallrelay_config::list::List;
@@ -99,13 +99,13 @@
         sess: SessId,
         dial: u32,
         end: DialEnd,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// An open session ended at its backend's side.
     SessionEnded {
         sess: SessId,
         end: DialEnd,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     LoadReported {
         sess: SessId,
@@ -119,7 +119,7 @@
     HealthCheckEnded {
         server: ServerId,
         end: DialEnd,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     EndpointListReceived {
         watch: u32,
--- a/relay/src/reducer/evidence.rs
+++ b/relay/src/reducer/evidence.rs
@@ -4,7 +4,7 @@
 //! of the list service too. It hurts where a network was cut for a while: those servers are spared for one
 //! warm-up, till discovery speaks.
 use super::Reducer;
-use hallrelay_balancer::types::{DialEnd, Input, ListKind, ServerId};
+use hallrelay_balancer::types::{DialEnd, Input, ListUpdate, ServerId};
 
 /// Connections in a row that were not made: one may be a lost packet.
 const MISSED: u32 = 2;
@@ -64,7 +64,7 @@
         }
         let mut one = v.told.clone();
         one.came_up = self.now;
-        let entry = self.entry(one, ListKind::Changes);
-        self.tell(Input::List { kind: ListKind::Changes, entries: vec![entry] }, out);
+        let endpoint = self.endpoint(one, ListUpdate::Delta);
+        self.tell(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
     }
 }
--- a/relay/src/reducer/fleet.rs
+++ b/relay/src/reducer/fleet.rs
@@ -31,7 +31,7 @@
         start: now,
         about: About::default(),
         peers: fleet.peers.clone(),
-        configured: node.site.facts.relays as usize,
+        configured: node.site.facts.relay_count as usize,
         seed: node.seed,
     }))
 }
--- a/relay/src/reducer/keep.rs
+++ b/relay/src/reducer/keep.rs
@@ -1,6 +1,8 @@
 //! What a relay keeps across restarts: what goes to the store as it happens, and what a start makes of it.
 use super::{note, Effect, Reducer, Server};
-use hallrelay_balancer::types::{Input, Memory, Micros, Phase, ServerId, SessId};
+use hallrelay_balancer::types::{
+    Input, Micros, Phase, ServerId, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
+};
 use hallrelay_config::list::List;
 use hallrelay_recovery::{recover, Kept, Recovered, Returning, Stored, View};
 
@@ -16,7 +18,7 @@
 
     /// What of it is trusted.
     pub(super) fn recovered(&mut self, now: Micros, stored: &Stored, out: &mut Vec<Effect>) -> Recovered {
-        let (node, warm_up) = (&self.node, self.node.site.facts.cold);
+        let (node, warm_up) = (&self.node, self.node.site.facts.warm_up);
         let discovery = node.discovery.to_string();
         let mut r = recover(now, &node.name, &discovery, warm_up, &node.known, stored);
         std::mem::take(&mut r.words).into_iter().for_each(|word| note(word, out));
@@ -35,20 +37,21 @@
         if r.turns.is_empty() {
             return;
         }
-        let (step, now) = self.module.memory(self.now);
+        let Snapshot { session_load, servers } = self.module.snapshot(self.now);
         // Of the others as the module begins with them.
-        let mut servers: Vec<Memory> = now.into_iter().map(|m| Memory { report: None, ..m }).collect();
+        let unreported = servers.into_iter().map(|server| ServerSnapshot { report: None, ..server });
+        let mut servers: Vec<ServerSnapshot> = unreported.collect();
         for turn in &r.turns {
             let Some(server) = self.ids.get(&turn.server) else { continue };
             let spent = servers.iter_mut().find(|m| m.server == *server);
-            spent.into_iter().for_each(|m| m.turn = (turn.ago, 1.0));
+            spent.into_iter().for_each(|m| m.slot = SlotSnapshot { age: turn.ago, interval_fraction: 1.0 });
         }
-        self.tell(Input::Remember { step, servers }, out);
+        self.tell(Input::Restore(Snapshot { session_load, servers }), out);
     }
 
     /// How far this relay is on its way back.
     pub(super) fn returning(&self) -> Returning {
-        let warm_up = self.node.site.facts.cold;
+        let warm_up = self.node.site.facts.warm_up;
         let there = self.servers.values().filter(|v| v.told.phase == Phase::Ready);
         let cold = |v: &&Server| v.is_cold(self.now, warm_up);
         Returning::of(&View {
@@ -96,11 +99,12 @@
             return;
         }
         let Some(v) = self.servers.get(&server) else { return };
-        if !v.is_cold(self.now, self.node.site.facts.cold) {
+        if !v.is_cold(self.now, self.node.site.facts.warm_up) {
             return;
         }
-        let (_, all) = self.module.memory(self.now);
-        let spent = all.iter().any(|m| m.server == server && m.turn == (0, 1.0));
+        let taken_now = SlotSnapshot { age: 0, interval_fraction: 1.0 };
+        let known = self.module.snapshot(self.now);
+        let spent = known.servers.iter().any(|m| m.server == server && m.slot == taken_now);
         if spent {
             let kept = Kept::turn(&v.told.id, self.now);
             out.push(Effect::Persist { kept, before: Some(sess) });
--- a/relay/src/reducer/look.rs
+++ b/relay/src/reducer/look.rs
@@ -185,7 +185,7 @@
     /// Servers as the list and this relay's own probes have them; one that left the list is forgotten.
     fn servers_seen(&self) -> Vec<(Thing, Place, Condition)> {
         let Some(a) = &self.agreed else { return Vec::new() };
-        let warm_up = self.node.site.facts.cold;
+        let warm_up = self.node.site.facts.warm_up;
         let seen = self.servers.values().filter(|v| v.told.phase != Phase::Gone).map(|v| {
             let told = &v.told;
             let cold = v.is_cold(self.now, warm_up);
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -25,7 +25,7 @@
 pub use wish::Want;
 
 use duty::{Duty, Sign};
-use hallrelay_balancer::types::{self as module, Asked, DialEnd, Input, Micros, ServerId, SessId};
+use hallrelay_balancer::types::{self as module, AdmissionRequest, DialEnd, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::Node;
@@ -64,7 +64,7 @@
     id: u64,
     /// The name of its listener, as it was when it came.
     listener: Rc<str>,
-    asked: Asked,
+    asked: AdmissionRequest,
     stage: Stage,
     server: Option<ServerId>,
     dials: u32,
@@ -266,13 +266,13 @@
                 if end == DialEnd::Reset {
                     self.counts(s.server, end);
                 }
-                self.tell(Input::DialEnded { sess, dial, end, settled: true, report }, out);
+                self.tell(Input::DialEnded { session: sess, dial, end, settled: true, report }, out);
             }
             Event::LoadReported { sess, load } if self.passing(sess) => self.load(sess, load, out),
             Event::MessageLatency { sess, time } if self.passing(sess) => self.took(sess, time, out),
             Event::HealthCheckEnded { server, end, report } => {
                 self.probed(server, end, out);
-                self.tell(Input::Probed { server, end, report }, out);
+                self.tell(Input::ProbeEnded { server, end, report }, out);
             }
             Event::EndpointListReceived { watch, list } => self.heard(watch, list, out),
             Event::EndpointWatchFailed { watch } => self.list_broken(watch, out),
@@ -311,7 +311,7 @@
     /// What the module asks for, in the program's own effects.
     fn carry(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
         match ask {
-            module::Effect::Dial { sess, server, wait, window } => {
+            module::Effect::Dial { session: sess, server, timeout: wait, send_within: window } => {
                 let Some(s) = self.sessions.get_mut(&sess) else { return };
                 (s.stage, s.server, s.dials) = (Stage::Dial, Some(server), s.dials + 1);
                 let dial = s.dials - 1;
@@ -321,28 +321,28 @@
                     return out.push(Effect::Dial { sess, dial, server: Some(server), addr, wait, begin });
                 }
                 let end = DialEnd::Unconnected;
-                self.tell(Input::DialEnded { sess, dial, end, settled: false, report: None }, out);
+                self.tell(Input::DialEnded { session: sess, dial, end, settled: false, report: None }, out);
             }
-            module::Effect::Refuse { sess, retry_after } => {
+            module::Effect::Reject { session: sess, retry_after } => {
                 self.answer(sess, Effect::Reject { sess, retry_after }, out);
             }
-            module::Effect::TearDown { sess } => self.answer(sess, Effect::TearDown { sess }, out),
-            module::Effect::Move { sess } => self.move_on(sess, out),
+            module::Effect::TearDown { session: sess } => self.answer(sess, Effect::TearDown { sess }, out),
+            module::Effect::Migrate { session: sess } => self.move_on(sess, out),
             module::Effect::Probe { server } => {
                 let Some(v) = self.servers.get_mut(&server) else { return };
                 v.probing = true;
                 out.push(Effect::HealthCheck { server, addr: v.told.addr });
             }
-            module::Effect::Alarm { after, label } => {
+            module::Effect::SetTimer { after, label } => {
                 out.push(Effect::StartTimer { after, alarm: Timer::Balancer(label) });
             }
-            module::Effect::Watch => self.ask_list(out),
+            module::Effect::WatchEndpoints => self.ask_list(out),
         }
     }
 
     fn alarm(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
         match alarm {
-            Timer::Balancer(label) => self.tell(Input::Alarm { label }, out),
+            Timer::Balancer(label) => self.tell(Input::TimerExpired { label }, out),
             Timer::RedialPreExisting(sess) => self.again(sess, out),
             Timer::AnswerDeadline(sess) => {
                 // Dials end and the module answers before this; it guards against a task that does neither.
--- a/relay/src/reducer/place.rs
+++ b/relay/src/reducer/place.rs
@@ -2,7 +2,10 @@
 //! over, and what is shared till the old one is gone. The states stand in the package `handover`.
 use super::duty::Sign;
 use super::{note, Effect, Reducer, Sess, Stage, Timer};
-use hallrelay_balancer::types::{Asked, Input, Memory, Micros, Phase, Report, SessId};
+use hallrelay_balancer::types::{
+    AdmissionRequest, Input, LoadReport, Micros, PastReport, Phase, ServerSnapshot, SessId, SlotSnapshot,
+    Snapshot,
+};
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::place::{Act, Event as Heard, Peer, PATIENCE};
 use hallrelay_hot_restart::{Message, Server, Session, State};
@@ -104,7 +107,7 @@
         // Its listener may be dropped here by now: nothing of an open session depends on its place.
         let listener = listeners.iter().position(|name| *name == session.listener).unwrap_or(0);
         let (key, group, returned) = (session.key, session.group, session.returned);
-        let asked = Asked { listener, key, group, returned, left: 0 };
+        let asked = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
         let server = self.ids.get(&session.server).copied();
         let s = Sess {
             id: session.mark,
@@ -124,26 +127,31 @@
         out.push(Effect::StartProxying { sess });
         // At a server that the list no longer names it lives on, and the module need not know.
         if let Some(server) = server {
-            self.tell(Input::AlreadyOpen { sess, server, asked }, out);
+            self.tell(Input::SessionAdopted { session: sess, server, request: asked }, out);
         }
         // Its place may be another's by now.
         self.pass_on(sess, out);
     }
 
     fn state(&self) -> State {
-        let (step, memory) = self.module.memory(self.now);
-        let server = |m: Memory| {
+        let known = self.module.snapshot(self.now);
+        let server = |m: ServerSnapshot| {
             let told = &self.servers.get(&m.server)?.told;
             let figure = |x: Option<f64>| x.unwrap_or(0.0);
-            let report = m.report.map(|(ago, r)| (ago, figure(r.load), figure(r.piled), figure(r.held)));
-            let (name, misses, placed, turn) = (told.id.clone(), m.misses, m.placed, m.turn);
+            let figures = |r: LoadReport| (figure(r.load), figure(r.queue_delay), figure(r.sessions));
+            let report = m.report.map(|PastReport { age, report }| {
+                let (load, queue_delay, sessions) = figures(report);
+                (age, load, queue_delay, sessions)
+            });
+            let (name, misses, placed) = (told.id.clone(), m.misses, m.recent_sessions);
+            let turn = (m.slot.age, m.slot.interval_fraction);
             Some(Server { name, report, misses, placed, turn })
         };
         let listed = self.servers.values().map(|v| &v.told).filter(|told| told.phase != Phase::Gone);
         State {
             list: self.generation.map(|generation| list::encode(generation, true, listed)),
-            servers: memory.into_iter().filter_map(server).collect(),
-            step,
+            servers: known.servers.into_iter().filter_map(server).collect(),
+            step: known.session_load,
             draining: self.draining().map(|since| self.now - since),
             open: self.sessions.values().map(|s| s.id).collect(),
             connections: (self.sessions.len() + self.aside.len()) as u32,
@@ -168,14 +176,16 @@
             }
         }
         let memory = |m: Server| {
-            let report = m.report.map(|(ago, load, piled, held)| {
-                (ago, Report { load: Some(load), piled: Some(piled), held: Some(held) })
+            let report = m.report.map(|(age, load, queue_delay, sessions)| {
+                let (load, queue_delay, sessions) = (Some(load), Some(queue_delay), Some(sessions));
+                PastReport { age, report: LoadReport { load, queue_delay, sessions } }
             });
-            let (&server, misses, placed, turn) = (self.ids.get(&m.name)?, m.misses, m.placed, m.turn);
-            Some(Memory { server, report, misses, placed, turn })
+            let &server = self.ids.get(&m.name)?;
+            let slot = SlotSnapshot { age: m.turn.0, interval_fraction: m.turn.1 };
+            Some(ServerSnapshot { server, report, misses: m.misses, recent_sessions: m.placed, slot })
         };
         let servers = state.servers.into_iter().filter_map(memory).collect();
-        self.tell(Input::Remember { step: state.step, servers }, out);
+        self.tell(Input::Restore(Snapshot { session_load: state.step, servers }), out);
         if let (Some(fleet), Some(known)) = (&mut self.fleet, &state.fleet) {
             fleet.inherit(self.now, known);
         }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,6 +1,6 @@
 //! The servers that the list names, what is known of them by probes, and when they are forgotten.
 use super::{note, Delay, Effect, Reducer, Server, Stage};
-use hallrelay_balancer::types::{DialEnd, Entry, Input, ListKind, Micros, Phase, ServerId};
+use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::judge::Tally;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
         if list.whole {
             self.servers.values_mut().for_each(|v| v.told.phase = Phase::Gone);
         }
-        let kind = if list.whole { ListKind::Full } else { ListKind::Changes };
+        let update = if list.whole { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let mut instances = list.instances;
         if !list.odd.is_empty() {
             note(format!("{} entries of the list can't be read", list.odd.len()), out);
@@ -38,28 +38,28 @@
             let there = held.map(|v| &v.told).filter(|told| told.phase == Phase::Ready);
             instances.extend(there.map(|told| Instance { phase: Phase::Draining, ..told.clone() }));
         }
-        let entries: Vec<Entry> = instances.into_iter().map(|one| self.entry(one, kind)).collect();
-        self.tell_leaving(kind, &entries, out);
-        self.tell(Input::List { kind, entries }, out);
+        let endpoints: Vec<Endpoint> = instances.into_iter().map(|one| self.endpoint(one, update)).collect();
+        self.tell_leaving(update, &endpoints, out);
+        self.tell(Input::EndpointList { update, endpoints }, out);
         self.forget(out);
         self.pong(out);
     }
 
     /// Tells the tasks which servers are to be left from now on, before anything is decided by it.
-    fn tell_leaving(&mut self, kind: ListKind, entries: &[Entry], out: &mut Vec<Effect>) {
+    fn tell_leaving(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Effect>) {
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
-        if kind == ListKind::Full {
+        if update == ListUpdate::Snapshot {
             // Those that the list does not name have left.
             named.extend(self.servers.iter().map(|(&server, v)| (server, v.told.phase != Phase::Ready)));
         }
-        named.extend(entries.iter().map(|entry| (entry.server, !entry.ready())));
+        named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
         for (server, leaves) in named {
             let changed = if leaves { self.leaving.insert(server) } else { self.leaving.remove(&server) };
             out.extend(changed.then_some(Effect::SetDraining { server, leaves }));
         }
     }
 
-    pub(super) fn entry(&mut self, one: Instance, kind: ListKind) -> Entry {
+    pub(super) fn endpoint(&mut self, one: Instance, update: ListUpdate) -> Endpoint {
         let server = match self.ids.get(&one.id) {
             Some(&server) => server,
             None => {
@@ -71,7 +71,7 @@
                 server
             }
         };
-        let started = self.started_here(server, one.came_up, kind);
+        let started = self.started_here(server, one.came_up, update);
         let fresh = || Server {
             told: one.clone(),
             started,
@@ -86,14 +86,14 @@
         let zone = self.node.site.zones.iter().position(|name| *name == one.zone);
         let zone = zone.and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
         let phase = self.phase(&one);
-        Entry { server, phase, came_up: started, zone, cell: one.cell }
+        Endpoint { server, phase, started_at: started, zone, cell: one.cell }
     }
 
     /// When a server started, by this process' clock. The list's times are of another machine's wall clock, and
     /// either clock may have been set: a start that lies ahead is none of this clock's, nor is one of a server that a
     /// change names first which lies long before the list that did not name it. Such a server counts as started
     /// now, since it may be cold. (A whole list may name what started at any time.)
-    fn started_here(&self, server: ServerId, came_up: Micros, kind: ListKind) -> Micros {
+    fn started_here(&self, server: ServerId, came_up: Micros, update: ListUpdate) -> Micros {
         // Discovery notices a start late, by some ten seconds at most, and tells it later still where it is slow.
         const LATE: Micros = 60_000_000;
         if came_up == 0 {
@@ -104,7 +104,7 @@
             return v.started;
         }
         let ahead = came_up > self.now;
-        let before = self.spoken_before.filter(|_| kind == ListKind::Changes);
+        let before = self.spoken_before.filter(|_| update == ListUpdate::Delta);
         let long_ago = before.is_some_and(|then| came_up.saturating_add(LATE) < then);
         if ahead || long_ago {
             self.now
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions and connections that are none: from the first line to the end.
 use super::{Delay, Effect, Reducer, Sess, Stage, Timer};
 use crate::lines::Open;
-use hallrelay_balancer::types::{Asked, DialEnd, Input, Micros, Report, SessId};
+use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessId};
 use std::rc::Rc;
 
 /// Between two dials of a standing connection: often enough within the time that these have, seldom enough for
@@ -55,7 +55,7 @@
         let Some(s) = self.over(sess) else { return };
         self.figures.of_listener(&s.listener).abandoned += u64::from(s.stage.waits());
         if !s.standing {
-            self.tell(Input::Left { sess }, out);
+            self.tell(Input::SessionEnded { session: sess }, out);
         }
     }
 
@@ -88,15 +88,15 @@
         // Who asked before and goes on without an answer is a client now.
         self.pings.retain(|ping| *ping != sess);
         let most = self.node.site.dial_timeouts[listener];
-        let asked = Asked {
+        let asked = AdmissionRequest {
             listener,
             key: open.key,
             group: open.group,
             returned: open.returned,
-            left: left.min(most),
+            time_remaining: left.min(most),
         };
         let standing = open.at.is_some();
-        let left = if standing { left.min(self.node.limits.standing) } else { asked.left };
+        let left = if standing { left.min(self.node.limits.standing) } else { asked.time_remaining };
         let due = self.now + left;
         let s = Sess {
             id: open.id,
@@ -120,7 +120,7 @@
         }
         out.push(Effect::StartTimer { after: left, alarm: Timer::AnswerDeadline(sess) });
         match open.at {
-            None => self.tell(Input::Asked { sess, asked }, out),
+            None => self.tell(Input::SessionRequested { session: sess, request: asked }, out),
             Some(name) => match self.ids.get(&name) {
                 Some(&server) => {
                     self.sessions.entry(sess).and_modify(|s| s.server = Some(server));
@@ -167,7 +167,7 @@
         let theirs = self.sessions.get(&sess).is_some_and(|s| !s.standing);
         self.answer(sess, answer, out);
         if theirs {
-            self.tell(Input::Left { sess }, out);
+            self.tell(Input::SessionEnded { session: sess }, out);
         }
     }
 
@@ -188,9 +188,9 @@
             (true, Some(server)) => {
                 s.dials = 1; // the module counts the dial that it never asked for as the first
                 let asked = s.asked;
-                self.tell(Input::AlreadyOpen { sess, server, asked }, out);
+                self.tell(Input::SessionAdopted { session: sess, server, request: asked }, out);
             }
-            _ => self.tell(Input::Stands { sess, dial }, out),
+            _ => self.tell(Input::SessionEstablished { session: sess, dial }, out),
         }
         self.pass_on(sess, out);
     }
@@ -200,7 +200,7 @@
         sess: SessId,
         dial: u32,
         end: DialEnd,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         out: &mut Vec<Effect>,
     ) {
         let Some(s) = self.sessions.get_mut(&sess) else { return };
@@ -218,7 +218,7 @@
         }
         self.meets(server, end, out);
         self.counts(server, end);
-        self.tell(Input::DialEnded { sess, dial, end, settled, report }, out);
+        self.tell(Input::DialEnded { session: sess, dial, end, settled, report }, out);
     }
 
     /// A dial that this machine could not begin is none: it is decided anew, as long as the session waits.
@@ -230,7 +230,7 @@
                 .push(Effect::StartTimer { after: STANDING_AGAIN, alarm: Timer::RedialPreExisting(sess) });
         }
         s.dials -= 1;
-        self.tell(Input::NotBegun { sess, dial }, out);
+        self.tell(Input::DialNotStarted { session: sess, dial }, out);
     }
 
     /// A figure that a backend told. Backends that tell message delays use the same word for them, so a slow
@@ -248,9 +248,9 @@
         let delay = load / 1e3;
         let longest = self.node.limits.silence as f64 / 1e6;
         let input = if self.node.site.tells_delay && beat && delay <= longest {
-            Input::Delay { sess, delay }
+            Input::MessageDelay { session: sess, delay }
         } else {
-            Input::Load { sess, load }
+            Input::SessionLoad { session: sess, load }
         };
         self.tell(input, out);
     }
@@ -267,7 +267,7 @@
             return;
         }
         v.delay = Delay { told: Some(self.now), over };
-        self.tell(Input::Delay { sess, delay: time as f64 / 1e6 }, out);
+        self.tell(Input::MessageDelay { session: sess, delay: time as f64 / 1e6 }, out);
     }
 
     pub(super) fn move_on(&mut self, sess: SessId, out: &mut Vec<Effect>) {
--- a/relay/src/reducer/shut.rs
+++ b/relay/src/reducer/shut.rs
@@ -76,7 +76,7 @@
     /// This relay's part of a second's moves.
     pub(super) fn move_off(&mut self, out: &mut Vec<Effect>) {
         let on = self.on_shut();
-        let relays = u64::from(self.node.site.facts.relays.max(1));
+        let relays = u64::from(self.node.site.facts.relay_count.max(1));
         let Some(a) = &mut self.agreed else { return };
         if on.is_empty() {
             a.owed = 0;
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -1,6 +1,6 @@
 //! The watch on the list: asked for, renewed, moved by a new configuration.
 use super::{note, Effect, Reducer, Timer};
-use hallrelay_balancer::types::{Input, ListKind};
+use hallrelay_balancer::types::{Input, ListUpdate};
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_membership::membership::Event as Fleet;
@@ -45,7 +45,9 @@
         match self.node.limits.discovery_again {
             // Guards a relay that is told of changes whether or not a watch is open.
             Some(after) => out.push(Effect::StartTimer { after, alarm: Timer::RequestEndpointList }),
-            None => self.tell(Input::List { kind: ListKind::Broken, entries: Vec::new() }, out),
+            None => {
+                self.tell(Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() }, out)
+            }
         }
     }
 
@@ -78,9 +80,9 @@
         }
         self.node.digest = node.digest;
         let (site, limits) = (&self.node.site, Box::new(self.node.limits));
-        let (facts, order) = (Box::new(site.facts.clone()), site.report);
+        let (config, order) = (Box::new(site.facts.clone()), site.report);
         self.figures.name(&site.listeners);
-        self.tell(Input::Facts(facts), out);
+        self.tell(Input::Configure(config), out);
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
             // The same servers, at other places of the zones' list.
--- a/relay/tests/cuts.rs
+++ b/relay/tests/cuts.rs
@@ -76,7 +76,7 @@
 fn a_part_of_a_line_is_never_read_as_another_one() {
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000";
     assert!(matches!(lines::first(line), Some(First::Open(_))));
-    let order = ReportOrder { load: Some(1), piled: None, held: Some(0), by_cores: false };
+    let order = ReportOrder { load: Some(1), queue_delay: None, sessions: Some(0), by_cores: false };
     for cut in 0..line.len() {
         let whole: Vec<_> = lines::whole(&line[..cut]).collect();
         assert!(whole.is_empty(), "cut at {cut}: {whole:?}");
--- a/sim_adapter/src/main.rs
+++ b/sim_adapter/src/main.rs
@@ -1,47 +1,90 @@
-//! Hosts many instances of the decision module on the simulator's wire: standard input to standard output.
-mod wire;
+//! Adapter between the simulator and the balancer: reads batches of events for many relays on standard input,
+//! and writes the effects of each batch to standard output.
+#![deny(missing_docs)]
 
+mod error;
+mod fields;
+mod frame;
+mod record;
+mod reply;
+
+use error::WireError;
+use frame::Batch;
+use hallrelay_balancer::types::{Effect, Micros};
 use hallrelay_balancer::Relay;
 use hallrelay_config::facts::ReportOrder;
+use record::Event;
+use reply::Reply;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use wire::{Event, Reply};
+/// One relay of the simulated fleet.
+struct Instance {
+    relay: Relay,
+    report_order: ReportOrder,
+}
 
-fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut relays: BTreeMap<u16, (Relay, ReportOrder)> = BTreeMap::new();
-    let mut effects = Vec::new();
-    let mut frame = Vec::new();
-    while wire::read_frame(input, &mut frame)? {
-        let batch = wire::Batch::open(&frame)?;
+/// All relays that were started, by the simulator's numbers.
+#[derive(Default)]
+struct Host {
+    instances: BTreeMap<u16, Instance>,
+    effects: Vec<Effect>,
+}
+
+impl Host {
+    fn reply_to(&mut self, frame: &[u8]) -> Result<Reply, WireError> {
+        let batch = Batch::open(frame)?;
         let mut reply = Reply::new(batch.number);
         for index in 0..batch.count {
-            let (instance, event) =
-                batch.event(index, |i| relays.get(&i).map(|(_, order)| *order).unwrap_or_default())?;
-            match event {
-                Event::Start { seed, settings } => match hallrelay_config::settings(settings) {
-                    Ok(site) => {
-                        relays.insert(instance, (Relay::new(site.facts, seed), site.report));
-                    }
-                    Err(what) => {
-                        relays.remove(&instance);
-                        reply.fault(instance, &what);
-                    }
-                },
-                Event::Stop => {
-                    relays.remove(&instance);
-                }
-                Event::Unused => {}
-                Event::Input(one) => {
-                    if let Some((relay, _)) = relays.get_mut(&instance) {
-                        relay.step(batch.now, one, &mut effects);
-                        effects.drain(..).for_each(|effect| reply.effect(instance, &effect));
-                    }
+            let (instance, event) = batch.event(index, |number| self.report_order(number))?;
+            self.handle(batch.now, instance, event, &mut reply);
+        }
+        Ok(reply)
+    }
+
+    fn report_order(&self, instance: u16) -> ReportOrder {
+        self.instances.get(&instance).map(|one| one.report_order).unwrap_or_default()
+    }
+
+    fn handle(&mut self, now: Micros, number: u16, event: Event, reply: &mut Reply) {
+        match event {
+            Event::Start { seed, settings } => self.start(number, seed, settings, reply),
+            Event::Stop => {
+                self.instances.remove(&number);
+            }
+            Event::Unused => {}
+            Event::Input(input) => {
+                let Some(instance) = self.instances.get_mut(&number) else { return };
+                instance.relay.step(now, input, &mut self.effects);
+                for effect in self.effects.drain(..) {
+                    reply.effect(number, &effect);
                 }
             }
         }
-        output.write_all(&reply.close()).and_then(|()| output.flush()).map_err(|e| format!("output: {e}"))?;
+    }
+
+    /// Starts a relay, or declares why its settings don't allow that.
+    fn start(&mut self, number: u16, seed: u64, settings: &[u8], reply: &mut Reply) {
+        match hallrelay_config::settings(settings) {
+            Ok(site) => {
+                let relay = Relay::new(site.facts, seed);
+                self.instances.insert(number, Instance { relay, report_order: site.report });
+            }
+            Err(error) => {
+                self.instances.remove(&number);
+                reply.failure(number, &error.to_string());
+            }
+        }
+    }
+}
+
+fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), WireError> {
+    let mut host = Host::default();
+    let mut frame = Vec::new();
+    while frame::read_frame(input, &mut frame)? {
+        let reply = host.reply_to(&frame)?.into_frame();
+        output.write_all(&reply).and_then(|()| output.flush()).map_err(WireError::Output)?;
     }
     Ok(())
 }
@@ -50,8 +93,8 @@
     let mut input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     match serve(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("hallrelay-simhost: {what}");
+        Err(error) => {
+            eprintln!("hallrelay-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/sim_adapter/src/record.rs
@@ -0,0 +1,190 @@
+//! Records of events: their codes and offsets, as the simulator has them.
+
+use crate::error::RecordError;
+use crate::fields::Fields;
+use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Endpoint, Input, ListUpdate, LoadReport, Phase};
+use hallrelay_config::facts::{RawReport, ReportOrder};
+
+/// Bytes of a list's entry.
+const ENDPOINT: usize = 21;
+/// Values of a load report, at most.
+const REPORT_VALUES: usize = 4;
+
+/// An event for one relay.
+pub enum Event<'a> {
+    /// The relay starts.
+    Start {
+        /// Of its random draws.
+        seed: u64,
+        /// Its settings, as JSON.
+        settings: &'a [u8],
+    },
+    /// The relay ends.
+    Stop,
+    /// What the relay is told.
+    Input(Input),
+    /// Legal on the wire, but of no use to the decisions.
+    Unused,
+}
+
+/// Reads one record.
+pub struct Decoder<'a> {
+    /// The record.
+    pub fields: Fields<'a>,
+    /// What records of its frame refer to.
+    pub tail: &'a [u8],
+    /// Which values of a load report are read.
+    pub report_order: ReportOrder,
+}
+
+/// Where a request's fields are in a record.
+struct RequestOffsets {
+    flags: usize,
+    listener: usize,
+    key: usize,
+    group: usize,
+    time_remaining: usize,
+}
+
+impl<'a> Decoder<'a> {
+    /// The event of this record.
+    pub fn event(&self) -> Result<Event<'a>, RecordError> {
+        let fields = self.fields;
+        let input = match fields.u8(0) {
+            0 => self.session_adopted(),
+            1 => Input::TimerExpired { label: fields.u32(3) },
+            2 => return Ok(Event::Start { seed: fields.u64(3), settings: self.tail_items(11, 1)? }),
+            3 => self.probe_ended()?,
+            4 => return Ok(Event::Unused),
+            5 => Input::SessionEstablished { session: fields.u32(3), dial: u32::from(fields.u16(19)) },
+            6 => self.endpoint_list()?,
+            7 => self.session_requested(),
+            8 => match self.measurement() {
+                Some(input) => input,
+                None => return Ok(Event::Unused),
+            },
+            9 => return Ok(Event::Stop),
+            10 => self.dial_ended()?,
+            11 => Input::SessionEnded { session: fields.u32(3) },
+            code => return Err(RecordError::UnknownEvent(code)),
+        };
+        Ok(Event::Input(input))
+    }
+
+    fn session_adopted(&self) -> Input {
+        let offsets = RequestOffsets { flags: 21, listener: 19, key: 34, group: 26, time_remaining: 7 };
+        Input::SessionAdopted {
+            session: self.fields.u32(3),
+            server: self.fields.u32(22),
+            request: self.request(offsets),
+        }
+    }
+
+    fn session_requested(&self) -> Input {
+        let offsets = RequestOffsets { flags: 7, listener: 16, key: 8, group: 22, time_remaining: 38 };
+        Input::SessionRequested { session: self.fields.u32(3), request: self.request(offsets) }
+    }
+
+    fn request(&self, offsets: RequestOffsets) -> AdmissionRequest {
+        const RETURNED: u8 = 16;
+        AdmissionRequest {
+            listener: self.fields.u16(offsets.listener) as usize,
+            key: self.fields.u64(offsets.key),
+            group: self.fields.u64(offsets.group),
+            returned: self.fields.u8(offsets.flags) & RETURNED != 0,
+            time_remaining: self.fields.micros(offsets.time_remaining),
+        }
+    }
+
+    fn probe_ended(&self) -> Result<Input, RecordError> {
+        let end = dial_end(self.fields.u16(7))?;
+        let report = self.report(17)?;
+        Ok(Input::ProbeEnded { server: self.fields.u32(3), end, report })
+    }
+
+    fn dial_ended(&self) -> Result<Input, RecordError> {
+        Ok(Input::DialEnded {
+            session: self.fields.u32(3),
+            dial: u32::from(self.fields.u16(7)),
+            end: dial_end(self.fields.u16(13))?,
+            settled: self.fields.u8(23) != 0,
+            report: self.report(24)?,
+        })
+    }
+
+    /// What is measured on a session; none where the decisions do not read it.
+    fn measurement(&self) -> Option<Input> {
+        let session = self.fields.u32(3);
+        let value = self.fields.f32(14);
+        match self.fields.u8(13) {
+            1 => Some(Input::SessionLoad { session, load: value }),
+            2 => Some(Input::MessageDelay { session, delay: value / 1000.0 }),
+            _ => None,
+        }
+    }
+
+    fn endpoint_list(&self) -> Result<Input, RecordError> {
+        let update = match self.fields.u8(3) {
+            0 => ListUpdate::WatchFailed,
+            1 | 3 => ListUpdate::Snapshot,
+            2 => ListUpdate::Delta,
+            kind => return Err(RecordError::UnknownListKind(kind)),
+        };
+        let records = self.tail_items(12, ENDPOINT)?.chunks_exact(ENDPOINT);
+        let endpoints = records.map(|record| endpoint(Fields(record))).collect::<Result<_, _>>()?;
+        Ok(Input::EndpointList { update, endpoints })
+    }
+
+    /// The bytes of items in the tail, by their start and count at an offset of the record.
+    fn tail_items(&self, offset: usize, item_size: usize) -> Result<&'a [u8], RecordError> {
+        let start = self.fields.u32(offset) as usize;
+        let count = self.fields.u32(offset + 4) as usize;
+        let end = count.checked_mul(item_size).and_then(|length| length.checked_add(start));
+        let items = end.and_then(|end| self.tail.get(start..end));
+        items.ok_or(RecordError::OutsideTail { count, start, length: self.tail.len() })
+    }
+
+    /// A load report: its values in the order of the site's fields.
+    fn report(&self, offset: usize) -> Result<Option<LoadReport>, RecordError> {
+        let count = self.fields.u8(offset) as usize;
+        if count > REPORT_VALUES {
+            return Err(RecordError::LongReport(count));
+        }
+        let mut values: RawReport = [None; REPORT_VALUES];
+        for (i, value) in values.iter_mut().enumerate().take(count) {
+            let told = self.fields.f32(offset + 1 + 4 * i);
+            *value = (told.is_finite() && told >= 0.0).then_some(told);
+        }
+        Ok((count > 0).then(|| self.report_order.pick(values)))
+    }
+}
+
+fn dial_end(code: u16) -> Result<DialEnd, RecordError> {
+    Ok(match code {
+        1 => DialEnd::Ok,
+        2 => DialEnd::Error,
+        3 => DialEnd::Full,
+        4 => DialEnd::Timeout,
+        5 => DialEnd::Unconnected,
+        6 => DialEnd::Reset,
+        7 => DialEnd::Recalled,
+        8 => DialEnd::Moot,
+        _ => return Err(RecordError::UnknownOutcome(code)),
+    })
+}
+
+fn endpoint(fields: Fields) -> Result<Endpoint, RecordError> {
+    let phase = match fields.u8(19) {
+        0 => Phase::Draining,
+        1 => Phase::Ready,
+        2 => Phase::Gone,
+        phase => return Err(RecordError::UnknownPhase(phase)),
+    };
+    Ok(Endpoint {
+        started_at: fields.micros(0),
+        server: fields.u32(8),
+        cell: fields.u16(16),
+        zone: fields.u8(18),
+        phase,
+    })
+}
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -325,7 +325,7 @@
     fn input(&mut self, now: Micros, words: &[&str]) -> Result<(), Fault> {
         self.effects.clear();
         self.said.clear();
-        let order = ReportOrder { load: Some(1), piled: Some(2), held: Some(0), by_cores: false };
+        let order = ReportOrder { load: Some(1), queue_delay: Some(2), sessions: Some(0), by_cores: false };
         match words.first().copied().unwrap_or("") {
             "first" => {
                 let line = words[1..].join(" ").replace("\\t", "\t");
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,28 +16,28 @@
 pub type Fault = String;
 const LISTENERS: [&str; 5] = ["low", "high", "once", "ref", "ref-cell"];
 
-fn site() -> SiteFacts {
+fn site() -> SiteConfig {
     let listener =
-        |utility, repeat| Listener { utility, repeat, handshake_target: 300_000, message_target: 60_000 };
-    let referenced = |within| Repeat::Referenced { within, window: 1_000_000 };
-    SiteFacts {
+        |priority_weight, idempotency| Listener { priority_weight, idempotency, handshake_target: 300_000, message_target: 60_000 };
+    let keyed = |scope| Idempotency::Keyed { scope, window: 1_000_000 };
+    SiteConfig {
         listeners: vec![
-            listener(1.0, Repeat::Repeatable),
-            listener(5.0, Repeat::Repeatable),
-            listener(5.0, Repeat::OnceOnly),
-            listener(5.0, referenced(Within::All)),
-            listener(5.0, referenced(Within::Cell)),
+            listener(1.0, Idempotency::Idempotent),
+            listener(5.0, Idempotency::Idempotent),
+            listener(5.0, Idempotency::NonIdempotent),
+            listener(5.0, keyed(KeyScope::All)),
+            listener(5.0, keyed(KeyScope::Cell)),
         ],
-        relays: 1,
+        relay_count: 1,
         may_probe: true,
-        groups: true,
-        most_dials: 4,
-        max_open: 1000,
-        cold: 10_000_000,
-        cold_from: 0.2,
-        fall_multiple: 3.0,
-        fall: 2_000_000,
-        ..SiteFacts::default()
+        groups_enabled: true,
+        max_dials: 4,
+        max_sessions: 1000,
+        warm_up: 10_000_000,
+        initial_capacity: 0.2,
+        overload_multiple: 3.0,
+        overload_window: 2_000_000,
+        ..SiteConfig::default()
     }
 }
 
@@ -53,33 +53,34 @@
     Ok((num::<f64>(word)? * 1000.0) as Micros)
 }
 
-fn set_site(site: &mut SiteFacts, words: &[&str]) -> Result<(), Fault> {
+fn set_site(site: &mut SiteConfig, words: &[&str]) -> Result<(), Fault> {
     for word in words {
         let (key, value) = word.split_once('=').ok_or(format!("'{word}' is not NAME=VALUE"))?;
         match key {
-            "relays" => site.relays = num(value)?,
-            "dials" => site.most_dials = num(value)?,
-            "slot" => site.slot = num(value)?,
+            "relays" => site.relay_count = num(value)?,
+            "dials" => site.max_dials = num(value)?,
+            "slot" => site.relay_index = num(value)?,
             "zone" => site.zone = num(value)?,
-            "max_open" => site.max_open = num(value)?,
-            "retry_after" => site.retry_after = Some(millis(value)?),
+            "max_open" => site.max_sessions = num(value)?,
+            "retry_after" => site.max_retry_after = Some(millis(value)?),
             "watch" => site.must_watch = num(value)?,
-            "price_probe" => site.price_probe = num(value)?,
-            "price_crossing" => site.price_crossing = num(value)?,
+            "probe_cost" => site.probe_cost = num(value)?,
+            "cross_zone_cost" => site.cross_zone_cost = num(value)?,
             _ => return Err(format!("unknown site fact '{key}'")),
         }
     }
     Ok(())
 }
 
-fn entry(word: &str) -> Result<Entry, Fault> {
+fn endpoint(word: &str) -> Result<Endpoint, Fault> {
     let mut parts = word.split(':');
-    let mut e = Entry { server: num(parts.next().unwrap_or(""))?, phase: Phase::Ready, ..Entry::default() };
+    let mut e =
+        Endpoint { server: num(parts.next().unwrap_or(""))?, phase: Phase::Ready, ..Endpoint::default() };
     for part in parts {
         match part.split_once('=').unwrap_or((part, "")) {
             ("draining", _) => e.phase = Phase::Draining,
             ("gone", _) => e.phase = Phase::Gone,
-            ("up", at) => e.came_up = millis(at)?,
+            ("up", at) => e.started_at = millis(at)?,
             ("zone", zone) => e.zone = num(zone)?,
             ("cell", cell) => e.cell = num(cell)?,
             _ => return Err(format!("unknown mark '{part}'")),
@@ -88,14 +89,14 @@
     Ok(e)
 }
 
-fn asked(words: &[&str], listener: &str) -> Result<Asked, Fault> {
+fn request(words: &[&str], listener: &str) -> Result<AdmissionRequest, Fault> {
     let place = LISTENERS.iter().position(|l| *l == listener);
-    Ok(Asked {
+    Ok(AdmissionRequest {
         listener: place.ok_or(format!("unknown listener '{listener}'"))?,
         group: option(words, "group").map_or(Ok(0), num)?,
         returned: words.contains(&"returned"),
-        left: option(words, "left").map_or(Ok(2_000_000), millis)?,
-        ..Asked::default()
+        time_remaining: option(words, "left").map_or(Ok(2_000_000), millis)?,
+        ..AdmissionRequest::default()
     })
 }
 
@@ -108,9 +109,9 @@
 }
 
 /// How a probe ended: a word for it, or the figures of its answer.
-pub fn probe_end(words: &[&str], how: &str) -> Result<(DialEnd, Option<Report>), Fault> {
+pub fn probe_end(words: &[&str], how: &str) -> Result<(DialEnd, Option<LoadReport>), Fault> {
     let value = |key| option(words, key).map(num).transpose();
-    let report = Report { load: value("load")?, piled: value("piled")?, held: value("held")? };
+    let report = LoadReport { load: value("load")?, queue_delay: value("piled")?, sessions: value("held")? };
     let end = if how.contains('=') { DialEnd::Ok } else { dial_end(how)? };
     Ok((end, Some(report)))
 }
@@ -124,50 +125,51 @@
 /// The inputs of one line; none for `run`, which only lets time pass.
 fn inputs(words: &[&str]) -> Result<Vec<Input>, Fault> {
     let at = |i: usize| words.get(i).copied().ok_or(format!("'{}' is too short", words.join(" ")));
-    let list = |kind| -> Result<Vec<Input>, Fault> {
-        let entries = words[2..].iter().map(|w| entry(w)).collect::<Result<_, _>>()?;
-        Ok(vec![Input::List { kind, entries }])
+    let list = |update| -> Result<Vec<Input>, Fault> {
+        let endpoints = words[2..].iter().map(|w| endpoint(w)).collect::<Result<_, _>>()?;
+        Ok(vec![Input::EndpointList { update, endpoints }])
     };
     let each = |make: &dyn Fn(u32) -> Result<Input, Fault>| range(at(1)?)?.map(make).collect();
     match at(0)? {
         "run" => Ok(vec![]),
-        "list" if at(1)? == "full" => list(ListKind::Full),
-        "list" if at(1)? == "changes" => list(ListKind::Changes),
-        "list" if at(1)? == "broken" => list(ListKind::Broken),
+        "list" if at(1)? == "full" => list(ListUpdate::Snapshot),
+        "list" if at(1)? == "changes" => list(ListUpdate::Delta),
+        "list" if at(1)? == "broken" => list(ListUpdate::WatchFailed),
         "ask" => {
-            let asked = asked(words, at(2)?)?;
-            each(&|sess| Ok(Input::Asked { sess, asked }))
+            let request = request(words, at(2)?)?;
+            each(&|sess| Ok(Input::SessionRequested { session: sess, request }))
         }
         "open" => {
-            let (asked, server) = (asked(words, at(2)?)?, num(at(3)?)?);
-            each(&|sess| Ok(Input::AlreadyOpen { sess, server, asked }))
+            let (request, server) = (request(words, at(2)?)?, num(at(3)?)?);
+            each(&|sess| Ok(Input::SessionAdopted { session: sess, server, request }))
         }
-        "stands" => each(&|sess| Ok(Input::Stands { sess, dial: num(at(2)?)? })),
-        "left" => each(&|sess| Ok(Input::Left { sess })),
-        "delay" => each(&|sess| Ok(Input::Delay { sess, delay: num(at(2)?)? })),
+        "stands" => each(&|sess| Ok(Input::SessionEstablished { session: sess, dial: num(at(2)?)? })),
+        "left" => each(&|sess| Ok(Input::SessionEnded { session: sess })),
+        "delay" => each(&|sess| Ok(Input::MessageDelay { session: sess, delay: num(at(2)?)? })),
         "end" => each(&|sess| {
             let (dial, settled) = (num(at(2)?)?, words.contains(&"settled"));
-            Ok(Input::DialEnded { sess, dial, end: dial_end(at(3)?)?, settled, report: None })
+            Ok(Input::DialEnded { session: sess, dial, end: dial_end(at(3)?)?, settled, report: None })
         }),
-        "unbegun" => each(&|sess| Ok(Input::NotBegun { sess, dial: num(at(2)?)? })),
+        "unbegun" => each(&|sess| Ok(Input::DialNotStarted { session: sess, dial: num(at(2)?)? })),
         "remember" => {
             let figure = |key| option(words, key).map(num::<f64>).transpose();
             let ago = |key| option(words, key).map_or(Ok(0), millis);
             let load = figure("load")?;
-            let report = Report { load, piled: Some(0.0), held: Some(0.0) };
-            let memory = Memory {
+            let report = LoadReport { load, queue_delay: Some(0.0), sessions: Some(0.0) };
+            let known = ServerSnapshot {
                 server: num(at(1)?)?,
-                report: load.map(|_| Ok::<_, Fault>((ago("age")?, report))).transpose()?,
-                placed: figure("placed")?.unwrap_or(0.0),
-                turn: (ago("turn")?, 1.0),
-                ..Memory::default()
+                report: load.map(|_| Ok::<_, Fault>(PastReport { age: ago("age")?, report })).transpose()?,
+                recent_sessions: figure("placed")?.unwrap_or(0.0),
+                slot: SlotSnapshot { age: ago("turn")?, interval_fraction: 1.0 },
+                ..ServerSnapshot::default()
             };
-            Ok(vec![Input::Remember { step: figure("step")?.unwrap_or(0.02), servers: vec![memory] }])
+            let session_load = figure("step")?.unwrap_or(0.02);
+            Ok(vec![Input::Restore(Snapshot { session_load, servers: vec![known] })])
         }
-        "alarm" => Ok(vec![Input::Alarm { label: num(at(1)?)? }]),
+        "alarm" => Ok(vec![Input::TimerExpired { label: num(at(1)?)? }]),
         "probe" => {
             let (end, report) = probe_end(words, at(2)?)?;
-            each(&|server| Ok(Input::Probed { server, end, report }))
+            each(&|server| Ok(Input::ProbeEnded { server, end, report }))
         }
         other => Err(format!("unknown input '{other}'")),
     }
@@ -175,17 +177,17 @@
 
 fn shown(effect: &Effect) -> String {
     match effect {
-        Effect::Dial { sess, server, window: None, .. } => format!("dial {sess} at {server}"),
-        Effect::Dial { sess, server, window: Some(left), .. } => {
+        Effect::Dial { session: sess, server, send_within: None, .. } => format!("dial {sess} at {server}"),
+        Effect::Dial { session: sess, server, send_within: Some(left), .. } => {
             format!("dial {sess} at {server} within {}", left / 1000)
         }
-        Effect::Refuse { sess, retry_after: 0 } => format!("refuse {sess}"),
-        Effect::Refuse { sess, .. } => format!("refuse {sess} with retry-after"),
-        Effect::TearDown { sess } => format!("tear down {sess}"),
-        Effect::Move { sess } => format!("move {sess}"),
+        Effect::Reject { session: sess, retry_after: 0 } => format!("refuse {sess}"),
+        Effect::Reject { session: sess, .. } => format!("refuse {sess} with retry-after"),
+        Effect::TearDown { session: sess } => format!("tear down {sess}"),
+        Effect::Migrate { session: sess } => format!("move {sess}"),
         Effect::Probe { server } => format!("probe {server}"),
-        Effect::Watch => "watch".to_string(),
-        Effect::Alarm { .. } => "alarm".to_string(),
+        Effect::WatchEndpoints => "watch".to_string(),
+        Effect::SetTimer { .. } => "alarm".to_string(),
     }
 }
 
@@ -199,7 +201,7 @@
 
 #[derive(Default)]
 struct Module {
-    site: Option<SiteFacts>,
+    site: Option<SiteConfig>,
     relay: Option<Relay>,
     alarms: BTreeMap<(Micros, usize), u32>,
     effects: Vec<Effect>,
@@ -211,7 +213,7 @@
         let facts = self.site.get_or_insert_with(site);
         self.relay.get_or_insert_with(|| Relay::new(facts.clone(), 7)).step(now, input, &mut out);
         for effect in &out {
-            if let Effect::Alarm { after, label } = *effect {
+            if let Effect::SetTimer { after, label } = *effect {
                 self.alarms.insert((now + after, self.alarms.len()), label);
             }
         }
@@ -228,7 +230,7 @@
         self.effects.clear();
         while let Some((&key, &label)) = self.alarms.first_key_value().filter(|(k, _)| k.0 < now) {
             self.alarms.remove(&key);
-            self.step(key.0, Input::Alarm { label });
+            self.step(key.0, Input::TimerExpired { label });
         }
         inputs(words)?.into_iter().for_each(|input| self.step(now, input));
         Ok(())
--- a/tests/short_days/cold.rs
+++ b/tests/short_days/cold.rs
@@ -17,21 +17,25 @@
 /// What the settings allow a cold backend.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    pub cold: Micros,
-    pub cold_from: f64,
-    pub fall: Micros,
+    pub warm_up: Micros,
+    pub initial_capacity: f64,
+    pub overload_window: Micros,
 }
 
 /// As in the text scenarios of the module.
-pub const SHORT_WARM_UP: Allowance = Allowance { cold: 10 * SECOND, cold_from: 0.2, fall: 2 * SECOND };
+pub const SHORT_WARM_UP: Allowance = Allowance { warm_up: 10 * SECOND, initial_capacity: 0.2, overload_window: 2 * SECOND };
 
 /// A play's allowance, and the sessions a second that come to each relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Case(pub Allowance, pub f64);
 
-fn site(allowance: Allowance) -> SiteFacts {
-    let Allowance { cold, cold_from, fall } = allowance;
-    SiteFacts { cold, cold_from, fall, price_probe: 0.002, ..two_listeners(RELAYS) }
+fn site(allowance: Allowance) -> SiteConfig {
+    let Allowance { warm_up, initial_capacity, overload_window } = allowance;
+    SiteConfig {
+        warm_up,
+        initial_capacity,
+        overload_window,
+        probe_cost: 0.002, ..two_listeners(RELAYS) }
 }
 
 /// The most that came in a fall's time, over what the backend bears then.
@@ -53,14 +57,14 @@
 fn worst(fleet: &Fleet) -> Worst {
     let backend = &fleet.backends[&COLD];
     let mut worst = Worst::default();
-    let warm = backend.entry.came_up + fleet.site.cold;
+    let warm = backend.entry.started_at + fleet.site.warm_up;
     for &at in backend.dials.iter().filter(|at| **at < warm) {
         let budget = backend.cold_budget(at, &fleet.site);
         let bears = budget + 2.0 * budget.sqrt() + 2.0;
         let came = backend.dials_in_fall_window(at, &fleet.site);
         let part = came as f64 / bears;
         if part > worst.part {
-            worst = Worst { part, came, bears, after: at - backend.entry.came_up };
+            worst = Worst { part, came, bears, after: at - backend.entry.started_at };
         }
     }
     worst
@@ -72,7 +76,7 @@
     fleet.session_life = (sessions / (per_second * f64::from(RELAYS)) * SECOND as f64) as Micros;
     (1..=WARM_BACKENDS).for_each(|server| fleet.add_warm_backend(server, CAPACITY));
     fleet.tell_whole_list();
-    fleet.schedule_clients(0, START + fleet.site.cold, per_second);
+    fleet.schedule_clients(0, START + fleet.site.warm_up, per_second);
     fleet
 }
 
@@ -82,7 +86,7 @@
     fleet.schedule_clients(START, START + 4 * SECOND, case.1 / 2.0);
     fleet.run_until(START);
     fleet.start_cold_backend(COLD, CAPACITY);
-    fleet.run_until(START + fleet.site.cold);
+    fleet.run_until(START + fleet.site.warm_up);
     worst(&fleet)
 }
 
@@ -94,7 +98,7 @@
     // The relays' first turns there are open by then.
     fleet.run_until(START + 4 * SECOND);
     fleet.crash_backend(1, SECOND / 2);
-    fleet.run_until(START + fleet.site.cold);
+    fleet.run_until(START + fleet.site.warm_up);
     worst(&fleet)
 }
 
--- a/tests/short_days/cold_storm.rs
+++ b/tests/short_days/cold_storm.rs
@@ -32,9 +32,9 @@
     allowed: f64,
 }
 
-fn site(relays: u32) -> SiteFacts {
-    let cold = 15 * SECOND;
-    SiteFacts { cold, fall: 8 * SECOND / 10, price_probe: 0.008, ..two_listeners(relays) }
+fn site(relays: u32) -> SiteConfig {
+    let (warm_up, overload_window) = (15 * SECOND, 8 * SECOND / 10);
+    SiteConfig { warm_up, overload_window, probe_cost: 0.008, ..two_listeners(relays) }
 }
 
 /// The operators' bound on the calls of one window, by the N of that moment.
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -15,31 +15,31 @@
 
 /// A site of relays that may probe, with a listener of low and one of high utility, both repeatable, and ten
 /// seconds of slow start.
-pub fn two_listeners(relays: u32) -> SiteFacts {
-    let listener = |utility| Listener {
-        utility,
-        repeat: Repeat::Repeatable,
+pub fn two_listeners(relays: u32) -> SiteConfig {
+    let listener = |priority_weight| Listener {
+        priority_weight,
+        idempotency: Idempotency::Idempotent,
         handshake_target: 300 * MILLISECOND,
         message_target: 60 * MILLISECOND,
     };
-    SiteFacts {
+    SiteConfig {
         listeners: vec![listener(1.0), listener(5.0)],
-        relays,
+        relay_count: relays,
         may_probe: true,
-        most_dials: 4,
-        max_open: 1_000_000,
-        cold: 10 * SECOND,
-        cold_from: 0.2,
-        fall_multiple: 3.0,
-        fall: 2 * SECOND,
-        ..SiteFacts::default()
+        max_dials: 4,
+        max_sessions: 1_000_000,
+        warm_up: 10 * SECOND,
+        initial_capacity: 0.2,
+        overload_multiple: 3.0,
+        overload_window: 2 * SECOND,
+        ..SiteConfig::default()
     }
 }
 
 /// A backend as the model keeps it.
 #[derive(Default)]
 pub struct Backend {
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Sessions that fill a warm one.
     pub capacity: f64,
     pub open: u32,
@@ -51,28 +51,29 @@
 
 impl Backend {
     /// The part of its capacity that it has by then.
-    fn warmth(&self, now: Micros, site: &SiteFacts) -> f64 {
-        if self.entry.came_up == 0 {
+    fn warmth(&self, now: Micros, site: &SiteConfig) -> f64 {
+        if self.entry.started_at == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.entry.came_up) as f64 / site.cold as f64;
-        site.cold_from + (1.0 - site.cold_from) * age.min(1.0)
+        let age = now.saturating_sub(self.entry.started_at) as f64 / site.warm_up as f64;
+        site.initial_capacity + (1.0 - site.initial_capacity) * age.min(1.0)
     }
 
-    fn report(&self, now: Micros, site: &SiteFacts) -> Report {
+    fn report(&self, now: Micros, site: &SiteConfig) -> LoadReport {
         let load = self.other_load + f64::from(self.open) / (self.capacity * self.warmth(now, site));
-        Report { load: Some(load), piled: Some(0.0), held: Some(f64::from(self.open)) }
+        LoadReport { load: Some(load), queue_delay: Some(0.0), sessions: Some(f64::from(self.open)) }
     }
 
     /// N of `docs/design.md`: the sessions that a cold backend takes within the time in which it may fall.
-    pub fn cold_budget(&self, now: Micros, site: &SiteFacts) -> f64 {
-        let rate = site.fall_multiple * self.warmth(now, site) * self.capacity / site.cold as f64;
-        rate * site.fall as f64
+    pub fn cold_budget(&self, now: Micros, site: &SiteConfig) -> f64 {
+        let rate = site.overload_multiple * self.warmth(now, site) * self.capacity / site.warm_up as f64;
+        rate * site.overload_window as f64
     }
 
     /// The dials within the time in which it may fall, up to then.
-    pub fn dials_in_fall_window(&self, now: Micros, site: &SiteFacts) -> usize {
-        let within = |at: &&Micros| **at <= now && **at + site.fall > now && **at >= self.entry.came_up;
+    pub fn dials_in_fall_window(&self, now: Micros, site: &SiteConfig) -> usize {
+        let within =
+            |at: &&Micros| **at <= now && **at + site.overload_window > now && **at >= self.entry.started_at;
         self.dials.iter().filter(within).count()
     }
 }
@@ -98,7 +99,7 @@
 }
 
 pub struct Fleet {
-    pub site: SiteFacts,
+    pub site: SiteConfig,
     pub backends: BTreeMap<ServerId, Backend>,
     pub now: Micros,
     /// Per relay what it did, in order.
@@ -115,14 +116,14 @@
 
 impl Fleet {
     /// `site.slot` is set for each relay.
-    pub fn new(site: SiteFacts, seed: u64) -> Fleet {
+    pub fn new(site: SiteConfig, seed: u64) -> Fleet {
         let relay = |slot: u32| {
-            let facts = SiteFacts { slot, ..site.clone() };
+            let facts = SiteConfig { relay_index: slot, ..site.clone() };
             Relay::new(facts, seed.wrapping_mul(1_000).wrapping_add(u64::from(slot)))
         };
-        let count = site.relays as usize;
+        let count = site.relay_count as usize;
         Fleet {
-            relays: (0..site.relays).map(relay).collect(),
+            relays: (0..site.relay_count).map(relay).collect(),
             site,
             backends: BTreeMap::new(),
             now: 0,
@@ -152,16 +153,16 @@
     }
 
     pub fn add_warm_backend(&mut self, server: ServerId, capacity: f64) {
-        let entry = Entry { server, phase: Phase::Ready, ..Entry::default() };
+        let entry = Endpoint { server, phase: Phase::Ready, ..Endpoint::default() };
         self.backends.insert(server, Backend { entry, capacity, ..Backend::default() });
     }
 
     /// One that starts now, cold. All relays are told at once.
     pub fn start_cold_backend(&mut self, server: ServerId, capacity: f64) {
-        let entry = Entry { server, phase: Phase::Ready, came_up: self.now, ..Entry::default() };
+        let entry = Endpoint { server, phase: Phase::Ready, started_at: self.now, ..Endpoint::default() };
         let dials = Vec::new();
         self.backends.insert(server, Backend { entry, capacity, dials, ..Backend::default() });
-        self.tell_all(ListKind::Changes, vec![entry]);
+        self.tell_all(ListUpdate::Delta, vec![entry]);
     }
 
     /// Its sessions end, and their clients come again within a time; all relays are told that it is gone.
@@ -173,25 +174,25 @@
             for sess in there {
                 self.standing[relay].remove(&sess);
                 let end = DialEnd::Reset;
-                let input = Input::DialEnded { sess, dial: 0, end, settled: true, report: None };
+                let input = Input::DialEnded { session: sess, dial: 0, end, settled: true, report: None };
                 self.step(relay, input);
                 let at = self.now + (self.draw() * return_within as f64) as Micros;
                 self.schedule(at, Happening::ClientComes { relay, returned: true });
             }
         }
-        let entry = Entry { server, phase: Phase::Gone, ..Entry::default() };
+        let entry = Endpoint { server, phase: Phase::Gone, ..Endpoint::default() };
         self.backends.remove(&server);
-        self.tell_all(ListKind::Changes, vec![entry]);
+        self.tell_all(ListUpdate::Delta, vec![entry]);
     }
 
     pub fn tell_whole_list(&mut self) {
         let entries = self.backends.values().map(|backend| backend.entry).collect();
-        self.tell_all(ListKind::Full, entries);
+        self.tell_all(ListUpdate::Snapshot, entries);
     }
 
-    fn tell_all(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    fn tell_all(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         for relay in 0..self.relays.len() {
-            self.step(relay, Input::List { kind, entries: entries.clone() });
+            self.step(relay, Input::EndpointList { update, endpoints: endpoints.clone() });
         }
     }
 
@@ -233,8 +234,12 @@
             Happening::Input { relay, input } => self.step(relay, input),
             Happening::ClientComes { relay, returned } => {
                 self.last_session += 1;
-                let asked = Asked { returned, left: DIAL_TIMEOUT, ..Asked::default() };
-                self.step(relay, Input::Asked { sess: self.last_session, asked });
+                let request = AdmissionRequest {
+                    returned,
+                    time_remaining: DIAL_TIMEOUT,
+                    ..AdmissionRequest::default()
+                };
+                self.step(relay, Input::SessionRequested { session: self.last_session, request });
             }
             Happening::SessionEnds { relay, sess, server } => {
                 // One whose backend has crashed is over already.
@@ -242,13 +247,13 @@
                     if let Some(backend) = self.backends.get_mut(&server) {
                         backend.open -= 1;
                     }
-                    self.step(relay, Input::Left { sess });
+                    self.step(relay, Input::SessionEnded { session: sess });
                 }
             }
             Happening::BackendIsProbed { relay, server } => {
                 let report = self.backends.get(&server).map(|b| b.report(self.now, &self.site));
                 let end = if report.is_some() { DialEnd::Ok } else { DialEnd::Unconnected };
-                self.step(relay, Input::Probed { server, end, report });
+                self.step(relay, Input::ProbeEnded { server, end, report });
             }
         }
     }
@@ -263,11 +268,11 @@
 
     fn carry_out(&mut self, relay: usize, effect: Effect) {
         match effect {
-            Effect::Dial { sess, server, .. } => self.dial(relay, sess, server),
-            Effect::Refuse { .. } | Effect::TearDown { .. } => {
+            Effect::Dial { session: sess, server, .. } => self.dial(relay, sess, server),
+            Effect::Reject { .. } | Effect::TearDown { .. } => {
                 self.deeds[relay].push((self.now, Deed::Refused));
             }
-            Effect::Move { sess } => {
+            Effect::Migrate { session: sess } => {
                 let server = self.standing[relay][&sess].server;
                 self.happen(Happening::SessionEnds { relay, sess, server });
                 self.schedule(self.now + ROUND_TRIP, Happening::ClientComes { relay, returned: true });
@@ -275,11 +280,11 @@
             Effect::Probe { server } => {
                 self.schedule(self.now + ROUND_TRIP, Happening::BackendIsProbed { relay, server });
             }
-            Effect::Alarm { after, label } => {
-                let input = Input::Alarm { label };
+            Effect::SetTimer { after, label } => {
+                let input = Input::TimerExpired { label };
                 self.schedule(self.now + after, Happening::Input { relay, input });
             }
-            Effect::Watch => {}
+            Effect::WatchEndpoints => {}
         }
     }
 
@@ -289,7 +294,7 @@
         backend.dials.push(self.now);
         backend.open += 1;
         self.standing[relay].insert(sess, Standing { server });
-        let answer = Input::Stands { sess, dial: 0 };
+        let answer = Input::SessionEstablished { session: sess, dial: 0 };
         self.schedule(self.now + ROUND_TRIP, Happening::Input { relay, input: answer });
         let life = ROUND_TRIP + 1 + self.draw_time(self.session_life as f64);
         self.schedule(self.now + life, Happening::SessionEnds { relay, sess, server });
--- a/tests/short_days/refusals.rs
+++ b/tests/short_days/refusals.rs
@@ -17,8 +17,8 @@
 const FEWEST: usize = 4;
 const SEEDS: u64 = 20;
 
-fn site(relays: u32, price_probe: f64) -> SiteFacts {
-    SiteFacts { price_probe, ..two_listeners(relays) }
+fn site(relays: u32, probe_cost: f64) -> SiteConfig {
+    SiteConfig { probe_cost, ..two_listeners(relays) }
 }
 
 /// The longest time from a refusal to a refusal without a dial between them, `FEWEST` refusals at least.
@@ -38,8 +38,8 @@
 }
 
 /// Clients come at a rate to each relay, from a moment on; all backends are full, and have room later.
-fn play(seed: u64, relays: u32, price_probe: f64, per_second: f64, quiet: Micros) -> (Micros, bool) {
-    let mut fleet = Fleet::new(site(relays, price_probe), seed);
+fn play(seed: u64, relays: u32, probe_cost: f64, per_second: f64, quiet: Micros) -> (Micros, bool) {
+    let mut fleet = Fleet::new(site(relays, probe_cost), seed);
     (1..=BACKENDS).for_each(|server| fleet.add_warm_backend(server, CAPACITY));
     fleet.backends.values_mut().for_each(|backend| backend.other_load = FULL_LOAD);
     fleet.tell_whole_list();
--- a/tests/short_days/unheard.rs
+++ b/tests/short_days/unheard.rs
@@ -14,7 +14,7 @@
 const LONGEST: Micros = 4 * SECOND;
 
 fn relay() -> Relay {
-    Relay::new(SiteFacts { may_probe: false, ..two_listeners(6) }, 7)
+    Relay::new(SiteConfig { may_probe: false, ..two_listeners(6) }, 7)
 }
 
 /// Gives an input and answers each dial at once; whether there was any.
@@ -24,14 +24,14 @@
         let mut effects = Vec::new();
         relay.step(now, input, &mut effects);
         for effect in effects {
-            let Effect::Dial { sess, .. } = effect else { continue };
+            let Effect::Dial { session: sess, .. } = effect else { continue };
             dialled = true;
             let full = now < ROOM_AT;
-            let report = Report { load: Some(if full { 0.97 } else { 0.2 }), ..Report::default() };
+            let report = LoadReport { load: Some(if full { 0.97 } else { 0.2 }), ..LoadReport::default() };
             let end = if full { DialEnd::Full } else { DialEnd::Ok };
             let dial = dials_of_session;
             dials_of_session += 1;
-            inputs.push(Input::DialEnded { sess, dial, end, settled: !full, report: Some(report) });
+            inputs.push(Input::DialEnded { session: sess, dial, end, settled: !full, report: Some(report) });
         }
     }
     dialled
@@ -40,13 +40,14 @@
 #[test]
 fn a_relay_without_probes_finds_out_that_backends_have_room_again() {
     let mut relay = relay();
-    let entry = |server| Entry { server, phase: Phase::Ready, ..Entry::default() };
-    let entries = (1..=BACKENDS).map(entry).collect();
-    dials(&mut relay, 0, Input::List { kind: ListKind::Full, entries });
+    let endpoint = |server| Endpoint { server, phase: Phase::Ready, ..Endpoint::default() };
+    let endpoints = (1..=BACKENDS).map(endpoint).collect();
+    dials(&mut relay, 0, Input::EndpointList { update: ListUpdate::Snapshot, endpoints });
     let (mut last_dial, mut longest, mut refused_before, mut refused) = (ROOM_AT, 0, 0, 0);
     for (sess, now) in (0..END).step_by(EVERY as usize).enumerate() {
-        let asked = Asked { listener: sess % 2, left: SECOND, ..Asked::default() };
-        let dialled = dials(&mut relay, now, Input::Asked { sess: sess as SessId, asked });
+        let request =
+            AdmissionRequest { listener: sess % 2, time_remaining: SECOND, ..AdmissionRequest::default() };
+        let dialled = dials(&mut relay, now, Input::SessionRequested { session: sess as SessId, request });
         match (now < ROOM_AT, dialled) {
             (true, dialled) => refused_before += u32::from(!dialled),
             (false, true) => last_dial = now,
