--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -17,8 +17,12 @@
 const LISTENERS: [&str; 5] = ["low", "high", "once", "ref", "ref-cell"];
 
 fn site() -> SiteConfig {
-    let listener =
-        |priority_weight, idempotency| Listener { priority_weight, idempotency, handshake_target: 300_000, message_target: 60_000 };
+    let listener = |priority_weight, idempotency| Listener {
+        priority_weight,
+        idempotency,
+        handshake_target: 300_000,
+        message_target: 60_000,
+    };
     let keyed = |scope| Idempotency::Keyed { scope, window: 1_000_000 };
     SiteConfig {
         listeners: vec![
@@ -64,8 +68,8 @@
             "max_open" => site.max_sessions = num(value)?,
             "retry_after" => site.max_retry_after = Some(millis(value)?),
             "watch" => site.must_watch = num(value)?,
-            "probe_cost" => site.probe_cost = num(value)?,
-            "cross_zone_cost" => site.cross_zone_cost = num(value)?,
+            "price_probe" => site.probe_cost = num(value)?,
+            "price_crossing" => site.cross_zone_cost = num(value)?,
             _ => return Err(format!("unknown site fact '{key}'")),
         }
     }
--- a/tests/short_days/cold.rs
+++ b/tests/short_days/cold.rs
@@ -23,7 +23,8 @@
 }
 
 /// As in the text scenarios of the module.
-pub const SHORT_WARM_UP: Allowance = Allowance { warm_up: 10 * SECOND, initial_capacity: 0.2, overload_window: 2 * SECOND };
+pub const SHORT_WARM_UP: Allowance =
+    Allowance { warm_up: 10 * SECOND, initial_capacity: 0.2, overload_window: 2 * SECOND };
 
 /// A play's allowance, and the sessions a second that come to each relay.
 #[derive(Clone, Copy, Debug)]
@@ -31,11 +32,7 @@
 
 fn site(allowance: Allowance) -> SiteConfig {
     let Allowance { warm_up, initial_capacity, overload_window } = allowance;
-    SiteConfig {
-        warm_up,
-        initial_capacity,
-        overload_window,
-        probe_cost: 0.002, ..two_listeners(RELAYS) }
+    SiteConfig { warm_up, initial_capacity, overload_window, probe_cost: 0.002, ..two_listeners(RELAYS) }
 }
 
 /// The most that came in a fall's time, over what the backend bears then.
--- a/tests/short_days/cold_busy.rs
+++ b/tests/short_days/cold_busy.rs
@@ -4,7 +4,8 @@
 use crate::fleet::SECOND;
 
 /// As in the project's example settings.
-const LONG_WARM_UP: Allowance = Allowance { warm_up: 23 * SECOND, initial_capacity: 0.14, overload_window: 2 * SECOND };
+const LONG_WARM_UP: Allowance =
+    Allowance { warm_up: 23 * SECOND, initial_capacity: 0.14, overload_window: 2 * SECOND };
 
 const CASES: [Case; 5] = [
     Case(SHORT_WARM_UP, 10.0),
