--- a/model_checker/src/cluster/enabled.rs
+++ b/model_checker/src/cluster/enabled.rs
@@ -45,7 +45,7 @@
         if state.limits.disk_losses > 0 {
             enabled.push(Transition::DiskLoss(server));
         }
-        if state.limits.compactions > 0 && node.commit_index() > node.log().snapshot.index {
+        if state.limits.compactions > 0 && node.commit_index() > node.log().snapshot().index {
             enabled.push(Transition::Compact(server));
         }
     }
@@ -55,10 +55,10 @@
 fn add_leader_transitions(state: &ClusterState, leader: usize, enabled: &mut Vec<Transition>) {
     for (position, holder) in state.holders.iter().enumerate() {
         let is_up = holder.health == Health::Up;
-        if state.limits.requests > 0 && holder.grant == 0 && is_up {
+        if state.limits.requests > 0 && holder.lease_id == 0 && is_up {
             enabled.push(Transition::RequestLease { holder: position, leader });
         }
-        if state.limits.requests > 0 && holder.grant > 0 && !holder.is_out && is_up {
+        if state.limits.requests > 0 && holder.lease_id > 0 && !holder.is_out && is_up {
             enabled.push(Transition::BeginDisruption { holder: position, leader });
         }
         if holder.is_out && is_up {
@@ -78,7 +78,7 @@
     let Some(holder) = state.holders.first() else { return };
     match holder.health {
         Health::Up => {
-            let may_fail = state.limits.holder_failures > 0 && !holder.is_out && holder.grant == 0;
+            let may_fail = state.limits.holder_failures > 0 && !holder.is_out && holder.lease_id == 0;
             if may_fail {
                 enabled.push(Transition::HolderFails(0));
             }
--- a/model_checker/src/cluster/execution.rs
+++ b/model_checker/src/cluster/execution.rs
@@ -2,7 +2,7 @@
 use super::initial::request_lease;
 use super::state::{Channel, ClusterState, GrantOwner, MessageKind, PendingWrite};
 use super::{id_of, position_of, ClusterModel, Mutation};
-use hallrelay_disruption::{Command, Condition, Outcome, State as StateMachine};
+use hallrelay_disruption::{Command, HealthState, Outcome, State as StateMachine};
 use hallrelay_raft::{Effect, Event, Id, Message, MessageBody, Node, Role, Snapshot, Term, Voter, Write};
 
 /// Proposals are numbered `request * HOLDERS + holder`.
@@ -94,7 +94,7 @@
         let holder = proposal_id.map(|proposal_id| (proposal_id % HOLDERS) as usize);
         let Some(holder) = holder.filter(|holder| *holder < state.holders.len()) else { return };
         match committed_health {
-            Some(Condition::Up) => {
+            Some(HealthState::Up) => {
                 state.unhealthy_holders.remove(&holder);
             }
             Some(_) => {
@@ -103,11 +103,11 @@
             None => {}
         }
         match (command, outcome) {
-            (Command::Ask { call, .. }, Outcome::Granted { grant }) => {
-                self.note_grant(state, grant, GrantOwner { holder, request: call });
+            (Command::Request { request_id, .. }, Outcome::Granted { lease_id }) => {
+                self.note_grant(state, lease_id, GrantOwner { holder, request: request_id });
             }
-            (Command::Begin { grant, .. }, Outcome::Done) => {
-                state.holders[holder].is_out |= state.holders[holder].grant == grant;
+            (Command::Begin { lease_id, .. }, Outcome::Done) => {
+                state.holders[holder].is_out |= state.holders[holder].lease_id == lease_id;
             }
             _ => {}
         }
@@ -115,28 +115,29 @@
 
     fn mutated_command(&self, command: Command) -> Command {
         match (self.mutation, command) {
-            (Mutation::ExpiresWhileOut, Command::Lapse { thing, .. }) => {
-                Command::Free { thing, by: "time".to_string() }
-            }
-            (Mutation::WarmingCountsAsUp, Command::Seen { thing, place, condition: Condition::Cold }) => {
-                Command::Seen { thing, place, condition: Condition::Up }
+            (Mutation::ExpiresWhileOut, Command::Expire { target, .. }) => {
+                Command::Reclaim { target, requested_by: "time".to_string() }
             }
+            (
+                Mutation::WarmingCountsAsUp,
+                Command::Observe { target, domain, health: HealthState::WarmingUp },
+            ) => Command::Observe { target, domain, health: HealthState::Up },
             (_, command) => command,
         }
     }
 
-    fn note_grant(&self, state: &mut ClusterState, grant: u64, owner: GrantOwner) {
+    fn note_grant(&self, state: &mut ClusterState, lease_id: u64, owner: GrantOwner) {
         // The same grant is answered again to the same request.
-        let is_new = !state.grants.contains_key(&grant);
+        let is_new = !state.grants.contains_key(&lease_id);
         if is_new && state.unhealthy_holders.iter().any(|other| *other != owner.holder) {
             state.violate("who is down or cold counts as out");
         }
         let holder = &mut state.holders[owner.holder];
-        holder.grant = grant;
+        holder.lease_id = lease_id;
         if self.mutation == Mutation::BeginsUncommitted {
             holder.is_out = true;
         }
-        if state.grants.insert(grant, owner).is_some_and(|previous| previous != owner) {
+        if state.grants.insert(lease_id, owner).is_some_and(|previous| previous != owner) {
             state.violate("a grant number used once");
         }
     }
@@ -205,8 +206,8 @@
     pub(super) fn grant_without_log(&self, state: &mut ClusterState, position: usize, holder: usize) {
         let request = request_lease(holder, state.holders[holder].request);
         let mut state_machine = state.servers[position].state_machine.clone();
-        if let Outcome::Granted { grant } = state_machine.apply(&request) {
-            state.holders[holder].grant = grant;
+        if let Outcome::Granted { lease_id } = state_machine.apply(&request) {
+            state.holders[holder].lease_id = lease_id;
             state.holders[holder].is_out = true;
         }
     }
@@ -225,9 +226,9 @@
 }
 
 /// The health that a command commits.
-fn committed_health(command: &Command) -> Option<Condition> {
+fn committed_health(command: &Command) -> Option<HealthState> {
     match command {
-        Command::Seen { condition, .. } => Some(*condition),
+        Command::Observe { health, .. } => Some(*health),
         _ => None,
     }
 }
--- a/model_checker/src/cluster/initial.rs
+++ b/model_checker/src/cluster/initial.rs
@@ -1,7 +1,9 @@
 //! The initial state: a bootstrapped cluster whose state machine has the budget and all holders.
 use super::state::{ClusterState, GrantOwner, Holder, Server};
 use super::{holder_name, ClusterModel, Mutation, BUDGET};
-use hallrelay_disruption::{Budget, Command, Condition, Kind, Place, Scope, State as StateMachine};
+use hallrelay_disruption::{
+    Budget, Command, FailureDomain, HealthState, Scope, State as StateMachine, TargetKind,
+};
 use hallrelay_raft::{Event, PersistentState, Snapshot, Timer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,7 +32,7 @@
         let mut holders = vec![Holder::default(); self.holders];
         let mut grants = BTreeMap::new();
         if self.starts_disrupted {
-            holders[0] = Holder { request: 1, grant: 1, is_out: true, ..Holder::default() };
+            holders[0] = Holder { request: 1, lease_id: 1, is_out: true, ..Holder::default() };
             grants.insert(1, GrantOwner { holder: 0, request: 1 });
         }
         let snapshot = Snapshot {
@@ -57,19 +59,24 @@
     }
 
     fn initial_state_machine(&self) -> StateMachine {
-        let budget = Budget { of: Kind::Relay, scope: Scope::Fleet, count: Some(BUDGET), part: None };
+        let budget = Budget {
+            target_kind: TargetKind::Relay,
+            scope: Scope::Fleet,
+            max_count: Some(BUDGET),
+            max_share_ppm: None,
+        };
         let mut state_machine = StateMachine::default();
-        state_machine.apply(&Command::Budgets(vec![budget]));
+        state_machine.apply(&Command::SetBudgets(vec![budget]));
         for holder in 0..self.holders {
-            state_machine.apply(&Command::Seen {
-                thing: holder_name(holder),
-                place: Place::default(),
-                condition: Condition::Up,
+            state_machine.apply(&Command::Observe {
+                target: holder_name(holder),
+                domain: FailureDomain::default(),
+                health: HealthState::Up,
             });
         }
         if self.starts_disrupted {
             state_machine.apply(&request_lease(0, 1));
-            state_machine.apply(&Command::Begin { thing: holder_name(0), grant: 1 });
+            state_machine.apply(&Command::Begin { target: holder_name(0), lease_id: 1 });
         }
         match self.mutation {
             Mutation::GrantNumbersForgotten => {
@@ -94,11 +101,11 @@
 
 /// A holder's request of a lease.
 pub(super) fn request_lease(holder: usize, request: u64) -> Command {
-    Command::Ask {
-        thing: holder_name(holder),
-        call: request,
-        by: String::new(),
-        why: String::new(),
+    Command::Request {
+        target: holder_name(holder),
+        request_id: request,
+        requested_by: String::new(),
+        reason: String::new(),
         force: false,
     }
 }
@@ -106,12 +113,12 @@
 /// The state machine with the same health of all, other budgets, and no grant ever given.
 fn without_grants(state_machine: &StateMachine, budgets: Vec<Budget>) -> StateMachine {
     let mut fresh = StateMachine::default();
-    fresh.apply(&Command::Budgets(budgets));
-    for (thing, record) in state_machine.things() {
-        fresh.apply(&Command::Seen {
-            thing: thing.clone(),
-            place: record.place.clone(),
-            condition: record.condition,
+    fresh.apply(&Command::SetBudgets(budgets));
+    for (target, lease) in state_machine.leases() {
+        fresh.apply(&Command::Observe {
+            target: target.clone(),
+            domain: lease.domain.clone(),
+            health: lease.health,
         });
     }
     fresh
--- a/model_checker/src/cluster/invariants.rs
+++ b/model_checker/src/cluster/invariants.rs
@@ -2,7 +2,7 @@
 //! numbers, unhealthy holders) are noted in the state as it is taken.
 use super::state::{ClusterState, Server};
 use super::BUDGET;
-use hallrelay_disruption::{Record, Stage};
+use hallrelay_disruption::{Lease, LeaseState};
 use hallrelay_raft::Node;
 
 /// The name of an invariant that does not hold.
@@ -22,8 +22,8 @@
 /// Leases in use by a server's own state machine.
 fn leases_in_use(server: &Server) -> usize {
     // A holder that failed after it was granted a lease is not counted.
-    let is_in_use = |record: &Record| matches!(record.stage, Stage::Granted | Stage::Out);
-    server.state_machine.things().filter(|(_, record)| is_in_use(record)).count()
+    let is_in_use = |lease: &Lease| matches!(lease.state, LeaseState::Granted | LeaseState::Out);
+    server.state_machine.leases().filter(|(_, lease)| is_in_use(lease)).count()
 }
 
 fn violated_by_a_pair(state: &ClusterState) -> Option<&'static str> {
