--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -119,7 +119,7 @@
     Check { scenario: PathBuf },
     /// A relay, as rehearsals start it.
     #[command(hide = true)]
-    Relay(hallrelay_relay::cli::Line),
+    Relay(hallrelay_relay::cli::Cli),
 }
 
 #[derive(Args, Clone)]
@@ -172,7 +172,9 @@
 
 fn run(what: What) -> Result<End, String> {
     match what {
-        What::Relay(line) => hallrelay_relay::cli::run(line.what).map(|_| End::Well),
+        What::Relay(line) => {
+            hallrelay_relay::cli::run(line.command).map(|_| End::Well).map_err(|e| e.to_string())
+        }
         What::Check { scenario } => {
             let s = load(Some(&scenario))?;
             println!(
@@ -240,7 +242,7 @@
 }
 
 fn end(o: &Outcome) -> End {
-    let wrong = o.fleet.as_ref().is_some_and(|fleet| fleet.findings_in_all > 0);
+    let wrong = o.membership.as_ref().is_some_and(|membership| membership.finding_count > 0);
     if wrong || o.breaches_in_all > 0 || o.relays.iter().any(|r| r.crashed) {
         End::Broken
     } else if o.partial.is_some() {
--- a/relay/src/reducer/control.rs
+++ b/relay/src/reducer/control.rs
@@ -2,17 +2,19 @@
 use super::coordination::PeerReport;
 use super::{Effect, Reducer};
 use crate::control_message::{ControlMessage, ProposalResult, RelayStatus};
-use hallrelay_membership::membership::Event as Fleet;
+use hallrelay_membership::Event as MembershipEvent;
 use hallrelay_raft::Event;
 use std::rc::Rc;
 
 impl Reducer {
     pub(super) fn send_control(&mut self, to: &Rc<str>, message: &ControlMessage, out: &mut Vec<Effect>) {
-        self.fleet(Fleet::Say { name: Some(to.clone()), bytes: message.encode() }, out);
+        let event = MembershipEvent::SendUserMessage { to: Some(to.clone()), bytes: message.encode() };
+        self.step_membership(event, out);
     }
 
     pub(super) fn broadcast_control(&mut self, message: &ControlMessage, out: &mut Vec<Effect>) {
-        self.fleet(Fleet::Say { name: None, bytes: message.encode() }, out);
+        let event = MembershipEvent::SendUserMessage { to: None, bytes: message.encode() };
+        self.step_membership(event, out);
     }
 
     /// A member's message.
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -10,10 +10,10 @@
 mod evidence;
 mod excluded_backends;
 mod figures;
-mod fleet;
 mod hearsay;
 mod keep;
 mod leader_review;
+mod membership;
 mod outcome_counts;
 mod place;
 mod rollout;
@@ -27,7 +27,7 @@
 pub use duty::Word;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
 pub use figures::{Figures, Outcomes};
-pub use fleet::FleetFigures;
+pub use membership::MembershipMetrics;
 
 use duty::{Duty, Sign};
 use hallrelay_balancer::types::{self as module, AdmissionRequest, DialEnd, Input, Micros, ServerId, SessId};
@@ -146,7 +146,7 @@
     owed: usize,
     figures: Figures,
     place: Place,
-    fleet: Option<Membership>,
+    membership: Option<Membership>,
     /// What the store held, till the start has gone by it; how the store does.
     stored: Option<Box<Stored>>,
     store: Option<Box<Health>>,
@@ -154,7 +154,8 @@
     coordination: Option<Box<coordination::Coordination>>,
     /// This relay's own sessions as of its last report.
     reported_counts: SessionCounts,
-    /// When discovery spoke last in this life, and before that; how often others told of the list before it did.
+    /// When discovery spoke last in this life, and before that; how often others told of the list before it
+    /// did.
     spoken: Option<Micros>,
     spoken_before: Option<Micros>,
     hearsay: u32,
@@ -182,7 +183,7 @@
             held: (0, 0),
             module: Relay::new(node.site.facts.clone(), node.seed),
             figures: Figures::of(&node.site.listeners),
-            fleet: None,
+            membership: None,
             stored: None,
             store: None,
             coordination: None,
@@ -224,7 +225,7 @@
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
         self.generation = Some(known.generation);
         let start = now.max(recovered.start);
-        self.fleet = fleet::membership(&self.node, start);
+        self.membership = membership::new_membership(&self.node, start);
         self.list(known, out);
         self.remember_turns(&recovered, out);
         if self.place.before().is_none() {
@@ -291,7 +292,7 @@
             Event::SessionHandoverFailed { sess } => self.stays(sess),
             Event::SessionAdopted { sess, session } => self.inherited(sess, *session, out),
             Event::HotRestart(event) => self.placed(event, out),
-            Event::Membership(event) => self.fleet(event, out),
+            Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store = Some(health),
             Event::Timer(alarm) => self.alarm(alarm, out),
             Event::StopRequested => _ = self.turn(Sign::Stop, out),
@@ -357,7 +358,7 @@
             Timer::MigrateBatch(_) => {}
             Timer::HandoverOffer(peer) => self.placed(handover::Event::Due { peer }, out),
             Timer::HandoverProgress => self.holding(out),
-            Timer::Membership => self.fleet_alarm(out),
+            Timer::Membership => self.membership_timer_expired(out),
             Timer::RequestEndpointList => self.ask_list(out),
             Timer::PollPeers => self.recall(out),
             Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -1,5 +1,5 @@
-//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies what is
-//! committed. A proposal is answered once its command is applied.
+//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies
+//! what is committed. A proposal is answered once its command is applied.
 use super::coordination::{Coordination, ExcludedBackends};
 use super::servers::server_id;
 use super::voter::Proposer;
@@ -13,8 +13,8 @@
 impl Reducer {
     /// The coordination of this relay, where voters are configured.
     pub(super) fn configured_coordination(&self) -> Option<Box<Coordination>> {
-        let voters = self.node.fleet.as_ref()?.voters.as_ref()?;
-        Some(Box::new(Coordination::new(&self.node.name, voters, self.node.seed, self.now)))
+        let config = self.node.fleet.as_ref()?.coordination.as_ref()?;
+        Some(Box::new(Coordination::new(&self.node.name, config, self.node.seed, self.now)))
     }
 
     /// Starts the voter with what the store holds: before this relay's start, or as it takes the store over.
