--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -6,7 +6,7 @@
 use crate::buffer::Buffer;
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, Micros, Report, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessId};
 use hallrelay_hot_restart::{PeerId, SessionState};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy)]
 struct BackendEnd {
     end: DialEnd,
-    report: Option<Report>,
+    report: Option<LoadReport>,
 }
 
 impl BackendEnd {
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -4,7 +4,7 @@
 //! After a power loss nobody tells of restarts, and an old list calls every server warm. Where a network was
 //! merely interrupted, its servers are spared for one slow start, unless discovery tells otherwise.
 use super::Reducer;
-use hallrelay_balancer::types::{DialEnd, Input, ListKind, ServerId};
+use hallrelay_balancer::types::{DialEnd, Input, ListUpdate, ServerId};
 
 /// Failed connects in a row after which a server that answers counts as restarted; one may be a lost packet.
 const MIN_FAILED_CONNECTS: u32 = 2;
@@ -85,7 +85,7 @@
         }
         let mut instance = v.told.clone();
         instance.came_up = self.now;
-        let entry = self.entry(instance, ListKind::Changes);
-        self.tell(Input::List { kind: ListKind::Changes, entries: vec![entry] }, out);
+        let endpoint = self.endpoint(instance, ListUpdate::Delta);
+        self.tell(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
     }
 }
