--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::net::{serve, signals};
 use crate::operator_client;
 use crate::release_command::{self, ReleaseCommand};
-use crate::shelf::{self, Shelf};
+use crate::store_command::{self, StoreCommand};
 use clap::{Parser, Subcommand};
 use hallrelay_config::fleet::FleetConfig;
 use hallrelay_config::node::{self, Node, Told};
@@ -65,7 +65,7 @@
     Store {
         /// What to do.
         #[command(subcommand)]
-        command: Shelf,
+        command: StoreCommand,
     },
     /// Print the version.
     Version,
@@ -167,7 +167,7 @@
         Command::Fleet { command: FleetCommand::Status { at, json } } => fleet_status(at, json),
         Command::Drain { command } => drain_command::run(command),
         Command::Release { command } => release_command::run(command),
-        Command::Store { command } => Ok(shelf::run(&command)),
+        Command::Store { command } => Ok(store_command::run(&command)),
         Command::Version => {
             println!("hallrelay {}", env!("CARGO_PKG_VERSION"));
             Ok(0)
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -5,7 +5,7 @@
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
 use crate::socket::{self, ConnectError};
-use hallrelay_balancer::types::{DialEnd, Report, ServerId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, ServerId};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
@@ -23,7 +23,7 @@
 struct CheckFailure {
     end: DialEnd,
     /// What the backend reported beside its refusal.
-    report: Option<Report>,
+    report: Option<LoadReport>,
 }
 
 impl From<DialEnd> for CheckFailure {
@@ -70,7 +70,7 @@
     addr: SocketAddr,
     idle: Option<Connection>,
     hub: &Hub,
-) -> Result<(Option<Report>, Connection), CheckFailure> {
+) -> Result<(Option<LoadReport>, Connection), CheckFailure> {
     let limits = hub.limits();
     if let Some(mut connection) = idle {
         match timeout(span(limits.probe / 2), request_report(&mut connection, hub)).await {
@@ -101,7 +101,7 @@
 }
 
 /// Asks for a load report; `None` where the backend is healthy and reports no load.
-async fn request_report(connection: &mut Connection, hub: &Hub) -> Result<Option<Report>, CheckFailure> {
+async fn request_report(connection: &mut Connection, hub: &Hub) -> Result<Option<LoadReport>, CheckFailure> {
     let limits = hub.limits();
     let Connection { stream, buffer, .. } = connection;
     if !close::write_all(stream, lines::STATS, limits.probe).await {
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -6,7 +6,7 @@
 use hallrelay_balancer::types::{Phase, SessId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_raft::Index;
-use hallrelay_recovery::Kept;
+use hallrelay_recovery::Record;
 use std::collections::BTreeSet;
 
 /// A session at an excluded backend.
@@ -33,7 +33,7 @@
         }
         let changed: Vec<String> = coordination.excluded.ids.symmetric_difference(&ids).cloned().collect();
         if self.node.state.is_some() {
-            out.push(Effect::Persist { kept: Kept::shut(index, &ids), before: None });
+            out.push(Effect::Persist { record: Record::exclusions(index, &ids), before: None });
         }
         note(format!("by what is agreed {} backends are out", ids.len()), out);
         coordination.excluded = ExcludedBackends { index, ids };
@@ -93,7 +93,7 @@
     /// Migrates this relay's part of a second's moves. A part of less than a session is saved up.
     pub(super) fn migrate_excluded(&mut self, out: &mut Vec<Effect>) {
         let sessions = self.sessions_to_migrate();
-        let relays = u64::from(self.node.site.facts.relays.max(1));
+        let relays = u64::from(self.node.site.facts.relay_count.max(1));
         let Some(coordination) = &mut self.coordination else { return };
         if sessions.is_empty() {
             coordination.owed_moves_milli = 0;
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -5,7 +5,7 @@
 use hallrelay_relay::figures::text;
 use hallrelay_relay::net::dial_permit::Denials;
 use hallrelay_relay::reducer::{Figures, MembershipMetrics, Outcomes};
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 
 fn figures() -> Figures {
@@ -32,13 +32,13 @@
         reachable_relays: 905,
         peer_lists_accepted: 906,
     };
-    let store = Health {
-        durable: 501,
-        failing: Some("no space".to_string()),
+    let store = WriterHealth {
+        durable_ticket: 501,
+        last_error: Some("no space".to_string()),
         batches: 502,
         failures: 503,
-        refused: 504,
-        bytes: 505,
+        rejected: 504,
+        file_bytes: 505,
     };
     Figures {
         listeners: BTreeMap::from(listeners.map(|(name, outcomes)| (name.into(), outcomes))),
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_store_that_writes_is_not_failing() {
-    let store = Health { failing: None, ..Health::default() };
+    let store = WriterHealth { last_error: None, ..WriterHealth::default() };
     let text = text(&Figures { store: Some(Box::new(store)), ..figures() });
     assert!(text.contains("node.store_failing:0|g\n"), "{text}");
 }
