--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -2,7 +2,7 @@
 //! asked for all of them at once, and whoever still waits at the end is answered.
 use super::lifecycle::Lifecycle;
 use super::sessions::owed;
-use super::{Effect, Reducer, Stage, Timer};
+use super::{Effect, Reducer, SessionStage, Timer};
 use hallrelay_balancer::types::{Micros, SessId};
 
 /// The pause between two batches.
@@ -51,7 +51,7 @@
             }
         }
         let open: Vec<SessId> =
-            self.sessions.iter().filter(|(_, s)| s.stage == Stage::Pass).map(|(id, _)| *id).collect();
+            self.sessions.iter().filter(|(_, s)| s.stage == SessionStage::Proxying).map(|(id, _)| *id).collect();
         let batches_left = end.saturating_sub(elapsed) / BATCH_INTERVAL + 1;
         // With few sessions most batches move none.
         self.migration_credit += open.len() * THOUSANDTHS / batches_left as usize;
@@ -90,7 +90,7 @@
     /// Answers the sessions that still wait as a drain or a stop ends, whose dial timeout may be of older
     /// settings: a rejection where nothing was sent, else a failure.
     fn answer_waiting(&mut self, out: &mut Vec<Effect>) {
-        let waiting = self.sessions.iter().filter(|(_, s)| s.stage.waits());
+        let waiting = self.sessions.iter().filter(|(_, s)| s.stage.awaits_answer());
         let answers: Vec<(SessId, Effect)> = waiting.map(|(id, s)| (*id, owed(*id, s.dials))).collect();
         for (sess, answer) in answers {
             self.give_up(sess, answer, out);
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,7 +1,7 @@
 //! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one
 //! rate. What was heard last holds until a later word, so a relay without a leader readmits none.
 use super::coordination::ExcludedBackends;
-use super::{note, Effect, Reducer, Stage};
+use super::{note, Effect, Reducer, SessionStage};
 use crate::control_message::RemainingSessions;
 use hallrelay_balancer::types::{Phase, SessId};
 use hallrelay_config::list::{Instance, List};
@@ -43,7 +43,7 @@
     /// The list's entries of these backends are taken once more, with the phase that they have now.
     fn apply_exclusion(&mut self, changed: &[String], out: &mut Vec<Effect>) {
         let listed = changed.iter().filter_map(|id| self.servers.get(self.ids.get(id)?));
-        let instances: Vec<Instance> = listed.map(|server| server.told.clone()).collect();
+        let instances: Vec<Instance> = listed.map(|server| server.instance.clone()).collect();
         if !instances.is_empty() {
             let generation = self.generation.unwrap_or(0);
             self.list(List { generation, instances, ..List::default() }, out);
@@ -67,11 +67,11 @@
         let coordination =
             self.coordination.as_ref().filter(|coordination| !coordination.excluded.ids.is_empty());
         let Some(coordination) = coordination else { return Vec::new() };
-        let excluded_backend = |s: &super::Sess| {
-            let id = &self.servers.get(&s.server?)?.told.id;
+        let excluded_backend = |s: &super::Session| {
+            let id = &self.servers.get(&s.server?)?.instance.id;
             coordination.excluded.ids.contains(id).then(|| id.clone())
         };
-        let open = self.sessions.iter().filter(|(_, s)| matches!(s.stage, Stage::Pass | Stage::Moving));
+        let open = self.sessions.iter().filter(|(_, s)| matches!(s.stage, SessionStage::Proxying | SessionStage::Migrating));
         let to_migrate = open.filter_map(|(&session, s)| {
             excluded_backend(s).map(|backend| SessionToMigrate { backend, session })
         });
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -62,10 +62,10 @@
     /// The figures as they are now.
     pub fn figures(&self) -> Figures {
         let listed =
-            self.servers.iter().filter(|(_, v)| v.told.phase != hallrelay_balancer::types::Phase::Gone);
+            self.servers.iter().filter(|(_, v)| v.instance.phase != hallrelay_balancer::types::Phase::Gone);
         Figures {
             in_progress: self.sessions.len(),
-            waiting: self.sessions.values().filter(|s| s.stage.waits()).count(),
+            waiting: self.sessions.values().filter(|s| s.stage.awaits_answer()).count(),
             known: listed.clone().count(),
             avoided: listed.filter(|(&server, _)| self.module.avoids(self.now, server)).count(),
             membership: self.membership_metrics(),
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -165,13 +165,13 @@
 
     /// Backends as discovery and this relay's own probes have them, and those that left discovery.
     fn observed_backends(&self) -> Vec<Observation> {
-        let listed = self.servers.values().filter(|server| server.told.phase != Phase::Gone);
+        let listed = self.servers.values().filter(|server| server.instance.phase != Phase::Gone);
         let mut observed: Vec<_> = listed
             .map(|server| Observation {
-                target: Target::Backend(server.told.id.clone()),
+                target: Target::Backend(server.instance.id.clone()),
                 domain: FailureDomain {
-                    zone: server.told.zone.clone(),
-                    group: server.told.cell.to_string(),
+                    zone: server.instance.zone.clone(),
+                    group: server.instance.cell.to_string(),
                     ..FailureDomain::default()
                 },
                 health: self.backend_health(server),
@@ -182,10 +182,10 @@
     }
 
     fn backend_health(&self, server: &Server) -> HealthState {
-        let is_silent = server.misses >= MAX_MISSES || server.refused >= MAX_MISSES;
-        match server.told.phase {
+        let is_silent = server.consecutive_misses >= MAX_MISSES || server.consecutive_connect_failures >= MAX_MISSES;
+        match server.instance.phase {
             Phase::Ready if is_silent => HealthState::Down,
-            Phase::Ready if server.is_cold(self.now, self.node.site.facts.warm_up) => HealthState::WarmingUp,
+            Phase::Ready if server.in_slow_start(self.now, self.node.site.facts.warm_up) => HealthState::WarmingUp,
             Phase::Ready => HealthState::Up,
             Phase::Draining | Phase::Gone => HealthState::Down,
         }
@@ -200,7 +200,7 @@
         };
         let is_listed = |id: &String| {
             let server = self.ids.get(id).and_then(|number| self.servers.get(number));
-            server.is_some_and(|server| server.told.phase != Phase::Gone)
+            server.is_some_and(|server| server.instance.phase != Phase::Gone)
         };
         let removed = coordination.state.leases().filter(|(target, _)| match target {
             Target::Backend(id) => !is_listed(id),
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -109,7 +109,7 @@
     /// What the successor is to know.
     fn relay_state(&self) -> RelayState {
         let Snapshot { session_load, servers } = self.module.snapshot(self.now);
-        let listed = self.servers.values().map(|v| &v.told).filter(|told| told.phase != Phase::Gone);
+        let listed = self.servers.values().map(|v| &v.instance).filter(|told| told.phase != Phase::Gone);
         RelayState {
             endpoint_list: self.generation.map(|generation| list::encode(generation, true, listed)),
             servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
@@ -134,7 +134,7 @@
         });
         let SlotSnapshot { age, interval_fraction } = known.slot;
         Some(ServerState {
-            name: self.servers.get(&known.server)?.told.id.clone(),
+            name: self.servers.get(&known.server)?.instance.id.clone(),
             report,
             consecutive_failures: known.misses,
             recently_placed: known.recent_sessions,
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -48,14 +48,17 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    Admit,
-    Dial,
-    Pass,
-    /// Told to move; ends with its backend's connection.
-    Moving,
-    /// On its way to another process.
-    Passing,
+enum SessionStage {
+    /// The balancer decides where it goes, or lets it wait.
+    AwaitingPlacement,
+    /// A dial is out for it.
+    Dialing,
+    /// Open: lines pass both ways.
+    Proxying,
+    /// Its client was told to come again; it ends with its backend's connection.
+    Migrating,
+    /// It is being handed over to another process.
+    HandingOver,
 }
 
 /// A line for the log.
@@ -63,71 +66,79 @@
     out.push(Effect::Log { what: what.into() });
 }
 
-impl Stage {
-    /// For its answer.
-    fn waits(self) -> bool {
-        matches!(self, Stage::Admit | Stage::Dial)
+impl SessionStage {
+    /// Whether its client still waits for the final answer.
+    fn awaits_answer(self) -> bool {
+        matches!(self, SessionStage::AwaitingPlacement | SessionStage::Dialing)
     }
 }
 
-struct Sess {
+/// One session, from its request to its end.
+struct Session {
+    /// The id that its client gave it.
     id: u64,
-    /// The name of its listener, as it was when it came.
+    /// The name of its listener when it was requested.
     listener: Rc<str>,
-    asked: AdmissionRequest,
-    stage: Stage,
+    request: AdmissionRequest,
+    stage: SessionStage,
     server: Option<ServerId>,
+    /// Dials so far.
     dials: u32,
-    due: Micros,
-    /// When its backend told a figure last.
-    told: Option<Micros>,
-    /// A connection that stood before this relay started: not the module's until it is up.
-    standing: bool,
+    /// When its final answer is due.
+    deadline: Micros,
+    /// When its backend reported a load last.
+    last_load_at: Option<Micros>,
+    /// It was open at its backend before this process started; the balancer learns of it once it is open again.
+    pre_existing: bool,
 }
 
+/// A backend that the endpoint list names, or named.
 struct Server {
-    /// As the list told it last.
-    told: Instance,
+    /// As the list had it last.
+    instance: Instance,
     /// When it started, by this process' clock; 0 is long ago.
-    started: Micros,
-    probing: bool,
-    /// Probes in a row without any answer.
-    misses: u32,
-    /// Connections in a row that were not made.
-    refused: u32,
-    delay: Delay,
-    /// Of sessions that came to an answer there since the last report.
+    started_at: Micros,
+    health_check_pending: bool,
+    /// Health checks in a row without any answer.
+    consecutive_misses: u32,
+    /// Connects in a row that failed.
+    consecutive_connect_failures: u32,
+    latency_report: LatencyReport,
+    /// Outcomes of sessions there since the last report to the leader.
     session_counts: SessionCounts,
 }
 
 impl Server {
-    /// Whether it has started so short a time ago that it warms up still.
-    fn is_cold(&self, now: Micros, warm_up: Micros) -> bool {
-        self.started > 0 && now < self.started.saturating_add(warm_up)
+    /// Whether it is warming up.
+    fn in_slow_start(&self, now: Micros, warm_up: Micros) -> bool {
+        self.started_at > 0 && now < self.started_at.saturating_add(warm_up)
     }
 }
 
-/// What the module was told of a server's message delays.
+/// The last report of a server's message latency to the balancer.
 #[derive(Default)]
-struct Delay {
-    told: Option<Micros>,
-    over: bool,
+struct LatencyReport {
+    reported_at: Option<Micros>,
+    /// Whether it was above the threshold below which nothing is reported.
+    above_threshold: bool,
 }
 
-/// The watch on the list that was asked for last, and those before it that may still tell something.
+/// The watches on the endpoint list: the latest one, and an earlier one that may still bring something.
 #[derive(Default)]
-struct Watch {
-    last: u32,
-    out: bool,
-    /// The one that spoke last, or was out before a new one was asked for: kept until the new one speaks.
-    before: Option<u32>,
+struct EndpointWatch {
+    /// The number of the latest one.
+    latest: u32,
+    /// Whether that one is open.
+    is_open: bool,
+    /// The one that brought something last, or was open before the latest one: kept until that brings something.
+    previous: Option<u32>,
 }
 
 pub struct Reducer {
     node: Node,
     module: Relay,
     now: Micros,
-    sessions: BTreeMap<SessId, Sess>,
+    sessions: BTreeMap<SessId, Session>,
     /// The marks of all sessions: searched through the sessions, they took half of a large relay's time.
     marks: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
@@ -136,7 +147,7 @@
     leaving: BTreeSet<ServerId>,
     /// The version that was heard last; none from a discovery that has not told one yet.
     generation: Option<u64>,
-    watch: Watch,
+    watch: EndpointWatch,
     /// Clients' connections that are no session: their first line is awaited, or their last one is out. The
     /// one that did something last first, and whether a part of a line is there. Sessions and these are all
     /// connections that have a place.
@@ -210,7 +221,7 @@
             ids: BTreeMap::new(),
             leaving: BTreeSet::new(),
             generation: None,
-            watch: Watch::default(),
+            watch: EndpointWatch::default(),
             aside: VecDeque::new(),
             pings: Vec::new(),
             lifecycle: match predecessor {
@@ -328,9 +339,9 @@
         match ask {
             module::Effect::Dial { session: sess, server, timeout: wait, send_within: window } => {
                 let Some(s) = self.sessions.get_mut(&sess) else { return };
-                (s.stage, s.server, s.dials) = (Stage::Dial, Some(server), s.dials + 1);
+                (s.stage, s.server, s.dials) = (SessionStage::Dialing, Some(server), s.dials + 1);
                 let dial = s.dials - 1;
-                if let Some(addr) = self.servers.get(&server).map(|v| v.told.addr) {
+                if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
                     self.persist_slow_start_slot(server, sess, out);
                     let begin = self.node.limits.connect.min(window.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial { sess, dial, server: Some(server), addr, wait, begin });
@@ -345,8 +356,8 @@
             module::Effect::Migrate { session: sess } => self.move_on(sess, out),
             module::Effect::Probe { server } => {
                 let Some(v) = self.servers.get_mut(&server) else { return };
-                v.probing = true;
-                out.push(Effect::HealthCheck { server, addr: v.told.addr });
+                v.health_check_pending = true;
+                out.push(Effect::HealthCheck { server, addr: v.instance.addr });
             }
             module::Effect::SetTimer { after, label } => {
                 out.push(Effect::StartTimer { after, alarm: Timer::Balancer(label) });
@@ -361,7 +372,7 @@
             Timer::RedialPreExisting(sess) => self.again(sess, out),
             Timer::AnswerDeadline(sess) => {
                 // Dials end and the module answers before this; it guards against a task that does neither.
-                if self.sessions.get(&sess).is_some_and(|s| s.stage.waits()) {
+                if self.sessions.get(&sess).is_some_and(|s| s.stage.awaits_answer()) {
                     self.lapse(sess, out);
                 }
             }
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -49,7 +49,7 @@
     /// Another relay polls for the list.
     pub(super) fn send_list_to_peer(&mut self, stream: u64, out: &mut Vec<Effect>) {
         let answer = self.generation.map(|generation| {
-            let listed = self.servers.values().map(|v| &v.told).filter(|told| told.phase != Phase::Gone);
+            let listed = self.servers.values().map(|v| &v.instance).filter(|told| told.phase != Phase::Gone);
             PeerList {
                 source: self.node.discovery.to_string(),
                 age_ms: self.discovery_contacted.map(|at| self.now.saturating_sub(at) / 1000),
@@ -84,7 +84,7 @@
 
     /// What of one server is accepted from a peer; `None` where it changes nothing.
     fn accept_from_peer(&self, offered: Instance) -> Option<Instance> {
-        let known = self.ids.get(&offered.id).and_then(|id| self.servers.get(id)).map(|v| &v.told);
+        let known = self.ids.get(&offered.id).and_then(|id| self.servers.get(id)).map(|v| &v.instance);
         let removed = self.removed_servers.get(&offered.id).copied();
         let removed = removed.or(known.filter(|one| one.phase == Phase::Gone).map(|one| one.came_up));
         if let Some(started_at) = removed {
@@ -107,7 +107,7 @@
         }
         if list.whole {
             let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
-            let left_out = self.servers.values().map(|v| &v.told).filter(|told| !is_named(&told.id));
+            let left_out = self.servers.values().map(|v| &v.instance).filter(|told| !is_named(&told.id));
             self.removed_servers.extend(left_out.map(|told| (told.id.clone(), told.came_up)));
         }
         for one in &list.instances {
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -67,8 +67,8 @@
     /// How far this relay's recovery is.
     pub(super) fn recovery_phase(&self) -> RecoveryPhase {
         let slow_start = self.node.site.facts.warm_up;
-        let ready = self.servers.values().filter(|v| v.told.phase == Phase::Ready);
-        let in_slow_start = |v: &&Server| v.is_cold(self.now, slow_start);
+        let ready = self.servers.values().filter(|v| v.instance.phase == Phase::Ready);
+        let in_slow_start = |v: &&Server| v.in_slow_start(self.now, slow_start);
         RecoveryPhase::of(&PhaseInput {
             servers: ready.clone().count(),
             servers_in_slow_start: ready.filter(in_slow_start).count(),
@@ -101,13 +101,13 @@
     }
 
     fn known_instance(&self, id: &str) -> Option<&Instance> {
-        self.servers.get(self.ids.get(id)?).map(|v| &v.told)
+        self.servers.get(self.ids.get(id)?).map(|v| &v.instance)
     }
 
     /// Servers that a complete list no longer names, as removed ones.
     fn left_out_by(&self, list: &List) -> Vec<Instance> {
         let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
-        let known = self.servers.values().map(|v| &v.told);
+        let known = self.servers.values().map(|v| &v.instance);
         let left_out = known.filter(|told| told.phase != Phase::Gone && !is_named(&told.id));
         left_out.map(|told| Instance { phase: Phase::Gone, ..told.clone() }).collect()
     }
@@ -119,14 +119,14 @@
             return;
         }
         let Some(v) = self.servers.get(&server) else { return };
-        if !v.is_cold(self.now, self.node.site.facts.warm_up) {
+        if !v.in_slow_start(self.now, self.node.site.facts.warm_up) {
             return;
         }
         let used_now = SlotSnapshot { age: 0, interval_fraction: 1.0 };
         let known = self.module.snapshot(self.now);
         let was_used_now = known.servers.iter().any(|known| known.server == server && known.slot == used_now);
         if was_used_now {
-            let record = Record::slow_start_slot(&v.told.id, self.now);
+            let record = Record::slow_start_slot(&v.instance.id, self.now);
             out.push(Effect::Persist { record, before: Some(sess) });
         }
     }
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -66,24 +66,24 @@
 
     fn count_failed_connect(&mut self, server: ServerId) {
         if let Some(v) = self.servers.get_mut(&server) {
-            v.refused += 1;
+            v.consecutive_connect_failures += 1;
         }
         if self.connect_failures.add(server) {
             for v in self.servers.values_mut() {
-                v.refused = v.refused.max(MIN_FAILED_CONNECTS);
+                v.consecutive_connect_failures = v.consecutive_connect_failures.max(MIN_FAILED_CONNECTS);
             }
         }
     }
 
     fn server_answered(&mut self, server: ServerId, out: &mut Vec<super::Effect>) {
         // A watch that is open tells of restarts itself.
-        let is_discovery_unavailable = self.watch.before.is_none();
+        let is_discovery_unavailable = self.watch.previous.is_none();
         let Some(v) = self.servers.get_mut(&server) else { return };
-        let failed_connects = std::mem::take(&mut v.refused);
+        let failed_connects = std::mem::take(&mut v.consecutive_connect_failures);
         if failed_connects < MIN_FAILED_CONNECTS || !is_discovery_unavailable {
             return;
         }
-        let mut instance = v.told.clone();
+        let mut instance = v.instance.clone();
         instance.came_up = self.now;
         let endpoint = self.endpoint(instance, ListUpdate::Delta);
         self.tell(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -35,7 +35,7 @@
             self.servers.values_mut().filter(|server| server.session_counts.sessions > 0).collect();
         counted.sort_by_key(|server| Reverse(server.session_counts.sessions));
         let backends = counted.into_iter().take(MAX_REPORTED_BACKENDS).map(|server| TargetCounts {
-            target: Target::Backend(server.told.id.clone()),
+            target: Target::Backend(server.instance.id.clone()),
             counts: std::mem::take(&mut server.session_counts),
         });
         std::iter::once(own).chain(backends).collect()
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,5 +1,5 @@
 //! The servers that the list names, what is known of them by probes, and when they are forgotten.
-use super::{note, Delay, Effect, Reducer, Server, Stage};
+use super::{note, LatencyReport, Effect, Reducer, Server, SessionStage};
 use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::SessionCounts;
@@ -12,21 +12,21 @@
         const MISSES: u32 = 2;
         self.observe_contact(Some(server), end, out);
         let Some(v) = self.servers.get_mut(&server) else { return };
-        v.probing = false;
+        v.health_check_pending = false;
         let missed = matches!(end, DialEnd::Timeout | DialEnd::Unconnected);
-        let before = v.misses;
-        v.misses = if missed { before + 1 } else { 0 };
-        let doubted = v.misses >= MISSES;
+        let before = v.consecutive_misses;
+        v.consecutive_misses = if missed { before + 1 } else { 0 };
+        let doubted = v.consecutive_misses >= MISSES;
         if doubted != (before >= MISSES) {
             let there =
-                self.sessions.iter().filter(|(_, s)| s.server == Some(server) && s.stage == Stage::Pass);
+                self.sessions.iter().filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
             out.extend(there.map(|(&sess, _)| Effect::SetSuspect { sess, doubted }));
         }
     }
 
     pub(super) fn list(&mut self, list: List, out: &mut Vec<Effect>) {
         if list.whole {
-            self.servers.values_mut().for_each(|v| v.told.phase = Phase::Gone);
+            self.servers.values_mut().for_each(|v| v.instance.phase = Phase::Gone);
         }
         let update = if list.whole { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let mut instances = list.instances;
@@ -35,7 +35,7 @@
             // Whatever such an entry says, nothing new goes where it may say to leave; a whole list has done
             // so.
             let held = list.odd.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
-            let there = held.map(|v| &v.told).filter(|told| told.phase == Phase::Ready);
+            let there = held.map(|v| &v.instance).filter(|told| told.phase == Phase::Ready);
             instances.extend(there.map(|told| Instance { phase: Phase::Draining, ..told.clone() }));
         }
         let endpoints: Vec<Endpoint> = instances.into_iter().map(|one| self.endpoint(one, update)).collect();
@@ -50,7 +50,7 @@
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
         if update == ListUpdate::Snapshot {
             // Those that the list does not name have left.
-            named.extend(self.servers.iter().map(|(&server, v)| (server, v.told.phase != Phase::Ready)));
+            named.extend(self.servers.iter().map(|(&server, v)| (server, v.instance.phase != Phase::Ready)));
         }
         named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
         for (server, leaves) in named {
@@ -73,16 +73,16 @@
         };
         let started = self.started_here(server, one.came_up, update);
         let fresh = || Server {
-            told: one.clone(),
-            started,
-            probing: false,
-            misses: 0,
-            refused: 0,
-            delay: Delay::default(),
+            instance: one.clone(),
+            started_at: started,
+            health_check_pending: false,
+            consecutive_misses: 0,
+            consecutive_connect_failures: 0,
+            latency_report: LatencyReport::default(),
             session_counts: SessionCounts::default(),
         };
         let v = self.servers.entry(server).or_insert_with(fresh);
-        (v.told, v.started) = (one.clone(), started);
+        (v.instance, v.started_at) = (one.clone(), started);
         let zone = self.node.site.zones.iter().position(|name| *name == one.zone);
         let zone = zone.and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
         let phase = self.phase(&one);
@@ -101,8 +101,8 @@
             return 0;
         }
         let held = self.servers.get(&server);
-        if let Some(v) = held.filter(|v| v.told.came_up == came_up && v.started > 0) {
-            return v.started;
+        if let Some(v) = held.filter(|v| v.instance.came_up == came_up && v.started_at > 0) {
+            return v.started_at;
         }
         let ahead = came_up > self.now;
         let before = self.discovery_contacted_before.filter(|_| update == ListUpdate::Delta);
@@ -119,7 +119,7 @@
         let gone: Vec<ServerId> = self
             .servers
             .iter()
-            .filter(|(_, v)| v.told.phase == Phase::Gone && !v.probing)
+            .filter(|(_, v)| v.instance.phase == Phase::Gone && !v.health_check_pending)
             .map(|v| *v.0)
             .collect();
         for server in gone {
@@ -127,7 +127,7 @@
                 continue;
             }
             if let Some(v) = self.servers.remove(&server) {
-                self.ids.remove(&v.told.id);
+                self.ids.remove(&v.instance.id);
                 if self.leaving.remove(&server) {
                     out.push(Effect::SetDraining { server, leaves: false });
                 }
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -1,5 +1,5 @@
 //! Open sessions that pass from one process of the relay to the next.
-use super::{Effect, Reducer, Sess, Stage};
+use super::{Effect, Reducer, Session, SessionStage};
 use hallrelay_balancer::types::{AdmissionRequest, Input, SessId};
 use hallrelay_hot_restart::SessionState;
 
@@ -10,25 +10,25 @@
         let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
         };
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Pass) else { return };
-        let Some(told) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.told) else { return };
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else { return };
+        let Some(told) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.instance) else { return };
         let session = SessionState {
             id: s.id,
             listener: s.listener.to_string(),
             server: told.id.clone(),
-            key: s.asked.key,
-            group: s.asked.group,
-            returned: s.asked.returned,
+            key: s.request.key,
+            group: s.request.group,
+            returned: s.request.returned,
             ..SessionState::default()
         };
-        s.stage = Stage::Passing;
+        s.stage = SessionStage::HandingOver;
         out.push(Effect::HandOverSession { sess, peer, session: Box::new(session) });
     }
 
     /// The other process could not take it: it stays here, and moves as this process drains.
     pub(super) fn session_handover_failed(&mut self, sess: SessId) {
-        if let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Passing) {
-            s.stage = Stage::Pass;
+        if let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::HandingOver) {
+            s.stage = SessionStage::Proxying;
         }
     }
 
@@ -40,16 +40,16 @@
         let SessionState { key, group, returned, .. } = session;
         let asked = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
         let server = self.ids.get(&session.server).copied();
-        let adopted = Sess {
+        let adopted = Session {
             id: session.id,
             listener: session.listener.as_str().into(),
-            asked,
-            stage: Stage::Pass,
+            request: asked,
+            stage: SessionStage::Proxying,
             server,
             dials: 1,
-            due: self.now,
-            told: None,
-            standing: false,
+            deadline: self.now,
+            last_load_at: None,
+            pre_existing: false,
         };
         self.predecessor_session_ids.remove(&session.id);
         self.marks.insert(session.id);
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,5 +1,5 @@
 //! Sessions and connections that are none: from the first line to the end.
-use super::{Delay, Effect, Reducer, Sess, Stage, Timer};
+use super::{LatencyReport, Effect, Reducer, Session, SessionStage, Timer};
 use crate::lines::SessionRequest;
 use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessId};
 use std::rc::Rc;
@@ -18,11 +18,11 @@
 
 impl Reducer {
     pub(super) fn current(&self, sess: SessId, dial: u32) -> bool {
-        self.sessions.get(&sess).is_some_and(|s| s.stage == Stage::Dial && s.dials == dial + 1)
+        self.sessions.get(&sess).is_some_and(|s| s.stage == SessionStage::Dialing && s.dials == dial + 1)
     }
 
     pub(super) fn passing(&self, sess: SessId) -> bool {
-        self.sessions.get(&sess).is_some_and(|s| s.stage == Stage::Pass)
+        self.sessions.get(&sess).is_some_and(|s| s.stage == SessionStage::Proxying)
     }
 
     /// Guards clients against crowds that connect and say nothing, or stop half way: where there is no place
@@ -55,8 +55,8 @@
     /// A session ends by its client's doing; the module knows it, unless it still waits to stand again.
     pub(super) fn left(&mut self, sess: SessId, out: &mut Vec<Effect>) {
         let Some(s) = self.over(sess) else { return };
-        self.figures.of_listener(&s.listener).abandoned += u64::from(s.stage.waits());
-        if !s.standing {
+        self.figures.of_listener(&s.listener).abandoned += u64::from(s.stage.awaits_answer());
+        if !s.pre_existing {
             self.tell(Input::SessionEnded { session: sess }, out);
         }
     }
@@ -71,7 +71,7 @@
     }
 
     /// A session is over; its connection goes on for as long as its last line takes.
-    pub(super) fn over(&mut self, sess: SessId) -> Option<Sess> {
+    pub(super) fn over(&mut self, sess: SessId) -> Option<Session> {
         let s = self.sessions.remove(&sess)?;
         self.marks.remove(&s.id);
         self.aside.push_back((sess, false));
@@ -100,16 +100,16 @@
         let standing = open.at.is_some();
         let left = if standing { left.min(self.node.limits.standing) } else { asked.time_remaining };
         let due = self.now + left;
-        let s = Sess {
+        let s = Session {
             id: open.id,
             listener: Rc::from(open.listener),
-            asked,
-            stage: Stage::Admit,
+            request: asked,
+            stage: SessionStage::AwaitingPlacement,
             server: None,
             dials: 0,
-            due,
-            told: None,
-            standing,
+            deadline: due,
+            last_load_at: None,
+            pre_existing: standing,
         };
         self.figures.of_listener(&s.listener).taken += 1;
         self.marks.insert(s.id);
@@ -140,7 +140,7 @@
         let figures = self.figures.of_listener(&s.listener);
         // Up to then a client takes an answer still, though it earns nothing; no answer would lose the
         // session.
-        let late = self.now > s.due + self.node.limits.answer_late;
+        let late = self.now > s.deadline + self.node.limits.answer_late;
         match answer {
             Effect::Reject { .. } if !late => figures.dropped += 1,
             _ => figures.failed += 1,
@@ -150,12 +150,12 @@
 
     /// Dials the backend of a standing connection.
     pub(super) fn again(&mut self, sess: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Admit) else { return };
-        let Some(addr) = s.server.and_then(|id| self.servers.get(&id)).map(|v| v.told.addr) else {
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::AwaitingPlacement) else { return };
+        let Some(addr) = s.server.and_then(|id| self.servers.get(&id)).map(|v| v.instance.addr) else {
             return self.answer(sess, Effect::TearDown { sess }, out);
         };
-        (s.stage, s.dials) = (Stage::Dial, s.dials + 1);
-        let (dial, wait, begin) = (s.dials - 1, s.due - self.now, self.node.limits.connect);
+        (s.stage, s.dials) = (SessionStage::Dialing, s.dials + 1);
+        let (dial, wait, begin) = (s.dials - 1, s.deadline - self.now, self.node.limits.connect);
         out.push(Effect::Dial { sess, dial, server: None, addr, wait, begin });
     }
 
@@ -166,7 +166,7 @@
 
     /// The program's own answer to a session that waits; the module knows it, unless it is to stand again.
     pub(super) fn give_up(&mut self, sess: SessId, answer: Effect, out: &mut Vec<Effect>) {
-        let theirs = self.sessions.get(&sess).is_some_and(|s| !s.standing);
+        let theirs = self.sessions.get(&sess).is_some_and(|s| !s.pre_existing);
         self.answer(sess, answer, out);
         if theirs {
             self.tell(Input::SessionEnded { session: sess }, out);
@@ -175,21 +175,21 @@
 
     pub(super) fn up(&mut self, sess: SessId, dial: u32, out: &mut Vec<Effect>) {
         let late = self.now.saturating_sub(self.node.limits.answer_margin);
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.due >= late) else {
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.deadline >= late) else {
             // The client's time is up: its backend's answer goes nowhere.
             return self.lapse(sess, out);
         };
-        s.stage = Stage::Pass;
+        s.stage = SessionStage::Proxying;
         let server = s.server;
         self.observe_contact(server, DialEnd::Ok, out);
         self.count_outcome(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         self.figures.of_listener(&s.listener).passed += 1;
         out.push(Effect::StartProxying { sess });
-        match (std::mem::take(&mut s.standing), s.server) {
+        match (std::mem::take(&mut s.pre_existing), s.server) {
             (true, Some(server)) => {
                 s.dials = 1; // the module counts the dial that it never asked for as the first
-                let asked = s.asked;
+                let asked = s.request;
                 self.tell(Input::SessionAdopted { session: sess, server, request: asked }, out);
             }
             _ => self.tell(Input::SessionEstablished { session: sess, dial }, out),
@@ -206,8 +206,8 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(s) = self.sessions.get_mut(&sess) else { return };
-        s.stage = Stage::Admit;
-        if s.standing {
+        s.stage = SessionStage::AwaitingPlacement;
+        if s.pre_existing {
             return out
                 .push(Effect::StartTimer { after: STANDING_AGAIN, alarm: Timer::RedialPreExisting(sess) });
         }
@@ -226,8 +226,8 @@
     /// A dial that this machine could not begin is none: it is decided anew, as long as the session waits.
     pub(super) fn not_begun(&mut self, sess: SessId, dial: u32, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get_mut(&sess) else { return };
-        s.stage = Stage::Admit;
-        if s.standing {
+        s.stage = SessionStage::AwaitingPlacement;
+        if s.pre_existing {
             return out
                 .push(Effect::StartTimer { after: STANDING_AGAIN, alarm: Timer::RedialPreExisting(sess) });
         }
@@ -244,7 +244,7 @@
         // A busy relay reads a little late; wider, changes of load would come between.
         const OFF: Micros = 5_000;
         let Some(s) = self.sessions.get_mut(&sess) else { return };
-        let before = s.told.replace(self.now);
+        let before = s.last_load_at.replace(self.now);
         let beat = before.is_some_and(|then| (self.now - then).abs_diff(BEAT) <= OFF);
         // A message that takes longer than the silence counts as lost, not as late.
         let delay = load / 1e3;
@@ -264,17 +264,17 @@
         // Below a third of what the keenest listener wants nobody feels it.
         let targets = self.node.site.facts.listeners.iter().map(|l| l.message_target);
         let over = time > targets.min().unwrap_or(SECOND) / 3;
-        let news = v.delay.told.is_none_or(|then| self.now >= then + SECOND);
-        if !news || (!over && !v.delay.over) {
+        let news = v.latency_report.reported_at.is_none_or(|then| self.now >= then + SECOND);
+        if !news || (!over && !v.latency_report.above_threshold) {
             return;
         }
-        v.delay = Delay { told: Some(self.now), over };
+        v.latency_report = LatencyReport { reported_at: Some(self.now), above_threshold: over };
         self.tell(Input::MessageDelay { session: sess, delay: time as f64 / 1e6 }, out);
     }
 
     pub(super) fn move_on(&mut self, sess: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == Stage::Pass) else { return };
-        s.stage = Stage::Moving;
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else { return };
+        s.stage = SessionStage::Migrating;
         out.push(Effect::Migrate { sess });
     }
 }
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -8,9 +8,9 @@
 
 impl Reducer {
     pub(super) fn ask_list(&mut self, out: &mut Vec<Effect>) {
-        if !self.watch.out {
-            (self.watch.last, self.watch.out) = (self.watch.last + 1, true);
-            let watch = self.watch.last;
+        if !self.watch.is_open {
+            (self.watch.latest, self.watch.is_open) = (self.watch.latest + 1, true);
+            let watch = self.watch.latest;
             out.push(Effect::WatchEndpoints { watch, addr: self.node.discovery, since: self.generation });
         }
     }
@@ -18,15 +18,15 @@
     /// A watch tells something. Until one that was asked for later does so, what an earlier one tells holds.
     pub(super) fn heard(&mut self, watch: u32, list: List, out: &mut Vec<Effect>) {
         let w = &mut self.watch;
-        if watch == w.last {
+        if watch == w.latest {
             // Guards what was heard against a change that was told out of order: it is older than what holds.
             if !list.whole && self.generation.is_some_and(|held| list.generation < held) {
                 return note(format!("a change of version {} came too late", list.generation), out);
             }
             self.generation = Some(list.generation);
-            let before = w.before.replace(watch).filter(|before| *before != watch);
+            let before = w.previous.replace(watch).filter(|before| *before != watch);
             out.extend(before.map(|watch| Effect::StopWatch { watch }));
-        } else if w.before != Some(watch) {
+        } else if w.previous != Some(watch) {
             return;
         }
         self.discovery_contacted_before = self.discovery_contacted.replace(self.now);
@@ -38,8 +38,8 @@
 
     pub(super) fn list_broken(&mut self, watch: u32, out: &mut Vec<Effect>) {
         out.push(Effect::StopWatch { watch });
-        self.watch.before = self.watch.before.filter(|before| *before != watch);
-        if watch != self.watch.last || !std::mem::take(&mut self.watch.out) {
+        self.watch.previous = self.watch.previous.filter(|before| *before != watch);
+        if watch != self.watch.latest || !std::mem::take(&mut self.watch.is_open) {
             return;
         }
         match self.node.limits.discovery_again {
@@ -86,7 +86,7 @@
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
             // The same servers, at other places of the zones' list.
-            let instances = self.servers.values().map(|v| v.told.clone()).collect();
+            let instances = self.servers.values().map(|v| v.instance.clone()).collect();
             self.list(List { whole: true, instances, ..List::default() }, out);
         }
     }
@@ -98,10 +98,10 @@
             return;
         }
         let w = &mut self.watch;
-        if std::mem::take(&mut w.out) {
-            match w.before {
-                Some(before) if before != w.last => out.push(Effect::StopWatch { watch: w.last }),
-                _ => w.before = Some(w.last),
+        if std::mem::take(&mut w.is_open) {
+            match w.previous {
+                Some(before) if before != w.latest => out.push(Effect::StopWatch { watch: w.latest }),
+                _ => w.previous = Some(w.latest),
             }
         }
         self.generation = None;
@@ -110,8 +110,8 @@
 
     /// Guards discovery against a process that leaves: once nobody here waits for a place, nothing is asked.
     pub(super) fn unwatch(&mut self, out: &mut Vec<Effect>) {
-        if !self.sessions.values().any(|s| s.stage.waits()) && std::mem::take(&mut self.watch.out) {
-            let watches = [Some(self.watch.last), self.watch.before.take()];
+        if !self.sessions.values().any(|s| s.stage.awaits_answer()) && std::mem::take(&mut self.watch.is_open) {
+            let watches = [Some(self.watch.latest), self.watch.previous.take()];
             out.extend(watches.into_iter().flatten().map(|watch| Effect::StopWatch { watch }));
         }
     }
