--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -1,7 +1,7 @@
 //! How a drain or a stop empties this process: sessions are moved in batches, so that the backends are not
 //! asked for all of them at once, and whoever still waits at the end is answered.
 use super::lifecycle::Lifecycle;
-use super::sessions::owed;
+use super::sessions::final_answer;
 use super::{Effect, Reducer, SessionStage, Timer};
 use hallrelay_balancer::types::{Micros, SessId};
 
@@ -50,14 +50,18 @@
                 return;
             }
         }
-        let open: Vec<SessId> =
-            self.sessions.iter().filter(|(_, s)| s.stage == SessionStage::Proxying).map(|(id, _)| *id).collect();
+        let open: Vec<SessId> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.stage == SessionStage::Proxying)
+            .map(|(id, _)| *id)
+            .collect();
         let batches_left = end.saturating_sub(elapsed) / BATCH_INTERVAL + 1;
         // With few sessions most batches move none.
         self.migration_credit += open.len() * THOUSANDTHS / batches_left as usize;
         let count = self.migration_credit / THOUSANDTHS;
         self.migration_credit %= THOUSANDTHS;
-        open.into_iter().take(count).for_each(|sess| self.move_on(sess, out));
+        open.into_iter().take(count).for_each(|sess| self.migrate_session(sess, out));
         let alarm = Timer::MigrateBatch(self.migration_round);
         out.push(Effect::StartTimer { after: BATCH_INTERVAL, alarm });
     }
@@ -68,13 +72,13 @@
         let elapsed = self.now - self.lifecycle_since;
         let is_replaced = self.lifecycle == Lifecycle::HandedOverStopping;
         if is_replaced {
-            self.unwatch(out);
+            self.stop_watching(out);
         }
         // Connections without a session, clients in the middle of their first line among them, are not waited
         // for: they are told to come again, and have a moment to read it.
-        let is_aside_done = self.aside.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
+        let is_aside_done = self.idle_connections.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
         if elapsed >= limits.stop_end {
-            out.extend(self.aside.drain(..).map(|(conn, _)| Effect::ShedConnection { conn }));
+            out.extend(self.idle_connections.drain(..).map(|(conn, _)| Effect::ShedConnection { conn }));
         }
         let is_empty = self.sessions.is_empty() && is_aside_done;
         // Shortly before the process may be killed: everyone was answered or told to move by then.
@@ -91,9 +95,10 @@
     /// settings: a rejection where nothing was sent, else a failure.
     fn answer_waiting(&mut self, out: &mut Vec<Effect>) {
         let waiting = self.sessions.iter().filter(|(_, s)| s.stage.awaits_answer());
-        let answers: Vec<(SessId, Effect)> = waiting.map(|(id, s)| (*id, owed(*id, s.dials))).collect();
+        let answers: Vec<(SessId, Effect)> =
+            waiting.map(|(id, s)| (*id, final_answer(*id, s.dials))).collect();
         for (sess, answer) in answers {
-            self.give_up(sess, answer, out);
+            self.answer_waiting_session(sess, answer, out);
         }
     }
 }
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,7 +1,7 @@
 //! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one
 //! rate. What was heard last holds until a later word, so a relay without a leader readmits none.
 use super::coordination::ExcludedBackends;
-use super::{note, Effect, Reducer, SessionStage};
+use super::{log, Effect, Reducer, SessionStage};
 use crate::control_message::RemainingSessions;
 use hallrelay_balancer::types::{Phase, SessId};
 use hallrelay_config::list::{Instance, List};
@@ -35,7 +35,7 @@
         if self.node.state.is_some() {
             out.push(Effect::Persist { record: Record::exclusions(index, &ids), before: None });
         }
-        note(format!("by what is agreed {} backends are out", ids.len()), out);
+        log(format!("by what is agreed {} backends are out", ids.len()), out);
         coordination.excluded = ExcludedBackends { index, ids };
         self.apply_exclusion(&changed, out);
     }
@@ -45,8 +45,8 @@
         let listed = changed.iter().filter_map(|id| self.servers.get(self.ids.get(id)?));
         let instances: Vec<Instance> = listed.map(|server| server.instance.clone()).collect();
         if !instances.is_empty() {
-            let generation = self.generation.unwrap_or(0);
-            self.list(List { generation, instances, ..List::default() }, out);
+            let generation = self.list_version.unwrap_or(0);
+            self.apply_list(List { generation, instances, ..List::default() }, out);
         }
     }
 
@@ -71,7 +71,10 @@
             let id = &self.servers.get(&s.server?)?.instance.id;
             coordination.excluded.ids.contains(id).then(|| id.clone())
         };
-        let open = self.sessions.iter().filter(|(_, s)| matches!(s.stage, SessionStage::Proxying | SessionStage::Migrating));
+        let open = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| matches!(s.stage, SessionStage::Proxying | SessionStage::Migrating));
         let to_migrate = open.filter_map(|(&session, s)| {
             excluded_backend(s).map(|backend| SessionToMigrate { backend, session })
         });
@@ -102,6 +105,6 @@
         coordination.owed_moves_milli += u64::from(coordination.moves_per_s) * 1000 / relays;
         let part = (coordination.owed_moves_milli / 1000) as usize;
         coordination.owed_moves_milli %= 1000;
-        sessions.into_iter().take(part).for_each(|one| self.move_on(one.session, out));
+        sessions.into_iter().take(part).for_each(|one| self.migrate_session(one.session, out));
     }
 }
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -67,10 +67,10 @@
             in_progress: self.sessions.len(),
             waiting: self.sessions.values().filter(|s| s.stage.awaits_answer()).count(),
             known: listed.clone().count(),
-            avoided: listed.filter(|(&server, _)| self.module.avoids(self.now, server)).count(),
+            avoided: listed.filter(|(&server, _)| self.balancer.avoids(self.now, server)).count(),
             membership: self.membership_metrics(),
             store: self.store_health.clone(),
-            ..self.figures.clone()
+            ..self.metrics.clone()
         }
     }
 }
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -182,10 +182,13 @@
     }
 
     fn backend_health(&self, server: &Server) -> HealthState {
-        let is_silent = server.consecutive_misses >= MAX_MISSES || server.consecutive_connect_failures >= MAX_MISSES;
+        let is_silent =
+            server.consecutive_misses >= MAX_MISSES || server.consecutive_connect_failures >= MAX_MISSES;
         match server.instance.phase {
             Phase::Ready if is_silent => HealthState::Down,
-            Phase::Ready if server.in_slow_start(self.now, self.node.site.facts.warm_up) => HealthState::WarmingUp,
+            Phase::Ready if server.in_slow_start(self.now, self.node.site.facts.warm_up) => {
+                HealthState::WarmingUp
+            }
             Phase::Ready => HealthState::Up,
             Phase::Draining | Phase::Gone => HealthState::Down,
         }
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of this process: whether it serves, drains, stops, or has been replaced by another process.
 //! One table decides what each command, signal and handover does in each state.
-use super::{note, Effect, Reducer};
+use super::{log, Effect, Reducer};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::limits::Limits;
 use std::fmt;
@@ -198,7 +198,7 @@
         self.lifecycle = to;
         if from != to {
             // The experiment tool reads this line.
-            note(format!("from {} to {}", from.status(), to.status()), out);
+            log(format!("from {} to {}", from.status(), to.status()), out);
             if !from.continues_in(to) {
                 self.begin_migration_round();
             }
@@ -261,7 +261,7 @@
             Lifecycle::Draining | Lifecycle::HandedOverDraining => false,
             Lifecycle::AwaitingTakeover | Lifecycle::Serving | Lifecycle::Stopping => return,
         };
-        out.extend(self.pings.drain(..).map(|conn| match accepts {
+        out.extend(self.pending_pings.drain(..).map(|conn| match accepts {
             true => Effect::Pong { conn },
             false => Effect::RejectPing { conn },
         }));
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -1,7 +1,7 @@
 //! Hot restart in the reducer: this process takes over from its predecessor, or hands over to its successor.
 //! The state machine is the package `hot_restart`; this carries its actions out.
 use super::lifecycle::LifecycleEvent;
-use super::{note, Effect, Reducer, Timer};
+use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{
     self as balancer, Input, Micros, Phase, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
 };
@@ -58,7 +58,7 @@
             OwnershipAction::Resume => self.resume_ownership(out),
             OwnershipAction::TakeOver(Some(state)) => self.take_over(*state, out),
             OwnershipAction::TakeOver(None) => {
-                note("the predecessor died before it handed over", out);
+                log("the predecessor died before it handed over", out);
                 self.apply_lifecycle_event(LifecycleEvent::TakeOver, out);
                 self.begin_to_speak_for_relay(out);
                 out.push(Effect::SetTakeoverListener { open: true });
@@ -71,7 +71,7 @@
                 }
             }
             OwnershipAction::PredecessorList(list) => self.receive_predecessor_list(&list, out),
-            OwnershipAction::Log(text) => note(text, out),
+            OwnershipAction::Log(text) => log(text, out),
         }
     }
 
@@ -86,7 +86,7 @@
         let state = Box::new(self.relay_state());
         self.reported_remaining =
             Remaining { connections: state.connections, sessions: state.session_ids.len() as u32 };
-        note("the successor takes over from this process", out);
+        log("the successor takes over from this process", out);
         out.push(Effect::SetTakeoverListener { open: false });
         self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
         // One process speaks for the relay: this one falls silent before the other can begin.
@@ -100,7 +100,7 @@
     }
 
     fn resume_ownership(&mut self, out: &mut Vec<Effect>) {
-        note("the successor died: this process accepts connections again", out);
+        log("the successor died: this process accepts connections again", out);
         self.apply_lifecycle_event(LifecycleEvent::SuccessorDied, out);
         self.begin_to_speak_for_relay(out);
         out.push(Effect::SetTakeoverListener { open: true });
@@ -108,15 +108,15 @@
 
     /// What the successor is to know.
     fn relay_state(&self) -> RelayState {
-        let Snapshot { session_load, servers } = self.module.snapshot(self.now);
+        let Snapshot { session_load, servers } = self.balancer.snapshot(self.now);
         let listed = self.servers.values().map(|v| &v.instance).filter(|told| told.phase != Phase::Gone);
         RelayState {
-            endpoint_list: self.generation.map(|generation| list::encode(generation, true, listed)),
+            endpoint_list: self.list_version.map(|generation| list::encode(generation, true, listed)),
             servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
             session_load,
             draining_age: self.draining_since().map(|since| self.now - since),
             session_ids: self.sessions.values().map(|s| s.id).collect(),
-            connections: (self.sessions.len() + self.aside.len()) as u32,
+            connections: (self.sessions.len() + self.idle_connections.len()) as u32,
             membership: self.membership.as_ref().map(Membership::snapshot),
             exclusions: self.coordination.as_ref().map(|coordination| ExclusionList {
                 log_index: coordination.excluded.index,
@@ -144,16 +144,16 @@
 
     /// This process owns the listener from now on, and goes on with what its predecessor knew.
     fn take_over(&mut self, state: RelayState, out: &mut Vec<Effect>) {
-        note("this process takes over from its predecessor", out);
+        log("this process takes over from its predecessor", out);
         // This process' own watch may have heard more by now. A list that can't be read stops nothing.
         let list = state.endpoint_list.and_then(|list| list::parse(list.to_string().as_bytes()).ok());
         if let Some(list) = list {
-            if self.generation.is_none_or(|own| own < list.generation) {
-                self.list(List { whole: true, ..list }, out);
+            if self.list_version.is_none_or(|own| own < list.generation) {
+                self.apply_list(List { whole: true, ..list }, out);
             }
         }
         let servers = state.servers.into_iter().filter_map(|server| self.server_snapshot(server)).collect();
-        self.tell(Input::Restore(Snapshot { session_load: state.session_load, servers }), out);
+        self.step_balancer(Input::Restore(Snapshot { session_load: state.session_load, servers }), out);
         if let (Some(membership), Some(snapshot)) = (&mut self.membership, &state.membership) {
             membership.restore(self.now, snapshot);
         }
@@ -203,7 +203,7 @@
     /// of its own; afterwards only newer drains and removals count.
     fn receive_predecessor_list(&mut self, list: &serde_json::Value, out: &mut Vec<Effect>) {
         let Ok(mut list) = list::parse(list.to_string().as_bytes()) else { return };
-        if self.generation.is_some_and(|own| own >= list.generation) {
+        if self.list_version.is_some_and(|own| own >= list.generation) {
             return;
         }
         if self.discovery_contacted.is_some() {
@@ -212,7 +212,7 @@
         }
         self.persist_list(&list, out);
         self.send_list_to_successor(&list, out);
-        self.list(list, out);
+        self.apply_list(list, out);
     }
 
     /// Tells the successor what remains here, as it changes.
@@ -221,7 +221,7 @@
             return;
         }
         let sessions = self.sessions.len() as u32;
-        let remaining = Remaining { connections: sessions + self.aside.len() as u32, sessions };
+        let remaining = Remaining { connections: sessions + self.idle_connections.len() as u32, sessions };
         if remaining != self.reported_remaining {
             self.reported_remaining = remaining;
             let Remaining { connections, sessions } = remaining;
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -2,7 +2,7 @@
 //! what becomes of membership's effects. Nothing here goes to the balancer: it reckons with the configured
 //! number of relays, however many are reachable.
 use super::lifecycle::Lifecycle;
-use super::{note, Effect, Reducer, Timer};
+use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_membership::message::MAX_LISTENERS;
@@ -57,14 +57,14 @@
             MembershipEffect::SetTimer { after } => {
                 out.push(Effect::StartTimer { after, alarm: Timer::Membership })
             }
-            MembershipEffect::Log { message } => note(message, out),
+            MembershipEffect::Log { message } => log(message, out),
             MembershipEffect::MemberChanged { name, state, reporter, restarted } => {
                 let details = match (state, &reporter) {
                     (MemberState::Dead, Some(reporter)) => format!(", says {reporter}"),
                     _ if restarted => ", started anew".to_string(),
                     _ => String::new(),
                 };
-                note(format!("relay {name} is {}{details}", state.as_str()), out);
+                log(format!("relay {name} is {}{details}", state.as_str()), out);
             }
             MembershipEffect::EndpointListRequested { stream } => self.send_list_to_peer(stream, out),
             MembershipEffect::EndpointListReceived { from, bytes } => {
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -62,7 +62,7 @@
 }
 
 /// A line for the log.
-fn note(what: impl Into<String>, out: &mut Vec<Effect>) {
+fn log(what: impl Into<String>, out: &mut Vec<Effect>) {
     out.push(Effect::Log { what: what.into() });
 }
 
@@ -136,24 +136,24 @@
 
 pub struct Reducer {
     node: Node,
-    module: Relay,
+    balancer: Relay,
     now: Micros,
     sessions: BTreeMap<SessId, Session>,
     /// The marks of all sessions: searched through the sessions, they took half of a large relay's time.
-    marks: HashSet<u64>,
+    session_ids: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
     ids: BTreeMap<String, ServerId>,
     /// Servers that nothing new may be sent to, as the tasks were told.
-    leaving: BTreeSet<ServerId>,
+    draining: BTreeSet<ServerId>,
     /// The version that was heard last; none from a discovery that has not told one yet.
-    generation: Option<u64>,
+    list_version: Option<u64>,
     watch: EndpointWatch,
     /// Clients' connections that are no session: their first line is awaited, or their last one is out. The
     /// one that did something last first, and whether a part of a line is there. Sessions and these are all
     /// connections that have a place.
-    aside: VecDeque<(SessId, bool)>,
+    idle_connections: VecDeque<(SessId, bool)>,
     /// Connections that wait for a `PONG`.
-    pings: Vec<SessId>,
+    pending_pings: Vec<SessId>,
     lifecycle: Lifecycle,
     /// When the drain or stop that is in force began.
     lifecycle_since: Micros,
@@ -161,7 +161,7 @@
     migration_round: u32,
     /// Thousandths of a session that the next batch moves in addition.
     migration_credit: usize,
-    figures: Figures,
+    metrics: Figures,
     ownership: ListenerOwnership,
     membership: Option<Membership>,
     /// What the store held, until the start has used it.
@@ -189,7 +189,7 @@
     predecessor_session_ids: HashSet<u64>,
     /// What the successor was last told that remains here.
     reported_remaining: Remaining,
-    asks: Vec<module::Effect>,
+    balancer_effects: Vec<module::Effect>,
 }
 
 impl Reducer {
@@ -200,8 +200,8 @@
             predecessor_remaining: Remaining::default(),
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
-            module: Relay::new(node.site.facts.clone(), node.seed),
-            figures: Figures::of(&node.site.listeners),
+            balancer: Relay::new(node.site.facts.clone(), node.seed),
+            metrics: Figures::of(&node.site.listeners),
             membership: None,
             stored: None,
             store_health: None,
@@ -216,14 +216,14 @@
             node,
             now: 0,
             sessions: BTreeMap::new(),
-            marks: HashSet::new(),
+            session_ids: HashSet::new(),
             servers: BTreeMap::new(),
             ids: BTreeMap::new(),
-            leaving: BTreeSet::new(),
-            generation: None,
+            draining: BTreeSet::new(),
+            list_version: None,
             watch: EndpointWatch::default(),
-            aside: VecDeque::new(),
-            pings: Vec::new(),
+            idle_connections: VecDeque::new(),
+            pending_pings: Vec::new(),
             lifecycle: match predecessor {
                 Some(_) => Lifecycle::AwaitingTakeover,
                 None => Lifecycle::Serving,
@@ -231,7 +231,7 @@
             lifecycle_since: 0,
             migration_round: 0,
             migration_credit: 0,
-            asks: Vec::new(),
+            balancer_effects: Vec::new(),
         }
     }
 
@@ -245,10 +245,10 @@
         let recovered = stored.map(|stored| self.recover_state(now, &stored, out)).unwrap_or_default();
         let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
-        self.generation = Some(known.generation);
+        self.list_version = Some(known.generation);
         let start = now.max(recovered.min_start_number);
         self.membership = membership::new_membership(&self.node, start);
-        self.list(known, out);
+        self.apply_list(known, out);
         self.restore_slow_start_slots(&recovered, out);
         if self.ownership.awaited_predecessor().is_none() {
             self.persist_identity(start, out);
@@ -256,7 +256,7 @@
         }
         // Where the module counts on being told unasked, the watch that tells it is the program's own.
         if !self.node.site.facts.must_watch {
-            self.ask_list(out);
+            self.watch_endpoints(out);
         }
         self.begin_ownership(out);
     }
@@ -264,59 +264,65 @@
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
-            Event::ClientConnected { conn } => self.came(conn, out),
-            Event::FirstLineStarted { conn } => self.stirred(conn),
-            Event::ProtocolViolation { conn } => self.odd(conn, out),
+            Event::ClientConnected { conn } => self.client_connected(conn, out),
+            Event::FirstLineStarted { conn } => self.first_line_started(conn),
+            Event::ProtocolViolation { conn } => self.protocol_violation(conn, out),
             Event::Ping { conn } => {
-                self.pings.push(conn);
+                self.pending_pings.push(conn);
                 self.answer_pings(out);
             }
-            Event::SessionRequested { sess, open, left } => self.opened(sess, open, left, out),
+            Event::SessionRequested { sess, open, left } => self.session_requested(sess, open, left, out),
             Event::ClientDisconnected { sess } => {
-                self.left(sess, out);
-                self.aside.retain(|one| one.0 != sess);
-                self.pings.retain(|conn| *conn != sess);
+                self.abandon_session(sess, out);
+                self.idle_connections.retain(|one| one.0 != sess);
+                self.pending_pings.retain(|conn| *conn != sess);
             }
-            Event::ClientHalfClosed { sess } => self.departed(sess, out),
-            Event::FirstLineForwarded => self.figures.tries += 1,
-            Event::SessionEstablished { sess, dial } if self.current(sess, dial) => self.up(sess, dial, out),
-            Event::DialEnded { sess, dial, end, report } if self.current(sess, dial) => {
+            Event::ClientHalfClosed { sess } => self.client_half_closed(sess, out),
+            Event::FirstLineForwarded => self.metrics.tries += 1,
+            Event::SessionEstablished { sess, dial } if self.is_current_dial(sess, dial) => {
+                self.session_established(sess, dial, out)
+            }
+            Event::DialEnded { sess, dial, end, report } if self.is_current_dial(sess, dial) => {
                 self.dial_ended(sess, dial, end, report, out);
             }
-            Event::DialNotStarted { sess, dial } if self.current(sess, dial) => {
-                self.not_begun(sess, dial, out)
+            Event::DialNotStarted { sess, dial } if self.is_current_dial(sess, dial) => {
+                self.dial_not_started(sess, dial, out)
             }
             Event::SessionEnded { sess, end, report } => {
-                let Some(s) = self.over(sess) else { return };
+                let Some(s) = self.remove_session(sess) else { return };
                 let dial = s.dials.saturating_sub(1);
                 if end == DialEnd::Reset {
                     self.count_outcome(s.server, end);
                 }
-                self.tell(Input::DialEnded { session: sess, dial, end, settled: true, report }, out);
+                self.step_balancer(Input::DialEnded { session: sess, dial, end, settled: true, report }, out);
+            }
+            Event::LoadReported { sess, load } if self.is_proxying(sess) => {
+                self.load_reported(sess, load, out)
+            }
+            Event::MessageLatency { sess, time } if self.is_proxying(sess) => {
+                self.latency_measured(sess, time, out)
             }
-            Event::LoadReported { sess, load } if self.passing(sess) => self.load(sess, load, out),
-            Event::MessageLatency { sess, time } if self.passing(sess) => self.took(sess, time, out),
             Event::HealthCheckEnded { server, end, report } => {
-                self.probed(server, end, out);
-                self.tell(Input::ProbeEnded { server, end, report }, out);
+                self.health_check_ended(server, end, out);
+                self.step_balancer(Input::ProbeEnded { server, end, report }, out);
             }
-            Event::EndpointListReceived { watch, list } => self.heard(watch, list, out),
-            Event::EndpointWatchFailed { watch } => self.list_broken(watch, out),
+            Event::EndpointListReceived { watch, list } => self.list_received(watch, list, out),
+            Event::EndpointWatchFailed { watch } => self.watch_failed(watch, out),
             Event::ConfigurationReloaded(node) => {
-                self.figures.loads += 1;
-                self.reload(*node, out);
+                self.metrics.loads += 1;
+                self.configuration_reloaded(*node, out);
             }
-            Event::ConfigurationRejected => self.figures.load_errors += 1,
+            Event::ConfigurationRejected => self.metrics.load_errors += 1,
             Event::OperatorCall { call, what } => self.operator_call(call, what, out),
             Event::VoterWritesDurable { life, number } => self.raft_written(life, number, out),
             Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
-            Event::SessionHandedOver { sess } => self.left(sess, out),
+            Event::SessionHandedOver { sess } => self.abandon_session(sess, out),
             Event::SessionHandoverFailed { sess } => self.session_handover_failed(sess),
             Event::SessionAdopted { sess, session } => self.adopt_session(sess, *session, out),
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
-            Event::Timer(alarm) => self.alarm(alarm, out),
+            Event::Timer(alarm) => self.timer_expired(alarm, out),
             Event::StopRequested => _ = self.apply_lifecycle_event(LifecycleEvent::Stop, out),
             // Of a dial or a session that is over.
             Event::SessionEstablished { .. }
@@ -327,15 +333,15 @@
         }
     }
 
-    fn tell(&mut self, input: Input, out: &mut Vec<Effect>) {
-        let mut asks = std::mem::take(&mut self.asks);
-        self.module.step(self.now, input, &mut asks);
-        asks.drain(..).for_each(|ask| self.carry(ask, out));
-        self.asks = asks;
+    fn step_balancer(&mut self, input: Input, out: &mut Vec<Effect>) {
+        let mut asks = std::mem::take(&mut self.balancer_effects);
+        self.balancer.step(self.now, input, &mut asks);
+        asks.drain(..).for_each(|ask| self.apply_balancer_effect(ask, out));
+        self.balancer_effects = asks;
     }
 
     /// What the module asks for, in the program's own effects.
-    fn carry(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
+    fn apply_balancer_effect(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
         match ask {
             module::Effect::Dial { session: sess, server, timeout: wait, send_within: window } => {
                 let Some(s) = self.sessions.get_mut(&sess) else { return };
@@ -347,13 +353,18 @@
                     return out.push(Effect::Dial { sess, dial, server: Some(server), addr, wait, begin });
                 }
                 let end = DialEnd::Unconnected;
-                self.tell(Input::DialEnded { session: sess, dial, end, settled: false, report: None }, out);
+                self.step_balancer(
+                    Input::DialEnded { session: sess, dial, end, settled: false, report: None },
+                    out,
+                );
             }
             module::Effect::Reject { session: sess, retry_after } => {
-                self.answer(sess, Effect::Reject { sess, retry_after }, out);
+                self.send_final_answer(sess, Effect::Reject { sess, retry_after }, out);
+            }
+            module::Effect::TearDown { session: sess } => {
+                self.send_final_answer(sess, Effect::TearDown { sess }, out)
             }
-            module::Effect::TearDown { session: sess } => self.answer(sess, Effect::TearDown { sess }, out),
-            module::Effect::Migrate { session: sess } => self.move_on(sess, out),
+            module::Effect::Migrate { session: sess } => self.migrate_session(sess, out),
             module::Effect::Probe { server } => {
                 let Some(v) = self.servers.get_mut(&server) else { return };
                 v.health_check_pending = true;
@@ -362,18 +373,18 @@
             module::Effect::SetTimer { after, label } => {
                 out.push(Effect::StartTimer { after, alarm: Timer::Balancer(label) });
             }
-            module::Effect::WatchEndpoints => self.ask_list(out),
+            module::Effect::WatchEndpoints => self.watch_endpoints(out),
         }
     }
 
-    fn alarm(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
+    fn timer_expired(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
         match alarm {
-            Timer::Balancer(label) => self.tell(Input::TimerExpired { label }, out),
-            Timer::RedialPreExisting(sess) => self.again(sess, out),
+            Timer::Balancer(label) => self.step_balancer(Input::TimerExpired { label }, out),
+            Timer::RedialPreExisting(sess) => self.redial_pre_existing(sess, out),
             Timer::AnswerDeadline(sess) => {
                 // Dials end and the module answers before this; it guards against a task that does neither.
                 if self.sessions.get(&sess).is_some_and(|s| s.stage.awaits_answer()) {
-                    self.lapse(sess, out);
+                    self.deadline_expired(sess, out);
                 }
             }
             Timer::MigrateBatch(round) if round == self.migration_round => self.migrate_batch(out),
@@ -383,7 +394,7 @@
             }
             Timer::HandoverProgress => self.report_remaining(out),
             Timer::Membership => self.membership_timer_expired(out),
-            Timer::RequestEndpointList => self.ask_list(out),
+            Timer::RequestEndpointList => self.watch_endpoints(out),
             Timer::PollPeers => self.poll_peers(out),
             Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
             Timer::LeaderReview => self.review(out),
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list by gossip: while discovery is unavailable a relay polls others for their list. A peer's
 //! list may add a server or drain one. It can't bring back a server that discovery drained, and can't remove
 //! one.
-use super::{note, Effect, Reducer, Timer};
+use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{self, Instance, List};
 use hallrelay_membership::Event as MembershipEvent;
@@ -48,7 +48,7 @@
 
     /// Another relay polls for the list.
     pub(super) fn send_list_to_peer(&mut self, stream: u64, out: &mut Vec<Effect>) {
-        let answer = self.generation.map(|generation| {
+        let answer = self.list_version.map(|generation| {
             let listed = self.servers.values().map(|v| &v.instance).filter(|told| told.phase != Phase::Gone);
             PeerList {
                 source: self.node.discovery.to_string(),
@@ -76,10 +76,10 @@
             return;
         }
         let count = accepted.len();
-        note(format!("{count} servers by the list of relay {name}, as discovery is unavailable"), out);
+        log(format!("{count} servers by the list of relay {name}, as discovery is unavailable"), out);
         // The version stays, so that discovery tells all that changed after it.
-        let generation = self.generation.unwrap_or(0);
-        self.list(List { generation, instances: accepted, ..List::default() }, out);
+        let generation = self.list_version.unwrap_or(0);
+        self.apply_list(List { generation, instances: accepted, ..List::default() }, out);
     }
 
     /// What of one server is accepted from a peer; `None` where it changes nothing.
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -1,5 +1,5 @@
 //! What a relay stores as it happens, and what a start takes over of it.
-use super::{note, Effect, Reducer, Server};
+use super::{log, Effect, Reducer, Server};
 use hallrelay_balancer::types::{
     Input, Micros, Phase, ServerId, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
 };
@@ -32,7 +32,7 @@
             stored,
         });
         for message in std::mem::take(&mut recovered.messages) {
-            note(message, out);
+            log(message, out);
         }
         for record in std::mem::take(&mut recovered.obsolete) {
             self.persist(Record::removed(record.kind, &record.name), out);
@@ -51,7 +51,7 @@
         if recovered.slow_start_slots.is_empty() {
             return;
         }
-        let Snapshot { session_load, servers } = self.module.snapshot(self.now);
+        let Snapshot { session_load, servers } = self.balancer.snapshot(self.now);
         // All other servers as the balancer starts with them.
         let unreported = servers.into_iter().map(|server| ServerSnapshot { report: None, ..server });
         let mut servers: Vec<ServerSnapshot> = unreported.collect();
@@ -61,7 +61,7 @@
                 known.slot = SlotSnapshot { age: slot.age, interval_fraction: 1.0 };
             }
         }
-        self.tell(Input::Restore(Snapshot { session_load, servers }), out);
+        self.step_balancer(Input::Restore(Snapshot { session_load, servers }), out);
     }
 
     /// How far this relay's recovery is.
@@ -123,7 +123,7 @@
             return;
         }
         let used_now = SlotSnapshot { age: 0, interval_fraction: 1.0 };
-        let known = self.module.snapshot(self.now);
+        let known = self.balancer.snapshot(self.now);
         let was_used_now = known.servers.iter().any(|known| known.server == server && known.slot == used_now);
         if was_used_now {
             let record = Record::slow_start_slot(&v.instance.id, self.now);
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -86,6 +86,6 @@
         let mut instance = v.instance.clone();
         instance.came_up = self.now;
         let endpoint = self.endpoint(instance, ListUpdate::Delta);
-        self.tell(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
+        self.step_balancer(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
     }
 }
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -43,7 +43,7 @@
 
     fn take_own_counts(&mut self) -> SessionCounts {
         let mut total = SessionCounts::default();
-        for listener in self.figures.listeners.values() {
+        for listener in self.metrics.listeners.values() {
             let failed = listener.dropped + listener.failed;
             total.add(SessionCounts { sessions: listener.passed + failed, failed });
         }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,5 +1,5 @@
 //! The servers that the list names, what is known of them by probes, and when they are forgotten.
-use super::{note, LatencyReport, Effect, Reducer, Server, SessionStage};
+use super::{log, Effect, LatencyReport, Reducer, Server, SessionStage};
 use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::SessionCounts;
@@ -7,7 +7,7 @@
 
 impl Reducer {
     /// Guards sessions on a machine that vanished unsaid: each would find out by a message of its own.
-    pub(super) fn probed(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
+    pub(super) fn health_check_ended(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
         // One may be lost to a busy moment.
         const MISSES: u32 = 2;
         self.observe_contact(Some(server), end, out);
@@ -18,20 +18,22 @@
         v.consecutive_misses = if missed { before + 1 } else { 0 };
         let doubted = v.consecutive_misses >= MISSES;
         if doubted != (before >= MISSES) {
-            let there =
-                self.sessions.iter().filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
+            let there = self
+                .sessions
+                .iter()
+                .filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
             out.extend(there.map(|(&sess, _)| Effect::SetSuspect { sess, doubted }));
         }
     }
 
-    pub(super) fn list(&mut self, list: List, out: &mut Vec<Effect>) {
+    pub(super) fn apply_list(&mut self, list: List, out: &mut Vec<Effect>) {
         if list.whole {
             self.servers.values_mut().for_each(|v| v.instance.phase = Phase::Gone);
         }
         let update = if list.whole { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let mut instances = list.instances;
         if !list.odd.is_empty() {
-            note(format!("{} entries of the list can't be read", list.odd.len()), out);
+            log(format!("{} entries of the list can't be read", list.odd.len()), out);
             // Whatever such an entry says, nothing new goes where it may say to leave; a whole list has done
             // so.
             let held = list.odd.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
@@ -39,14 +41,14 @@
             instances.extend(there.map(|told| Instance { phase: Phase::Draining, ..told.clone() }));
         }
         let endpoints: Vec<Endpoint> = instances.into_iter().map(|one| self.endpoint(one, update)).collect();
-        self.tell_leaving(update, &endpoints, out);
-        self.tell(Input::EndpointList { update, endpoints }, out);
-        self.forget(out);
+        self.announce_draining(update, &endpoints, out);
+        self.step_balancer(Input::EndpointList { update, endpoints }, out);
+        self.forget_removed_servers(out);
         self.answer_pings(out);
     }
 
     /// Tells the tasks which servers are to be left from now on, before anything is decided by it.
-    fn tell_leaving(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Effect>) {
+    fn announce_draining(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Effect>) {
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
         if update == ListUpdate::Snapshot {
             // Those that the list does not name have left.
@@ -54,7 +56,7 @@
         }
         named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
         for (server, leaves) in named {
-            let changed = if leaves { self.leaving.insert(server) } else { self.leaving.remove(&server) };
+            let changed = if leaves { self.draining.insert(server) } else { self.draining.remove(&server) };
             out.extend(changed.then_some(Effect::SetDraining { server, leaves }));
         }
     }
@@ -71,7 +73,7 @@
                 server
             }
         };
-        let started = self.started_here(server, one.came_up, update);
+        let started = self.local_start(server, one.came_up, update);
         let fresh = || Server {
             instance: one.clone(),
             started_at: started,
@@ -93,7 +95,7 @@
     /// and either clock may have been set: a start that lies ahead is none of this clock's, nor is one of a
     /// server that a change names first which lies long before the list that did not name it. Such a server
     /// counts as started now, since it may be cold. (A whole list may name what started at any time.)
-    fn started_here(&self, server: ServerId, came_up: Micros, update: ListUpdate) -> Micros {
+    fn local_start(&self, server: ServerId, came_up: Micros, update: ListUpdate) -> Micros {
         // Discovery notices a start late, by some ten seconds at most, and tells it later still where it is
         // slow.
         const LATE: Micros = 60_000_000;
@@ -115,7 +117,7 @@
     }
 
     /// What is gone is forgotten once nothing names it, or a long life would gather all there ever were.
-    pub(super) fn forget(&mut self, out: &mut Vec<Effect>) {
+    pub(super) fn forget_removed_servers(&mut self, out: &mut Vec<Effect>) {
         let gone: Vec<ServerId> = self
             .servers
             .iter()
@@ -128,7 +130,7 @@
             }
             if let Some(v) = self.servers.remove(&server) {
                 self.ids.remove(&v.instance.id);
-                if self.leaving.remove(&server) {
+                if self.draining.remove(&server) {
                     out.push(Effect::SetDraining { server, leaves: false });
                 }
                 out.push(Effect::ForgetServer { server });
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -10,7 +10,9 @@
         let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
         };
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else { return };
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else {
+            return;
+        };
         let Some(told) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.instance) else { return };
         let session = SessionState {
             id: s.id,
@@ -52,7 +54,7 @@
             pre_existing: false,
         };
         self.predecessor_session_ids.remove(&session.id);
-        self.marks.insert(session.id);
+        self.session_ids.insert(session.id);
         self.sessions.insert(sess, adopted);
         let remaining = &mut self.predecessor_remaining;
         remaining.connections = remaining.connections.saturating_sub(1);
@@ -60,7 +62,7 @@
         out.push(Effect::StartProxying { sess });
         // At a server that the list no longer names the session goes on, and the module need not know.
         if let Some(server) = server {
-            self.tell(Input::SessionAdopted { session: sess, server, request: asked }, out);
+            self.step_balancer(Input::SessionAdopted { session: sess, server, request: asked }, out);
         }
         // This process may have a successor by now.
         self.hand_over_session(sess, out);
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,5 +1,5 @@
 //! Sessions and connections that are none: from the first line to the end.
-use super::{LatencyReport, Effect, Reducer, Session, SessionStage, Timer};
+use super::{Effect, LatencyReport, Reducer, Session, SessionStage, Timer};
 use crate::lines::SessionRequest;
 use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessId};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 const STANDING_AGAIN: Micros = 200_000;
 
 /// The program's own answer after so many dials: a refusal where nothing was sent, else a failure.
-pub(super) fn owed(sess: SessId, dials: u32) -> Effect {
+pub(super) fn final_answer(sess: SessId, dials: u32) -> Effect {
     match dials {
         0 => Effect::Reject { sess, retry_after: 0 },
         _ => Effect::TearDown { sess },
@@ -17,78 +17,84 @@
 }
 
 impl Reducer {
-    pub(super) fn current(&self, sess: SessId, dial: u32) -> bool {
+    pub(super) fn is_current_dial(&self, sess: SessId, dial: u32) -> bool {
         self.sessions.get(&sess).is_some_and(|s| s.stage == SessionStage::Dialing && s.dials == dial + 1)
     }
 
-    pub(super) fn passing(&self, sess: SessId) -> bool {
+    pub(super) fn is_proxying(&self, sess: SessId) -> bool {
         self.sessions.get(&sess).is_some_and(|s| s.stage == SessionStage::Proxying)
     }
 
     /// Guards clients against crowds that connect and say nothing, or stop half way: where there is no place
     /// left, the oldest connection that has said nothing gives up its own; then who has paused longest.
-    pub(super) fn came(&mut self, conn: SessId, out: &mut Vec<Effect>) {
-        self.aside.push_back((conn, false));
-        if self.predecessor_remaining.connections as usize + self.sessions.len() + self.aside.len()
+    pub(super) fn client_connected(&mut self, conn: SessId, out: &mut Vec<Effect>) {
+        self.idle_connections.push_back((conn, false));
+        if self.predecessor_remaining.connections as usize + self.sessions.len() + self.idle_connections.len()
             > self.node.limits.clients
         {
-            let at = self.aside.iter().position(|one| !one.1 && one.0 != conn).unwrap_or(0);
-            out.extend(self.aside.remove(at).map(|(conn, _)| Effect::ShedConnection { conn }));
+            let at = self.idle_connections.iter().position(|one| !one.1 && one.0 != conn).unwrap_or(0);
+            out.extend(self.idle_connections.remove(at).map(|(conn, _)| Effect::ShedConnection { conn }));
         }
     }
 
     /// Who makes progress is kept before who does not.
-    pub(super) fn stirred(&mut self, conn: SessId) {
-        if let Some(at) = self.aside.iter().position(|one| one.0 == conn) {
-            self.aside.remove(at);
-            self.aside.push_back((conn, true));
+    pub(super) fn first_line_started(&mut self, conn: SessId) {
+        if let Some(at) = self.idle_connections.iter().position(|one| one.0 == conn) {
+            self.idle_connections.remove(at);
+            self.idle_connections.push_back((conn, true));
         }
     }
 
     /// What is not of the protocol is never served, also where a dial is out for it.
-    pub(super) fn odd(&mut self, conn: SessId, out: &mut Vec<Effect>) {
-        self.pings.retain(|ping| *ping != conn);
+    pub(super) fn protocol_violation(&mut self, conn: SessId, out: &mut Vec<Effect>) {
+        self.pending_pings.retain(|ping| *ping != conn);
         out.push(Effect::ReportProtocolError { conn });
-        self.left(conn, out);
+        self.abandon_session(conn, out);
     }
 
     /// A session ends by its client's doing; the module knows it, unless it still waits to stand again.
-    pub(super) fn left(&mut self, sess: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.over(sess) else { return };
-        self.figures.of_listener(&s.listener).abandoned += u64::from(s.stage.awaits_answer());
+    pub(super) fn abandon_session(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+        let Some(s) = self.remove_session(sess) else { return };
+        self.metrics.of_listener(&s.listener).abandoned += u64::from(s.stage.awaits_answer());
         if !s.pre_existing {
-            self.tell(Input::SessionEnded { session: sess }, out);
+            self.step_balancer(Input::SessionEnded { session: sess }, out);
         }
     }
 
     /// Its client has ended its sending before it was answered. It may have left, so nothing is sent on for
     /// it; it may read on, so the answer that it is owed goes out: a refusal where nothing was sent, else a
     /// failure.
-    pub(super) fn departed(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn client_half_closed(&mut self, sess: SessId, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get(&sess) else { return };
-        out.push(owed(sess, s.dials));
-        self.left(sess, out);
+        out.push(final_answer(sess, s.dials));
+        self.abandon_session(sess, out);
     }
 
     /// A session is over; its connection goes on for as long as its last line takes.
-    pub(super) fn over(&mut self, sess: SessId) -> Option<Session> {
+    pub(super) fn remove_session(&mut self, sess: SessId) -> Option<Session> {
         let s = self.sessions.remove(&sess)?;
-        self.marks.remove(&s.id);
-        self.aside.push_back((sess, false));
+        self.session_ids.remove(&s.id);
+        self.idle_connections.push_back((sess, false));
         Some(s)
     }
 
-    pub(super) fn opened(&mut self, sess: SessId, open: SessionRequest, left: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn session_requested(
+        &mut self,
+        sess: SessId,
+        open: SessionRequest,
+        left: Micros,
+        out: &mut Vec<Effect>,
+    ) {
         let listener = self.node.site.listeners.iter().position(|name| *name == open.listener);
         // Guards the open session whose mark another client sends, and times that no client would wait.
         // (A connection that stood before may name a time of its own, which counts for nothing here.)
         let timely = open.at.is_some() || left <= self.node.limits.wait;
-        let marked = self.marks.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
+        let marked = self.session_ids.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
         let fit = timely && !marked;
-        let Some(listener) = listener.filter(|_| fit) else { return self.odd(sess, out) };
-        self.aside.retain(|one| one.0 != sess);
+        let Some(listener) = listener.filter(|_| fit) else { return self.protocol_violation(sess, out) };
+        self.idle_connections.retain(|one| one.0 != sess);
         // Who asked before and goes on without an answer is a client now.
-        self.pings.retain(|ping| *ping != sess);
+        self.pending_pings.retain(|ping| *ping != sess);
         let most = self.node.site.dial_timeouts[listener];
         let asked = AdmissionRequest {
             listener,
@@ -111,33 +117,33 @@
             last_load_at: None,
             pre_existing: standing,
         };
-        self.figures.of_listener(&s.listener).taken += 1;
-        self.marks.insert(s.id);
+        self.metrics.of_listener(&s.listener).taken += 1;
+        self.session_ids.insert(s.id);
         self.sessions.insert(sess, s);
         // The limit is on both processes of the relay together.
         let remaining = self.predecessor_remaining.sessions;
         let full = remaining > 0 && self.sessions.len() as u32 + remaining > self.node.limits.sessions;
         if full || !self.accepts_sessions() || self.is_past_stop_deadline() {
-            return self.answer(sess, Effect::Reject { sess, retry_after: 0 }, out);
+            return self.send_final_answer(sess, Effect::Reject { sess, retry_after: 0 }, out);
         }
         out.push(Effect::StartTimer { after: left, alarm: Timer::AnswerDeadline(sess) });
         match open.at {
-            None => self.tell(Input::SessionRequested { session: sess, request: asked }, out),
+            None => self.step_balancer(Input::SessionRequested { session: sess, request: asked }, out),
             Some(name) => match self.ids.get(&name) {
                 Some(&server) => {
                     self.sessions.entry(sess).and_modify(|s| s.server = Some(server));
-                    self.again(sess, out);
+                    self.redial_pre_existing(sess, out);
                 }
-                None => self.answer(sess, Effect::TearDown { sess }, out),
+                None => self.send_final_answer(sess, Effect::TearDown { sess }, out),
             },
         }
     }
 
     /// The final answer, or none where the client's time was up long ago: rule 1, for a relay that stood
     /// still.
-    pub(super) fn answer(&mut self, sess: SessId, answer: Effect, out: &mut Vec<Effect>) {
-        let Some(s) = self.over(sess) else { return };
-        let figures = self.figures.of_listener(&s.listener);
+    pub(super) fn send_final_answer(&mut self, sess: SessId, answer: Effect, out: &mut Vec<Effect>) {
+        let Some(s) = self.remove_session(sess) else { return };
+        let figures = self.metrics.of_listener(&s.listener);
         // Up to then a client takes an answer still, though it earns nothing; no answer would lose the
         // session.
         let late = self.now > s.deadline + self.node.limits.answer_late;
@@ -149,10 +155,13 @@
     }
 
     /// Dials the backend of a standing connection.
-    pub(super) fn again(&mut self, sess: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::AwaitingPlacement) else { return };
+    pub(super) fn redial_pre_existing(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::AwaitingPlacement)
+        else {
+            return;
+        };
         let Some(addr) = s.server.and_then(|id| self.servers.get(&id)).map(|v| v.instance.addr) else {
-            return self.answer(sess, Effect::TearDown { sess }, out);
+            return self.send_final_answer(sess, Effect::TearDown { sess }, out);
         };
         (s.stage, s.dials) = (SessionStage::Dialing, s.dials + 1);
         let (dial, wait, begin) = (s.dials - 1, s.deadline - self.now, self.node.limits.connect);
@@ -160,39 +169,39 @@
     }
 
     /// The time of a session is up without an answer.
-    pub(super) fn lapse(&mut self, sess: SessId, out: &mut Vec<Effect>) {
-        self.give_up(sess, Effect::TearDown { sess }, out);
+    pub(super) fn deadline_expired(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+        self.answer_waiting_session(sess, Effect::TearDown { sess }, out);
     }
 
     /// The program's own answer to a session that waits; the module knows it, unless it is to stand again.
-    pub(super) fn give_up(&mut self, sess: SessId, answer: Effect, out: &mut Vec<Effect>) {
+    pub(super) fn answer_waiting_session(&mut self, sess: SessId, answer: Effect, out: &mut Vec<Effect>) {
         let theirs = self.sessions.get(&sess).is_some_and(|s| !s.pre_existing);
-        self.answer(sess, answer, out);
+        self.send_final_answer(sess, answer, out);
         if theirs {
-            self.tell(Input::SessionEnded { session: sess }, out);
+            self.step_balancer(Input::SessionEnded { session: sess }, out);
         }
     }
 
-    pub(super) fn up(&mut self, sess: SessId, dial: u32, out: &mut Vec<Effect>) {
+    pub(super) fn session_established(&mut self, sess: SessId, dial: u32, out: &mut Vec<Effect>) {
         let late = self.now.saturating_sub(self.node.limits.answer_margin);
         let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.deadline >= late) else {
             // The client's time is up: its backend's answer goes nowhere.
-            return self.lapse(sess, out);
+            return self.deadline_expired(sess, out);
         };
         s.stage = SessionStage::Proxying;
         let server = s.server;
         self.observe_contact(server, DialEnd::Ok, out);
         self.count_outcome(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&sess) else { return };
-        self.figures.of_listener(&s.listener).passed += 1;
+        self.metrics.of_listener(&s.listener).passed += 1;
         out.push(Effect::StartProxying { sess });
         match (std::mem::take(&mut s.pre_existing), s.server) {
             (true, Some(server)) => {
                 s.dials = 1; // the module counts the dial that it never asked for as the first
                 let asked = s.request;
-                self.tell(Input::SessionAdopted { session: sess, server, request: asked }, out);
+                self.step_balancer(Input::SessionAdopted { session: sess, server, request: asked }, out);
             }
-            _ => self.tell(Input::SessionEstablished { session: sess, dial }, out),
+            _ => self.step_balancer(Input::SessionEstablished { session: sess, dial }, out),
         }
         self.hand_over_session(sess, out);
     }
@@ -215,16 +224,16 @@
         // Served to its end at once: its last line is its answer.
         let settled = end == DialEnd::Ok;
         if settled {
-            self.figures.of_listener(&s.listener).passed += 1;
-            self.over(sess);
+            self.metrics.of_listener(&s.listener).passed += 1;
+            self.remove_session(sess);
         }
         self.observe_contact(server, end, out);
         self.count_outcome(server, end);
-        self.tell(Input::DialEnded { session: sess, dial, end, settled, report }, out);
+        self.step_balancer(Input::DialEnded { session: sess, dial, end, settled, report }, out);
     }
 
     /// A dial that this machine could not begin is none: it is decided anew, as long as the session waits.
-    pub(super) fn not_begun(&mut self, sess: SessId, dial: u32, out: &mut Vec<Effect>) {
+    pub(super) fn dial_not_started(&mut self, sess: SessId, dial: u32, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get_mut(&sess) else { return };
         s.stage = SessionStage::AwaitingPlacement;
         if s.pre_existing {
@@ -232,14 +241,14 @@
                 .push(Effect::StartTimer { after: STANDING_AGAIN, alarm: Timer::RedialPreExisting(sess) });
         }
         s.dials -= 1;
-        self.tell(Input::DialNotStarted { session: sess, dial }, out);
+        self.step_balancer(Input::DialNotStarted { session: sess, dial }, out);
     }
 
     /// A figure that a backend told. Backends that tell message delays use the same word for them, so a slow
     /// one would pass for one with light sessions. A delay, in milliseconds, comes each second on one
     /// connection, a load at odd times. Of 87 figures a second apart, to 10 ms, 84 were so to the
     /// millisecond, and they read as delays where reports had work piled up.
-    pub(super) fn load(&mut self, sess: SessId, load: f64, out: &mut Vec<Effect>) {
+    pub(super) fn load_reported(&mut self, sess: SessId, load: f64, out: &mut Vec<Effect>) {
         const BEAT: Micros = 1_000_000;
         // A busy relay reads a little late; wider, changes of load would come between.
         const OFF: Micros = 5_000;
@@ -254,11 +263,11 @@
         } else {
             Input::SessionLoad { session: sess, load }
         };
-        self.tell(input, out);
+        self.step_balancer(input, out);
     }
 
     /// Tells the module as a server's messages grow slow, once a second, and once more when that is over.
-    pub(super) fn took(&mut self, sess: SessId, time: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn latency_measured(&mut self, sess: SessId, time: Micros, out: &mut Vec<Effect>) {
         const SECOND: Micros = 1_000_000;
         let Some(v) = self.sessions[&sess].server.and_then(|id| self.servers.get_mut(&id)) else { return };
         // Below a third of what the keenest listener wants nobody feels it.
@@ -269,11 +278,13 @@
             return;
         }
         v.latency_report = LatencyReport { reported_at: Some(self.now), above_threshold: over };
-        self.tell(Input::MessageDelay { session: sess, delay: time as f64 / 1e6 }, out);
+        self.step_balancer(Input::MessageDelay { session: sess, delay: time as f64 / 1e6 }, out);
     }
 
-    pub(super) fn move_on(&mut self, sess: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else { return };
+    pub(super) fn migrate_session(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else {
+            return;
+        };
         s.stage = SessionStage::Migrating;
         out.push(Effect::Migrate { sess });
     }
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -3,7 +3,7 @@
 use super::coordination::{Coordination, ExcludedBackends};
 use super::servers::server_id;
 use super::voter::Proposer;
-use super::{note, Effect, Reducer, Timer};
+use super::{log, Effect, Reducer, Timer};
 use crate::control_message::{ControlMessage, ProposalResult};
 use hallrelay_disruption::{Command, CommandError, Outcome, State};
 use hallrelay_raft::{self as raft, Event, Index, Voter};
@@ -36,7 +36,7 @@
         }
         let known = own.and_then(|own| Some((own.incarnation?, own.raft.clone())));
         let (incarnation, log) = known.unwrap_or_else(|| {
-            note("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
+            log("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
             (self.node.seed ^ now.rotate_left(20) | 1, raft::PersistentState::default())
         });
         // Written before the first vote: an incarnation that is not on the disk is another after a restart.
@@ -132,12 +132,12 @@
             coordination.leader = Some(coordination.own_name.clone());
         }
         let word = if is_leader { "leads" } else { "leads no more" };
-        note(format!("this relay {word} what is agreed, term {term}"), out);
+        log(format!("this relay {word} what is agreed, term {term}"), out);
     }
 
     /// A voter of an older build would apply otherwise than the others: it votes no more.
     fn stop_outdated_voter(&mut self, what: &str, out: &mut Vec<Effect>) {
-        note(format!("{what} of the agreed log is of a later version: this relay is no voter any more"), out);
+        log(format!("{what} of the agreed log is of a later version: this relay is no voter any more"), out);
         self.stop_voter();
     }
 
@@ -209,6 +209,6 @@
 
 fn note_forced(command: &Command, out: &mut Vec<Effect>) {
     if let Command::Request { force: true, target, requested_by, reason, .. } = command {
-        note(format!("{target} is let out past the budgets by {requested_by}: {reason}"), out);
+        log(format!("{target} is let out past the budgets by {requested_by}: {reason}"), out);
     }
 }
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -1,5 +1,5 @@
 //! The watch on the list: asked for, renewed, moved by a new configuration.
-use super::{note, Effect, Reducer, Timer};
+use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Input, ListUpdate};
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
@@ -7,23 +7,23 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    pub(super) fn ask_list(&mut self, out: &mut Vec<Effect>) {
+    pub(super) fn watch_endpoints(&mut self, out: &mut Vec<Effect>) {
         if !self.watch.is_open {
             (self.watch.latest, self.watch.is_open) = (self.watch.latest + 1, true);
             let watch = self.watch.latest;
-            out.push(Effect::WatchEndpoints { watch, addr: self.node.discovery, since: self.generation });
+            out.push(Effect::WatchEndpoints { watch, addr: self.node.discovery, since: self.list_version });
         }
     }
 
     /// A watch tells something. Until one that was asked for later does so, what an earlier one tells holds.
-    pub(super) fn heard(&mut self, watch: u32, list: List, out: &mut Vec<Effect>) {
+    pub(super) fn list_received(&mut self, watch: u32, list: List, out: &mut Vec<Effect>) {
         let w = &mut self.watch;
         if watch == w.latest {
             // Guards what was heard against a change that was told out of order: it is older than what holds.
-            if !list.whole && self.generation.is_some_and(|held| list.generation < held) {
-                return note(format!("a change of version {} came too late", list.generation), out);
+            if !list.whole && self.list_version.is_some_and(|held| list.generation < held) {
+                return log(format!("a change of version {} came too late", list.generation), out);
             }
-            self.generation = Some(list.generation);
+            self.list_version = Some(list.generation);
             let before = w.previous.replace(watch).filter(|before| *before != watch);
             out.extend(before.map(|watch| Effect::StopWatch { watch }));
         } else if w.previous != Some(watch) {
@@ -33,10 +33,10 @@
         self.remember_removed_servers(&list);
         self.persist_list(&list, out);
         self.send_list_to_successor(&list, out);
-        self.list(list, out);
+        self.apply_list(list, out);
     }
 
-    pub(super) fn list_broken(&mut self, watch: u32, out: &mut Vec<Effect>) {
+    pub(super) fn watch_failed(&mut self, watch: u32, out: &mut Vec<Effect>) {
         out.push(Effect::StopWatch { watch });
         self.watch.previous = self.watch.previous.filter(|before| *before != watch);
         if watch != self.watch.latest || !std::mem::take(&mut self.watch.is_open) {
@@ -45,16 +45,17 @@
         match self.node.limits.discovery_again {
             // Guards a relay that is told of changes whether or not a watch is open.
             Some(after) => out.push(Effect::StartTimer { after, alarm: Timer::RequestEndpointList }),
-            None => {
-                self.tell(Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() }, out)
-            }
+            None => self.step_balancer(
+                Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() },
+                out,
+            ),
         }
     }
 
     /// A new configuration, whole and checked. What can't change while the program runs is named.
-    pub(super) fn reload(&mut self, node: Node, out: &mut Vec<Effect>) {
+    pub(super) fn configuration_reloaded(&mut self, node: Node, out: &mut Vec<Effect>) {
         out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::KeyUnchanged { key }));
-        self.tune(&node, out);
+        self.apply_settings(&node, out);
         if let (Some(own), Some(new)) = (&mut self.node.fleet, &node.fleet) {
             if own.peers != new.peers {
                 own.peers.clone_from(&new.peers);
@@ -62,12 +63,12 @@
             }
         }
         self.refresh_metadata(out);
-        self.ask_at(node.discovery, out);
+        self.move_discovery(node.discovery, out);
     }
 
     /// Takes over new settings. Who is here keeps the rules that it came under: its row of the module's
     /// listeners is its own, and its dial timeout is in its due time.
-    fn tune(&mut self, node: &Node, out: &mut Vec<Effect>) {
+    fn apply_settings(&mut self, node: &Node, out: &mut Vec<Effect>) {
         let zones = node.site.zones != self.node.site.zones;
         let before = self.node.limits;
         if node.site == self.node.site || self.node.tune(node.site.clone()).is_err() {
@@ -81,19 +82,19 @@
         self.node.digest = node.digest;
         let (site, limits) = (&self.node.site, Box::new(self.node.limits));
         let (config, order) = (Box::new(site.facts.clone()), site.report);
-        self.figures.name(&site.listeners);
-        self.tell(Input::Configure(config), out);
+        self.metrics.name(&site.listeners);
+        self.step_balancer(Input::Configure(config), out);
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
             // The same servers, at other places of the zones' list.
             let instances = self.servers.values().map(|v| v.instance.clone()).collect();
-            self.list(List { whole: true, instances, ..List::default() }, out);
+            self.apply_list(List { whole: true, instances, ..List::default() }, out);
         }
     }
 
     /// Guards a relay whose discovery moves: the new place is asked for the whole list at once, since the old
     /// one's versions may mean nothing there, and the old watch goes on telling till the new one speaks.
-    fn ask_at(&mut self, discovery: SocketAddr, out: &mut Vec<Effect>) {
+    fn move_discovery(&mut self, discovery: SocketAddr, out: &mut Vec<Effect>) {
         if std::mem::replace(&mut self.node.discovery, discovery) == discovery {
             return;
         }
@@ -104,13 +105,14 @@
                 _ => w.previous = Some(w.latest),
             }
         }
-        self.generation = None;
-        self.ask_list(out);
+        self.list_version = None;
+        self.watch_endpoints(out);
     }
 
     /// Guards discovery against a process that leaves: once nobody here waits for a place, nothing is asked.
-    pub(super) fn unwatch(&mut self, out: &mut Vec<Effect>) {
-        if !self.sessions.values().any(|s| s.stage.awaits_answer()) && std::mem::take(&mut self.watch.is_open) {
+    pub(super) fn stop_watching(&mut self, out: &mut Vec<Effect>) {
+        if !self.sessions.values().any(|s| s.stage.awaits_answer()) && std::mem::take(&mut self.watch.is_open)
+        {
             let watches = [Some(self.watch.latest), self.watch.previous.take()];
             out.extend(watches.into_iter().flatten().map(|watch| Effect::StopWatch { watch }));
         }
