--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -48,101 +48,112 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    Admit,
-    Dial,
-    Pass,
-    /// Told to move; ends with its backend's connection.
-    Moving,
-    /// On its way to another process.
-    Passing,
+enum SessionStage {
+    /// The balancer decides where it goes, or lets it wait.
+    AwaitingPlacement,
+    /// A dial is out for it.
+    Dialing,
+    /// Open: lines pass both ways.
+    Proxying,
+    /// Its client was told to come again; it ends with its backend's connection.
+    Migrating,
+    /// It is being handed over to another process.
+    HandingOver,
 }
 
 /// A line for the log.
-fn note(what: impl Into<String>, out: &mut Vec<Effect>) {
+fn log(what: impl Into<String>, out: &mut Vec<Effect>) {
     out.push(Effect::Log { what: what.into() });
 }
 
-impl Stage {
-    /// For its answer.
-    fn waits(self) -> bool {
-        matches!(self, Stage::Admit | Stage::Dial)
+impl SessionStage {
+    /// Whether its client still waits for the final answer.
+    fn awaits_answer(self) -> bool {
+        matches!(self, SessionStage::AwaitingPlacement | SessionStage::Dialing)
     }
 }
 
-struct Sess {
+/// One session, from its request to its end.
+struct Session {
+    /// The id that its client gave it.
     id: u64,
-    /// The name of its listener, as it was when it came.
+    /// The name of its listener when it was requested.
     listener: Rc<str>,
-    asked: AdmissionRequest,
-    stage: Stage,
+    request: AdmissionRequest,
+    stage: SessionStage,
     server: Option<ServerId>,
+    /// Dials so far.
     dials: u32,
-    due: Micros,
-    /// When its backend told a figure last.
-    told: Option<Micros>,
-    /// A connection that stood before this relay started: not the module's until it is up.
-    standing: bool,
+    /// When its final answer is due.
+    deadline: Micros,
+    /// When its backend reported a load last.
+    last_load_at: Option<Micros>,
+    /// It was open at its backend before this process started; the balancer learns of it once it is open again.
+    pre_existing: bool,
 }
 
+/// A backend that the endpoint list names, or named.
 struct Server {
-    /// As the list told it last.
-    told: Instance,
+    /// As the list had it last.
+    instance: Instance,
     /// When it started, by this process' clock; 0 is long ago.
-    started: Micros,
-    probing: bool,
-    /// Probes in a row without any answer.
-    misses: u32,
-    /// Connections in a row that were not made.
-    refused: u32,
-    delay: Delay,
-    /// Of sessions that came to an answer there since the last report.
+    started_at: Micros,
+    health_check_pending: bool,
+    /// Health checks in a row without any answer.
+    consecutive_misses: u32,
+    /// Connects in a row that failed.
+    consecutive_connect_failures: u32,
+    latency_report: LatencyReport,
+    /// Outcomes of sessions there since the last report to the leader.
     session_counts: SessionCounts,
 }
 
 impl Server {
-    /// Whether it has started so short a time ago that it warms up still.
-    fn is_cold(&self, now: Micros, warm_up: Micros) -> bool {
-        self.started > 0 && now < self.started.saturating_add(warm_up)
+    /// Whether it is warming up.
+    fn in_slow_start(&self, now: Micros, warm_up: Micros) -> bool {
+        self.started_at > 0 && now < self.started_at.saturating_add(warm_up)
     }
 }
 
-/// What the module was told of a server's message delays.
+/// The last report of a server's message latency to the balancer.
 #[derive(Default)]
-struct Delay {
-    told: Option<Micros>,
-    over: bool,
+struct LatencyReport {
+    reported_at: Option<Micros>,
+    /// Whether it was above the threshold below which nothing is reported.
+    above_threshold: bool,
 }
 
-/// The watch on the list that was asked for last, and those before it that may still tell something.
+/// The watches on the endpoint list: the latest one, and an earlier one that may still bring something.
 #[derive(Default)]
-struct Watch {
-    last: u32,
-    out: bool,
-    /// The one that spoke last, or was out before a new one was asked for: kept until the new one speaks.
-    before: Option<u32>,
+struct EndpointWatch {
+    /// The number of the latest one.
+    latest: u32,
+    /// Whether that one is open.
+    is_open: bool,
+    /// The one that brought something last, or was open before the latest one: kept until that brings something.
+    previous: Option<u32>,
 }
 
 pub struct Reducer {
     node: Node,
-    module: Relay,
+    balancer: Relay,
     now: Micros,
-    sessions: BTreeMap<SessId, Sess>,
+    sessions: BTreeMap<SessId, Session>,
     /// The marks of all sessions: searched through the sessions, they took half of a large relay's time.
-    marks: HashSet<u64>,
+    session_ids: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
     ids: BTreeMap<String, ServerId>,
     /// Servers that nothing new may be sent to, as the tasks were told.
-    leaving: BTreeSet<ServerId>,
+    draining: BTreeSet<ServerId>,
     /// The version that was heard last; none from a discovery that has not told one yet.
-    generation: Option<u64>,
-    watch: Watch,
+    list_version: Option<u64>,
+    watch: EndpointWatch,
     /// Clients' connections that are no session: their first line is awaited, or their last one is out. The
     /// one that did something last first, and whether a part of a line is there. Sessions and these are all
     /// connections that have a place.
-    aside: VecDeque<(SessId, bool)>,
+    idle_connections: VecDeque<(SessId, bool)>,
     /// Connections that wait for a `PONG`.
-    pings: Vec<SessId>,
+    pending_pings: Vec<SessId>,
     lifecycle: Lifecycle,
     /// When the drain or stop that is in force began.
     lifecycle_since: Micros,
@@ -150,7 +161,7 @@
     migration_round: u32,
     /// Thousandths of a session that the next batch moves in addition.
     migration_credit: usize,
-    figures: Figures,
+    metrics: Figures,
     ownership: ListenerOwnership,
     membership: Option<Membership>,
     /// What the store held, until the start has used it.
@@ -178,7 +189,7 @@
     predecessor_session_ids: HashSet<u64>,
     /// What the successor was last told that remains here.
     reported_remaining: Remaining,
-    asks: Vec<module::Effect>,
+    balancer_effects: Vec<module::Effect>,
 }
 
 impl Reducer {
@@ -189,8 +200,8 @@
             predecessor_remaining: Remaining::default(),
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
-            module: Relay::new(node.site.facts.clone(), node.seed),
-            figures: Figures::of(&node.site.listeners),
+            balancer: Relay::new(node.site.facts.clone(), node.seed),
+            metrics: Figures::of(&node.site.listeners),
             membership: None,
             stored: None,
             store_health: None,
@@ -205,14 +216,14 @@
             node,
             now: 0,
             sessions: BTreeMap::new(),
-            marks: HashSet::new(),
+            session_ids: HashSet::new(),
             servers: BTreeMap::new(),
             ids: BTreeMap::new(),
-            leaving: BTreeSet::new(),
-            generation: None,
-            watch: Watch::default(),
-            aside: VecDeque::new(),
-            pings: Vec::new(),
+            draining: BTreeSet::new(),
+            list_version: None,
+            watch: EndpointWatch::default(),
+            idle_connections: VecDeque::new(),
+            pending_pings: Vec::new(),
             lifecycle: match predecessor {
                 Some(_) => Lifecycle::AwaitingTakeover,
                 None => Lifecycle::Serving,
@@ -220,7 +231,7 @@
             lifecycle_since: 0,
             migration_round: 0,
             migration_credit: 0,
-            asks: Vec::new(),
+            balancer_effects: Vec::new(),
         }
     }
 
@@ -234,10 +245,10 @@
         let recovered = stored.map(|stored| self.recover_state(now, &stored, out)).unwrap_or_default();
         let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
-        self.generation = Some(known.generation);
+        self.list_version = Some(known.generation);
         let start = now.max(recovered.min_start_number);
         self.membership = membership::new_membership(&self.node, start);
-        self.list(known, out);
+        self.apply_list(known, out);
         self.restore_slow_start_slots(&recovered, out);
         if self.ownership.awaited_predecessor().is_none() {
             self.persist_identity(start, out);
@@ -245,7 +256,7 @@
         }
         // Where the module counts on being told unasked, the watch that tells it is the program's own.
         if !self.node.site.facts.must_watch {
-            self.ask_list(out);
+            self.watch_endpoints(out);
         }
         self.begin_ownership(out);
     }
@@ -253,59 +264,65 @@
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
-            Event::ClientConnected { conn } => self.came(conn, out),
-            Event::FirstLineStarted { conn } => self.stirred(conn),
-            Event::ProtocolViolation { conn } => self.odd(conn, out),
+            Event::ClientConnected { conn } => self.client_connected(conn, out),
+            Event::FirstLineStarted { conn } => self.first_line_started(conn),
+            Event::ProtocolViolation { conn } => self.protocol_violation(conn, out),
             Event::Ping { conn } => {
-                self.pings.push(conn);
+                self.pending_pings.push(conn);
                 self.answer_pings(out);
             }
-            Event::SessionRequested { sess, open, left } => self.opened(sess, open, left, out),
+            Event::SessionRequested { sess, open, left } => self.session_requested(sess, open, left, out),
             Event::ClientDisconnected { sess } => {
-                self.left(sess, out);
-                self.aside.retain(|one| one.0 != sess);
-                self.pings.retain(|conn| *conn != sess);
+                self.abandon_session(sess, out);
+                self.idle_connections.retain(|one| one.0 != sess);
+                self.pending_pings.retain(|conn| *conn != sess);
             }
-            Event::ClientHalfClosed { sess } => self.departed(sess, out),
-            Event::FirstLineForwarded => self.figures.tries += 1,
-            Event::SessionEstablished { sess, dial } if self.current(sess, dial) => self.up(sess, dial, out),
-            Event::DialEnded { sess, dial, end, report } if self.current(sess, dial) => {
+            Event::ClientHalfClosed { sess } => self.client_half_closed(sess, out),
+            Event::FirstLineForwarded => self.metrics.tries += 1,
+            Event::SessionEstablished { sess, dial } if self.is_current_dial(sess, dial) => {
+                self.session_established(sess, dial, out)
+            }
+            Event::DialEnded { sess, dial, end, report } if self.is_current_dial(sess, dial) => {
                 self.dial_ended(sess, dial, end, report, out);
             }
-            Event::DialNotStarted { sess, dial } if self.current(sess, dial) => {
-                self.not_begun(sess, dial, out)
+            Event::DialNotStarted { sess, dial } if self.is_current_dial(sess, dial) => {
+                self.dial_not_started(sess, dial, out)
             }
             Event::SessionEnded { sess, end, report } => {
-                let Some(s) = self.over(sess) else { return };
+                let Some(s) = self.remove_session(sess) else { return };
                 let dial = s.dials.saturating_sub(1);
                 if end == DialEnd::Reset {
                     self.count_outcome(s.server, end);
                 }
-                self.tell(Input::DialEnded { session: sess, dial, end, settled: true, report }, out);
+                self.step_balancer(Input::DialEnded { session: sess, dial, end, settled: true, report }, out);
+            }
+            Event::LoadReported { sess, load } if self.is_proxying(sess) => {
+                self.load_reported(sess, load, out)
+            }
+            Event::MessageLatency { sess, time } if self.is_proxying(sess) => {
+                self.latency_measured(sess, time, out)
             }
-            Event::LoadReported { sess, load } if self.passing(sess) => self.load(sess, load, out),
-            Event::MessageLatency { sess, time } if self.passing(sess) => self.took(sess, time, out),
             Event::HealthCheckEnded { server, end, report } => {
-                self.probed(server, end, out);
-                self.tell(Input::ProbeEnded { server, end, report }, out);
+                self.health_check_ended(server, end, out);
+                self.step_balancer(Input::ProbeEnded { server, end, report }, out);
             }
-            Event::EndpointListReceived { watch, list } => self.heard(watch, list, out),
-            Event::EndpointWatchFailed { watch } => self.list_broken(watch, out),
+            Event::EndpointListReceived { watch, list } => self.list_received(watch, list, out),
+            Event::EndpointWatchFailed { watch } => self.watch_failed(watch, out),
             Event::ConfigurationReloaded(node) => {
-                self.figures.loads += 1;
-                self.reload(*node, out);
+                self.metrics.loads += 1;
+                self.configuration_reloaded(*node, out);
             }
-            Event::ConfigurationRejected => self.figures.load_errors += 1,
+            Event::ConfigurationRejected => self.metrics.load_errors += 1,
             Event::OperatorCall { call, what } => self.operator_call(call, what, out),
             Event::VoterWritesDurable { life, number } => self.raft_written(life, number, out),
             Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
-            Event::SessionHandedOver { sess } => self.left(sess, out),
+            Event::SessionHandedOver { sess } => self.abandon_session(sess, out),
             Event::SessionHandoverFailed { sess } => self.session_handover_failed(sess),
             Event::SessionAdopted { sess, session } => self.adopt_session(sess, *session, out),
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
-            Event::Timer(alarm) => self.alarm(alarm, out),
+            Event::Timer(alarm) => self.timer_expired(alarm, out),
             Event::StopRequested => _ = self.apply_lifecycle_event(LifecycleEvent::Stop, out),
             // Of a dial or a session that is over.
             Event::SessionEstablished { .. }
@@ -316,53 +333,58 @@
         }
     }
 
-    fn tell(&mut self, input: Input, out: &mut Vec<Effect>) {
-        let mut asks = std::mem::take(&mut self.asks);
-        self.module.step(self.now, input, &mut asks);
-        asks.drain(..).for_each(|ask| self.carry(ask, out));
-        self.asks = asks;
+    fn step_balancer(&mut self, input: Input, out: &mut Vec<Effect>) {
+        let mut asks = std::mem::take(&mut self.balancer_effects);
+        self.balancer.step(self.now, input, &mut asks);
+        asks.drain(..).for_each(|ask| self.apply_balancer_effect(ask, out));
+        self.balancer_effects = asks;
     }
 
     /// What the module asks for, in the program's own effects.
-    fn carry(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
+    fn apply_balancer_effect(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
         match ask {
             module::Effect::Dial { session: sess, server, timeout: wait, send_within: window } => {
                 let Some(s) = self.sessions.get_mut(&sess) else { return };
-                (s.stage, s.server, s.dials) = (Stage::Dial, Some(server), s.dials + 1);
+                (s.stage, s.server, s.dials) = (SessionStage::Dialing, Some(server), s.dials + 1);
                 let dial = s.dials - 1;
-                if let Some(addr) = self.servers.get(&server).map(|v| v.told.addr) {
+                if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
                     self.persist_slow_start_slot(server, sess, out);
                     let begin = self.node.limits.connect.min(window.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial { sess, dial, server: Some(server), addr, wait, begin });
                 }
                 let end = DialEnd::Unconnected;
-                self.tell(Input::DialEnded { session: sess, dial, end, settled: false, report: None }, out);
+                self.step_balancer(
+                    Input::DialEnded { session: sess, dial, end, settled: false, report: None },
+                    out,
+                );
             }
             module::Effect::Reject { session: sess, retry_after } => {
-                self.answer(sess, Effect::Reject { sess, retry_after }, out);
+                self.send_final_answer(sess, Effect::Reject { sess, retry_after }, out);
+            }
+            module::Effect::TearDown { session: sess } => {
+                self.send_final_answer(sess, Effect::TearDown { sess }, out)
             }
-            module::Effect::TearDown { session: sess } => self.answer(sess, Effect::TearDown { sess }, out),
-            module::Effect::Migrate { session: sess } => self.move_on(sess, out),
+            module::Effect::Migrate { session: sess } => self.migrate_session(sess, out),
             module::Effect::Probe { server } => {
                 let Some(v) = self.servers.get_mut(&server) else { return };
-                v.probing = true;
-                out.push(Effect::HealthCheck { server, addr: v.told.addr });
+                v.health_check_pending = true;
+                out.push(Effect::HealthCheck { server, addr: v.instance.addr });
             }
             module::Effect::SetTimer { after, label } => {
                 out.push(Effect::StartTimer { after, alarm: Timer::Balancer(label) });
             }
-            module::Effect::WatchEndpoints => self.ask_list(out),
+            module::Effect::WatchEndpoints => self.watch_endpoints(out),
         }
     }
 
-    fn alarm(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
+    fn timer_expired(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
         match alarm {
-            Timer::Balancer(label) => self.tell(Input::TimerExpired { label }, out),
-            Timer::RedialPreExisting(sess) => self.again(sess, out),
+            Timer::Balancer(label) => self.step_balancer(Input::TimerExpired { label }, out),
+            Timer::RedialPreExisting(sess) => self.redial_pre_existing(sess, out),
             Timer::AnswerDeadline(sess) => {
                 // Dials end and the module answers before this; it guards against a task that does neither.
-                if self.sessions.get(&sess).is_some_and(|s| s.stage.waits()) {
-                    self.lapse(sess, out);
+                if self.sessions.get(&sess).is_some_and(|s| s.stage.awaits_answer()) {
+                    self.deadline_expired(sess, out);
                 }
             }
             Timer::MigrateBatch(round) if round == self.migration_round => self.migrate_batch(out),
@@ -372,7 +394,7 @@
             }
             Timer::HandoverProgress => self.report_remaining(out),
             Timer::Membership => self.membership_timer_expired(out),
-            Timer::RequestEndpointList => self.ask_list(out),
+            Timer::RequestEndpointList => self.watch_endpoints(out),
             Timer::PollPeers => self.poll_peers(out),
             Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
             Timer::LeaderReview => self.review(out),
