--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -51,59 +51,59 @@
     /// The process serves.
     Serving,
     ClientConnected {
-        conn: SessId,
+        connection_id: SessId,
     },
     SessionRequested {
-        sess: SessId,
+        session_id: SessId,
         opening: Opening,
     },
     /// A session that the process before this one had open, at a backend of this name.
     SessionAdopted {
-        sess: SessId,
+        session_id: SessId,
         opening: Opening,
         backend: String,
     },
     Dial {
-        sess: SessId,
+        session_id: SessId,
         addr: SocketAddr,
     },
     DialEnded {
-        sess: SessId,
+        session_id: SessId,
         dial: u32,
         end: DialEnd,
     },
     /// The session is open: lines pass both ways.
     StartProxying {
-        sess: SessId,
+        session_id: SessId,
     },
     SessionEnded {
-        sess: SessId,
+        session_id: SessId,
         end: DialEnd,
     },
     ClientHalfClosed {
-        sess: SessId,
+        session_id: SessId,
     },
     ClientDisconnected {
-        sess: SessId,
+        session_id: SessId,
     },
     /// Another process goes on with the session.
     SessionHandedOver {
-        sess: SessId,
+        session_id: SessId,
     },
     Reject {
-        sess: SessId,
+        session_id: SessId,
     },
     TearDown {
-        sess: SessId,
+        session_id: SessId,
     },
     ReportProtocolError {
-        sess: SessId,
+        session_id: SessId,
     },
     CloseClient {
-        sess: SessId,
+        session_id: SessId,
     },
     Migrate {
-        sess: SessId,
+        session_id: SessId,
     },
     /// The relay's duty changes: whether it moves its own sessions away from now on.
     Lifecycle {
@@ -266,22 +266,24 @@
 
 fn event(what: &str) -> Option<Entry> {
     let name = current_name(&EARLIER_EVENTS, whole_name(what)?);
-    let sess = || fields::parsed(what, "sess");
+    let session_id = || id(what, "session_id", "sess");
     Some(match name {
-        "ClientConnected" => Entry::ClientConnected { conn: fields::parsed(what, "conn")? },
-        "SessionRequested" => Entry::SessionRequested { sess: sess()?, opening: opened(what)? },
+        "ClientConnected" => Entry::ClientConnected { connection_id: id(what, "connection_id", "conn")? },
+        "SessionRequested" => Entry::SessionRequested { session_id: session_id()?, opening: opened(what)? },
         "SessionAdopted" => Entry::SessionAdopted {
-            sess: sess()?,
+            session_id: session_id()?,
             opening: inherited(what)?,
             backend: fields::text(what, "server")?.to_string(),
         },
-        "DialEnded" => {
-            Entry::DialEnded { sess: sess()?, dial: fields::parsed(what, "dial")?, end: end(what)? }
-        }
-        "SessionEnded" => Entry::SessionEnded { sess: sess()?, end: end(what)? },
-        "ClientHalfClosed" => Entry::ClientHalfClosed { sess: sess()? },
-        "ClientDisconnected" => Entry::ClientDisconnected { sess: sess()? },
-        "SessionHandedOver" => Entry::SessionHandedOver { sess: sess()? },
+        "DialEnded" => Entry::DialEnded {
+            session_id: session_id()?,
+            dial: fields::parsed(what, "dial")?,
+            end: end(what)?,
+        },
+        "SessionEnded" => Entry::SessionEnded { session_id: session_id()?, end: end(what)? },
+        "ClientHalfClosed" => Entry::ClientHalfClosed { session_id: session_id()? },
+        "ClientDisconnected" => Entry::ClientDisconnected { session_id: session_id()? },
+        "SessionHandedOver" => Entry::SessionHandedOver { session_id: session_id()? },
         "HealthCheckEnded" => Entry::HealthCheckEnded { end: end(what)?, report: report(what)? },
         "EndpointListReceived" => Entry::EndpointList(received_list(what)?),
         _ => Entry::OtherEvent,
@@ -290,15 +292,17 @@
 
 fn effect(what: &str) -> Option<Entry> {
     let name = current_name(&EARLIER_EFFECTS, whole_name(what)?);
-    let sess = || fields::parsed(what, "sess");
+    let session_id = || id(what, "session_id", "sess");
     Some(match name {
-        "Dial" => Entry::Dial { sess: sess()?, addr: fields::parsed(what, "addr")? },
-        "StartProxying" => Entry::StartProxying { sess: sess()? },
-        "Reject" => Entry::Reject { sess: sess()? },
-        "TearDown" => Entry::TearDown { sess: sess()? },
-        "ReportProtocolError" => Entry::ReportProtocolError { sess: fields::parsed(what, "conn")? },
-        "CloseClient" => Entry::CloseClient { sess: sess()? },
-        "Migrate" => Entry::Migrate { sess: sess()? },
+        "Dial" => Entry::Dial { session_id: session_id()?, addr: fields::parsed(what, "addr")? },
+        "StartProxying" => Entry::StartProxying { session_id: session_id()? },
+        "Reject" => Entry::Reject { session_id: session_id()? },
+        "TearDown" => Entry::TearDown { session_id: session_id()? },
+        "ReportProtocolError" => {
+            Entry::ReportProtocolError { session_id: id(what, "connection_id", "conn")? }
+        }
+        "CloseClient" => Entry::CloseClient { session_id: session_id()? },
+        "Migrate" => Entry::Migrate { session_id: session_id()? },
         "HealthCheck" => Entry::HealthCheck { addr: fields::parsed(what, "addr")? },
         "Log" => duty(fields::text(what, "what")?),
         "Exit" => Entry::Exit,
@@ -306,6 +310,11 @@
     })
 }
 
+/// The id of a session or connection, under its name of today or of earlier versions.
+fn id(what: &str, field: &str, earlier: &str) -> Option<SessId> {
+    fields::parsed(what, field).or_else(|| fields::parsed(what, earlier))
+}
+
 /// The name of an event or effect; none where its line was cut.
 fn whole_name(what: &str) -> Option<&str> {
     /// Events and effects without a field.
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -53,7 +53,7 @@
         if let Entry::Serving = entry {
             self.starts();
         }
-        if matches!(entry, Entry::ClientConnected { conn } if *conn <= self.newest) {
+        if matches!(entry, Entry::ClientConnected { connection_id } if *connection_id <= self.newest) {
             self.starts();
         }
         if !matches!(entry, Entry::Other | Entry::Dropped(_)) && !self.running {
@@ -62,30 +62,34 @@
         }
         self.last = at;
         match entry {
-            Entry::ClientConnected { conn } => self.newest = *conn,
-            Entry::SessionRequested { sess, opening } => self.begins(at, *sess, opening, Origin::Client),
-            Entry::SessionAdopted { sess, opening, backend } => {
-                self.begins(at, *sess, opening, Origin::Process(backend.clone()));
+            Entry::ClientConnected { connection_id } => self.newest = *connection_id,
+            Entry::SessionRequested { session_id, opening } => {
+                self.begins(at, *session_id, opening, Origin::Client)
             }
-            Entry::Dial { sess, addr } => self.dials(at, *sess, addr.to_string()),
-            Entry::DialEnded { sess, dial, end } => self.dial_ended(at, *sess, *dial, *end),
-            Entry::StartProxying { sess } => self.passes(at, *sess),
-            Entry::SessionEnded { sess, end } => self.backend_ended(at, *sess, *end),
-            Entry::ClientHalfClosed { sess } | Entry::ClientDisconnected { sess } => {
-                self.client_ended(at, *sess)
+            Entry::SessionAdopted { session_id, opening, backend } => {
+                self.begins(at, *session_id, opening, Origin::Process(backend.clone()));
             }
-            Entry::SessionHandedOver { sess } => self.is_over(at, *sess, Fate::ClientLeft, End::PassedOn),
-            Entry::Reject { sess } => self.answered(at, *sess, Fate::Refused),
-            Entry::TearDown { sess } => self.answered(at, *sess, Fate::Failed),
-            Entry::ReportProtocolError { sess } => self.spurned(at, *sess),
-            Entry::CloseClient { sess } => self.is_over(at, *sess, Fate::TooLate, End::Otherwise),
-            Entry::Migrate { sess } => self.moved(at, *sess),
+            Entry::Dial { session_id, addr } => self.dials(at, *session_id, addr.to_string()),
+            Entry::DialEnded { session_id, dial, end } => self.dial_ended(at, *session_id, *dial, *end),
+            Entry::StartProxying { session_id } => self.passes(at, *session_id),
+            Entry::SessionEnded { session_id, end } => self.backend_ended(at, *session_id, *end),
+            Entry::ClientHalfClosed { session_id } | Entry::ClientDisconnected { session_id } => {
+                self.client_ended(at, *session_id)
+            }
+            Entry::SessionHandedOver { session_id } => {
+                self.is_over(at, *session_id, Fate::ClientLeft, End::PassedOn)
+            }
+            Entry::Reject { session_id } => self.answered(at, *session_id, Fate::Refused),
+            Entry::TearDown { session_id } => self.answered(at, *session_id, Fate::Failed),
+            Entry::ReportProtocolError { session_id } => self.spurned(at, *session_id),
+            Entry::CloseClient { session_id } => self.is_over(at, *session_id, Fate::TooLate, End::Otherwise),
+            Entry::Migrate { session_id } => self.moved(at, *session_id),
             Entry::Lifecycle { leaves } => self.leaves = *leaves,
             Entry::Exit => self.exits(),
             _ => {}
         }
-        if let Entry::ClientDisconnected { sess } = entry {
-            self.closing.remove(sess);
+        if let Entry::ClientDisconnected { session_id } = entry {
+            self.closing.remove(session_id);
         }
     }
 
@@ -104,24 +108,26 @@
         self.done.drain(..)
     }
 
-    fn begins(&mut self, at: Moment, sess: SessId, opening: &Opening, origin: Origin) {
-        if let Some(before) = self.active.remove(&sess) {
+    fn begins(&mut self, at: Moment, session_id: SessId, opening: &Opening, origin: Origin) {
+        if let Some(before) = self.active.remove(&session_id) {
             let gap = Gap::NumberReused;
             self.hand_on(before, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
         }
-        self.closing.remove(&sess);
-        self.active.insert(sess, Attempt::new(&self.name, at, opening.clone(), origin));
+        self.closing.remove(&session_id);
+        self.active.insert(session_id, Attempt::new(&self.name, at, opening.clone(), origin));
     }
 
-    fn dials(&mut self, at: Moment, sess: SessId, backend: String) {
-        self.expects(at, sess);
-        if let Some(attempt) = self.active.get_mut(&sess) {
+    fn dials(&mut self, at: Moment, session_id: SessId, backend: String) {
+        self.expects(at, session_id);
+        if let Some(attempt) = self.active.get_mut(&session_id) {
             attempt.dials.push(Dial { at, backend, end: None });
         }
     }
 
-    fn dial_ended(&mut self, at: Moment, sess: SessId, number: u32, end: DialEnd) {
-        let Some(attempt) = self.active.get_mut(&sess).filter(|one| one.placed.is_none()) else { return };
+    fn dial_ended(&mut self, at: Moment, session_id: SessId, number: u32, end: DialEnd) {
+        let Some(attempt) = self.active.get_mut(&session_id).filter(|one| one.placed.is_none()) else {
+            return;
+        };
         // Words of an earlier dial are late.
         if attempt.dials.len() != number as usize + 1 {
             return;
@@ -130,47 +136,47 @@
             dial.end = Some((at, end));
         }
         if end == DialEnd::Ok && !attempt.opening.standing {
-            self.is_over(at, sess, Fate::ServedAtOnce, End::Otherwise);
+            self.is_over(at, session_id, Fate::ServedAtOnce, End::Otherwise);
         }
     }
 
-    fn passes(&mut self, at: Moment, sess: SessId) {
-        self.expects(at, sess);
-        if let Some(attempt) = self.active.get_mut(&sess) {
+    fn passes(&mut self, at: Moment, session_id: SessId) {
+        self.expects(at, session_id);
+        if let Some(attempt) = self.active.get_mut(&session_id) {
             attempt.placed.get_or_insert(at);
         }
     }
 
-    fn backend_ended(&mut self, at: Moment, sess: SessId, end: DialEnd) {
+    fn backend_ended(&mut self, at: Moment, session_id: SessId, end: DialEnd) {
         let end = match end {
             DialEnd::Ok => End::Done,
             DialEnd::Recalled => End::SentAway,
             DialEnd::Reset => End::Reset,
             _ => End::Otherwise,
         };
-        self.is_over(at, sess, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.is_over(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
-    fn client_ended(&mut self, at: Moment, sess: SessId) {
-        self.is_over(at, sess, Fate::ClientLeft, End::Client);
+    fn client_ended(&mut self, at: Moment, session_id: SessId) {
+        self.is_over(at, session_id, Fate::ClientLeft, End::Client);
     }
 
-    fn spurned(&mut self, at: Moment, sess: SessId) {
+    fn spurned(&mut self, at: Moment, session_id: SessId) {
         // Connections that never became a session are answered so as well.
-        self.is_over(at, sess, Fate::NotProtocol, End::Otherwise);
+        self.is_over(at, session_id, Fate::NotProtocol, End::Otherwise);
     }
 
-    fn moved(&mut self, at: Moment, sess: SessId) {
+    fn moved(&mut self, at: Moment, session_id: SessId) {
         let end = if self.leaves { End::RelayStop } else { End::Moved };
-        self.is_over(at, sess, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.is_over(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
     /// A final answer of the relay's own; what it is called depends on the dials before it.
-    fn answered(&mut self, at: Moment, sess: SessId, fate: fn(LastDial) -> Fate) {
-        self.expects(at, sess);
-        let Some(attempt) = self.active.get(&sess) else { return };
+    fn answered(&mut self, at: Moment, session_id: SessId, fate: fn(LastDial) -> Fate) {
+        self.expects(at, session_id);
+        let Some(attempt) = self.active.get(&session_id) else { return };
         let fate = fate(attempt.last_dial());
-        self.is_over(at, sess, fate, End::Otherwise);
+        self.is_over(at, session_id, fate, End::Otherwise);
     }
 
     fn exits(&mut self) {
@@ -193,8 +199,8 @@
     }
 
     /// An attempt of which this is the first word: its opening is not in the log.
-    fn expects(&mut self, at: Moment, sess: SessId) {
-        if self.active.contains_key(&sess) || !self.closing.insert(sess) {
+    fn expects(&mut self, at: Moment, session_id: SessId) {
+        if self.active.contains_key(&session_id) || !self.closing.insert(session_id) {
             return;
         }
         let opening = Opening { id: 0, key: 0, group: 0, returned: false, standing: false };
@@ -204,9 +210,9 @@
     }
 
     /// The attempt is over: by `fate` where it was not placed, else by `end`.
-    fn is_over(&mut self, at: Moment, sess: SessId, fate: Fate, end: End) {
-        let Some(attempt) = self.active.remove(&sess) else { return };
-        self.closing.insert(sess);
+    fn is_over(&mut self, at: Moment, session_id: SessId, fate: Fate, end: End) {
+        let Some(attempt) = self.active.remove(&session_id) else { return };
+        self.closing.insert(session_id);
         self.hand_on(attempt, at, &fate, end);
     }
 
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -435,7 +435,7 @@
         match event {
             Ev::Relay { relay, life, event } if alive(self, relay, life) => {
                 // An open session that its relay has seen the end of has no connection any more.
-                if let Event::SessionEnded { sess, .. } = &*event {
+                if let Event::SessionEnded { session_id: sess, .. } = &*event {
                     if let Some(line) = self.relays[relay].lines.get_mut(sess) {
                         (line.open, line.conn) = (false, None);
                     }
@@ -458,7 +458,7 @@
                     // The relay closes it before it does anything else.
                     self.close_now(conn, todo);
                     let end = DialEnd::Timeout;
-                    self.step(relay, Event::DialEnded { sess, dial, end, report: None });
+                    self.step(relay, Event::DialEnded { session_id: sess, dial, end, report: None });
                 }
             }
             Ev::Closed { conn } => self.close_now(conn, todo),
@@ -534,8 +534,10 @@
         for effect in effects {
             match effect {
                 Effect::StartTimer { after, alarm } => self.later(after, Ev::Alarm { relay, life, alarm }),
-                Effect::Dial { sess, dial, addr, wait, .. } => self.dial(relay, sess, dial, addr, wait),
-                Effect::StartProxying { sess } => {
+                Effect::Dial { session_id: sess, dial, addr, wait, .. } => {
+                    self.dial(relay, sess, dial, addr, wait)
+                }
+                Effect::StartProxying { session_id: sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     line.open = true;
                     let (mark, receipt) = (line.mark, line.conn.unwrap_or(0));
@@ -545,13 +547,16 @@
                     self.later(client_way, Ev::Client { mark, heard: Heard::Up, receipt });
                     self.may_be_silent(relay, sess);
                 }
-                Effect::Reject { sess, retry_after } => self.last(relay, sess, Heard::Busy(retry_after)),
-                Effect::TearDown { sess } | Effect::ReportProtocolError { conn: sess } => {
+                Effect::Reject { session_id: sess, retry_after } => {
+                    self.last(relay, sess, Heard::Busy(retry_after))
+                }
+                Effect::TearDown { session_id: sess }
+                | Effect::ReportProtocolError { connection_id: sess } => {
                     self.last(relay, sess, Heard::Failed);
                 }
-                Effect::ShedConnection { conn } => self.last(relay, conn, Heard::Busy(0)),
-                Effect::CloseClient { sess } => self.last(relay, sess, Heard::Closed),
-                Effect::Migrate { sess } => {
+                Effect::ShedConnection { connection_id: conn } => self.last(relay, conn, Heard::Busy(0)),
+                Effect::CloseClient { session_id: sess } => self.last(relay, sess, Heard::Closed),
+                Effect::Migrate { session_id: sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     (line.open, line.over) = (false, true);
                     let (mark, conn) = (line.mark, line.conn.take());
@@ -559,10 +564,10 @@
                         self.later(way, Ev::Closed { conn });
                     }
                     let end = DialEnd::Recalled;
-                    self.tell(relay, 0, Event::SessionEnded { sess, end, report: None });
+                    self.tell(relay, 0, Event::SessionEnded { session_id: sess, end, report: None });
                     self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
                 }
-                Effect::SetSuspect { sess, doubted } => {
+                Effect::SetSuspect { session_id: sess, doubted } => {
                     if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
                         line.doubted = doubted;
                     }
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -51,8 +51,8 @@
             ..SessionRequest::default()
         };
         let left = ask.wait.saturating_sub(margin + self.client_way());
-        self.step(relay, Event::ClientConnected { conn: sess });
-        self.step(relay, Event::SessionRequested { sess, open, left });
+        self.step(relay, Event::ClientConnected { connection_id: sess });
+        self.step(relay, Event::SessionRequested { session_id: sess, open, left });
     }
 
     /// A client hears its last word, or `UP`.
@@ -99,7 +99,7 @@
         if let Some(conn) = line.conn {
             self.later(way, Ev::Closed { conn });
         }
-        self.step(relay, Event::ClientDisconnected { sess });
+        self.step(relay, Event::ClientDisconnected { session_id: sess });
     }
 
     pub(super) fn close_now(&mut self, conn: ConnNo, todo: &mut Todo) {
@@ -130,7 +130,7 @@
         let r = &mut self.relays[relay];
         let mark = r.lines.get(&sess).map(|l| l.mark).or(r.past.get(&sess).copied());
         let Some(mark) = mark else { return };
-        let never = Event::DialEnded { sess, dial, end: DialEnd::Unconnected, report: None };
+        let never = Event::DialEnded { session_id: sess, dial, end: DialEnd::Unconnected, report: None };
         if let Some(line) = r.lines.get_mut(&sess) {
             line.dials = dial + 1;
         }
@@ -186,7 +186,7 @@
         if r.life == d.life && line.conn == Some(conn) {
             line.conn = None;
             let (sess, dial) = (d.sess, d.dial);
-            self.tell(d.relay, after, Event::DialEnded { sess, dial, end, report: None });
+            self.tell(d.relay, after, Event::DialEnded { session_id: sess, dial, end, report: None });
         }
     }
 
@@ -246,11 +246,11 @@
             return;
         }
         match word {
-            Word::Up => self.tell(relay, way, Event::SessionEstablished { sess, dial }),
+            Word::Up => self.tell(relay, way, Event::SessionEstablished { session_id: sess, dial }),
             // Nine of ten lines: told at once, as a way of their own would change nothing but the time it
             // takes.
-            Word::Load(load) if up => self.step(relay, Event::LoadReported { sess, load }),
-            Word::Load(load) => self.tell(relay, way, Event::LoadReported { sess, load }),
+            Word::Load(load) if up => self.step(relay, Event::LoadReported { session_id: sess, load }),
+            Word::Load(load) => self.tell(relay, way, Event::LoadReported { session_id: sess, load }),
             Word::Busy => self.dial_ends(conn, way, DialEnd::Full),
             Word::Err => self.dial_ends(conn, way, DialEnd::Error),
             Word::Bye if up => self.open_ends(conn, way, DialEnd::Ok),
@@ -274,7 +274,7 @@
             return;
         }
         line.over = true;
-        self.tell(d.relay, after, Event::SessionEnded { sess: d.sess, end, report: None });
+        self.tell(d.relay, after, Event::SessionEnded { session_id: d.sess, end, report: None });
         let heard = if end == DialEnd::Ok { Heard::Bye } else { Heard::Moved };
         self.later(after + client_way, Ev::Client { mark: d.mark, heard, receipt: 0 });
     }
@@ -310,7 +310,7 @@
         if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
             (line.open, line.over, line.conn) = (false, true, None);
         }
-        self.step(relay, Event::SessionEnded { sess, end: DialEnd::Reset, report: None });
+        self.step(relay, Event::SessionEnded { session_id: sess, end: DialEnd::Reset, report: None });
         self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
     }
 }
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -40,8 +40,8 @@
 impl Double {
     fn event(&mut self, event: Event) -> Event {
         match (self.plant, event) {
-            (Plant::TakesRanForNever, Event::DialEnded { sess, dial, end: DialEnd::Error, report }) => {
-                Event::DialEnded { sess, dial, end: DialEnd::Unconnected, report }
+            (Plant::TakesRanForNever, Event::DialEnded { session_id, dial, end: DialEnd::Error, report }) => {
+                Event::DialEnded { session_id, dial, end: DialEnd::Unconnected, report }
             }
             (Plant::DeafToDrains, Event::EndpointListReceived { watch, mut list }) => {
                 list.instances.retain(|one| one.phase == Phase::Ready);
@@ -61,15 +61,16 @@
     fn effects(&mut self, now: Micros, fresh: Vec<Effect>, out: &mut Vec<Effect>) {
         for effect in fresh {
             match (self.plant, &effect) {
-                (Plant::Mute, Effect::Dial { sess, .. } | Effect::TearDown { sess }) if sess % 10 == 0 => {}
+                (Plant::Mute, Effect::Dial { session_id, .. } | Effect::TearDown { session_id })
+                    if session_id % 10 == 0 => {}
                 (Plant::SaysTwice, Effect::Reject { .. }) => out.extend([effect.clone(), effect]),
-                (Plant::DialsAfterEnd, Effect::Reject { sess, .. }) => {
-                    self.refused.push((now + 200_000, *sess));
+                (Plant::DialsAfterEnd, Effect::Reject { session_id, .. }) => {
+                    self.refused.push((now + 200_000, *session_id));
                     out.push(effect);
                 }
-                (Plant::TwoAtOnce, Effect::Dial { sess, dial, server, wait, addr, begin }) => {
+                (Plant::TwoAtOnce, Effect::Dial { session_id, dial, server, wait, addr, begin }) => {
                     let second = Effect::Dial {
-                        sess: *sess,
+                        session_id: *session_id,
                         dial: dial + 1,
                         server: *server,
                         addr: *addr,
@@ -78,10 +79,10 @@
                     };
                     out.extend([effect, second]);
                 }
-                (Plant::PushesTheCold, Effect::Dial { sess, dial, server, wait, addr, begin }) => {
+                (Plant::PushesTheCold, Effect::Dial { session_id, dial, server, wait, addr, begin }) => {
                     let addr = self.cold.unwrap_or(*addr);
                     out.push(Effect::Dial {
-                        sess: *sess,
+                        session_id: *session_id,
                         dial: *dial,
                         server: *server,
                         addr,
@@ -99,8 +100,8 @@
         }
         let due = self.refused.iter().position(|(at, _)| *at <= now);
         if let (Some(at), Some(addr)) = (due, self.last_dial) {
-            let (_, sess) = self.refused.remove(at);
-            out.push(Effect::Dial { server: None, sess, dial: 0, addr, wait: 300_000, begin: 200_000 });
+            let (_, session_id) = self.refused.remove(at);
+            out.push(Effect::Dial { server: None, session_id, dial: 0, addr, wait: 300_000, begin: 200_000 });
         }
     }
 }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -44,16 +44,19 @@
 fn openings_are_read_as_they_are_logged() {
     for (at, standing) in [(None, false), (Some("oak"), true)] {
         let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing };
-        let entry = event(Event::SessionRequested { sess: 7, open: open(at), left: 5 });
-        assert_eq!(entry, Entry::SessionRequested { sess: 7, opening });
+        let entry = event(Event::SessionRequested { session_id: 7, open: open(at), left: 5 });
+        assert_eq!(entry, Entry::SessionRequested { session_id: 7, opening });
     }
-    let mut inherited = Event::SessionAdopted { sess: 8, session: Default::default() };
+    let mut inherited = Event::SessionAdopted { session_id: 8, session: Default::default() };
     if let Event::SessionAdopted { session, .. } = &mut inherited {
         (session.id, session.key, session.group, session.returned) = (11, 22, 33, true);
         session.server = "oak".to_string();
     }
     let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing: false };
-    assert_eq!(event(inherited), Entry::SessionAdopted { sess: 8, opening, backend: "oak".to_string() });
+    assert_eq!(
+        event(inherited),
+        Entry::SessionAdopted { session_id: 8, opening, backend: "oak".to_string() }
+    );
 }
 
 #[test]
@@ -61,22 +64,28 @@
     use DialEnd::{Error, Full, Moot, Ok, Recalled, Reset, Timeout, Unconnected};
     for end in [Ok, Error, Full, Timeout, Unconnected, Reset, Recalled, Moot] {
         let report = Some(LoadReport { load: Some(0.5), queue_delay: None, sessions: Some(3.0) });
-        let entry = event(Event::DialEnded { sess: 1, dial: 2, end, report });
-        assert_eq!(entry, Entry::DialEnded { sess: 1, dial: 2, end });
+        let entry = event(Event::DialEnded { session_id: 1, dial: 2, end, report });
+        assert_eq!(entry, Entry::DialEnded { session_id: 1, dial: 2, end });
         assert_eq!(
-            event(Event::SessionEnded { sess: 1, end, report: None }),
-            Entry::SessionEnded { sess: 1, end }
+            event(Event::SessionEnded { session_id: 1, end, report: None }),
+            Entry::SessionEnded { session_id: 1, end }
         );
     }
-    assert_eq!(event(Event::ClientConnected { conn: 1 }), Entry::ClientConnected { conn: 1 });
-    assert_eq!(event(Event::ClientHalfClosed { sess: 1 }), Entry::ClientHalfClosed { sess: 1 });
-    assert_eq!(event(Event::ClientDisconnected { sess: 1 }), Entry::ClientDisconnected { sess: 1 });
-    assert_eq!(event(Event::SessionHandedOver { sess: 1 }), Entry::SessionHandedOver { sess: 1 });
+    assert_eq!(
+        event(Event::ClientConnected { connection_id: 1 }),
+        Entry::ClientConnected { connection_id: 1 }
+    );
+    assert_eq!(event(Event::ClientHalfClosed { session_id: 1 }), Entry::ClientHalfClosed { session_id: 1 });
+    assert_eq!(
+        event(Event::ClientDisconnected { session_id: 1 }),
+        Entry::ClientDisconnected { session_id: 1 }
+    );
+    assert_eq!(event(Event::SessionHandedOver { session_id: 1 }), Entry::SessionHandedOver { session_id: 1 });
     for other in [
         Event::FirstLineForwarded,
         Event::StopRequested,
         Event::ConfigurationRejected,
-        Event::MessageLatency { sess: 1, time: 2 },
+        Event::MessageLatency { session_id: 1, time: 2 },
     ] {
         assert_eq!(event(other), Entry::OtherEvent);
     }
@@ -85,14 +94,17 @@
 #[test]
 fn effects_are_read_as_they_are_logged() {
     let addr = "127.0.1.1:8000".parse().expect("an address");
-    let dial = Effect::Dial { sess: 1, dial: 2, server: Some(9), addr, wait: 3, begin: 4 };
-    assert_eq!(effect(dial), Entry::Dial { sess: 1, addr });
-    assert_eq!(effect(Effect::StartProxying { sess: 1 }), Entry::StartProxying { sess: 1 });
-    assert_eq!(effect(Effect::Reject { sess: 1, retry_after: 2 }), Entry::Reject { sess: 1 });
-    assert_eq!(effect(Effect::TearDown { sess: 1 }), Entry::TearDown { sess: 1 });
-    assert_eq!(effect(Effect::ReportProtocolError { conn: 1 }), Entry::ReportProtocolError { sess: 1 });
-    assert_eq!(effect(Effect::CloseClient { sess: 1 }), Entry::CloseClient { sess: 1 });
-    assert_eq!(effect(Effect::Migrate { sess: 1 }), Entry::Migrate { sess: 1 });
+    let dial = Effect::Dial { session_id: 1, dial: 2, server: Some(9), addr, wait: 3, begin: 4 };
+    assert_eq!(effect(dial), Entry::Dial { session_id: 1, addr });
+    assert_eq!(effect(Effect::StartProxying { session_id: 1 }), Entry::StartProxying { session_id: 1 });
+    assert_eq!(effect(Effect::Reject { session_id: 1, retry_after: 2 }), Entry::Reject { session_id: 1 });
+    assert_eq!(effect(Effect::TearDown { session_id: 1 }), Entry::TearDown { session_id: 1 });
+    assert_eq!(
+        effect(Effect::ReportProtocolError { connection_id: 1 }),
+        Entry::ReportProtocolError { session_id: 1 }
+    );
+    assert_eq!(effect(Effect::CloseClient { session_id: 1 }), Entry::CloseClient { session_id: 1 });
+    assert_eq!(effect(Effect::Migrate { session_id: 1 }), Entry::Migrate { session_id: 1 });
     assert_eq!(effect(Effect::HealthCheck { server: 9, addr }), Entry::HealthCheck { addr });
     assert_eq!(effect(Effect::Exit), Entry::Exit);
     let notes =
@@ -138,7 +150,7 @@
 
 #[test]
 fn a_line_that_is_cut_anywhere_is_no_entry() {
-    let what = Event::SessionRequested { sess: 7, open: open(Some("oak")), left: 5 };
+    let what = Event::SessionRequested { session_id: 7, open: open(Some("oak")), left: 5 };
     let text = format!("Mar 04 12:00:00.001 TRCE event, what: {what:?}");
     let from = text.find("what: ").expect("it is there") + "what: ".len();
     for end in from..text.len() {
--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -36,10 +36,10 @@
 fn spawn_connection(stream: TcpStream, place: OwnedSemaphorePermit, hub: Hub) {
     let log = hub.log.clone();
     let task = async move {
-        let (conn, commands) = hub.register();
-        first_line::run(conn, stream, commands, &hub).await;
-        hub.conns.borrow_mut().remove(&conn);
-        hub.tell(Event::ClientDisconnected { sess: conn }).await;
+        let (connection_id, commands) = hub.register();
+        first_line::run(connection_id, stream, commands, &hub).await;
+        hub.conns.borrow_mut().remove(&connection_id);
+        hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
         drop(place);
     };
     slog::debug!(log, "connection accepted"; "bytes" => size_of_val(&task));
--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -31,7 +31,7 @@
 
 /// The connection of a session that waits.
 struct WaitingSession<'a> {
-    conn: SessId,
+    connection_id: SessId,
     client: TcpStream,
     buffer: Buffer,
     request: ClientRequest,
@@ -41,14 +41,14 @@
 
 /// Serves a session from its request to its end.
 pub async fn run(
-    conn: SessId,
+    connection_id: SessId,
     client: TcpStream,
     buffer: Buffer,
     request: ClientRequest,
     commands: Receiver<Command>,
     hub: &Hub,
 ) {
-    WaitingSession { conn, client, buffer, request, commands, hub }.run().await;
+    WaitingSession { connection_id, client, buffer, request, commands, hub }.run().await;
 }
 
 impl WaitingSession<'_> {
@@ -75,15 +75,19 @@
             };
             match wait {
                 DialWait::Ended(DialOutcome::NotStarted) => {
-                    self.hub.tell(Event::DialNotStarted { sess: self.conn, dial }).await;
+                    self.hub.tell(Event::DialNotStarted { session_id: self.connection_id, dial }).await;
                 }
                 DialWait::Ended(DialOutcome::Failed(end, report)) => {
-                    self.hub.tell(Event::DialEnded { sess: self.conn, dial, end, report }).await;
+                    self.hub
+                        .tell(Event::DialEnded { session_id: self.connection_id, dial, end, report })
+                        .await;
                 }
                 DialWait::Ended(DialOutcome::Accepted(backend)) => return self.accepted(dial, backend).await,
                 DialWait::Ended(DialOutcome::Completed { line, report }) => {
                     let end = DialEnd::Ok;
-                    self.hub.tell(Event::DialEnded { sess: self.conn, dial, end, report }).await;
+                    self.hub
+                        .tell(Event::DialEnded { session_id: self.connection_id, dial, end, report })
+                        .await;
                     return self.answer(&line).await;
                 }
                 DialWait::Ended(DialOutcome::ClientGone(state)) | DialWait::Client(state) => {
@@ -110,10 +114,11 @@
     /// A backend accepted the session. It is proxied unless the reducer gave up on it as the answer was read:
     /// then a final answer is queued, and the backend's is not used.
     async fn accepted(mut self, dial: u32, backend: dial::Backend) {
-        self.hub.tell(Event::SessionEstablished { sess: self.conn, dial }).await;
+        self.hub.tell(Event::SessionEstablished { session_id: self.connection_id, dial }).await;
         match next_command(&self.client, &mut self.commands, self.hub).await {
             Some(Command::Pass) => {
-                proxy::run(self.conn, self.client, self.buffer, backend, self.commands, self.hub).await;
+                proxy::run(self.connection_id, self.client, self.buffer, backend, self.commands, self.hub)
+                    .await;
             }
             Some(Command::Answer(line)) => {
                 drop(backend);
@@ -131,9 +136,9 @@
     /// final answer is written, and nothing is forwarded.
     async fn client_gone(mut self, state: ClientState) {
         if state == ClientState::SentMore {
-            return reject_protocol_violation(self.conn, self.client, self.commands, self.hub).await;
+            return reject_protocol_violation(self.connection_id, self.client, self.commands, self.hub).await;
         }
-        self.hub.tell(Event::ClientHalfClosed { sess: self.conn }).await;
+        self.hub.tell(Event::ClientHalfClosed { session_id: self.connection_id }).await;
         await_final_answer(self.client, &mut self.commands, self.hub).await;
     }
 }
@@ -160,12 +165,12 @@
 
 /// Reports a connection that violates the protocol, and carries out its final answer.
 pub async fn reject_protocol_violation(
-    conn: SessId,
+    connection_id: SessId,
     client: TcpStream,
     mut commands: Receiver<Command>,
     hub: &Hub,
 ) {
-    hub.tell(Event::ProtocolViolation { conn }).await;
+    hub.tell(Event::ProtocolViolation { connection_id }).await;
     await_final_answer(client, &mut commands, hub).await;
 }
 
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -40,7 +40,7 @@
 
 /// A connection whose first line is awaited.
 struct NewConnection<'a> {
-    conn: SessId,
+    connection_id: SessId,
     client: TcpStream,
     buffer: Buffer,
     hub: &'a Hub,
@@ -54,16 +54,16 @@
 }
 
 /// Serves a new connection to its end.
-pub async fn run(conn: SessId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
+pub async fn run(connection_id: SessId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
     let limits = hub.limits();
     // One time for all that comes before the session: a client that sends a little now and then would stay
     // for ever.
     let connected_at = Instant::now();
     let deadline = connected_at + span(limits.first_line);
     let buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
-    hub.tell(Event::ClientConnected { conn }).await;
+    hub.tell(Event::ClientConnected { connection_id }).await;
     let pending_pongs = 0;
-    NewConnection { conn, client, buffer, hub, limits, connected_at, deadline, pending_pongs }
+    NewConnection { connection_id, client, buffer, hub, limits, connected_at, deadline, pending_pongs }
         .run(commands)
         .await;
 }
@@ -88,11 +88,11 @@
                 // A client that pings for ever is ended by the deadline.
                 Some(FirstLine::Ping) if Instant::now() < self.deadline => {
                     self.pending_pongs += 1;
-                    self.hub.tell(Event::Ping { conn: self.conn }).await;
+                    self.hub.tell(Event::Ping { connection_id: self.connection_id }).await;
                 }
                 _ => {
                     let bytes = line.len();
-                    slog::debug!(self.hub.log, "a first line is odd"; "conn" => self.conn, "bytes" => bytes);
+                    slog::debug!(self.hub.log, "a first line is odd"; "connection" => self.connection_id, "bytes" => bytes);
                     return self.report_violation(commands).await;
                 }
             }
@@ -124,7 +124,7 @@
             Input::Line(line) => Step::Parse(line),
             Input::Part => {
                 self.extend_deadline();
-                self.hub.tell(Event::FirstLineStarted { conn: self.conn }).await;
+                self.hub.tell(Event::FirstLineStarted { connection_id: self.connection_id }).await;
                 Step::Continue
             }
             Input::Closed => Step::Close,
@@ -162,12 +162,12 @@
         let age = read::age_of_last_bytes(&self.client).min(wait);
         let left = wait.saturating_sub(age + self.limits.answer_margin);
         let timeout_range = open.wait_at.clone();
-        self.hub.tell(Event::SessionRequested { sess: self.conn, open, left }).await;
+        self.hub.tell(Event::SessionRequested { session_id: self.connection_id, open, left }).await;
         let request = ClientRequest { line, timeout_range };
-        await_answer::run(self.conn, self.client, self.buffer, request, commands, self.hub).await;
+        await_answer::run(self.connection_id, self.client, self.buffer, request, commands, self.hub).await;
     }
 
     async fn report_violation(self, commands: Receiver<Command>) {
-        await_answer::reject_protocol_violation(self.conn, self.client, commands, self.hub).await;
+        await_answer::reject_protocol_violation(self.connection_id, self.client, commands, self.hub).await;
     }
 }
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -368,10 +368,10 @@
 /// Runs a task for a session of the predecessor.
 fn adopt(session: Box<SessionState>, sockets: Sockets, hub: Hub) {
     tokio::task::spawn_local(async move {
-        let (conn, commands) = hub.register();
-        proxy::resume(conn, session, sockets, commands, &hub).await;
-        hub.conns.borrow_mut().remove(&conn);
-        hub.tell(Event::ClientDisconnected { sess: conn }).await;
+        let (connection_id, commands) = hub.register();
+        proxy::resume(connection_id, session, sockets, commands, &hub).await;
+        hub.conns.borrow_mut().remove(&connection_id);
+        hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
     });
 }
 
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -156,10 +156,10 @@
     fn taken(&self, queued: &mut (Option<TcpStream>, Peer)) {
         let (stream, hub) = (queued.0.take().expect("it was not taken"), self.hub.clone());
         tokio::task::spawn_local(async move {
-            let (conn, commands) = hub.register();
-            first_line::run(conn, stream, commands, &hub).await;
-            hub.conns.borrow_mut().remove(&conn);
-            hub.tell(Event::ClientDisconnected { sess: conn }).await;
+            let (connection_id, commands) = hub.register();
+            first_line::run(connection_id, stream, commands, &hub).await;
+            hub.conns.borrow_mut().remove(&connection_id);
+            hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
         });
     }
 
@@ -179,7 +179,7 @@
     /// A session's line is told: its connection's number.
     async fn opened(&mut self) -> SessId {
         match self.event().await {
-            Event::SessionRequested { sess, .. } => sess,
+            Event::SessionRequested { session_id, .. } => session_id,
             other => panic!("{other:?} in place of a session"),
         }
     }
@@ -204,19 +204,19 @@
         }
     }
 
-    fn says(&self, conn: SessId, command: Command) {
-        assert!(self.hub.conns.borrow().contains_key(&conn), "{command:?} goes to nobody");
-        self.hub.command(conn, command);
+    fn says(&self, connection_id: SessId, command: Command) {
+        assert!(self.hub.conns.borrow().contains_key(&connection_id), "{command:?} goes to nobody");
+        self.hub.command(connection_id, command);
     }
 
-    fn answers(&self, conn: SessId, line: &str) {
-        self.says(conn, Command::Answer(line.as_bytes().to_vec()));
+    fn answers(&self, connection_id: SessId, line: &str) {
+        self.says(connection_id, Command::Answer(line.as_bytes().to_vec()));
     }
 
-    fn dials(&self, conn: SessId, dial: u32, at: &TcpListener, within: Micros) {
+    fn dials(&self, connection_id: SessId, dial: u32, at: &TcpListener, within: Micros) {
         let addr = at.local_addr().expect("its address");
         let terms = DialConditions { server: Some(SERVER), start_by: self.hub.clock.now() + within };
-        self.says(conn, Command::Dial { dial, addr, wait: 1_500_000, terms });
+        self.says(connection_id, Command::Dial { dial, addr, wait: 1_500_000, terms });
     }
 }
 
@@ -224,11 +224,11 @@
     /// A session whose first dial's line has come: its number, its client and its backend.
     async fn dialled(&mut self) -> (SessId, Peer, Peer) {
         let (backend, client) = (bound().await, self.client_with(LINE).await);
-        let conn = self.opened().await;
-        self.dials(conn, 0, &backend, LONG);
+        let connection_id = self.opened().await;
+        self.dials(connection_id, 0, &backend, LONG);
         let mut server = taken(&backend).await;
         assert!(server.hears().await.starts_with("OPEN "));
-        (conn, client, server)
+        (connection_id, client, server)
     }
 }
 
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -7,21 +7,21 @@
 
 /// A session that stands: its number, its client and its backend.
 async fn open(play: &mut Play) -> (SessId, Peer, Peer) {
-    let (conn, mut client, mut server) = play.dialled().await;
+    let (connection_id, mut client, mut server) = play.dialled().await;
     server.says("UP r1\r\n").await;
     assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
-    play.says(conn, Command::Pass);
+    play.says(connection_id, Command::Pass);
     assert_eq!(client.hears().await, "UP r1\r\n");
-    (conn, client, server)
+    (connection_id, client, server)
 }
 
 /// What was told to its connection before it was a session cuts no session off.
 #[test]
 fn late_words_end_no_open_session() {
     play(|mut play| async move {
-        let (conn, mut client, mut server) = open(&mut play).await;
-        play.says(conn, Command::Pong(b"PONG\r\n"));
-        play.says(conn, Command::Shed);
+        let (connection_id, mut client, mut server) = open(&mut play).await;
+        play.says(connection_id, Command::Pong(b"PONG\r\n"));
+        play.says(connection_id, Command::Shed);
         client.says("M 1\r\n").await;
         assert_eq!(server.hears().await, "M 1\r\n");
     });
@@ -32,17 +32,17 @@
 #[test]
 fn a_move_that_crosses_the_end_cuts_nobody_off() {
     play(|mut play| async move {
-        let (conn, mut client, mut server) = open(&mut play).await;
+        let (connection_id, mut client, mut server) = open(&mut play).await;
         server.says("BYE\r\n").await;
         drop(server);
         assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
-        play.says(conn, Command::Move);
+        play.says(connection_id, Command::Move);
         assert_eq!(client.hears().await, "BYE\r\n");
         play.quiet().await;
         client.says("M 1\r\n").await;
         assert_eq!(client.hears().await, "");
         drop(client);
-        assert_eq!(play.event().await, Event::ClientDisconnected { sess: conn });
+        assert_eq!(play.event().await, Event::ClientDisconnected { session_id: connection_id });
     });
 }
 
@@ -50,12 +50,12 @@
 #[test]
 fn a_place_that_is_wanted_ends_a_polite_end() {
     play(|mut play| async move {
-        let (conn, mut client, mut server) = open(&mut play).await;
+        let (connection_id, mut client, mut server) = open(&mut play).await;
         server.says("BYE\r\n").await;
         drop(server);
         assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
-        play.says(conn, Command::Shed);
-        assert_eq!(play.event().await, Event::ClientDisconnected { sess: conn });
+        play.says(connection_id, Command::Shed);
+        assert_eq!(play.event().await, Event::ClientDisconnected { session_id: connection_id });
         assert_eq!(client.hears().await, "BYE\r\n");
     });
 }
@@ -66,7 +66,7 @@
 fn a_last_line_goes_on_before_the_end() {
     for _ in 0..PLAYS {
         play(|mut play| async move {
-            let (conn, mut client, mut server) = open(&mut play).await;
+            let (connection_id, mut client, mut server) = open(&mut play).await;
             server.says("LOAD 2\r\nM 0\r\n").await;
             client.says("M 1\r\nM 2\r\n").await;
             client.lies(Lies::Bytes);
@@ -77,7 +77,7 @@
             drop(server);
             loop {
                 match play.event().await {
-                    Event::ClientDisconnected { sess } => break assert_eq!(sess, conn),
+                    Event::ClientDisconnected { session_id } => break assert_eq!(session_id, connection_id),
                     Event::LoadReported { .. } | Event::MessageLatency { .. } => {}
                     other => panic!("{other:?}"),
                 }
@@ -92,8 +92,8 @@
 fn what_lies_there_is_read_before_a_silence_counts() {
     for _ in 0..PLAYS {
         play(|mut play| async move {
-            let (conn, mut client, mut server) = open(&mut play).await;
-            play.says(conn, Command::Doubt(true));
+            let (connection_id, mut client, mut server) = open(&mut play).await;
+            play.says(connection_id, Command::Doubt(true));
             client.says("M 1\r\n").await;
             assert_eq!(server.hears().await, "M 1\r\n");
             server.says("M 1\r\nBYE\r\n").await;
@@ -118,10 +118,10 @@
 #[test]
 fn a_move_goes_behind_the_lines_that_wait() {
     play(|mut play| async move {
-        let (conn, mut client, mut server) = open(&mut play).await;
+        let (connection_id, mut client, mut server) = open(&mut play).await;
         server.says("M 1\r\nM 2\r\nhalf").await;
         play.turns().await;
-        play.says(conn, Command::Move);
+        play.says(connection_id, Command::Move);
         assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Recalled, .. }));
         for wanted in ["M 1\r\n", "M 2\r\n", "MOVE\r\n", ""] {
             assert_eq!(client.hears().await, wanted);
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -13,10 +13,10 @@
 #[test]
 fn an_answer_that_crosses_up_is_said() {
     play(|mut play| async move {
-        let (conn, mut client, mut server) = play.dialled().await;
+        let (connection_id, mut client, mut server) = play.dialled().await;
         server.says("UP r1\r\n").await;
         assert!(matches!(play.event().await, Event::SessionEstablished { dial: 0, .. }));
-        play.answers(conn, "FAIL\r\n");
+        play.answers(connection_id, "FAIL\r\n");
         assert_eq!(client.hears().await, "FAIL\r\n");
         assert_eq!(server.hears().await, "");
     });
@@ -28,9 +28,9 @@
 fn an_answer_beside_up_is_said_once() {
     for _ in 0..PLAYS {
         play(|mut play| async move {
-            let (conn, mut client, mut server) = play.dialled().await;
+            let (connection_id, mut client, mut server) = play.dialled().await;
             server.says("UP r1\r\n").await;
-            play.answers(conn, "FAIL\r\n");
+            play.answers(connection_id, "FAIL\r\n");
             assert_eq!(client.hears().await, "FAIL\r\n");
             assert_eq!(client.hears().await, "");
         });
@@ -42,12 +42,12 @@
 fn words_from_before_it_was_a_session_end_nothing() {
     play(|mut play| async move {
         let mut client = play.client_with("PING\r\n").await;
-        let Event::Ping { conn } = play.event().await else { panic!("no PING") };
+        let Event::Ping { connection_id } = play.event().await else { panic!("no PING") };
         client.says(LINE).await;
-        assert_eq!(play.opened().await, conn);
-        play.says(conn, Command::Shed);
-        play.says(conn, Command::Pong(b"PONG\r\n"));
-        play.answers(conn, "BUSY\r\n");
+        assert_eq!(play.opened().await, connection_id);
+        play.says(connection_id, Command::Shed);
+        play.says(connection_id, Command::Pong(b"PONG\r\n"));
+        play.answers(connection_id, "BUSY\r\n");
         assert_eq!(client.hears().await, "PONG\r\n");
         assert_eq!(client.hears().await, "BUSY\r\n");
     });
@@ -56,15 +56,15 @@
 #[test]
 fn words_from_before_it_was_a_session_end_no_dial() {
     play(|mut play| async move {
-        let (conn, mut client, mut server) = play.dialled().await;
+        let (connection_id, mut client, mut server) = play.dialled().await;
         for late in [Command::Shed, Command::Pong(b"PONG\r\n")] {
-            play.says(conn, late);
+            play.says(connection_id, late);
         }
         assert_eq!(client.hears().await, "PONG\r\n");
         server.says("UP r1\r\n").await;
         assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
-        play.says(conn, Command::Shed);
-        play.says(conn, Command::Pass);
+        play.says(connection_id, Command::Shed);
+        play.says(connection_id, Command::Pass);
         assert_eq!(client.hears().await, "UP r1\r\n");
     });
 }
@@ -77,22 +77,22 @@
     play(|mut play| async move {
         let mut client = play.client_with(&("PING\r\n".repeat(PINGS) + "what\r\n")).await;
         let mut waiting = 0;
-        let conn = loop {
+        let connection_id = loop {
             match play.event().await {
                 // As a reducer that has much else to do: it answers some at a time.
-                Event::Ping { conn } => {
+                Event::Ping { connection_id } => {
                     waiting += 1;
                     if waiting == play.hub.limits().commands / 2 {
                         (0..std::mem::take(&mut waiting))
-                            .for_each(|_| play.says(conn, Command::Pong(b"PONG\r\n")));
+                            .for_each(|_| play.says(connection_id, Command::Pong(b"PONG\r\n")));
                     }
                 }
-                Event::ProtocolViolation { conn } => break conn,
+                Event::ProtocolViolation { connection_id } => break connection_id,
                 other => panic!("{other:?}"),
             }
         };
-        (0..waiting).for_each(|_| play.says(conn, Command::Pong(b"PONG\r\n")));
-        play.answers(conn, "ERR\r\n");
+        (0..waiting).for_each(|_| play.says(connection_id, Command::Pong(b"PONG\r\n")));
+        play.answers(connection_id, "ERR\r\n");
         let mut heard = Vec::new();
         while heard.last().is_none_or(|line: &String| line == "PONG\r\n") {
             heard.push(client.hears().await);
@@ -131,12 +131,12 @@
         for _ in 0..PLAYS {
             play(|mut play| async move {
                 let (backend, client) = (bound().await, play.client_with(LINE).await);
-                let conn = play.opened().await;
+                let connection_id = play.opened().await;
                 play.turns().await;
                 let client = leaves(client, how);
-                play.dials(conn, 0, &backend, LONG);
-                assert_eq!(play.event().await, Event::ClientHalfClosed { sess: conn });
-                play.answers(conn, "BUSY\r\n");
+                play.dials(connection_id, 0, &backend, LONG);
+                assert_eq!(play.event().await, Event::ClientHalfClosed { session_id: connection_id });
+                play.answers(connection_id, "BUSY\r\n");
                 if let Some(mut client) = client {
                     assert_eq!(client.hears().await, "BUSY\r\n");
                 }
@@ -151,12 +151,12 @@
 fn a_dial_that_comes_behind_the_end_goes_nowhere() {
     play(|mut play| async move {
         let (backend, client) = (bound().await, play.client_with(LINE).await);
-        let conn = play.opened().await;
+        let connection_id = play.opened().await;
         let mut client = leaves(client, Lies::End).expect("it reads on");
-        assert_eq!(play.event().await, Event::ClientHalfClosed { sess: conn });
-        play.dials(conn, 0, &backend, LONG);
+        assert_eq!(play.event().await, Event::ClientHalfClosed { session_id: connection_id });
+        play.dials(connection_id, 0, &backend, LONG);
         play.quiet().await;
-        play.answers(conn, "FAIL\r\n");
+        play.answers(connection_id, "FAIL\r\n");
         assert_eq!(client.hears().await, "FAIL\r\n");
         untouched(&backend).await;
     });
@@ -187,10 +187,10 @@
             };
             play.taken(&mut queued);
             match play.event().await {
-                Event::SessionRequested { sess, .. } => {
-                    play.dials(sess, 0, &backend, LONG);
-                    assert_eq!(play.event().await, Event::ClientHalfClosed { sess });
-                    play.answers(sess, "BUSY\r\n");
+                Event::SessionRequested { session_id, .. } => {
+                    play.dials(session_id, 0, &backend, LONG);
+                    assert_eq!(play.event().await, Event::ClientHalfClosed { session_id });
+                    play.answers(session_id, "BUSY\r\n");
                 }
                 // A reset may take the line with it.
                 Event::ClientDisconnected { .. } if how == Lies::Reset => {}
@@ -216,12 +216,12 @@
             filling.push(one);
         }
         let client = play.client_with(LINE).await;
-        let conn = play.opened().await;
-        play.dials(conn, 0, &backend, LONG);
+        let connection_id = play.opened().await;
+        play.dials(connection_id, 0, &backend, LONG);
         play.quiet().await;
         let mut client = leaves(client, Lies::End).expect("it reads on");
-        assert_eq!(play.event().await, Event::ClientHalfClosed { sess: conn });
-        play.answers(conn, "FAIL\r\n");
+        assert_eq!(play.event().await, Event::ClientHalfClosed { session_id: connection_id });
+        play.answers(connection_id, "FAIL\r\n");
         assert_eq!(client.hears().await, "FAIL\r\n");
         untouched(&backend).await;
     });
@@ -233,16 +233,16 @@
     for _ in 0..PLAYS {
         play(|mut play| async move {
             let (backend, client) = (bound().await, play.client_with(LINE).await);
-            let conn = play.opened().await;
-            play.dials(conn, 0, &backend, LONG);
+            let connection_id = play.opened().await;
+            play.dials(connection_id, 0, &backend, LONG);
             // The task begins to connect, and the end comes before its next turn.
             tokio::task::yield_now().await;
             let mut client = leaves(client, Lies::End).expect("it reads on");
             match play.event().await {
-                Event::ClientHalfClosed { sess } => assert_eq!(sess, conn),
+                Event::ClientHalfClosed { session_id } => assert_eq!(session_id, connection_id),
                 other => panic!("{other:?}"),
             }
-            play.answers(conn, "FAIL\r\n");
+            play.answers(connection_id, "FAIL\r\n");
             assert_eq!(client.hears().await, "FAIL\r\n");
             untouched(&backend).await;
         });
@@ -255,12 +255,13 @@
 fn a_dial_of_long_ago_is_not_begun() {
     play(|mut play| async move {
         let (backend, _client) = (bound().await, play.client_with(LINE).await);
-        let conn = play.opened().await;
-        play.dials(conn, 0, &backend, 0);
+        let connection_id = play.opened().await;
+        play.dials(connection_id, 0, &backend, 0);
         std::thread::sleep(Duration::from_millis(2));
-        let moot = |dial| Event::DialEnded { sess: conn, dial, end: DialEnd::Moot, report: None };
+        let moot =
+            |dial| Event::DialEnded { session_id: connection_id, dial, end: DialEnd::Moot, report: None };
         assert_eq!(play.event().await, moot(0));
-        play.dials(conn, 1, &backend, 20_000);
+        play.dials(connection_id, 1, &backend, 20_000);
         tokio::task::yield_now().await;
         std::thread::sleep(Duration::from_millis(30));
         assert_eq!(play.event().await, moot(1));
@@ -274,16 +275,16 @@
 fn a_backend_that_drains_during_a_connect_gets_no_line() {
     play(|mut play| async move {
         let (backend, _client) = (bound().await, play.client_with(LINE).await);
-        let conn = play.opened().await;
+        let connection_id = play.opened().await;
         play.hub.leaving.borrow_mut().insert(SERVER);
-        play.dials(conn, 0, &backend, LONG);
-        assert_eq!(play.event().await, Event::DialNotStarted { sess: conn, dial: 0 });
+        play.dials(connection_id, 0, &backend, LONG);
+        assert_eq!(play.event().await, Event::DialNotStarted { session_id: connection_id, dial: 0 });
         play.hub.leaving.borrow_mut().clear();
-        play.dials(conn, 0, &backend, LONG);
+        play.dials(connection_id, 0, &backend, LONG);
         // The task begins to connect, and the drain is told before its next turn.
         tokio::task::yield_now().await;
         play.hub.leaving.borrow_mut().insert(SERVER);
-        assert_eq!(play.event().await, Event::DialNotStarted { sess: conn, dial: 0 });
+        assert_eq!(play.event().await, Event::DialNotStarted { session_id: connection_id, dial: 0 });
         untouched(&backend).await;
         assert_eq!(play.hub.denials.counts().leaving, 2);
     });
@@ -307,9 +308,9 @@
     ];
     play(|mut play| async move {
         let (backend, _client) = (bound().await, play.client_with(LINE).await);
-        let conn = play.opened().await;
+        let connection_id = play.opened().await;
         for (dial, (text, wanted)) in said.into_iter().enumerate() {
-            play.dials(conn, dial as u32, &backend, LONG);
+            play.dials(connection_id, dial as u32, &backend, LONG);
             let mut server = taken(&backend).await;
             server.hears().await;
             server.says(text).await;
@@ -320,7 +321,7 @@
             }
         }
         // One that never ends is cut off at a line's length.
-        play.dials(conn, 20, &backend, LONG);
+        play.dials(connection_id, 20, &backend, LONG);
         let mut server = taken(&backend).await;
         server.says(&"x".repeat(5000)).await;
         assert!(matches!(play.event().await, Event::DialEnded { end: DialEnd::Reset, .. }));
@@ -333,15 +334,15 @@
     for _ in 0..PLAYS {
         play(|mut play| async move {
             let mut client = play.client().await;
-            let Some(Event::ClientConnected { conn }) = play.events.recv().await else {
+            let Some(Event::ClientConnected { connection_id }) = play.events.recv().await else {
                 panic!("nobody came")
             };
             play.turns().await;
             client.says(LINE).await;
             client.lies(Lies::Bytes);
-            play.says(conn, Command::Shed);
-            assert_eq!(play.opened().await, conn);
-            play.answers(conn, "BUSY\r\n");
+            play.says(connection_id, Command::Shed);
+            assert_eq!(play.opened().await, connection_id);
+            play.answers(connection_id, "BUSY\r\n");
             assert_eq!(client.hears().await, "BUSY\r\n");
         });
     }
@@ -357,14 +358,14 @@
                 "1".repeat(3000)
             );
             let mut client = play.client().await;
-            let Some(Event::ClientConnected { conn }) = play.events.recv().await else {
+            let Some(Event::ClientConnected { connection_id }) = play.events.recv().await else {
                 panic!("nobody came")
             };
             play.turns().await;
             client.says(&long).await;
             client.lies(Lies::Bytes);
-            play.says(conn, Command::Shed);
-            assert_eq!(play.opened().await, conn);
+            play.says(connection_id, Command::Shed);
+            assert_eq!(play.opened().await, connection_id);
         });
     }
 }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -139,10 +139,10 @@
         Ok(stream)
     }
 
-    fn command(&self, conn: SessId, command: Command) {
-        if let Some(to) = self.conns.borrow().get(&conn) {
+    fn command(&self, connection_id: SessId, command: Command) {
+        if let Some(to) = self.conns.borrow().get(&connection_id) {
             if to.try_send(command).is_err() {
-                slog::debug!(self.log, "a command came too late"; "conn" => conn);
+                slog::debug!(self.log, "a command came too late"; "connection" => connection_id);
             }
         }
     }
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -55,7 +55,7 @@
 
 /// Watches the lines of a session for latency, load and the backend's last line.
 struct LineObserver<'a> {
-    conn: SessId,
+    connection_id: SessId,
     hub: &'a Hub,
     /// When the client sent the messages whose answers are awaited, oldest first.
     unanswered: VecDeque<Micros>,
@@ -67,10 +67,10 @@
 }
 
 impl<'a> LineObserver<'a> {
-    fn new(conn: SessId, hub: &'a Hub) -> LineObserver<'a> {
+    fn new(connection_id: SessId, hub: &'a Hub) -> LineObserver<'a> {
         let answer_timeout = hub.limits().silence;
         let unanswered = VecDeque::new();
-        LineObserver { conn, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
+        LineObserver { connection_id, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
     }
 
     /// Takes complete lines from the client; false where one is too long.
@@ -95,7 +95,7 @@
             }
             match lines::parse_backend_reply(line, report_order) {
                 BackendReply::Load(load) => {
-                    self.hub.tell(Event::LoadReported { sess: self.conn, load }).await;
+                    self.hub.tell(Event::LoadReported { session_id: self.connection_id, load }).await;
                 }
                 BackendReply::Bye(report) => {
                     self.backend_end = Some(BackendEnd { end: DialEnd::Ok, report });
@@ -113,7 +113,7 @@
     async fn answered(&mut self) {
         if let Some(sent_at) = self.unanswered.pop_front() {
             let time = self.hub.clock.now() - sent_at;
-            self.hub.tell(Event::MessageLatency { sess: self.conn, time }).await;
+            self.hub.tell(Event::MessageLatency { session_id: self.connection_id, time }).await;
         }
     }
 
@@ -158,7 +158,7 @@
 
 /// Proxies a session that a backend has accepted, from the acceptance line to the end.
 pub async fn run(
-    conn: SessId,
+    connection_id: SessId,
     client: TcpStream,
     from_client: Buffer,
     backend: Backend,
@@ -166,7 +166,7 @@
     hub: &Hub,
 ) {
     let Backend { stream: backend, buffer: from_backend, acceptance } = backend;
-    let mut observer = LineObserver::new(conn, hub);
+    let mut observer = LineObserver::new(connection_id, hub);
     if !close::write_all(&client, &acceptance, hub.limits().stuck).await {
         return close::reset(backend);
     }
@@ -179,7 +179,7 @@
 
 /// Continues a session of another process, once the reducer has adopted it.
 pub async fn resume(
-    conn: SessId,
+    connection_id: SessId,
     session: Box<SessionState>,
     sockets: Sockets,
     mut commands: Receiver<Command>,
@@ -189,10 +189,10 @@
     let limits = hub.limits();
     let from_client = Buffer::holding(&session.to_backend, limits.buffer_first, limits.buffer_most);
     let from_backend = Buffer::holding(&session.to_client, limits.buffer_first, limits.buffer_most);
-    let mut observer = LineObserver::new(conn, hub);
+    let mut observer = LineObserver::new(connection_id, hub);
     let now = hub.clock.now();
     observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
-    hub.tell(Event::SessionAdopted { sess: conn, session }).await;
+    hub.tell(Event::SessionAdopted { session_id: connection_id, session }).await;
     // No other command can be queued: the session had no place before.
     if let Some(Command::Pass) = commands.recv().await {
         OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
@@ -210,7 +210,7 @@
 
 impl OpenSession<'_> {
     async fn run(mut self, mut commands: Receiver<Command>) {
-        let conn = self.observer.conn;
+        let connection_id = self.observer.connection_id;
         let hub = self.observer.hub;
         loop {
             match self.proxy(&mut commands).await {
@@ -220,9 +220,11 @@
                         Some(session) => self = session,
                         None => return,
                     }
-                    hub.tell(Event::SessionHandoverFailed { sess: conn }).await;
+                    hub.tell(Event::SessionHandoverFailed { session_id: connection_id }).await;
+                }
+                SessionEnd::HandedOver(..) => {
+                    hub.tell(Event::SessionHandoverFailed { session_id: connection_id }).await
                 }
-                SessionEnd::HandedOver(..) => hub.tell(Event::SessionHandoverFailed { sess: conn }).await,
                 SessionEnd::ClientClosed => return self.client_closed().await,
                 SessionEnd::ClientBroken => {
                     close::reset(self.backend);
@@ -231,7 +233,7 @@
                 }
                 SessionEnd::Closed => return,
                 SessionEnd::Backend(BackendEnd { end, report }) => {
-                    hub.tell(Event::SessionEnded { sess: conn, end, report }).await;
+                    hub.tell(Event::SessionEnded { session_id: connection_id, end, report }).await;
                     // A client that got no last line is told to come again.
                     let word: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
                     drop(self.backend);
@@ -240,7 +242,7 @@
                 SessionEnd::Migrated => {
                     drop(self.backend);
                     let end = DialEnd::Recalled;
-                    hub.tell(Event::SessionEnded { sess: conn, end, report: None }).await;
+                    hub.tell(Event::SessionEnded { session_id: connection_id, end, report: None }).await;
                     return say_last(self.client, &self.from_backend, lines::MOVE, &mut commands, hub).await;
                 }
             }
@@ -261,7 +263,7 @@
         });
         match peers::pass(peer, session, Sockets { client, backend }, hub).await {
             Ok(()) => {
-                hub.tell(Event::SessionHandedOver { sess: observer.conn }).await;
+                hub.tell(Event::SessionHandedOver { session_id: observer.connection_id }).await;
                 None
             }
             Err(Some(Sockets { client, backend })) => {
@@ -275,7 +277,7 @@
     /// The client has closed: what it sent still goes to the backend.
     async fn client_closed(self) {
         let hub = self.observer.hub;
-        hub.tell(Event::ClientDisconnected { sess: self.observer.conn }).await;
+        hub.tell(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
         if close::write_all(&self.backend, self.from_client.lines(), hub.limits().end).await {
             close::close_gracefully(self.backend, hub).await;
         }
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -206,8 +206,8 @@
             .front()
             .is_some_and(|(ticket, until, ..)| *until <= now || store.is_settled(*ticket))
         {
-            if let Some((_, _, sess, dial)) = self.waiting.pop_front() {
-                self.hub.command(sess, dial);
+            if let Some((_, _, session_id, dial)) = self.waiting.pop_front() {
+                self.hub.command(session_id, dial);
             }
         }
     }
@@ -219,16 +219,19 @@
 
     fn carry_out(&mut self, effects: &mut Vec<Effect>) {
         for effect in effects.drain(..) {
-            if let Effect::Reject { sess, .. } | Effect::TearDown { sess } | Effect::CloseClient { sess } =
-                &effect
+            if let Effect::Reject { session_id, .. }
+            | Effect::TearDown { session_id }
+            | Effect::CloseClient { session_id } = &effect
             {
                 // Its dial never went out, and nothing is sent for it after its answer.
-                self.waiting.retain(|wait| wait.2 != *sess);
+                self.waiting.retain(|wait| wait.2 != *session_id);
             }
             slog::trace!(self.hub.log, "effect"; "what" => ?effect);
             match effect {
-                Effect::Pong { conn } => self.hub.command(conn, Command::Pong(lines::PONG)),
-                Effect::RejectPing { conn } => self.hub.command(conn, Command::Pong(lines::BUSY)),
+                Effect::Pong { connection_id } => self.hub.command(connection_id, Command::Pong(lines::PONG)),
+                Effect::RejectPing { connection_id } => {
+                    self.hub.command(connection_id, Command::Pong(lines::BUSY))
+                }
                 Effect::Reply { call, mut reply } => {
                     if let OperatorReply::Metrics(figures) = &mut reply {
                         figures.denials = self.hub.denials.counts();
@@ -242,24 +245,24 @@
                 Effect::SetDraining { server, leaves: false } => {
                     self.hub.leaving.borrow_mut().remove(&server);
                 }
-                Effect::Dial { sess, dial, server, addr, wait, begin } => {
+                Effect::Dial { session_id, dial, server, addr, wait, begin } => {
                     let terms = DialConditions { server, start_by: self.hub.clock.now() + begin };
                     let command = Command::Dial { dial, addr, wait, terms };
-                    let ticket = self.tickets.remove(&sess);
+                    let ticket = self.tickets.remove(&session_id);
                     let unwritten =
                         |t: &u64| self.state_store.as_ref().is_some_and(|store| !store.is_settled(*t));
                     match ticket.filter(unwritten) {
                         Some(ticket) => {
                             let until = self.hub.clock.now() + self.hub.limits().state_wait;
-                            self.waiting.push_back((ticket, until, sess, command));
+                            self.waiting.push_back((ticket, until, session_id, command));
                         }
-                        None => self.hub.command(sess, command),
+                        None => self.hub.command(session_id, command),
                     }
                 }
                 Effect::Persist { record, before } => {
                     let ticket = self.state_store.as_ref().and_then(|store| store.persist(record));
-                    if let (Some(sess), Some(ticket)) = (before, ticket) {
-                        self.tickets.insert(sess, ticket);
+                    if let (Some(session_id), Some(ticket)) = (before, ticket) {
+                        self.tickets.insert(session_id, ticket);
                     }
                 }
                 Effect::PersistVoterWrites { life, number, records } => {
@@ -286,21 +289,25 @@
                         }
                     }
                 }
-                Effect::StartProxying { sess } => self.hub.command(sess, Command::Pass),
-                Effect::Reject { sess, retry_after } => {
-                    self.hub.command(sess, Command::Answer(lines::busy(retry_after / 1000)));
+                Effect::StartProxying { session_id } => self.hub.command(session_id, Command::Pass),
+                Effect::Reject { session_id, retry_after } => {
+                    self.hub.command(session_id, Command::Answer(lines::busy(retry_after / 1000)));
+                }
+                Effect::TearDown { session_id } => {
+                    self.hub.command(session_id, Command::Answer(lines::FAIL.to_vec()))
+                }
+                Effect::HandOverSession { session_id, peer, session } => {
+                    self.hub.command(session_id, Command::PassOn(peer, session));
                 }
-                Effect::TearDown { sess } => self.hub.command(sess, Command::Answer(lines::FAIL.to_vec())),
-                Effect::HandOverSession { sess, peer, session } => {
-                    self.hub.command(sess, Command::PassOn(peer, session));
+                Effect::Migrate { session_id } => self.hub.command(session_id, Command::Move),
+                Effect::ReportProtocolError { connection_id } => {
+                    self.hub.command(connection_id, Command::Answer(lines::ERROR.to_vec()))
                 }
-                Effect::Migrate { sess } => self.hub.command(sess, Command::Move),
-                Effect::ReportProtocolError { conn } => {
-                    self.hub.command(conn, Command::Answer(lines::ERROR.to_vec()))
+                Effect::ShedConnection { connection_id } => self.hub.command(connection_id, Command::Shed),
+                Effect::SetSuspect { session_id, doubted } => {
+                    self.hub.command(session_id, Command::Doubt(doubted))
                 }
-                Effect::ShedConnection { conn } => self.hub.command(conn, Command::Shed),
-                Effect::SetSuspect { sess, doubted } => self.hub.command(sess, Command::Doubt(doubted)),
-                Effect::CloseClient { sess } => self.hub.command(sess, Command::Close),
+                Effect::CloseClient { session_id } => self.hub.command(session_id, Command::Close),
                 Effect::HealthCheck { server, addr } => self.probe(server, addr),
                 Effect::ForgetServer { server } => _ = self.probes.remove(&server),
                 Effect::WatchEndpoints { watch, addr, since } => {
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -61,7 +61,7 @@
         self.migration_credit += open.len() * THOUSANDTHS / batches_left as usize;
         let count = self.migration_credit / THOUSANDTHS;
         self.migration_credit %= THOUSANDTHS;
-        open.into_iter().take(count).for_each(|sess| self.migrate_session(sess, out));
+        open.into_iter().take(count).for_each(|session_id| self.migrate_session(session_id, out));
         let alarm = Timer::MigrateBatch(self.migration_round);
         out.push(Effect::StartTimer { after: BATCH_INTERVAL, alarm });
     }
@@ -78,7 +78,11 @@
         // for: they are told to come again, and have a moment to read it.
         let is_aside_done = self.idle_connections.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
         if elapsed >= limits.stop_end {
-            out.extend(self.idle_connections.drain(..).map(|(conn, _)| Effect::ShedConnection { conn }));
+            out.extend(
+                self.idle_connections
+                    .drain(..)
+                    .map(|(connection_id, _)| Effect::ShedConnection { connection_id }),
+            );
         }
         let is_empty = self.sessions.is_empty() && is_aside_done;
         // Shortly before the process may be killed: everyone was answered or told to move by then.
@@ -97,8 +101,8 @@
         let waiting = self.sessions.iter().filter(|(_, s)| s.stage.awaits_answer());
         let answers: Vec<(SessId, Effect)> =
             waiting.map(|(id, s)| (*id, final_answer(*id, s.dials))).collect();
-        for (sess, answer) in answers {
-            self.answer_waiting_session(sess, answer, out);
+        for (session_id, answer) in answers {
+            self.answer_waiting_session(session_id, answer, out);
         }
     }
 }
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -55,64 +55,64 @@
 pub enum Event {
     /// A client has connected.
     ClientConnected {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// A part of a first line has come.
     FirstLineStarted {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// A connection asks whether this relay is able to serve.
     Ping {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// A client's first line, and what is left of its dial timeout.
     SessionRequested {
-        sess: SessId,
+        session_id: SessId,
         open: SessionRequest,
         left: Micros,
     },
     /// What a connection sends is not of the protocol, or it sends nothing.
     ProtocolViolation {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// The client's connection is over.
     ClientDisconnected {
-        sess: SessId,
+        session_id: SessId,
     },
     /// The client has ended its sending while it waited for its answer: it has left, or reads on.
     ClientHalfClosed {
-        sess: SessId,
+        session_id: SessId,
     },
     /// A dial's line is written whole.
     FirstLineForwarded,
     SessionEstablished {
-        sess: SessId,
+        session_id: SessId,
         dial: u32,
     },
     /// This machine could not begin the dial.
     DialNotStarted {
-        sess: SessId,
+        session_id: SessId,
         dial: u32,
     },
     DialEnded {
-        sess: SessId,
+        session_id: SessId,
         dial: u32,
         end: DialEnd,
         report: Option<LoadReport>,
     },
     /// An open session ended at its backend's side.
     SessionEnded {
-        sess: SessId,
+        session_id: SessId,
         end: DialEnd,
         report: Option<LoadReport>,
     },
     LoadReported {
-        sess: SessId,
+        session_id: SessId,
         load: f64,
     },
     /// A message of an open session took this long.
     MessageLatency {
-        sess: SessId,
+        session_id: SessId,
         time: Micros,
     },
     HealthCheckEnded {
@@ -138,15 +138,15 @@
     },
     /// The successor has the session.
     SessionHandedOver {
-        sess: SessId,
+        session_id: SessId,
     },
     /// The successor could not take the session.
     SessionHandoverFailed {
-        sess: SessId,
+        session_id: SessId,
     },
     /// A session of the predecessor was handed over to this process.
     SessionAdopted {
-        sess: SessId,
+        session_id: SessId,
         session: Box<SessionState>,
     },
     /// Something came from the predecessor or the successor.
@@ -196,11 +196,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Pong {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// A `PING` is told no.
     RejectPing {
-        conn: SessId,
+        connection_id: SessId,
     },
     Reply {
         call: u32,
@@ -212,7 +212,7 @@
         leaves: bool,
     },
     Dial {
-        sess: SessId,
+        session_id: SessId,
         dial: u32,
         /// None for a connection that stood at its server before this relay started.
         server: Option<ServerId>,
@@ -223,41 +223,41 @@
     },
     /// From here on lines pass both ways.
     StartProxying {
-        sess: SessId,
+        session_id: SessId,
     },
     /// The final answers that no backend gave.
     Reject {
-        sess: SessId,
+        session_id: SessId,
         retry_after: Micros,
     },
     TearDown {
-        sess: SessId,
+        session_id: SessId,
     },
     Migrate {
-        sess: SessId,
+        session_id: SessId,
     },
     /// Another process goes on with it.
     HandOverSession {
-        sess: SessId,
+        session_id: SessId,
         peer: PeerId,
         session: Box<SessionState>,
     },
     /// An error for what is not of the protocol.
     ReportProtocolError {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// Ends a connection that is no session, for the place that it takes.
     ShedConnection {
-        conn: SessId,
+        connection_id: SessId,
     },
     /// The session's backend answers no probes: its silence tells sooner, till it answers again.
     SetSuspect {
-        sess: SessId,
+        session_id: SessId,
         doubted: bool,
     },
     /// Ends the connection without a word.
     CloseClient {
-        sess: SessId,
+        session_id: SessId,
     },
     HealthCheck {
         server: ServerId,
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -261,9 +261,9 @@
             Lifecycle::Draining | Lifecycle::HandedOverDraining => false,
             Lifecycle::AwaitingTakeover | Lifecycle::Serving | Lifecycle::Stopping => return,
         };
-        out.extend(self.pending_pings.drain(..).map(|conn| match accepts {
-            true => Effect::Pong { conn },
-            false => Effect::RejectPing { conn },
+        out.extend(self.pending_pings.drain(..).map(|connection_id| match accepts {
+            true => Effect::Pong { connection_id },
+            false => Effect::RejectPing { connection_id },
         }));
     }
 }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -95,7 +95,7 @@
         out.push(Effect::SetStoreOwnership { on: false });
         out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
         let open: Vec<SessId> = self.sessions.keys().copied().collect();
-        open.into_iter().for_each(|sess| self.hand_over_session(sess, out));
+        open.into_iter().for_each(|session_id| self.hand_over_session(session_id, out));
         self.report_remaining(out);
     }
 
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -264,43 +264,48 @@
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
-            Event::ClientConnected { conn } => self.client_connected(conn, out),
-            Event::FirstLineStarted { conn } => self.first_line_started(conn),
-            Event::ProtocolViolation { conn } => self.protocol_violation(conn, out),
-            Event::Ping { conn } => {
-                self.pending_pings.push(conn);
+            Event::ClientConnected { connection_id } => self.client_connected(connection_id, out),
+            Event::FirstLineStarted { connection_id } => self.first_line_started(connection_id),
+            Event::ProtocolViolation { connection_id } => self.protocol_violation(connection_id, out),
+            Event::Ping { connection_id } => {
+                self.pending_pings.push(connection_id);
                 self.answer_pings(out);
             }
-            Event::SessionRequested { sess, open, left } => self.session_requested(sess, open, left, out),
-            Event::ClientDisconnected { sess } => {
-                self.abandon_session(sess, out);
-                self.idle_connections.retain(|one| one.0 != sess);
-                self.pending_pings.retain(|conn| *conn != sess);
+            Event::SessionRequested { session_id, open, left } => {
+                self.session_requested(session_id, open, left, out)
             }
-            Event::ClientHalfClosed { sess } => self.client_half_closed(sess, out),
+            Event::ClientDisconnected { session_id } => {
+                self.abandon_session(session_id, out);
+                self.idle_connections.retain(|one| one.0 != session_id);
+                self.pending_pings.retain(|connection_id| *connection_id != session_id);
+            }
+            Event::ClientHalfClosed { session_id } => self.client_half_closed(session_id, out),
             Event::FirstLineForwarded => self.metrics.tries += 1,
-            Event::SessionEstablished { sess, dial } if self.is_current_dial(sess, dial) => {
-                self.session_established(sess, dial, out)
+            Event::SessionEstablished { session_id, dial } if self.is_current_dial(session_id, dial) => {
+                self.session_established(session_id, dial, out)
             }
-            Event::DialEnded { sess, dial, end, report } if self.is_current_dial(sess, dial) => {
-                self.dial_ended(sess, dial, end, report, out);
+            Event::DialEnded { session_id, dial, end, report } if self.is_current_dial(session_id, dial) => {
+                self.dial_ended(session_id, dial, end, report, out);
             }
-            Event::DialNotStarted { sess, dial } if self.is_current_dial(sess, dial) => {
-                self.dial_not_started(sess, dial, out)
+            Event::DialNotStarted { session_id, dial } if self.is_current_dial(session_id, dial) => {
+                self.dial_not_started(session_id, dial, out)
             }
-            Event::SessionEnded { sess, end, report } => {
-                let Some(s) = self.remove_session(sess) else { return };
+            Event::SessionEnded { session_id, end, report } => {
+                let Some(s) = self.remove_session(session_id) else { return };
                 let dial = s.dials.saturating_sub(1);
                 if end == DialEnd::Reset {
                     self.count_outcome(s.server, end);
                 }
-                self.step_balancer(Input::DialEnded { session: sess, dial, end, settled: true, report }, out);
+                self.step_balancer(
+                    Input::DialEnded { session: session_id, dial, end, settled: true, report },
+                    out,
+                );
             }
-            Event::LoadReported { sess, load } if self.is_proxying(sess) => {
-                self.load_reported(sess, load, out)
+            Event::LoadReported { session_id, load } if self.is_proxying(session_id) => {
+                self.load_reported(session_id, load, out)
             }
-            Event::MessageLatency { sess, time } if self.is_proxying(sess) => {
-                self.latency_measured(sess, time, out)
+            Event::MessageLatency { session_id, time } if self.is_proxying(session_id) => {
+                self.latency_measured(session_id, time, out)
             }
             Event::HealthCheckEnded { server, end, report } => {
                 self.health_check_ended(server, end, out);
@@ -316,9 +321,9 @@
             Event::OperatorCall { call, what } => self.operator_call(call, what, out),
             Event::VoterWritesDurable { life, number } => self.raft_written(life, number, out),
             Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
-            Event::SessionHandedOver { sess } => self.abandon_session(sess, out),
-            Event::SessionHandoverFailed { sess } => self.session_handover_failed(sess),
-            Event::SessionAdopted { sess, session } => self.adopt_session(sess, *session, out),
+            Event::SessionHandedOver { session_id } => self.abandon_session(session_id, out),
+            Event::SessionHandoverFailed { session_id } => self.session_handover_failed(session_id),
+            Event::SessionAdopted { session_id, session } => self.adopt_session(session_id, *session, out),
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
@@ -343,28 +348,35 @@
     /// What the module asks for, in the program's own effects.
     fn apply_balancer_effect(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
         match ask {
-            module::Effect::Dial { session: sess, server, timeout: wait, send_within: window } => {
-                let Some(s) = self.sessions.get_mut(&sess) else { return };
+            module::Effect::Dial { session: session_id, server, timeout: wait, send_within: window } => {
+                let Some(s) = self.sessions.get_mut(&session_id) else { return };
                 (s.stage, s.server, s.dials) = (SessionStage::Dialing, Some(server), s.dials + 1);
                 let dial = s.dials - 1;
                 if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
-                    self.persist_slow_start_slot(server, sess, out);
+                    self.persist_slow_start_slot(server, session_id, out);
                     let begin = self.node.limits.connect.min(window.unwrap_or(Micros::MAX));
-                    return out.push(Effect::Dial { sess, dial, server: Some(server), addr, wait, begin });
+                    return out.push(Effect::Dial {
+                        session_id,
+                        dial,
+                        server: Some(server),
+                        addr,
+                        wait,
+                        begin,
+                    });
                 }
                 let end = DialEnd::Unconnected;
                 self.step_balancer(
-                    Input::DialEnded { session: sess, dial, end, settled: false, report: None },
+                    Input::DialEnded { session: session_id, dial, end, settled: false, report: None },
                     out,
                 );
             }
-            module::Effect::Reject { session: sess, retry_after } => {
-                self.send_final_answer(sess, Effect::Reject { sess, retry_after }, out);
+            module::Effect::Reject { session: session_id, retry_after } => {
+                self.send_final_answer(session_id, Effect::Reject { session_id, retry_after }, out);
             }
-            module::Effect::TearDown { session: sess } => {
-                self.send_final_answer(sess, Effect::TearDown { sess }, out)
+            module::Effect::TearDown { session: session_id } => {
+                self.send_final_answer(session_id, Effect::TearDown { session_id }, out)
             }
-            module::Effect::Migrate { session: sess } => self.migrate_session(sess, out),
+            module::Effect::Migrate { session: session_id } => self.migrate_session(session_id, out),
             module::Effect::Probe { server } => {
                 let Some(v) = self.servers.get_mut(&server) else { return };
                 v.health_check_pending = true;
@@ -380,11 +392,11 @@
     fn timer_expired(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
         match alarm {
             Timer::Balancer(label) => self.step_balancer(Input::TimerExpired { label }, out),
-            Timer::RedialPreExisting(sess) => self.redial_pre_existing(sess, out),
-            Timer::AnswerDeadline(sess) => {
+            Timer::RedialPreExisting(session_id) => self.redial_pre_existing(session_id, out),
+            Timer::AnswerDeadline(session_id) => {
                 // Dials end and the module answers before this; it guards against a task that does neither.
-                if self.sessions.get(&sess).is_some_and(|s| s.stage.awaits_answer()) {
-                    self.deadline_expired(sess, out);
+                if self.sessions.get(&session_id).is_some_and(|s| s.stage.awaits_answer()) {
+                    self.deadline_expired(session_id, out);
                 }
             }
             Timer::MigrateBatch(round) if round == self.migration_round => self.migrate_batch(out),
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -114,7 +114,12 @@
 
     /// Stores a turn at a server in slow start before the dial that uses it goes out, so that a relay that
     /// crashes again and again keeps its rate.
-    pub(super) fn persist_slow_start_slot(&mut self, server: ServerId, sess: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn persist_slow_start_slot(
+        &mut self,
+        server: ServerId,
+        session_id: SessId,
+        out: &mut Vec<Effect>,
+    ) {
         if self.node.state.is_none() {
             return;
         }
@@ -127,7 +132,7 @@
         let was_used_now = known.servers.iter().any(|known| known.server == server && known.slot == used_now);
         if was_used_now {
             let record = Record::slow_start_slot(&v.instance.id, self.now);
-            out.push(Effect::Persist { record, before: Some(sess) });
+            out.push(Effect::Persist { record, before: Some(session_id) });
         }
     }
 }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -22,7 +22,7 @@
                 .sessions
                 .iter()
                 .filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
-            out.extend(there.map(|(&sess, _)| Effect::SetSuspect { sess, doubted }));
+            out.extend(there.map(|(&session_id, _)| Effect::SetSuspect { session_id, doubted }));
         }
     }
 
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -6,11 +6,11 @@
 impl Reducer {
     /// Hands an open session over to the process that owns the listener. In a drain it is moved to another
     /// relay instead.
-    pub(super) fn hand_over_session(&mut self, sess: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn hand_over_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
         let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
         };
-        let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::Proxying) else {
+        let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.stage == SessionStage::Proxying) else {
             return;
         };
         let Some(told) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.instance) else { return };
@@ -24,18 +24,18 @@
             ..SessionState::default()
         };
         s.stage = SessionStage::HandingOver;
-        out.push(Effect::HandOverSession { sess, peer, session: Box::new(session) });
+        out.push(Effect::HandOverSession { session_id, peer, session: Box::new(session) });
     }
 
     /// The other process could not take it: it stays here, and moves as this process drains.
-    pub(super) fn session_handover_failed(&mut self, sess: SessId) {
-        if let Some(s) = self.sessions.get_mut(&sess).filter(|s| s.stage == SessionStage::HandingOver) {
+    pub(super) fn session_handover_failed(&mut self, session_id: SessId) {
+        if let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.stage == SessionStage::HandingOver) {
             s.stage = SessionStage::Proxying;
         }
     }
 
     /// An open session of the predecessor, in the middle of its life.
-    pub(super) fn adopt_session(&mut self, sess: SessId, session: SessionState, out: &mut Vec<Effect>) {
+    pub(super) fn adopt_session(&mut self, session_id: SessId, session: SessionState, out: &mut Vec<Effect>) {
         let listeners = &self.node.site.listeners;
         // This process' configuration may no longer have its listener; an open session needs none.
         let listener = listeners.iter().position(|name| *name == session.listener).unwrap_or(0);
@@ -55,16 +55,16 @@
         };
         self.predecessor_session_ids.remove(&session.id);
         self.session_ids.insert(session.id);
-        self.sessions.insert(sess, adopted);
+        self.sessions.insert(session_id, adopted);
         let remaining = &mut self.predecessor_remaining;
         remaining.connections = remaining.connections.saturating_sub(1);
         remaining.sessions = remaining.sessions.saturating_sub(1);
-        out.push(Effect::StartProxying { sess });
+        out.push(Effect::StartProxying { session_id });
         // At a server that the list no longer names the session goes on, and the module need not know.
         if let Some(server) = server {
-            self.step_balancer(Input::SessionAdopted { session: sess, server, request: asked }, out);
+            self.step_balancer(Input::SessionAdopted { session: session_id, server, request: asked }, out);
         }
         // This process may have a successor by now.
-        self.hand_over_session(sess, out);
+        self.hand_over_session(session_id, out);
     }
 }
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -207,8 +207,10 @@
                 Effect::PersistVoterWrites { life, number, .. } => {
                     self.step(Event::VoterWritesDurable { life, number })
                 }
-                Effect::Dial { sess, dial, .. } => self.step(Event::SessionEstablished { sess, dial }),
-                Effect::Migrate { sess } => self.step(Event::ClientDisconnected { sess }),
+                Effect::Dial { session_id, dial, .. } => {
+                    self.step(Event::SessionEstablished { session_id, dial })
+                }
+                Effect::Migrate { session_id } => self.step(Event::ClientDisconnected { session_id }),
                 Effect::Reply { call, reply } => self.reply(call, &reply),
                 _ => {}
             }
@@ -264,21 +266,21 @@
     fn sessions(&mut self, name: &str, count: u32, cut: u32, leave: bool) {
         for i in 0..count {
             self.sessions += 1;
-            let sess = self.sessions;
+            let session_id = self.sessions;
             let at = Some(text(name));
             let open = SessionRequest {
-                id: sess.into(),
+                id: session_id.into(),
                 listener: text("low"),
                 at,
                 wait_ms: 1000,
                 ..SessionRequest::default()
             };
-            self.step(Event::ClientConnected { conn: sess });
-            self.step(Event::SessionRequested { sess, open, left: SECOND });
+            self.step(Event::ClientConnected { connection_id: session_id });
+            self.step(Event::SessionRequested { session_id, open, left: SECOND });
             if i + cut >= count {
-                self.step(Event::SessionEnded { sess, end: DialEnd::Reset, report: None });
+                self.step(Event::SessionEnded { session_id, end: DialEnd::Reset, report: None });
             } else if leave {
-                self.step(Event::ClientDisconnected { sess });
+                self.step(Event::ClientDisconnected { session_id });
             }
         }
     }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -149,19 +149,19 @@
 
     fn events(&self, words: &[&str]) -> Result<Vec<Event>, Fault> {
         let at = |i: usize| words.get(i).copied().ok_or(format!("'{}' is too short", words.join(" ")));
-        let sess = || num(at(1)?);
+        let session_id = || num(at(1)?);
         let watch = option(words, "of").map_or(Ok(self.watch), num)?;
         Ok(vec![match at(0)? {
             "run" => return Ok(vec![]),
             "stop" => Event::StopRequested,
             "unfit" => Event::ConfigurationRejected,
-            "passed" => Event::SessionHandedOver { sess: sess()? },
-            "stays" => Event::SessionHandoverFailed { sess: sess()? },
+            "passed" => Event::SessionHandedOver { session_id: session_id()? },
+            "stays" => Event::SessionHandoverFailed { session_id: session_id()? },
             "inherits" => {
                 let (listener, server) = (at(2)?.to_string(), at(3)?.to_string());
-                let id = u64::from(sess()?);
+                let id = u64::from(session_id()?);
                 let session = SessionState { id, listener, server, ..SessionState::default() };
-                Event::SessionAdopted { sess: sess()?, session: Box::new(session) }
+                Event::SessionAdopted { session_id: session_id()?, session: Box::new(session) }
             }
             "peer" => {
                 let peer = num(at(1)?)?;
@@ -202,12 +202,20 @@
             }
             "written" => Event::FirstLineForwarded,
             "call" => Event::OperatorCall { call: num(at(1)?)?, what: call(at(2)?)? },
-            "came" => return Ok(range(at(1)?)?.map(|conn| Event::ClientConnected { conn }).collect()),
-            "odd" => Event::ProtocolViolation { conn: sess()? },
-            "part" => return Ok(range(at(1)?)?.map(|conn| Event::FirstLineStarted { conn }).collect()),
-            "ping" => Event::Ping { conn: sess()? },
-            "gone" => Event::ClientDisconnected { sess: sess()? },
-            "departed" => Event::ClientHalfClosed { sess: sess()? },
+            "came" => {
+                return Ok(range(at(1)?)?
+                    .map(|connection_id| Event::ClientConnected { connection_id })
+                    .collect())
+            }
+            "odd" => Event::ProtocolViolation { connection_id: session_id()? },
+            "part" => {
+                return Ok(range(at(1)?)?
+                    .map(|connection_id| Event::FirstLineStarted { connection_id })
+                    .collect())
+            }
+            "ping" => Event::Ping { connection_id: session_id()? },
+            "gone" => Event::ClientDisconnected { session_id: session_id()? },
+            "departed" => Event::ClientHalfClosed { session_id: session_id()? },
             "ask" => {
                 let wait = option(words, "wait").unwrap_or("2000");
                 let at_backend = option(words, "at").map(str::to_string);
@@ -219,16 +227,18 @@
                     at: at_backend,
                     ..lines::SessionRequest::default()
                 };
-                Event::SessionRequested { sess: sess()?, open, left: millis(wait)? }
+                Event::SessionRequested { session_id: session_id()?, open, left: millis(wait)? }
             }
-            "up" => Event::SessionEstablished { sess: sess()?, dial: num(at(2)?)? },
+            "up" => Event::SessionEstablished { session_id: session_id()?, dial: num(at(2)?)? },
             "fell" => {
                 let (dial, end) = (num(at(2)?)?, dial_end(at(3)?)?);
-                Event::DialEnded { sess: sess()?, dial, end, report: None }
+                Event::DialEnded { session_id: session_id()?, dial, end, report: None }
+            }
+            "ended" => {
+                Event::SessionEnded { session_id: session_id()?, end: dial_end(at(2)?)?, report: None }
             }
-            "ended" => Event::SessionEnded { sess: sess()?, end: dial_end(at(2)?)?, report: None },
-            "load" => Event::LoadReported { sess: sess()?, load: num(at(2)?)? },
-            "took" => Event::MessageLatency { sess: sess()?, time: millis(at(2)?)? },
+            "load" => Event::LoadReported { session_id: session_id()?, load: num(at(2)?)? },
+            "took" => Event::MessageLatency { session_id: session_id()?, time: millis(at(2)?)? },
             "probe" => {
                 let server = *self.probed.get(at(1)?).ok_or("no probe is out there")?;
                 let (end, report) = probe_end(words, at(2)?)?;
@@ -380,21 +390,21 @@
 
     fn effects(&mut self) -> Vec<String> {
         let shown = self.effects.iter().map(|effect| match effect {
-            Effect::Pong { conn } => format!("pong {conn}"),
-            Effect::RejectPing { conn } => format!("deny {conn}"),
+            Effect::Pong { connection_id } => format!("pong {connection_id}"),
+            Effect::RejectPing { connection_id } => format!("deny {connection_id}"),
             Effect::Reply { call, reply } => format!("reply {call} {}", replied(reply)),
-            Effect::Dial { sess, addr, wait, .. } => {
-                format!("dial {sess} at s-{} for {}", addr.port() - 1000, wait / 1000)
+            Effect::Dial { session_id, addr, wait, .. } => {
+                format!("dial {session_id} at s-{} for {}", addr.port() - 1000, wait / 1000)
             }
-            Effect::StartProxying { sess } => format!("pass {sess}"),
-            Effect::Reject { sess, .. } => format!("refuse {sess}"),
-            Effect::TearDown { sess } => format!("tear down {sess}"),
-            Effect::Migrate { sess } => format!("move {sess}"),
-            Effect::ReportProtocolError { conn } => format!("spurn {conn}"),
-            Effect::ShedConnection { conn } => format!("shed {conn}"),
-            Effect::SetSuspect { sess, doubted: true } => format!("doubt {sess}"),
-            Effect::SetSuspect { sess, .. } => format!("trust {sess}"),
-            Effect::CloseClient { sess } => format!("close {sess}"),
+            Effect::StartProxying { session_id } => format!("pass {session_id}"),
+            Effect::Reject { session_id, .. } => format!("refuse {session_id}"),
+            Effect::TearDown { session_id } => format!("tear down {session_id}"),
+            Effect::Migrate { session_id } => format!("move {session_id}"),
+            Effect::ReportProtocolError { connection_id } => format!("spurn {connection_id}"),
+            Effect::ShedConnection { connection_id } => format!("shed {connection_id}"),
+            Effect::SetSuspect { session_id, doubted: true } => format!("doubt {session_id}"),
+            Effect::SetSuspect { session_id, .. } => format!("trust {session_id}"),
+            Effect::CloseClient { session_id } => format!("close {session_id}"),
             Effect::HealthCheck { addr, .. } => format!("probe s-{}", addr.port() - 1000),
             Effect::ForgetServer { .. } => "forget".to_string(),
             Effect::WatchEndpoints { since: Some(since), .. } => format!("watch since {since}"),
@@ -426,7 +436,7 @@
                 Message::Offer { .. } => format!("tell {peer} offer"),
                 Message::Ready {} => format!("tell {peer} ready"),
             },
-            Effect::HandOverSession { sess, peer, .. } => format!("pass {sess} on to {peer}"),
+            Effect::HandOverSession { session_id, peer, .. } => format!("pass {session_id} on to {peer}"),
             Effect::DisconnectProcess { peer } => format!("part from {peer}"),
             Effect::Persist { record, .. } => format!("keep {} {}", record.kind.label(), record.name),
             Effect::PersistVoterWrites { number, .. } => format!("vow {number}"),
