--- a/disruption/src/state/leases.rs
+++ b/disruption/src/state/leases.rs
@@ -3,29 +3,13 @@
 use crate::budget::Budget;
 use crate::command::Outcome;
 use crate::error::CommandError;
-use crate::lease::{Lease, LeaseEvent, LeaseState};
+use crate::lease::{Lease, LeaseEvent, LeaseRequest, LeaseState};
 use crate::limits::{MAX_TARGETS, MAX_WAITING};
 use crate::target::{FailureDomain, HealthState, Target};
 
 /// Targets that an answer to a waiting request names; status has them all.
 const MAX_NAMED_UNAVAILABLE: usize = 8;
 
-/// A request for a lease, from an operator or the rollout.
-pub(super) struct LeaseRequest<'a> {
-    pub id: u64,
-    pub requested_by: &'a str,
-    pub reason: &'a str,
-    pub force: bool,
-}
-
-impl LeaseRequest<'_> {
-    fn write_to(&self, lease: &mut Lease) {
-        lease.request_id = self.id;
-        lease.requested_by = self.requested_by.to_string();
-        lease.reason = self.reason.to_string();
-    }
-}
-
 impl State {
     /// Applies an event to a target's lease.
     pub(super) fn apply_to_lease(&mut self, target: &Target, event: LeaseEvent) -> Result<(), CommandError> {
@@ -130,7 +114,7 @@
         Ok(())
     }
 
-    /// What the requester is told, after all that follows from the request.
+    /// The answer to the requester, after all that follows from the request.
     pub(super) fn request_outcome(&self, target: &Target, request_id: u64) -> Outcome {
         let Some(lease) = self.leases.get(target) else {
             return Outcome::Rejected(CommandError::UnknownTarget);
@@ -152,7 +136,7 @@
         }
     }
 
-    /// The first budget that has no room for a target, if there is one. A target that is down takes room like any
+    /// The first budget without capacity for a target, if there is one. A target that is down counts like any
     /// other: it may be up again while it is out.
     pub fn blocked_by(&self, target: &Target, lease: &Lease) -> Option<BlockedBy> {
         let mut budgets = self.budgets.iter().filter(|budget| budget.target_kind == target.kind());
@@ -192,14 +176,14 @@
         }
     }
 
-    /// Grants what has room, the oldest request first; one without room does not hold up the others. Whether
-    /// anything was granted.
+    /// Grants what the budgets allow, the oldest request first; one that is blocked does not block the
+    /// others. Whether anything was granted.
     pub(super) fn grant_waiting(&mut self) -> bool {
         let mut granted = false;
         for target in self.waiting_in_order() {
-            let has_room =
+            let is_allowed =
                 self.leases.get(&target).is_some_and(|lease| self.blocked_by(&target, lease).is_none());
-            if has_room {
+            if is_allowed {
                 self.grant(&target);
                 granted = true;
             }
--- a/disruption/src/state/rollout.rs
+++ b/disruption/src/state/rollout.rs
@@ -1,9 +1,8 @@
 //! The rollout as part of the state: it requests leases in its own name, and advances as they are granted and
 //! as targets return.
-use super::leases::LeaseRequest;
 use super::State;
 use crate::error::CommandError;
-use crate::lease::{Lease, LeaseEvent, LeaseState};
+use crate::lease::{Lease, LeaseEvent, LeaseRequest, LeaseState};
 use crate::plan::RolloutPlan;
 use crate::rollout::{ItemState, Rollout, RolloutEvent, RolloutItem, RolloutPhase};
 use crate::target::Target;
@@ -12,8 +11,8 @@
 const ROLLOUT_REQUEST_ID: u64 = u64::MAX;
 
 impl State {
-    /// `Stale` while another rollout is under way, `UnknownTarget` for a plan that selects nothing or names who is
-    /// not known.
+    /// `Stale` while another rollout is in progress, `UnknownTarget` for a plan that selects nothing or names
+    /// a target that is not known.
     pub(super) fn start_rollout(&mut self, plan: &RolloutPlan) -> Result<(), CommandError> {
         if self.rollout.as_ref().is_some_and(|rollout| !rollout.phase.is_over()) {
             return Err(CommandError::Stale);
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod operator_client;
 pub mod reducer;
 pub mod release_command;
-pub mod shelf;
 pub mod socket;
+pub mod store_command;
 pub mod values;
