--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -16,7 +16,7 @@
     /// Numbers of relays, with commas between.
     #[arg(long, default_value = "3,30,300", value_delimiter = ',')]
     pub counts: Vec<usize>,
-    /// Parts of datagrams lost, with commas between.
+    /// Fractions of datagrams lost, with commas between.
     #[arg(long, default_value = "0,0.05,0.2", value_delimiter = ',')]
     pub loss: Vec<f64>,
     /// Seconds of each day; relays meet in the first 20 of them.
@@ -31,10 +31,10 @@
     /// A relay dies each so many seconds, and is back after half of that; 0 is never.
     #[arg(long, default_value_t = 30)]
     pub deaths: u64,
-    /// A relay stands still each so many seconds, for a third of that; 0 is never.
+    /// A relay stalls each so many seconds, for a third of that; 0 is never.
     #[arg(long, default_value_t = 0)]
     pub stalls: u64,
-    /// Plain beats from all to all in place of membership.
+    /// All-to-all heartbeats in place of membership.
     #[arg(long = "beats")]
     pub heartbeats: bool,
 }
--- a/relay/src/net/handover.rs
+++ b/relay/src/net/handover.rs
@@ -1,6 +1,6 @@
 //! The Unix socket over which a process gives its place to the next one: in `$TMPDIR`, open to its owner
 //! alone, a line of JSON a message, the listening socket beside the offer.
-use super::peers::{Out, Sockets};
+use super::processes::{ProcessCommand, SessionHandover, SessionSockets};
 use super::{accept, pass, Hub};
 use crate::clock::span;
 use crate::lines::plain;
@@ -194,14 +194,14 @@
     hub: Hub,
 ) -> impl Future<Output = ()> {
     let (to, said) = mpsc::channel(hub.limits().passing);
-    hub.peers.borrow_mut().insert(peer, to);
+    hub.processes.borrow_mut().insert(peer, to);
     carry(peer, stream, said, listener, hub)
 }
 
 async fn carry(
     peer: Peer,
     stream: UnixStream,
-    mut said: mpsc::Receiver<Out>,
+    mut said: mpsc::Receiver<ProcessCommand>,
     listener: Option<Rc<TcpListener>>,
     hub: Hub,
 ) {
@@ -228,7 +228,7 @@
             }
             out = said.recv() => match out {
                 None => break,
-                Some(Out::Say(message)) => {
+                Some(ProcessCommand::Send(message)) => {
                     let Ok(bytes) = encode(&message) else { break };
                     let offered = listener.as_ref().filter(|_| matches!(message, Message::Offer { .. }));
                     let beside: Vec<BorrowedFd> = offered.iter().map(|listener| listener.as_fd()).collect();
@@ -236,11 +236,11 @@
                         break;
                     }
                 }
-                Some(Out::Pass(line, sockets, told)) => {
+                Some(ProcessCommand::HandOver(SessionHandover { message, sockets, result })) => {
                     let beside = [sockets.client.as_fd(), sockets.backend.as_fd()];
-                    let gone = say(&stream, &line, &beside, &hub).await;
+                    let gone = say(&stream, &message, &beside, &hub).await;
                     // Who waits for it is a task of this process, and lives.
-                    _ = told.send(if gone { Ok(()) } else { Err(sockets) });
+                    _ = result.send(if gone { Ok(()) } else { Err(sockets) });
                     if !gone {
                         break;
                     }
@@ -248,12 +248,12 @@
             }
         }
     }
-    hub.peers.borrow_mut().remove(&peer);
+    hub.processes.borrow_mut().remove(&peer);
     // Sessions that were still to pass come back to their tasks.
     said.close();
     while let Some(out) = said.recv().await {
-        if let Out::Pass(_, sockets, told) = out {
-            _ = told.send(Err(sockets));
+        if let ProcessCommand::HandOver(SessionHandover { sockets, result, .. }) = out {
+            _ = result.send(Err(sockets));
         }
     }
     hub.tell(Event::HotRestart(Heard::Left { peer })).await;
@@ -277,7 +277,7 @@
                     let one = one.set_nonblocking(true).and_then(|()| TcpStream::from_std(one));
                     one.map_err(|e| format!("a session's socket: {e}"))
                 };
-                let sockets = Sockets { client: socket()?, backend: socket()? };
+                let sockets = SessionSockets { client: socket()?, backend: socket()? };
                 let hub = hub.clone();
                 tokio::task::spawn_local(async move {
                     let (conn, commands) = hub.register();
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -13,9 +13,9 @@
 mod membership;
 mod operator;
 mod pass;
-mod peers;
 pub mod permit;
 mod probe;
+mod processes;
 mod read;
 pub mod serve;
 pub mod stop;
@@ -74,8 +74,8 @@
     denials: Rc<permit::Counted>,
     /// When a connection to any server came up last.
     connected_at: Rc<Cell<Micros>>,
-    /// Ways to other processes of this relay.
-    peers: Rc<RefCell<BTreeMap<Peer, mpsc::Sender<peers::Out>>>>,
+    /// Channels to other processes of this relay.
+    processes: Rc<RefCell<BTreeMap<Peer, mpsc::Sender<processes::ProcessCommand>>>>,
     /// As the configuration in force has them.
     tuned: Rc<RefCell<(Rc<Limits>, ReportOrder)>>,
     clock: Clock,
@@ -95,7 +95,7 @@
             leaving: Rc::default(),
             denials: Rc::default(),
             connected_at: Rc::default(),
-            peers: Rc::new(RefCell::new(BTreeMap::new())),
+            processes: Rc::new(RefCell::new(BTreeMap::new())),
             tuned: Rc::new(RefCell::new((Rc::new(limits), order))),
             clock: Clock::anchored(),
             log,
--- a/relay/src/net/pass.rs
+++ b/relay/src/net/pass.rs
@@ -1,6 +1,6 @@
 //! An open session: lines pass both ways unchanged, and what they tell of load and delay goes to the reducer.
 use super::dial::Backend;
-use super::peers::{self, Sockets};
+use super::processes::{hand_over_session, SessionSockets};
 use super::{end, Command, Hub};
 use crate::buffer::Buffer;
 use crate::lines::{self, Said};
@@ -119,11 +119,11 @@
 pub async fn resume(
     conn: SessId,
     session: Box<Session>,
-    sockets: Sockets,
+    sockets: SessionSockets,
     mut commands: Receiver<Command>,
     hub: &Hub,
 ) {
-    let Sockets { client, backend } = sockets;
+    let SessionSockets { client, backend } = sockets;
     let (first, most) = (hub.limits().buffer_first, hub.limits().buffer_most);
     let (up, down) = (Buffer::holding(&session.up, first, most), Buffer::holding(&session.down, first, most));
     let mut observer = LineObserver::new(conn, hub);
@@ -155,7 +155,7 @@
                     unanswered: observer.unanswered.iter().map(|then| hub.clock.now() - then).collect(),
                     ..*session
                 });
-                match peers::pass(peer, session, Sockets { client, backend }, hub).await {
+                match hand_over_session(peer, session, SessionSockets { client, backend }, hub).await {
                     Ok(()) => return hub.tell(Event::SessionHandedOver { sess: conn }).await,
                     Err(Some(back)) => (client, backend) = (back.client, back.backend),
                     // Its sockets are of no use to this process any more.
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,7 +1,7 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
 use super::permit::Terms;
 use super::{
-    accept, discovery, handover, listener, membership, operator, peers, probe, stop, store, Command, Hub,
+    accept, discovery, handover, listener, membership, operator, probe, processes, stop, store, Command, Hub,
 };
 use crate::clock::span;
 use crate::lines;
@@ -313,14 +313,14 @@
                 }
                 Effect::SetAccepting { on } => _ = self.taking.send(on),
                 Effect::SendToProcess { peer, message } => {
-                    let peers = self.hub.peers.borrow();
-                    let out = peers::Out::Say(message);
-                    if peers.get(&peer).is_none_or(|to| to.try_send(out).is_err()) {
+                    let processes = self.hub.processes.borrow();
+                    let command = processes::ProcessCommand::Send(message);
+                    if processes.get(&peer).is_none_or(|to| to.try_send(command).is_err()) {
                         slog::warn!(self.hub.log, "another process does not hear"; "peer" => peer);
                     }
                 }
                 // What was said goes out first.
-                Effect::DisconnectProcess { peer } => _ = self.hub.peers.borrow_mut().remove(&peer),
+                Effect::DisconnectProcess { peer } => _ = self.hub.processes.borrow_mut().remove(&peer),
                 Effect::SetTakeoverListener { open: true } => {
                     let Some(door) = &mut self.door else { continue };
                     let wait = handover::wait(door.path.clone(), door.listener.clone(), self.hub.clone());
