--- /dev/null
+++ b/emulator/src/audit/answers.rs
@@ -0,0 +1,129 @@
+//! Rule 1, one final answer in time, and the part of rule 2 that is about rejections.
+use super::session::{Answer, Session, TraceEvent};
+use super::Audit;
+use hallrelay_balancer::types::{Micros, Repeat, Within};
+
+/// A client's whole first line, on its way to a relay that took the connection.
+pub struct SessionRequest {
+    /// The session's mark.
+    pub mark: u64,
+    /// Relay that took the connection.
+    pub relay: usize,
+    /// Listener that it is for.
+    pub listener: usize,
+    /// What is left of the dial timeout.
+    pub wait: Micros,
+    /// It stood at its backend before the relay started.
+    pub is_pre_existing: bool,
+}
+
+impl Audit {
+    /// A client requests a session.
+    pub fn session_requested(&mut self, now: Micros, request: &SessionRequest) {
+        let SessionRequest { mark, relay, listener, wait, is_pre_existing } = *request;
+        self.sessions_seen += 1;
+        let deadline = now + wait;
+        self.sessions.insert(mark, Session::new(listener, relay, deadline, is_pre_existing));
+        self.deadlines.insert((deadline + self.rules.slack, mark));
+        self.trace(now, mark, TraceEvent::Requested { relay });
+    }
+
+    /// A client was answered, or its connection ended.
+    pub fn client_answered(&mut self, now: Micros, mark: u64, answer: &Answer) {
+        let name = answer.as_str();
+        self.trace(now, mark, TraceEvent::Answered(name));
+        let slack = self.rules.slack;
+        let Some(session) = self.sessions.get_mut(&mark) else { return };
+        if session.answered_at.is_some() {
+            let details = format!("{name} comes after the final answer");
+            return self.record_breach(1, now, mark, details);
+        }
+        if session.left_at.is_some() {
+            // It was in flight as the client left.
+            return;
+        }
+        let deadline = session.deadline;
+        let is_excused = session.is_excused && *answer == Answer::Closed;
+        session.answered_at = Some(now);
+        self.deadlines.remove(&(deadline + slack, mark));
+        if now > deadline + slack && !is_excused {
+            let late_ms = (now - deadline) as f64 / 1e3;
+            let details = format!("{name} comes {late_ms:.1} ms after the dial timeout");
+            self.record_breach(1, now, mark, details);
+        }
+        self.check_answer(now, mark, answer);
+    }
+
+    fn check_answer(&mut self, now: Micros, mark: u64, answer: &Answer) {
+        let Some(session) = self.sessions.get_mut(&mark) else { return };
+        match *answer {
+            Answer::Up(receipt) if session.receipt != Some(receipt) => {
+                let details = "UP with a receipt that no server gave".to_string();
+                self.record_breach(1, now, mark, details);
+            }
+            Answer::Up(_) => session.is_established = true,
+            Answer::Busy => {
+                let cannot_run = session.first_run.is_none() && session.dialling.is_none();
+                let may_repeat = matches!(
+                    self.rules.repeats[session.listener],
+                    Repeat::Repeatable | Repeat::Referenced { within: Within::All, .. }
+                );
+                if !may_repeat && !cannot_run {
+                    self.record_breach(2, now, mark, "refused, though it may have run".to_string());
+                }
+            }
+            Answer::Closed => {
+                if self.relays[session.relay].is_up && !session.is_excused {
+                    let details = "the connection ends without an answer".to_string();
+                    self.record_breach(1, now, mark, details);
+                }
+            }
+            Answer::Failed => {}
+        }
+    }
+
+    /// A client has left, by itself.
+    pub fn client_left(&mut self, now: Micros, mark: u64) {
+        self.trace(now, mark, TraceEvent::ClientLeft);
+        let Some(session) = self.sessions.get_mut(&mark) else { return };
+        session.left_at = session.left_at.or(Some(now));
+        let deadline = session.deadline + self.rules.slack;
+        let is_answered = session.answered_at.is_some();
+        let relay = session.relay;
+        let was_owed = self.deadlines.remove(&(deadline, mark));
+        if was_owed && !is_answered && now > deadline && !self.relays[relay].is_stalled {
+            self.record_breach(1, now, mark, "no answer within the dial timeout".to_string());
+        }
+    }
+
+    /// A client's open connection ended without `MOVE` though its backend still answers.
+    pub fn connection_cut(&mut self, now: Micros, mark: u64) {
+        let session = self.sessions.get(&mark);
+        if session.is_some_and(|session| self.relays[session.relay].is_up) {
+            let details = "cut off without MOVE while its server answers".to_string();
+            self.record_breach(1, now, mark, details);
+        }
+    }
+
+    /// Whether a session's client got `UP`.
+    pub fn is_established(&self, mark: u64) -> bool {
+        self.sessions.get(&mark).is_some_and(|session| session.is_established)
+    }
+
+    /// Finds the answers that are overdue.
+    pub fn check_deadlines(&mut self, now: Micros) {
+        while let Some(&(deadline, mark)) = self.deadlines.first().filter(|(deadline, _)| *deadline < now) {
+            self.deadlines.remove(&(deadline, mark));
+            let Some(session) = self.sessions.get_mut(&mark) else { continue };
+            let relay = &self.relays[session.relay];
+            if relay.is_stalled {
+                session.is_excused = true;
+                continue;
+            }
+            if session.answered_at.is_none() && session.left_at.is_none() && relay.is_up {
+                session.answered_at = Some(now);
+                self.record_breach(1, now, mark, "no answer within the dial timeout".to_string());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/audit/dials.rs
@@ -0,0 +1,140 @@
+//! Rules 1 and 2 as backends see them: dials of sessions that have ended, too many dials, and dials again
+//! that are not safe.
+use super::session::{DialOutcome, FirstRun, Session, TraceEvent};
+use super::Audit;
+use hallrelay_balancer::types::{Micros, Repeat, Within};
+
+/// A session's first line at a backend.
+#[derive(Clone, Copy)]
+pub struct DialReceived {
+    /// The session's mark.
+    pub mark: u64,
+    /// Relay that dialled.
+    pub relay: usize,
+    /// Backend that was dialled.
+    pub backend: usize,
+    /// When the first byte of the line came.
+    pub first_byte_at: Micros,
+}
+
+impl Audit {
+    /// A backend has received a session's first line.
+    pub fn dial_received(&mut self, now: Micros, dial: &DialReceived) {
+        let DialReceived { mark, backend, .. } = *dial;
+        self.dials_seen += 1;
+        self.trace(now, mark, TraceEvent::DialReceived { backend });
+        let Some(session) = self.sessions.get_mut(&mark) else {
+            let details = format!("{} gets a line that no client sent", self.backends[backend].name);
+            return self.record_breach(1, now, mark, details);
+        };
+        session.dials += 1;
+        let other = session.dialling.replace(backend);
+        let is_pre_existing = session.is_pre_existing;
+        let details = self.dial_breaches(dial, other);
+        for breach in details {
+            self.record_breach(breach.rule, now, mark, breach.details);
+        }
+        self.check_drain(now, dial, is_pre_existing);
+    }
+
+    /// What a dial breaks of rules 1 and 2; `other` is the backend at which another dial was in flight.
+    fn dial_breaches(&self, dial: &DialReceived, other: Option<usize>) -> Vec<DialBreach> {
+        let mut breaches = Vec::new();
+        let Some(session) = self.sessions.get(&dial.mark) else { return breaches };
+        let name = &self.backends[dial.backend].name;
+        if self.is_over(session, dial.first_byte_at) {
+            breaches.push(DialBreach { rule: 1, details: format!("dialled at {name} after it was over") });
+        }
+        if let Some(other) = other {
+            let other = &self.backends[other].name;
+            let details = format!("dialled at {name} while a dial is out at {other}");
+            breaches.push(DialBreach { rule: 2, details });
+        }
+        let max_dials = self.rules.max_dials;
+        if session.dials > max_dials && !session.is_pre_existing {
+            let details = format!("dialled {} times, {max_dials} at most", session.dials);
+            breaches.push(DialBreach { rule: 2, details });
+        }
+        if session.first_run.is_some_and(|run| !self.may_dial_again(session, run, dial)) {
+            let details = format!("dialled at {name}, though it may have run before");
+            breaches.push(DialBreach { rule: 2, details });
+        }
+        breaches
+    }
+
+    /// Whether a session had ended, or was established, before a dial of it was sent.
+    fn is_over(&self, session: &Session, first_byte_at: Micros) -> bool {
+        if session.is_established && session.answered_at.is_some() {
+            return true;
+        }
+        let ended_at = session.answered_at.filter(|_| !session.is_established).or(session.left_at);
+        ended_at.is_some_and(|at| first_byte_at > at + self.rules.in_flight)
+    }
+
+    /// Whether a session that may have run may be dialled again.
+    fn may_dial_again(&self, session: &Session, run: FirstRun, dial: &DialReceived) -> bool {
+        match self.rules.repeats[session.listener] {
+            Repeat::Repeatable => true,
+            Repeat::OnceOnly => false,
+            Repeat::Referenced { within, window } => {
+                let here = &self.backends[dial.backend];
+                let there = &self.backends[run.backend];
+                let is_within = match within {
+                    Within::All => true,
+                    Within::Zone => here.zone == there.zone,
+                    Within::Cell => here.cell == there.cell,
+                };
+                is_within && dial.first_byte_at <= run.at + window + self.rules.slack
+            }
+        }
+    }
+
+    /// A backend has received a line that is not what a client sent, or whose client has left.
+    pub fn unexpected_line(
+        &mut self,
+        now: Micros,
+        first_byte_at: Micros,
+        mark: u64,
+        backend: usize,
+        line: &str,
+    ) {
+        let session = self.sessions.get(&mark);
+        let ended_at = session.and_then(|session| session.left_at.or(session.answered_at));
+        if ended_at.is_some_and(|at| first_byte_at <= at + self.rules.in_flight) {
+            return;
+        }
+        let name = &self.backends[backend].name;
+        let details = match session {
+            None => format!("{name} gets a line that no client sent: {line:.80}"),
+            Some(_) => format!("dialled at {name} after it was over"),
+        };
+        self.record_breach(1, now, mark, details);
+    }
+
+    /// A backend says `UP`, with a receipt.
+    pub fn session_established(&mut self, now: Micros, mark: u64, backend: usize, receipt: u64) {
+        self.trace(now, mark, TraceEvent::Established { backend });
+        if let Some(session) = self.sessions.get_mut(&mark) {
+            session.receipt = Some(receipt);
+            session.may_have_run(now, backend);
+        }
+    }
+
+    /// A dial has ended, or the open session that came of it.
+    pub fn dial_ended(&mut self, now: Micros, mark: u64, backend: usize, outcome: DialOutcome) {
+        self.trace(now, mark, TraceEvent::DialEnded { backend, outcome });
+        let Some(session) = self.sessions.get_mut(&mark) else { return };
+        if session.dialling == Some(backend) {
+            session.dialling = None;
+        }
+        if outcome == DialOutcome::MayHaveRan {
+            session.may_have_run(now, backend);
+        }
+    }
+}
+
+/// A rule that a dial breaks.
+struct DialBreach {
+    rule: u8,
+    details: String,
+}
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -80,7 +80,7 @@
         self.clients.step(now, &mut todo.does);
         if now >= self.service.next() {
             self.service.tick(now, &mut self.servers, &self.clients, &mut todo.told);
-            self.audit.look(now);
+            self.audit.check_deadlines(now);
             if self.s.relays.fleet {
                 self.look_at_links(now);
                 self.membership_audit.check_pending(now);
@@ -89,7 +89,7 @@
         }
         if now >= self.forget_at {
             self.forget_at = now + 10_000_000;
-            self.audit.forget(now);
+            self.audit.forget_ended(now);
         }
     }
 
@@ -105,10 +105,10 @@
         for told in std::mem::take(&mut todo.told) {
             match told {
                 Told::Log(text) => self.service.note(now, text),
-                Told::Fell { server, blamed } => self.audit.fell(now, server, blamed),
+                Told::Fell { server, blamed } => self.audit.backend_overloaded(now, server, blamed),
                 Told::List => {
                     for server in 0..self.servers.len() {
-                        self.audit.listed(now, server, self.servers.book.entry(server).phase);
+                        self.audit.endpoint_listed(now, server, self.servers.book.entry(server).phase);
                     }
                     todo.list_news = true;
                 }
@@ -139,7 +139,7 @@
     pub fn list_told(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<Told>) {
         self.servers.told(now, relay, servers, out);
         for &server in servers {
-            self.audit.told(now, relay, server, self.servers.book.entry(server).phase);
+            self.audit.endpoint_notified(now, relay, server, self.servers.book.entry(server).phase);
         }
     }
 
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -1,7 +1,7 @@
 //! Clients on sockets: one task a connection, from its first line to its end.
 use super::lines::{self, Lines, Unread};
 use super::{Host, Shared, ToClient};
-use crate::audit::Answer;
+use crate::audit::{Answer, SessionRequest};
 use crate::clients::{mix, Ask, Heard};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -48,7 +48,16 @@
         return heard(mark, Heard::Unreached, host);
     }
     host.with(|day, now, _| {
-        day.audit.asked(now, mark, ask.relay, ask.listener, ask.wait, ask.at.is_some());
+        day.audit.session_requested(
+            now,
+            &SessionRequest {
+                mark,
+                relay: ask.relay,
+                listener: ask.listener,
+                wait: ask.wait,
+                is_pre_existing: ask.at.is_some(),
+            },
+        );
     });
     let mut lines = Lines::default();
     let answer = tokio::select! {
@@ -68,7 +77,7 @@
         Err(_) => (Answer::Closed, Heard::Closed),
     };
     host.with(|day, now, _| {
-        day.audit.answered(now, mark, &what.0);
+        day.audit.client_answered(now, mark, &what.0);
         day.clients.heard(now, mark, what.1);
     });
     if what.1 == Heard::Up {
@@ -78,14 +87,14 @@
         // Whether anything comes behind the final answer.
         let more = timeout(Duration::from_millis(500), lines.next(&stream)).await;
         if let Ok(Ok(_)) = more {
-            host.with(|day, now, _| day.audit.answered(now, mark, &Answer::Failed));
+            host.with(|day, now, _| day.audit.client_answered(now, mark, &Answer::Failed));
         }
     }
     left(mark, host);
 }
 
 fn left(mark: u64, host: &Rc<Host>) {
-    host.with(|day, now, _| day.audit.left(now, mark));
+    host.with(|day, now, _| day.audit.client_left(now, mark));
 }
 
 /// Lines go and come, till one side has enough.
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -92,7 +92,7 @@
 
 fn answer(relay: usize, ask: &Request<Incoming>, host: &Shared) -> Response<Body> {
     if host.list_down.get() {
-        host.day.borrow_mut().audit.call_failed(relay);
+        host.day.borrow_mut().audit.list_call_failed(relay);
         return plain(StatusCode::SERVICE_UNAVAILABLE, "down\n");
     }
     if ask.uri().path() != "/registry/instances" {
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -7,7 +7,7 @@
 pub mod list;
 pub mod server;
 
-use crate::audit::DialOver;
+use crate::audit::DialOutcome;
 use crate::clients::{mix, Ask, Does};
 use crate::day::{Day, Todo};
 use crate::links::Arrival;
@@ -182,17 +182,17 @@
             Told::Word { conn, word } => {
                 let over = match word {
                     Word::Up | Word::Load(_) => None,
-                    Word::Busy => Some(DialOver::Never),
-                    Word::Err | Word::Bye | Word::Move => Some(DialOver::Ran),
+                    Word::Busy => Some(DialOutcome::NeverRan),
+                    Word::Err | Word::Bye | Word::Move => Some(DialOutcome::MayHaveRan),
                 };
                 let conns = self.conns.borrow();
                 let Some(c) = conns.get(&conn) else { return };
                 let audit = &mut self.day.borrow_mut().audit;
                 if word == Word::Up {
-                    audit.up_said(now, c.mark, c.server, conn);
+                    audit.session_established(now, c.mark, c.server, conn);
                 }
                 if let Some(over) = over {
-                    audit.dial_over(now, c.mark, c.server, over);
+                    audit.dial_ended(now, c.mark, c.server, over);
                 }
                 // Places are kept for words that must not be lost.
                 if !matches!(word, Word::Load(_)) || c.to.capacity() > 4 {
@@ -201,7 +201,7 @@
             }
             Told::Reset { conn } => {
                 if let Some(c) = self.forget(conn) {
-                    self.day.borrow_mut().audit.dial_over(now, c.mark, c.server, DialOver::Ran);
+                    self.day.borrow_mut().audit.dial_ended(now, c.mark, c.server, DialOutcome::MayHaveRan);
                     _ = c.to.try_send(ToConn::Reset);
                 }
             }
@@ -290,7 +290,7 @@
     fn closed(self: &Rc<Host>, conn: ConnNo) {
         let Some(c) = self.forget(conn) else { return };
         self.with(|day, now, todo| {
-            day.audit.dial_over(now, c.mark, c.server, DialOver::Ran);
+            day.audit.dial_ended(now, c.mark, c.server, DialOutcome::MayHaveRan);
             day.servers.closed(now, conn, &mut todo.told);
         });
     }
@@ -300,7 +300,7 @@
         let Some(&(conn, server, _)) = self.of(mark).first() else { return };
         self.with(|day, now, _| {
             if day.servers.has(conn) && day.servers.is_up(server) {
-                day.audit.cut_off(now, mark);
+                day.audit.connection_cut(now, mark);
             }
         });
     }
@@ -308,7 +308,7 @@
     /// A relay's process has ended: the front will notice.
     pub fn relay_ended(self: &Rc<Host>, relay: usize) {
         self.with(|day, now, _| {
-            day.audit.relay_ends(now, relay);
+            day.audit.relay_ended(now, relay);
             day.membership_audit.process_changed(now, relay, ProcessState::Down);
             day.servers.forgets(relay);
             day.clients.relay_is(now, relay, false);
@@ -329,9 +329,9 @@
             let process = if stalls { ProcessState::Stalled } else { ProcessState::Up };
             day.membership_audit.process_changed(now, relay, process);
             if stalls {
-                day.audit.relay_stalls(relay);
+                day.audit.relay_stalled(relay);
             } else {
-                day.audit.relay_wakes(now, relay);
+                day.audit.relay_woke(now, relay);
             }
         });
     }
@@ -339,7 +339,7 @@
     /// A relay's process has started; true as it answers `PING`.
     pub async fn relay_started(self: &Rc<Host>, relay: usize, within: Duration) -> bool {
         self.with(|day, now, _| {
-            day.audit.relay_starts(now, relay);
+            day.audit.relay_started(now, relay);
             day.membership_audit.process_changed(now, relay, ProcessState::Up);
         });
         let addr = self.relays.borrow()[relay];
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -1,6 +1,7 @@
 //! Servers on sockets: listening, refusing or never coming up as the models say, and one task a connection.
 use super::lines::{self, Lines, Unread};
 use super::{Conn, Host, Shared, ToConn};
+use crate::audit::DialReceived;
 use crate::clients::Ask;
 use crate::servers::{Dialled, Reach, Word};
 use hallrelay_config::scenario::Fault;
@@ -264,7 +265,7 @@
         None => {
             // A client that has left meanwhile is nothing new: the auditor knows it, and says what is wrong.
             let mark = lines::opened(line).map_or(0, |opened| opened.0);
-            host.with(|day, now, _| day.audit.odd_line(now, first, mark, at.server, line));
+            host.with(|day, now, _| day.audit.unexpected_line(now, first, mark, at.server, line));
             return Err(b"SYNTAX\r\n");
         }
     };
@@ -284,7 +285,10 @@
     let held = matches!(at.fault, Some(Fault::Silence | Fault::HalfLine));
     host.with(|day, now, todo| {
         if !host.open_house.get() {
-            day.audit.dialled(now, first, mark, at.server, at.relay);
+            day.audit.dial_received(
+                now,
+                &DialReceived { mark, relay: at.relay, backend: at.server, first_byte_at: first },
+            );
         }
         if !held {
             day.servers.dialled(now, no, &dialled, &mut todo.told);
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -98,9 +98,9 @@
                 b.rule,
                 b.at as f64 / 1e6,
                 b.session,
-                b.what
+                b.details
             );
-            b.lines.iter().for_each(|line| _ = writeln!(t, "    {line}"));
+            b.trace.iter().for_each(|line| _ = writeln!(t, "    {line}"));
         }
     }
     t
@@ -192,14 +192,14 @@
     if !o.breaches.is_empty() {
         p += "<h2 class=\"bad\">Broken rules</h2>";
         for b in &o.breaches {
-            let lines = b.lines.join("\n");
+            let lines = b.trace.join("\n");
             _ = write!(
                 p,
                 "<p>Rule {} at {:.3} s, session {}: {}</p><pre>{}</pre>",
                 b.rule,
                 b.at as f64 / 1e6,
                 escape(&b.session),
-                escape(&b.what),
+                escape(&b.details),
                 escape(&lines)
             );
         }
--- a/lab/src/virt/list.rs
+++ b/lab/src/virt/list.rs
@@ -56,7 +56,7 @@
         let way = self.way();
         for relay in 0..self.relays.len() {
             for watch in std::mem::take(&mut self.relays[relay].watches) {
-                self.day.audit.call_failed(relay);
+                self.day.audit.list_call_failed(relay);
                 self.tell(relay, way, Event::EndpointWatchFailed { watch: watch.id });
             }
         }
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -112,7 +112,7 @@
     pub(super) fn stall(&mut self, relay: usize) {
         if self.relays[relay].mind.is_some() && self.relays[relay].stalled.is_none() {
             self.relays[relay].stalled = Some(Vec::new());
-            self.day.audit.relay_stalls(relay);
+            self.day.audit.relay_stalled(relay);
             self.day.membership_audit.process_changed(self.now, relay, ProcessState::Stalled);
         }
     }
@@ -120,7 +120,7 @@
     /// A relay's process goes on; what came meanwhile is there at once, in its order.
     pub(super) fn wake(&mut self, relay: usize) {
         let Some(waiting) = self.relays[relay].stalled.take() else { return };
-        self.day.audit.relay_wakes(self.now, relay);
+        self.day.audit.relay_woke(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
         for event in waiting {
             self.queue.at(self.now, event);
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -10,7 +10,7 @@
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::{self as config, Node, Told as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
-use hallrelay_emulator::audit::{Answer, DialOver};
+use hallrelay_emulator::audit::{Answer, DialOutcome, DialReceived, SessionRequest};
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
 use hallrelay_emulator::day::{Day, Todo};
 use hallrelay_emulator::membership_audit::ProcessState;
@@ -369,7 +369,7 @@
         (r.lines, r.marks) = (BTreeMap::new(), BTreeMap::new());
         r.watches.clear();
         r.known = known;
-        self.day.audit.relay_starts(self.now, relay);
+        self.day.audit.relay_started(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
         self.day.clients.relay_is(self.now, relay, true);
         self.effects(relay, out);
@@ -388,7 +388,7 @@
         r.marks.clear();
         r.past.clear();
         let lines = std::mem::take(&mut r.lines);
-        self.day.audit.relay_ends(self.now, relay);
+        self.day.audit.relay_ended(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Down);
         self.day.servers.forgets(relay);
         self.day.clients.relay_is(self.now, relay, false);
@@ -410,9 +410,9 @@
             self.relays[relay].lines.values().filter(|l| !l.over).map(|l| (l.mark, l.open)).collect();
         for (mark, open) in held {
             if open {
-                self.day.audit.cut_off(self.now, mark);
+                self.day.audit.connection_cut(self.now, mark);
             } else {
-                self.day.audit.answered(self.now, mark, &Answer::Closed);
+                self.day.audit.client_answered(self.now, mark, &Answer::Closed);
             }
         }
         self.ends(relay);
@@ -575,10 +575,10 @@
                 Effect::WatchEndpoints { watch, since, .. } => {
                     if self.day.list_cut[relay] {
                         let silent = self.relays[relay].limits.discovery_first;
-                        self.day.audit.call_failed(relay);
+                        self.day.audit.list_call_failed(relay);
                         self.tell(relay, silent, Event::EndpointWatchFailed { watch });
                     } else if self.list_down {
-                        self.day.audit.call_failed(relay);
+                        self.day.audit.list_call_failed(relay);
                         self.tell(relay, 2 * way, Event::EndpointWatchFailed { watch });
                     } else {
                         let w = Watch { id: watch, since, speaks: false };
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -10,7 +10,7 @@
                 self.later(way, Ev::Line(Box::new(ask)));
             }
             Does::Leaves { mark } => {
-                self.day.audit.left(self.now, mark);
+                self.day.audit.client_left(self.now, mark);
                 let Some(ask) = self.asks.remove(&mark) else { return };
                 let r = &self.relays[ask.relay];
                 if let Some(&sess) = r.marks.get(&mark) {
@@ -31,7 +31,16 @@
             return self.client(ask.mark, Heard::Unreached, 0);
         }
         let sent = self.now - self.client_way();
-        self.day.audit.asked(sent, ask.mark, relay, ask.listener, ask.wait, ask.at.is_some());
+        self.day.audit.session_requested(
+            sent,
+            &SessionRequest {
+                mark: ask.mark,
+                relay,
+                listener: ask.listener,
+                wait: ask.wait,
+                is_pre_existing: ask.at.is_some(),
+            },
+        );
         let r = &mut self.relays[relay];
         r.last = r.last.wrapping_add(1);
         let sess = r.last;
@@ -66,14 +75,14 @@
         };
         let open = heard != Heard::Up && self.is_open(mark);
         if let Some(answer) = answer.filter(|_| !open) {
-            self.day.audit.answered(self.now, mark, &answer);
+            self.day.audit.client_answered(self.now, mark, &answer);
         }
         if !self.day.clients.is_there(mark) {
             return;
         }
         self.day.clients.heard(self.now, mark, heard);
         if heard != Heard::Up {
-            self.day.audit.left(self.now, mark);
+            self.day.audit.client_left(self.now, mark);
             if let Some(ask) = self.asks.remove(&mark) {
                 let r = &self.relays[ask.relay];
                 if let Some(&sess) = r.marks.get(&mark) {
@@ -87,7 +96,7 @@
 
     /// Whether a client has had its `UP`.
     pub(super) fn is_open(&self, mark: u64) -> bool {
-        self.day.audit.is_up(mark)
+        self.day.audit.is_established(mark)
     }
 
     /// A client's connection is over at its relay.
@@ -106,7 +115,7 @@
         let Some(dial) = self.dials.remove(&conn) else { return };
         if dial.there {
             self.day.servers.closed(self.now, conn, &mut todo.told);
-            self.day.audit.dial_over(self.now, dial.mark, dial.server, DialOver::Ran);
+            self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRan);
         }
     }
 
@@ -165,14 +174,19 @@
         let open = self.day.servers.reach(server, relay) == Reach::Open;
         if !open || matches!(d.fault, Some(Fault::ResetBefore | Fault::ResetAfter)) {
             if open && d.fault == Some(Fault::ResetAfter) {
-                self.day.audit.dialled(self.now, self.now, mark, server, relay);
-                self.day.audit.dial_over(self.now, mark, server, DialOver::Ran);
+                self.day.audit.dial_received(
+                    self.now,
+                    &DialReceived { mark, relay, backend: server, first_byte_at: self.now },
+                );
+                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
             }
             return self.dial_ends(conn, way, DialEnd::Reset);
         }
         d.there = true;
         let (ask, fault) = (d.ask.clone(), d.fault);
-        self.day.audit.dialled(self.now, self.now, mark, server, relay);
+        self.day
+            .audit
+            .dial_received(self.now, &DialReceived { mark, relay, backend: server, first_byte_at: self.now });
         if !matches!(fault, Some(Fault::Silence | Fault::HalfLine)) {
             self.day.servers.dialled(self.now, conn, &ask, &mut todo.told);
         }
@@ -197,7 +211,7 @@
             Told::Reset { conn } => {
                 let Some(d) = self.dials.get(&conn) else { return };
                 let (mark, server, up) = (d.mark, d.server, d.up);
-                self.day.audit.dial_over(self.now, mark, server, DialOver::Ran);
+                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
                 if up {
                     self.open_ends(conn, way, DialEnd::Reset);
                 } else {
@@ -232,15 +246,15 @@
         let alive = self.relays[relay].life == life;
         let mine = alive && self.relays[relay].lines.get(&sess).is_some_and(|l| l.conn == Some(conn));
         let over = match word {
-            Word::Busy => Some(DialOver::Never),
-            Word::Err | Word::Bye | Word::Move => Some(DialOver::Ran),
+            Word::Busy => Some(DialOutcome::NeverRan),
+            Word::Err | Word::Bye | Word::Move => Some(DialOutcome::MayHaveRan),
             Word::Up | Word::Load(_) => None,
         };
         if let Some(over) = over {
-            self.day.audit.dial_over(self.now, mark, server, over);
+            self.day.audit.dial_ended(self.now, mark, server, over);
         }
         if word == Word::Up {
-            self.day.audit.up_said(self.now, mark, server, conn);
+            self.day.audit.session_established(self.now, mark, server, conn);
         }
         if !mine || !heard {
             return;
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -96,7 +96,7 @@
     }
     if let Some(b) = o.breaches.first() {
         let count = o.breaches_in_all;
-        return Err(format!("{count} breaches, first rule {}: {} {:?}", b.rule, b.what, b.lines));
+        return Err(format!("{count} breaches, first rule {}: {} {:?}", b.rule, b.details, b.trace));
     }
     let mut expected = 0;
     for line in own.lines().filter_map(|l| l.strip_prefix("# expect ")) {
--- a/relay/src/net/processes.rs
+++ b/relay/src/net/processes.rs
@@ -1,4 +1,5 @@
-//! Channels to other processes of this relay during a hot restart, and the handover of one session through them.
+//! Channels to other processes of this relay during a hot restart, and the handover of one session through
+//! them.
 use super::Hub;
 use hallrelay_hot_restart::message::encode;
 use hallrelay_hot_restart::place::Peer;
@@ -35,8 +36,8 @@
 /// Hands a session over to another process.
 ///
 /// # Errors
-/// The sockets, where that process is gone or the session cannot be encoded; none where they are lost with its
-/// connection.
+/// The sockets, where that process is gone or the session cannot be encoded; none where they are lost with
+/// its connection.
 pub async fn hand_over_session(
     peer: Peer,
     session: Box<Session>,
