--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,6 +1,7 @@
 //! Clients and the front that deals them out over the relays. No I/O: open-loop arrivals, lives, what each
 //! does after an answer, a move or a break.
-use crate::tools::{Chance, Queue};
+use crate::event_queue::EventQueue;
+use crate::random::Random;
 use hallrelay_balancer::types::{Micros, Repeat, Within};
 use hallrelay_config::scenario::Scenario;
 use std::collections::{BTreeMap, HashMap};
@@ -107,12 +108,12 @@
     people: BTreeMap<u64, Person>,
     /// Looked up and never walked.
     marks: HashMap<u64, u64>,
-    due: Queue<Due>,
+    due: EventQueue<Due>,
     /// What the front believes of each relay.
     front: Vec<bool>,
     /// How often each came up.
     changes: Vec<u32>,
-    rng: Chance,
+    rng: Random,
     times: f64,
     now: Micros,
     next: u64,
@@ -130,8 +131,8 @@
 
 impl Clients {
     pub fn new(s: &Scenario, seed: u64, begin: Micros) -> Clients {
-        let mut due = Queue::default();
-        due.at(begin, Due::Looks);
+        let mut due = EventQueue::default();
+        due.schedule(begin, Due::Looks);
         let histogram = || hdrhistogram::Histogram::new_with_bounds(1, 120_000_000, 3).expect("sound bounds");
         Clients {
             s: s.clone(),
@@ -142,7 +143,7 @@
             due,
             front: vec![false; s.relays.count],
             changes: vec![0; s.relays.count],
-            rng: Chance::new(seed, 4),
+            rng: Random::new(seed, 4),
             times: 1.0,
             now: 0,
             next: 0,
@@ -159,7 +160,7 @@
     }
 
     pub fn next(&self) -> Option<Micros> {
-        self.due.next()
+        self.due.next_at()
     }
 
     /// Sessions that stand at servers before the day, spread over relays and servers.
@@ -181,7 +182,7 @@
     }
 
     pub fn step(&mut self, now: Micros, out: &mut Vec<Does>) {
-        while let Some((at, due)) = self.due.due(now) {
+        while let Some((at, due)) = self.due.pop_due(now) {
             self.now = self.now.max(at);
             match due {
                 Due::Looks => {
@@ -189,13 +190,13 @@
                     const LOOK: Micros = 100_000;
                     let until = self.now + LOOK;
                     let mean = 1e6 / self.rate(self.now).max(1e-9);
-                    let mut at = self.now + self.rng.wait(mean) as Micros;
+                    let mut at = self.now + self.rng.exponential(mean) as Micros;
                     while at < until {
-                        self.due.at(at, Due::Arrives);
-                        at += (self.rng.wait(mean) as Micros).max(1);
+                        self.due.schedule(at, Due::Arrives);
+                        at += (self.rng.exponential(mean) as Micros).max(1);
                     }
                     if until < self.end {
-                        self.due.at(until, Due::Looks);
+                        self.due.schedule(until, Due::Looks);
                     }
                 }
                 Due::Arrives => {
@@ -231,17 +232,17 @@
         self.next += 1;
         let id = self.next;
         let all: f64 = self.s.listeners.iter().map(|l| l.share.0).sum();
-        let mut pick = self.rng.part() * all;
+        let mut pick = self.rng.fraction() * all;
         let listener = self.s.listeners.iter().position(|l| {
             pick -= l.share.0;
             pick < 0.0
         });
         let listener = listener.unwrap_or(self.s.listeners.len() - 1);
-        let life = self.rng.wait(self.s.listeners[listener].life_s.us() as f64) as Micros;
+        let life = self.rng.exponential(self.s.listeners[listener].life_s.us() as f64) as Micros;
         let until = now + life.max(200_000);
-        let (key, draw) = (self.rng.draw() | 1, self.rng.draw());
+        let (key, draw) = (self.rng.bits() | 1, self.rng.bits());
         let group = if self.s.load.groups == 0 { 0 } else { mix(draw % self.s.load.groups + 1) | 1 };
-        let bye = self.rng.part() < self.s.clients.bye.0;
+        let bye = self.rng.fraction() < self.s.clients.bye.0;
         let tries = self.s.clients.retries;
         let state = State::Away;
         let p = Person {
@@ -261,7 +262,7 @@
         self.wanted[listener] += 1;
         self.counts[listener].first_tries += 1;
         self.away += 1;
-        self.due.at(until, Due::LifeEnds(id));
+        self.due.schedule(until, Due::LifeEnds(id));
         id
     }
 
@@ -292,13 +293,13 @@
                 let p = self.people.get_mut(&id).expect("just read");
                 p.waits = (p.waits + 1).min(5);
                 let after = (100_000u64 << p.waits) / 2 + self.rng.between([0, 100_000]);
-                return self.due.at(self.now + after, Due::Asks(id));
+                return self.due.schedule(self.now + after, Due::Asks(id));
             }
             None => up[self.rng.below(up.len())],
         };
         // No mark is used twice, and none tells who says it.
         self.next += 1;
-        let mark = mix(self.next ^ (self.rng.draw() << 24)) | 1;
+        let mark = mix(self.next ^ (self.rng.bits() << 24)) | 1;
         let p = self.people.get_mut(&id).expect("just read");
         let l = &self.s.listeners[p.listener];
         let retry = p.tries < self.s.clients.retries;
@@ -320,7 +321,7 @@
         let now = self.now;
         self.set(id, State::Asks(mark, now));
         // A little longer than it says, to see what comes late.
-        self.due.at(now + wait + 2 * self.s.rules.slack_ms.us(), Due::GivesUp(mark));
+        self.due.schedule(now + wait + 2 * self.s.rules.slack_ms.us(), Due::GivesUp(mark));
         out.push(Does::Opens(ask));
     }
 
@@ -333,7 +334,7 @@
             self.wanted[p.listener] -= 1;
         }
         if waits_for_bye {
-            return self.due.at(p.until + BYE, Due::LifeEnds(id));
+            return self.due.schedule(p.until + BYE, Due::LifeEnds(id));
         }
         if let State::Open(mark) | State::Asks(mark, _) = p.state {
             self.marks.remove(&mark);
@@ -376,7 +377,7 @@
         }
         p.tries -= 1;
         let wait = self.rng.between(self.s.clients.wait_ms.map(|t| t.us()));
-        self.due.at(self.now + after.max(wait), Due::Asks(id));
+        self.due.schedule(self.now + after.max(wait), Due::Asks(id));
     }
 
     /// What became of a connection; false where it is not known any more.
@@ -441,7 +442,7 @@
         self.set(id, State::Away);
         let p = self.people.get_mut(&id).expect("it is there");
         (p.again, p.since) = (true, self.now);
-        self.due.at(self.now + self.rng.between(within), Due::Asks(id));
+        self.due.schedule(self.now + self.rng.between(within), Due::Asks(id));
     }
 
     /// A part of the open clients break off at once and come again within a time.
@@ -450,7 +451,7 @@
         let ids: Vec<u64> = self.people.keys().copied().collect();
         for id in ids {
             let State::Open(mark) = self.people[&id].state else { continue };
-            if self.rng.part() < part {
+            if self.rng.fraction() < part {
                 self.marks.remove(&mark);
                 self.ends_early.push(mark);
                 self.breaks += 1;
@@ -464,7 +465,7 @@
         self.now = self.now.max(now);
         let after = if up { 0 } else { self.rng.between(self.s.clients.front_notice_s.map(|t| t.us())) };
         self.changes[relay] += u32::from(up);
-        self.due.at(self.now + after, Due::Notices(relay, up, self.changes[relay]));
+        self.due.schedule(self.now + after, Due::Notices(relay, up, self.changes[relay]));
     }
 
     /// Whether a mark's client is still there.
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -49,8 +49,9 @@
 impl Day {
     pub fn new(s: &Scenario, seed: u64, begin: Micros) -> Day {
         let servers = Servers::new(s, seed, begin);
-        let places = (0..servers.len()).map(|i| (servers.zone(i), servers.book.plates[i].cell)).collect();
-        let names = servers.book.plates.iter().map(|p| p.id.clone()).collect();
+        let places =
+            (0..servers.len()).map(|i| (servers.zone(i), servers.endpoints.identities[i].cell)).collect();
+        let names = servers.endpoints.identities.iter().map(|p| p.id.clone()).collect();
         Day {
             s: s.clone(),
             seed,
@@ -108,7 +109,7 @@
                 Told::Fell { server, blamed } => self.audit.backend_overloaded(now, server, blamed),
                 Told::List => {
                     for server in 0..self.servers.len() {
-                        self.audit.endpoint_listed(now, server, self.servers.book.entry(server).phase);
+                        self.audit.endpoint_listed(now, server, self.servers.endpoints.entry(server).phase);
                     }
                     todo.list_news = true;
                 }
@@ -139,7 +140,7 @@
     pub fn list_told(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<Told>) {
         self.servers.told(now, relay, servers, out);
         for &server in servers {
-            self.audit.endpoint_notified(now, relay, server, self.servers.book.entry(server).phase);
+            self.audit.endpoint_notified(now, relay, server, self.servers.endpoints.entry(server).phase);
         }
     }
 
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -4,13 +4,14 @@
 pub mod audit;
 pub mod clients;
 pub mod day;
+pub mod event_queue;
 pub mod links;
 pub mod list;
 pub mod membership_audit;
 pub mod net;
 pub mod node;
+pub mod random;
 pub mod script;
 pub mod server;
 pub mod servers;
 pub mod service;
-pub mod tools;
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -1,6 +1,6 @@
 //! Emulated links between relays, one for each ordered pair: datagrams are dropped, duplicated, delayed,
 //! reordered, corrupted or held. No I/O: what is sent comes back with the times at which it arrives.
-use crate::tools::Chance;
+use crate::random::Random;
 use hallrelay_balancer::types::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -139,7 +139,7 @@
     latency: Micros,
     faults: BTreeMap<usize, ActiveFault>,
     held: Vec<HeldDatagram>,
-    random: Chance,
+    random: Random,
     /// Counted since the start.
     pub counts: DatagramCounts,
 }
@@ -156,7 +156,7 @@
             latency,
             faults: BTreeMap::new(),
             held: Vec::new(),
-            random: Chance::new(seed, RANDOM_STREAM),
+            random: Random::new(seed, RANDOM_STREAM),
             counts: DatagramCounts::default(),
         }
     }
@@ -205,13 +205,13 @@
             }
             match active.fault {
                 LinkFault::Cut => fate.copies = 0,
-                LinkFault::Loss(fraction) if self.random.part() < fraction => fate.copies = 0,
-                LinkFault::Duplicate(fraction) if self.random.part() < fraction => fate.copies *= 2,
+                LinkFault::Loss(fraction) if self.random.fraction() < fraction => fate.copies = 0,
+                LinkFault::Duplicate(fraction) if self.random.fraction() < fraction => fate.copies *= 2,
                 LinkFault::Delay(times) => fate.delay += self.random.between(times),
-                LinkFault::Reorder(fraction, times) if self.random.part() < fraction => {
+                LinkFault::Reorder(fraction, times) if self.random.fraction() < fraction => {
                     fate.delay += self.random.between(times);
                 }
-                LinkFault::Corrupt(fraction) if self.random.part() < fraction => {
+                LinkFault::Corrupt(fraction) if self.random.fraction() < fraction => {
                     let index = self.random.below(bytes.len());
                     if let Some(byte) = bytes.get_mut(index) {
                         *byte ^= 1 + self.random.below(255) as u8;
--- a/emulator/src/net/bad.rs
+++ b/emulator/src/net/bad.rs
@@ -1,7 +1,7 @@
 //! Clients that speak no protocol. Each is owed an error or an end within 3 s; it reads what it is sent.
 use super::lines::{self, Lines};
 use super::Shared;
-use crate::tools::Chance;
+use crate::random::Random;
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::BadSort;
 use std::time::Duration;
@@ -20,15 +20,15 @@
     if rate <= 0.0 || sorts.is_empty() {
         return;
     }
-    let mut rng = Chance::new(seed, 6);
+    let mut rng = Random::new(seed, 6);
     let mut at = begin;
     // Those that come in the last moments would not be seen to their end.
     while at + 7_000_000 < end {
-        at += rng.wait(1e6 / rate) as Micros;
+        at += rng.exponential(1e6 / rate) as Micros;
         tokio::time::sleep_until(host.clock.at(at)).await;
         let sort = sorts[rng.below(sorts.len())];
         let relay = rng.below(host.relays.borrow().len());
-        tokio::task::spawn_local(one(sort, relay, rng.draw(), host.clone()));
+        tokio::task::spawn_local(one(sort, relay, rng.bits(), host.clone()));
     }
 }
 
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -41,7 +41,7 @@
     _ = stream.set_nodelay(true);
     let line = {
         let day = host.day.borrow();
-        let at = ask.at.map(|i| day.servers.book.plates[i].id.clone());
+        let at = ask.at.map(|i| day.servers.endpoints.identities[i].id.clone());
         lines::open(ask, &day.s.listeners[ask.listener].name, at.as_deref()) + "\r\n"
     };
     if !lines::write(&stream, line.as_bytes()).await {
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -111,12 +111,12 @@
 
 fn text(relay: usize, reset: bool, servers: &[usize], host: &Shared) -> String {
     let day = host.day.borrow();
-    let line = day.servers.book.json(reset, servers, |server| host.servers[relay][server].to_string());
+    let line = day.servers.endpoints.json(reset, servers, |server| host.servers[relay][server].to_string());
     line.to_string() + "\n"
 }
 
 fn whole(relay: usize, host: &Shared) -> String {
-    let servers = host.day.borrow().servers.book.whole();
+    let servers = host.day.borrow().servers.endpoints.present();
     let line = text(relay, true, &servers, host);
     // What a whole list leaves out is gone; all that there is was told.
     let all: Vec<usize> = (0..host.day.borrow().servers.len()).collect();
@@ -134,7 +134,7 @@
             if to.send_data(line.into()).await.is_err() {
                 return;
             }
-            host.day.borrow().servers.book.generation
+            host.day.borrow().servers.endpoints.generation
         }
     };
     let mut first = true;
@@ -144,7 +144,7 @@
         }
         let (generation, servers) = {
             let day = host.day.borrow();
-            (day.servers.book.generation, day.servers.book.since(since))
+            (day.servers.endpoints.generation, day.servers.endpoints.changed_since(since))
         };
         if first || generation > since {
             first = false;
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -302,7 +302,7 @@
     let (mark, rest) = lines::opened(line)?;
     let ask = host.asks.borrow().get(&mark)?.clone();
     let day = host.day.borrow();
-    let at = ask.at.map(|i| day.servers.book.plates[i].id.clone());
+    let at = ask.at.map(|i| day.servers.endpoints.identities[i].id.clone());
     let sent = lines::open(&ask, &day.s.listeners[ask.listener].name, at.as_deref());
     (lines::opened(&sent)?.1 == rest).then_some((mark, ask))
 }
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -1,5 +1,5 @@
 //! What a relay is told at its start, from a scenario: the same text that operators write.
-use crate::list::Book;
+use crate::list::EndpointList;
 use hallrelay_config::scenario::{KnownList, Ring, Scenario, Sort};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -61,10 +61,10 @@
 }
 
 /// The whole text, with the list as this relay last had it.
-pub fn text(s: &Scenario, place: &Place, book: &Book, addr: impl Fn(usize) -> String) -> Value {
+pub fn text(s: &Scenario, place: &Place, endpoints: &EndpointList, addr: impl Fn(usize) -> String) -> Value {
     let known = match s.relays.known {
-        KnownList::Newest => book.json(true, &book.whole(), addr),
-        KnownList::First => book.first(addr),
+        KnownList::Newest => endpoints.json(true, &endpoints.present(), addr),
+        KnownList::First => endpoints.initial_json(addr),
     };
     let mut text = json!({"name": name(place.relay), "listen": place.listen.to_string(),
         "discovery": place.discovery.to_string(), "seed": format!("{:016x}", place.seed),
--- a/emulator/src/script.rs
+++ b/emulator/src/script.rs
@@ -1,7 +1,8 @@
 //! Troubles of a scenario as single acts at their times: whom they meet is drawn from the seed. They may
 //! overlap, and each ends by itself.
+use crate::event_queue::EventQueue;
 use crate::links::{LinkFault, LinkSet};
-use crate::tools::{Chance, Queue};
+use crate::random::Random;
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::{Drains, Fault, Scenario, Trouble, TroubleKind};
 use std::rc::Rc;
@@ -142,8 +143,8 @@
 }
 
 /// All acts of a day that begins at a time.
-pub fn acts(s: &Scenario, begin: Micros, rng: &mut Chance) -> Queue<Act> {
-    let mut acts = Queue::default();
+pub fn acts(s: &Scenario, begin: Micros, rng: &mut Random) -> EventQueue<Act> {
+    let mut acts = EventQueue::default();
     for (i, trouble) in s.troubles.iter().enumerate() {
         let mut one = One { s, i, t: trouble, from: begin + trouble.at_s.us(), acts: &mut acts, rng };
         let to = one.from + trouble.length_s.us();
@@ -161,14 +162,14 @@
     i: usize,
     t: &'a Trouble,
     from: Micros,
-    acts: &'a mut Queue<Act>,
-    rng: &'a mut Chance,
+    acts: &'a mut EventQueue<Act>,
+    rng: &'a mut Random,
 }
 
 impl One<'_> {
     fn mark(&mut self, at: Micros, what: &str) {
         let text = format!("{} {what}", name(self.t.kind));
-        self.acts.at(at, Act::Mark { text });
+        self.acts.schedule(at, Act::Mark { text });
     }
 
     /// Some of a number, drawn: the share of them, one at least.
@@ -190,8 +191,8 @@
     /// An act for each server that it meets, and one that ends it.
     fn each(&mut self, to: Micros, begins: impl Fn(usize) -> Act, ends: impl Fn(usize) -> Act) {
         for server in self.servers() {
-            self.acts.at(self.from, begins(server));
-            self.acts.at(to, ends(server));
+            self.acts.schedule(self.from, begins(server));
+            self.acts.schedule(to, ends(server));
         }
     }
 
@@ -203,9 +204,9 @@
                 let silent = self.t.kind == TroubleKind::Vanish;
                 let until = if to > from { to } else { 0 };
                 for server in self.servers() {
-                    self.acts.at(from, Act::Dies { server, silent, until });
+                    self.acts.schedule(from, Act::Dies { server, silent, until });
                     if until > 0 {
-                        self.acts.at(until, Act::Starts { server });
+                        self.acts.schedule(until, Act::Starts { server });
                     }
                 }
             }
@@ -215,11 +216,11 @@
             }
             TroubleKind::SharedSlow => {
                 for server in 0..self.s.server_count() {
-                    self.acts.at(from, Act::Slows { server, trouble: i, times: strength });
-                    self.acts.at(to, Act::Slows { server, trouble: i, times: 1.0 });
+                    self.acts.schedule(from, Act::Slows { server, trouble: i, times: strength });
+                    self.acts.schedule(to, Act::Slows { server, trouble: i, times: 1.0 });
                 }
-                self.acts.at(from, Act::StoreSlows { times: strength });
-                self.acts.at(to, Act::StoreSlows { times: 1.0 });
+                self.acts.schedule(from, Act::StoreSlows { times: strength });
+                self.acts.schedule(to, Act::StoreSlows { times: 1.0 });
             }
             TroubleKind::Pauses => self.pauses(to),
             TroubleKind::Failing => {
@@ -243,8 +244,8 @@
                 let zone =
                     self.t.zone.as_ref().and_then(|z| self.s.servers.zones.iter().position(|n| n == z));
                 let zone = zone.unwrap_or(0);
-                self.acts.at(from, Act::Cut { zone, cut: true });
-                self.acts.at(to, Act::Cut { zone, cut: false });
+                self.acts.schedule(from, Act::Cut { zone, cut: true });
+                self.acts.schedule(to, Act::Cut { zone, cut: false });
             }
             TroubleKind::Deploy => self.deploy(to),
             TroubleKind::Drain => {
@@ -253,20 +254,20 @@
                 }
             }
             TroubleKind::Burst => {
-                self.acts.at(from, Act::Rate { times: strength });
-                self.acts.at(to, Act::Rate { times: 1.0 });
+                self.acts.schedule(from, Act::Rate { times: strength });
+                self.acts.schedule(to, Act::Rate { times: 1.0 });
             }
             TroubleKind::Reconnect => {
                 let within = if strength > 0.0 { seconds } else { 1_000_000 };
-                self.acts.at(from, Act::Reconnect { part: self.t.share.0, within });
+                self.acts.schedule(from, Act::Reconnect { part: self.t.share.0, within });
             }
             TroubleKind::ListDown => {
-                self.acts.at(from, Act::ListDown { down: true });
-                self.acts.at(to, Act::ListDown { down: false });
+                self.acts.schedule(from, Act::ListDown { down: true });
+                self.acts.schedule(to, Act::ListDown { down: false });
             }
             TroubleKind::ListLate => {
-                self.acts.at(from, Act::ListLate { by: seconds });
-                self.acts.at(to, Act::ListLate { by: 0 });
+                self.acts.schedule(from, Act::ListLate { by: seconds });
+                self.acts.schedule(to, Act::ListLate { by: 0 });
             }
             TroubleKind::RelayKilled => self.relays(from, Deed::Kill, Some((to, Deed::Start))),
             TroubleKind::RelayStopped => self.relays(from, Deed::Stop, Some((to, Deed::Start))),
@@ -282,9 +283,9 @@
                 for relay in self.met_relays() {
                     let mut at = from;
                     while at < to {
-                        self.acts.at(at, Act::Relay { relay, deed: Deed::Kill });
+                        self.acts.schedule(at, Act::Relay { relay, deed: Deed::Kill });
                         at += every;
-                        self.acts.at(at.min(to), Act::Relay { relay, deed: Deed::Start });
+                        self.acts.schedule(at.min(to), Act::Relay { relay, deed: Deed::Start });
                         // As long as it takes to die once more, it lives.
                         at += every;
                     }
@@ -299,8 +300,8 @@
             TroubleKind::LinkHold => self.links(from, to, LinkFault::Hold),
             TroubleKind::ListCut => {
                 for relay in self.met_relays() {
-                    self.acts.at(from, Act::CutList { relay, cut: true });
-                    self.acts.at(to, Act::CutList { relay, cut: false });
+                    self.acts.schedule(from, Act::CutList { relay, cut: true });
+                    self.acts.schedule(to, Act::CutList { relay, cut: false });
                 }
             }
             TroubleKind::ServersCut => {
@@ -309,8 +310,8 @@
                 let relays = if self.t.relays.is_empty() { all } else { self.t.relays.clone() };
                 for server in self.servers() {
                     for &relay in &relays {
-                        self.acts.at(from, Act::CutServer { relay, server, cut: true });
-                        self.acts.at(to, Act::CutServer { relay, server, cut: false });
+                        self.acts.schedule(from, Act::CutServer { relay, server, cut: true });
+                        self.acts.schedule(to, Act::CutServer { relay, server, cut: false });
                     }
                 }
             }
@@ -332,9 +333,9 @@
 
     fn relays(&mut self, from: Micros, deed: Deed, then: Option<(Micros, Deed)>) {
         for relay in self.met_relays() {
-            self.acts.at(from, Act::Relay { relay, deed });
+            self.acts.schedule(from, Act::Relay { relay, deed });
             if let Some((at, deed)) = then {
-                self.acts.at(at.max(from + 1), Act::Relay { relay, deed });
+                self.acts.schedule(at.max(from + 1), Act::Relay { relay, deed });
             }
         }
     }
@@ -349,8 +350,8 @@
             TroubleKind::LinkSplit => LinkSet::partition(count, &t.groups, t.bridge),
             _ => LinkSet::between(count, &t.from, &t.to, t.one_way),
         };
-        self.acts.at(from, Act::Links { trouble, fault: Some((Rc::new(links), fault)) });
-        self.acts.at(to, Act::Links { trouble, fault: None });
+        self.acts.schedule(from, Act::Links { trouble, fault: Some((Rc::new(links), fault)) });
+        self.acts.schedule(to, Act::Links { trouble, fault: None });
     }
 
     /// All the time, or for the first half of each period.
@@ -375,8 +376,8 @@
             while at < to {
                 let period = self.rng.between(PERIOD);
                 let still = ((period as f64 * self.t.strength.0) as Micros).min(to - at);
-                self.acts.at(at, Act::Stands { server, stands: true });
-                self.acts.at(at + still, Act::Stands { server, stands: false });
+                self.acts.schedule(at, Act::Stands { server, stands: true });
+                self.acts.schedule(at + still, Act::Stands { server, stands: false });
                 at += period;
             }
         }
@@ -392,9 +393,9 @@
         };
         let ends = at + told + drained;
         let until = ends + out.max(1_000_000);
-        self.acts.at(at, Act::Drains { server });
-        self.acts.at(ends, Act::Dies { server, silent: false, until });
-        self.acts.at(until, Act::Starts { server });
+        self.acts.schedule(at, Act::Drains { server });
+        self.acts.schedule(ends, Act::Dies { server, silent: false, until });
+        self.acts.schedule(until, Act::Starts { server });
     }
 
     /// All servers that it meets, in as many groups as are released one after the other within its length.
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -3,10 +3,11 @@
 mod sessions;
 mod troubles;
 
-use crate::list::{Book, Entry, Plate};
+use crate::event_queue::EventQueue;
+use crate::list::{BackendIdentity, EndpointList, Entry};
+use crate::random::Random;
 use crate::script::{self, Act};
 use crate::server::{Cores, Life, Machine, Server, Work, CORE};
-use crate::tools::{Chance, Queue};
 use hallrelay_balancer::types::{Micros, Phase, Report};
 use hallrelay_config::scenario::{Drains, Fault, Scenario, Warms};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -159,28 +160,28 @@
     nodes: Vec<Node>,
     /// Looked up and never walked.
     conns: HashMap<ConnNo, Conn>,
-    due: Queue<Due>,
-    acts: Queue<Act>,
-    pub book: Book,
+    due: EventQueue<Due>,
+    acts: EventQueue<Act>,
+    pub endpoints: EndpointList,
     list_late: Micros,
     cut: Vec<bool>,
     /// Servers and relays that don't hear each other.
     cut_pairs: BTreeSet<(usize, usize)>,
     store_at: Micros,
     store_times: f64,
-    rng: Chance,
+    rng: Random,
     pub counts: Counts,
     now: Micros,
 }
 
 impl Servers {
     pub fn new(s: &Scenario, seed: u64, begin: Micros) -> Servers {
-        let mut rng = Chance::new(seed, 1);
-        let (mut nodes, mut plates, mut due) = (Vec::new(), Vec::new(), Queue::default());
+        let mut rng = Random::new(seed, 1);
+        let (mut nodes, mut plates, mut due) = (Vec::new(), Vec::new(), EventQueue::default());
         for kind in &s.servers.kinds {
             for _ in 0..kind.count {
                 let i = nodes.len();
-                let off = 1.0 + kind.speed_off.0 * (2.0 * rng.part() - 1.0);
+                let off = 1.0 + kind.speed_off.0 * (2.0 * rng.fraction() - 1.0);
                 let machine = Machine {
                     cores: kind.cores,
                     speed: (kind.speed.0 * off * CORE as f64) as Cores,
@@ -191,15 +192,15 @@
                     fall: s.rules.fall_s.us(),
                 };
                 let zone = i % s.servers.zones.len();
-                plates.push(Plate {
+                plates.push(BackendIdentity {
                     id: format!("s-{i:03}"),
                     zone: s.servers.zones[zone].clone(),
                     kind: kind.name.clone(),
                     cell: (i / 4) as u16,
                 });
                 let every = rng.between(s.servers.report_every_ms.map(|t| t.us()));
-                due.at(begin + rng.between([0, every]), Due::Report(i));
-                due.at(begin + rng.between([0, 1_000_000]), Due::Beat(i));
+                due.schedule(begin + rng.between([0, every]), Due::Report(i));
+                due.schedule(begin + rng.between([0, 1_000_000]), Due::Beat(i));
                 let server = Server::new(machine, begin - PREPARED);
                 nodes.push(Node {
                     server,
@@ -221,7 +222,7 @@
                 });
             }
         }
-        let acts = script::acts(s, begin, &mut Chance::new(seed, 2));
+        let acts = script::acts(s, begin, &mut Random::new(seed, 2));
         Servers {
             cut: vec![false; s.servers.zones.len()],
             cut_pairs: BTreeSet::new(),
@@ -230,7 +231,7 @@
             conns: HashMap::new(),
             due,
             acts,
-            book: Book::new(plates),
+            endpoints: EndpointList::new(plates),
             list_late: 0,
             store_at: 0,
             store_times: 1.0,
@@ -250,20 +251,20 @@
 
     /// When it wants to be stepped next.
     pub fn next(&self) -> Option<Micros> {
-        [self.due.next(), self.acts.next()].into_iter().flatten().min()
+        [self.due.next_at(), self.acts.next_at()].into_iter().flatten().min()
     }
 
     /// All that is due by now, in order.
     pub fn step(&mut self, now: Micros, out: &mut Vec<Told>) {
         loop {
-            let (due, acts) = (self.due.next(), self.acts.next());
+            let (due, acts) = (self.due.next_at(), self.acts.next_at());
             let acts_first = acts.is_some_and(|at| due.is_none_or(|d| at <= d));
             if acts_first {
-                let Some((at, act)) = self.acts.due(now) else { break };
+                let Some((at, act)) = self.acts.pop_due(now) else { break };
                 self.now = self.now.max(at);
                 self.act(act, out);
             } else {
-                let Some((at, due)) = self.due.due(now) else { break };
+                let Some((at, due)) = self.due.pop_due(now) else { break };
                 self.now = self.now.max(at);
                 self.fall_due(due, out);
             }
@@ -284,7 +285,7 @@
             }
             Due::Report(server) => {
                 self.advance(server, out);
-                let off = |rng: &mut Chance, part: f64| (1.0 + part * rng.normal()).max(0.0);
+                let off = |rng: &mut Random, part: f64| (1.0 + part * rng.normal()).max(0.0);
                 let (noise, late) = (self.s.servers.report_noise.0, self.s.servers.report_late_ms);
                 let n = &mut self.nodes[server];
                 let figures = Figures {
@@ -296,19 +297,19 @@
                 if n.server.life == Life::Up {
                     n.reports.push_back((seen, figures));
                 }
-                self.due.at(now + n.every, Due::Report(server));
+                self.due.schedule(now + n.every, Due::Report(server));
             }
             Due::Beat(server) => {
                 self.advance(server, out);
                 self.tell_delay(server, out);
-                self.due.at(now + 1_000_000, Due::Beat(server));
+                self.due.schedule(now + 1_000_000, Due::Beat(server));
             }
             Due::Cold(server) => {
                 self.advance(server, out);
                 let n = &self.nodes[server].server;
                 if n.cold(now) && n.life == Life::Up {
                     // A hundredth of the window, in which the server itself looks.
-                    self.due.at(now + (self.s.rules.fall_s.us() / 100).max(1_000), Due::Cold(server));
+                    self.due.schedule(now + (self.s.rules.fall_s.us() / 100).max(1_000), Due::Cold(server));
                 }
             }
             Due::Notice(server) => self.notice(server, out),
@@ -324,7 +325,7 @@
     fn fell(&mut self, server: usize, out: &mut Vec<Told>) {
         self.counts.fell += 1;
         let blamed = self.nodes[server].server.blames_the_told();
-        out.push(Told::Log(format!("{} falls over while it is cold", self.book.plates[server].id)));
+        out.push(Told::Log(format!("{} falls over while it is cold", self.endpoints.identities[server].id)));
         out.push(Told::Fell { server, blamed });
         self.lose(server, out);
         out.push(Told::Reach { server });
@@ -408,7 +409,7 @@
     /// The fault that a new connection meets on the way, if any.
     pub fn fault(&mut self, server: usize) -> Option<Fault> {
         let (fault, part) = self.nodes[server].wire?;
-        (self.rng.part() < part).then_some(fault)
+        (self.rng.fraction() < part).then_some(fault)
     }
 
     /// A relay has been told of servers by the list: what it sends to a cold one counts as known from now on.
@@ -416,9 +417,9 @@
         self.now = self.now.max(now);
         for &server in servers {
             self.advance(server, out);
-            let entry = self.book.entry(server);
+            let entry = self.endpoints.entry(server);
             let n = &mut self.nodes[server];
-            let news = entry.came_up == n.server.came_up && entry.phase == Phase::Ready;
+            let news = entry.started_at == n.server.came_up && entry.phase == Phase::Ready;
             if news && !std::mem::replace(&mut n.knows[relay], true) {
                 n.server.told(n.asks[relay]);
             }
@@ -432,7 +433,7 @@
 
     fn notice_later(&mut self, server: usize, within: [Micros; 2]) {
         let at = self.now + self.rng.between(within) + self.list_late;
-        self.due.at(at, Due::Notice(server));
+        self.due.schedule(at, Due::Notice(server));
     }
 
     fn notice(&mut self, server: usize, out: &mut Vec<Told>) {
@@ -444,8 +445,8 @@
         };
         // Milliseconds are all that a list tells.
         let came_up = s.came_up;
-        if self.book.note(server, Entry { phase, came_up }) {
-            let id = &self.book.plates[server].id;
+        if self.endpoints.update(server, Entry { phase, started_at: came_up }) {
+            let id = &self.endpoints.identities[server].id;
             out.push(Told::Log(format!("the list tells that {id} is {phase:?}").to_lowercase()));
             out.push(Told::List);
         }
--- a/emulator/src/servers/sessions.rs
+++ b/emulator/src/servers/sessions.rs
@@ -25,14 +25,14 @@
         let work = if full { setup / 10 } else { setup };
         let done = n.server.done(now, work);
         let fell = n.server.burst(now, work, told);
-        let fails = self.rng.part() < n.fails;
+        let fails = self.rng.fraction() < n.fails;
         if full || fails {
             self.counts.wasted += work;
             out.push(Told::Word { conn, word: if full { Word::Busy } else { Word::Err } });
         } else {
             let l = &self.s.listeners[d.listener];
             // The same client weighs the same wherever it goes.
-            let usual = l.load.0 * Chance::new(d.key, 3).about_one(l.load_sigma.0);
+            let usual = l.load.0 * Random::new(d.key, 3).log_normal(l.load_sigma.0);
             let c = Conn {
                 server,
                 relay: d.relay,
@@ -46,9 +46,9 @@
             n.conns.insert(conn);
             self.conns.insert(conn, c);
             let stored = if d.standing { now } else { self.stored() };
-            self.due.at(done.max(stored), Due::Ready(conn));
+            self.due.schedule(done.max(stored), Due::Ready(conn));
             if let Some(life) = d.life {
-                self.due.at(now + life, Due::Ends(conn));
+                self.due.schedule(now + life, Due::Ends(conn));
             }
         }
         if fell {
@@ -76,13 +76,13 @@
         }
         if self.nodes[server].server.stands.is_some() {
             // Looked at again soon: how long it stands is not known here.
-            return self.due.at(now + 10_000, Due::Ready(conn));
+            return self.due.schedule(now + 10_000, Due::Ready(conn));
         }
         self.advance(server, out);
         let unit = unit(&self.s);
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let l = &self.s.listeners[c.listener];
-        let load = (c.usual * self.rng.about_one(l.swing_sigma.0) * unit as f64) as Cores;
+        let load = (c.usual * self.rng.log_normal(l.swing_sigma.0) * unit as f64) as Cores;
         (c.open, c.load) = (true, load);
         let n = &mut self.nodes[server];
         n.open[c.listener] += 1;
@@ -95,13 +95,13 @@
         n.asks[relay] += more;
         let told = n.knows[relay];
         n.server.ask(more, 0, told);
-        let change = self.rng.wait(l.change_s.us() as f64) as Micros;
+        let change = self.rng.exponential(l.change_s.us() as f64) as Micros;
         out.push(Told::Word { conn, word: Word::Up });
         if self.s.servers.tells_load {
             out.push(Told::Word { conn, word: Word::Load(load as f64) });
         }
         if l.change_s.us() > 0 {
-            self.due.at(now + change.max(50_000), Due::Changes(conn));
+            self.due.schedule(now + change.max(50_000), Due::Changes(conn));
         }
     }
 
@@ -111,14 +111,14 @@
         self.advance(server, out);
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let l = &self.s.listeners[c.listener];
-        let load = (c.usual * self.rng.about_one(l.swing_sigma.0) * unit(&self.s) as f64) as Cores;
+        let load = (c.usual * self.rng.log_normal(l.swing_sigma.0) * unit(&self.s) as f64) as Cores;
         let before = std::mem::replace(&mut c.load, load);
         let n = &mut self.nodes[server];
         n.asks[relay] = (n.asks[relay] + load).saturating_sub(before);
         let told = n.knows[relay];
         n.server.ask(load, before, told);
-        let change = self.rng.wait(l.change_s.us() as f64) as Micros;
-        self.due.at(self.now + change.max(50_000), Due::Changes(conn));
+        let change = self.rng.exponential(l.change_s.us() as f64) as Micros;
+        self.due.schedule(self.now + change.max(50_000), Due::Changes(conn));
         if self.s.servers.tells_load && self.speaks(server, relay) {
             out.push(Told::Word { conn, word: Word::Load(load as f64) });
         }
--- a/emulator/src/servers/troubles.rs
+++ b/emulator/src/servers/troubles.rs
@@ -39,7 +39,7 @@
                         Drains::BitByBit => length * i as u64 / count,
                         Drains::AtOnce => 0,
                     };
-                    self.due.at(from + after, Due::SentAway(*conn));
+                    self.due.schedule(from + after, Due::SentAway(*conn));
                 }
                 self.notice_later(server, self.s.list.notice_s.map(|t| t.us()));
             }
@@ -81,7 +81,7 @@
             return;
         }
         n.server.life = if silent { Life::Silent } else { Life::Down };
-        let id = &self.book.plates[server].id;
+        let id = &self.endpoints.identities[server].id;
         out.push(Told::Log(format!("{id} {}", if silent { "vanishes" } else { "dies" })));
         if !silent {
             self.lose(server, out);
@@ -112,8 +112,8 @@
             let asked = n.overrun;
             n.server.ask(asked, 0, false);
         }
-        self.due.at(now, Due::Cold(server));
-        out.push(Told::Log(format!("{} starts cold", self.book.plates[server].id)));
+        self.due.schedule(now, Due::Cold(server));
+        out.push(Told::Log(format!("{} starts cold", self.endpoints.identities[server].id)));
         out.push(Told::Reach { server });
         self.notice_later(server, self.s.list.add_s.map(|t| t.us()));
     }
--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -323,7 +323,7 @@
             troubles: bands.collect(),
             log: self.log.clone(),
             samples: self.samples.clone(),
-            servers: servers.book.plates.iter().map(|p| p.id.clone()).collect(),
+            servers: servers.endpoints.identities.iter().map(|p| p.id.clone()).collect(),
             ..Outcome::default()
         }
     }
--- a/emulator/tests/models.rs
+++ b/emulator/tests/models.rs
@@ -98,14 +98,14 @@
     let told = p.until(2 * SECOND);
     assert!(told.contains(&Told::Reset { conn: 1 }));
     assert_eq!(p.servers.reach(0, 0), Reach::Refused);
-    assert_eq!(p.servers.book.entry(0).phase, Phase::Ready);
+    assert_eq!(p.servers.endpoints.entry(0).phase, Phase::Ready);
     assert!(p.until(3 * SECOND).contains(&Told::List));
-    assert_eq!(p.servers.book.entry(0).phase, Phase::Gone);
+    assert_eq!(p.servers.endpoints.entry(0).phase, Phase::Gone);
     p.until(7 * SECOND);
-    assert_eq!((p.servers.reach(0, 0), p.servers.book.entry(0).phase), (Reach::Open, Phase::Gone));
+    assert_eq!((p.servers.reach(0, 0), p.servers.endpoints.entry(0).phase), (Reach::Open, Phase::Gone));
     p.until(7 * SECOND + SECOND / 2);
-    let entry = p.servers.book.entry(0);
-    assert_eq!((entry.phase, entry.came_up), (Phase::Ready, BEGIN + 7 * SECOND));
+    let entry = p.servers.endpoints.entry(0);
+    assert_eq!((entry.phase, entry.started_at), (Phase::Ready, BEGIN + 7 * SECOND));
     // One session is a tenth of a core, and a fifth of one is there.
     p.dial(7 * SECOND + SECOND / 2, 2, 0);
     p.until(7 * SECOND + SECOND / 2 + 20_000);
--- a/lab/src/members/simulation.rs
+++ b/lab/src/members/simulation.rs
@@ -3,8 +3,9 @@
 use super::Plan;
 use hallrelay_balancer::types::Micros;
 use hallrelay_emulator::clients::mix;
+use hallrelay_emulator::event_queue::EventQueue;
 use hallrelay_emulator::links::{Arrival, LinkFault, LinkSet, Links};
-use hallrelay_emulator::tools::{Chance, Queue};
+use hallrelay_emulator::random::Random;
 use hallrelay_membership::message::{decode, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 use hallrelay_membership::peer_heartbeats::{PeerHeartbeats, HEARTBEAT_INTERVAL};
 use hallrelay_membership::{
@@ -151,9 +152,9 @@
     plan: &'a Plan,
     seed: u64,
     now: Micros,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     links: Links,
-    random: Chance,
+    random: Random,
     relays: Vec<Relay>,
     names: Vec<Rc<str>>,
     death: Option<Death>,
@@ -171,9 +172,9 @@
             plan,
             seed,
             now: BEGIN,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             links,
-            random: Chance::new(seed, RANDOM_STREAM),
+            random: Random::new(seed, RANDOM_STREAM),
             relays: (0..count).map(|_| Relay::default()).collect(),
             names: (0..count).map(|relay| format!("relay-{relay}").into()).collect(),
             death: None,
@@ -186,13 +187,13 @@
         self.schedule_first_events();
         let mut started = Instant::now();
         let mut is_warm = false;
-        while let Some(at) = self.queue.next().filter(|at| *at <= end) {
+        while let Some(at) = self.queue.next_at().filter(|at| *at <= end) {
             self.now = at;
             if !is_warm && at >= BEGIN + WARM_UP {
                 is_warm = true;
                 started = Instant::now();
             }
-            while let Some((_, event)) = self.queue.due(at) {
+            while let Some((_, event)) = self.queue.pop_due(at) {
                 self.handle(event);
             }
         }
@@ -204,13 +205,13 @@
     fn schedule_first_events(&mut self) {
         for relay in 0..self.relays.len() {
             let at = BEGIN + self.random.between([0, START_WITHIN]);
-            self.queue.at(at, Event::Start { relay });
+            self.queue.schedule(at, Event::Start { relay });
         }
         if self.plan.deaths > 0 {
-            self.queue.at(BEGIN + WARM_UP, Event::Death);
+            self.queue.schedule(BEGIN + WARM_UP, Event::Death);
         }
         if self.plan.stalls > 0 {
-            self.queue.at(BEGIN + WARM_UP + FIRST_STALL, Event::Stall);
+            self.queue.schedule(BEGIN + WARM_UP + FIRST_STALL, Event::Stall);
         }
     }
 
@@ -262,7 +263,7 @@
         let interval = self.plan.deaths * 1_000_000;
         // At another moment of the relays' periods each time.
         let next = self.now + interval + self.random.between([0, HEARTBEAT_INTERVAL]);
-        self.queue.at(next, Event::Death);
+        self.queue.schedule(next, Event::Death);
         let running = self.running();
         if running.len() < 2 {
             return;
@@ -279,25 +280,25 @@
         }
         let waiting_count = running.len() - 1;
         self.death = Some(Death { at: self.now, relay: index, is_waiting, waiting_count });
-        self.queue.at(self.now + interval / 2, Event::Start { relay: index });
+        self.queue.schedule(self.now + interval / 2, Event::Start { relay: index });
     }
 
     fn stall_one(&mut self) {
         let interval = self.plan.stalls * 1_000_000;
-        self.queue.at(self.now + interval, Event::Stall);
+        self.queue.schedule(self.now + interval, Event::Stall);
         let running = self.running();
         let relay = running[self.random.below(running.len())];
         self.relays[relay].stalled = Some(Vec::new());
         if let Some(death) = &mut self.death {
             death.stop_waiting_for(relay);
         }
-        self.queue.at(self.now + interval / 3, Event::Wake { relay });
+        self.queue.schedule(self.now + interval / 3, Event::Wake { relay });
     }
 
     fn wake(&mut self, relay: usize) {
         self.relays[relay].disturbed_at = self.now;
         for event in self.relays[relay].stalled.take().into_iter().flatten() {
-            self.queue.at(self.now, event);
+            self.queue.schedule(self.now, event);
         }
     }
 
@@ -313,7 +314,7 @@
             let heartbeats = PeerHeartbeats::new(index, self.relays.len(), self.now);
             self.relays[index].protocol = Some(Protocol::Heartbeats(heartbeats));
             let after = self.random.between([0, HEARTBEAT_INTERVAL]);
-            return self.queue.at(self.now + after, Event::Timer { relay: index, process });
+            return self.queue.schedule(self.now + after, Event::Timer { relay: index, process });
         }
         let membership = Membership::new(self.local_member(index, process));
         self.relays[index].protocol = Some(Protocol::Membership(Box::new(membership)));
@@ -346,7 +347,7 @@
         let Some(Protocol::Heartbeats(heartbeats)) = &mut self.relays[index].protocol else { return };
         let peers: Vec<usize> = heartbeats.peers().collect();
         let dead = heartbeats.newly_dead(self.now);
-        self.queue.at(self.now + HEARTBEAT_INTERVAL, Event::Timer { relay: index, process });
+        self.queue.schedule(self.now + HEARTBEAT_INTERVAL, Event::Timer { relay: index, process });
         for peer in dead {
             self.declared_dead(index, peer);
         }
@@ -363,7 +364,7 @@
         let mut arrivals = Vec::with_capacity(1);
         self.links.send(self.now, from, to, bytes, &mut arrivals);
         for arrival in arrivals {
-            self.queue.at(arrival.at, Event::Datagram(arrival));
+            self.queue.schedule(arrival.at, Event::Datagram(arrival));
         }
     }
 
@@ -403,18 +404,18 @@
             Effect::SendDatagram { to, bytes } => self.send_datagram(relay, relay_at(to), bytes),
             Effect::SetTimer { after } => {
                 let process = self.relays[relay].process;
-                self.queue.at(self.now + after, Event::Timer { relay, process });
+                self.queue.schedule(self.now + after, Event::Timer { relay, process });
             }
             Effect::OpenStream { to, bytes } => {
                 self.count_bytes(bytes.len());
                 // There and back to connect, and there with the frame.
                 let at = self.now + 3 * LATENCY;
-                self.queue.at(at, Event::StreamRequest { from: relay, to: relay_at(to), bytes });
+                self.queue.schedule(at, Event::StreamRequest { from: relay, to: relay_at(to), bytes });
             }
             Effect::ReplyOnStream { stream, bytes: Some(bytes) } => {
                 self.count_bytes(bytes.len());
                 let to = stream as usize;
-                self.queue.at(self.now + LATENCY, Event::StreamResponse { to, bytes });
+                self.queue.schedule(self.now + LATENCY, Event::StreamResponse { to, bytes });
             }
             Effect::MemberChanged { name, state: MemberState::Dead, .. } => {
                 if let Some(subject) = name.strip_prefix("relay-").and_then(|n| n.parse().ok()) {
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -431,7 +431,7 @@
 /// A relay's configuration as operators would write it.
 pub fn write_config(s: &Scenario, place: &Place, host: &Shared, file: &Path) -> Result<(), String> {
     let day = host.day.borrow();
-    let text = node::text(s, place, &day.servers.book, |at| host.servers[place.relay][at].to_string());
+    let text = node::text(s, place, &day.servers.endpoints, |at| host.servers[place.relay][at].to_string());
     let text = serde_json::to_string_pretty(&text).map_err(|e| e.to_string())?;
     std::fs::write(file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))
 }
--- a/lab/src/virt/list.rs
+++ b/lab/src/virt/list.rs
@@ -7,25 +7,25 @@
         if self.day.list_cut[relay] {
             return; // told once the way is whole again
         }
-        let book = &self.day.servers.book;
+        let endpoints = &self.day.servers.endpoints;
         let Some(w) = self.relays[relay].watches.iter_mut().find(|w| w.id == watch) else { return };
-        let servers = w.since.map_or_else(|| book.whole(), |since| book.since(since));
+        let servers = w.since.map_or_else(|| endpoints.present(), |since| endpoints.changed_since(since));
         let whole = w.since.is_none();
-        (w.since, w.speaks) = (Some(book.generation), true);
+        (w.since, w.speaks) = (Some(endpoints.generation), true);
         let instance = |&i: &usize| Instance {
-            id: book.plates[i].id.clone(),
+            id: endpoints.identities[i].id.clone(),
             addr: addr(i),
-            zone: book.plates[i].zone.clone(),
-            cell: book.plates[i].cell,
-            phase: book.entry(i).phase,
-            came_up: book.entry(i).came_up,
+            zone: endpoints.identities[i].zone.clone(),
+            cell: endpoints.identities[i].cell,
+            phase: endpoints.entry(i).phase,
+            came_up: endpoints.entry(i).started_at,
         };
         let instances = servers.iter().map(instance).collect();
-        let list = List { generation: book.generation, whole, instances, ..List::default() };
+        let list = List { generation: endpoints.generation, whole, instances, ..List::default() };
         if whole {
             // What a whole list leaves out is gone.
             let gone: Vec<usize> = (0..self.day.servers.len())
-                .filter(|&i| self.day.servers.book.entry(i).phase == Phase::Gone)
+                .filter(|&i| self.day.servers.endpoints.entry(i).phase == Phase::Gone)
                 .collect();
             self.day.list_told(self.now, relay, &gone, &mut todo.told);
         }
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -79,7 +79,7 @@
     pub(super) fn schedule_arrivals(&mut self, arrivals: Vec<Arrival>) {
         for Arrival { at, from, to, bytes } in arrivals {
             let transmission = Transmission::Datagram(bytes);
-            self.queue.at(at, Ev::Transmission { from, to, transmission });
+            self.queue.schedule(at, Ev::Transmission { from, to, transmission });
         }
     }
 
@@ -123,7 +123,7 @@
         self.day.audit.relay_woke(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
         for event in waiting {
-            self.queue.at(self.now, event);
+            self.queue.schedule(self.now, event);
         }
     }
 
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -13,12 +13,12 @@
 use hallrelay_emulator::audit::{Answer, DialOutcome, DialReceived, SessionRequest};
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
 use hallrelay_emulator::day::{Day, Todo};
+use hallrelay_emulator::event_queue::EventQueue;
 use hallrelay_emulator::membership_audit::ProcessState;
 use hallrelay_emulator::node::{self, Place};
 use hallrelay_emulator::script::Deed;
 use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Told, Word};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
-use hallrelay_emulator::tools::Queue;
 use hallrelay_recovery::fact::VERSION;
 use hallrelay_recovery::{Kept, Stored};
 use hallrelay_relay::lines::Open;
@@ -205,7 +205,7 @@
 
 pub struct Virtual<'a> {
     day: Day,
-    queue: Queue<Ev>,
+    queue: EventQueue<Ev>,
     relays: Vec<Relay>,
     /// Looked up and never walked, as is what is asked.
     dials: HashMap<ConnNo, Dial>,
@@ -239,7 +239,7 @@
     let day = Day::new(s, seed, BEGIN);
     let mut v = Virtual {
         day,
-        queue: Queue::default(),
+        queue: EventQueue::default(),
         relays: Vec::new(),
         dials: HashMap::new(),
         asks: HashMap::new(),
@@ -284,7 +284,7 @@
             state: self.day.s.relays.state.then(|| "virtual".to_string()),
             fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
         };
-        let text = node::text(&self.day.s, &place, &self.day.servers.book, |i| addr(i).to_string());
+        let text = node::text(&self.day.s, &place, &self.day.servers.endpoints, |i| addr(i).to_string());
         config::parse(text.to_string().as_bytes(), &Given::default())
     }
 
@@ -301,7 +301,7 @@
         const LOOK: Micros = 250_000;
         let mut look = self.now;
         loop {
-            let next = self.queue.next().map_or(Micros::MAX, |at| at).min(self.day.next());
+            let next = self.queue.next_at().map_or(Micros::MAX, |at| at).min(self.day.next());
             if next > self.day.end {
                 break;
             }
@@ -318,7 +318,7 @@
                 self.day.step(self.now, &mut todo);
                 self.carry_out(&mut todo)?;
             }
-            while let Some((_, event)) = self.queue.due(self.now) {
+            while let Some((_, event)) = self.queue.pop_due(self.now) {
                 self.events += 1;
                 self.event(event, &mut todo)?;
                 self.carry_out(&mut todo)?;
@@ -342,7 +342,7 @@
     }
 
     fn later(&mut self, after: Micros, ev: Ev) {
-        self.queue.at(self.now + after, ev);
+        self.queue.schedule(self.now + after, ev);
     }
 
     fn tell(&mut self, relay: usize, after: Micros, event: Event) {
@@ -363,7 +363,7 @@
             mind.remember(stored);
         }
         mind.start(self.now, &mut out);
-        let known = self.day.servers.book.whole();
+        let known = self.day.servers.endpoints.present();
         let r = &mut self.relays[relay];
         (r.mind, r.life, r.starts) = (Some(mind), life, r.starts + 1);
         (r.lines, r.marks) = (BTreeMap::new(), BTreeMap::new());
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -56,7 +56,7 @@
             group: ask.group,
             returned: ask.again,
             wait_ms: ask.wait / 1000,
-            at: ask.at.map(|server| self.day.servers.book.plates[server].id.clone()),
+            at: ask.at.map(|server| self.day.servers.endpoints.identities[server].id.clone()),
             ..Open::default()
         };
         let left = ask.wait.saturating_sub(margin + self.client_way());
@@ -310,7 +310,7 @@
         let life = self.relays[relay].life;
         // One that is doubted may have a message that waits already.
         let waits = if line.doubted { next.saturating_sub(period).max(self.now) } else { next };
-        self.queue.at(waits + patience, Ev::Silent { relay, life, sess, conn });
+        self.queue.schedule(waits + patience, Ev::Silent { relay, life, sess, conn });
     }
 
     pub(super) fn silent(&mut self, relay: usize, sess: SessId, conn: ConnNo) {
