--- a/emulator/src/audit/answers.rs
+++ b/emulator/src/audit/answers.rs
@@ -4,7 +4,7 @@
 use hallrelay_balancer::types::{Micros, Repeat, Within};
 
 /// A client's whole first line, on its way to a relay that took the connection.
-pub struct SessionRequest {
+pub struct RequestSent {
     /// The session's mark.
     pub mark: u64,
     /// Relay that took the connection.
@@ -19,8 +19,8 @@
 
 impl Audit {
     /// A client requests a session.
-    pub fn session_requested(&mut self, now: Micros, request: &SessionRequest) {
-        let SessionRequest { mark, relay, listener, wait, is_pre_existing } = *request;
+    pub fn session_requested(&mut self, now: Micros, request: &RequestSent) {
+        let RequestSent { mark, relay, listener, wait, is_pre_existing } = *request;
         self.sessions_seen += 1;
         let deadline = now + wait;
         self.sessions.insert(mark, Session::new(listener, relay, deadline, is_pre_existing));
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -10,7 +10,7 @@
 mod drains;
 mod session;
 
-pub use answers::SessionRequest;
+pub use answers::RequestSent;
 pub use dials::DialReceived;
 pub use session::{Answer, DialOutcome};
 
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -1,7 +1,7 @@
 //! Clients on sockets: one task a connection, from its first line to its end.
 use super::lines::{self, Lines, Unread};
 use super::{Host, Shared, ToClient};
-use crate::audit::{Answer, SessionRequest};
+use crate::audit::{Answer, RequestSent};
 use crate::clients::{mix, Ask, Heard};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     host.with(|day, now, _| {
         day.audit.session_requested(
             now,
-            &SessionRequest {
+            &RequestSent {
                 mark,
                 relay: ask.relay,
                 listener: ask.listener,
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -177,7 +177,7 @@
 impl Servers {
     pub fn new(s: &Scenario, seed: u64, begin: Micros) -> Servers {
         let mut rng = Random::new(seed, 1);
-        let (mut nodes, mut plates, mut due) = (Vec::new(), Vec::new(), EventQueue::default());
+        let (mut nodes, mut identities, mut due) = (Vec::new(), Vec::new(), EventQueue::default());
         for kind in &s.servers.kinds {
             for _ in 0..kind.count {
                 let i = nodes.len();
@@ -192,7 +192,7 @@
                     fall: s.rules.fall_s.us(),
                 };
                 let zone = i % s.servers.zones.len();
-                plates.push(BackendIdentity {
+                identities.push(BackendIdentity {
                     id: format!("s-{i:03}"),
                     zone: s.servers.zones[zone].clone(),
                     kind: kind.name.clone(),
@@ -231,7 +231,7 @@
             conns: HashMap::new(),
             due,
             acts,
-            endpoints: EndpointList::new(plates),
+            endpoints: EndpointList::new(identities),
             list_late: 0,
             store_at: 0,
             store_times: 1.0,
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,16 +1,18 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the tasks.
-use super::permit::Terms;
+use super::dial_permit::DialConditions;
 use super::{
-    accept, discovery, handover, listener, membership, operator, probe, processes, stop, store, Command, Hub,
+    accept, discovery, handover, health_check, listener, membership, operator, processes, signals, store,
+    Command, Hub,
 };
 use crate::clock::span;
 use crate::lines;
-use crate::reducer::{Effect, Event, OperatorReply, OperatorRequest, Reducer, Timer};
+use crate::reducer::{Effect, Event, OperatorReply, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::node::Node;
 use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_store::writer::Health;
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -50,13 +52,13 @@
 }
 
 /// Serves until it is told to stop and is empty.
-pub async fn run(
+pub async fn run<E: Display + 'static>(
     node: Node,
-    reread: impl Fn() -> Result<Node, String> + 'static,
+    read_configuration: impl Fn() -> Result<Node, E> + 'static,
     log: slog::Logger,
 ) -> std::io::Result<()> {
-    let signals = stop::Signals::caught()?;
-    stop::open();
+    let signals = signals::Signals::install()?;
+    signals::unblock();
     let limits = node.limits;
     let (hub, mut arrived) = Hub::new(limits, node.site.report, log.clone());
     let clock = hub.clock;
@@ -124,14 +126,14 @@
     stored.into_iter().for_each(|stored| reducer.remember(stored));
     reducer.start(clock.now(), &mut effects);
     hands.carry_out(&mut effects);
-    tokio::task::spawn_local(stop::run(signals, reread, hub));
+    tokio::task::spawn_local(signals::run(signals, read_configuration, hub));
     while hands.exit.is_none() {
         let next = hands.alarms.first_key_value().map_or(Micros::MAX / 2, |((at, _), _)| *at);
         let next = hands.waiting.front().map_or(next, |wait| wait.1.min(next));
         let event = tokio::select! {
             biased;
             // Before all that waits from sessions: a crowd of these may not delay an operator.
-            Some((what, answer)) = calls.recv() => Some(hands.called(what, answer)),
+            Some(call) = calls.recv() => Some(hands.called(call)),
             event = arrived.recv() => event,
             Some(now) = changed(&mut health) => Some(hands.store_told(now)),
             () = sleep_until(clock.at(next)) => None,
@@ -172,11 +174,11 @@
 }
 
 impl Hands {
-    fn called(&mut self, what: OperatorRequest, answer: oneshot::Sender<OperatorReply>) -> Event {
+    fn called(&mut self, call: operator::OperatorCall) -> Event {
         self.asked += 1;
-        let call = self.asked as u32;
-        self.calls.insert(call, answer);
-        Event::OperatorCall { call, what }
+        let id = self.asked as u32;
+        self.calls.insert(id, call.reply);
+        Event::OperatorCall { call: id, what: call.request }
     }
 
     fn store_told(&mut self, now: Health) -> Event {
@@ -223,7 +225,7 @@
                 Effect::RejectPing { conn } => self.hub.command(conn, Command::Pong(lines::BUSY)),
                 Effect::Reply { call, mut reply } => {
                     if let OperatorReply::Metrics(figures) = &mut reply {
-                        figures.denials = self.hub.denials.now();
+                        figures.denials = self.hub.denials.counts();
                     }
                     // Who asked may be gone by now.
                     _ = self.calls.remove(&call).map(|answer| answer.send(reply));
@@ -235,7 +237,7 @@
                     self.hub.leaving.borrow_mut().remove(&server);
                 }
                 Effect::Dial { sess, dial, server, addr, wait, begin } => {
-                    let terms = Terms { server, by: self.hub.clock.now() + begin };
+                    let terms = DialConditions { server, start_by: self.hub.clock.now() + begin };
                     let command = Command::Dial { dial, addr, wait, terms };
                     let ticket = self.tickets.remove(&sess);
                     let unwritten = |t: &u64| self.keeper.as_ref().is_some_and(|keeper| !keeper.settled(*t));
@@ -371,7 +373,7 @@
         let to = self.probes.entry(server).or_insert_with(|| {
             // The module asks for one probe of a server at a time.
             let (to, asked) = mpsc::channel(1);
-            tokio::task::spawn_local(probe::run(server, keep, asked, self.hub.clone()));
+            tokio::task::spawn_local(health_check::run(server, keep, asked, self.hub.clone()));
             to
         });
         if to.try_send(addr).is_err() {
