--- a/emulator/src/audit/answers.rs
+++ b/emulator/src/audit/answers.rs
@@ -1,7 +1,7 @@
 //! Rule 1, one final answer in time, and the part of rule 2 that is about rejections.
 use super::session::{Answer, Session, TraceEvent};
 use super::Audit;
-use hallrelay_balancer::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
 /// A client's whole first line, on its way to a relay that took the connection.
 pub struct RequestSent {
@@ -65,8 +65,8 @@
             Answer::Busy => {
                 let cannot_run = session.first_run.is_none() && session.dialling.is_none();
                 let may_repeat = matches!(
-                    self.rules.repeats[session.listener],
-                    Repeat::Repeatable | Repeat::Referenced { within: Within::All, .. }
+                    self.rules.idempotency[session.listener],
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. }
                 );
                 if !may_repeat && !cannot_run {
                     self.record_breach(2, now, mark, "refused, though it may have run".to_string());
--- a/emulator/src/audit/dials.rs
+++ b/emulator/src/audit/dials.rs
@@ -2,7 +2,7 @@
 //! that are not safe.
 use super::session::{DialOutcome, FirstRun, Session, TraceEvent};
 use super::Audit;
-use hallrelay_balancer::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
 /// A session's first line at a backend.
 #[derive(Clone, Copy)]
@@ -73,18 +73,18 @@
 
     /// Whether a session that may have run may be dialled again.
     fn may_dial_again(&self, session: &Session, run: FirstRun, dial: &DialReceived) -> bool {
-        match self.rules.repeats[session.listener] {
-            Repeat::Repeatable => true,
-            Repeat::OnceOnly => false,
-            Repeat::Referenced { within, window } => {
+        match self.rules.idempotency[session.listener] {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 let here = &self.backends[dial.backend];
                 let there = &self.backends[run.backend];
-                let is_within = match within {
-                    Within::All => true,
-                    Within::Zone => here.zone == there.zone,
-                    Within::Cell => here.cell == there.cell,
+                let is_in_scope = match scope {
+                    KeyScope::All => true,
+                    KeyScope::Zone => here.zone == there.zone,
+                    KeyScope::Cell => here.cell == there.cell,
                 };
-                is_within && dial.first_byte_at <= run.at + window + self.rules.slack
+                is_in_scope && dial.first_byte_at <= run.at + window + self.rules.slack
             }
         }
     }
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -14,7 +14,7 @@
 pub use dials::DialReceived;
 pub use session::{Answer, DialOutcome};
 
-use hallrelay_balancer::types::{Micros, Repeat};
+use hallrelay_balancer::types::{Idempotency, Micros};
 use hallrelay_config::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 use session::{Session, TraceEvent};
@@ -54,7 +54,7 @@
     poll_within: Micros,
     max_dials: u32,
     /// By listener.
-    repeats: Vec<Repeat>,
+    idempotency: Vec<Idempotency>,
 }
 
 /// A backend as the rules see it.
@@ -136,7 +136,7 @@
                 drain_grace: s.rules.drain_grace_ms.us(),
                 poll_within: s.rules.ask_within_s.us(),
                 max_dials: s.relays.most_dials,
-                repeats: s.listeners.iter().map(|listener| listener.repeats()).collect(),
+                idempotency: s.listeners.iter().map(|listener| listener.repeats()).collect(),
             },
             listeners: s.listeners.iter().map(|listener| listener.name.clone()).collect(),
             relays: (0..s.relays.count).map(|_| relay()).collect(),
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -2,7 +2,7 @@
 //! does after an answer, a move or a break.
 use crate::event_queue::EventQueue;
 use crate::random::Random;
-use hallrelay_balancer::types::{Micros, Repeat, Within};
+use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 use hallrelay_config::scenario::Scenario;
 use std::collections::{BTreeMap, HashMap};
 
@@ -367,8 +367,8 @@
         let l = &self.s.listeners[p.listener];
         let may = harmless
             || match l.repeats() {
-                Repeat::Repeatable => true,
-                Repeat::Referenced { within: Within::All, window } => self.now < p.since + window,
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed { scope: KeyScope::All, window } => self.now < p.since + window,
                 _ => false,
             };
         if p.tries == 0 || !may {
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -7,8 +7,8 @@
 pub mod dial_permit;
 mod discovery;
 mod first_line;
-mod handover;
 mod health_check;
+mod hot_restart;
 #[cfg(test)]
 mod interleaving_tests;
 mod listener;
@@ -19,7 +19,7 @@
 mod read;
 pub mod serve;
 pub mod signals;
-mod store;
+mod state_store;
 
 use crate::clock::Clock;
 use crate::reducer::Event;
@@ -27,8 +27,7 @@
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
-use hallrelay_hot_restart::place::Peer;
-use hallrelay_hot_restart::Session;
+use hallrelay_hot_restart::{PeerId, SessionState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -53,7 +52,7 @@
     Answer(Vec<u8>),
     Move,
     /// Another process goes on with its session.
-    PassOn(Peer, Box<Session>),
+    PassOn(PeerId, Box<SessionState>),
     Close,
     /// Whether its backend's silence is to tell sooner.
     Doubt(bool),
@@ -75,7 +74,7 @@
     /// When a connection to any server came up last.
     connected_at: Rc<Cell<Micros>>,
     /// Channels to other processes of this relay.
-    processes: Rc<RefCell<BTreeMap<Peer, mpsc::Sender<processes::ProcessCommand>>>>,
+    processes: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<processes::ProcessCommand>>>>,
     /// As the configuration in force has them.
     tuned: Rc<RefCell<(Rc<Limits>, ReportOrder)>>,
     clock: Clock,
--- a/relay/src/net/operator/response.rs
+++ b/relay/src/net/operator/response.rs
@@ -46,9 +46,9 @@
 /// The answer that a reply of the reducer stands for.
 pub fn from_reply(reply: OperatorReply) -> Response<Full<Bytes>> {
     match reply {
-        OperatorReply::Accepted(state) => text(StatusCode::OK, state),
-        OperatorReply::Unavailable(reason) => unavailable(reason),
-        OperatorReply::Conflict(reason) => text(StatusCode::CONFLICT, reason),
+        OperatorReply::Accepted(status) => text(StatusCode::OK, status.label()),
+        OperatorReply::Unavailable(status) => unavailable(status.label()),
+        OperatorReply::Conflict(status) => text(StatusCode::CONFLICT, status.label()),
         OperatorReply::Blocked(reason) => text(StatusCode::CONFLICT, reason),
         OperatorReply::Committed(words) => text(StatusCode::OK, words),
         OperatorReply::Leases(None) => text(StatusCode::NOT_FOUND, "nothing of it is agreed here"),
--- a/relay/src/net/processes.rs
+++ b/relay/src/net/processes.rs
@@ -1,9 +1,7 @@
 //! Channels to other processes of this relay during a hot restart, and the handover of one session through
 //! them.
 use super::Hub;
-use hallrelay_hot_restart::message::encode;
-use hallrelay_hot_restart::place::Peer;
-use hallrelay_hot_restart::{Message, Session};
+use hallrelay_hot_restart::{encode, Message, PeerId, SessionState};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
@@ -39,8 +37,8 @@
 /// The sockets, where that process is gone or the session cannot be encoded; none where they are lost with
 /// its connection.
 pub async fn hand_over_session(
-    peer: Peer,
-    session: Box<Session>,
+    peer: PeerId,
+    session: Box<SessionState>,
     sockets: SessionSockets,
     hub: &Hub,
 ) -> Result<(), Option<SessionSockets>> {
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/figures.rs
@@ -1,7 +1,7 @@
 //! What operators are told in numbers: counted where the state changes, read as a whole.
 use super::{MembershipMetrics, Reducer};
 use crate::net::dial_permit::Denials;
-use hallrelay_store::writer::Health;
+use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -36,7 +36,7 @@
     /// Of the other relays; none where this one is told of none.
     pub membership: Option<Box<MembershipMetrics>>,
     /// Of the store; none where nothing is kept.
-    pub store: Option<Box<Health>>,
+    pub store: Option<Box<WriterHealth>>,
 }
 
 impl Figures {
@@ -69,7 +69,7 @@
             known: listed.clone().count(),
             avoided: listed.filter(|(&server, _)| self.module.avoids(self.now, server)).count(),
             membership: self.membership_metrics(),
-            store: self.store.clone(),
+            store: self.store_health.clone(),
             ..self.figures.clone()
         }
     }
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -1,7 +1,7 @@
 //! Membership within a relay's state: what the relay reports of itself, when its process speaks for it, and
 //! what becomes of membership's effects. Nothing here goes to the balancer: it reckons with the configured
 //! number of relays, however many are reachable.
-use super::duty::Duty;
+use super::lifecycle::Lifecycle;
 use super::{note, Effect, Reducer, Timer};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
@@ -36,7 +36,7 @@
         start: now,
         metadata: MemberMetadata::default(),
         peers: fleet.peers.clone(),
-        configured_relays: node.site.facts.relays as usize,
+        configured_relays: node.site.facts.relay_count as usize,
         random_seed: node.seed,
     }))
 }
@@ -66,8 +66,10 @@
                 };
                 note(format!("relay {name} is {}{details}", state.as_str()), out);
             }
-            MembershipEffect::EndpointListRequested { stream } => self.tell_list(stream, out),
-            MembershipEffect::EndpointListReceived { from, bytes } => self.heard_say(&from, &bytes, out),
+            MembershipEffect::EndpointListRequested { stream } => self.send_list_to_peer(stream, out),
+            MembershipEffect::EndpointListReceived { from, bytes } => {
+                self.receive_peer_list(&from, &bytes, out)
+            }
             MembershipEffect::UserMessageReceived { from, bytes } => self.receive_control(&from, &bytes, out),
             for_sockets => out.push(Effect::Membership(for_sockets)),
         }
@@ -111,18 +113,18 @@
     }
 
     fn reported_lifecycle(&self) -> ReportedLifecycle {
-        match self.duty {
-            Duty::Waiting => ReportedLifecycle::Starting,
-            Duty::Serving if !self.can_place() => ReportedLifecycle::Starting,
-            Duty::Serving | Duty::Relieved => ReportedLifecycle::Serving,
-            Duty::Draining | Duty::Away => ReportedLifecycle::Draining,
-            Duty::Stopping | Duty::Leaving => ReportedLifecycle::Stopping,
+        match self.lifecycle {
+            Lifecycle::AwaitingTakeover => ReportedLifecycle::Starting,
+            Lifecycle::Serving if !self.has_servers() => ReportedLifecycle::Starting,
+            Lifecycle::Serving | Lifecycle::HandedOver => ReportedLifecycle::Serving,
+            Lifecycle::Draining | Lifecycle::HandedOverDraining => ReportedLifecycle::Draining,
+            Lifecycle::Stopping | Lifecycle::HandedOverStopping => ReportedLifecycle::Stopping,
         }
     }
 
     /// The relay ends, on purpose: the process that speaks for it announces that.
     pub(super) fn leave_fleet(&mut self, out: &mut Vec<Effect>) {
-        if self.place.has() {
+        if self.ownership.is_owner() {
             self.step_membership(MembershipEvent::Leave, out);
         }
     }
@@ -130,7 +132,7 @@
     /// The answer of `GET /v1/fleet`; none where no fleet is configured.
     pub(super) fn fleet_status(&self) -> Option<Box<Status>> {
         let mut status = self.membership.as_ref()?.status(self.now);
-        status.recovery_stage = self.returning().word().to_string();
+        status.recovery_stage = self.recovery_phase().label().to_string();
         Some(Box::new(status))
     }
 
@@ -144,7 +146,7 @@
             counters: membership.counters.clone(),
             members_by_state,
             reachable_relays: membership.reachable_count(),
-            peer_lists_accepted: self.hearsay.into(),
+            peer_lists_accepted: self.peer_lists_received.into(),
         }))
     }
 }
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -55,10 +55,10 @@
     /// only once all of it is updated; one that fails more sessions than the old build does so at once.
     pub(super) fn wave_analysis(&mut self) -> Option<Command> {
         let now = self.now;
-        let c = self.coordination.as_mut()?;
-        let rollout = c.state.rollout()?;
-        let since = c.outcome_counts.follow_wave(rollout, now)?;
-        let counts = c.outcome_counts.of_wave(rollout);
+        let coordination = self.coordination.as_mut()?;
+        let rollout = coordination.state.rollout()?;
+        let since = coordination.outcome_counts.follow_wave(rollout, now)?;
+        let counts = coordination.outcome_counts.of_wave(rollout);
         let elapsed_s = (now - since) / MICROS_PER_S;
         let verdict = analyze(&rollout.plan.analysis, counts.new, counts.old, elapsed_s)?;
         let is_updated = rollout.phase == RolloutPhase::Analyzing;
--- a/relay/src/reducer/voter.rs
+++ b/relay/src/reducer/voter.rs
@@ -2,7 +2,7 @@
 //! for a commit, and what of the log is on the disk. Times in microseconds.
 use hallrelay_balancer::types::Micros;
 use hallrelay_raft::{Effect, Event, Id, Index, Node, PersistentState, Role, Timer, Voter, Write};
-use hallrelay_recovery::Kept;
+use hallrelay_recovery::Record;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -141,22 +141,22 @@
     }
 
     /// A write of the node as records for the store. Entries that the log no longer has are deleted.
-    pub fn records(&mut self, write: Write) -> Vec<Kept> {
+    pub fn records(&mut self, write: Write) -> Vec<Record> {
         let LogRange { first, last } = self.persisted;
         match write {
-            Write::Vote { term, voted_for } => vec![Kept::vote(self.disk_incarnation, term, voted_for)],
+            Write::Vote { term, voted_for } => vec![Record::vote(self.disk_incarnation, term, voted_for)],
             Write::Log { from, entries } => {
                 let end = from + entries.len() as Index - 1;
                 self.persisted = LogRange { first: first.min(from), last: end };
-                let truncated = (end + 1..=last).map(Kept::no_entry);
-                entries.iter().map(Kept::entry).chain(truncated).collect()
+                let truncated = (end + 1..=last).map(Record::log_entry_removed);
+                entries.iter().map(Record::log_entry).chain(truncated).collect()
             }
             Write::Snapshot { snapshot, entries } => {
                 let end = snapshot.index + entries.len() as Index;
                 self.persisted = LogRange { first: snapshot.index + 1, last: end };
                 let remains = |index: &Index| entries.iter().any(|entry| entry.index == *index);
-                let compacted = (first..=last).filter(|index| !remains(index)).map(Kept::no_entry);
-                std::iter::once(Kept::snapshot(&snapshot)).chain(compacted).collect()
+                let compacted = (first..=last).filter(|index| !remains(index)).map(Record::log_entry_removed);
+                std::iter::once(Record::snapshot(&snapshot)).chain(compacted).collect()
             }
         }
     }
