--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -316,14 +316,14 @@
             wasted,
             most_open: self.most_open,
             stale_dials: audit.stale_dials,
-            cold_falls: audit.falls,
+            cold_falls: audit.overloads,
             breaches: audit.breaches.clone(),
-            breaches_in_all: audit.breached(),
+            breaches_in_all: audit.breach_count(),
             sessions_seen: audit.sessions_seen,
             troubles: bands.collect(),
             log: self.log.clone(),
             samples: self.samples.clone(),
-            servers: servers.book.plates.iter().map(|p| p.id.clone()).collect(),
+            servers: servers.endpoints.identities.iter().map(|p| p.id.clone()).collect(),
             ..Outcome::default()
         }
     }
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -10,15 +10,15 @@
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::{self as config, Node, Told as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
-use hallrelay_emulator::audit::{Answer, DialOver};
+use hallrelay_emulator::audit::{Answer, DialOutcome, DialReceived, RequestSent};
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
 use hallrelay_emulator::day::{Day, Todo};
+use hallrelay_emulator::event_queue::EventQueue;
 use hallrelay_emulator::membership_audit::ProcessState;
 use hallrelay_emulator::node::{self, Place};
 use hallrelay_emulator::script::Deed;
 use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Told, Word};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
-use hallrelay_emulator::tools::Queue;
 use hallrelay_recovery::record::VERSION;
 use hallrelay_recovery::{Record, StoredState};
 use hallrelay_relay::lines::SessionRequest;
@@ -205,7 +205,7 @@
 
 pub struct Virtual<'a> {
     day: Day,
-    queue: Queue<Ev>,
+    queue: EventQueue<Ev>,
     relays: Vec<Relay>,
     /// Looked up and never walked, as is what is asked.
     dials: HashMap<ConnNo, Dial>,
@@ -239,7 +239,7 @@
     let day = Day::new(s, seed, BEGIN);
     let mut v = Virtual {
         day,
-        queue: Queue::default(),
+        queue: EventQueue::default(),
         relays: Vec::new(),
         dials: HashMap::new(),
         asks: HashMap::new(),
@@ -284,7 +284,7 @@
             state: self.day.s.relays.state.then(|| "virtual".to_string()),
             fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
         };
-        let text = node::text(&self.day.s, &place, &self.day.servers.book, |i| addr(i).to_string());
+        let text = node::text(&self.day.s, &place, &self.day.servers.endpoints, |i| addr(i).to_string());
         config::parse(text.to_string().as_bytes(), &Given::default())
     }
 
@@ -301,7 +301,7 @@
         const LOOK: Micros = 250_000;
         let mut look = self.now;
         loop {
-            let next = self.queue.next().map_or(Micros::MAX, |at| at).min(self.day.next());
+            let next = self.queue.next_at().map_or(Micros::MAX, |at| at).min(self.day.next());
             if next > self.day.end {
                 break;
             }
@@ -318,7 +318,7 @@
                 self.day.step(self.now, &mut todo);
                 self.carry_out(&mut todo)?;
             }
-            while let Some((_, event)) = self.queue.due(self.now) {
+            while let Some((_, event)) = self.queue.pop_due(self.now) {
                 self.events += 1;
                 self.event(event, &mut todo)?;
                 self.carry_out(&mut todo)?;
@@ -342,7 +342,7 @@
     }
 
     fn later(&mut self, after: Micros, ev: Ev) {
-        self.queue.at(self.now + after, ev);
+        self.queue.schedule(self.now + after, ev);
     }
 
     fn tell(&mut self, relay: usize, after: Micros, event: Event) {
@@ -363,13 +363,13 @@
             mind.load_state(stored);
         }
         mind.start(self.now, &mut out);
-        let known = self.day.servers.book.whole();
+        let known = self.day.servers.endpoints.present();
         let r = &mut self.relays[relay];
         (r.mind, r.life, r.starts) = (Some(mind), life, r.starts + 1);
         (r.lines, r.marks) = (BTreeMap::new(), BTreeMap::new());
         r.watches.clear();
         r.known = known;
-        self.day.audit.relay_starts(self.now, relay);
+        self.day.audit.relay_started(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
         self.day.clients.relay_is(self.now, relay, true);
         self.effects(relay, out);
@@ -388,7 +388,7 @@
         r.marks.clear();
         r.past.clear();
         let lines = std::mem::take(&mut r.lines);
-        self.day.audit.relay_ends(self.now, relay);
+        self.day.audit.relay_ended(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Down);
         self.day.servers.forgets(relay);
         self.day.clients.relay_is(self.now, relay, false);
@@ -410,9 +410,9 @@
             self.relays[relay].lines.values().filter(|l| !l.over).map(|l| (l.mark, l.open)).collect();
         for (mark, open) in held {
             if open {
-                self.day.audit.cut_off(self.now, mark);
+                self.day.audit.connection_cut(self.now, mark);
             } else {
-                self.day.audit.answered(self.now, mark, &Answer::Closed);
+                self.day.audit.client_answered(self.now, mark, &Answer::Closed);
             }
         }
         self.ends(relay);
@@ -580,10 +580,10 @@
                 Effect::WatchEndpoints { watch, since, .. } => {
                     if self.day.list_cut[relay] {
                         let silent = self.relays[relay].limits.discovery_first;
-                        self.day.audit.call_failed(relay);
+                        self.day.audit.list_call_failed(relay);
                         self.tell(relay, silent, Event::EndpointWatchFailed { watch });
                     } else if self.list_down {
-                        self.day.audit.call_failed(relay);
+                        self.day.audit.list_call_failed(relay);
                         self.tell(relay, 2 * way, Event::EndpointWatchFailed { watch });
                     } else {
                         let w = Watch { id: watch, since, speaks: false };
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -1,7 +1,7 @@
 //! An open session: lines pass both ways unchanged, and what they tell of load and latency is reported to the
 //! reducer.
 use super::dial::Backend;
-use super::peers::{self, Sockets};
+use super::processes::{hand_over_session, SessionSockets};
 use super::{close, Command, Hub};
 use crate::buffer::Buffer;
 use crate::lines::{self, BackendReply};
@@ -181,11 +181,11 @@
 pub async fn resume(
     connection_id: SessId,
     session: Box<SessionState>,
-    sockets: Sockets,
+    sockets: SessionSockets,
     mut commands: Receiver<Command>,
     hub: &Hub,
 ) {
-    let Sockets { client, backend } = sockets;
+    let SessionSockets { client, backend } = sockets;
     let limits = hub.limits();
     let from_client = Buffer::holding(&session.to_backend, limits.buffer_first, limits.buffer_most);
     let from_backend = Buffer::holding(&session.to_client, limits.buffer_first, limits.buffer_most);
@@ -261,12 +261,12 @@
             unanswered_ages: observer.unanswered.iter().map(|sent_at| now - sent_at).collect(),
             ..*session
         });
-        match peers::pass(peer, session, Sockets { client, backend }, hub).await {
+        match hand_over_session(peer, session, SessionSockets { client, backend }, hub).await {
             Ok(()) => {
                 hub.tell(Event::SessionHandedOver { session_id: observer.connection_id }).await;
                 None
             }
-            Err(Some(Sockets { client, backend })) => {
+            Err(Some(SessionSockets { client, backend })) => {
                 Some(OpenSession { client, from_client, backend, from_backend, observer })
             }
             // Its sockets are of no use to this process any more.
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -2,8 +2,8 @@
 use super::dial_permit::DialConditions;
 use super::state_store::StateStore;
 use super::{
-    accept, discovery, health_check, hot_restart, listener, membership, operator, peers, signals, Command,
-    Hub,
+    accept, discovery, health_check, hot_restart, listener, membership, operator, processes, signals,
+    Command, Hub,
 };
 use crate::clock::span;
 use crate::lines;
@@ -329,14 +329,14 @@
                 }
                 Effect::SetAccepting { on } => _ = self.taking.send(on),
                 Effect::SendToProcess { peer, message } => {
-                    let peers = self.hub.peers.borrow();
-                    let out = peers::Out::Say(message);
-                    if peers.get(&peer).is_none_or(|to| to.try_send(out).is_err()) {
+                    let processes = self.hub.processes.borrow();
+                    let command = processes::ProcessCommand::Send(message);
+                    if processes.get(&peer).is_none_or(|to| to.try_send(command).is_err()) {
                         slog::warn!(self.hub.log, "another process does not hear"; "peer" => peer);
                     }
                 }
                 // What was said goes out first.
-                Effect::DisconnectProcess { peer } => _ = self.hub.peers.borrow_mut().remove(&peer),
+                Effect::DisconnectProcess { peer } => _ = self.hub.processes.borrow_mut().remove(&peer),
                 Effect::SetTakeoverListener { open: true } => {
                     let Some(takeover) = &mut self.takeover else { continue };
                     let path = takeover.path.clone();
