--- a/config/src/limits.rs
+++ b/config/src/limits.rs
@@ -69,7 +69,8 @@
     /// The same of a process that another has replaced, from SIGTERM on.
     pub leave_from: Micros,
     pub leave_by: Micros,
-    /// Other processes at the door at once, and how long a running one may take to offer its place.
+    /// Processes that may ask to take over at once, and how long a running one may take to offer its
+    /// listener.
     pub visitors: usize,
     pub offer: Micros,
     /// Messages and sessions on their way to another process.
--- a/hot_restart/src/codec.rs
+++ b/hot_restart/src/codec.rs
@@ -137,7 +137,7 @@
     server.name.len() <= MAX_NAME_BYTES
         && is_valid_report
         && is_valid_quantity(server.recently_placed.abs())
-        && is_valid_quantity(server.slow_start_turn.pause_fraction)
+        && is_valid_quantity(server.slow_start_slot.pause_fraction)
 }
 
 fn is_valid_quantity(x: f64) -> bool {
--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -7,12 +7,12 @@
 //! that step the old process goes on as if there were no other. Afterwards open sessions are handed over one
 //! by one, each with its client's and its backend's socket. A session that still waits for its answer gets it
 //! from the old process, and is handed over once it is established.
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod codec;
 pub mod message;
 pub mod ownership;
 
 pub use codec::{decode, encode, MessageError};
-pub use message::{ExclusionList, LoadReport, Message, RelayState, ServerState, SessionState, SlowStartTurn};
+pub use message::{ExclusionList, LoadReport, Message, RelayState, ServerState, SessionState, SlowStartSlot};
 pub use ownership::{ListenerOwnership, OwnershipAction, OwnershipEvent, PeerId};
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -146,9 +146,9 @@
     /// Sessions placed there recently, less those that left since; may be negative.
     #[serde(rename = "placed")]
     pub recently_placed: f64,
-    /// This relay's last turn at the server, where that is in slow start.
+    /// The slot that this relay used last at the server, where that is in slow start.
     #[serde(rename = "turn")]
-    pub slow_start_turn: SlowStartTurn,
+    pub slow_start_slot: SlowStartSlot,
 }
 
 /// A server's load report.
@@ -177,24 +177,24 @@
     }
 }
 
-/// A relay's last turn to send a session to a server in slow start.
+/// The slot in which a relay last sent a session to a server in slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, f64)", into = "(u64, f64)")]
-pub struct SlowStartTurn {
+pub struct SlowStartSlot {
     /// Its age in microseconds.
     pub age: u64,
-    /// The part of a pause between turns that the next one waits.
+    /// The part of the pause between slots that the next one waits.
     pub pause_fraction: f64,
 }
 
-impl From<(u64, f64)> for SlowStartTurn {
-    fn from((age, pause_fraction): (u64, f64)) -> SlowStartTurn {
-        SlowStartTurn { age, pause_fraction }
+impl From<(u64, f64)> for SlowStartSlot {
+    fn from((age, pause_fraction): (u64, f64)) -> SlowStartSlot {
+        SlowStartSlot { age, pause_fraction }
     }
 }
 
-impl From<SlowStartTurn> for (u64, f64) {
-    fn from(turn: SlowStartTurn) -> (u64, f64) {
-        (turn.age, turn.pause_fraction)
+impl From<SlowStartSlot> for (u64, f64) {
+    fn from(slot: SlowStartSlot) -> (u64, f64) {
+        (slot.age, slot.pause_fraction)
     }
 }
--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -4,7 +4,7 @@
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
     decode, encode, ExclusionList, ListenerOwnership, LoadReport, Message, OwnershipAction, OwnershipEvent,
-    RelayState, ServerState, SessionState, SlowStartTurn,
+    RelayState, ServerState, SessionState, SlowStartSlot,
 };
 use serde_json::json;
 
@@ -20,7 +20,7 @@
         report: Some(LoadReport { age: 1_500, load: 0.25, queued: 1.5, sessions: 12.0 }),
         consecutive_failures: 2,
         recently_placed: -3.5,
-        slow_start_turn: SlowStartTurn { age: 7_000_000, pause_fraction: 0.75 },
+        slow_start_slot: SlowStartSlot { age: 7_000_000, pause_fraction: 0.75 },
     };
     let unknown = ServerState { name: "s-2".into(), ..ServerState::default() };
     RelayState {
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -4,7 +4,7 @@
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
     decode, encode, ListenerOwnership, LoadReport, Message, OwnershipAction, OwnershipEvent, RelayState,
-    ServerState, SlowStartTurn,
+    ServerState, SlowStartSlot,
 };
 
 fn message(word: &str) -> Message {
@@ -160,7 +160,7 @@
         report: Some(LoadReport { age: 5, load: 0.5, queued: 0.0, sessions: 3.0 }),
         consecutive_failures: 1,
         recently_placed: -2.0,
-        slow_start_turn: SlowStartTurn { age: 7, pause_fraction: 0.25 },
+        slow_start_slot: SlowStartSlot { age: 7, pause_fraction: 0.25 },
     };
     RelayState {
         servers: vec![server],
@@ -201,7 +201,7 @@
     for change in [
         |s: &mut RelayState| s.session_load = -1.0,
         |s: &mut RelayState| s.servers[0].recently_placed = 1e12,
-        |s: &mut RelayState| s.servers[0].slow_start_turn.pause_fraction = 1e12,
+        |s: &mut RelayState| s.servers[0].slow_start_slot.pause_fraction = 1e12,
         |s: &mut RelayState| s.servers[0].report = Some(LoadReport { load: -0.1, ..LoadReport::default() }),
     ] {
         let mut state = state();
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,7 +1,7 @@
 //! What a starting relay takes over from before: the records of its state directory ([`record`], [`stored`]),
 //! how far each kind of record is trusted against the configuration ([`recover`](mod@recover)), and how a
 //! relay's recovery is reported ([`phase`]). No file, no clock; `docs/recovery.md`.
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod phase;
 pub mod record;
--- a/recovery/src/record.rs
+++ b/recovery/src/record.rs
@@ -20,7 +20,7 @@
     ListVersion = 2,
     /// One server as the list had it last, by its name; draining and removed ones included.
     Server = 3,
-    /// This relay's last turn at a server in slow start, by the server's name.
+    /// The slot that this relay used last at a server in slow start, by the server's name.
     SlowStartSlot = 4,
     /// A voter's incarnation, current term and vote.
     Vote = 5,
@@ -157,7 +157,7 @@
         Record::json(RecordKind::Server, &instance.id, &content)
     }
 
-    /// A turn at a server in slow start. `used_at` is by the system's clock.
+    /// A used slot at a server in slow start. `used_at` is by the system's clock.
     pub fn slow_start_slot(server: &str, used_at: Micros) -> Record {
         Record::json(RecordKind::SlowStartSlot, server, &SlowStartContent { used_at })
     }
--- a/recovery/src/recover.rs
+++ b/recovery/src/recover.rs
@@ -8,7 +8,7 @@
 /// A removed server is remembered this long: by then it is missing from every list.
 const SERVER_MAX_AGE: Micros = 7 * 86_400_000_000;
 
-/// A turn at a server in slow start that this relay has used already.
+/// A slot at a server in slow start that this relay has used already.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlowStartSlot {
     /// The server's name in the list.
@@ -56,7 +56,7 @@
 pub struct Recovered {
     /// The complete endpoint list. Servers that were draining or removed are so in it.
     pub list: List,
-    /// Turns at servers in slow start that are used already.
+    /// Slots at servers in slow start that are used already.
     pub slow_start_slots: Vec<SlowStartSlot>,
     /// The relay's start number is at least this.
     pub min_start_number: u64,
@@ -163,7 +163,7 @@
     fn max_age(&self, kind: RecordKind) -> Option<Micros> {
         match kind {
             RecordKind::Server => Some(SERVER_MAX_AGE),
-            // A turn matters while the server is in slow start.
+            // A slot matters while the server is in slow start.
             RecordKind::SlowStartSlot => Some(self.input.slow_start),
             // Raft: term, vote, log and snapshot survive any restart.
             RecordKind::Vote | RecordKind::LogEntry | RecordKind::Snapshot => None,
@@ -172,7 +172,7 @@
     }
 
     /// The age that a record counts with; `None` where it is too old to be used. A record of unknown age
-    /// counts as written just now: a removed server stays removed, a turn is waited for as long as it can
+    /// counts as written just now: a removed server stays removed, a slot is waited for as long as it can
     /// mean.
     fn trusted_age(&self, kind: RecordKind, written_at: Micros) -> Option<Micros> {
         let Some(age) = self.age(written_at) else { return Some(0) };
--- a/recovery/src/stored.rs
+++ b/recovery/src/stored.rs
@@ -38,7 +38,7 @@
     pub list_version: Option<ListVersion>,
     /// Servers, by their name in the list.
     pub servers: BTreeMap<String, StoredServer>,
-    /// When this relay had its last turn at a server in slow start, by the system's clock.
+    /// When this relay last used a slot at a server in slow start, by the system's clock.
     pub slow_start_slots: BTreeMap<String, Micros>,
     /// The incarnation of a voter's disk; `None` where the relay was no voter.
     pub incarnation: Option<u64>,
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -7,7 +7,7 @@
 use hallrelay_hot_restart::ownership::READY_TIMEOUT;
 use hallrelay_hot_restart::{
     ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, PeerId, RelayState, ServerState,
-    SlowStartTurn,
+    SlowStartSlot,
 };
 use hallrelay_membership::{Event as MembershipEvent, Membership};
 
@@ -135,7 +135,7 @@
             report,
             consecutive_failures: memory.misses,
             recently_placed: memory.placed,
-            slow_start_turn: SlowStartTurn { age: memory.turn.0, pause_fraction: memory.turn.1 },
+            slow_start_slot: SlowStartSlot { age: memory.turn.0, pause_fraction: memory.turn.1 },
         })
     }
 
@@ -179,7 +179,7 @@
             report,
             misses: state.consecutive_failures,
             placed: state.recently_placed,
-            turn: (state.slow_start_turn.age, state.slow_start_turn.pause_fraction),
+            turn: (state.slow_start_slot.age, state.slow_start_slot.pause_fraction),
         })
     }
 
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -44,7 +44,7 @@
         recovered
     }
 
-    /// Turns at servers in slow start that were used before the restart count as used.
+    /// Slots at servers in slow start that were used before the restart count as used.
     pub(super) fn restore_slow_start_slots(&mut self, recovered: &Recovered, out: &mut Vec<Effect>) {
         if recovered.slow_start_slots.is_empty() {
             return;
@@ -109,7 +109,7 @@
         left_out.map(|told| Instance { phase: Phase::Gone, ..told.clone() }).collect()
     }
 
-    /// Stores a turn at a server in slow start before the dial that uses it goes out, so that a relay that
+    /// Stores a slot at a server in slow start before the dial that uses it goes out, so that a relay that
     /// crashes again and again keeps its rate.
     pub(super) fn persist_slow_start_slot(&mut self, server: ServerId, sess: SessId, out: &mut Vec<Effect>) {
         if self.node.state.is_none() {
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -7,7 +7,7 @@
 //! that is cut short or does not match its checksum. A batch of changes is one record, so it is applied
 //! completely or not at all. What [`Store::commit`] has returned for survives a power loss; a batch that
 //! failed may survive, completely. `docs/store.md` describes the bytes.
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod disk;
 pub mod error;
