--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -183,18 +183,18 @@
 pub struct SlowStartSlot {
     /// Its age in microseconds.
     pub age: u64,
-    /// The part of the pause between slots that the next one waits.
-    pub pause_fraction: f64,
+    /// The part of the interval between slots that the next one waits.
+    pub interval_fraction: f64,
 }
 
 impl From<(u64, f64)> for SlowStartSlot {
-    fn from((age, pause_fraction): (u64, f64)) -> SlowStartSlot {
-        SlowStartSlot { age, pause_fraction }
+    fn from((age, interval_fraction): (u64, f64)) -> SlowStartSlot {
+        SlowStartSlot { age, interval_fraction }
     }
 }
 
 impl From<SlowStartSlot> for (u64, f64) {
     fn from(slot: SlowStartSlot) -> (u64, f64) {
-        (slot.age, slot.pause_fraction)
+        (slot.age, slot.interval_fraction)
     }
 }
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -8,7 +8,7 @@
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
 use crate::socket::ConnectError;
-use hallrelay_balancer::types::{DialEnd, Micros, Report};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros};
 use hallrelay_config::limits::Limits;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
@@ -41,9 +41,9 @@
     /// The backend accepted the session.
     Accepted(Backend),
     /// The backend served the session to its end with this line; its load report, where it gave one.
-    Completed { line: Vec<u8>, report: Option<Report> },
+    Completed { line: Vec<u8>, report: Option<LoadReport> },
     /// It failed, and how.
-    Failed(DialEnd, Option<Report>),
+    Failed(DialEnd, Option<LoadReport>),
     /// Not started, for no fault of the backend's: this machine could not, or the backend drains.
     NotStarted,
     /// Not started: the client does not wait any more.
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -93,7 +93,7 @@
     /// Migrates this relay's part of a second's moves. A part of less than a session is saved up.
     pub(super) fn migrate_excluded(&mut self, out: &mut Vec<Effect>) {
         let sessions = self.sessions_to_migrate();
-        let relays = u64::from(self.node.site.facts.relays.max(1));
+        let relays = u64::from(self.node.site.facts.relay_count.max(1));
         let Some(coordination) = &mut self.coordination else { return };
         if sessions.is_empty() {
             coordination.owed_moves_milli = 0;
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -185,7 +185,7 @@
         let is_silent = server.misses >= MAX_MISSES || server.refused >= MAX_MISSES;
         match server.told.phase {
             Phase::Ready if is_silent => HealthState::Down,
-            Phase::Ready if server.is_cold(self.now, self.node.site.facts.cold) => HealthState::WarmingUp,
+            Phase::Ready if server.is_cold(self.now, self.node.site.facts.warm_up) => HealthState::WarmingUp,
             Phase::Ready => HealthState::Up,
             Phase::Draining | Phase::Gone => HealthState::Down,
         }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -2,7 +2,9 @@
 //! The state machine is the package `hot_restart`; this carries its actions out.
 use super::lifecycle::LifecycleEvent;
 use super::{note, Effect, Reducer, Timer};
-use hallrelay_balancer::types::{Input, Memory, Micros, Phase, Report, SessId};
+use hallrelay_balancer::types::{
+    self as balancer, Input, Micros, Phase, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
+};
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::ownership::READY_TIMEOUT;
 use hallrelay_hot_restart::{
@@ -106,11 +108,11 @@
 
     /// What the successor is to know.
     fn relay_state(&self) -> RelayState {
-        let (session_load, memory) = self.module.memory(self.now);
+        let Snapshot { session_load, servers } = self.module.snapshot(self.now);
         let listed = self.servers.values().map(|v| &v.told).filter(|told| told.phase != Phase::Gone);
         RelayState {
             endpoint_list: self.generation.map(|generation| list::encode(generation, true, listed)),
-            servers: memory.into_iter().filter_map(|memory| self.server_state(memory)).collect(),
+            servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
             session_load,
             draining_age: self.draining_since().map(|since| self.now - since),
             session_ids: self.sessions.values().map(|s| s.id).collect(),
@@ -123,19 +125,20 @@
         }
     }
 
-    fn server_state(&self, memory: Memory) -> Option<ServerState> {
-        let report = memory.report.map(|(age, report)| LoadReport {
+    fn server_state(&self, known: ServerSnapshot) -> Option<ServerState> {
+        let report = known.report.map(|balancer::PastReport { age, report }| LoadReport {
             age,
             load: report.load.unwrap_or(0.0),
-            queued: report.piled.unwrap_or(0.0),
-            sessions: report.held.unwrap_or(0.0),
+            queued: report.queue_delay.unwrap_or(0.0),
+            sessions: report.sessions.unwrap_or(0.0),
         });
+        let SlotSnapshot { age, interval_fraction } = known.slot;
         Some(ServerState {
-            name: self.servers.get(&memory.server)?.told.id.clone(),
+            name: self.servers.get(&known.server)?.told.id.clone(),
             report,
-            consecutive_failures: memory.misses,
-            recently_placed: memory.placed,
-            slow_start_slot: SlowStartSlot { age: memory.turn.0, pause_fraction: memory.turn.1 },
+            consecutive_failures: known.misses,
+            recently_placed: known.recent_sessions,
+            slow_start_slot: SlowStartSlot { age, interval_fraction },
         })
     }
 
@@ -149,8 +152,8 @@
                 self.list(List { whole: true, ..list }, out);
             }
         }
-        let servers = state.servers.into_iter().filter_map(|server| self.server_memory(server)).collect();
-        self.tell(Input::Remember { step: state.session_load, servers }, out);
+        let servers = state.servers.into_iter().filter_map(|server| self.server_snapshot(server)).collect();
+        self.tell(Input::Restore(Snapshot { session_load: state.session_load, servers }), out);
         if let (Some(membership), Some(snapshot)) = (&mut self.membership, &state.membership) {
             membership.restore(self.now, snapshot);
         }
@@ -169,17 +172,22 @@
         out.push(Effect::SetTakeoverListener { open: true });
     }
 
-    fn server_memory(&self, state: ServerState) -> Option<Memory> {
-        let report = state.report.map(|report| {
-            let LoadReport { age, load, queued, sessions } = report;
-            (age, Report { load: Some(load), piled: Some(queued), held: Some(sessions) })
+    fn server_snapshot(&self, state: ServerState) -> Option<ServerSnapshot> {
+        let report = state.report.map(|LoadReport { age, load, queued, sessions }| {
+            let report = balancer::LoadReport {
+                load: Some(load),
+                queue_delay: Some(queued),
+                sessions: Some(sessions),
+            };
+            balancer::PastReport { age, report }
         });
-        Some(Memory {
+        let SlowStartSlot { age, interval_fraction } = state.slow_start_slot;
+        Some(ServerSnapshot {
             server: *self.ids.get(&state.name)?,
             report,
             misses: state.consecutive_failures,
-            placed: state.recently_placed,
-            turn: (state.slow_start_slot.age, state.slow_start_slot.pause_fraction),
+            recent_sessions: state.recently_placed,
+            slot: SlotSnapshot { age, interval_fraction },
         })
     }
 
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -36,7 +36,7 @@
         start: now,
         metadata: MemberMetadata::default(),
         peers: fleet.peers.clone(),
-        configured_relays: node.site.facts.relays as usize,
+        configured_relays: node.site.facts.relay_count as usize,
         random_seed: node.seed,
     }))
 }
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -1,6 +1,8 @@
 //! What a relay stores as it happens, and what a start takes over of it.
 use super::{note, Effect, Reducer, Server};
-use hallrelay_balancer::types::{Input, Memory, Micros, Phase, ServerId, SessId};
+use hallrelay_balancer::types::{
+    Input, Micros, Phase, ServerId, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
+};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_recovery::{recover, PhaseInput, Record, RecoverInput, Recovered, RecoveryPhase, StoredState};
 
@@ -25,7 +27,7 @@
             now,
             relay_name: &self.node.name,
             discovery: &self.node.discovery.to_string(),
-            slow_start: self.node.site.facts.cold,
+            slow_start: self.node.site.facts.warm_up,
             configured: &self.node.known,
             stored,
         });
@@ -49,21 +51,22 @@
         if recovered.slow_start_slots.is_empty() {
             return;
         }
-        let (step, memory) = self.module.memory(self.now);
-        // Of all other servers what the module begins with.
-        let mut servers: Vec<Memory> = memory.into_iter().map(|m| Memory { report: None, ..m }).collect();
+        let Snapshot { session_load, servers } = self.module.snapshot(self.now);
+        // All other servers as the balancer starts with them.
+        let unreported = servers.into_iter().map(|server| ServerSnapshot { report: None, ..server });
+        let mut servers: Vec<ServerSnapshot> = unreported.collect();
         for slot in &recovered.slow_start_slots {
             let Some(server) = self.ids.get(&slot.server) else { continue };
-            if let Some(memory) = servers.iter_mut().find(|m| m.server == *server) {
-                memory.turn = (slot.age, 1.0);
+            if let Some(known) = servers.iter_mut().find(|known| known.server == *server) {
+                known.slot = SlotSnapshot { age: slot.age, interval_fraction: 1.0 };
             }
         }
-        self.tell(Input::Remember { step, servers }, out);
+        self.tell(Input::Restore(Snapshot { session_load, servers }), out);
     }
 
     /// How far this relay's recovery is.
     pub(super) fn recovery_phase(&self) -> RecoveryPhase {
-        let slow_start = self.node.site.facts.cold;
+        let slow_start = self.node.site.facts.warm_up;
         let ready = self.servers.values().filter(|v| v.told.phase == Phase::Ready);
         let in_slow_start = |v: &&Server| v.is_cold(self.now, slow_start);
         RecoveryPhase::of(&PhaseInput {
@@ -116,11 +119,12 @@
             return;
         }
         let Some(v) = self.servers.get(&server) else { return };
-        if !v.is_cold(self.now, self.node.site.facts.cold) {
+        if !v.is_cold(self.now, self.node.site.facts.warm_up) {
             return;
         }
-        let (_, memory) = self.module.memory(self.now);
-        let was_used_now = memory.iter().any(|m| m.server == server && m.turn == (0, 1.0));
+        let used_now = SlotSnapshot { age: 0, interval_fraction: 1.0 };
+        let known = self.module.snapshot(self.now);
+        let was_used_now = known.servers.iter().any(|known| known.server == server && known.slot == used_now);
         if was_used_now {
             let record = Record::slow_start_slot(&v.told.id, self.now);
             out.push(Effect::Persist { record, before: Some(sess) });
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -1,6 +1,6 @@
 //! Open sessions that pass from one process of the relay to the next.
 use super::{Effect, Reducer, Sess, Stage};
-use hallrelay_balancer::types::{Asked, Input, SessId};
+use hallrelay_balancer::types::{AdmissionRequest, Input, SessId};
 use hallrelay_hot_restart::SessionState;
 
 impl Reducer {
@@ -38,7 +38,7 @@
         // This process' configuration may no longer have its listener; an open session needs none.
         let listener = listeners.iter().position(|name| *name == session.listener).unwrap_or(0);
         let SessionState { key, group, returned, .. } = session;
-        let asked = Asked { listener, key, group, returned, left: 0 };
+        let asked = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
         let server = self.ids.get(&session.server).copied();
         let adopted = Sess {
             id: session.id,
@@ -60,7 +60,7 @@
         out.push(Effect::StartProxying { sess });
         // At a server that the list no longer names the session goes on, and the module need not know.
         if let Some(server) = server {
-            self.tell(Input::AlreadyOpen { sess, server, asked }, out);
+            self.tell(Input::SessionAdopted { session: sess, server, request: asked }, out);
         }
         // This process may have a successor by now.
         self.hand_over_session(sess, out);
