--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -9,7 +9,7 @@
 use hallrelay_hot_restart::ownership::READY_TIMEOUT;
 use hallrelay_hot_restart::{
     ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, PeerId, RelayState, ServerState,
-    SlowStartTurn,
+    SlowStartSlot,
 };
 use hallrelay_membership::{Event as MembershipEvent, Membership};
 
@@ -138,7 +138,7 @@
             report,
             consecutive_failures: known.misses,
             recently_placed: known.recent_sessions,
-            slow_start_turn: SlowStartTurn { age, pause_fraction: interval_fraction },
+            slow_start_slot: SlowStartSlot { age, interval_fraction },
         })
     }
 
@@ -181,13 +181,13 @@
             };
             balancer::PastReport { age, report }
         });
-        let SlowStartTurn { age, pause_fraction } = state.slow_start_turn;
+        let SlowStartSlot { age, interval_fraction } = state.slow_start_slot;
         Some(ServerSnapshot {
             server: *self.ids.get(&state.name)?,
             report,
             misses: state.consecutive_failures,
             recent_sessions: state.recently_placed,
-            slot: SlotSnapshot { age, interval_fraction: pause_fraction },
+            slot: SlotSnapshot { age, interval_fraction },
         })
     }
 
