--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -304,7 +304,7 @@
         "CloseClient" => Entry::CloseClient { session_id: session_id()? },
         "Migrate" => Entry::Migrate { session_id: session_id()? },
         "HealthCheck" => Entry::HealthCheck { addr: fields::parsed(what, "addr")? },
-        "Log" => duty(fields::text(what, "what")?),
+        "Log" => duty(fields::text(what, "message").or_else(|| fields::text(what, "what"))?),
         "Exit" => Entry::Exit,
         _ => Entry::OtherEvent,
     })
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -135,7 +135,7 @@
             }
             let Some(mind) = self.relays[relay].mind.as_mut() else { continue };
             let mut effects = Vec::new();
-            let request = Event::OperatorCall { call: 0, what: OperatorRequest::Membership };
+            let request = Event::OperatorCall { call: 0, request: OperatorRequest::Membership };
             mind.step(self.now, request, &mut effects);
             for effect in effects {
                 if let Effect::Reply { reply: OperatorReply::Membership(Some(status)), .. } = effect {
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -533,8 +533,10 @@
         let life = self.relays[relay].life;
         for effect in effects {
             match effect {
-                Effect::StartTimer { after, alarm } => self.later(after, Ev::Alarm { relay, life, alarm }),
-                Effect::Dial { session_id: sess, dial, addr, wait, .. } => {
+                Effect::StartTimer { after, timer: alarm } => {
+                    self.later(after, Ev::Alarm { relay, life, alarm })
+                }
+                Effect::Dial { session_id: sess, dial, addr, timeout: wait, .. } => {
                     self.dial(relay, sess, dial, addr, wait)
                 }
                 Effect::StartProxying { session_id: sess } => {
@@ -567,7 +569,7 @@
                     self.tell(relay, 0, Event::SessionEnded { session_id: sess, end, report: None });
                     self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
                 }
-                Effect::SetSuspect { session_id: sess, doubted } => {
+                Effect::SetSuspect { session_id: sess, suspect: doubted } => {
                     if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
                         line.doubted = doubted;
                     }
@@ -597,11 +599,11 @@
                 Effect::Pong { .. } | Effect::RejectPing { .. } => {}
                 Effect::Membership(effect) => self.carry_out_membership(relay, effect),
                 Effect::Persist { record, .. } => self.persist(relay, record),
-                Effect::PersistVoterWrites { life, number, records } => {
+                Effect::PersistVoterWrites { voter_start: life, number, records } => {
                     records.into_iter().for_each(|one| self.persist(relay, one));
                     // A sync of a disk takes some milliseconds.
                     const SYNC: Micros = 2_000;
-                    self.tell(relay, SYNC, Event::VoterWritesDurable { life, number });
+                    self.tell(relay, SYNC, Event::VoterWritesDurable { voter_start: life, number });
                 }
                 // A virtual relay is one process all its life, and its store is its own.
                 Effect::SetStoreOwnership { .. } => {}
--- a/lab/src/virt/outs.rs
+++ b/lab/src/virt/outs.rs
@@ -40,7 +40,7 @@
         if stands {
             self.step(
                 relay,
-                Event::OperatorCall { call: DRAIN, what: OperatorRequest::Drain(Box::new(drain)) },
+                Event::OperatorCall { call: DRAIN, request: OperatorRequest::Drain(Box::new(drain)) },
             );
         } else {
             self.later(AGAIN, Ev::WantsOut { relay, stay });
@@ -78,7 +78,7 @@
         self.outs.last = self.now;
         if self.relays[relay].mind.is_some() {
             self.day.clients.relay_is(self.now, relay, true);
-            self.step(relay, Event::OperatorCall { call: 0, what: OperatorRequest::Activate });
+            self.step(relay, Event::OperatorCall { call: 0, request: OperatorRequest::Activate });
         }
     }
 }
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -61,7 +61,7 @@
         };
         let left = ask.wait.saturating_sub(margin + self.client_way());
         self.step(relay, Event::ClientConnected { connection_id: sess });
-        self.step(relay, Event::SessionRequested { session_id: sess, open, left });
+        self.step(relay, Event::SessionRequested { session_id: sess, open, time_remaining: left });
     }
 
     /// A client hears its last word, or `UP`.
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -68,26 +68,32 @@
                     self.refused.push((now + 200_000, *session_id));
                     out.push(effect);
                 }
-                (Plant::TwoAtOnce, Effect::Dial { session_id, dial, server, wait, addr, begin }) => {
+                (
+                    Plant::TwoAtOnce,
+                    Effect::Dial { session_id, dial, server, timeout: wait, addr, start_within: begin },
+                ) => {
                     let second = Effect::Dial {
                         session_id: *session_id,
                         dial: dial + 1,
                         server: *server,
                         addr: *addr,
-                        wait: *wait,
-                        begin: *begin,
+                        timeout: *wait,
+                        start_within: *begin,
                     };
                     out.extend([effect, second]);
                 }
-                (Plant::PushesTheCold, Effect::Dial { session_id, dial, server, wait, addr, begin }) => {
+                (
+                    Plant::PushesTheCold,
+                    Effect::Dial { session_id, dial, server, timeout: wait, addr, start_within: begin },
+                ) => {
                     let addr = self.cold.unwrap_or(*addr);
                     out.push(Effect::Dial {
                         session_id: *session_id,
                         dial: *dial,
                         server: *server,
                         addr,
-                        wait: *wait,
-                        begin: *begin,
+                        timeout: *wait,
+                        start_within: *begin,
                     });
                 }
                 (Plant::LeavesOpen, Effect::Migrate { .. }) => {}
@@ -101,7 +107,14 @@
         let due = self.refused.iter().position(|(at, _)| *at <= now);
         if let (Some(at), Some(addr)) = (due, self.last_dial) {
             let (_, session_id) = self.refused.remove(at);
-            out.push(Effect::Dial { server: None, session_id, dial: 0, addr, wait: 300_000, begin: 200_000 });
+            out.push(Effect::Dial {
+                server: None,
+                session_id,
+                dial: 0,
+                addr,
+                timeout: 300_000,
+                start_within: 200_000,
+            });
         }
     }
 }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -44,11 +44,11 @@
 fn openings_are_read_as_they_are_logged() {
     for (at, standing) in [(None, false), (Some("oak"), true)] {
         let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing };
-        let entry = event(Event::SessionRequested { session_id: 7, open: open(at), left: 5 });
+        let entry = event(Event::SessionRequested { session_id: 7, open: open(at), time_remaining: 5 });
         assert_eq!(entry, Entry::SessionRequested { session_id: 7, opening });
     }
-    let mut inherited = Event::SessionAdopted { session_id: 8, session: Default::default() };
-    if let Event::SessionAdopted { session, .. } = &mut inherited {
+    let mut inherited = Event::SessionAdopted { session_id: 8, state: Default::default() };
+    if let Event::SessionAdopted { state: session, .. } = &mut inherited {
         (session.id, session.key, session.group, session.returned) = (11, 22, 33, true);
         session.server = "oak".to_string();
     }
@@ -94,7 +94,7 @@
 #[test]
 fn effects_are_read_as_they_are_logged() {
     let addr = "127.0.1.1:8000".parse().expect("an address");
-    let dial = Effect::Dial { session_id: 1, dial: 2, server: Some(9), addr, wait: 3, begin: 4 };
+    let dial = Effect::Dial { session_id: 1, dial: 2, server: Some(9), addr, timeout: 3, start_within: 4 };
     assert_eq!(effect(dial), Entry::Dial { session_id: 1, addr });
     assert_eq!(effect(Effect::StartProxying { session_id: 1 }), Entry::StartProxying { session_id: 1 });
     assert_eq!(effect(Effect::Reject { session_id: 1, retry_after: 2 }), Entry::Reject { session_id: 1 });
@@ -111,9 +111,9 @@
         [("serving", "stopping", true), ("draining", "serving", false), ("serving", "draining", true)];
     for (from, to, leaves) in notes {
         let what = format!("from {from} to {to}");
-        assert_eq!(effect(Effect::Log { what }), Entry::Lifecycle { leaves });
+        assert_eq!(effect(Effect::Log { message: what }), Entry::Lifecycle { leaves });
     }
-    assert_eq!(effect(Effect::Log { what: "something else".to_string() }), Entry::OtherEvent);
+    assert_eq!(effect(Effect::Log { message: "something else".to_string() }), Entry::OtherEvent);
 }
 
 #[test]
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_line_that_is_cut_anywhere_is_no_entry() {
-    let what = Event::SessionRequested { session_id: 7, open: open(Some("oak")), left: 5 };
+    let what = Event::SessionRequested { session_id: 7, open: open(Some("oak")), time_remaining: 5 };
     let text = format!("Mar 04 12:00:00.001 TRCE event, what: {what:?}");
     let from = text.find("what: ").expect("it is there") + "what: ".len();
     for end in from..text.len() {
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -37,7 +37,7 @@
     }
 
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
-        if let Event::OperatorCall { call, what: OperatorRequest::Drain(_) } = event {
+        if let Event::OperatorCall { call, request: OperatorRequest::Drain(_) } = event {
             return out
                 .push(Effect::Reply { call, reply: OperatorReply::Accepted(LifecycleStatus::Draining) });
         }
--- a/relay/src/figures.rs
+++ b/relay/src/metrics.rs
@@ -1,10 +1,10 @@
 //! Figures in the words and the form that operators read: a line each, `NAME:VALUE|KIND`.
 use crate::lines::sanitize;
-use crate::reducer::Figures;
+use crate::reducer::Metrics;
 use hallrelay_membership::MemberState;
 use std::fmt::Write;
 
-pub fn text(figures: &Figures) -> String {
+pub fn text(figures: &Metrics) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: char| _ = writeln!(text, "node.{name}:{value}|{kind}");
     for (listener, n) in &figures.listeners {
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -160,9 +160,9 @@
     async fn open_session(self, line: Vec<u8>, open: SessionRequest, commands: Receiver<Command>) {
         let wait = open.wait_ms.saturating_mul(1000);
         let age = read::age_of_last_bytes(&self.client).min(wait);
-        let left = wait.saturating_sub(age + self.limits.answer_margin);
+        let time_remaining = wait.saturating_sub(age + self.limits.answer_margin);
         let timeout_range = open.wait_at.clone();
-        self.hub.tell(Event::SessionRequested { session_id: self.connection_id, open, left }).await;
+        self.hub.tell(Event::SessionRequested { session_id: self.connection_id, open, time_remaining }).await;
         let request = ClientRequest { line, timeout_range };
         await_answer::run(self.connection_id, self.client, self.buffer, request, commands, self.hub).await;
     }
--- a/relay/src/net/operator/response.rs
+++ b/relay/src/net/operator/response.rs
@@ -1,5 +1,5 @@
 //! HTTP answers to operators' calls.
-use crate::figures;
+use crate::metrics;
 use crate::reducer::OperatorReply;
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -58,6 +58,6 @@
             Ok(status) => json(status),
             Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the status can't be written"),
         },
-        OperatorReply::Metrics(metrics) => text(StatusCode::OK, figures::text(&metrics)),
+        OperatorReply::Metrics(metrics) => text(StatusCode::OK, metrics::text(&metrics)),
     }
 }
--- a/relay/src/net/operator/routes.rs
+++ b/relay/src/net/operator/routes.rs
@@ -136,9 +136,9 @@
     Route { path: "/v1/release/back", method: "POST", request: roll_back },
 ];
 
-/// A command that is to be agreed as it stands; `words` is the answer once it is.
-fn propose(words: String, command: Command) -> OperatorRequest {
-    OperatorRequest::Propose { command: Box::new(command), words }
+/// A command that is to be agreed as it stands; `confirmation` is the answer once it is.
+fn propose(confirmation: String, command: Command) -> OperatorRequest {
+    OperatorRequest::Propose { command: Box::new(command), confirmation }
 }
 
 fn drain_backend(body: CallBody) -> Result<OperatorRequest, BadRequest> {
@@ -167,8 +167,8 @@
     let lease_id = body.lease_id.ok_or(BadRequest::NoLease)?;
     let succeeded = body.failed.is_none();
     let reason = body.failed.unwrap_or_default();
-    let words = format!("{target} is changed");
-    Ok(propose(words, Command::MarkDone { target, lease_id, succeeded, reason }))
+    let confirmation = format!("{target} is changed");
+    Ok(propose(confirmation, Command::MarkDone { target, lease_id, succeeded, reason }))
 }
 
 fn halt(body: CallBody) -> Result<OperatorRequest, BadRequest> {
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -192,7 +192,7 @@
     let mut observer = LineObserver::new(connection_id, hub);
     let now = hub.clock.now();
     observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
-    hub.tell(Event::SessionAdopted { session_id: connection_id, session }).await;
+    hub.tell(Event::SessionAdopted { session_id: connection_id, state: session }).await;
     // No other command can be queued: the session had no place before.
     if let Some(Command::Pass) = commands.recv().await {
         OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -148,8 +148,8 @@
             reducer.step(now, event, &mut effects);
             hands.carry_out(&mut effects);
         }
-        while let Some((life, number)) = hands.vowed() {
-            reducer.step(now, Event::VoterWritesDurable { life, number }, &mut effects);
+        while let Some((voter_start, number)) = hands.vowed() {
+            reducer.step(now, Event::VoterWritesDurable { voter_start, number }, &mut effects);
             hands.carry_out(&mut effects);
         }
         while let Some(alarm) = hands.due(now) {
@@ -181,7 +181,7 @@
         self.asked += 1;
         let id = self.asked as u32;
         self.calls.insert(id, call.reply);
-        Event::OperatorCall { call: id, what: call.request }
+        Event::OperatorCall { call: id, request: call.request }
     }
 
     fn store_told(&mut self, now: WriterHealth) -> Event {
@@ -239,13 +239,13 @@
                     // Who asked may be gone by now.
                     _ = self.calls.remove(&call).map(|answer| answer.send(reply));
                 }
-                Effect::SetDraining { server, leaves: true } => {
+                Effect::SetDraining { server, draining: true } => {
                     _ = self.hub.leaving.borrow_mut().insert(server)
                 }
-                Effect::SetDraining { server, leaves: false } => {
+                Effect::SetDraining { server, draining: false } => {
                     self.hub.leaving.borrow_mut().remove(&server);
                 }
-                Effect::Dial { session_id, dial, server, addr, wait, begin } => {
+                Effect::Dial { session_id, dial, server, addr, timeout: wait, start_within: begin } => {
                     let terms = DialConditions { server, start_by: self.hub.clock.now() + begin };
                     let command = Command::Dial { dial, addr, wait, terms };
                     let ticket = self.tickets.remove(&session_id);
@@ -265,7 +265,7 @@
                         self.tickets.insert(session_id, ticket);
                     }
                 }
-                Effect::PersistVoterWrites { life, number, records } => {
+                Effect::PersistVoterWrites { voter_start: life, number, records } => {
                     let Some(store) = &self.state_store else { continue };
                     let tickets: Vec<_> = records.into_iter().map(|one| store.persist(one)).collect();
                     // What can't be put is never told to be written: the voter waits, and votes no more.
@@ -273,7 +273,7 @@
                         self.vows.push_back((all.into_iter().max().unwrap_or(0), life, number));
                     }
                 }
-                Effect::SetStoreOwnership { on } => {
+                Effect::SetStoreOwnership { owned: on } => {
                     if let Some(store) = &mut self.state_store {
                         match on {
                             // Most of what it held this process knows by now.
@@ -296,7 +296,7 @@
                 Effect::TearDown { session_id } => {
                     self.hub.command(session_id, Command::Answer(lines::FAIL.to_vec()))
                 }
-                Effect::HandOverSession { session_id, peer, session } => {
+                Effect::HandOverSession { session_id, peer, state: session } => {
                     self.hub.command(session_id, Command::PassOn(peer, session));
                 }
                 Effect::Migrate { session_id } => self.hub.command(session_id, Command::Move),
@@ -304,7 +304,7 @@
                     self.hub.command(connection_id, Command::Answer(lines::ERROR.to_vec()))
                 }
                 Effect::ShedConnection { connection_id } => self.hub.command(connection_id, Command::Shed),
-                Effect::SetSuspect { session_id, doubted } => {
+                Effect::SetSuspect { session_id, suspect: doubted } => {
                     self.hub.command(session_id, Command::Doubt(doubted))
                 }
                 Effect::CloseClient { session_id } => self.hub.command(session_id, Command::Close),
@@ -323,11 +323,11 @@
                 Effect::KeyUnchanged { key } => {
                     slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
                 }
-                Effect::StartTimer { after, alarm } => {
+                Effect::StartTimer { after, timer: alarm } => {
                     self.asked += 1;
                     self.alarms.insert((self.hub.clock.now() + after, self.asked), alarm);
                 }
-                Effect::SetAccepting { on } => _ = self.taking.send(on),
+                Effect::SetAccepting { accepting: on } => _ = self.taking.send(on),
                 Effect::SendToProcess { peer, message } => {
                     let processes = self.hub.processes.borrow();
                     let command = processes::ProcessCommand::Send(message);
@@ -350,8 +350,8 @@
                     self.takeover.as_mut().and_then(|one| one.task.take()).inspect(AbortHandle::abort);
                 }
                 Effect::Membership(effect) => self.carry_out_membership(effect),
-                Effect::Log { what } => slog::info!(self.hub.log, "{}", what),
-                Effect::Abort { why } => {
+                Effect::Log { message: what } => slog::info!(self.hub.log, "{}", what),
+                Effect::Abort { reason: why } => {
                     let why = format!("the running process keeps its place: {why}");
                     self.exit = Some(Err(std::io::Error::other(why)));
                 }
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -117,7 +117,7 @@
             return self.give_up_request(call, request, out);
         }
         self.propose_request(call, out);
-        out.push(Effect::StartTimer { after: RETRY_INTERVAL, alarm: Timer::PendingRequest(call) });
+        out.push(Effect::StartTimer { after: RETRY_INTERVAL, timer: Timer::PendingRequest(call) });
     }
 
     fn propose_request(&mut self, call: u32, out: &mut Vec<Effect>) {
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -20,7 +20,7 @@
 
     pub(super) fn start_migration(&mut self, out: &mut Vec<Effect>) {
         let after = self.lifecycle.migration_schedule(&self.node.limits).start;
-        out.push(Effect::StartTimer { after, alarm: Timer::MigrateBatch(self.migration_round) });
+        out.push(Effect::StartTimer { after, timer: Timer::MigrateBatch(self.migration_round) });
         self.answer_pings(out);
     }
 
@@ -62,8 +62,8 @@
         let count = self.migration_credit / THOUSANDTHS;
         self.migration_credit %= THOUSANDTHS;
         open.into_iter().take(count).for_each(|session_id| self.migrate_session(session_id, out));
-        let alarm = Timer::MigrateBatch(self.migration_round);
-        out.push(Effect::StartTimer { after: BATCH_INTERVAL, alarm });
+        let timer = Timer::MigrateBatch(self.migration_round);
+        out.push(Effect::StartTimer { after: BATCH_INTERVAL, timer });
     }
 
     /// Ends a process that stops and is empty, or has had its time; whether it ends.
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,5 +1,10 @@
-//! What comes to the reducer, what it asks for, and what operators ask of it and hear.
-use super::{DrainRequest, Figures, LifecycleStatus};
+//! The reducer's interface: the events that it is stepped with, the effects that it asks for, and the
+//! requests and replies of operators. Times are spans in microseconds unless a field says otherwise.
+//!
+//! `session_id` and `connection_id` number clients' connections in one sequence: a connection keeps its
+//! number when it becomes a session. The `Debug` form of events and effects stands in the log at `-vv`, where
+//! `hallrelay-lab losses` reads it.
+use super::{DrainRequest, LifecycleStatus, Metrics};
 use crate::lines::SessionRequest;
 use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, ServerId, SessId};
 use hallrelay_config::facts::ReportOrder;
@@ -13,167 +18,225 @@
 use hallrelay_store::writer::WriterHealth;
 use std::net::SocketAddr;
 
-/// What an operator may ask for.
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
+    /// Whether this relay is ready for sessions.
     Readiness,
+    /// The metrics of this process.
     Metrics,
+    /// The members of the fleet as this relay sees them.
     Membership,
-    /// What is agreed across the fleet.
+    /// The leases of disruption budgets.
     Leases,
-    /// This relay, or a server for the whole fleet.
+    /// To drain this relay, or a backend for the whole fleet.
     Drain(Box<DrainRequest>),
+    /// To end this relay's drain.
     Activate,
-    /// A command that is to be agreed as it stands: back, freed, of a release; and in words.
+    /// To agree on a command across the fleet.
     Propose {
+        /// The command.
         command: Box<Command>,
-        words: String,
+        /// The answer once it is agreed.
+        confirmation: String,
     },
-    /// How the release stands.
+    /// How the rollout stands.
     Rollout,
 }
 
+/// The reply to an operator's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorReply {
+    /// Done, or the answer is yes.
     Accepted(LifecycleStatus),
     /// Not now.
     Unavailable(LifecycleStatus),
-    /// What was asked for can't be, as things stand.
+    /// Not possible in this state of the relay.
     Conflict(LifecycleStatus),
-    /// Not by what is agreed across the fleet; why.
+    /// The disruption budgets do not allow it; the reason.
     Blocked(String),
-    /// Agreed; what.
+    /// The command is agreed; its confirmation.
     Committed(String),
-    /// What is agreed, as JSON; none where nothing is.
+    /// The leases or the rollout as JSON; `None` where no voters are configured.
     Leases(Option<String>),
-    Metrics(Box<Figures>),
-    /// What this relay believes of its fleet; none where it is told of none.
+    /// The metrics.
+    Metrics(Box<Metrics>),
+    /// The fleet's status; `None` where no fleet is configured.
     Membership(Option<Box<Status>>),
 }
 
+/// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client has connected.
+    /// A client connected.
     ClientConnected {
+        /// Its connection.
         connection_id: SessId,
     },
     /// A part of a first line has come.
     FirstLineStarted {
+        /// The client's connection.
         connection_id: SessId,
     },
-    /// A connection asks whether this relay is able to serve.
+    /// A connection asks whether this relay is ready.
     Ping {
+        /// The connection.
         connection_id: SessId,
     },
-    /// A client's first line, and what is left of its dial timeout.
+    /// A client's first line is complete.
     SessionRequested {
+        /// The session from now on.
         session_id: SessId,
+        /// The parsed line.
         open: SessionRequest,
-        left: Micros,
+        /// What is left of the client's timeout.
+        time_remaining: Micros,
     },
-    /// What a connection sends is not of the protocol, or it sends nothing.
+    /// A connection sends what is not of the protocol, or nothing in time.
     ProtocolViolation {
+        /// The connection.
         connection_id: SessId,
     },
-    /// The client's connection is over.
+    /// A client's connection is over.
     ClientDisconnected {
+        /// The connection, a session or not.
         session_id: SessId,
     },
-    /// The client has ended its sending while it waited for its answer: it has left, or reads on.
+    /// A client ended its sending while it waited for its final answer: it has left, or still reads.
     ClientHalfClosed {
+        /// The session.
         session_id: SessId,
     },
-    /// A dial's line is written whole.
+    /// The first line of a dial is written to the backend, so the dial may run.
     FirstLineForwarded,
+    /// A backend accepted a session.
     SessionEstablished {
+        /// The session.
         session_id: SessId,
+        /// The dial's number within the session, from 0.
         dial: u32,
     },
-    /// This machine could not begin the dial.
+    /// This machine could not start a dial, or its backend drains: it does not count as one.
     DialNotStarted {
+        /// The session.
         session_id: SessId,
+        /// The dial's number within the session.
         dial: u32,
     },
+    /// A dial ended without an open session.
     DialEnded {
+        /// The session.
         session_id: SessId,
+        /// The dial's number within the session.
         dial: u32,
+        /// How it ended; `Ok` where the backend served the session to its end at once.
         end: DialEnd,
+        /// The backend's load report, where it gave one.
         report: Option<LoadReport>,
     },
     /// An open session ended at its backend's side.
     SessionEnded {
+        /// The session.
         session_id: SessId,
+        /// How it ended.
         end: DialEnd,
+        /// The backend's load report, where it gave one.
         report: Option<LoadReport>,
     },
+    /// A backend reported a load within an open session.
     LoadReported {
+        /// The session.
         session_id: SessId,
+        /// The session's load, or a message delay in milliseconds: backends use one word for both.
         load: f64,
     },
-    /// A message of an open session took this long.
+    /// A message of an open session was answered.
     MessageLatency {
+        /// The session.
         session_id: SessId,
+        /// From the message to its answer.
         time: Micros,
     },
+    /// A health check ended.
     HealthCheckEnded {
+        /// The backend.
         server: ServerId,
+        /// How it ended.
         end: DialEnd,
+        /// The backend's load report, where it gave one.
         report: Option<LoadReport>,
     },
+    /// A watch brought an endpoint list or changes of it.
     EndpointListReceived {
+        /// The watch's number.
         watch: u32,
+        /// The list, or its changes.
         list: List,
     },
+    /// A watch on the endpoint list is over.
     EndpointWatchFailed {
+        /// The watch's number.
         watch: u32,
     },
-    /// The configuration as it stands now, whole and checked.
+    /// The configuration was read anew and is valid.
     ConfigurationReloaded(Box<Node>),
-    /// A configuration that is not used, since something in it is wrong.
+    /// The configuration was read anew and is invalid, so it is not used.
     ConfigurationRejected,
-    /// An operator's call.
+    /// An operator's request.
     OperatorCall {
+        /// The number that the reply bears.
         call: u32,
-        what: OperatorRequest,
+        /// The request.
+        request: OperatorRequest,
     },
-    /// The successor has the session.
+    /// Another process took over a session.
     SessionHandedOver {
+        /// The session.
         session_id: SessId,
     },
-    /// The successor could not take the session.
+    /// Another process could not take over a session, which goes on here.
     SessionHandoverFailed {
+        /// The session.
         session_id: SessId,
     },
-    /// A session of the predecessor was handed over to this process.
+    /// This process took over an open session of its predecessor.
     SessionAdopted {
+        /// The session's number here.
         session_id: SessId,
-        session: Box<SessionState>,
+        /// What the predecessor knew of it.
+        state: Box<SessionState>,
     },
-    /// Something came from the predecessor or the successor.
+    /// A message or a change of the predecessor or the successor in a hot restart.
     HotRestart(OwnershipEvent),
-    /// Something came from another relay.
+    /// A datagram, stream or timer of membership.
     Membership(hallrelay_membership::Event),
-    /// What was to be written for a life of the voter is on the disk, up to a number.
+    /// Writes of the voter are durable.
     VoterWritesDurable {
-        life: u32,
+        /// Which start of the voter in this process wrote them.
+        voter_start: u32,
+        /// All of its writes up to this number.
         number: u64,
     },
-    /// The store was opened again: what it held.
+    /// The store was opened again, and what it holds.
     StoreReopened(Box<StoredState>),
     /// How writing to the store goes, as it changes.
     StoreHealth(Box<WriterHealth>),
+    /// A timer expired.
     Timer(Timer),
+    /// A graceful stop was requested.
     StopRequested,
 }
 
+/// The timers that the reducer starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Timer {
+    /// A timer of the balancer, by its label.
     Balancer(u32),
-    /// The answer is due.
+    /// The final answer of a session is due.
     AnswerDeadline(SessId),
-    /// A standing connection is dialled again.
+    /// A session that was open before this process started is dialled at its backend again.
     RedialPreExisting(SessId),
-    /// Sessions are moved while the relay stops or drains; of the how-manieth time that it does so.
+    /// The next batch of sessions migrates, in the drain or stop of this number.
     MigrateBatch(u32),
     /// A process that was offered the listener was not ready in time.
     HandoverOffer(PeerId),
@@ -181,152 +244,214 @@
     HandoverProgress,
     /// Something of membership is due.
     Membership,
-    /// Of the voter, and of which round.
+    /// A timer of the voter, and the round in which it was started.
     Voter(hallrelay_raft::Timer, u32),
-    /// What is seen of the fleet goes to the leader, or into the log.
+    /// This relay reports its status to the leader, or reviews the fleet as the leader.
     LeaderReview,
-    /// A wish of an operator's call.
+    /// A pending request of an operator, by its number, is retried.
     PendingRequest(u32),
-    /// The list is watched anew where it comes unasked.
+    /// The endpoint list is watched again where the balancer does not ask for it.
     RequestEndpointList,
-    /// Others are polled for the list, if discovery has not answered by now.
+    /// Other relays are polled for the endpoint list while discovery is unavailable.
     PollPeers,
 }
 
+/// What the reducer asks for; carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
+    /// Answers a ping: this relay is ready.
     Pong {
+        /// The connection.
         connection_id: SessId,
     },
-    /// A `PING` is told no.
+    /// Answers a ping: this relay is not ready.
     RejectPing {
+        /// The connection.
         connection_id: SessId,
     },
+    /// Answers an operator.
     Reply {
+        /// The request's number.
         call: u32,
+        /// The reply.
         reply: OperatorReply,
     },
-    /// Nothing new may be sent to a server from now on, or it may be again.
+    /// Nothing new may be sent to a backend from now on, or it may again.
     SetDraining {
+        /// The backend.
         server: ServerId,
-        leaves: bool,
+        /// Whether it drains or is removed.
+        draining: bool,
     },
+    /// Dials a backend for a session.
     Dial {
+        /// The session.
         session_id: SessId,
+        /// The dial's number within the session, from 0.
         dial: u32,
-        /// None for a connection that stood at its server before this relay started.
+        /// The backend; `None` for a session that was open there before this process started.
         server: Option<ServerId>,
+        /// The backend's address.
         addr: SocketAddr,
-        wait: Micros,
-        /// The time in which its line must begin to go out.
-        begin: Micros,
+        /// How long the whole dial may take.
+        timeout: Micros,
+        /// Within this time its first line must start to go out.
+        start_within: Micros,
     },
-    /// From here on lines pass both ways.
+    /// Passes lines both ways from now on.
     StartProxying {
+        /// The session.
         session_id: SessId,
     },
-    /// The final answers that no backend gave.
+    /// The final answer of a session that was never forwarded.
     Reject {
+        /// The session.
         session_id: SessId,
+        /// When the client may come again; 0 where it is not told.
         retry_after: Micros,
     },
+    /// The final answer of a session that failed; it may have run.
     TearDown {
+        /// The session.
         session_id: SessId,
     },
+    /// Tells an open session's client to come again, and ends the session.
     Migrate {
+        /// The session.
         session_id: SessId,
     },
-    /// Another process goes on with it.
+    /// Hands an open session over to another process.
     HandOverSession {
+        /// The session.
         session_id: SessId,
+        /// The process.
         peer: PeerId,
-        session: Box<SessionState>,
+        /// What the process has to know of it.
+        state: Box<SessionState>,
     },
-    /// An error for what is not of the protocol.
+    /// Answers a protocol violation with an error.
     ReportProtocolError {
+        /// The connection.
         connection_id: SessId,
     },
     /// Ends a connection that is no session, for the place that it takes.
     ShedConnection {
+        /// The connection.
         connection_id: SessId,
     },
-    /// The session's backend answers no probes: its silence tells sooner, till it answers again.
+    /// The backend of an open session fails its health checks, or answers them again: while it is suspect, an
+    /// unanswered message counts as lost sooner.
     SetSuspect {
+        /// The session.
         session_id: SessId,
-        doubted: bool,
+        /// Whether the backend is suspect.
+        suspect: bool,
     },
-    /// Ends the connection without a word.
+    /// Ends a client's connection without an answer.
     CloseClient {
+        /// The session.
         session_id: SessId,
     },
+    /// Checks a backend's health and load.
     HealthCheck {
+        /// The backend.
         server: ServerId,
+        /// Its address.
         addr: SocketAddr,
     },
+    /// A backend is no longer known: its task for health checks ends.
     ForgetServer {
+        /// The backend.
         server: ServerId,
     },
-    /// Watches the list from a version on, or asks for the whole of it first.
+    /// Watches the endpoint list.
     WatchEndpoints {
+        /// The watch's number.
         watch: u32,
+        /// Where discovery is.
         addr: SocketAddr,
+        /// The version that is known; `None` to fetch the whole list first.
         since: Option<u64>,
     },
+    /// Ends a watch.
     StopWatch {
+        /// The watch's number.
         watch: u32,
     },
-    /// Connections are taken, or are left to another process.
+    /// Accepts connections, or leaves them to another process.
     SetAccepting {
-        on: bool,
+        /// Whether they are accepted here.
+        accepting: bool,
     },
-    /// What is said to another process, and the end of it.
+    /// Sends a message to another process of this relay.
     SendToProcess {
+        /// The process.
         peer: PeerId,
+        /// The message.
         message: Message,
     },
+    /// Ends the connection to another process, after what was sent.
     DisconnectProcess {
+        /// The process.
         peer: PeerId,
     },
-    /// Other processes may connect to take over from this one, or no more.
+    /// Lets other processes request a takeover, or no longer.
     SetTakeoverListener {
+        /// Whether they may.
         open: bool,
     },
-    /// A record goes to the store; the dial of a session waits until it is durable, or that takes too long.
+    /// Writes a record to the store.
     Persist {
+        /// The record.
         record: Record,
+        /// The session whose dial waits until the record is durable, or for as long as the limits allow.
         before: Option<SessId>,
     },
-    /// What a voter promises: it is told as all of it is on the disk.
+    /// Writes records of the voter; `VoterWritesDurable` reports when all of them are durable.
     PersistVoterWrites {
-        life: u32,
+        /// Which start of the voter in this process writes them.
+        voter_start: u32,
+        /// The number of the write.
         number: u64,
+        /// The records.
         records: Vec<Record>,
     },
-    /// The store is opened by this process, or closed for another one.
+    /// Opens the store as this process's own, or leaves it to another process.
     SetStoreOwnership {
-        on: bool,
+        /// Whether this process owns it.
+        owned: bool,
     },
-    /// What goes to other relays.
+    /// An effect of membership.
     Membership(hallrelay_membership::Effect),
+    /// Writes a line to the log.
     Log {
-        what: String,
+        /// The line.
+        message: String,
     },
-    /// The process ends with a complaint.
+    /// Ends the process with an error.
     Abort {
-        why: String,
+        /// Why.
+        reason: String,
     },
-    /// What tasks go by from now on.
+    /// The limits and the order of report fields that tasks use from now on.
     ApplyTuning {
+        /// The limits.
         limits: Box<Limits>,
+        /// How the fields of load reports are read.
         order: ReportOrder,
     },
-    /// A key of a new configuration that can't change while the program runs.
+    /// A changed key of a new configuration that holds from the next start on.
     KeyUnchanged {
+        /// The key's path.
         key: &'static str,
     },
+    /// Starts a timer.
     StartTimer {
+        /// When it expires, from now.
         after: Micros,
-        alarm: Timer,
+        /// The timer.
+        timer: Timer,
     },
+    /// Ends the process.
     Exit,
 }
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -30,12 +30,12 @@
 impl Reducer {
     pub(super) fn start_review(&mut self, out: &mut Vec<Effect>) {
         if self.coordination.is_some() {
-            out.push(Effect::StartTimer { after: REVIEW_INTERVAL, alarm: Timer::LeaderReview });
+            out.push(Effect::StartTimer { after: REVIEW_INTERVAL, timer: Timer::LeaderReview });
         }
     }
 
     pub(super) fn review(&mut self, out: &mut Vec<Effect>) {
-        out.push(Effect::StartTimer { after: REVIEW_INTERVAL, alarm: Timer::LeaderReview });
+        out.push(Effect::StartTimer { after: REVIEW_INTERVAL, timer: Timer::LeaderReview });
         if !self.ownership.is_owner() {
             return;
         }
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -206,14 +206,14 @@
         match action {
             LifecycleAction::StartDraining => self.start_migration(out),
             LifecycleAction::StartAccepting => {
-                out.push(Effect::SetAccepting { on: true });
+                out.push(Effect::SetAccepting { accepting: true });
                 self.answer_pings(out);
             }
             LifecycleAction::StartAcceptingAndDraining => {
-                out.push(Effect::SetAccepting { on: true });
+                out.push(Effect::SetAccepting { accepting: true });
                 self.start_migration(out);
             }
-            LifecycleAction::StopAccepting => out.push(Effect::SetAccepting { on: false }),
+            LifecycleAction::StopAccepting => out.push(Effect::SetAccepting { accepting: false }),
             LifecycleAction::StopDraining => self.answer_pings(out),
             LifecycleAction::Confirm | LifecycleAction::Reject => {}
         }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -31,7 +31,7 @@
         match self.ownership.awaited_predecessor() {
             Some(peer) => out.push(Effect::SendToProcess { peer, message: Message::Ready {} }),
             None => {
-                out.push(Effect::SetAccepting { on: true });
+                out.push(Effect::SetAccepting { accepting: true });
                 out.push(Effect::SetTakeoverListener { open: true });
                 self.refresh_metadata(out);
                 self.step_membership(MembershipEvent::Activate, out);
@@ -52,7 +52,7 @@
             OwnershipAction::Send { peer, message } => out.push(Effect::SendToProcess { peer, message }),
             OwnershipAction::Disconnect { peer } => out.push(Effect::DisconnectProcess { peer }),
             OwnershipAction::StartReadyTimer { peer } => {
-                out.push(Effect::StartTimer { after: READY_TIMEOUT, alarm: Timer::HandoverOffer(peer) });
+                out.push(Effect::StartTimer { after: READY_TIMEOUT, timer: Timer::HandoverOffer(peer) });
             }
             OwnershipAction::HandOver { peer } => self.hand_over_to(peer, out),
             OwnershipAction::Resume => self.resume_ownership(out),
@@ -63,7 +63,7 @@
                 self.begin_to_speak_for_relay(out);
                 out.push(Effect::SetTakeoverListener { open: true });
             }
-            OwnershipAction::Abort { reason } => out.push(Effect::Abort { why: reason }),
+            OwnershipAction::Abort { reason } => out.push(Effect::Abort { reason: reason }),
             OwnershipAction::PredecessorRemaining { connections, sessions } => {
                 self.predecessor_remaining = Remaining { connections, sessions };
                 if connections == 0 {
@@ -77,7 +77,7 @@
 
     /// The store and the relay's membership are this process' from now on.
     fn begin_to_speak_for_relay(&mut self, out: &mut Vec<Effect>) {
-        out.push(Effect::SetStoreOwnership { on: true });
+        out.push(Effect::SetStoreOwnership { owned: true });
         self.step_membership(MembershipEvent::Activate, out);
     }
 
@@ -92,7 +92,7 @@
         // One process speaks for the relay: this one falls silent before the other can begin.
         self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
-        out.push(Effect::SetStoreOwnership { on: false });
+        out.push(Effect::SetStoreOwnership { owned: false });
         out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
         let open: Vec<SessId> = self.sessions.keys().copied().collect();
         open.into_iter().for_each(|session_id| self.hand_over_session(session_id, out));
@@ -227,6 +227,6 @@
             let Remaining { connections, sessions } = remaining;
             self.apply_ownership_event(OwnershipEvent::RemainingChanged { connections, sessions }, out);
         }
-        out.push(Effect::StartTimer { after: PROGRESS_INTERVAL, alarm: Timer::HandoverProgress });
+        out.push(Effect::StartTimer { after: PROGRESS_INTERVAL, timer: Timer::HandoverProgress });
     }
 }
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -55,7 +55,7 @@
     fn apply_membership_effect(&mut self, effect: MembershipEffect, out: &mut Vec<Effect>) {
         match effect {
             MembershipEffect::SetTimer { after } => {
-                out.push(Effect::StartTimer { after, alarm: Timer::Membership })
+                out.push(Effect::StartTimer { after, timer: Timer::Membership })
             }
             MembershipEffect::Log { message } => log(message, out),
             MembershipEffect::MemberChanged { name, state, reporter, restarted } => {
--- a/relay/src/reducer/figures.rs
+++ b/relay/src/reducer/metrics.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct Metrics {
     /// By the listener's name; what a listener counted stays when it is dropped.
     pub listeners: BTreeMap<Rc<str>, Outcomes>,
     /// Dials whose line was written whole.
@@ -39,9 +39,9 @@
     pub store: Option<Box<WriterHealth>>,
 }
 
-impl Figures {
-    pub(super) fn of(listeners: &[String]) -> Figures {
-        let mut figures = Figures::default();
+impl Metrics {
+    pub(super) fn of(listeners: &[String]) -> Metrics {
+        let mut figures = Metrics::default();
         figures.name(listeners);
         figures
     }
@@ -60,10 +60,10 @@
 
 impl Reducer {
     /// The figures as they are now.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> Metrics {
         let listed =
             self.servers.iter().filter(|(_, v)| v.instance.phase != hallrelay_balancer::types::Phase::Gone);
-        Figures {
+        Metrics {
             in_progress: self.sessions.len(),
             waiting: self.sessions.values().filter(|s| s.stage.awaits_answer()).count(),
             known: listed.clone().count(),
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -8,11 +8,11 @@
 mod draining;
 mod events;
 mod excluded_backends;
-mod figures;
 mod leader_review;
 mod lifecycle;
 mod listener_ownership;
 mod membership;
+mod metrics;
 mod operator_requests;
 mod outcome_counts;
 mod peer_list;
@@ -28,9 +28,9 @@
 
 pub use drain_requests::DrainRequest;
 pub use events::{Effect, Event, OperatorReply, OperatorRequest, Timer};
-pub use figures::{Figures, Outcomes};
 pub use lifecycle::LifecycleStatus;
 pub use membership::MembershipMetrics;
+pub use metrics::{Metrics, Outcomes};
 
 use hallrelay_balancer::types::{self as module, AdmissionRequest, DialEnd, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
@@ -63,7 +63,7 @@
 
 /// A line for the log.
 fn log(what: impl Into<String>, out: &mut Vec<Effect>) {
-    out.push(Effect::Log { what: what.into() });
+    out.push(Effect::Log { message: what.into() });
 }
 
 impl SessionStage {
@@ -161,7 +161,7 @@
     migration_round: u32,
     /// Thousandths of a session that the next batch moves in addition.
     migration_credit: usize,
-    metrics: Figures,
+    metrics: Metrics,
     ownership: ListenerOwnership,
     membership: Option<Membership>,
     /// What the store held, until the start has used it.
@@ -201,7 +201,7 @@
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
             balancer: Relay::new(node.site.facts.clone(), node.seed),
-            metrics: Figures::of(&node.site.listeners),
+            metrics: Metrics::of(&node.site.listeners),
             membership: None,
             stored: None,
             store_health: None,
@@ -271,7 +271,7 @@
                 self.pending_pings.push(connection_id);
                 self.answer_pings(out);
             }
-            Event::SessionRequested { session_id, open, left } => {
+            Event::SessionRequested { session_id, open, time_remaining: left } => {
                 self.session_requested(session_id, open, left, out)
             }
             Event::ClientDisconnected { session_id } => {
@@ -318,12 +318,14 @@
                 self.configuration_reloaded(*node, out);
             }
             Event::ConfigurationRejected => self.metrics.load_errors += 1,
-            Event::OperatorCall { call, what } => self.operator_call(call, what, out),
-            Event::VoterWritesDurable { life, number } => self.raft_written(life, number, out),
+            Event::OperatorCall { call, request: what } => self.operator_call(call, what, out),
+            Event::VoterWritesDurable { voter_start: life, number } => self.raft_written(life, number, out),
             Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
             Event::SessionHandedOver { session_id } => self.abandon_session(session_id, out),
             Event::SessionHandoverFailed { session_id } => self.session_handover_failed(session_id),
-            Event::SessionAdopted { session_id, session } => self.adopt_session(session_id, *session, out),
+            Event::SessionAdopted { session_id, state: session } => {
+                self.adopt_session(session_id, *session, out)
+            }
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
@@ -348,20 +350,20 @@
     /// What the module asks for, in the program's own effects.
     fn apply_balancer_effect(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
         match ask {
-            module::Effect::Dial { session: session_id, server, timeout: wait, send_within: window } => {
+            module::Effect::Dial { session: session_id, server, timeout, send_within } => {
                 let Some(s) = self.sessions.get_mut(&session_id) else { return };
                 (s.stage, s.server, s.dials) = (SessionStage::Dialing, Some(server), s.dials + 1);
                 let dial = s.dials - 1;
                 if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
                     self.persist_slow_start_slot(server, session_id, out);
-                    let begin = self.node.limits.connect.min(window.unwrap_or(Micros::MAX));
+                    let start_within = self.node.limits.connect.min(send_within.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial {
                         session_id,
                         dial,
                         server: Some(server),
                         addr,
-                        wait,
-                        begin,
+                        timeout,
+                        start_within,
                     });
                 }
                 let end = DialEnd::Unconnected;
@@ -383,7 +385,7 @@
                 out.push(Effect::HealthCheck { server, addr: v.instance.addr });
             }
             module::Effect::SetTimer { after, label } => {
-                out.push(Effect::StartTimer { after, alarm: Timer::Balancer(label) });
+                out.push(Effect::StartTimer { after, timer: Timer::Balancer(label) });
             }
             module::Effect::WatchEndpoints => self.watch_endpoints(out),
         }
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -15,7 +15,7 @@
             {
                 return self.request_drain(call, *drain, out);
             }
-            OperatorRequest::Propose { command, words } if self.is_coordinated() => {
+            OperatorRequest::Propose { command, confirmation: words } if self.is_coordinated() => {
                 return self.request_commit(call, *command, words, out);
             }
             OperatorRequest::Drain(drain) if drain.backend.is_some() => {
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -33,7 +33,7 @@
     /// Starts to poll others where discovery does not answer in time.
     pub(super) fn start_polling_peers(&mut self, out: &mut Vec<Effect>) {
         if self.membership.is_some() {
-            out.push(Effect::StartTimer { after: FIRST_POLL_DELAY, alarm: Timer::PollPeers });
+            out.push(Effect::StartTimer { after: FIRST_POLL_DELAY, timer: Timer::PollPeers });
         }
     }
 
@@ -42,7 +42,7 @@
             return;
         }
         let after = if self.peer_knew_discovery { SLOW_POLL_INTERVAL } else { POLL_INTERVAL };
-        out.push(Effect::StartTimer { after, alarm: Timer::PollPeers });
+        out.push(Effect::StartTimer { after, timer: Timer::PollPeers });
         self.step_membership(MembershipEvent::PollEndpointList, out);
     }
 
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -16,13 +16,13 @@
         let missed = matches!(end, DialEnd::Timeout | DialEnd::Unconnected);
         let before = v.consecutive_misses;
         v.consecutive_misses = if missed { before + 1 } else { 0 };
-        let doubted = v.consecutive_misses >= MISSES;
-        if doubted != (before >= MISSES) {
+        let suspect = v.consecutive_misses >= MISSES;
+        if suspect != (before >= MISSES) {
             let there = self
                 .sessions
                 .iter()
                 .filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
-            out.extend(there.map(|(&session_id, _)| Effect::SetSuspect { session_id, doubted }));
+            out.extend(there.map(|(&session_id, _)| Effect::SetSuspect { session_id, suspect }));
         }
     }
 
@@ -55,9 +55,9 @@
             named.extend(self.servers.iter().map(|(&server, v)| (server, v.instance.phase != Phase::Ready)));
         }
         named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
-        for (server, leaves) in named {
-            let changed = if leaves { self.draining.insert(server) } else { self.draining.remove(&server) };
-            out.extend(changed.then_some(Effect::SetDraining { server, leaves }));
+        for (server, draining) in named {
+            let changed = if draining { self.draining.insert(server) } else { self.draining.remove(&server) };
+            out.extend(changed.then_some(Effect::SetDraining { server, draining }));
         }
     }
 
@@ -131,7 +131,7 @@
             if let Some(v) = self.servers.remove(&server) {
                 self.ids.remove(&v.instance.id);
                 if self.draining.remove(&server) {
-                    out.push(Effect::SetDraining { server, leaves: false });
+                    out.push(Effect::SetDraining { server, draining: false });
                 }
                 out.push(Effect::ForgetServer { server });
             }
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -24,7 +24,7 @@
             ..SessionState::default()
         };
         s.stage = SessionStage::HandingOver;
-        out.push(Effect::HandOverSession { session_id, peer, session: Box::new(session) });
+        out.push(Effect::HandOverSession { session_id, peer, state: Box::new(session) });
     }
 
     /// The other process could not take it: it stays here, and moves as this process drains.
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -135,7 +135,7 @@
         if full || !self.accepts_sessions() || self.is_past_stop_deadline() {
             return self.send_final_answer(session_id, Effect::Reject { session_id, retry_after: 0 }, out);
         }
-        out.push(Effect::StartTimer { after: left, alarm: Timer::AnswerDeadline(session_id) });
+        out.push(Effect::StartTimer { after: left, timer: Timer::AnswerDeadline(session_id) });
         match open.at {
             None => self.step_balancer(Input::SessionRequested { session: session_id, request: asked }, out),
             Some(name) => match self.ids.get(&name) {
@@ -174,8 +174,8 @@
             return self.send_final_answer(session_id, Effect::TearDown { session_id }, out);
         };
         (s.stage, s.dials) = (SessionStage::Dialing, s.dials + 1);
-        let (dial, wait, begin) = (s.dials - 1, s.deadline - self.now, self.node.limits.connect);
-        out.push(Effect::Dial { session_id, dial, server: None, addr, wait, begin });
+        let (dial, timeout, start_within) = (s.dials - 1, s.deadline - self.now, self.node.limits.connect);
+        out.push(Effect::Dial { session_id, dial, server: None, addr, timeout, start_within });
     }
 
     /// The time of a session is up without an answer.
@@ -237,7 +237,7 @@
         if s.pre_existing {
             return out.push(Effect::StartTimer {
                 after: STANDING_AGAIN,
-                alarm: Timer::RedialPreExisting(session_id),
+                timer: Timer::RedialPreExisting(session_id),
             });
         }
         let server = s.server;
@@ -259,7 +259,7 @@
         if s.pre_existing {
             return out.push(Effect::StartTimer {
                 after: STANDING_AGAIN,
-                alarm: Timer::RedialPreExisting(session_id),
+                timer: Timer::RedialPreExisting(session_id),
             });
         }
         s.dials -= 1;
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -95,12 +95,12 @@
                 self.send_control(&name, &ControlMessage::Raft(message), out);
             }
             raft::Effect::Write { number, write } => {
-                let (life, records) = (coordination.voter.starts(), coordination.voter.records(write));
-                out.push(Effect::PersistVoterWrites { life, number, records });
+                let (voter_start, records) = (coordination.voter.starts(), coordination.voter.records(write));
+                out.push(Effect::PersistVoterWrites { voter_start, number, records });
             }
             raft::Effect::SetTimer(timer) => {
                 let set = coordination.voter.set_timer(timer);
-                out.push(Effect::StartTimer { after: set.after, alarm: Timer::Voter(timer, set.round) });
+                out.push(Effect::StartTimer { after: set.after, timer: Timer::Voter(timer, set.round) });
             }
             raft::Effect::Apply { index, command, proposal_id } => {
                 self.apply_committed(index, &command, proposal_id, out);
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -44,7 +44,7 @@
         }
         match self.node.limits.discovery_again {
             // Guards a relay that is told of changes whether or not a watch is open.
-            Some(after) => out.push(Effect::StartTimer { after, alarm: Timer::RequestEndpointList }),
+            Some(after) => out.push(Effect::StartTimer { after, timer: Timer::RequestEndpointList }),
             None => self.step_balancer(
                 Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() },
                 out,
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -200,12 +200,12 @@
     fn carry(&mut self, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::StartTimer { after, alarm } => {
+                Effect::StartTimer { after, timer: alarm } => {
                     self.asked += 1;
                     self.alarms.insert((self.now + after, self.asked), alarm);
                 }
-                Effect::PersistVoterWrites { life, number, .. } => {
-                    self.step(Event::VoterWritesDurable { life, number })
+                Effect::PersistVoterWrites { voter_start: life, number, .. } => {
+                    self.step(Event::VoterWritesDurable { voter_start: life, number })
                 }
                 Effect::Dial { session_id, dial, .. } => {
                     self.step(Event::SessionEstablished { session_id, dial })
@@ -243,12 +243,12 @@
     fn call(&mut self, words: &str, what: OperatorRequest) {
         self.calls += 1;
         self.told += &format!("call {}: {words}\n", self.calls);
-        self.step(Event::OperatorCall { call: self.calls, what });
+        self.step(Event::OperatorCall { call: self.calls, request: what });
         self.pass(2 * SECOND);
     }
 
     fn agree(&mut self, words: &str, command: Command) {
-        self.call(words, OperatorRequest::Propose { command: Box::new(command), words: text(words) });
+        self.call(words, OperatorRequest::Propose { command: Box::new(command), confirmation: text(words) });
     }
 
     fn drain(&mut self, backend: Option<&str>, force: bool) {
@@ -276,7 +276,7 @@
                 ..SessionRequest::default()
             };
             self.step(Event::ClientConnected { connection_id: session_id });
-            self.step(Event::SessionRequested { session_id, open, left: SECOND });
+            self.step(Event::SessionRequested { session_id, open, time_remaining: SECOND });
             if i + cut >= count {
                 self.step(Event::SessionEnded { session_id, end: DialEnd::Reset, report: None });
             } else if leave {
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -2,13 +2,13 @@
 //! its own, so that two that change places are found.
 use hallrelay_membership::message::DropReason;
 use hallrelay_membership::Counters;
-use hallrelay_relay::figures::text;
+use hallrelay_relay::metrics::text;
 use hallrelay_relay::net::dial_permit::Denials;
-use hallrelay_relay::reducer::{Figures, MembershipMetrics, Outcomes};
+use hallrelay_relay::reducer::{MembershipMetrics, Metrics, Outcomes};
 use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 
-fn figures() -> Figures {
+fn figures() -> Metrics {
     let first = Outcomes { taken: 101, passed: 102, dropped: 103, failed: 104, abandoned: 105 };
     let second = Outcomes { taken: 201, passed: 202, dropped: 203, failed: 204, abandoned: 205 };
     // A name that no line may carry as it is.
@@ -40,7 +40,7 @@
         rejected: 504,
         file_bytes: 505,
     };
-    Figures {
+    Metrics {
         listeners: BTreeMap::from(listeners.map(|(name, outcomes)| (name.into(), outcomes))),
         tries: 401,
         loads: 402,
@@ -62,7 +62,7 @@
 
 #[test]
 fn without_fleet_and_store_their_lines_are_absent() {
-    let bare = Figures { membership: None, store: None, ..figures() };
+    let bare = Metrics { membership: None, store: None, ..figures() };
     let all = include_str!("fixtures/metrics.txt").lines();
     let wanted: Vec<&str> =
         all.filter(|line| !line.starts_with("node.store_") && !line.starts_with("node.fleet_")).collect();
@@ -72,6 +72,6 @@
 #[test]
 fn a_store_that_writes_is_not_failing() {
     let store = WriterHealth { last_error: None, ..WriterHealth::default() };
-    let text = text(&Figures { store: Some(Box::new(store)), ..figures() });
+    let text = text(&Metrics { store: Some(Box::new(store)), ..figures() });
     assert!(text.contains("node.store_failing:0|g\n"), "{text}");
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -112,7 +112,7 @@
         reducer.start(now, &mut out);
         self.reducer = Some(reducer);
         // Every relay takes connections once it has begun.
-        out.retain(|effect| *effect != Effect::SetAccepting { on: true });
+        out.retain(|effect| *effect != Effect::SetAccepting { accepting: true });
         self.note(now, out);
         Ok(())
     }
@@ -133,7 +133,7 @@
             assert_eq!(sums.0, sums.1 + figures.waiting as u64, "{figures:?}");
         }
         for effect in &out {
-            if let Effect::StartTimer { after, alarm } = *effect {
+            if let Effect::StartTimer { after, timer: alarm } = *effect {
                 self.asked += 1;
                 self.alarms.insert((now + after, self.asked), alarm);
             }
@@ -161,7 +161,7 @@
                 let (listener, server) = (at(2)?.to_string(), at(3)?.to_string());
                 let id = u64::from(session_id()?);
                 let session = SessionState { id, listener, server, ..SessionState::default() };
-                Event::SessionAdopted { session_id: session_id()?, session: Box::new(session) }
+                Event::SessionAdopted { session_id: session_id()?, state: Box::new(session) }
             }
             "peer" => {
                 let peer = num(at(1)?)?;
@@ -201,7 +201,7 @@
                 Event::HotRestart(OwnershipEvent::Received { peer, message })
             }
             "written" => Event::FirstLineForwarded,
-            "call" => Event::OperatorCall { call: num(at(1)?)?, what: call(at(2)?)? },
+            "call" => Event::OperatorCall { call: num(at(1)?)?, request: call(at(2)?)? },
             "came" => {
                 return Ok(range(at(1)?)?
                     .map(|connection_id| Event::ClientConnected { connection_id })
@@ -227,7 +227,7 @@
                     at: at_backend,
                     ..lines::SessionRequest::default()
                 };
-                Event::SessionRequested { session_id: session_id()?, open, left: millis(wait)? }
+                Event::SessionRequested { session_id: session_id()?, open, time_remaining: millis(wait)? }
             }
             "up" => Event::SessionEstablished { session_id: session_id()?, dial: num(at(2)?)? },
             "fell" => {
@@ -317,7 +317,7 @@
             format!("fleet {}", status.as_ref().map_or("none", |s| s.view.as_str()))
         }
         OperatorReply::Metrics(figures) => {
-            let text = hallrelay_relay::figures::text(figures);
+            let text = hallrelay_relay::metrics::text(figures);
             let some = text.lines().filter(|line| !line.contains(":0|"));
             some.map(|line| line.trim_start_matches("node.")).collect::<Vec<_>>().join(" ")
         }
@@ -393,7 +393,7 @@
             Effect::Pong { connection_id } => format!("pong {connection_id}"),
             Effect::RejectPing { connection_id } => format!("deny {connection_id}"),
             Effect::Reply { call, reply } => format!("reply {call} {}", replied(reply)),
-            Effect::Dial { session_id, addr, wait, .. } => {
+            Effect::Dial { session_id, addr, timeout: wait, .. } => {
                 format!("dial {session_id} at s-{} for {}", addr.port() - 1000, wait / 1000)
             }
             Effect::StartProxying { session_id } => format!("pass {session_id}"),
@@ -402,7 +402,7 @@
             Effect::Migrate { session_id } => format!("move {session_id}"),
             Effect::ReportProtocolError { connection_id } => format!("spurn {connection_id}"),
             Effect::ShedConnection { connection_id } => format!("shed {connection_id}"),
-            Effect::SetSuspect { session_id, doubted: true } => format!("doubt {session_id}"),
+            Effect::SetSuspect { session_id, suspect: true } => format!("doubt {session_id}"),
             Effect::SetSuspect { session_id, .. } => format!("trust {session_id}"),
             Effect::CloseClient { session_id } => format!("close {session_id}"),
             Effect::HealthCheck { addr, .. } => format!("probe s-{}", addr.port() - 1000),
@@ -415,7 +415,9 @@
             Effect::ApplyTuning { .. } => "tuned".to_string(),
             Effect::KeyUnchanged { key } => format!("kept {key}"),
             Effect::StartTimer { .. } => "alarm".to_string(),
-            Effect::SetAccepting { on } => if *on { "accept" } else { "leave the door" }.to_string(),
+            Effect::SetAccepting { accepting: on } => {
+                if *on { "accept" } else { "leave the door" }.to_string()
+            }
             Effect::SetTakeoverListener { .. } => "alarm".to_string(),
             Effect::SendToProcess { peer, message } => match message {
                 Message::Rejected { reason } => format!("tell {peer} no, {reason}"),
@@ -443,7 +445,7 @@
             Effect::SetStoreOwnership { .. } => "alarm".to_string(),
             Effect::Membership(effect) => format!("to the fleet {effect:?}"),
             Effect::Log { .. } | Effect::SetDraining { .. } => "alarm".to_string(),
-            Effect::Abort { why } => format!("give up: {why}"),
+            Effect::Abort { reason: why } => format!("give up: {why}"),
             Effect::Exit => "exit".to_string(),
         });
         self.said.iter().cloned().chain(shown).collect()
