--- /dev/null
+++ b/relay/src/reducer/balancer_effects.rs
@@ -0,0 +1,60 @@
+//! The balancer inside the reducer: its inputs, and its effects in the relay's terms.
+use super::session::SessionStage;
+use super::{Effect, Reducer, Timer};
+use hallrelay_balancer::types::{self as balancer, DialEnd, Input, Micros};
+
+impl Reducer {
+    /// Steps the balancer with an input and carries out what it asks for.
+    pub(super) fn step_balancer(&mut self, input: Input, out: &mut Vec<Effect>) {
+        let mut asks = std::mem::take(&mut self.balancer_effects);
+        self.balancer.step(self.now, input, &mut asks);
+        asks.drain(..).for_each(|ask| self.apply_balancer_effect(ask, out));
+        self.balancer_effects = asks;
+    }
+
+    /// Turns an effect of the balancer into effects of the relay.
+    fn apply_balancer_effect(&mut self, ask: balancer::Effect, out: &mut Vec<Effect>) {
+        match ask {
+            balancer::Effect::Dial { session: session_id, server, timeout, send_within } => {
+                let Some(s) = self.sessions.get_mut(&session_id) else { return };
+                let dial = s.dials;
+                s.stage = SessionStage::Dialing;
+                s.server = Some(server);
+                s.dials += 1;
+                if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
+                    self.persist_slow_start_slot(server, session_id, out);
+                    let start_within = self.node.limits.connect.min(send_within.unwrap_or(Micros::MAX));
+                    return out.push(Effect::Dial {
+                        session_id,
+                        dial,
+                        server: Some(server),
+                        addr,
+                        timeout,
+                        start_within,
+                    });
+                }
+                let end = DialEnd::Unconnected;
+                self.step_balancer(
+                    Input::DialEnded { session: session_id, dial, end, settled: false, report: None },
+                    out,
+                );
+            }
+            balancer::Effect::Reject { session: session_id, retry_after } => {
+                self.send_final_answer(session_id, Effect::Reject { session_id, retry_after }, out);
+            }
+            balancer::Effect::TearDown { session: session_id } => {
+                self.send_final_answer(session_id, Effect::TearDown { session_id }, out)
+            }
+            balancer::Effect::Migrate { session: session_id } => self.migrate_session(session_id, out),
+            balancer::Effect::Probe { server } => {
+                let Some(v) = self.servers.get_mut(&server) else { return };
+                v.health_check_pending = true;
+                out.push(Effect::HealthCheck { server, addr: v.instance.addr });
+            }
+            balancer::Effect::SetTimer { after, label } => {
+                out.push(Effect::StartTimer { after, timer: Timer::Balancer(label) });
+            }
+            balancer::Effect::WatchEndpoints => self.watch_endpoints(out),
+        }
+    }
+}
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -76,15 +76,13 @@
         }
         // Connections without a session, clients in the middle of their first line among them, are not waited
         // for: they are told to come again, and have a moment to read it.
-        let is_aside_done = self.idle_connections.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
+        let idle_connections_are_done =
+            self.idle_connections.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
         if elapsed >= limits.stop_end {
-            out.extend(
-                self.idle_connections
-                    .drain(..)
-                    .map(|(connection_id, _)| Effect::ShedConnection { connection_id }),
-            );
+            let idle = self.idle_connections.drain(..);
+            out.extend(idle.map(|idle| Effect::ShedConnection { connection_id: idle.id }));
         }
-        let is_empty = self.sessions.is_empty() && is_aside_done;
+        let is_empty = self.sessions.is_empty() && idle_connections_are_done;
         // Shortly before the process may be killed: everyone was answered or told to move by then.
         let is_out_of_time = elapsed >= limits.stop_end + 2 * BATCH_INTERVAL;
         if is_out_of_time || is_empty && (elapsed >= limits.stop_least || is_replaced) {
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -234,8 +234,8 @@
     Balancer(u32),
     /// The final answer of a session is due.
     AnswerDeadline(SessId),
-    /// A session that was open before this process started is dialled at its backend again.
-    RedialPreExisting(SessId),
+    /// A session that is to be resumed is dialled at its backend again.
+    DialResumingSession(SessId),
     /// The next batch of sessions migrates, in the drain or stop of this number.
     MigrateBatch(u32),
     /// A process that was offered the listener was not ready in time.
--- /dev/null
+++ b/relay/src/reducer/idle_connections.rs
@@ -0,0 +1,50 @@
+//! Clients' connections that are no session: their first line is awaited, or their final answer is being sent.
+//!
+//! Sessions and these share the places that the limits allow. Where there is none left, clients that connect and stay
+//! silent must not keep others out.
+use super::{Effect, Reducer};
+use hallrelay_balancer::types::SessId;
+
+/// One connection that is no session.
+#[derive(Clone, Copy)]
+pub(super) struct IdleConnection {
+    pub id: SessId,
+    /// A part of its first line has come.
+    pub line_started: bool,
+}
+
+impl Reducer {
+    /// Adds a connection as the most recently active one.
+    pub(super) fn add_idle_connection(&mut self, id: SessId) {
+        self.idle_connections.push_back(IdleConnection { id, line_started: false });
+    }
+
+    pub(super) fn remove_idle_connection(&mut self, id: SessId) {
+        self.idle_connections.retain(|idle| idle.id != id);
+    }
+
+    /// A client connected. Where that is one too many, the longest silent connection is shed, or else the one whose
+    /// first line has paused longest.
+    pub(super) fn client_connected(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
+        self.add_idle_connection(connection_id);
+        let remaining = self.predecessor_remaining.connections as usize;
+        let connections = remaining + self.sessions.len() + self.idle_connections.len();
+        if connections <= self.node.limits.clients {
+            return;
+        }
+        let is_silent = |idle: &IdleConnection| !idle.line_started && idle.id != connection_id;
+        let position = self.idle_connections.iter().position(is_silent).unwrap_or(0);
+        if let Some(shed) = self.idle_connections.remove(position) {
+            out.push(Effect::ShedConnection { connection_id: shed.id });
+        }
+    }
+
+    /// A connection whose first line makes progress is kept before those whose line does not.
+    pub(super) fn first_line_started(&mut self, connection_id: SessId) {
+        let position = self.idle_connections.iter().position(|idle| idle.id == connection_id);
+        if let Some(position) = position {
+            self.idle_connections.remove(position);
+            self.idle_connections.push_back(IdleConnection { id: connection_id, line_started: true });
+        }
+    }
+}
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,6 +1,17 @@
-//! The one place where the relay's state changes: `step` takes an event and appends effects. It hands the
-//! decision module its inputs and turns its effects into reading, writing, dialling and timers, which tasks
-//! carry out. It reads no clock and no socket, and decides nothing that the module decides.
+//! The reducer owns all state of a relay: [`Reducer::step`] takes an event and appends effects, which the tasks of
+//! `net` carry out.
+//!
+//! It reads no clock, no socket and no unseeded chance, so the same events give the same effects. Load-balancing
+//! decisions are the balancer's; the reducer turns events into its inputs and its effects into dials, answers and timers.
+//!
+//! Four rules hold at all times:
+//! 1. Each session gets exactly one final answer in its time, and nothing after it.
+//! 2. No effect happens twice: what may run once only is retried or rejected only where no earlier attempt can have run.
+//! 3. Nothing new goes to a backend later than the drain grace after this relay was notified that it drains or is gone.
+//! 4. All relays together do not overload a backend in slow start.
+//!
+//! A relay that hears nobody never becomes bolder by it.
+mod balancer_effects;
 mod control;
 mod coordination;
 mod disruption_status;
@@ -8,6 +19,8 @@
 mod draining;
 mod events;
 mod excluded_backends;
+mod idle_connections;
+mod latency;
 mod leader_review;
 mod lifecycle;
 mod listener_ownership;
@@ -19,7 +32,9 @@
 mod persistence;
 mod restart_detection;
 mod rollout;
+mod server;
 mod servers;
+mod session;
 mod session_handover;
 mod sessions;
 mod voter;
@@ -32,7 +47,7 @@
 pub use membership::MembershipMetrics;
 pub use metrics::{Metrics, Outcomes};
 
-use hallrelay_balancer::types::{self as module, AdmissionRequest, DialEnd, Input, Micros, ServerId, SessId};
+use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::Node;
@@ -41,86 +56,18 @@
 use hallrelay_membership::Membership;
 use hallrelay_recovery::StoredState;
 use hallrelay_store::writer::WriterHealth;
+use idle_connections::IdleConnection;
 use lifecycle::{Lifecycle, LifecycleEvent};
 use listener_ownership::Remaining;
 use restart_detection::ConnectFailureStreak;
+use server::{LatencyReport, Server};
+use session::{Session, SessionStage};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum SessionStage {
-    /// The balancer decides where it goes, or lets it wait.
-    AwaitingPlacement,
-    /// A dial is out for it.
-    Dialing,
-    /// Open: lines pass both ways.
-    Proxying,
-    /// Its client was told to come again; it ends with its backend's connection.
-    Migrating,
-    /// It is being handed over to another process.
-    HandingOver,
-}
-
-/// A line for the log.
-fn log(what: impl Into<String>, out: &mut Vec<Effect>) {
-    out.push(Effect::Log { message: what.into() });
-}
-
-impl SessionStage {
-    /// Whether its client still waits for the final answer.
-    fn awaits_answer(self) -> bool {
-        matches!(self, SessionStage::AwaitingPlacement | SessionStage::Dialing)
-    }
-}
-
-/// One session, from its request to its end.
-struct Session {
-    /// The id that its client gave it.
-    id: u64,
-    /// The name of its listener when it was requested.
-    listener: Rc<str>,
-    request: AdmissionRequest,
-    stage: SessionStage,
-    server: Option<ServerId>,
-    /// Dials so far.
-    dials: u32,
-    /// When its final answer is due.
-    deadline: Micros,
-    /// When its backend reported a load last.
-    last_load_at: Option<Micros>,
-    /// It was open at its backend before this process started; the balancer learns of it once it is open again.
-    pre_existing: bool,
-}
-
-/// A backend that the endpoint list names, or named.
-struct Server {
-    /// As the list had it last.
-    instance: Instance,
-    /// When it started, by this process' clock; 0 is long ago.
-    started_at: Micros,
-    health_check_pending: bool,
-    /// Health checks in a row without any answer.
-    consecutive_misses: u32,
-    /// Connects in a row that failed.
-    consecutive_connect_failures: u32,
-    latency_report: LatencyReport,
-    /// Outcomes of sessions there since the last report to the leader.
-    session_counts: SessionCounts,
-}
-
-impl Server {
-    /// Whether it is warming up.
-    fn in_slow_start(&self, now: Micros, warm_up: Micros) -> bool {
-        self.started_at > 0 && now < self.started_at.saturating_add(warm_up)
-    }
-}
-
-/// The last report of a server's message latency to the balancer.
-#[derive(Default)]
-struct LatencyReport {
-    reported_at: Option<Micros>,
-    /// Whether it was above the threshold below which nothing is reported.
-    above_threshold: bool,
+/// Appends a line for the log.
+fn log(message: impl Into<String>, out: &mut Vec<Effect>) {
+    out.push(Effect::Log { message: message.into() });
 }
 
 /// The watches on the endpoint list: the latest one, and an earlier one that may still bring something.
@@ -130,29 +77,31 @@
     latest: u32,
     /// Whether that one is open.
     is_open: bool,
-    /// The one that brought something last, or was open before the latest one: kept until that brings something.
-    previous: Option<u32>,
+    /// The one whose lists hold: the latest once it has brought something, an earlier one until then.
+    delivering: Option<u32>,
 }
 
+/// The state of one relay.
 pub struct Reducer {
+    /// The configuration in force.
     node: Node,
     balancer: Relay,
+    /// The time of the event that is being handled, in microseconds.
     now: Micros,
     sessions: BTreeMap<SessId, Session>,
-    /// The marks of all sessions: searched through the sessions, they took half of a large relay's time.
+    /// The ids that clients gave the sessions, so that a second use of one is found at once.
     session_ids: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
+    /// The numbers of the servers by their names in the endpoint list.
     ids: BTreeMap<String, ServerId>,
-    /// Servers that nothing new may be sent to, as the tasks were told.
+    /// Servers that nothing new may be sent to, as the tasks know it.
     draining: BTreeSet<ServerId>,
-    /// The version that was heard last; none from a discovery that has not told one yet.
+    /// The version of the endpoint list that was received last; `None` from a discovery that has not answered yet.
     list_version: Option<u64>,
     watch: EndpointWatch,
-    /// Clients' connections that are no session: their first line is awaited, or their last one is out. The
-    /// one that did something last first, and whether a part of a line is there. Sessions and these are all
-    /// connections that have a place.
-    idle_connections: VecDeque<(SessId, bool)>,
-    /// Connections that wait for a `PONG`.
+    /// Clients' connections that are no session, the least recently active one first.
+    idle_connections: VecDeque<IdleConnection>,
+    /// Connections that wait for the answer to a ping.
     pending_pings: Vec<SessId>,
     lifecycle: Lifecycle,
     /// When the drain or stop that is in force began.
@@ -189,11 +138,12 @@
     predecessor_session_ids: HashSet<u64>,
     /// What the successor was last told that remains here.
     reported_remaining: Remaining,
-    balancer_effects: Vec<module::Effect>,
+    /// Scratch space for the balancer's effects.
+    balancer_effects: Vec<balancer::Effect>,
 }
 
 impl Reducer {
-    /// `predecessor`: the process that this one takes over from, where there is one.
+    /// A relay before its start. `predecessor` is the process that it takes over from, where there is one.
     pub fn new(node: Node, predecessor: Option<PeerId>) -> Reducer {
         Reducer {
             ownership: ListenerOwnership::new(&node.name, &node.listen.to_string(), predecessor),
@@ -235,7 +185,7 @@
         }
     }
 
-    /// Begins with the list as this relay last had it.
+    /// Starts with the stored state where there is some, else with the configured endpoint list.
     pub fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
         self.coordination = self.configured_coordination();
@@ -254,13 +204,14 @@
             self.persist_identity(start, out);
             self.start_polling_peers(out);
         }
-        // Where the module counts on being told unasked, the watch that tells it is the program's own.
+        // Otherwise the balancer asks for the watch.
         if !self.node.site.facts.must_watch {
             self.watch_endpoints(out);
         }
         self.begin_ownership(out);
     }
 
+    /// Takes one event at `now`, in microseconds and never earlier than the last; appends its effects to `out`.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
@@ -276,7 +227,7 @@
             }
             Event::ClientDisconnected { session_id } => {
                 self.abandon_session(session_id, out);
-                self.idle_connections.retain(|one| one.0 != session_id);
+                self.remove_idle_connection(session_id);
                 self.pending_pings.retain(|connection_id| *connection_id != session_id);
             }
             Event::ClientHalfClosed { session_id } => self.client_half_closed(session_id, out),
@@ -291,15 +242,7 @@
                 self.dial_not_started(session_id, dial, out)
             }
             Event::SessionEnded { session_id, end, report } => {
-                let Some(s) = self.remove_session(session_id) else { return };
-                let dial = s.dials.saturating_sub(1);
-                if end == DialEnd::Reset {
-                    self.count_outcome(s.server, end);
-                }
-                self.step_balancer(
-                    Input::DialEnded { session: session_id, dial, end, settled: true, report },
-                    out,
-                );
+                self.session_ended(session_id, end, report, out);
             }
             Event::LoadReported { session_id, load } if self.is_proxying(session_id) => {
                 self.load_reported(session_id, load, out)
@@ -329,9 +272,9 @@
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
-            Event::Timer(alarm) => self.timer_expired(alarm, out),
+            Event::Timer(timer) => self.timer_expired(timer, out),
             Event::StopRequested => _ = self.apply_lifecycle_event(LifecycleEvent::Stop, out),
-            // Of a dial or a session that is over.
+            // They concern a dial or a session that is over.
             Event::SessionEstablished { .. }
             | Event::DialEnded { .. }
             | Event::DialNotStarted { .. }
@@ -340,63 +283,12 @@
         }
     }
 
-    fn step_balancer(&mut self, input: Input, out: &mut Vec<Effect>) {
-        let mut asks = std::mem::take(&mut self.balancer_effects);
-        self.balancer.step(self.now, input, &mut asks);
-        asks.drain(..).for_each(|ask| self.apply_balancer_effect(ask, out));
-        self.balancer_effects = asks;
-    }
-
-    /// What the module asks for, in the program's own effects.
-    fn apply_balancer_effect(&mut self, ask: module::Effect, out: &mut Vec<Effect>) {
-        match ask {
-            module::Effect::Dial { session: session_id, server, timeout, send_within } => {
-                let Some(s) = self.sessions.get_mut(&session_id) else { return };
-                (s.stage, s.server, s.dials) = (SessionStage::Dialing, Some(server), s.dials + 1);
-                let dial = s.dials - 1;
-                if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
-                    self.persist_slow_start_slot(server, session_id, out);
-                    let start_within = self.node.limits.connect.min(send_within.unwrap_or(Micros::MAX));
-                    return out.push(Effect::Dial {
-                        session_id,
-                        dial,
-                        server: Some(server),
-                        addr,
-                        timeout,
-                        start_within,
-                    });
-                }
-                let end = DialEnd::Unconnected;
-                self.step_balancer(
-                    Input::DialEnded { session: session_id, dial, end, settled: false, report: None },
-                    out,
-                );
-            }
-            module::Effect::Reject { session: session_id, retry_after } => {
-                self.send_final_answer(session_id, Effect::Reject { session_id, retry_after }, out);
-            }
-            module::Effect::TearDown { session: session_id } => {
-                self.send_final_answer(session_id, Effect::TearDown { session_id }, out)
-            }
-            module::Effect::Migrate { session: session_id } => self.migrate_session(session_id, out),
-            module::Effect::Probe { server } => {
-                let Some(v) = self.servers.get_mut(&server) else { return };
-                v.health_check_pending = true;
-                out.push(Effect::HealthCheck { server, addr: v.instance.addr });
-            }
-            module::Effect::SetTimer { after, label } => {
-                out.push(Effect::StartTimer { after, timer: Timer::Balancer(label) });
-            }
-            module::Effect::WatchEndpoints => self.watch_endpoints(out),
-        }
-    }
-
-    fn timer_expired(&mut self, alarm: Timer, out: &mut Vec<Effect>) {
-        match alarm {
+    fn timer_expired(&mut self, timer: Timer, out: &mut Vec<Effect>) {
+        match timer {
             Timer::Balancer(label) => self.step_balancer(Input::TimerExpired { label }, out),
-            Timer::RedialPreExisting(session_id) => self.redial_pre_existing(session_id, out),
+            Timer::DialResumingSession(session_id) => self.dial_resuming_session(session_id, out),
             Timer::AnswerDeadline(session_id) => {
-                // Dials end and the module answers before this; it guards against a task that does neither.
+                // Dials end and the balancer answers before this; it guards against a task that does neither.
                 if self.sessions.get(&session_id).is_some_and(|s| s.stage.awaits_answer()) {
                     self.deadline_expired(session_id, out);
                 }
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -77,7 +77,7 @@
 
     fn server_answered(&mut self, server: ServerId, out: &mut Vec<super::Effect>) {
         // A watch that is open tells of restarts itself.
-        let is_discovery_unavailable = self.watch.previous.is_none();
+        let is_discovery_unavailable = self.watch.delivering.is_none();
         let Some(v) = self.servers.get_mut(&server) else { return };
         let failed_connects = std::mem::take(&mut v.consecutive_connect_failures);
         if failed_connects < MIN_FAILED_CONNECTS || !is_discovery_unavailable {
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -51,7 +51,7 @@
             dials: 1,
             deadline: self.now,
             last_load_at: None,
-            pre_existing: false,
+            is_resuming: false,
         };
         self.predecessor_session_ids.remove(&session.id);
         self.session_ids.insert(session.id);
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -24,9 +24,9 @@
                 return log(format!("a change of version {} came too late", list.generation), out);
             }
             self.list_version = Some(list.generation);
-            let before = w.previous.replace(watch).filter(|before| *before != watch);
+            let before = w.delivering.replace(watch).filter(|before| *before != watch);
             out.extend(before.map(|watch| Effect::StopWatch { watch }));
-        } else if w.previous != Some(watch) {
+        } else if w.delivering != Some(watch) {
             return;
         }
         self.discovery_contacted_before = self.discovery_contacted.replace(self.now);
@@ -38,7 +38,7 @@
 
     pub(super) fn watch_failed(&mut self, watch: u32, out: &mut Vec<Effect>) {
         out.push(Effect::StopWatch { watch });
-        self.watch.previous = self.watch.previous.filter(|before| *before != watch);
+        self.watch.delivering = self.watch.delivering.filter(|before| *before != watch);
         if watch != self.watch.latest || !std::mem::take(&mut self.watch.is_open) {
             return;
         }
@@ -100,9 +100,9 @@
         }
         let w = &mut self.watch;
         if std::mem::take(&mut w.is_open) {
-            match w.previous {
+            match w.delivering {
                 Some(before) if before != w.latest => out.push(Effect::StopWatch { watch: w.latest }),
-                _ => w.previous = Some(w.latest),
+                _ => w.delivering = Some(w.latest),
             }
         }
         self.list_version = None;
@@ -113,7 +113,7 @@
     pub(super) fn stop_watching(&mut self, out: &mut Vec<Effect>) {
         if !self.sessions.values().any(|s| s.stage.awaits_answer()) && std::mem::take(&mut self.watch.is_open)
         {
-            let watches = [Some(self.watch.latest), self.watch.previous.take()];
+            let watches = [Some(self.watch.latest), self.watch.delivering.take()];
             out.extend(watches.into_iter().flatten().map(|watch| Effect::StopWatch { watch }));
         }
     }
