--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -38,8 +38,8 @@
     let task = async move {
         let (connection_id, commands) = hub.register();
         first_line::run(connection_id, stream, commands, &hub).await;
-        hub.conns.borrow_mut().remove(&connection_id);
-        hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
+        hub.connections.borrow_mut().remove(&connection_id);
+        hub.notify(Event::ClientDisconnected { session_id: connection_id }).await;
         drop(place);
     };
     slog::debug!(log, "connection accepted"; "bytes" => size_of_val(&task));
--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -63,37 +63,37 @@
                 command = next_command(&self.client, &mut self.commands, self.hub) => command,
             };
             let (dial, wait) = match command {
-                Some(Command::Dial { dial, addr, wait, terms }) => {
+                Some(Command::Dial { dial, addr, timeout: wait, conditions: terms }) => {
                     let timeout_ms = wait / 1000;
                     let line =
                         lines::rewrite_timeout(&self.request.line, &self.request.timeout_range, timeout_ms);
                     let request = DialRequest { addr, line: &line, timeout: wait, conditions: terms };
                     (dial, self.dial(request).await)
                 }
-                Some(Command::Answer(line)) => return self.answer(&line).await,
+                Some(Command::FinalAnswer(line)) => return self.answer(&line).await,
                 _ => return,
             };
             match wait {
                 DialWait::Ended(DialOutcome::NotStarted) => {
-                    self.hub.tell(Event::DialNotStarted { session_id: self.connection_id, dial }).await;
+                    self.hub.notify(Event::DialNotStarted { session_id: self.connection_id, dial }).await;
                 }
                 DialWait::Ended(DialOutcome::Failed(end, report)) => {
                     self.hub
-                        .tell(Event::DialEnded { session_id: self.connection_id, dial, end, report })
+                        .notify(Event::DialEnded { session_id: self.connection_id, dial, end, report })
                         .await;
                 }
                 DialWait::Ended(DialOutcome::Accepted(backend)) => return self.accepted(dial, backend).await,
                 DialWait::Ended(DialOutcome::Completed { line, report }) => {
                     let end = DialEnd::Ok;
                     self.hub
-                        .tell(Event::DialEnded { session_id: self.connection_id, dial, end, report })
+                        .notify(Event::DialEnded { session_id: self.connection_id, dial, end, report })
                         .await;
                     return self.answer(&line).await;
                 }
                 DialWait::Ended(DialOutcome::ClientGone(state)) | DialWait::Client(state) => {
                     return self.client_gone(state).await;
                 }
-                DialWait::Command(Some(Command::Answer(line))) => return self.answer(&line).await,
+                DialWait::Command(Some(Command::FinalAnswer(line))) => return self.answer(&line).await,
                 DialWait::Command(_) => return,
             }
         }
@@ -114,13 +114,13 @@
     /// A backend accepted the session. It is proxied unless the reducer gave up on it as the answer was read:
     /// then a final answer is queued, and the backend's is not used.
     async fn accepted(mut self, dial: u32, backend: dial::Backend) {
-        self.hub.tell(Event::SessionEstablished { session_id: self.connection_id, dial }).await;
+        self.hub.notify(Event::SessionEstablished { session_id: self.connection_id, dial }).await;
         match next_command(&self.client, &mut self.commands, self.hub).await {
-            Some(Command::Pass) => {
+            Some(Command::StartProxying) => {
                 proxy::run(self.connection_id, self.client, self.buffer, backend, self.commands, self.hub)
                     .await;
             }
-            Some(Command::Answer(line)) => {
+            Some(Command::FinalAnswer(line)) => {
                 drop(backend);
                 self.answer(&line).await;
             }
@@ -138,7 +138,7 @@
         if state == ClientState::SentMore {
             return reject_protocol_violation(self.connection_id, self.client, self.commands, self.hub).await;
         }
-        self.hub.tell(Event::ClientHalfClosed { session_id: self.connection_id }).await;
+        self.hub.notify(Event::ClientHalfClosed { session_id: self.connection_id }).await;
         await_final_answer(self.client, &mut self.commands, self.hub).await;
     }
 }
@@ -149,7 +149,7 @@
     loop {
         match commands.recv().await {
             Some(Command::Pong(line)) => _ = close::write_all(client, line, hub.limits().end).await,
-            Some(Command::Shed | Command::Doubt(_)) => {}
+            Some(Command::Shed | Command::SetSuspect(_)) => {}
             command => return command,
         }
     }
@@ -170,7 +170,7 @@
     mut commands: Receiver<Command>,
     hub: &Hub,
 ) {
-    hub.tell(Event::ProtocolViolation { connection_id }).await;
+    hub.notify(Event::ProtocolViolation { connection_id }).await;
     await_final_answer(client, &mut commands, hub).await;
 }
 
@@ -179,9 +179,15 @@
 async fn await_final_answer(client: TcpStream, commands: &mut Receiver<Command>, hub: &Hub) {
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Answer(line) => return close::send_final_answer(client, &line, commands, hub).await,
-            Command::Dial { .. } | Command::Pong(_) | Command::Shed | Command::Doubt(_) | Command::Pass => {}
-            Command::Move | Command::PassOn(..) | Command::Close => return,
+            Command::FinalAnswer(line) => {
+                return close::send_final_answer(client, &line, commands, hub).await
+            }
+            Command::Dial { .. }
+            | Command::Pong(_)
+            | Command::Shed
+            | Command::SetSuspect(_)
+            | Command::StartProxying => {}
+            Command::Migrate | Command::HandOver(..) | Command::Close => return,
         }
     }
 }
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -68,7 +68,7 @@
         Ok(stream) => stream,
         Err(outcome) => return outcome,
     };
-    hub.tell(Event::FirstLineForwarded).await;
+    hub.notify(Event::FirstLineForwarded).await;
     receive_answer(stream, deadline, &limits, hub).await
 }
 
@@ -111,7 +111,7 @@
         return DialOutcome::Failed(DialEnd::Timeout, None);
     };
     let Ok(mut line) = answer else { return DialOutcome::Failed(DialEnd::Reset, None) };
-    match lines::parse_backend_reply(&line, hub.order()) {
+    match lines::parse_backend_reply(&line, hub.report_order()) {
         BackendReply::Up => {
             line.extend_from_slice(lines::END);
             DialOutcome::Accepted(Backend { stream, buffer, acceptance: line })
--- a/relay/src/net/dial_permit.rs
+++ b/relay/src/net/dial_permit.rs
@@ -81,7 +81,7 @@
     if state != ClientState::Waiting {
         return Some(Denied::Client(state));
     }
-    if conditions.server.is_some_and(|server| hub.leaving.borrow().contains(&server)) {
+    if conditions.server.is_some_and(|server| hub.draining.borrow().contains(&server)) {
         return Some(Denied::Draining);
     }
     // A process that was not scheduled for a while must not exceed a drain's grace.
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -57,7 +57,7 @@
 pub async fn run(id: u32, addr: SocketAddr, since: Option<u64>, hub: Hub) {
     let Err(error) = Watch { id, addr, hub: &hub }.run(since).await;
     slog::info!(hub.log, "the watch of the list is over"; "at" => %addr, "why" => %error);
-    hub.tell(Event::EndpointWatchFailed { watch: id }).await;
+    hub.notify(Event::EndpointWatchFailed { watch: id }).await;
 }
 
 async fn fetch_list(addr: SocketAddr, max_bytes: usize) -> Result<List, WatchError> {
@@ -189,7 +189,7 @@
             last_heard = Instant::now();
             if let Some(list) = list {
                 since = if list.whole { list.generation } else { list.generation.max(since) };
-                self.hub.tell(Event::EndpointListReceived { watch: self.id, list }).await;
+                self.hub.notify(Event::EndpointListReceived { watch: self.id, list }).await;
             }
         }
     }
@@ -205,7 +205,7 @@
         let list = fetched.unwrap_or(Err(WatchError::NoList))?;
         let since = list.generation;
         let list = List { whole: true, ..list };
-        self.hub.tell(Event::EndpointListReceived { watch: self.id, list }).await;
+        self.hub.notify(Event::EndpointListReceived { watch: self.id, list }).await;
         Ok(since)
     }
 }
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -61,7 +61,7 @@
     let connected_at = Instant::now();
     let deadline = connected_at + span(limits.first_line);
     let buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
-    hub.tell(Event::ClientConnected { connection_id }).await;
+    hub.notify(Event::ClientConnected { connection_id }).await;
     let pending_pongs = 0;
     NewConnection { connection_id, client, buffer, hub, limits, connected_at, deadline, pending_pongs }
         .run(commands)
@@ -88,7 +88,7 @@
                 // A client that pings for ever is ended by the deadline.
                 Some(FirstLine::Ping) if Instant::now() < self.deadline => {
                     self.pending_pongs += 1;
-                    self.hub.tell(Event::Ping { connection_id: self.connection_id }).await;
+                    self.hub.notify(Event::Ping { connection_id: self.connection_id }).await;
                 }
                 _ => {
                     let bytes = line.len();
@@ -124,7 +124,7 @@
             Input::Line(line) => Step::Parse(line),
             Input::Part => {
                 self.extend_deadline();
-                self.hub.tell(Event::FirstLineStarted { connection_id: self.connection_id }).await;
+                self.hub.notify(Event::FirstLineStarted { connection_id: self.connection_id }).await;
                 Step::Continue
             }
             Input::Closed => Step::Close,
@@ -145,7 +145,7 @@
                 }
             }
             // It is meant for open sessions; the other commands answer what this task has not reported.
-            Input::Command(Some(Command::Doubt(_))) => Step::Continue,
+            Input::Command(Some(Command::SetSuspect(_))) => Step::Continue,
             Input::Command(_) => Step::Close,
         }
     }
@@ -162,7 +162,9 @@
         let age = read::age_of_last_bytes(&self.client).min(wait);
         let time_remaining = wait.saturating_sub(age + self.limits.answer_margin);
         let timeout_range = open.wait_at.clone();
-        self.hub.tell(Event::SessionRequested { session_id: self.connection_id, open, time_remaining }).await;
+        self.hub
+            .notify(Event::SessionRequested { session_id: self.connection_id, open, time_remaining })
+            .await;
         let request = ClientRequest { line, timeout_range };
         await_answer::run(self.connection_id, self.client, self.buffer, request, commands, self.hub).await;
     }
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -58,7 +58,7 @@
             Ok(Err(failure)) => (failure.end, failure.report),
             Err(_) => (DialEnd::Timeout, None),
         };
-        hub.tell(Event::HealthCheckEnded { server, end, report }).await;
+        hub.notify(Event::HealthCheckEnded { server, end, report }).await;
     }
 }
 
@@ -108,7 +108,7 @@
         return Err(DialEnd::Reset.into());
     }
     let reply = read::read_line(stream, buffer, limits.line).await.map_err(|_| DialEnd::Reset)?;
-    match lines::parse_backend_reply(&reply, hub.order()) {
+    match lines::parse_backend_reply(&reply, hub.report_order()) {
         BackendReply::Pong(report) => Ok(report),
         BackendReply::Busy(report) => Err(CheckFailure { end: DialEnd::Full, report }),
         BackendReply::Error(report) => Err(CheckFailure { end: DialEnd::Error, report }),
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -309,7 +309,7 @@
         }
         self.hub.processes.borrow_mut().remove(&self.peer);
         return_sessions(outgoing).await;
-        self.hub.tell(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.peer })).await;
+        self.hub.notify(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.peer })).await;
     }
 
     /// Reads once and handles the complete messages; whether the exchange goes on.
@@ -338,7 +338,7 @@
                 }
                 message => {
                     let event = OwnershipEvent::Received { peer: self.peer, message };
-                    self.hub.tell(Event::HotRestart(event)).await;
+                    self.hub.notify(Event::HotRestart(event)).await;
                 }
             }
         }
@@ -370,8 +370,8 @@
     tokio::task::spawn_local(async move {
         let (connection_id, commands) = hub.register();
         proxy::resume(connection_id, session, sockets, commands, &hub).await;
-        hub.conns.borrow_mut().remove(&connection_id);
-        hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
+        hub.connections.borrow_mut().remove(&connection_id);
+        hub.notify(Event::ClientDisconnected { session_id: connection_id }).await;
     });
 }
 
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -158,8 +158,8 @@
         tokio::task::spawn_local(async move {
             let (connection_id, commands) = hub.register();
             first_line::run(connection_id, stream, commands, &hub).await;
-            hub.conns.borrow_mut().remove(&connection_id);
-            hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
+            hub.connections.borrow_mut().remove(&connection_id);
+            hub.notify(Event::ClientDisconnected { session_id: connection_id }).await;
         });
     }
 
@@ -205,18 +205,18 @@
     }
 
     fn says(&self, connection_id: SessId, command: Command) {
-        assert!(self.hub.conns.borrow().contains_key(&connection_id), "{command:?} goes to nobody");
+        assert!(self.hub.connections.borrow().contains_key(&connection_id), "{command:?} goes to nobody");
         self.hub.command(connection_id, command);
     }
 
     fn answers(&self, connection_id: SessId, line: &str) {
-        self.says(connection_id, Command::Answer(line.as_bytes().to_vec()));
+        self.says(connection_id, Command::FinalAnswer(line.as_bytes().to_vec()));
     }
 
     fn dials(&self, connection_id: SessId, dial: u32, at: &TcpListener, within: Micros) {
         let addr = at.local_addr().expect("its address");
         let terms = DialConditions { server: Some(SERVER), start_by: self.hub.clock.now() + within };
-        self.says(connection_id, Command::Dial { dial, addr, wait: 1_500_000, terms });
+        self.says(connection_id, Command::Dial { dial, addr, timeout: 1_500_000, conditions: terms });
     }
 }
 
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -10,7 +10,7 @@
     let (connection_id, mut client, mut server) = play.dialled().await;
     server.says("UP r1\r\n").await;
     assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
-    play.says(connection_id, Command::Pass);
+    play.says(connection_id, Command::StartProxying);
     assert_eq!(client.hears().await, "UP r1\r\n");
     (connection_id, client, server)
 }
@@ -36,7 +36,7 @@
         server.says("BYE\r\n").await;
         drop(server);
         assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
-        play.says(connection_id, Command::Move);
+        play.says(connection_id, Command::Migrate);
         assert_eq!(client.hears().await, "BYE\r\n");
         play.quiet().await;
         client.says("M 1\r\n").await;
@@ -93,7 +93,7 @@
     for _ in 0..PLAYS {
         play(|mut play| async move {
             let (connection_id, mut client, mut server) = open(&mut play).await;
-            play.says(connection_id, Command::Doubt(true));
+            play.says(connection_id, Command::SetSuspect(true));
             client.says("M 1\r\n").await;
             assert_eq!(server.hears().await, "M 1\r\n");
             server.says("M 1\r\nBYE\r\n").await;
@@ -121,7 +121,7 @@
         let (connection_id, mut client, mut server) = open(&mut play).await;
         server.says("M 1\r\nM 2\r\nhalf").await;
         play.turns().await;
-        play.says(connection_id, Command::Move);
+        play.says(connection_id, Command::Migrate);
         assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Recalled, .. }));
         for wanted in ["M 1\r\n", "M 2\r\n", "MOVE\r\n", ""] {
             assert_eq!(client.hears().await, wanted);
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -64,7 +64,7 @@
         server.says("UP r1\r\n").await;
         assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
         play.says(connection_id, Command::Shed);
-        play.says(connection_id, Command::Pass);
+        play.says(connection_id, Command::StartProxying);
         assert_eq!(client.hears().await, "UP r1\r\n");
     });
 }
@@ -276,14 +276,14 @@
     play(|mut play| async move {
         let (backend, _client) = (bound().await, play.client_with(LINE).await);
         let connection_id = play.opened().await;
-        play.hub.leaving.borrow_mut().insert(SERVER);
+        play.hub.draining.borrow_mut().insert(SERVER);
         play.dials(connection_id, 0, &backend, LONG);
         assert_eq!(play.event().await, Event::DialNotStarted { session_id: connection_id, dial: 0 });
-        play.hub.leaving.borrow_mut().clear();
+        play.hub.draining.borrow_mut().clear();
         play.dials(connection_id, 0, &backend, LONG);
         // The task begins to connect, and the drain is told before its next turn.
         tokio::task::yield_now().await;
-        play.hub.leaving.borrow_mut().insert(SERVER);
+        play.hub.draining.borrow_mut().insert(SERVER);
         assert_eq!(play.event().await, Event::DialNotStarted { session_id: connection_id, dial: 0 });
         untouched(&backend).await;
         assert_eq!(play.hub.denials.counts().leaving, 2);
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -121,7 +121,7 @@
             match timeout(limit, exchange_frames(&config, to, bytes)).await {
                 Ok(Ok(Ok(packet))) => {
                     let packet = Box::new(packet);
-                    hub.tell(Event::Membership(MembershipEvent::StreamResponse { packet })).await;
+                    hub.notify(Event::Membership(MembershipEvent::StreamResponse { packet })).await;
                 }
                 Ok(Ok(Err(error))) => report_dropped(&hub, error.into(), 1).await,
                 Ok(Err(e)) => slog::debug!(hub.log, "a relay is not reached"; "at" => %to, "error" => %e),
@@ -141,7 +141,7 @@
 }
 
 async fn report_dropped(hub: &Hub, reason: DropReason, count: u64) {
-    hub.tell(Event::Membership(MembershipEvent::PacketsDropped { reason, count })).await;
+    hub.notify(Event::Membership(MembershipEvent::PacketsDropped { reason, count })).await;
 }
 
 /// Binds the sockets unless they are bound, and reads both until the task is aborted.
@@ -209,7 +209,7 @@
                     Ok(packet) => {
                         let packet = Box::new(packet);
                         let event = MembershipEvent::DatagramReceived { from, packet };
-                        hub.tell(Event::Membership(event)).await;
+                        hub.notify(Event::Membership(event)).await;
                     }
                     Err(error) => *dropped.entry(error.into()).or_default() += 1,
                 }
@@ -254,7 +254,7 @@
     let (reply, replied) = oneshot::channel();
     replies.borrow_mut().insert(number, reply);
     let event = MembershipEvent::StreamRequest { stream: number, from, packet };
-    hub.tell(Event::Membership(event)).await;
+    hub.notify(Event::Membership(event)).await;
     if let Ok(Some(bytes)) = replied.await {
         _ = write_frame(&mut stream, bytes).await;
     }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -1,5 +1,7 @@
-//! The tasks, by stage: accept, first line, admit, dial, pass, end; beside them probe, discovery and stop.
-//! `serve` runs them round the reducer.
+//! The tasks that carry out what the reducer asks for; they own sockets and decide nothing.
+//!
+//! A connection goes through `accept`, `first_line`, `await_answer` with `dial`, `proxy` and `close`. Beside it run
+//! `health_check`, `discovery`, `operator`, `membership`, `hot_restart` and `signals`. `serve` runs the reducer.
 mod accept;
 mod await_answer;
 mod close;
@@ -36,88 +38,94 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// What the reducer asks of one connection's task.
+/// A command of the reducer for the task of one connection.
 #[derive(Debug)]
 enum Command {
-    /// What a `PING` is answered with.
+    /// Answers a ping with this line.
     Pong(&'static [u8]),
+    /// Dials a backend.
     Dial {
+        /// The dial's number within the session.
         dial: u32,
         addr: SocketAddr,
-        wait: Micros,
-        /// It was decided by what held then.
-        terms: dial_permit::DialConditions,
+        /// How long the whole dial may take, in microseconds.
+        timeout: Micros,
+        conditions: dial_permit::DialConditions,
     },
-    Pass,
-    Answer(Vec<u8>),
-    Move,
-    /// Another process goes on with its session.
-    PassOn(PeerId, Box<SessionState>),
+    /// Passes lines both ways from now on.
+    StartProxying,
+    /// Sends this final answer and closes.
+    FinalAnswer(Vec<u8>),
+    /// Tells the client to come again and ends the session.
+    Migrate,
+    /// Hands the session over to another process.
+    HandOver(PeerId, Box<SessionState>),
+    /// Closes without an answer.
     Close,
-    /// Whether its backend's silence is to tell sooner.
-    Doubt(bool),
-    /// Its place is wanted, and it has none as long as it is no session.
+    /// Whether the backend fails its health checks, so that an unanswered message counts as lost sooner.
+    SetSuspect(bool),
+    /// Closes, unless the connection is a session by now.
     Shed,
 }
 
-/// What all tasks share: ways to the reducer and back, limits, time and the log. No state of sessions.
+/// What all tasks share: channels to the reducer and from it, limits, time and the log. It holds no state of sessions.
 #[derive(Clone)]
 struct Hub {
     events: mpsc::Sender<Event>,
-    conns: Rc<RefCell<BTreeMap<SessId, mpsc::Sender<Command>>>>,
-    /// Where bytes go that nobody reads any more.
+    connections: Rc<RefCell<BTreeMap<SessId, mpsc::Sender<Command>>>>,
+    /// Scratch space for bytes that are read and dropped.
     discarded: Rc<RefCell<Vec<u8>>>,
     last_id: Rc<Cell<SessId>>,
-    /// Servers to which nothing new may be sent, as the reducer knows them.
-    leaving: Rc<RefCell<BTreeSet<ServerId>>>,
+    /// Servers to which nothing new may be sent.
+    draining: Rc<RefCell<BTreeSet<ServerId>>>,
     denials: Rc<dial_permit::DenialCounter>,
-    /// When a connection to any server came up last.
-    connected_at: Rc<Cell<Micros>>,
+    /// When a connection to any server was established last.
+    last_connected_at: Rc<Cell<Micros>>,
     /// Channels to other processes of this relay.
     processes: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<processes::ProcessCommand>>>>,
-    /// As the configuration in force has them.
-    tuned: Rc<RefCell<(Rc<Limits>, ReportOrder)>>,
+    /// The limits and the order of report fields of the configuration in force.
+    tuning: Rc<RefCell<(Rc<Limits>, ReportOrder)>>,
     clock: Clock,
     log: slog::Logger,
 }
 
 impl Hub {
-    /// One, and where what its tasks tell comes.
+    /// A hub, and the channel on which its tasks' events arrive.
     fn new(limits: Limits, order: ReportOrder, log: slog::Logger) -> (Hub, mpsc::Receiver<Event>) {
-        let (events, told) = mpsc::channel(limits.events);
+        let (events, arriving) = mpsc::channel(limits.events);
         let hub = Hub {
             events,
-            conns: Rc::new(RefCell::new(BTreeMap::new())),
+            connections: Rc::new(RefCell::new(BTreeMap::new())),
             // Enough for what a peer sends at full speed between two reads.
             discarded: Rc::new(RefCell::new(vec![0; 1 << 16])),
             last_id: Rc::new(Cell::new(0)),
-            leaving: Rc::default(),
+            draining: Rc::default(),
             denials: Rc::default(),
-            connected_at: Rc::default(),
+            last_connected_at: Rc::default(),
             processes: Rc::new(RefCell::new(BTreeMap::new())),
-            tuned: Rc::new(RefCell::new((Rc::new(limits), order))),
+            tuning: Rc::new(RefCell::new((Rc::new(limits), order))),
             clock: Clock::anchored(),
             log,
         };
-        (hub, told)
+        (hub, arriving)
     }
 
     fn limits(&self) -> Rc<Limits> {
-        self.tuned.borrow().0.clone()
+        self.tuning.borrow().0.clone()
     }
 
-    fn order(&self) -> ReportOrder {
-        self.tuned.borrow().1
+    fn report_order(&self) -> ReportOrder {
+        self.tuning.borrow().1
     }
 
-    async fn tell(&self, event: Event) {
-        // The reducer's end closes only with the program.
+    async fn notify(&self, event: Event) {
+        // The channel closes only with the process.
         _ = self.events.send(event).await;
     }
 
     /// A new connection's id: counted up, and not one that is in use after the count went round.
     fn register(&self) -> (SessId, mpsc::Receiver<Command>) {
-        let mut conns = self.conns.borrow_mut();
+        let mut conns = self.connections.borrow_mut();
         let mut id = self.last_id.get().wrapping_add(1);
         while conns.contains_key(&id) {
             id = id.wrapping_add(1);
@@ -132,15 +140,15 @@
     /// server's trouble and not this machine's.
     async fn connect(&self, addr: SocketAddr, by: Instant) -> Result<TcpStream, ConnectError> {
         let began = self.clock.now();
-        let others_come_up = || self.connected_at.get() >= began;
+        let others_come_up = || self.last_connected_at.get() >= began;
         let is_remote = |e: &std::io::Error| socket::may_concern_one_route(e) && others_come_up();
         let stream = socket::connect(addr, by, is_remote).await?;
-        self.connected_at.set(self.clock.now());
+        self.last_connected_at.set(self.clock.now());
         Ok(stream)
     }
 
     fn command(&self, connection_id: SessId, command: Command) {
-        if let Some(to) = self.conns.borrow().get(&connection_id) {
+        if let Some(to) = self.connections.borrow().get(&connection_id) {
             if to.try_send(command).is_err() {
                 slog::debug!(self.log, "a command came too late"; "connection" => connection_id);
             }
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -88,14 +88,14 @@
     /// Takes complete lines from the backend; false where one is too long.
     async fn backend_lines(&mut self, lines: &[u8]) -> bool {
         let max_bytes = self.hub.limits().line;
-        let report_order = self.hub.order();
+        let report_order = self.hub.report_order();
         for line in lines::complete_lines(lines) {
             if line.len() > max_bytes {
                 return false;
             }
             match lines::parse_backend_reply(line, report_order) {
                 BackendReply::Load(load) => {
-                    self.hub.tell(Event::LoadReported { session_id: self.connection_id, load }).await;
+                    self.hub.notify(Event::LoadReported { session_id: self.connection_id, load }).await;
                 }
                 BackendReply::Bye(report) => {
                     self.backend_end = Some(BackendEnd { end: DialEnd::Ok, report });
@@ -113,7 +113,7 @@
     async fn answered(&mut self) {
         if let Some(sent_at) = self.unanswered.pop_front() {
             let time = self.hub.clock.now() - sent_at;
-            self.hub.tell(Event::MessageLatency { session_id: self.connection_id, time }).await;
+            self.hub.notify(Event::MessageLatency { session_id: self.connection_id, time }).await;
         }
     }
 
@@ -136,9 +136,9 @@
     /// Carries out a command; how the session ends by it, where it does.
     fn command(&mut self, command: Option<Command>) -> Option<SessionEnd> {
         match command {
-            Some(Command::Move) => Some(SessionEnd::Migrated),
-            Some(Command::PassOn(peer, session)) => Some(SessionEnd::HandedOver(peer, session)),
-            Some(Command::Doubt(suspect)) => {
+            Some(Command::Migrate) => Some(SessionEnd::Migrated),
+            Some(Command::HandOver(peer, session)) => Some(SessionEnd::HandedOver(peer, session)),
+            Some(Command::SetSuspect(suspect)) => {
                 let limits = self.hub.limits();
                 // Where the backend fails its health checks, a message gets no more time than these.
                 self.answer_timeout = if suspect { limits.probe } else { limits.silence };
@@ -192,9 +192,9 @@
     let mut observer = LineObserver::new(connection_id, hub);
     let now = hub.clock.now();
     observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
-    hub.tell(Event::SessionAdopted { session_id: connection_id, state: session }).await;
+    hub.notify(Event::SessionAdopted { session_id: connection_id, state: session }).await;
     // No other command can be queued: the session had no place before.
-    if let Some(Command::Pass) = commands.recv().await {
+    if let Some(Command::StartProxying) = commands.recv().await {
         OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
     }
 }
@@ -220,10 +220,10 @@
                         Some(session) => self = session,
                         None => return,
                     }
-                    hub.tell(Event::SessionHandoverFailed { session_id: connection_id }).await;
+                    hub.notify(Event::SessionHandoverFailed { session_id: connection_id }).await;
                 }
                 SessionEnd::HandedOver(..) => {
-                    hub.tell(Event::SessionHandoverFailed { session_id: connection_id }).await
+                    hub.notify(Event::SessionHandoverFailed { session_id: connection_id }).await
                 }
                 SessionEnd::ClientClosed => return self.client_closed().await,
                 SessionEnd::ClientBroken => {
@@ -233,7 +233,7 @@
                 }
                 SessionEnd::Closed => return,
                 SessionEnd::Backend(BackendEnd { end, report }) => {
-                    hub.tell(Event::SessionEnded { session_id: connection_id, end, report }).await;
+                    hub.notify(Event::SessionEnded { session_id: connection_id, end, report }).await;
                     // A client that got no last line is told to come again.
                     let word: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
                     drop(self.backend);
@@ -242,7 +242,7 @@
                 SessionEnd::Migrated => {
                     drop(self.backend);
                     let end = DialEnd::Recalled;
-                    hub.tell(Event::SessionEnded { session_id: connection_id, end, report: None }).await;
+                    hub.notify(Event::SessionEnded { session_id: connection_id, end, report: None }).await;
                     return say_last(self.client, &self.from_backend, lines::MOVE, &mut commands, hub).await;
                 }
             }
@@ -263,7 +263,7 @@
         });
         match hand_over_session(peer, session, SessionSockets { client, backend }, hub).await {
             Ok(()) => {
-                hub.tell(Event::SessionHandedOver { session_id: observer.connection_id }).await;
+                hub.notify(Event::SessionHandedOver { session_id: observer.connection_id }).await;
                 None
             }
             Err(Some(SessionSockets { client, backend })) => {
@@ -277,7 +277,7 @@
     /// The client has closed: what it sent still goes to the backend.
     async fn client_closed(self) {
         let hub = self.observer.hub;
-        hub.tell(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
+        hub.notify(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
         if close::write_all(&self.backend, self.from_client.lines(), hub.limits().end).await {
             close::close_gracefully(self.backend, hub).await;
         }
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -240,14 +240,14 @@
                     _ = self.calls.remove(&call).map(|answer| answer.send(reply));
                 }
                 Effect::SetDraining { server, draining: true } => {
-                    _ = self.hub.leaving.borrow_mut().insert(server)
+                    _ = self.hub.draining.borrow_mut().insert(server)
                 }
                 Effect::SetDraining { server, draining: false } => {
-                    self.hub.leaving.borrow_mut().remove(&server);
+                    self.hub.draining.borrow_mut().remove(&server);
                 }
                 Effect::Dial { session_id, dial, server, addr, timeout: wait, start_within: begin } => {
                     let terms = DialConditions { server, start_by: self.hub.clock.now() + begin };
-                    let command = Command::Dial { dial, addr, wait, terms };
+                    let command = Command::Dial { dial, addr, timeout: wait, conditions: terms };
                     let ticket = self.tickets.remove(&session_id);
                     let unwritten =
                         |t: &u64| self.state_store.as_ref().is_some_and(|store| !store.is_settled(*t));
@@ -281,7 +281,7 @@
                                 let (held, hub) = (store.open(), self.hub.clone());
                                 tokio::task::spawn_local(async move {
                                     if let Ok(held) = held.await {
-                                        hub.tell(Event::StoreReopened(Box::new(held))).await;
+                                        hub.notify(Event::StoreReopened(Box::new(held))).await;
                                     }
                                 });
                             }
@@ -289,23 +289,23 @@
                         }
                     }
                 }
-                Effect::StartProxying { session_id } => self.hub.command(session_id, Command::Pass),
+                Effect::StartProxying { session_id } => self.hub.command(session_id, Command::StartProxying),
                 Effect::Reject { session_id, retry_after } => {
-                    self.hub.command(session_id, Command::Answer(lines::busy(retry_after / 1000)));
+                    self.hub.command(session_id, Command::FinalAnswer(lines::busy(retry_after / 1000)));
                 }
                 Effect::TearDown { session_id } => {
-                    self.hub.command(session_id, Command::Answer(lines::FAIL.to_vec()))
+                    self.hub.command(session_id, Command::FinalAnswer(lines::FAIL.to_vec()))
                 }
                 Effect::HandOverSession { session_id, peer, state: session } => {
-                    self.hub.command(session_id, Command::PassOn(peer, session));
+                    self.hub.command(session_id, Command::HandOver(peer, session));
                 }
-                Effect::Migrate { session_id } => self.hub.command(session_id, Command::Move),
+                Effect::Migrate { session_id } => self.hub.command(session_id, Command::Migrate),
                 Effect::ReportProtocolError { connection_id } => {
-                    self.hub.command(connection_id, Command::Answer(lines::ERROR.to_vec()))
+                    self.hub.command(connection_id, Command::FinalAnswer(lines::ERROR.to_vec()))
                 }
                 Effect::ShedConnection { connection_id } => self.hub.command(connection_id, Command::Shed),
                 Effect::SetSuspect { session_id, suspect: doubted } => {
-                    self.hub.command(session_id, Command::Doubt(doubted))
+                    self.hub.command(session_id, Command::SetSuspect(doubted))
                 }
                 Effect::CloseClient { session_id } => self.hub.command(session_id, Command::Close),
                 Effect::HealthCheck { server, addr } => self.probe(server, addr),
@@ -318,7 +318,7 @@
                     self.watches.remove(&watch).inspect(AbortHandle::abort);
                 }
                 Effect::ApplyTuning { limits, order } => {
-                    *self.hub.tuned.borrow_mut() = (Rc::new(*limits), order);
+                    *self.hub.tuning.borrow_mut() = (Rc::new(*limits), order);
                 }
                 Effect::KeyUnchanged { key } => {
                     slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
--- a/relay/src/net/signals.rs
+++ b/relay/src/net/signals.rs
@@ -76,18 +76,18 @@
 
 async fn stop(hub: &Hub) {
     slog::info!(hub.log, "stop requested by a signal");
-    hub.tell(Event::StopRequested).await;
+    hub.notify(Event::StopRequested).await;
 }
 
 async fn reload_configuration<E: Display>(read_configuration: impl Fn() -> Result<Node, E>, hub: &Hub) {
     match read_configuration() {
         Ok(node) => {
             slog::info!(hub.log, "configuration reloaded"; "discovery" => %node.discovery);
-            hub.tell(Event::ConfigurationReloaded(Box::new(node))).await;
+            hub.notify(Event::ConfigurationReloaded(Box::new(node))).await;
         }
         Err(error) => {
             slog::error!(hub.log, "the new configuration is not used"; "why" => %error);
-            hub.tell(Event::ConfigurationRejected).await;
+            hub.notify(Event::ConfigurationRejected).await;
         }
     }
 }
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -49,7 +49,7 @@
 
 use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessId};
 use hallrelay_balancer::Relay;
-use hallrelay_config::list::{Instance, List};
+use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::SessionCounts;
 use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, PeerId};
@@ -63,7 +63,6 @@
 use server::{LatencyReport, Server};
 use session::{Session, SessionStage};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
-use std::rc::Rc;
 
 /// Appends a line for the log.
 fn log(message: impl Into<String>, out: &mut Vec<Effect>) {
