--- a/config/src/coordination.rs
+++ b/config/src/coordination.rs
@@ -1,6 +1,7 @@
 //! What the relays of a fleet agree on, and which of them vote: the keys `voters`, `budgets`, `begin_within`,
 //! `moves_per_s`, `kind` and `group` of the table `fleet`.
 use crate::at::At;
+use crate::error::ConfigError;
 use crate::fleet::{is_name, MAX_NAME_BYTES};
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Budget, Scope, TargetKind, MAX_BUDGETS};
@@ -33,8 +34,8 @@
 /// Reads the keys from the table `fleet`; `voters` is its key of that name.
 ///
 /// # Errors
-/// A text that names the faulty key and what was wanted.
-pub(crate) fn decode(table: &At, voters: &At) -> Result<CoordinationConfig, String> {
+/// One that names the faulty key and what was wanted.
+pub(crate) fn decode(table: &At, voters: &At) -> Result<CoordinationConfig, ConfigError> {
     let voters = decode_voters(voters)?;
     let budgets = table.option("budgets").map_or(Ok(Vec::new()), |at| decode_budgets(&at))?;
     let lease_start_s =
@@ -57,9 +58,10 @@
     })
 }
 
-fn decode_voters(at: &At) -> Result<Vec<String>, String> {
+fn decode_voters(at: &At) -> Result<Vec<String>, ConfigError> {
     let names = at.list()?;
-    let names = names.iter().map(|name| Ok(name.text()?.to_string())).collect::<Result<Vec<_>, String>>()?;
+    let names =
+        names.iter().map(|name| Ok(name.text()?.to_string())).collect::<Result<Vec<_>, ConfigError>>()?;
     let has_duplicate = (1..names.len()).any(|i| names[..i].contains(&names[i]));
     let is_valid = !names.is_empty() && names.len() <= MAX_VOTERS && names.iter().all(|name| is_name(name));
     if has_duplicate || !is_valid {
@@ -69,14 +71,14 @@
 }
 
 /// A text of the table, empty where it is left out.
-fn decode_label(table: &At, key: &str) -> Result<String, String> {
+fn decode_label(table: &At, key: &str) -> Result<String, ConfigError> {
     table.option(key).map_or(Ok(String::new()), |at| match at.text()? {
         text if text.len() <= MAX_NAME_BYTES => Ok(text.to_string()),
         _ => at.wrong("64 bytes at most"),
     })
 }
 
-fn decode_budgets(at: &At) -> Result<Vec<Budget>, String> {
+fn decode_budgets(at: &At) -> Result<Vec<Budget>, ConfigError> {
     let list = at.list()?;
     if list.len() > MAX_BUDGETS {
         return at.wrong("64 budgets at most");
@@ -84,7 +86,7 @@
     list.iter().map(decode_budget).collect()
 }
 
-fn decode_budget(at: &At) -> Result<Budget, String> {
+fn decode_budget(at: &At) -> Result<Budget, ConfigError> {
     const KINDS: [(&str, TargetKind); 2] = [("relay", TargetKind::Relay), ("backend", TargetKind::Backend)];
     const SCOPES: [(&str, Scope); 4] =
         [("fleet", Scope::Fleet), ("zone", Scope::Zone), ("kind", Scope::Kind), ("group", Scope::Group)];
@@ -102,7 +104,7 @@
     Ok(Budget { target_kind, scope, max_count, max_share_ppm })
 }
 
-fn one_of<T: Clone>(at: &At, words: &[(&str, T)], wanted: &str) -> Result<T, String> {
+fn one_of<T: Clone>(at: &At, words: &[(&str, T)], wanted: &str) -> Result<T, ConfigError> {
     let found = words.iter().find(|(word, _)| at.text().is_ok_and(|text| text == *word));
     found.map_or_else(|| at.wrong(wanted), |(_, value)| Ok(value.clone()))
 }
--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,5 +1,6 @@
 //! Turns a relay's settings, in the words of the wire, into the facts that the program reads.
 use crate::at::At;
+use crate::error::ConfigError;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
 /// What the settings tell, beyond the module's facts, of names and of time on sockets.
@@ -49,13 +50,13 @@
     }
 }
 
-pub fn decode(top: &At) -> Result<Site, String> {
+pub fn decode(top: &At) -> Result<Site, ConfigError> {
     let (limits, rules, charges) = (top.key("Ceilings")?, top.key("Rules")?, top.key("Charges")?);
     let family = top.key("FamilyInfo")?;
     family.key("Mode")?.word(&[("proxy", ()), ("pass", ())])?;
     let message_targets = family.key("MessageAim")?;
     let (listeners_at, targets) = (top.key("Listeners")?, message_targets.list()?);
-    let listener = |(i, at): (usize, &At)| -> Result<Listener, String> {
+    let listener = |(i, at): (usize, &At)| -> Result<Listener, ConfigError> {
         let scope = at.key("Group")?.word(&[
             ("all", KeyScope::All),
             ("zone", KeyScope::Zone),
@@ -113,7 +114,7 @@
         migration_cost: charges.key("Moves")?.num()?,
         probe_cost: charges.key("Probe")?.num()?,
     };
-    let names = |at: At| -> Result<Vec<String>, String> {
+    let names = |at: At| -> Result<Vec<String>, ConfigError> {
         at.list()?.iter().map(|at| Ok(at.text()?.to_string())).collect()
     };
     Ok(Site {
@@ -122,12 +123,12 @@
         listeners: listeners
             .iter()
             .map(|at| Ok(at.key("Name")?.text()?.to_string()))
-            .collect::<Result<_, String>>()?,
+            .collect::<Result<_, ConfigError>>()?,
         zones: names(top.key("FailureDomains")?)?,
         dial_timeouts: listeners
             .iter()
             .map(|at| at.key("DialTimeout")?.micros())
-            .collect::<Result<_, String>>()?,
+            .collect::<Result<_, ConfigError>>()?,
         connect: limits.key("ConnectTimeout")?.micros()?,
         drain_grace: rules.key("DrainGrace")?.micros()?,
         tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.yes())?,
--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -2,6 +2,7 @@
 //! and what they agree on. Without the table no socket is opened for them.
 use crate::at::At;
 use crate::coordination::{self, CoordinationConfig};
+use crate::error::ConfigError;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -59,8 +60,8 @@
 /// Reads the table of a whole configuration; none where it is left out. `relay` is the relay's name.
 ///
 /// # Errors
-/// A text that names the faulty key and what was wanted.
-pub fn decode(top: &At, relay: &str) -> Result<Option<FleetConfig>, String> {
+/// One that names the faulty key and what was wanted.
+pub fn decode(top: &At, relay: &str) -> Result<Option<FleetConfig>, ConfigError> {
     let Some(table) = top.option("fleet") else { return Ok(None) };
     check_keys(&table)?;
     check_ceilings(top)?;
@@ -69,13 +70,17 @@
         return name.wrong("a name of 1 to 64 bytes");
     }
     if !is_name(relay) {
-        return Err(format!("name is \"{relay:.80}\", wanted 1 to 64 bytes where fleet is given"));
+        return Err(ConfigError::InvalidValue {
+            path: "name".to_string(),
+            value: format!("\"{relay:.80}\""),
+            wanted: "1 to 64 bytes where fleet is given".to_string(),
+        });
     }
     let listen = addr(&table.key("listen")?)?;
     let peers = table.key("peers")?;
     let peer_list = peers.list()?;
     if peer_list.len() > MAX_PEERS {
-        return Err(format!("fleet.peers has {} addresses, wanted {MAX_PEERS} at most", peer_list.len()));
+        return Err(ConfigError::TooManyPeers { count: peer_list.len(), max: MAX_PEERS });
     }
     let advertise = decode_advertise(&table, listen)?;
     Ok(Some(FleetConfig {
@@ -90,27 +95,25 @@
     }))
 }
 
-fn check_keys(table: &At) -> Result<(), String> {
+fn check_keys(table: &At) -> Result<(), ConfigError> {
     let Some(keys) = table.value.as_object() else { return table.wrong("a table") };
     match keys.keys().find(|key| !KEYS.contains(&key.as_str()) && !key.starts_with("//")) {
-        Some(unknown) => Err(format!("fleet.{unknown} is no key, wanted one of {KEYS:?}")),
+        Some(unknown) => Err(ConfigError::UnknownKey { path: format!("fleet.{unknown}"), known: &KEYS }),
         None => Ok(()),
     }
 }
 
 /// The settings may forbid messages between relays.
-fn check_ceilings(top: &At) -> Result<(), String> {
+fn check_ceilings(top: &At) -> Result<(), ConfigError> {
     let ceilings = top.key("settings")?.key("Ceilings")?;
     let allowed = ceilings.option("PeerMessages").map_or(Ok(true), |at| at.yes())?;
     if allowed {
         return Ok(());
     }
-    Err("fleet is given, and settings.Ceilings.PeerMessages is false: relays may not talk there, \
-         leave out one of the two"
-        .to_string())
+    Err(ConfigError::PeerMessagesForbidden)
 }
 
-fn decode_advertise(table: &At, listen: SocketAddr) -> Result<SocketAddr, String> {
+fn decode_advertise(table: &At, listen: SocketAddr) -> Result<SocketAddr, ConfigError> {
     let given = table.option("advertise");
     let advertise = given.as_ref().map_or(Ok(listen), addr)?;
     if advertise.ip().is_unspecified() || advertise.port() == 0 {
@@ -126,7 +129,7 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-fn addr(at: &At) -> Result<SocketAddr, String> {
+fn addr(at: &At) -> Result<SocketAddr, ConfigError> {
     at.text()?.parse().or_else(|_| at.wrong("an address with a port"))
 }
 
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,6 +1,7 @@
 //! The one place where configuration is read, checked and given its defaults. Every complaint names its key.
 mod at;
 pub mod coordination;
+mod error;
 pub mod facts;
 pub mod fleet;
 pub mod limits;
@@ -9,10 +10,12 @@
 pub mod plan;
 pub mod scenario;
 
+pub use error::ConfigError;
+
 use serde_json::Value;
 
 /// The settings alone, as the simulator's wire brings them.
-pub fn settings(text: &[u8]) -> Result<facts::Site, String> {
-    let value: Value = serde_json::from_slice(text).map_err(|e| format!("settings are not JSON: {e}"))?;
-    facts::decode(&at::At::top(&value)).map_err(|what| format!("settings: {what}"))
+pub fn settings(text: &[u8]) -> Result<facts::Site, ConfigError> {
+    let value: Value = serde_json::from_slice(text).map_err(ConfigError::SettingsNotJson)?;
+    facts::decode(&at::At::top(&value)).map_err(|error| ConfigError::Settings(Box::new(error)))
 }
--- a/config/src/limits.rs
+++ b/config/src/limits.rs
@@ -1,4 +1,5 @@
 //! Sizes, counts and times that bound the program: filled once at start and handed down.
+use crate::error::ConfigError;
 use crate::facts::Site;
 use hallrelay_balancer::types::Micros;
 
@@ -116,7 +117,7 @@
         earlier(&mut self.leave_by, before.leave_by);
     }
 
-    pub fn new(site: &Site, sockets: usize, uses: Uses) -> Result<Limits, String> {
+    pub fn new(site: &Site, sockets: usize, uses: Uses) -> Result<Limits, ConfigError> {
         let own = Self::OWN_SOCKETS + usize::from(uses.operator) * (Self::CALLERS + 1 + Self::DOOR);
         // The lock, the log, the one that is to take its place, the folder.
         let own = own + usize::from(uses.state) * 4;
@@ -124,7 +125,11 @@
         let own = own + usize::from(uses.fleet) * (2 * Self::FLEET_STREAMS + 2);
         let left = sockets.saturating_sub(own + sockets / Self::PROBE_PART);
         if left < 4 {
-            return Err(format!("limits.sockets is {sockets}, wanted {} at least", own * 2));
+            return Err(ConfigError::InvalidValue {
+                path: "limits.sockets".to_string(),
+                value: sockets.to_string(),
+                wanted: format!("{} at least", own * 2),
+            });
         }
         let longest = site.dial_timeouts.iter().copied().max().unwrap_or(0);
         // An ordered stop: SIGKILL comes no sooner than the longest dial timeout, 3 s at most, and 0.7 s
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,5 +1,6 @@
 //! The list of backends in discovery's form, as it stands in the start-up text and in each line of a watch.
 use crate::at::At;
+use crate::error::ConfigError;
 use hallrelay_balancer::types::{Micros, Phase};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -34,12 +35,12 @@
 }
 
 /// One value of a watch, or the answer of a call. An entry that can't be read spoils no other.
-pub fn parse(text: &[u8]) -> Result<List, String> {
-    let value: Value = serde_json::from_slice(text).map_err(|e| format!("the list is not JSON: {e}"))?;
+pub fn parse(text: &[u8]) -> Result<List, ConfigError> {
+    let value: Value = serde_json::from_slice(text).map_err(ConfigError::ListNotJson)?;
     decode(&At::top(&value))
 }
 
-fn instance(at: &At) -> Result<Instance, String> {
+fn instance(at: &At) -> Result<Instance, ConfigError> {
     let (host_port, started) = (at.key("hostPort")?, at.option("startedAtMs"));
     Ok(Instance {
         id: at.key("instanceId")?.text()?.to_string(),
@@ -52,12 +53,12 @@
 }
 
 /// One that a person or a program wrote down for a start: all of it can be read, or it is refused by its key.
-pub fn strict(at: &At) -> Result<List, String> {
+pub fn strict(at: &At) -> Result<List, ConfigError> {
     at.key("instances")?.list()?.iter().try_for_each(|at| instance(at).map(|_| ()))?;
     decode(at)
 }
 
-pub fn decode(at: &At) -> Result<List, String> {
+pub fn decode(at: &At) -> Result<List, ConfigError> {
     let mut list = List {
         generation: at.key("generation")?.whole()?,
         whole: at.option("reset").map_or(Ok(false), |at| at.yes())?,
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -1,5 +1,6 @@
 //! What one relay is told at its start: its addresses, limits, settings and the list as it last had it.
 use crate::at::At;
+use crate::error::ConfigError;
 use crate::facts::{self, Site};
 use crate::fleet::{self, FleetConfig};
 use crate::limits::{Limits, Uses};
@@ -71,7 +72,7 @@
     }
 
     /// Takes over other settings, but for what can't change while the program runs.
-    pub fn tune(&mut self, mut site: Site) -> Result<(), String> {
+    pub fn tune(&mut self, mut site: Site) -> Result<(), ConfigError> {
         let (own, new) = (&self.site.facts, &mut site.facts);
         new.must_watch = own.must_watch;
         new.relay_index = own.relay_index;
@@ -82,7 +83,7 @@
 }
 
 /// The limits under some settings, and these within them.
-fn fitting(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), String> {
+fn fitting(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), ConfigError> {
     let limits = Limits::new(&site, sockets, uses)?;
     // C_ID of the design: no more sessions than this machine has descriptors for.
     site.facts.max_sessions = site.facts.max_sessions.min(limits.sessions);
@@ -90,7 +91,7 @@
 }
 
 /// Times and counts of the settings that a relay can do nothing with at 0.
-fn over_0(settings: &At) -> Result<(), String> {
+fn over_0(settings: &At) -> Result<(), ConfigError> {
     let over = |at: At| if at.num()? > 0.0 { Ok(()) } else { at.wrong("more than 0") };
     let ceilings = settings.key("Ceilings")?;
     ["MostDials", "MaxOpen", "ConnectTimeout"].iter().try_for_each(|key| over(ceilings.key(key)?))?;
@@ -108,14 +109,18 @@
 /// What holds where the text names no limit: that of a small machine.
 const SOCKETS: usize = 1024;
 
-pub fn parse(text: &[u8], told: &Told) -> Result<Node, String> {
-    let value: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
+pub fn parse(text: &[u8], told: &Told) -> Result<Node, ConfigError> {
+    let value: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
     let top = At::top(&value);
-    let said = |key: &str, told: &Option<String>| -> Result<String, String> {
+    let said = |key: &str, told: &Option<String>| -> Result<String, ConfigError> {
         told.clone().map_or_else(|| Ok(top.key(key)?.text()?.to_string()), Ok)
     };
-    let place = |key: &str, text: &str| -> Result<SocketAddr, String> {
-        text.parse().map_err(|_| format!("{key} is \"{text}\", wanted an address with a port"))
+    let place = |key: &str, text: &str| -> Result<SocketAddr, ConfigError> {
+        text.parse().map_err(|_| ConfigError::InvalidValue {
+            path: key.to_string(),
+            value: format!("\"{text}\""),
+            wanted: "an address with a port".to_string(),
+        })
     };
     let addr = |key: &str, told: &Option<String>| place(key, &said(key, told)?);
     let operator = match (&told.operator, top.option("operator")) {
@@ -123,7 +128,7 @@
         (None, Some(at)) => Some(place("operator", at.text()?)?),
         (None, None) => None,
     };
-    let seed = |at: At| -> Result<u64, String> {
+    let seed = |at: At| -> Result<u64, ConfigError> {
         let text = at.text()?;
         u64::from_str_radix(text, 16).or_else(|_| at.wrong("16 hexadecimal digits"))
     };
@@ -141,9 +146,7 @@
     let state = state.transpose()?;
     let coordination = fleet.as_ref().and_then(|fleet| fleet.coordination.as_ref());
     if coordination.is_some_and(|config| config.voters.contains(&name)) && state.is_none() {
-        return Err(
-            "state is left out, and fleet.voters names this relay: a voter must not forget".to_string()
-        );
+        return Err(ConfigError::VoterWithoutState);
     }
     let uses = Uses { operator: operator.is_some(), fleet: fleet.is_some(), state: state.is_some() };
     let (site, limits) = fitting(site, sockets, uses)?;
--- a/config/src/scenario/check.rs
+++ b/config/src/scenario/check.rs
@@ -1,12 +1,19 @@
 //! What a scenario may say, key by key, beyond its types.
 use super::{Scenario, Span, Trouble, TroubleKind};
 
-type Wrong = (String, String);
+/// A key whose value no run can have.
+pub(super) struct InvalidKey {
+    /// The key's path, such as `listener[1].life_s`.
+    pub(super) key: String,
+    pub(super) reason: String,
+}
 
 /// Figures that no day can have.
-pub(super) fn check(s: &Scenario) -> Result<(), Wrong> {
-    let wrong = |key: &str, what: &str| Err((key.to_string(), what.to_string()));
-    let fails = |bad: bool, key: &str, what: &str| if bad { wrong(key, what) } else { Ok(()) };
+pub(super) fn check(s: &Scenario) -> Result<(), InvalidKey> {
+    let fails = |is_invalid: bool, key: &str, reason: &str| match is_invalid {
+        true => Err(InvalidKey { key: key.to_string(), reason: reason.to_string() }),
+        false => Ok(()),
+    };
     fails(s.length_s.us() < 1_000_000, "length_s", "wanted a second at least")?;
     fails(s.relays.count == 0 || s.relays.count > 300, "relays.count", "wanted 1 to 300 relays")?;
     let votes = s.relays.voters;
@@ -92,13 +99,15 @@
 }
 
 /// What a trouble says of relays and of the ways between them.
-fn links(s: &Scenario, t: &Trouble, key: &dyn Fn(&str) -> String) -> Result<(), Wrong> {
+fn links(s: &Scenario, t: &Trouble, key: &dyn Fn(&str) -> String) -> Result<(), InvalidKey> {
     use TroubleKind::{
         LinkCut, LinkDamage, LinkDelay, LinkDouble, LinkLoss, LinkReorder, LinkSplit, ListCut, RelayLooping,
         RelayStalled, RelaysOut, ServersCut,
     };
-    let fails =
-        |bad: bool, name: &str, what: &str| if bad { Err((key(name), what.to_string())) } else { Ok(()) };
+    let fails = |is_invalid: bool, name: &str, reason: &str| match is_invalid {
+        true => Err(InvalidKey { key: key(name), reason: reason.to_string() }),
+        false => Ok(()),
+    };
     let link = t.kind.is_link();
     fails(
         link && !s.relays.fleet,
--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -4,7 +4,7 @@
 mod read;
 mod trouble;
 
-pub use read::parse;
+pub use read::{parse, ScenarioError};
 pub use trouble::{Fault, Trouble, TroubleKind};
 
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
--- a/config/src/scenario/read.rs
+++ b/config/src/scenario/read.rs
@@ -1,31 +1,69 @@
 //! Reads a scenario's text, and finds the line and the key that a complaint is about.
-use super::{check::check, Scenario};
+use super::{
+    check::{check, InvalidKey},
+    Scenario,
+};
+use std::fmt;
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Reads a scenario; `name` is how complaints call the file.
-pub fn parse(name: &str, text: &str) -> Result<Scenario, String> {
+/// Why a scenario can't be used.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ScenarioError {
+    /// The scenario's file.
+    pub file: String,
+    /// The line at fault, from 1.
+    pub line: usize,
+    /// The path of the key at fault; empty where the text is not TOML.
+    pub key: String,
+    /// What is wrong with it.
+    pub reason: String,
+}
+
+impl std::error::Error for ScenarioError {}
+
+impl fmt::Display for ScenarioError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}:", self.file, self.line)?;
+        if !self.key.is_empty() {
+            write!(f, " {}:", self.key)?;
+        }
+        write!(f, " {}", self.reason)
+    }
+}
+
+/// Reads a scenario; `file` is how errors call the text.
+///
+/// # Errors
+/// Not TOML, not a scenario's keys, or values that no run can have.
+pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
     let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
     let tree = DeTable::parse(text);
-    let told = |e: &toml::de::Error, key: String| {
-        let at = e.span().map_or(1, |span| line(span.start));
-        let key = if key.is_empty() { key } else { format!(" {key}:") };
-        format!("{name}:{at}:{key} {}", e.message())
+    let error = |line: usize, key: String, reason: String| ScenarioError {
+        file: file.to_string(),
+        line,
+        key,
+        reason,
+    };
+    let toml_error = |e: &toml::de::Error, key: String| {
+        let line = e.span().map_or(1, |span| line(span.start));
+        error(line, key, e.message().to_string())
     };
-    let tree = tree.map_err(|e| told(&e, String::new()))?;
+    let tree = tree.map_err(|e| toml_error(&e, String::new()))?;
     if let Some((old, _)) = tree.get_ref().iter().find(|(key, _)| key.get_ref() == "fleet") {
-        let at = line(old.span().start);
-        return Err(format!(
-            "{name}:{at}: fleet: is called servers now; [relays] fleet = true is about relays"
+        return Err(error(
+            line(old.span().start),
+            "fleet".to_string(),
+            "is called servers now; [relays] fleet = true is about relays".to_string(),
         ));
     }
     let scenario: Scenario = toml::from_str(text).map_err(|e| {
         let key = e.span().map(|span| key_at(tree.get_ref(), span.start)).unwrap_or_default();
-        told(&e, key)
+        toml_error(&e, key)
     })?;
-    check(&scenario).map_err(|(key, what)| {
-        let at = place(tree.get_ref(), &key).map_or(1, line);
-        format!("{name}:{at}: {key}: {what}")
+    check(&scenario).map_err(|InvalidKey { key, reason }| {
+        let line = key_offset(tree.get_ref(), &key).map_or(1, line);
+        error(line, key, reason)
     })?;
     Ok(scenario)
 }
@@ -63,7 +101,7 @@
 }
 
 /// Where a key stands, such as `trouble[1].share`; where it is left out, the table that it belongs to.
-fn place(table: &DeTable, path: &str) -> Option<usize> {
+fn key_offset(table: &DeTable, path: &str) -> Option<usize> {
     let mut place = None;
     let mut here: Option<&DeTable> = Some(table);
     for step in path.split('.') {
--- a/lab/src/cost.rs
+++ b/lab/src/cost.rs
@@ -148,7 +148,7 @@
 
 /// Measures one number of sessions, with a relay of its own.
 pub async fn measure(sessions: usize, opens: usize, program: &Program, out: &Path) -> Result<Row, String> {
-    let mut s: Scenario = scenario::parse("cost", DAY)?;
+    let mut s: Scenario = scenario::parse("cost", DAY).map_err(|e| e.to_string())?;
     // What is wanted, and as much again as its own limits take off.
     s.relays.sockets = ((sessions + opens.min(2 * AT_ONCE) + 64) * 5 / 2).max(1024);
     (s.load.standing, s.load.rate.0) = (sessions, 0.0);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -167,7 +167,7 @@
 
 fn load(path: Option<&Path>) -> Result<Scenario, String> {
     let (name, text) = read(path)?;
-    scenario::parse(&name, &text)
+    scenario::parse(&name, &text).map_err(|e| e.to_string())
 }
 
 fn run(what: What) -> Result<End, String> {
@@ -393,7 +393,7 @@
 
 fn sweep(path: &Path, key: &str, values: &str, rounds: u64, how: &How, json: bool) -> Result<End, String> {
     let (name, text) = read(Some(path))?;
-    scenario::parse(&name, &text)?;
+    scenario::parse(&name, &text).map_err(|e| e.to_string())?;
     let values = keys::values(values).map_err(|what| format!("--values: {what}"))?;
     if values.is_empty() {
         return Err("--values: wanted one value at least".to_string());
@@ -402,7 +402,8 @@
     let mut days = Vec::new();
     for value in &values {
         let changed = keys::set(&text, key, value)?;
-        days.push(scenario::parse(&format!("{name} with {key} = {value}"), &changed)?);
+        let name = format!("{name} with {key} = {value}");
+        days.push(scenario::parse(&name, &changed).map_err(|e| e.to_string())?);
     }
     let (stop, mut rows, mut broken) = (interrupts()?, Vec::new(), false);
     let program = how.relay.clone().map_or(Program::Own, Program::At);
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -285,7 +285,7 @@
             fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
         };
         let text = node::text(&self.day.s, &place, &self.day.servers.book, |i| addr(i).to_string());
-        config::parse(text.to_string().as_bytes(), &Given::default())
+        config::parse(text.to_string().as_bytes(), &Given::default()).map_err(|e| e.to_string())
     }
 
     fn play(mut self, progress: &mut dyn FnMut(f64) -> bool) -> Result<Outcome, String> {
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -8,6 +8,7 @@
 use clap::{Parser, Subcommand};
 use hallrelay_config::fleet::FleetConfig;
 use hallrelay_config::node::{self, Node, Told};
+use hallrelay_config::ConfigError;
 use slog::{o, Drain};
 use std::io;
 use std::net::SocketAddr;
@@ -108,13 +109,21 @@
 /// Why a command could not be carried out.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// The configuration can't be read, or a key of it is wrong.
-    #[error("{}: {reason}", path.display())]
+    /// The configuration can't be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The configuration's file.
+        path: PathBuf,
+        /// What the system answered.
+        source: io::Error,
+    },
+    /// The configuration can't be used.
+    #[error("{}: {source}", path.display())]
     Configuration {
         /// The configuration's file.
         path: PathBuf,
-        /// What is wrong with it.
-        reason: String,
+        /// The key at fault, and what was wanted.
+        source: ConfigError,
     },
     /// The async runtime does not start.
     #[error("the runtime does not start: {0}")]
@@ -138,9 +147,10 @@
     }
 
     fn read(&self, overrides: &Told) -> Result<Node, CliError> {
-        let error = |reason: String| CliError::Configuration { path: self.config.clone(), reason };
-        let text = std::fs::read(&self.config).map_err(|e| error(e.to_string()))?;
-        node::parse(&text, overrides).map_err(error)
+        let path = || self.config.clone();
+        let text =
+            std::fs::read(&self.config).map_err(|source| CliError::Unreadable { path: path(), source })?;
+        node::parse(&text, overrides).map_err(|source| CliError::Configuration { path: path(), source })
     }
 }
 
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -8,6 +8,7 @@
 use crate::socket::{self, ConnectError, RetryingStream};
 use crate::values::{Part, Values, ValuesError};
 use hallrelay_config::list::{self, List};
+use hallrelay_config::ConfigError;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1;
@@ -42,7 +43,7 @@
     Status(StatusCode),
     /// What discovery sent is no list.
     #[error("{0}")]
-    List(String),
+    List(#[from] ConfigError),
     #[error("{0}")]
     Stream(#[from] ValuesError),
     #[error("discovery ended it")]
@@ -62,7 +63,7 @@
 
 async fn fetch_list(addr: SocketAddr, max_bytes: usize) -> Result<List, WatchError> {
     let body = Limited::new(call(addr, LIST_PATH).await?, max_bytes).collect().await;
-    list::parse(&body.map_err(WatchError::Body)?.to_bytes()).map_err(WatchError::List)
+    Ok(list::parse(&body.map_err(WatchError::Body)?.to_bytes())?)
 }
 
 /// One GET; the body of its answer.
@@ -91,7 +92,7 @@
     async fn next(&mut self, max_bytes: usize) -> Result<Option<List>, WatchError> {
         loop {
             match self.values.next(max_bytes)? {
-                Some(Part::Value(text)) => return list::parse(&text).map(Some).map_err(WatchError::List),
+                Some(Part::Value(text)) => return Ok(Some(list::parse(&text)?)),
                 Some(Part::Blank) => return Ok(None),
                 None => {}
             }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -59,7 +59,7 @@
 }
 
 fn node(text: &Value) -> Result<Node, Fault> {
-    node::parse(text.to_string().as_bytes(), &Told::default())
+    node::parse(text.to_string().as_bytes(), &Told::default()).map_err(|e| e.to_string())
 }
 
 /// An address that stands for a backend's name, and back.
@@ -252,7 +252,8 @@
                     "instances": instances.collect::<Vec<_>>()});
                 Event::EndpointListReceived {
                     watch,
-                    list: hallrelay_config::list::parse(list.to_string().as_bytes())?,
+                    list: hallrelay_config::list::parse(list.to_string().as_bytes())
+                        .map_err(|e| e.to_string())?,
                 }
             }
             "reload" => {
