--- a/config/src/coordination.rs
+++ b/config/src/coordination.rs
@@ -1,8 +1,8 @@
 //! What the relays of a fleet agree on, and which of them vote: the keys `voters`, `budgets`, `begin_within`,
 //! `moves_per_s`, `kind` and `group` of the table `fleet`.
-use crate::at::At;
 use crate::error::ConfigError;
 use crate::fleet::{is_name, MAX_NAME_BYTES};
+use crate::json_node::JsonNode;
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Budget, Scope, TargetKind, MAX_BUDGETS};
 
@@ -35,18 +35,18 @@
 ///
 /// # Errors
 /// One that names the faulty key and what was wanted.
-pub(crate) fn decode(table: &At, voters: &At) -> Result<CoordinationConfig, ConfigError> {
+pub(crate) fn decode(table: &JsonNode, voters: &JsonNode) -> Result<CoordinationConfig, ConfigError> {
     let voters = decode_voters(voters)?;
     let budgets = table.option("budgets").map_or(Ok(Vec::new()), |at| decode_budgets(&at))?;
     let lease_start_s =
-        table.option("begin_within").map_or(Ok(DEFAULT_LEASE_START_S), |at| match at.num()? {
+        table.option("begin_within").map_or(Ok(DEFAULT_LEASE_START_S), |at| match at.number()? {
             seconds if (1.0..=3600.0).contains(&seconds) => Ok(seconds),
-            _ => at.wrong("1 to 3600 s"),
+            _ => at.invalid("1 to 3600 s"),
         })?;
     let moves_per_s =
-        table.option("moves_per_s").map_or(Ok(DEFAULT_MOVES_PER_S), |at| match at.small()? {
+        table.option("moves_per_s").map_or(Ok(DEFAULT_MOVES_PER_S), |at| match at.bounded_integer()? {
             moves if (1..=100_000).contains(&moves) => Ok(moves),
-            _ => at.wrong("1 to 100000 a second"),
+            _ => at.invalid("1 to 100000 a second"),
         })?;
     Ok(CoordinationConfig {
         voters,
@@ -58,53 +58,53 @@
     })
 }
 
-fn decode_voters(at: &At) -> Result<Vec<String>, ConfigError> {
+fn decode_voters(at: &JsonNode) -> Result<Vec<String>, ConfigError> {
     let names = at.list()?;
     let names =
         names.iter().map(|name| Ok(name.text()?.to_string())).collect::<Result<Vec<_>, ConfigError>>()?;
     let has_duplicate = (1..names.len()).any(|i| names[..i].contains(&names[i]));
     let is_valid = !names.is_empty() && names.len() <= MAX_VOTERS && names.iter().all(|name| is_name(name));
     if has_duplicate || !is_valid {
-        return at.wrong("1 to 7 different names of relays, three or five by custom");
+        return at.invalid("1 to 7 different names of relays, three or five by custom");
     }
     Ok(names)
 }
 
 /// A text of the table, empty where it is left out.
-fn decode_label(table: &At, key: &str) -> Result<String, ConfigError> {
+fn decode_label(table: &JsonNode, key: &str) -> Result<String, ConfigError> {
     table.option(key).map_or(Ok(String::new()), |at| match at.text()? {
         text if text.len() <= MAX_NAME_BYTES => Ok(text.to_string()),
-        _ => at.wrong("64 bytes at most"),
+        _ => at.invalid("64 bytes at most"),
     })
 }
 
-fn decode_budgets(at: &At) -> Result<Vec<Budget>, ConfigError> {
+fn decode_budgets(at: &JsonNode) -> Result<Vec<Budget>, ConfigError> {
     let list = at.list()?;
     if list.len() > MAX_BUDGETS {
-        return at.wrong("64 budgets at most");
+        return at.invalid("64 budgets at most");
     }
     list.iter().map(decode_budget).collect()
 }
 
-fn decode_budget(at: &At) -> Result<Budget, ConfigError> {
+fn decode_budget(at: &JsonNode) -> Result<Budget, ConfigError> {
     const KINDS: [(&str, TargetKind); 2] = [("relay", TargetKind::Relay), ("backend", TargetKind::Backend)];
     const SCOPES: [(&str, Scope); 4] =
         [("fleet", Scope::Fleet), ("zone", Scope::Zone), ("kind", Scope::Kind), ("group", Scope::Group)];
     let target_kind = one_of(&at.key("of")?, &KINDS, "relay or backend")?;
     let scope = one_of(&at.key("scope")?, &SCOPES, "fleet, zone, kind or group")?;
-    let max_count: Option<u32> = at.option("count").map(|at| at.small()).transpose()?;
-    let share = at.option("share").map(|at| match at.num()? {
+    let max_count: Option<u32> = at.option("count").map(|at| at.bounded_integer()).transpose()?;
+    let share = at.option("share").map(|at| match at.number()? {
         share if (0.0..=1.0).contains(&share) => Ok((share * 1e6).round() as u32),
-        _ => at.wrong("0 to 1"),
+        _ => at.invalid("0 to 1"),
     });
     let max_share_ppm = share.transpose()?;
     if max_count.is_none() && max_share_ppm.is_none() {
-        return at.wrong("a count, a share, or both");
+        return at.invalid("a count, a share, or both");
     }
     Ok(Budget { target_kind, scope, max_count, max_share_ppm })
 }
 
-fn one_of<T: Clone>(at: &At, words: &[(&str, T)], wanted: &str) -> Result<T, ConfigError> {
+fn one_of<T: Clone>(at: &JsonNode, words: &[(&str, T)], wanted: &str) -> Result<T, ConfigError> {
     let found = words.iter().find(|(word, _)| at.text().is_ok_and(|text| text == *word));
-    found.map_or_else(|| at.wrong(wanted), |(_, value)| Ok(value.clone()))
+    found.map_or_else(|| at.invalid(wanted), |(_, value)| Ok(value.clone()))
 }
--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,6 +1,6 @@
 //! Turns a relay's settings, in the words of the wire, into the facts that the program reads.
-use crate::at::At;
 use crate::error::ConfigError;
+use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
 /// What the settings tell, beyond the module's facts, of names and of time on sockets.
@@ -50,14 +50,14 @@
     }
 }
 
-pub fn decode(top: &At) -> Result<Site, ConfigError> {
+pub fn decode(top: &JsonNode) -> Result<Site, ConfigError> {
     let (limits, rules, charges) = (top.key("Ceilings")?, top.key("Rules")?, top.key("Charges")?);
     let family = top.key("FamilyInfo")?;
-    family.key("Mode")?.word(&[("proxy", ()), ("pass", ())])?;
+    family.key("Mode")?.one_of(&[("proxy", ()), ("pass", ())])?;
     let message_targets = family.key("MessageAim")?;
     let (listeners_at, targets) = (top.key("Listeners")?, message_targets.list()?);
-    let listener = |(i, at): (usize, &At)| -> Result<Listener, ConfigError> {
-        let scope = at.key("Group")?.word(&[
+    let listener = |(i, at): (usize, &JsonNode)| -> Result<Listener, ConfigError> {
+        let scope = at.key("Group")?.one_of(&[
             ("all", KeyScope::All),
             ("zone", KeyScope::Zone),
             ("cell", KeyScope::Cell),
@@ -69,52 +69,52 @@
             ("fragile", Idempotency::NonIdempotent),
         ];
         let Some(message) = targets.get(i) else {
-            return message_targets.wrong("a time for each of Listeners");
+            return message_targets.invalid("a time for each of Listeners");
         };
         Ok(Listener {
-            priority_weight: at.key("Utility")?.num()?,
-            idempotency: at.key("Effect")?.word(&kinds)?,
+            priority_weight: at.key("Utility")?.number()?,
+            idempotency: at.key("Effect")?.one_of(&kinds)?,
             handshake_target: at.key("HandshakeTarget")?.micros()?,
             message_target: message.micros()?,
         })
     };
     let listeners = listeners_at.list()?;
     if listeners.is_empty() {
-        return listeners_at.wrong("one listener at least");
+        return listeners_at.invalid("one listener at least");
     }
     let report = top.key("Report")?;
-    report.key("How")?.word(&[("inline", ()), ("on_probe", ()), ("off", ())])?;
+    report.key("How")?.one_of(&[("inline", ()), ("on_probe", ()), ("off", ())])?;
     let fields = report.key("Fields")?.list()?;
     let place = |name: &str| fields.iter().take(4).position(|at| at.value.as_str() == Some(name));
     let (asked, cores) = (place("x0"), place("cpu_share"));
     let (queue_delay, sessions) = (place("x1"), place("busy_reqs"));
     let order = ReportOrder { load: asked.or(cores), queue_delay, sessions, by_cores: asked.is_none() };
-    let must_watch = top.key("Discovery")?.word(&[("automatic", false), ("subscribe", true)])?;
+    let must_watch = top.key("Discovery")?.one_of(&[("automatic", false), ("subscribe", true)])?;
     let facts = SiteConfig {
         listeners: listeners.iter().enumerate().map(listener).collect::<Result<_, _>>()?,
-        relay_count: top.key("Instances")?.small::<u32>()?.max(1),
-        relay_index: top.key("SlotNo")?.small()?,
-        zone: top.key("Zone")?.small()?,
+        relay_count: top.key("Instances")?.bounded_integer::<u32>()?.max(1),
+        relay_index: top.key("SlotNo")?.bounded_integer()?,
+        zone: top.key("Zone")?.bounded_integer()?,
         must_watch,
-        may_probe: limits.key("MayProbe")?.yes()?,
-        groups_enabled: family.key("Groups")?.yes()?,
-        max_dials: limits.key("MostDials")?.small()?,
-        max_sessions: limits.key("MaxOpen")?.small()?,
-        max_retry_after: if limits.key("RetryAfter")?.yes()? {
+        may_probe: limits.key("MayProbe")?.boolean()?,
+        groups_enabled: family.key("Groups")?.boolean()?,
+        max_dials: limits.key("MostDials")?.bounded_integer()?,
+        max_sessions: limits.key("MaxOpen")?.bounded_integer()?,
+        max_retry_after: if limits.key("RetryAfter")?.boolean()? {
             Some(limits.key("MaxRetryAfter")?.micros()?)
         } else {
             None
         },
         warm_up: rules.key("Cold")?.micros()?,
-        initial_capacity: rules.key("ColdFrom")?.num()?,
-        overload_multiple: rules.key("FallMultiple")?.num()?,
+        initial_capacity: rules.key("ColdFrom")?.number()?,
+        overload_multiple: rules.key("FallMultiple")?.number()?,
         // As the protocol's page has it.
         overload_window: rules.option("Fall").map_or(Ok(2_000_000), |at| at.micros())?,
-        cross_zone_cost: charges.key("CrossZone")?.num()?,
-        migration_cost: charges.key("Moves")?.num()?,
-        probe_cost: charges.key("Probe")?.num()?,
+        cross_zone_cost: charges.key("CrossZone")?.number()?,
+        migration_cost: charges.key("Moves")?.number()?,
+        probe_cost: charges.key("Probe")?.number()?,
     };
-    let names = |at: At| -> Result<Vec<String>, ConfigError> {
+    let names = |at: JsonNode| -> Result<Vec<String>, ConfigError> {
         at.list()?.iter().map(|at| Ok(at.text()?.to_string())).collect()
     };
     Ok(Site {
@@ -131,7 +131,7 @@
             .collect::<Result<_, ConfigError>>()?,
         connect: limits.key("ConnectTimeout")?.micros()?,
         drain_grace: rules.key("DrainGrace")?.micros()?,
-        tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.yes())?,
+        tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.boolean())?,
         ask_within: if must_watch { Some(rules.key("AskWithin")?.micros()?) } else { None },
     })
 }
--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The table `fleet` of a relay's configuration: where the relay listens for the other relays and finds them,
 //! and what they agree on. Without the table no socket is opened for them.
-use crate::at::At;
 use crate::coordination::{self, CoordinationConfig};
 use crate::error::ConfigError;
+use crate::json_node::JsonNode;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -61,13 +61,13 @@
 ///
 /// # Errors
 /// One that names the faulty key and what was wanted.
-pub fn decode(top: &At, relay: &str) -> Result<Option<FleetConfig>, ConfigError> {
+pub fn decode(top: &JsonNode, relay: &str) -> Result<Option<FleetConfig>, ConfigError> {
     let Some(table) = top.option("fleet") else { return Ok(None) };
     check_keys(&table)?;
     check_ceilings(top)?;
     let name = table.key("name")?;
     if !is_name(name.text()?) {
-        return name.wrong("a name of 1 to 64 bytes");
+        return name.invalid("a name of 1 to 64 bytes");
     }
     if !is_name(relay) {
         return Err(ConfigError::InvalidValue {
@@ -95,8 +95,8 @@
     }))
 }
 
-fn check_keys(table: &At) -> Result<(), ConfigError> {
-    let Some(keys) = table.value.as_object() else { return table.wrong("a table") };
+fn check_keys(table: &JsonNode) -> Result<(), ConfigError> {
+    let Some(keys) = table.value.as_object() else { return table.invalid("a table") };
     match keys.keys().find(|key| !KEYS.contains(&key.as_str()) && !key.starts_with("//")) {
         Some(unknown) => Err(ConfigError::UnknownKey { path: format!("fleet.{unknown}"), known: &KEYS }),
         None => Ok(()),
@@ -104,22 +104,23 @@
 }
 
 /// The settings may forbid messages between relays.
-fn check_ceilings(top: &At) -> Result<(), ConfigError> {
+fn check_ceilings(top: &JsonNode) -> Result<(), ConfigError> {
     let ceilings = top.key("settings")?.key("Ceilings")?;
-    let allowed = ceilings.option("PeerMessages").map_or(Ok(true), |at| at.yes())?;
+    let allowed = ceilings.option("PeerMessages").map_or(Ok(true), |at| at.boolean())?;
     if allowed {
         return Ok(());
     }
     Err(ConfigError::PeerMessagesForbidden)
 }
 
-fn decode_advertise(table: &At, listen: SocketAddr) -> Result<SocketAddr, ConfigError> {
+fn decode_advertise(table: &JsonNode, listen: SocketAddr) -> Result<SocketAddr, ConfigError> {
     let given = table.option("advertise");
     let advertise = given.as_ref().map_or(Ok(listen), addr)?;
     if advertise.ip().is_unspecified() || advertise.port() == 0 {
         let at_fault = given.unwrap_or(table.key("listen")?);
-        return at_fault
-            .wrong("an address and a port at which others reach this relay (or fleet.advertise beside it)");
+        return at_fault.invalid(
+            "an address and a port at which others reach this relay (or fleet.advertise beside it)",
+        );
     }
     Ok(advertise)
 }
@@ -129,8 +130,8 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-fn addr(at: &At) -> Result<SocketAddr, ConfigError> {
-    at.text()?.parse().or_else(|_| at.wrong("an address with a port"))
+fn addr(at: &JsonNode) -> Result<SocketAddr, ConfigError> {
+    at.text()?.parse().or_else(|_| at.invalid("an address with a port"))
 }
 
 /// Checksum of the settings that all relays share, over their text with its keys in order.
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends in discovery's form, as it stands in the start-up text and in each line of a watch.
-use crate::at::At;
 use crate::error::ConfigError;
+use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Micros, Phase};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -37,31 +37,31 @@
 /// One value of a watch, or the answer of a call. An entry that can't be read spoils no other.
 pub fn parse(text: &[u8]) -> Result<List, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::ListNotJson)?;
-    decode(&At::top(&value))
+    decode(&JsonNode::root(&value))
 }
 
-fn instance(at: &At) -> Result<Instance, ConfigError> {
+fn instance(at: &JsonNode) -> Result<Instance, ConfigError> {
     let (host_port, started) = (at.key("hostPort")?, at.option("startedAtMs"));
     Ok(Instance {
         id: at.key("instanceId")?.text()?.to_string(),
-        addr: host_port.text()?.parse().or_else(|_| host_port.wrong("an address with a port"))?,
+        addr: host_port.text()?.parse().or_else(|_| host_port.invalid("an address with a port"))?,
         zone: at.option("zone").map_or(Ok(""), |at| at.text())?.to_string(),
-        cell: at.option("cell").map_or(Ok(0), |at| at.small())?,
-        phase: at.key("lifecycle")?.word(&PHASES)?,
+        cell: at.option("cell").map_or(Ok(0), |at| at.bounded_integer())?,
+        phase: at.key("lifecycle")?.one_of(&PHASES)?,
         came_up: started.map_or(Ok(0), |at| at.micros())?,
     })
 }
 
 /// One that a person or a program wrote down for a start: all of it can be read, or it is refused by its key.
-pub fn strict(at: &At) -> Result<List, ConfigError> {
+pub fn strict(at: &JsonNode) -> Result<List, ConfigError> {
     at.key("instances")?.list()?.iter().try_for_each(|at| instance(at).map(|_| ()))?;
     decode(at)
 }
 
-pub fn decode(at: &At) -> Result<List, ConfigError> {
+pub fn decode(at: &JsonNode) -> Result<List, ConfigError> {
     let mut list = List {
-        generation: at.key("generation")?.whole()?,
-        whole: at.option("reset").map_or(Ok(false), |at| at.yes())?,
+        generation: at.key("generation")?.integer()?,
+        whole: at.option("reset").map_or(Ok(false), |at| at.boolean())?,
         ..List::default()
     };
     for at in at.key("instances")?.list()? {
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -1,54 +1,66 @@
-//! What one relay is told at its start: its addresses, limits, settings and the list as it last had it.
-use crate::at::At;
+//! A relay's configuration: addresses, limits, settings, and the endpoint list that it starts from.
 use crate::error::ConfigError;
 use crate::facts::{self, Site};
 use crate::fleet::{self, FleetConfig};
+use crate::json_node::JsonNode;
 use crate::limits::{Limits, Uses};
 use crate::list::{self, List};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The configuration of one relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
+    /// The relay's name.
     pub name: String,
+    /// Address at which clients connect.
     pub listen: SocketAddr,
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators' calls come; none where nobody calls.
+    /// Address of the operators' HTTP interface; none where it is off.
     pub operator: Option<SocketAddr>,
-    /// The other relays; none where this one is to know of none.
+    /// Membership of a fleet of relays; none where this relay is on its own.
     pub fleet: Option<FleetConfig>,
-    /// The folder in which it keeps what it must know after a restart; none where nothing is kept.
+    /// Directory of the durable state; none where nothing is stored.
     pub state: Option<PathBuf>,
-    /// Of the settings: the same where these are.
+    /// Checksum of the settings that all relays share.
     pub digest: u32,
+    /// Seed of the relay's random numbers.
     pub seed: u64,
+    /// The site's settings.
     pub site: Site,
+    /// The endpoint list to start from; empty where none is given.
     pub known: List,
+    /// Sizes, counts and times that bound the program.
     pub limits: Limits,
-    /// Descriptors that all limits of counts come from.
+    /// File descriptors that all limits of counts are derived from.
     pub sockets: usize,
 }
 
-/// What the environment or the command line says in place of the text.
+/// Values from the environment or the command line that replace those of the text.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Overrides {
+    /// In place of `name`.
     pub name: Option<String>,
+    /// In place of `listen`.
     pub listen: Option<String>,
+    /// In place of `discovery`.
     pub discovery: Option<String>,
+    /// In place of `operator`.
     pub operator: Option<String>,
 }
 
-impl Told {
-    /// What holds as the text is read anew: where discovery is, the new text alone tells.
-    pub fn again(self) -> Told {
-        Told { discovery: None, ..self }
+impl Overrides {
+    /// Those that hold on a reload: the address of discovery comes from the new text alone.
+    pub fn for_reload(self) -> Overrides {
+        Overrides { discovery: None, ..self }
     }
 }
 
 impl Node {
-    /// Keys that differ in a text read later and can't change while the program runs. The list in it may be
-    /// old, and the seed is that of the start.
+    /// Keys that differ in a reloaded configuration and can't change while the program runs. Its endpoint list
+    /// and its seed are not compared: the running relay goes on with its own.
     pub fn fixed(&self, later: &Node) -> Vec<&'static str> {
         let (own, new) = (&self.site.facts, &later.site.facts);
         let fleet = match (&self.fleet, &later.fleet) {
@@ -71,28 +83,31 @@
         Uses { operator: self.operator.is_some(), fleet: self.fleet.is_some(), state: self.state.is_some() }
     }
 
-    /// Takes over other settings, but for what can't change while the program runs.
+    /// Applies reloaded settings, but for those that can't change while the program runs.
+    ///
+    /// # Errors
+    /// The descriptors don't suffice under them; the former settings stay.
     pub fn tune(&mut self, mut site: Site) -> Result<(), ConfigError> {
         let (own, new) = (&self.site.facts, &mut site.facts);
         new.must_watch = own.must_watch;
         new.relay_index = own.relay_index;
         new.zone = own.zone;
-        (self.site, self.limits) = fitting(site, self.sockets, self.uses())?;
+        (self.site, self.limits) = derive_limits(site, self.sockets, self.uses())?;
         Ok(())
     }
 }
 
-/// The limits under some settings, and these within them.
-fn fitting(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), ConfigError> {
+/// The limits that follow from a site's settings, and the site with its session limit within them.
+fn derive_limits(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), ConfigError> {
     let limits = Limits::new(&site, sockets, uses)?;
     // C_ID of the design: no more sessions than this machine has descriptors for.
     site.facts.max_sessions = site.facts.max_sessions.min(limits.sessions);
     Ok((site, limits))
 }
 
-/// Times and counts of the settings that a relay can do nothing with at 0.
-fn over_0(settings: &At) -> Result<(), ConfigError> {
-    let over = |at: At| if at.num()? > 0.0 { Ok(()) } else { at.wrong("more than 0") };
+/// Checks the times and counts that must be more than 0, and that listeners have different names.
+fn check_positive(settings: &JsonNode) -> Result<(), ConfigError> {
+    let over = |at: JsonNode| if at.number()? > 0.0 { Ok(()) } else { at.invalid("more than 0") };
     let ceilings = settings.key("Ceilings")?;
     ["MostDials", "MaxOpen", "ConnectTimeout"].iter().try_for_each(|key| over(ceilings.key(key)?))?;
     let listeners = settings.key("Listeners")?.list()?;
@@ -100,47 +115,51 @@
         ["DialTimeout", "HandshakeTarget"].iter().try_for_each(|key| over(listener.key(key)?))?;
         let name = listener.key("Name")?;
         if listeners[..i].iter().any(|other| other.value["Name"] == *name.value) {
-            return name.wrong("a name that no listener before it has");
+            return name.invalid("a name that no listener before it has");
         }
     }
     Ok(())
 }
 
-/// What holds where the text names no limit: that of a small machine.
-const SOCKETS: usize = 1024;
+/// Descriptors where the configuration names no number: those of a small machine.
+const DEFAULT_SOCKETS: usize = 1024;
 
-pub fn parse(text: &[u8], told: &Told) -> Result<Node, ConfigError> {
+/// Reads, checks and completes a configuration (JSON).
+///
+/// # Errors
+/// Not JSON, a key that is missing, or a value that can't be used.
+pub fn parse(text: &[u8], overrides: &Overrides) -> Result<Node, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
-    let top = At::top(&value);
-    let said = |key: &str, told: &Option<String>| -> Result<String, ConfigError> {
-        told.clone().map_or_else(|| Ok(top.key(key)?.text()?.to_string()), Ok)
+    let top = JsonNode::root(&value);
+    let text_of = |key: &str, value: &Option<String>| -> Result<String, ConfigError> {
+        value.clone().map_or_else(|| Ok(top.key(key)?.text()?.to_string()), Ok)
     };
-    let place = |key: &str, text: &str| -> Result<SocketAddr, ConfigError> {
+    let parse_addr = |key: &str, text: &str| -> Result<SocketAddr, ConfigError> {
         text.parse().map_err(|_| ConfigError::InvalidValue {
             path: key.to_string(),
             value: format!("\"{text}\""),
             wanted: "an address with a port".to_string(),
         })
     };
-    let addr = |key: &str, told: &Option<String>| place(key, &said(key, told)?);
-    let operator = match (&told.operator, top.option("operator")) {
-        (Some(text), _) => Some(place("operator", text)?),
-        (None, Some(at)) => Some(place("operator", at.text()?)?),
+    let addr = |key: &str, value: &Option<String>| parse_addr(key, &text_of(key, value)?);
+    let operator = match (&overrides.operator, top.option("operator")) {
+        (Some(text), _) => Some(parse_addr("operator", text)?),
+        (None, Some(at)) => Some(parse_addr("operator", at.text()?)?),
         (None, None) => None,
     };
-    let seed = |at: At| -> Result<u64, ConfigError> {
+    let seed = |at: JsonNode| -> Result<u64, ConfigError> {
         let text = at.text()?;
-        u64::from_str_radix(text, 16).or_else(|_| at.wrong("16 hexadecimal digits"))
+        u64::from_str_radix(text, 16).or_else(|_| at.invalid("16 hexadecimal digits"))
     };
     let sockets = top.option("limits").and_then(|at| at.option("sockets"));
-    let sockets = sockets.map_or(Ok(SOCKETS), |at| at.small())?;
+    let sockets = sockets.map_or(Ok(DEFAULT_SOCKETS), |at| at.bounded_integer())?;
     let settings = top.key("settings")?;
     let site = facts::decode(&settings)?;
-    over_0(&settings)?;
-    let name = said("name", &told.name)?;
+    check_positive(&settings)?;
+    let name = text_of("name", &overrides.name)?;
     let fleet = fleet::decode(&top, &name)?;
     let state = top.option("state").map(|at| match at.text()? {
-        "" => at.wrong("a folder"),
+        "" => at.invalid("a folder"),
         path => Ok(PathBuf::from(path)),
     });
     let state = state.transpose()?;
@@ -149,11 +168,11 @@
         return Err(ConfigError::VoterWithoutState);
     }
     let uses = Uses { operator: operator.is_some(), fleet: fleet.is_some(), state: state.is_some() };
-    let (site, limits) = fitting(site, sockets, uses)?;
+    let (site, limits) = derive_limits(site, sockets, uses)?;
     Ok(Node {
         name,
-        listen: addr("listen", &told.listen)?,
-        discovery: addr("discovery", &told.discovery)?,
+        listen: addr("listen", &overrides.listen)?,
+        discovery: addr("discovery", &overrides.discovery)?,
         operator,
         fleet,
         state,
--- a/config/tests/error_texts.rs
+++ b/config/tests/error_texts.rs
@@ -1,5 +1,5 @@
 //! The texts that operators see where a configuration or a scenario can't be used, to the letter.
-use hallrelay_config::node::{self, Told};
+use hallrelay_config::node::{self, Overrides};
 use hallrelay_config::scenario;
 use serde_json::{json, Value};
 
@@ -11,7 +11,7 @@
 fn error(change: impl FnOnce(&mut Value)) -> String {
     let mut text = example();
     change(&mut text);
-    let parsed = node::parse(text.to_string().as_bytes(), &Told::default());
+    let parsed = node::parse(text.to_string().as_bytes(), &Overrides::default());
     parsed.expect_err("the change makes it unusable").to_string()
 }
 
@@ -95,7 +95,7 @@
 #[test]
 fn what_is_not_json_is_called_by_its_document() {
     let end = "EOF while parsing an object at line 1 column 1";
-    let node = node::parse(b"{", &Told::default()).expect_err("half a text").to_string();
+    let node = node::parse(b"{", &Overrides::default()).expect_err("half a text").to_string();
     assert_eq!(node, format!("not JSON: {end}"));
     let list = hallrelay_config::list::parse(b"{").expect_err("half a text").to_string();
     assert_eq!(list, format!("the list is not JSON: {end}"));
--- a/config/tests/limits.rs
+++ b/config/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Times that follow from the settings, over the whole range of what settings may say.
 use hallrelay_config::limits::Limits;
-use hallrelay_config::node::{self, Told};
+use hallrelay_config::node::{self, Overrides};
 use serde_json::{json, Value};
 
 const MS: u64 = 1000;
@@ -9,7 +9,7 @@
     let text = include_str!("../../deploy/example/relay.json");
     let mut text: Value = serde_json::from_str(text).expect("the example is JSON");
     tune(&mut text["settings"]);
-    node::parse(text.to_string().as_bytes(), &Told::default()).expect("it is sound").limits
+    node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("it is sound").limits
 }
 
 /// SIGKILL comes no sooner than the longest dial timeout, 3 s at most, and 0.7 s after SIGTERM: by then all
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -8,7 +8,7 @@
 use hallrelay_balancer::types::{DialEnd, Micros, Phase, ServerId, SessId};
 use hallrelay_config::limits::Limits;
 use hallrelay_config::list::{Instance, List};
-use hallrelay_config::node::{self as config, Node, Told as Given};
+use hallrelay_config::node::{self as config, Node, Overrides as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
 use hallrelay_emulator::audit::{Answer, DialOver};
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::store_command::{self, StoreCommand};
 use clap::{Parser, Subcommand};
 use hallrelay_config::fleet::FleetConfig;
-use hallrelay_config::node::{self, Node, Told};
+use hallrelay_config::node::{self, Node, Overrides};
 use hallrelay_config::ConfigError;
 use slog::{o, Drain};
 use std::io;
@@ -137,8 +137,8 @@
 }
 
 impl RunArgs {
-    fn overrides(&self) -> Told {
-        Told {
+    fn overrides(&self) -> Overrides {
+        Overrides {
             name: self.name.clone(),
             listen: self.listen.clone(),
             discovery: self.discovery.clone(),
@@ -146,7 +146,7 @@
         }
     }
 
-    fn read(&self, overrides: &Told) -> Result<Node, CliError> {
+    fn read(&self, overrides: &Overrides) -> Result<Node, CliError> {
         let path = || self.config.clone();
         let text =
             std::fs::read(&self.config).map_err(|source| CliError::Unreadable { path: path(), source })?;
@@ -189,7 +189,7 @@
     signals::block();
     let node = run_args.read(&run_args.overrides())?;
     let log = logger(verbose, node.limits.log_lines);
-    let at_reload = run_args.overrides().again();
+    let at_reload = run_args.overrides().for_reload();
     let read_configuration = move || run_args.read(&at_reload);
     let serving = serve::run(node, read_configuration, log);
     LocalSet::new().block_on(&runtime()?, serving).map_err(CliError::Serve)?;
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -11,7 +11,7 @@
 use crate::reducer::Event;
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
 use hallrelay_config::limits::Limits;
-use hallrelay_config::node::{self, Told};
+use hallrelay_config::node::{self, Overrides};
 use socket2::{SockRef, Socket};
 use std::future::Future;
 use std::io::ErrorKind;
@@ -47,7 +47,7 @@
 
 fn hub(tune: impl FnOnce(&mut Limits)) -> (Hub, mpsc::Receiver<Event>) {
     let text = include_bytes!("../../../../deploy/example/relay.json");
-    let node = node::parse(text, &Told::default()).expect("the example is sound");
+    let node = node::parse(text, &Overrides::default()).expect("the example is sound");
     let mut limits = node.limits;
     tune(&mut limits);
     Hub::new(limits, node.site.report, slog::Logger::root(slog::Discard, slog::o!()))
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! What relays said to each other and to operators, as earlier builds wrote it: messages are read and written
 //! again as the same bytes, a plan and answers as the same text. Messages stand one a line, in hexadecimal.
 use hallrelay_balancer::types::{DialEnd, Micros};
-use hallrelay_config::node::{self, Node, Told as Given};
+use hallrelay_config::node::{self, Node, Overrides as Given};
 use hallrelay_disruption::{
     AnalysisPolicy, Command, CommandError, FailureDomain, Outcome, RolloutPlan, SessionCounts, Target,
     TargetKind, Wave,
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{free, Site};
-use hallrelay_config::node::{self, Told};
+use hallrelay_config::node::{self, Overrides};
 use hallrelay_membership::message::{
     decode, encode, encode_update, DropReason, MessageBody, Packet, MAX_FRAME_BYTES,
 };
@@ -140,7 +140,7 @@
     text["discovery"] = json!("10.0.0.100:9000");
     text["known"] = json!({"generation": 17, "instances": instances});
     text["fleet"] = json!({"name": FLEET, "listen": addr(1).to_string(), "peers": [addr(2).to_string()]});
-    let node = node::parse(text.to_string().as_bytes(), &Told::default()).expect("a node");
+    let node = node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("a node");
     let mut reducer = Reducer::new(node, None);
     reducer.start(START, &mut Vec::new());
     reducer
--- a/relay/tests/short_days/silence.rs
+++ b/relay/tests/short_days/silence.rs
@@ -3,7 +3,7 @@
 use crate::backend::{Backend, Behaviour};
 use crate::common::{until, within, Client, Site};
 use crate::list_service::{changes, entry, whole, Asks, Call, ListService};
-use hallrelay_config::node::{self, Node, Told};
+use hallrelay_config::node::{self, Node, Overrides};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -62,7 +62,7 @@
 /// test's process.
 fn serve_with_shorter_times(site: &Site) {
     let mut node: Node =
-        node::parse(site.text.to_string().as_bytes(), &Told::default()).expect("it is sound");
+        node::parse(site.text.to_string().as_bytes(), &Overrides::default()).expect("it is sound");
     node.operator = None;
     node.limits.discovery_doubt /= u64::from(SHORTER);
     node.limits.discovery_first /= u64::from(SHORTER);
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -25,7 +25,7 @@
 use crate::{dial_end, millis, num, option, probe_end, range, Fault, Subject};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::facts::ReportOrder;
-use hallrelay_config::node::{self, Node, Told};
+use hallrelay_config::node::{self, Node, Overrides};
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{Message, OwnershipEvent, RelayState, SessionState};
 use hallrelay_relay::lines;
@@ -59,7 +59,7 @@
 }
 
 fn node(text: &Value) -> Result<Node, Fault> {
-    node::parse(text.to_string().as_bytes(), &Told::default()).map_err(|e| e.to_string())
+    node::parse(text.to_string().as_bytes(), &Overrides::default()).map_err(|e| e.to_string())
 }
 
 /// An address that stands for a backend's name, and back.
