--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -1,72 +1,20 @@
 //! A day for the emulator, as TOML: servers, relays, load, clients, troubles. Read whole and checked before
 //! anything starts; every complaint names file, line and key.
 mod check;
+mod listener;
 mod read;
+mod servers;
 mod trouble;
+mod units;
 
+pub use listener::{Listener, Ring, Sort};
 pub use read::{parse, ScenarioError};
+pub use servers::{Drains, Kind, Servers, Warms};
 pub use trouble::{Fault, Trouble, TroubleKind};
+pub use units::{Millis, Num, Part, Secs, Span};
 
-use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
-use serde::de::Error;
-use serde::{Deserialize, Deserializer};
-
-/// A span of time that is written in units of so many microseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span<const UNIT: u64>(pub Micros);
-pub type Secs = Span<1_000_000>;
-pub type Millis = Span<1_000>;
-
-impl<const UNIT: u64> Span<UNIT> {
-    pub fn us(self) -> Micros {
-        self.0
-    }
-}
-
-impl<'de, const UNIT: u64> Deserialize<'de> for Span<UNIT> {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        // A week: whatever is longer was meant in another unit.
-        const MOST: f64 = 7.0 * 86_400e6;
-        let micros = number(from)? * UNIT as f64;
-        if micros > MOST {
-            return Err(D::Error::custom("wanted a time of a week at most"));
-        }
-        Ok(Span(micros.round() as Micros))
-    }
-}
-
-/// A number of 0 or more.
-fn number<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    let x = f64::deserialize(from)?;
-    if x.is_finite() && x >= 0.0 {
-        Ok(x)
-    } else {
-        Err(D::Error::custom(format!("wanted a number of 0 or more, not {x}")))
-    }
-}
-
-/// A part of a whole, 0 to 1.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Part(pub f64);
-
-impl<'de> Deserialize<'de> for Part {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        match number(from)? {
-            x if x <= 1.0 => Ok(Part(x)),
-            x => Err(D::Error::custom(format!("wanted a part from 0 to 1, not {x}"))),
-        }
-    }
-}
-
-/// A number of 0 or more.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Num(pub f64);
-
-impl<'de> Deserialize<'de> for Num {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        number(from).map(Num)
-    }
-}
+use listener::drift;
+use serde::Deserialize;
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -158,168 +106,6 @@
     }
 }
 
-/// The servers and what they have in common.
-#[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Servers {
-    pub zones: Vec<String>,
-    #[serde(rename = "kind")]
-    pub kinds: Vec<Kind>,
-    /// Sessions of the usual load that fill one core of speed 1.
-    pub per_core: Num,
-    /// Work of a new connection, on a core of speed 1.
-    pub setup_ms: Millis,
-    /// Work of a probe, on a core of speed 1.
-    pub probe_ms: Millis,
-    /// New sessions that the shared session store takes in a second; 0 is no limit.
-    pub store_per_s: Num,
-    /// Connections that a core holds.
-    pub cap_per_core: u32,
-    /// What a group costs each server that holds any of it, in usual sessions.
-    pub group_cost: Num,
-    /// How often a report is refreshed, and how much later it can be read.
-    pub report_every_ms: [Millis; 2],
-    pub report_late_ms: [Millis; 2],
-    /// How far reported figures are off, as a part of them.
-    pub report_noise: Part,
-    /// A cold server can do this part at first and all when `cold_s` is over.
-    pub cold_from: Part,
-    pub cold_s: Secs,
-    /// Whether warmth grows bit by bit or comes at the end.
-    pub warms: Warms,
-    pub drains: Drains,
-    /// How long a server that drains takes to send its clients away.
-    pub drain_s: Secs,
-    pub tells_load: bool,
-    pub tells_delay: bool,
-}
-
-impl Default for Servers {
-    fn default() -> Servers {
-        Servers {
-            zones: vec!["here".to_string()],
-            kinds: vec![],
-            per_core: Num(16.0),
-            setup_ms: Span(1_500),
-            probe_ms: Span(700),
-            store_per_s: Num(0.0),
-            cap_per_core: 40,
-            group_cost: Num(0.5),
-            report_every_ms: [Span(300_000), Span(1_500_000)],
-            report_late_ms: [Span(90_000), Span(490_000)],
-            report_noise: Part(0.05),
-            cold_from: Part(0.2),
-            cold_s: Span(15_000_000),
-            warms: Warms::Evenly,
-            drains: Drains::BitByBit,
-            drain_s: Span(3_000_000),
-            tells_load: true,
-            tells_delay: true,
-        }
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Warms {
-    Evenly,
-    AtTheEnd,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Drains {
-    BitByBit,
-    AtOnce,
-}
-
-#[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Kind {
-    pub name: String,
-    pub count: usize,
-    pub cores: u32,
-    pub speed: Num,
-    /// How far one machine's speed may be from another's, as a part of it.
-    #[serde(default)]
-    pub speed_off: Part,
-}
-
-/// Sessions of one listener, and what they are to the relay.
-#[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Listener {
-    pub name: String,
-    pub share: Num,
-    /// Of a second.
-    pub utility: Num,
-    pub handshake_target_ms: Millis,
-    pub dial_timeout_ms: Millis,
-    pub message_target_ms: Millis,
-    /// The mean of a session's load, in usual sessions, and how far sessions differ (of its logarithm).
-    #[serde(default = "usual")]
-    pub load: Num,
-    #[serde(default = "usual")]
-    pub load_sigma: Num,
-    /// How often a session's load changes, in the mean, and by how much (of its logarithm).
-    #[serde(default = "drift")]
-    pub change_s: Secs,
-    #[serde(default = "swing")]
-    pub swing_sigma: Num,
-    pub life_s: Secs,
-    #[serde(default)]
-    pub repeat: Sort,
-    #[serde(default)]
-    pub within: Ring,
-    #[serde(default = "window")]
-    pub window_ms: Millis,
-}
-
-fn usual() -> Num {
-    Num(1.0)
-}
-
-fn drift() -> Secs {
-    Span(10_000_000)
-}
-
-fn swing() -> Num {
-    Num(0.4)
-}
-
-fn window() -> Millis {
-    Span(5_000_000)
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Sort {
-    #[default]
-    Repeatable,
-    Referenced,
-    OnceOnly,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Ring {
-    #[default]
-    All,
-    Zone,
-    Cell,
-}
-
-impl Listener {
-    pub fn repeats(&self) -> Idempotency {
-        let scope = [KeyScope::All, KeyScope::Zone, KeyScope::Cell][self.within as usize];
-        match self.repeat {
-            Sort::Repeatable => Idempotency::Idempotent,
-            Sort::Referenced => Idempotency::Keyed { scope, window: self.window_ms.us() },
-            Sort::OnceOnly => Idempotency::NonIdempotent,
-        }
-    }
-}
-
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
--- /dev/null
+++ b/config/src/scenario/units.rs
@@ -0,0 +1,64 @@
+//! Numbers of a scenario that carry a unit or a range: times, parts of a whole, numbers of 0 or more.
+use hallrelay_balancer::types::Micros;
+use serde::de::Error;
+use serde::{Deserialize, Deserializer};
+
+/// A time of a week at most that a scenario writes in units of `UNIT` microseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Span<const UNIT: u64>(pub Micros);
+/// A time that is written in seconds.
+pub type Secs = Span<1_000_000>;
+/// A time that is written in milliseconds.
+pub type Millis = Span<1_000>;
+
+impl<const UNIT: u64> Span<UNIT> {
+    /// The time in microseconds.
+    pub fn us(self) -> Micros {
+        self.0
+    }
+}
+
+impl<'de, const UNIT: u64> Deserialize<'de> for Span<UNIT> {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+        // A week: whatever is longer was meant in another unit.
+        const MAX_MICROS: f64 = 7.0 * 86_400e6;
+        let micros = number(from)? * UNIT as f64;
+        if micros > MAX_MICROS {
+            return Err(D::Error::custom("wanted a time of a week at most"));
+        }
+        Ok(Span(micros.round() as Micros))
+    }
+}
+
+/// A number of 0 or more.
+fn number<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    let x = f64::deserialize(from)?;
+    if x.is_finite() && x >= 0.0 {
+        Ok(x)
+    } else {
+        Err(D::Error::custom(format!("wanted a number of 0 or more, not {x}")))
+    }
+}
+
+/// A part of a whole, 0 to 1.
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+pub struct Part(pub f64);
+
+impl<'de> Deserialize<'de> for Part {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+        match number(from)? {
+            x if x <= 1.0 => Ok(Part(x)),
+            x => Err(D::Error::custom(format!("wanted a part from 0 to 1, not {x}"))),
+        }
+    }
+}
+
+/// A number of 0 or more.
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+pub struct Num(pub f64);
+
+impl<'de> Deserialize<'de> for Num {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+        number(from).map(Num)
+    }
+}
