--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -1,6 +1,7 @@
 //! Servers on sockets: listening, refusing or never coming up as the models say, and one task a connection.
 use super::lines::{self, Lines, Unread};
 use super::{Conn, Host, Shared, ToConn};
+use crate::audit::DialReceived;
 use crate::clients::Ask;
 use crate::servers::{Dialled, Reach, Word};
 use hallrelay_config::scenario::Fault;
@@ -264,7 +265,7 @@
         None => {
             // A client that has left meanwhile is nothing new: the auditor knows it, and says what is wrong.
             let mark = lines::opened(line).map_or(0, |opened| opened.0);
-            host.with(|day, now, _| day.audit.odd_line(now, first, mark, at.server, line));
+            host.with(|day, now, _| day.audit.unexpected_line(now, first, mark, at.server, line));
             return Err(b"SYNTAX\r\n");
         }
     };
@@ -284,7 +285,10 @@
     let held = matches!(at.fault, Some(Fault::Silence | Fault::HalfLine));
     host.with(|day, now, todo| {
         if !host.open_house.get() {
-            day.audit.dialled(now, first, mark, at.server, at.relay);
+            day.audit.dial_received(
+                now,
+                &DialReceived { mark, relay: at.relay, backend: at.server, first_byte_at: first },
+            );
         }
         if !held {
             day.servers.dialled(now, no, &dialled, &mut todo.told);
@@ -298,7 +302,7 @@
     let (mark, rest) = lines::opened(line)?;
     let ask = host.asks.borrow().get(&mark)?.clone();
     let day = host.day.borrow();
-    let at = ask.at.map(|i| day.servers.book.plates[i].id.clone());
+    let at = ask.at.map(|i| day.servers.endpoints.identities[i].id.clone());
     let sent = lines::open(&ask, &day.s.listeners[ask.listener].name, at.as_deref());
     (lines::opened(&sent)?.1 == rest).then_some((mark, ask))
 }
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -10,15 +10,15 @@
 use hallrelay_config::list::{Instance, List};
 use hallrelay_config::node::{self as config, Node, Overrides as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
-use hallrelay_emulator::audit::{Answer, DialOver};
+use hallrelay_emulator::audit::{Answer, DialOutcome, DialReceived, RequestSent};
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
 use hallrelay_emulator::day::{Day, Todo};
+use hallrelay_emulator::event_queue::EventQueue;
 use hallrelay_emulator::membership_audit::ProcessState;
 use hallrelay_emulator::node::{self, Place};
 use hallrelay_emulator::script::Deed;
 use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Told, Word};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
-use hallrelay_emulator::tools::Queue;
 use hallrelay_recovery::record::VERSION;
 use hallrelay_recovery::{Record, StoredState};
 use hallrelay_relay::lines::SessionRequest;
@@ -205,7 +205,7 @@
 
 pub struct Virtual<'a> {
     day: Day,
-    queue: Queue<Ev>,
+    queue: EventQueue<Ev>,
     relays: Vec<Relay>,
     /// Looked up and never walked, as is what is asked.
     dials: HashMap<ConnNo, Dial>,
@@ -239,7 +239,7 @@
     let day = Day::new(s, seed, BEGIN);
     let mut v = Virtual {
         day,
-        queue: Queue::default(),
+        queue: EventQueue::default(),
         relays: Vec::new(),
         dials: HashMap::new(),
         asks: HashMap::new(),
@@ -284,7 +284,7 @@
             state: self.day.s.relays.state.then(|| "virtual".to_string()),
             fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
         };
-        let text = node::text(&self.day.s, &place, &self.day.servers.book, |i| addr(i).to_string());
+        let text = node::text(&self.day.s, &place, &self.day.servers.endpoints, |i| addr(i).to_string());
         config::parse(text.to_string().as_bytes(), &Given::default()).map_err(|e| e.to_string())
     }
 
@@ -301,7 +301,7 @@
         const LOOK: Micros = 250_000;
         let mut look = self.now;
         loop {
-            let next = self.queue.next().map_or(Micros::MAX, |at| at).min(self.day.next());
+            let next = self.queue.next_at().map_or(Micros::MAX, |at| at).min(self.day.next());
             if next > self.day.end {
                 break;
             }
@@ -318,7 +318,7 @@
                 self.day.step(self.now, &mut todo);
                 self.carry_out(&mut todo)?;
             }
-            while let Some((_, event)) = self.queue.due(self.now) {
+            while let Some((_, event)) = self.queue.pop_due(self.now) {
                 self.events += 1;
                 self.event(event, &mut todo)?;
                 self.carry_out(&mut todo)?;
@@ -342,7 +342,7 @@
     }
 
     fn later(&mut self, after: Micros, ev: Ev) {
-        self.queue.at(self.now + after, ev);
+        self.queue.schedule(self.now + after, ev);
     }
 
     fn tell(&mut self, relay: usize, after: Micros, event: Event) {
@@ -363,13 +363,13 @@
             mind.load_state(stored);
         }
         mind.start(self.now, &mut out);
-        let known = self.day.servers.book.whole();
+        let known = self.day.servers.endpoints.present();
         let r = &mut self.relays[relay];
         (r.mind, r.life, r.starts) = (Some(mind), life, r.starts + 1);
         (r.lines, r.marks) = (BTreeMap::new(), BTreeMap::new());
         r.watches.clear();
         r.known = known;
-        self.day.audit.relay_starts(self.now, relay);
+        self.day.audit.relay_started(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
         self.day.clients.relay_is(self.now, relay, true);
         self.effects(relay, out);
@@ -388,7 +388,7 @@
         r.marks.clear();
         r.past.clear();
         let lines = std::mem::take(&mut r.lines);
-        self.day.audit.relay_ends(self.now, relay);
+        self.day.audit.relay_ended(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Down);
         self.day.servers.forgets(relay);
         self.day.clients.relay_is(self.now, relay, false);
@@ -410,9 +410,9 @@
             self.relays[relay].lines.values().filter(|l| !l.over).map(|l| (l.mark, l.open)).collect();
         for (mark, open) in held {
             if open {
-                self.day.audit.cut_off(self.now, mark);
+                self.day.audit.connection_cut(self.now, mark);
             } else {
-                self.day.audit.answered(self.now, mark, &Answer::Closed);
+                self.day.audit.client_answered(self.now, mark, &Answer::Closed);
             }
         }
         self.ends(relay);
@@ -435,7 +435,7 @@
         match event {
             Ev::Relay { relay, life, event } if alive(self, relay, life) => {
                 // An open session that its relay has seen the end of has no connection any more.
-                if let Event::SessionEnded { sess, .. } = &*event {
+                if let Event::SessionEnded { session_id: sess, .. } = &*event {
                     if let Some(line) = self.relays[relay].lines.get_mut(sess) {
                         (line.open, line.conn) = (false, None);
                     }
@@ -458,7 +458,7 @@
                     // The relay closes it before it does anything else.
                     self.close_now(conn, todo);
                     let end = DialEnd::Timeout;
-                    self.step(relay, Event::DialEnded { sess, dial, end, report: None });
+                    self.step(relay, Event::DialEnded { session_id: sess, dial, end, report: None });
                 }
             }
             Ev::Closed { conn } => self.close_now(conn, todo),
@@ -534,8 +534,10 @@
         for effect in effects {
             match effect {
                 Effect::StartTimer { after, alarm } => self.later(after, Ev::Alarm { relay, life, alarm }),
-                Effect::Dial { sess, dial, addr, wait, .. } => self.dial(relay, sess, dial, addr, wait),
-                Effect::StartProxying { sess } => {
+                Effect::Dial { session_id: sess, dial, addr, wait, .. } => {
+                    self.dial(relay, sess, dial, addr, wait)
+                }
+                Effect::StartProxying { session_id: sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     line.open = true;
                     let (mark, receipt) = (line.mark, line.conn.unwrap_or(0));
@@ -545,13 +547,16 @@
                     self.later(client_way, Ev::Client { mark, heard: Heard::Up, receipt });
                     self.may_be_silent(relay, sess);
                 }
-                Effect::Reject { sess, retry_after } => self.last(relay, sess, Heard::Busy(retry_after)),
-                Effect::TearDown { sess } | Effect::ReportProtocolError { conn: sess } => {
+                Effect::Reject { session_id: sess, retry_after } => {
+                    self.last(relay, sess, Heard::Busy(retry_after))
+                }
+                Effect::TearDown { session_id: sess }
+                | Effect::ReportProtocolError { connection_id: sess } => {
                     self.last(relay, sess, Heard::Failed);
                 }
-                Effect::ShedConnection { conn } => self.last(relay, conn, Heard::Busy(0)),
-                Effect::CloseClient { sess } => self.last(relay, sess, Heard::Closed),
-                Effect::Migrate { sess } => {
+                Effect::ShedConnection { connection_id: conn } => self.last(relay, conn, Heard::Busy(0)),
+                Effect::CloseClient { session_id: sess } => self.last(relay, sess, Heard::Closed),
+                Effect::Migrate { session_id: sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     (line.open, line.over) = (false, true);
                     let (mark, conn) = (line.mark, line.conn.take());
@@ -559,10 +564,10 @@
                         self.later(way, Ev::Closed { conn });
                     }
                     let end = DialEnd::Recalled;
-                    self.tell(relay, 0, Event::SessionEnded { sess, end, report: None });
+                    self.tell(relay, 0, Event::SessionEnded { session_id: sess, end, report: None });
                     self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
                 }
-                Effect::SetSuspect { sess, doubted } => {
+                Effect::SetSuspect { session_id: sess, doubted } => {
                     if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
                         line.doubted = doubted;
                     }
@@ -575,10 +580,10 @@
                 Effect::WatchEndpoints { watch, since, .. } => {
                     if self.day.list_cut[relay] {
                         let silent = self.relays[relay].limits.discovery_first;
-                        self.day.audit.call_failed(relay);
+                        self.day.audit.list_call_failed(relay);
                         self.tell(relay, silent, Event::EndpointWatchFailed { watch });
                     } else if self.list_down {
-                        self.day.audit.call_failed(relay);
+                        self.day.audit.list_call_failed(relay);
                         self.tell(relay, 2 * way, Event::EndpointWatchFailed { watch });
                     } else {
                         let w = Watch { id: watch, since, speaks: false };
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -10,7 +10,7 @@
                 self.later(way, Ev::Line(Box::new(ask)));
             }
             Does::Leaves { mark } => {
-                self.day.audit.left(self.now, mark);
+                self.day.audit.client_left(self.now, mark);
                 let Some(ask) = self.asks.remove(&mark) else { return };
                 let r = &self.relays[ask.relay];
                 if let Some(&sess) = r.marks.get(&mark) {
@@ -31,7 +31,16 @@
             return self.client(ask.mark, Heard::Unreached, 0);
         }
         let sent = self.now - self.client_way();
-        self.day.audit.asked(sent, ask.mark, relay, ask.listener, ask.wait, ask.at.is_some());
+        self.day.audit.session_requested(
+            sent,
+            &RequestSent {
+                mark: ask.mark,
+                relay,
+                listener: ask.listener,
+                wait: ask.wait,
+                is_pre_existing: ask.at.is_some(),
+            },
+        );
         let r = &mut self.relays[relay];
         r.last = r.last.wrapping_add(1);
         let sess = r.last;
@@ -47,12 +56,12 @@
             group: ask.group,
             returned: ask.again,
             wait_ms: ask.wait / 1000,
-            at: ask.at.map(|server| self.day.servers.book.plates[server].id.clone()),
+            at: ask.at.map(|server| self.day.servers.endpoints.identities[server].id.clone()),
             ..SessionRequest::default()
         };
         let left = ask.wait.saturating_sub(margin + self.client_way());
-        self.step(relay, Event::ClientConnected { conn: sess });
-        self.step(relay, Event::SessionRequested { sess, open, left });
+        self.step(relay, Event::ClientConnected { connection_id: sess });
+        self.step(relay, Event::SessionRequested { session_id: sess, open, left });
     }
 
     /// A client hears its last word, or `UP`.
@@ -66,14 +75,14 @@
         };
         let open = heard != Heard::Up && self.is_open(mark);
         if let Some(answer) = answer.filter(|_| !open) {
-            self.day.audit.answered(self.now, mark, &answer);
+            self.day.audit.client_answered(self.now, mark, &answer);
         }
         if !self.day.clients.is_there(mark) {
             return;
         }
         self.day.clients.heard(self.now, mark, heard);
         if heard != Heard::Up {
-            self.day.audit.left(self.now, mark);
+            self.day.audit.client_left(self.now, mark);
             if let Some(ask) = self.asks.remove(&mark) {
                 let r = &self.relays[ask.relay];
                 if let Some(&sess) = r.marks.get(&mark) {
@@ -87,7 +96,7 @@
 
     /// Whether a client has had its `UP`.
     pub(super) fn is_open(&self, mark: u64) -> bool {
-        self.day.audit.is_up(mark)
+        self.day.audit.is_established(mark)
     }
 
     /// A client's connection is over at its relay.
@@ -99,14 +108,14 @@
         if let Some(conn) = line.conn {
             self.later(way, Ev::Closed { conn });
         }
-        self.step(relay, Event::ClientDisconnected { sess });
+        self.step(relay, Event::ClientDisconnected { session_id: sess });
     }
 
     pub(super) fn close_now(&mut self, conn: ConnNo, todo: &mut Todo) {
         let Some(dial) = self.dials.remove(&conn) else { return };
         if dial.there {
             self.day.servers.closed(self.now, conn, &mut todo.told);
-            self.day.audit.dial_over(self.now, dial.mark, dial.server, DialOver::Ran);
+            self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRan);
         }
     }
 
@@ -130,7 +139,7 @@
         let r = &mut self.relays[relay];
         let mark = r.lines.get(&sess).map(|l| l.mark).or(r.past.get(&sess).copied());
         let Some(mark) = mark else { return };
-        let never = Event::DialEnded { sess, dial, end: DialEnd::Unconnected, report: None };
+        let never = Event::DialEnded { session_id: sess, dial, end: DialEnd::Unconnected, report: None };
         if let Some(line) = r.lines.get_mut(&sess) {
             line.dials = dial + 1;
         }
@@ -165,14 +174,19 @@
         let open = self.day.servers.reach(server, relay) == Reach::Open;
         if !open || matches!(d.fault, Some(Fault::ResetBefore | Fault::ResetAfter)) {
             if open && d.fault == Some(Fault::ResetAfter) {
-                self.day.audit.dialled(self.now, self.now, mark, server, relay);
-                self.day.audit.dial_over(self.now, mark, server, DialOver::Ran);
+                self.day.audit.dial_received(
+                    self.now,
+                    &DialReceived { mark, relay, backend: server, first_byte_at: self.now },
+                );
+                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
             }
             return self.dial_ends(conn, way, DialEnd::Reset);
         }
         d.there = true;
         let (ask, fault) = (d.ask.clone(), d.fault);
-        self.day.audit.dialled(self.now, self.now, mark, server, relay);
+        self.day
+            .audit
+            .dial_received(self.now, &DialReceived { mark, relay, backend: server, first_byte_at: self.now });
         if !matches!(fault, Some(Fault::Silence | Fault::HalfLine)) {
             self.day.servers.dialled(self.now, conn, &ask, &mut todo.told);
         }
@@ -186,7 +200,7 @@
         if r.life == d.life && line.conn == Some(conn) {
             line.conn = None;
             let (sess, dial) = (d.sess, d.dial);
-            self.tell(d.relay, after, Event::DialEnded { sess, dial, end, report: None });
+            self.tell(d.relay, after, Event::DialEnded { session_id: sess, dial, end, report: None });
         }
     }
 
@@ -197,7 +211,7 @@
             Told::Reset { conn } => {
                 let Some(d) = self.dials.get(&conn) else { return };
                 let (mark, server, up) = (d.mark, d.server, d.up);
-                self.day.audit.dial_over(self.now, mark, server, DialOver::Ran);
+                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
                 if up {
                     self.open_ends(conn, way, DialEnd::Reset);
                 } else {
@@ -232,25 +246,25 @@
         let alive = self.relays[relay].life == life;
         let mine = alive && self.relays[relay].lines.get(&sess).is_some_and(|l| l.conn == Some(conn));
         let over = match word {
-            Word::Busy => Some(DialOver::Never),
-            Word::Err | Word::Bye | Word::Move => Some(DialOver::Ran),
+            Word::Busy => Some(DialOutcome::NeverRan),
+            Word::Err | Word::Bye | Word::Move => Some(DialOutcome::MayHaveRan),
             Word::Up | Word::Load(_) => None,
         };
         if let Some(over) = over {
-            self.day.audit.dial_over(self.now, mark, server, over);
+            self.day.audit.dial_ended(self.now, mark, server, over);
         }
         if word == Word::Up {
-            self.day.audit.up_said(self.now, mark, server, conn);
+            self.day.audit.session_established(self.now, mark, server, conn);
         }
         if !mine || !heard {
             return;
         }
         match word {
-            Word::Up => self.tell(relay, way, Event::SessionEstablished { sess, dial }),
+            Word::Up => self.tell(relay, way, Event::SessionEstablished { session_id: sess, dial }),
             // Nine of ten lines: told at once, as a way of their own would change nothing but the time it
             // takes.
-            Word::Load(load) if up => self.step(relay, Event::LoadReported { sess, load }),
-            Word::Load(load) => self.tell(relay, way, Event::LoadReported { sess, load }),
+            Word::Load(load) if up => self.step(relay, Event::LoadReported { session_id: sess, load }),
+            Word::Load(load) => self.tell(relay, way, Event::LoadReported { session_id: sess, load }),
             Word::Busy => self.dial_ends(conn, way, DialEnd::Full),
             Word::Err => self.dial_ends(conn, way, DialEnd::Error),
             Word::Bye if up => self.open_ends(conn, way, DialEnd::Ok),
@@ -274,7 +288,7 @@
             return;
         }
         line.over = true;
-        self.tell(d.relay, after, Event::SessionEnded { sess: d.sess, end, report: None });
+        self.tell(d.relay, after, Event::SessionEnded { session_id: d.sess, end, report: None });
         let heard = if end == DialEnd::Ok { Heard::Bye } else { Heard::Moved };
         self.later(after + client_way, Ev::Client { mark: d.mark, heard, receipt: 0 });
     }
@@ -296,7 +310,7 @@
         let life = self.relays[relay].life;
         // One that is doubted may have a message that waits already.
         let waits = if line.doubted { next.saturating_sub(period).max(self.now) } else { next };
-        self.queue.at(waits + patience, Ev::Silent { relay, life, sess, conn });
+        self.queue.schedule(waits + patience, Ev::Silent { relay, life, sess, conn });
     }
 
     pub(super) fn silent(&mut self, relay: usize, sess: SessId, conn: ConnNo) {
@@ -310,7 +324,7 @@
         if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
             (line.open, line.over, line.conn) = (false, true, None);
         }
-        self.step(relay, Event::SessionEnded { sess, end: DialEnd::Reset, report: None });
+        self.step(relay, Event::SessionEnded { session_id: sess, end: DialEnd::Reset, report: None });
         self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
     }
 }
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -1,7 +1,7 @@
 //! The Unix socket over which a process hands over to the next one. It lies in `$TMPDIR` and is open to its
 //! owner alone. A message is a line of JSON; the listening socket goes along with the offer, and a session's
 //! sockets with the session.
-use super::peers::{Out, Sockets};
+use super::processes::{ProcessCommand, SessionHandover, SessionSockets};
 use super::{accept, proxy, Hub};
 use crate::clock::span;
 use crate::lines::sanitize;
@@ -271,7 +271,7 @@
     hub: Hub,
 ) -> impl Future<Output = ()> {
     let (to_peer, outgoing) = mpsc::channel(hub.limits().passing);
-    hub.peers.borrow_mut().insert(peer, to_peer);
+    hub.processes.borrow_mut().insert(peer, to_peer);
     Exchange { peer, stream, listener, hub }.run(outgoing)
 }
 
@@ -284,7 +284,7 @@
 }
 
 impl Exchange {
-    async fn run(self, mut outgoing: mpsc::Receiver<Out>) {
+    async fn run(self, mut outgoing: mpsc::Receiver<ProcessCommand>) {
         let mut incoming = Incoming::default();
         loop {
             let goes_on = tokio::select! {
@@ -293,10 +293,10 @@
                 ready = self.stream.readable() => self.read(ready, &mut incoming).await,
                 out = outgoing.recv() => match out {
                     None => false,
-                    Some(Out::Say(message)) => self.send(&message).await,
-                    Some(Out::Pass(line, sockets, result)) => {
+                    Some(ProcessCommand::Send(message)) => self.send(&message).await,
+                    Some(ProcessCommand::HandOver(SessionHandover { message, sockets, result })) => {
                         let along = [sockets.client.as_fd(), sockets.backend.as_fd()];
-                        let is_sent = send_line(&self.stream, &line, &along, &self.hub).await;
+                        let is_sent = send_line(&self.stream, &message, &along, &self.hub).await;
                         // The task that waits for the result is of this process, and lives.
                         _ = result.send(if is_sent { Ok(()) } else { Err(sockets) });
                         is_sent
@@ -307,7 +307,7 @@
                 break;
             }
         }
-        self.hub.peers.borrow_mut().remove(&self.peer);
+        self.hub.processes.borrow_mut().remove(&self.peer);
         return_sessions(outgoing).await;
         self.hub.tell(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.peer })).await;
     }
@@ -334,7 +334,7 @@
                 Message::Session(session) if self.peer == PREDECESSOR => {
                     let client = incoming.next_socket()?;
                     let backend = incoming.next_socket()?;
-                    adopt(session, Sockets { client, backend }, self.hub.clone());
+                    adopt(session, SessionSockets { client, backend }, self.hub.clone());
                 }
                 message => {
                     let event = OwnershipEvent::Received { peer: self.peer, message };
@@ -356,22 +356,22 @@
 }
 
 /// Sessions that were still to be handed over go back to their tasks.
-async fn return_sessions(mut outgoing: mpsc::Receiver<Out>) {
+async fn return_sessions(mut outgoing: mpsc::Receiver<ProcessCommand>) {
     outgoing.close();
     while let Some(out) = outgoing.recv().await {
-        if let Out::Pass(_, sockets, result) = out {
+        if let ProcessCommand::HandOver(SessionHandover { sockets, result, .. }) = out {
             _ = result.send(Err(sockets));
         }
     }
 }
 
 /// Runs a task for a session of the predecessor.
-fn adopt(session: Box<SessionState>, sockets: Sockets, hub: Hub) {
+fn adopt(session: Box<SessionState>, sockets: SessionSockets, hub: Hub) {
     tokio::task::spawn_local(async move {
-        let (conn, commands) = hub.register();
-        proxy::resume(conn, session, sockets, commands, &hub).await;
-        hub.conns.borrow_mut().remove(&conn);
-        hub.tell(Event::ClientDisconnected { sess: conn }).await;
+        let (connection_id, commands) = hub.register();
+        proxy::resume(connection_id, session, sockets, commands, &hub).await;
+        hub.conns.borrow_mut().remove(&connection_id);
+        hub.tell(Event::ClientDisconnected { session_id: connection_id }).await;
     });
 }
 
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -14,7 +14,7 @@
 mod listener;
 mod membership;
 mod operator;
-mod peers;
+mod processes;
 mod proxy;
 mod read;
 pub mod serve;
@@ -73,8 +73,8 @@
     denials: Rc<dial_permit::DenialCounter>,
     /// When a connection to any server came up last.
     connected_at: Rc<Cell<Micros>>,
-    /// Ways to other processes of this relay.
-    peers: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<peers::Out>>>>,
+    /// Channels to other processes of this relay.
+    processes: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<processes::ProcessCommand>>>>,
     /// As the configuration in force has them.
     tuned: Rc<RefCell<(Rc<Limits>, ReportOrder)>>,
     clock: Clock,
@@ -94,7 +94,7 @@
             leaving: Rc::default(),
             denials: Rc::default(),
             connected_at: Rc::default(),
-            peers: Rc::new(RefCell::new(BTreeMap::new())),
+            processes: Rc::new(RefCell::new(BTreeMap::new())),
             tuned: Rc::new(RefCell::new((Rc::new(limits), order))),
             clock: Clock::anchored(),
             log,
@@ -139,10 +139,10 @@
         Ok(stream)
     }
 
-    fn command(&self, conn: SessId, command: Command) {
-        if let Some(to) = self.conns.borrow().get(&conn) {
+    fn command(&self, connection_id: SessId, command: Command) {
+        if let Some(to) = self.conns.borrow().get(&connection_id) {
             if to.try_send(command).is_err() {
-                slog::debug!(self.log, "a command came too late"; "conn" => conn);
+                slog::debug!(self.log, "a command came too late"; "connection" => connection_id);
             }
         }
     }
