--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -8,7 +8,7 @@
 use hallrelay_balancer::types::{DialEnd, Micros, Phase, ServerId, SessId};
 use hallrelay_config::limits::Limits;
 use hallrelay_config::list::{Instance, List};
-use hallrelay_config::node::{self as config, Node, Told as Given};
+use hallrelay_config::node::{self as config, Node, Overrides as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
 use hallrelay_emulator::audit::{Answer, DialOutcome, DialReceived, RequestSent};
 use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
@@ -285,7 +285,7 @@
             fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
         };
         let text = node::text(&self.day.s, &place, &self.day.servers.endpoints, |i| addr(i).to_string());
-        config::parse(text.to_string().as_bytes(), &Given::default())
+        config::parse(text.to_string().as_bytes(), &Given::default()).map_err(|e| e.to_string())
     }
 
     fn play(mut self, progress: &mut dyn FnMut(f64) -> bool) -> Result<Outcome, String> {
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -7,7 +7,8 @@
 use crate::store_command::{self, StoreCommand};
 use clap::{Parser, Subcommand};
 use hallrelay_config::fleet::FleetConfig;
-use hallrelay_config::node::{self, Node, Told};
+use hallrelay_config::node::{self, Node, Overrides};
+use hallrelay_config::ConfigError;
 use slog::{o, Drain};
 use std::io;
 use std::net::SocketAddr;
@@ -108,13 +109,21 @@
 /// Why a command could not be carried out.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// The configuration can't be read, or a key of it is wrong.
-    #[error("{}: {reason}", path.display())]
+    /// The configuration can't be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The configuration's file.
+        path: PathBuf,
+        /// What the system answered.
+        source: io::Error,
+    },
+    /// The configuration can't be used.
+    #[error("{}: {source}", path.display())]
     Configuration {
         /// The configuration's file.
         path: PathBuf,
-        /// What is wrong with it.
-        reason: String,
+        /// The key at fault, and what was wanted.
+        source: ConfigError,
     },
     /// The async runtime does not start.
     #[error("the runtime does not start: {0}")]
@@ -128,8 +137,8 @@
 }
 
 impl RunArgs {
-    fn overrides(&self) -> Told {
-        Told {
+    fn overrides(&self) -> Overrides {
+        Overrides {
             name: self.name.clone(),
             listen: self.listen.clone(),
             discovery: self.discovery.clone(),
@@ -137,10 +146,11 @@
         }
     }
 
-    fn read(&self, overrides: &Told) -> Result<Node, CliError> {
-        let error = |reason: String| CliError::Configuration { path: self.config.clone(), reason };
-        let text = std::fs::read(&self.config).map_err(|e| error(e.to_string()))?;
-        node::parse(&text, overrides).map_err(error)
+    fn read(&self, overrides: &Overrides) -> Result<Node, CliError> {
+        let path = || self.config.clone();
+        let text =
+            std::fs::read(&self.config).map_err(|source| CliError::Unreadable { path: path(), source })?;
+        node::parse(&text, overrides).map_err(|source| CliError::Configuration { path: path(), source })
     }
 }
 
@@ -179,7 +189,7 @@
     signals::block();
     let node = run_args.read(&run_args.overrides())?;
     let log = logger(verbose, node.limits.log_lines);
-    let at_reload = run_args.overrides().again();
+    let at_reload = run_args.overrides().for_reload();
     let read_configuration = move || run_args.read(&at_reload);
     let serving = serve::run(node, read_configuration, log);
     LocalSet::new().block_on(&runtime()?, serving).map_err(CliError::Serve)?;
