--- /dev/null
+++ b/relay/src/net/effect_runner.rs
@@ -0,0 +1,374 @@
+//! Carries out the reducer's effects: commands to connections, timers, health checks, watches, the store, other processes
+//! and operators' replies.
+use super::dial_permit::DialConditions;
+use super::membership::MembershipSockets;
+use super::operator::OperatorCall;
+use super::processes::ProcessCommand;
+use super::state_store::StateStore;
+use super::{discovery, health_check, hot_restart, Command, Hub};
+use crate::lines;
+use crate::reducer::{Effect, Event, OperatorReply, Timer};
+use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_hot_restart::{Message, PeerId};
+use hallrelay_membership::Effect as MembershipEffect;
+use hallrelay_recovery::Record;
+use hallrelay_store::writer::WriterHealth;
+use std::collections::{BTreeMap, VecDeque};
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::AbortHandle;
+
+/// When a timer expires, and its place among those of the same moment.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    at: Micros,
+    number: u64,
+}
+
+/// A dial that waits until a record is durable.
+struct WaitingDial {
+    /// The record's number in the store.
+    ticket: u64,
+    /// It waits no longer than this: service does not depend on a disk.
+    until: Micros,
+    session_id: SessId,
+    command: Command,
+}
+
+/// A write of the voter that is not durable yet.
+struct PendingVoterWrite {
+    /// The number of its last record in the store.
+    ticket: u64,
+    voter_start: u32,
+    number: u64,
+}
+
+/// Where the next process may connect, and the listener that it is offered.
+pub(super) struct TakeoverListener {
+    pub path: PathBuf,
+    pub listener: Rc<TcpListener>,
+    /// The task that accepts processes, while it runs.
+    pub task: Option<AbortHandle>,
+}
+
+/// What carrying out effects needs to know.
+pub(super) struct EffectRunner {
+    hub: Hub,
+    timers: BTreeMap<TimerKey, Timer>,
+    /// The last number that was given to a timer or an operator's call.
+    last_number: u64,
+    health_checks: BTreeMap<ServerId, mpsc::Sender<SocketAddr>>,
+    watches: BTreeMap<u32, AbortHandle>,
+    /// Operators' calls that are not answered yet.
+    calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
+    /// Whether clients' connections are accepted here.
+    accepting: watch::Sender<bool>,
+    takeover: Option<TakeoverListener>,
+    membership_sockets: Option<MembershipSockets>,
+    state_store: Option<StateStore>,
+    /// By session the record that its next dial waits for.
+    records_before_dials: BTreeMap<SessId, u64>,
+    waiting_dials: VecDeque<WaitingDial>,
+    pending_voter_writes: VecDeque<PendingVoterWrite>,
+    exit: Option<io::Result<()>>,
+}
+
+impl EffectRunner {
+    pub fn new(
+        hub: Hub,
+        accepting: watch::Sender<bool>,
+        takeover: Option<TakeoverListener>,
+        membership_sockets: Option<MembershipSockets>,
+        state_store: Option<StateStore>,
+    ) -> EffectRunner {
+        EffectRunner {
+            hub,
+            timers: BTreeMap::new(),
+            last_number: 0,
+            health_checks: BTreeMap::new(),
+            watches: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            accepting,
+            takeover,
+            membership_sockets,
+            state_store,
+            records_before_dials: BTreeMap::new(),
+            waiting_dials: VecDeque::new(),
+            pending_voter_writes: VecDeque::new(),
+            exit: None,
+        }
+    }
+
+    /// Whether the process is to end, and how.
+    pub fn take_exit(&mut self) -> Option<io::Result<()>> {
+        self.exit.take()
+    }
+
+    /// Whether the process goes on.
+    pub fn is_running(&self) -> bool {
+        self.exit.is_none()
+    }
+
+    /// When a timer expires or a dial has waited long enough, whichever is first.
+    pub fn next_wake(&self) -> Micros {
+        let timer = self.timers.first_key_value().map_or(Micros::MAX / 2, |(key, _)| key.at);
+        self.waiting_dials.front().map_or(timer, |dial| dial.until.min(timer))
+    }
+
+    /// Removes the next timer that has expired by now.
+    pub fn expired_timer(&mut self, now: Micros) -> Option<Timer> {
+        let first = self.timers.first_entry().filter(|first| first.key().at <= now)?;
+        Some(first.remove())
+    }
+
+    /// Keeps where an operator's reply goes; the event for the reducer.
+    pub fn register_call(&mut self, call: OperatorCall) -> Event {
+        self.last_number += 1;
+        let id = self.last_number as u32;
+        self.calls.insert(id, call.reply);
+        Event::OperatorCall { call: id, request: call.request }
+    }
+
+    /// Logs how writing to the store goes; the event for the reducer.
+    pub fn store_health_changed(&mut self, health: WriterHealth) -> Event {
+        if let Some(error) = &health.last_error {
+            slog::warn!(self.hub.log, "the state can't be written"; "error" => error);
+        }
+        Event::StoreHealth(Box::new(health))
+    }
+
+    /// The event for a write of the voter that has become durable.
+    pub fn durable_voter_write(&mut self) -> Option<Event> {
+        let durable = self.state_store.as_ref()?.durable_ticket();
+        let write = self.pending_voter_writes.pop_front_if(|write| write.ticket <= durable)?;
+        Some(Event::VoterWritesDurable { voter_start: write.voter_start, number: write.number })
+    }
+
+    /// Sends the dials whose record is settled, or that have waited long enough.
+    pub fn send_waiting_dials(&mut self, now: Micros) {
+        let Some(store) = &self.state_store else { return };
+        let is_ready = |dial: &mut WaitingDial| dial.until <= now || store.is_settled(dial.ticket);
+        while let Some(dial) = self.waiting_dials.pop_front_if(&is_ready) {
+            self.hub.command(dial.session_id, dial.command);
+        }
+    }
+
+    /// Carries out effects in their order.
+    pub fn carry_out_all(&mut self, effects: &mut Vec<Effect>) {
+        for effect in effects.drain(..) {
+            slog::trace!(self.hub.log, "effect"; "what" => ?effect);
+            self.carry_out(effect);
+        }
+    }
+
+    /// Ends what outlives the loop: the path at which nobody answers any more, and the store.
+    pub fn finish(&mut self) {
+        if let Some(takeover) = self.takeover.take().filter(|takeover| takeover.task.is_some()) {
+            _ = std::fs::remove_file(takeover.path);
+        }
+        self.state_store.iter_mut().for_each(StateStore::finish);
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Pong { connection_id } => self.hub.command(connection_id, Command::Pong(lines::PONG)),
+            Effect::RejectPing { connection_id } => {
+                self.hub.command(connection_id, Command::Pong(lines::BUSY));
+            }
+            Effect::Reply { call, reply } => self.reply(call, reply),
+            Effect::SetDraining { server, draining } => self.set_draining(server, draining),
+            Effect::Dial { session_id, dial, server, addr, timeout, start_within } => {
+                let conditions = DialConditions { server, start_by: self.hub.clock.now() + start_within };
+                self.dial(session_id, Command::Dial { dial, addr, timeout, conditions });
+            }
+            Effect::StartProxying { session_id } => self.hub.command(session_id, Command::StartProxying),
+            Effect::Reject { session_id, retry_after } => {
+                self.final_answer(session_id, lines::busy(retry_after / 1000));
+            }
+            Effect::TearDown { session_id } => self.final_answer(session_id, lines::FAIL.to_vec()),
+            Effect::Migrate { session_id } => self.hub.command(session_id, Command::Migrate),
+            Effect::HandOverSession { session_id, peer, state } => {
+                self.hub.command(session_id, Command::HandOver(peer, state));
+            }
+            Effect::ReportProtocolError { connection_id } => {
+                self.hub.command(connection_id, Command::FinalAnswer(lines::ERROR.to_vec()));
+            }
+            Effect::ShedConnection { connection_id } => self.hub.command(connection_id, Command::Shed),
+            Effect::SetSuspect { session_id, suspect } => {
+                self.hub.command(session_id, Command::SetSuspect(suspect));
+            }
+            Effect::CloseClient { session_id } => {
+                self.cancel_waiting_dial(session_id);
+                self.hub.command(session_id, Command::Close);
+            }
+            Effect::HealthCheck { server, addr } => self.check_health(server, addr),
+            Effect::ForgetServer { server } => _ = self.health_checks.remove(&server),
+            Effect::WatchEndpoints { watch, addr, since } => self.watch_endpoints(watch, addr, since),
+            Effect::StopWatch { watch } => _ = self.watches.remove(&watch).inspect(AbortHandle::abort),
+            Effect::ApplyTuning { limits, order } => {
+                *self.hub.tuning.borrow_mut() = (Rc::new(*limits), order);
+            }
+            Effect::KeyUnchanged { key } => {
+                slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
+            }
+            Effect::StartTimer { after, timer } => self.start_timer(after, timer),
+            Effect::SetAccepting { accepting } => _ = self.accepting.send(accepting),
+            Effect::SendToProcess { peer, message } => self.send_to_process(peer, message),
+            // What was sent before goes out first.
+            Effect::DisconnectProcess { peer } => _ = self.hub.processes.borrow_mut().remove(&peer),
+            Effect::SetTakeoverListener { open: true } => self.open_takeover_listener(),
+            Effect::SetTakeoverListener { open: false } => self.stop_takeover_listener(),
+            Effect::Persist { record, before } => self.persist(record, before),
+            Effect::PersistVoterWrites { voter_start, number, records } => {
+                self.persist_voter_writes(voter_start, number, records);
+            }
+            Effect::SetStoreOwnership { owned: true } => self.open_store(),
+            Effect::SetStoreOwnership { owned: false } => {
+                self.state_store.iter_mut().for_each(StateStore::close);
+            }
+            Effect::Membership(effect) => self.carry_out_membership(effect),
+            Effect::Log { message } => slog::info!(self.hub.log, "{}", message),
+            Effect::Abort { reason } => {
+                let reason = format!("the running process keeps its place: {reason}");
+                self.exit = Some(Err(io::Error::other(reason)));
+            }
+            Effect::Exit => self.exit = Some(Ok(())),
+        }
+    }
+
+    fn reply(&mut self, call: u32, mut reply: OperatorReply) {
+        if let OperatorReply::Metrics(metrics) = &mut reply {
+            metrics.denials = self.hub.denials.counts();
+        }
+        // The caller may be gone by now.
+        _ = self.calls.remove(&call).map(|caller| caller.send(reply));
+    }
+
+    fn set_draining(&self, server: ServerId, draining: bool) {
+        let mut all = self.hub.draining.borrow_mut();
+        if draining {
+            all.insert(server);
+        } else {
+            all.remove(&server);
+        }
+    }
+
+    /// Sends a dial, once the record that it waits for is durable.
+    fn dial(&mut self, session_id: SessId, command: Command) {
+        let ticket = self.records_before_dials.remove(&session_id);
+        let is_pending = |ticket: &u64| self.state_store.as_ref().is_some_and(|s| !s.is_settled(*ticket));
+        match ticket.filter(is_pending) {
+            Some(ticket) => {
+                let until = self.hub.clock.now() + self.hub.limits().state_wait;
+                self.waiting_dials.push_back(WaitingDial { ticket, until, session_id, command });
+            }
+            None => self.hub.command(session_id, command),
+        }
+    }
+
+    /// Sends a final answer, after which nothing is sent for the session.
+    fn final_answer(&mut self, session_id: SessId, line: Vec<u8>) {
+        self.cancel_waiting_dial(session_id);
+        self.hub.command(session_id, Command::FinalAnswer(line));
+    }
+
+    fn cancel_waiting_dial(&mut self, session_id: SessId) {
+        self.waiting_dials.retain(|dial| dial.session_id != session_id);
+    }
+
+    fn check_health(&mut self, server: ServerId, addr: SocketAddr) {
+        let keep = self.health_checks.len() < self.hub.limits().probes;
+        let requests = self.health_checks.entry(server).or_insert_with(|| {
+            // The balancer asks for one check of a server at a time.
+            let (to, requests) = mpsc::channel(1);
+            tokio::task::spawn_local(health_check::run(server, keep, requests, self.hub.clone()));
+            to
+        });
+        if requests.try_send(addr).is_err() {
+            slog::warn!(self.hub.log, "a health check was requested while one is out"; "server" => server);
+        }
+    }
+
+    fn watch_endpoints(&mut self, watch: u32, addr: SocketAddr, since: Option<u64>) {
+        let task = discovery::run(watch, addr, since, self.hub.clone());
+        self.watches.insert(watch, tokio::task::spawn_local(task).abort_handle());
+    }
+
+    fn start_timer(&mut self, after: Micros, timer: Timer) {
+        self.last_number += 1;
+        let key = TimerKey { at: self.hub.clock.now() + after, number: self.last_number };
+        self.timers.insert(key, timer);
+    }
+
+    fn send_to_process(&self, peer: PeerId, message: Message) {
+        let processes = self.hub.processes.borrow();
+        let command = ProcessCommand::Send(message);
+        if processes.get(&peer).is_none_or(|process| process.try_send(command).is_err()) {
+            slog::warn!(self.hub.log, "a message to another process was dropped"; "peer" => peer);
+        }
+    }
+
+    fn open_takeover_listener(&mut self) {
+        let Some(takeover) = &mut self.takeover else { return };
+        let path = takeover.path.clone();
+        let accept = hot_restart::accept_processes(path, takeover.listener.clone(), self.hub.clone());
+        let task = tokio::task::spawn_local(accept).abort_handle();
+        takeover.task.replace(task).inspect(AbortHandle::abort);
+    }
+
+    /// Stops accepting processes. The path is the other process's to take.
+    fn stop_takeover_listener(&mut self) {
+        let task = self.takeover.as_mut().and_then(|takeover| takeover.task.take());
+        task.inspect(AbortHandle::abort);
+    }
+
+    fn persist(&mut self, record: Record, before: Option<SessId>) {
+        let ticket = self.state_store.as_ref().and_then(|store| store.persist(record));
+        if let (Some(session_id), Some(ticket)) = (before, ticket) {
+            self.records_before_dials.insert(session_id, ticket);
+        }
+    }
+
+    fn persist_voter_writes(&mut self, voter_start: u32, number: u64, records: Vec<Record>) {
+        let Some(store) = &self.state_store else { return };
+        let tickets: Vec<Option<u64>> = records.into_iter().map(|record| store.persist(record)).collect();
+        // A record that is not taken is never reported as durable: the voter waits, and votes no more.
+        if let Some(tickets) = tickets.into_iter().collect::<Option<Vec<u64>>>() {
+            let ticket = tickets.into_iter().max().unwrap_or(0);
+            self.pending_voter_writes.push_back(PendingVoterWrite { ticket, voter_start, number });
+        }
+    }
+
+    /// Opens the store as this process's own. Most of what it holds this process knows by now.
+    fn open_store(&mut self) {
+        let Some(store) = &mut self.state_store else { return };
+        let opened = store.open();
+        let hub = self.hub.clone();
+        tokio::task::spawn_local(async move {
+            if let Ok(stored) = opened.await {
+                hub.notify(Event::StoreReopened(Box::new(stored))).await;
+            }
+        });
+    }
+
+    fn carry_out_membership(&mut self, effect: MembershipEffect) {
+        let Some(sockets) = &mut self.membership_sockets else { return };
+        match effect {
+            MembershipEffect::SetListening { enabled } => sockets.set_listening(enabled),
+            MembershipEffect::SendDatagram { to, bytes } => sockets.send_datagram(to, &bytes),
+            MembershipEffect::OpenStream { to, bytes } => sockets.open_stream(to, bytes),
+            MembershipEffect::ReplyOnStream { stream, bytes } => sockets.reply(stream, bytes),
+            // The reducer has carried these out.
+            MembershipEffect::SetTimer { .. }
+            | MembershipEffect::Log { .. }
+            | MembershipEffect::MemberChanged { .. }
+            | MembershipEffect::EndpointListRequested { .. }
+            | MembershipEffect::EndpointListReceived { .. }
+            | MembershipEffect::UserMessageReceived { .. } => {}
+        }
+    }
+}
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -8,6 +8,7 @@
 mod dial;
 pub mod dial_permit;
 mod discovery;
+mod effect_runner;
 mod first_line;
 mod health_check;
 mod hot_restart;
