--- a/balancer/tests/decisions_trace.rs
+++ b/balancer/tests/decisions_trace.rs
@@ -1,7 +1,7 @@
-//! Every decision of a seeded run, pinned: ten sites of one relay each, two thousand inputs of all kinds to each.
-//! What an input leads to is added, number by number, to a hash that `fixtures/decisions.txt` has after each
-//! hundred inputs, so a decision that changes is found and located. The inputs answer the effects, as servers
-//! would: a changed decision changes all that follows in its site.
+//! Every decision of a seeded run, pinned: ten sites of one relay each, two thousand inputs of all kinds to
+//! each. What an input leads to is added, number by number, to a hash that `fixtures/decisions.txt` has after
+//! each hundred inputs, so a decision that changes is found and located. The inputs answer the effects, as
+//! servers would: a changed decision changes all that follows in its site.
 //!
 //! A line of the fixture: site, inputs so far, the hash, then how many effects of each kind there were.
 use hallrelay_balancer::types::*;
--- a/emulator/src/list.rs
+++ b/emulator/src/list.rs
@@ -86,7 +86,8 @@
         EndpointList::new(self.identities.clone()).json(true, &all, addr)
     }
 
-    /// Some backends in discovery's JSON; `reset` where they are the whole list. Addresses may differ by relay.
+    /// Some backends in discovery's JSON; `reset` where they are the whole list. Addresses may differ by
+    /// relay.
     pub fn json(&self, reset: bool, backends: &[usize], addr: impl Fn(usize) -> String) -> Value {
         let instance = |&i: &usize| {
             let entry = self.entry(i);
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -356,8 +356,8 @@
     }
 }
 
-/// A port that is free on an address, of those that the system gives to nobody by itself: one of its own choice
-/// could be taken by any client's connection while its server is down.
+/// A port that is free on an address, of those that the system gives to nobody by itself: one of its own
+/// choice could be taken by any client's connection while its server is down.
 pub fn free_port(ip: Ipv4Addr) -> Result<SocketAddr, String> {
     const FIRST: u64 = 10_000;
     const COUNT: u64 = 20_000;
--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -92,7 +92,8 @@
     pub log: Vec<Mark>,
     pub samples: Vec<Sample>,
     pub servers: Vec<String>,
-    /// What the machine had to do with it: relays' CPU seconds and most resident bytes, how late the clock ran.
+    /// What the machine had to do with it: relays' CPU seconds and most resident bytes, how late the clock
+    /// ran.
     pub relays: Vec<RelayFigures>,
     pub late_ms: f64,
     pub bad_clients: BadFigures,
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -1,5 +1,5 @@
-//! The state machine of a hot restart, played as text: lines of events, and the actions that must follow behind
-//! `=>`. And the messages: what is read back, and what is rejected.
+//! The state machine of a hot restart, played as text: lines of events, and the actions that must follow
+//! behind `=>`. And the messages: what is read back, and what is rejected.
 use hallrelay_hot_restart::codec::MAX_MESSAGE_BYTES;
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -140,7 +140,8 @@
 
 const BUILT_IN: &str = include_str!("../../deploy/example/scenarios/calm-then-crash.toml");
 
-/// How a run of the program ends: 0 all is well, 1 a rule is broken or a relay crashed, 2 it could not be done.
+/// How a run of the program ends: 0 all is well, 1 a rule is broken or a relay crashed, 2 it could not be
+/// done.
 enum End {
     Well,
     Broken,
--- a/lab/src/pairs.rs
+++ b/lab/src/pairs.rs
@@ -1,4 +1,5 @@
-//! Paired comparison: what two builds or two configurations make of the same days, by ratio, with an interval.
+//! Paired comparison: what two builds or two configurations make of the same days, by ratio, with an
+//! interval.
 use hallrelay_emulator::service::Outcome;
 use serde::Serialize;
 use std::fmt::Write;
--- a/lab/src/virt/outs.rs
+++ b/lab/src/virt/outs.rs
@@ -1,4 +1,5 @@
-//! An operator who wants relays out and asks till each is let out, and the count of who is away, from outside.
+//! An operator who wants relays out and asks till each is let out, and the count of who is away, from
+//! outside.
 use super::*;
 use hallrelay_emulator::service::Outs;
 use hallrelay_relay::reducer::{DrainRequest, OperatorReply, OperatorRequest};
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -1,5 +1,5 @@
-//! Drains that are agreed, in virtual time, with voters killed, stalled and cut off: the count from outside, and
-//! a relay that takes no notice of what is agreed, which that count is to see.
+//! Drains that are agreed, in virtual time, with voters killed, stalled and cut off: the count from outside,
+//! and a relay that takes no notice of what is agreed, which that count is to see.
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_config::scenario::{self, Scenario};
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -196,8 +196,8 @@
     Ok(0)
 }
 
-/// The log, on standard error. `verbose` counts the flags `-v`; a thread of its own writes at most `max_lines` behind,
-/// and lines beyond are dropped and counted.
+/// The log, on standard error. `verbose` counts the flags `-v`; a thread of its own writes at most
+/// `max_lines` behind, and lines beyond are dropped and counted.
 fn logger(verbose: u8, max_lines: usize) -> slog::Logger {
     let level = match verbose {
         0 => slog::Level::Info,
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures in the words and the form that operators read: a line each, `NAME:VALUE|KIND`.
+//! The text of `/v1/metrics`: a line `NAME:VALUE|KIND` for each metric, `c` for counters and `g` for gauges.
 use crate::lines::sanitize;
 use crate::reducer::Metrics;
 use hallrelay_membership::MemberState;
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -1,5 +1,5 @@
-//! Carries out the reducer's effects: commands to connections, timers, health checks, watches, the store, other processes
-//! and operators' replies.
+//! Carries out the reducer's effects: commands to connections, timers, health checks, watches, the store,
+//! other processes and operators' replies.
 use super::dial_permit::DialConditions;
 use super::membership::MembershipSockets;
 use super::operator::OperatorCall;
@@ -152,7 +152,7 @@
     pub fn send_waiting_dials(&mut self, now: Micros) {
         let Some(store) = &self.state_store else { return };
         let is_ready = |dial: &mut WaitingDial| dial.until <= now || store.is_settled(dial.ticket);
-        while let Some(dial) = self.waiting_dials.pop_front_if(&is_ready) {
+        while let Some(dial) = self.waiting_dials.pop_front_if(is_ready) {
             self.hub.command(dial.session_id, dial.command);
         }
     }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -1,7 +1,8 @@
 //! The tasks that carry out what the reducer asks for; they own sockets and decide nothing.
 //!
-//! A connection goes through `accept`, `first_line`, `await_answer` with `dial`, `proxy` and `close`. Beside it run
-//! `health_check`, `discovery`, `operator`, `membership`, `hot_restart` and `signals`. `serve` runs the reducer.
+//! A connection goes through `accept`, `first_line`, `await_answer` with `dial`, `proxy` and `close`. Beside
+//! it run `health_check`, `discovery`, `operator`, `membership`, `hot_restart` and `signals`. `serve` runs
+//! the reducer.
 mod accept;
 mod await_answer;
 mod close;
@@ -69,7 +70,8 @@
     Shed,
 }
 
-/// What all tasks share: channels to the reducer and from it, limits, time and the log. It holds no state of sessions.
+/// What all tasks share: channels to the reducer and from it, limits, time and the log. It holds no state of
+/// sessions.
 #[derive(Clone)]
 struct Hub {
     events: mpsc::Sender<Event>,
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -17,8 +17,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, timeout};
 
-/// Connections that the system holds until they are accepted: a wave of clients that return at once, and operators behind
-/// it, must not have to wait for their own next attempt.
+/// Connections that the system holds until they are accepted: a wave of clients that return at once, and
+/// operators behind it, must not have to wait for their own next attempt.
 const BACKLOG: u32 = 1024;
 
 /// Serves until a stop was requested and all sessions are gone.
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -1,7 +1,8 @@
-//! Clients' connections that are no session: their first line is awaited, or their final answer is being sent.
+//! Clients' connections that are no session: their first line is awaited, or their final answer is being
+//! sent.
 //!
-//! Sessions and these share the places that the limits allow. Where there is none left, clients that connect and stay
-//! silent must not keep others out.
+//! Sessions and these share the places that the limits allow. Where there is none left, clients that connect
+//! and stay silent must not keep others out.
 use super::{Effect, Reducer};
 use hallrelay_balancer::types::SessId;
 
@@ -23,8 +24,8 @@
         self.idle_connections.retain(|idle| idle.id != id);
     }
 
-    /// A client connected. Where that is one too many, the longest silent connection is shed, or else the one whose
-    /// first line has paused longest.
+    /// A client connected. Where that is one too many, the longest silent connection is shed, or else the one
+    /// whose first line has paused longest.
     pub(super) fn client_connected(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
         self.add_idle_connection(connection_id);
         let remaining = self.predecessor_remaining.connections as usize;
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -5,8 +5,8 @@
 /// Backends report message delays once in this time on a session; loads come at other times.
 const DELAY_REPORT_INTERVAL: Micros = 1_000_000;
 
-/// How far a report may be off that interval and still count as a delay: a busy relay reads a little late, and with more
-/// load reports would count.
+/// How far a report may be off that interval and still count as a delay: a busy relay reads a little late,
+/// and with more load reports would count.
 const DELAY_REPORT_TOLERANCE: Micros = 5_000;
 
 /// Message latency is reported to the balancer at most once in this time for each server.
@@ -19,8 +19,8 @@
 const LATENCY_OBJECTIVE_DIVISOR: Micros = 3;
 
 impl Reducer {
-    /// A value that a backend reported within a session. Backends use one word for a session's load and for its message
-    /// delay in milliseconds: a value that comes one interval after the last is a delay.
+    /// A value that a backend reported within a session. Backends use one word for a session's load and for
+    /// its message delay in milliseconds: a value that comes one interval after the last is a delay.
     pub(super) fn load_reported(&mut self, session_id: SessId, load: f64, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get_mut(&session_id) else { return };
         let last = s.last_load_at.replace(self.now);
@@ -37,8 +37,8 @@
         self.step_balancer(input, out);
     }
 
-    /// A message of a session took this long. The balancer is told while a server's messages are slow, and once more when
-    /// that is over.
+    /// A message of a session took this long. The balancer is told while a server's messages are slow, and
+    /// once more when that is over.
     pub(super) fn latency_measured(&mut self, session_id: SessId, time: Micros, out: &mut Vec<Effect>) {
         let Some(server) = self.sessions[&session_id].server else { return };
         let Some(v) = self.servers.get_mut(&server) else { return };
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -63,7 +63,7 @@
                 self.begin_to_speak_for_relay(out);
                 out.push(Effect::SetTakeoverListener { open: true });
             }
-            OwnershipAction::Abort { reason } => out.push(Effect::Abort { reason: reason }),
+            OwnershipAction::Abort { reason } => out.push(Effect::Abort { reason }),
             OwnershipAction::PredecessorRemaining { connections, sessions } => {
                 self.predecessor_remaining = Remaining { connections, sessions };
                 if connections == 0 {
--- a/relay/src/reducer/metrics.rs
+++ b/relay/src/reducer/metrics.rs
@@ -1,19 +1,22 @@
-//! What operators are told in numbers: counted where the state changes, read as a whole.
+//! The metrics of this process: counted where the state changes, read as a whole.
 use super::{MembershipMetrics, Reducer};
 use crate::net::dial_permit::Denials;
 use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What became of one listener's sessions. Each that is taken ends in exactly one of the others, or waits.
+/// The outcomes of one listener's sessions. Each that is taken ends in exactly one of the others, or waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcomes {
+    /// Requested.
     pub taken: u64,
-    /// Brought up, refused, and given any other answer, or none in time.
+    /// Established.
     pub passed: u64,
+    /// Rejected.
     pub dropped: u64,
+    /// Failed, or not answered in time.
     pub failed: u64,
-    /// The client left, or spoilt it, before its answer.
+    /// The client left, or violated the protocol, before its answer.
     pub abandoned: u64,
 }
 
@@ -21,17 +24,21 @@
 pub struct Metrics {
     /// By the listener's name; what a listener counted stays when it is dropped.
     pub listeners: BTreeMap<Rc<str>, Outcomes>,
-    /// Dials whose line was written whole.
+    /// Dials whose first line was written.
     pub tries: u64,
-    /// Configurations used and not used, after the first.
+    /// Reloads of the configuration.
     pub loads: u64,
+    /// Reloads whose configuration was invalid.
     pub load_errors: u64,
     /// Dials that were not begun, since a rule did not hold any more as they were to begin.
     pub denials: Denials,
-    /// Of this moment: sessions, those without an answer, servers that the list names, those avoided.
+    /// Sessions now.
     pub in_progress: usize,
+    /// Sessions that wait for their final answer now.
     pub waiting: usize,
+    /// Backends that the endpoint list names now.
     pub known: usize,
+    /// Backends among them that get sessions only where there is no other.
     pub avoided: usize,
     /// Of the other relays; none where this one is told of none.
     pub membership: Option<Box<MembershipMetrics>>,
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,14 +1,14 @@
-//! The reducer owns all state of a relay: [`Reducer::step`] takes an event and appends effects, which the tasks of
-//! `net` carry out.
+//! The reducer owns all state of a relay: [`Reducer::step`] takes an event and appends effects, which the
+//! tasks of `net` carry out.
 //!
-//! It reads no clock, no socket and no unseeded chance, so the same events give the same effects. Load-balancing
-//! decisions are the balancer's; the reducer turns events into its inputs and its effects into dials, answers and timers.
+//! It reads no clock, no socket and no unseeded chance, so the same events give the same effects.
+//! Load-balancing decisions are the balancer's; the reducer turns events into its inputs and its effects into
+//! dials, answers and timers.
 //!
-//! Four rules hold at all times:
-//! 1. Each session gets exactly one final answer in its time, and nothing after it.
-//! 2. No effect happens twice: what may run once only is retried or rejected only where no earlier attempt can have run.
-//! 3. Nothing new goes to a backend later than the drain grace after this relay was notified that it drains or is gone.
-//! 4. All relays together do not overload a backend in slow start.
+//! Four rules hold at all times: 1. Each session gets exactly one final answer in its time, and nothing after
+//! it. 2. No effect happens twice: what may run once only is retried or rejected only where no earlier
+//! attempt can have run. 3. Nothing new goes to a backend later than the drain grace after this relay was
+//! notified that it drains or is gone. 4. All relays together do not overload a backend in slow start.
 //!
 //! A relay that hears nobody never becomes bolder by it.
 mod balancer_effects;
@@ -95,7 +95,8 @@
     ids: BTreeMap<String, ServerId>,
     /// Servers that nothing new may be sent to, as the tasks know it.
     draining: BTreeSet<ServerId>,
-    /// The version of the endpoint list that was received last; `None` from a discovery that has not answered yet.
+    /// The version of the endpoint list that was received last; `None` from a discovery that has not answered
+    /// yet.
     list_version: Option<u64>,
     watch: EndpointWatch,
     /// Clients' connections that are no session, the least recently active one first.
@@ -210,7 +211,8 @@
         self.begin_ownership(out);
     }
 
-    /// Takes one event at `now`, in microseconds and never earlier than the last; appends its effects to `out`.
+    /// Takes one event at `now`, in microseconds and never earlier than the last; appends its effects to
+    /// `out`.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,23 +1,30 @@
-//! The servers that the list names, what is known of them by probes, and when they are forgotten.
+//! The backends of the endpoint list: what the list and health checks tell of them, and when they are
+//! forgotten.
 use super::{log, Effect, LatencyReport, Reducer, Server, SessionStage};
 use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::SessionCounts;
 use std::collections::BTreeMap;
 
+/// Health checks in a row without an answer after which a backend is suspect; one may be lost to a busy
+/// moment.
+const SUSPECT_AFTER_MISSES: u32 = 2;
+
+/// How late discovery may notice and report a start: some ten seconds, and more where it is slow.
+const MAX_START_REPORT_DELAY: Micros = 60_000_000;
+
 impl Reducer {
-    /// Guards sessions on a machine that vanished unsaid: each would find out by a message of its own.
+    /// A health check ended. Where several in a row get no answer, the sessions there are told that their
+    /// backend is suspect: otherwise each would find out by a message of its own.
     pub(super) fn health_check_ended(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
-        // One may be lost to a busy moment.
-        const MISSES: u32 = 2;
         self.observe_contact(Some(server), end, out);
         let Some(v) = self.servers.get_mut(&server) else { return };
         v.health_check_pending = false;
         let missed = matches!(end, DialEnd::Timeout | DialEnd::Unconnected);
         let before = v.consecutive_misses;
         v.consecutive_misses = if missed { before + 1 } else { 0 };
-        let suspect = v.consecutive_misses >= MISSES;
-        if suspect != (before >= MISSES) {
+        let suspect = v.consecutive_misses >= SUSPECT_AFTER_MISSES;
+        if suspect != (before >= SUSPECT_AFTER_MISSES) {
             let there = self
                 .sessions
                 .iter()
@@ -34,8 +41,8 @@
         let mut instances = list.instances;
         if !list.odd.is_empty() {
             log(format!("{} entries of the list can't be read", list.odd.len()), out);
-            // Whatever such an entry says, nothing new goes where it may say to leave; a whole list has done
-            // so.
+            // Such an entry may say that the server drains, so nothing new goes there. A whole list has that
+            // effect anyway.
             let held = list.odd.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
             let there = held.map(|v| &v.instance).filter(|told| told.phase == Phase::Ready);
             instances.extend(there.map(|told| Instance { phase: Phase::Draining, ..told.clone() }));
@@ -47,11 +54,11 @@
         self.answer_pings(out);
     }
 
-    /// Tells the tasks which servers are to be left from now on, before anything is decided by it.
+    /// Tells the tasks which servers drain from now on, before anything is decided by the list.
     fn announce_draining(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Effect>) {
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
         if update == ListUpdate::Snapshot {
-            // Those that the list does not name have left.
+            // Servers that a whole list does not name are removed.
             named.extend(self.servers.iter().map(|(&server, v)| (server, v.instance.phase != Phase::Ready)));
         }
         named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
@@ -91,14 +98,12 @@
         Endpoint { server, phase, started_at: started, zone, cell: one.cell }
     }
 
-    /// When a server started, by this process' clock. The list's times are of another machine's wall clock,
-    /// and either clock may have been set: a start that lies ahead is none of this clock's, nor is one of a
-    /// server that a change names first which lies long before the list that did not name it. Such a server
-    /// counts as started now, since it may be cold. (A whole list may name what started at any time.)
+    /// When a server started, by this process' clock; 0 is long ago.
+    ///
+    /// The list has times of another machine's wall clock, and either clock may have been set. A server counts
+    /// as started now, since it may be warming up, where the list's time lies ahead of this clock, or where a
+    /// change of the list names the server first and its start lies long before the list that did not name it.
     fn local_start(&self, server: ServerId, came_up: Micros, update: ListUpdate) -> Micros {
-        // Discovery notices a start late, by some ten seconds at most, and tells it later still where it is
-        // slow.
-        const LATE: Micros = 60_000_000;
         if came_up == 0 {
             return 0;
         }
@@ -108,7 +113,7 @@
         }
         let ahead = came_up > self.now;
         let before = self.discovery_contacted_before.filter(|_| update == ListUpdate::Delta);
-        let long_ago = before.is_some_and(|then| came_up.saturating_add(LATE) < then);
+        let long_ago = before.is_some_and(|then| came_up.saturating_add(MAX_START_REPORT_DELAY) < then);
         if ahead || long_ago {
             self.now
         } else {
@@ -116,7 +121,8 @@
         }
     }
 
-    /// What is gone is forgotten once nothing names it, or a long life would gather all there ever were.
+    /// Forgets removed servers that no session is on, so that a long-lived process does not collect all there
+    /// ever were.
     pub(super) fn forget_removed_servers(&mut self, out: &mut Vec<Effect>) {
         let gone: Vec<ServerId> = self
             .servers
@@ -139,8 +145,7 @@
     }
 }
 
-/// A name in a number, the same at every relay, since relays rank servers by it alike without a word
-/// (FNV-1a).
+/// A server's number: the FNV-1a hash of its name, the same at every relay, so that all rank servers alike.
 pub(super) fn server_id(name: &str) -> ServerId {
     name.bytes().fold(0x811c_9dc5, |hash, b| (hash ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
--- a/relay/src/reducer/session.rs
+++ b/relay/src/reducer/session.rs
@@ -39,7 +39,7 @@
     pub deadline: Micros,
     /// When its backend reported a load last.
     pub last_load_at: Option<Micros>,
-    /// It was open at its backend before this process started and is to be resumed there. The balancer learns of it once
-    /// it is open again.
+    /// It was open at its backend before this process started and is to be resumed there. The balancer learns
+    /// of it once it is open again.
     pub is_resuming: bool,
 }
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -4,8 +4,8 @@
 use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessId};
 use std::rc::Rc;
 
-/// Between two dials of a resumed session: often enough within the time that these have, seldom enough for a full
-/// backend.
+/// Between two dials of a resumed session: often enough within the time that these have, seldom enough for a
+/// full backend.
 const RESUME_RETRY_INTERVAL: Micros = 200_000;
 
 /// The relay's own final answer after so many dials: a rejection where nothing was forwarded, else a failure.
@@ -34,7 +34,8 @@
         self.abandon_session(connection_id, out);
     }
 
-    /// A session ends by its client's doing. The balancer is told, unless the session still waits to be resumed.
+    /// A session ends by its client's doing. The balancer is told, unless the session still waits to be
+    /// resumed.
     pub(super) fn abandon_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
         let Some(s) = self.remove_session(session_id) else { return };
         self.metrics.of_listener(&s.listener).abandoned += u64::from(s.stage.awaits_answer());
@@ -43,8 +44,8 @@
         }
     }
 
-    /// The client ended its sending before it was answered. It may have left, so nothing is forwarded; it may still
-    /// read, so its final answer is sent.
+    /// The client ended its sending before it was answered. It may have left, so nothing is forwarded; it may
+    /// still read, so its final answer is sent.
     pub(super) fn client_half_closed(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
         let Some(s) = self.sessions.get(&session_id) else { return };
         out.push(final_answer(session_id, s.dials));
@@ -109,8 +110,9 @@
         }
     }
 
-    /// The listener of a request; `None` where the request violates the protocol: an unknown listener, the id of
-    /// another session, or a timeout beyond what any client waits. The timeout of a resumed session does not count.
+    /// The listener of a request; `None` where the request violates the protocol: an unknown listener, the id
+    /// of another session, or a timeout beyond what any client waits. The timeout of a resumed session does
+    /// not count.
     fn valid_listener(&self, open: &SessionRequest, time_remaining: Micros) -> Option<usize> {
         let is_in_use =
             self.session_ids.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
@@ -136,8 +138,8 @@
         self.dial_resuming_session(session_id, out);
     }
 
-    /// Sends the final answer of a session. It is the only place that does so; a client whose time was up long ago,
-    /// since this process was not scheduled, gets none.
+    /// Sends the final answer of a session. It is the only place that does so; a client whose time was up
+    /// long ago, since this process was not scheduled, gets none.
     pub(super) fn send_final_answer(&mut self, session_id: SessId, answer: Effect, out: &mut Vec<Effect>) {
         let Some(s) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&s.listener);
@@ -172,8 +174,8 @@
         self.answer_waiting_session(session_id, Effect::TearDown { session_id }, out);
     }
 
-    /// Gives a waiting session the relay's own final answer. The balancer is told, unless the session still waits to
-    /// be resumed.
+    /// Gives a waiting session the relay's own final answer. The balancer is told, unless the session still
+    /// waits to be resumed.
     pub(super) fn answer_waiting_session(
         &mut self,
         session_id: SessId,
@@ -239,7 +241,8 @@
         self.step_balancer(Input::DialEnded { session: session_id, dial, end, settled, report }, out);
     }
 
-    /// A dial that this machine could not start does not count: the balancer decides anew while the session waits.
+    /// A dial that this machine could not start does not count: the balancer decides anew while the session
+    /// waits.
     pub(super) fn dial_not_started(&mut self, session_id: SessId, dial: u32, out: &mut Vec<Effect>) {
         if self.retries_resuming(session_id, out) {
             return;
@@ -249,7 +252,8 @@
         self.step_balancer(Input::DialNotStarted { session: session_id, dial }, out);
     }
 
-    /// No dial is out any more. A session that is to be resumed is dialled again at its backend, and true is returned.
+    /// No dial is out any more. A session that is to be resumed is dialled again at its backend, and true is
+    /// returned.
     fn retries_resuming(&mut self, session_id: SessId, out: &mut Vec<Effect>) -> bool {
         let Some(s) = self.sessions.get_mut(&session_id) else { return false };
         s.stage = SessionStage::AwaitingPlacement;
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the list: asked for, renewed, moved by a new configuration.
+//! The watch on the endpoint list: opened, renewed, and moved by a new configuration.
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Input, ListUpdate};
 use hallrelay_config::list::List;
@@ -15,11 +15,12 @@
         }
     }
 
-    /// A watch tells something. Until one that was asked for later does so, what an earlier one tells holds.
+    /// A watch brought a list or changes. The lists of an earlier watch hold until a later one brings its
+    /// first.
     pub(super) fn list_received(&mut self, watch: u32, list: List, out: &mut Vec<Effect>) {
         let w = &mut self.watch;
         if watch == w.latest {
-            // Guards what was heard against a change that was told out of order: it is older than what holds.
+            // Changes may arrive out of order: one that is older than the list in force is dropped.
             if !list.whole && self.list_version.is_some_and(|held| list.generation < held) {
                 return log(format!("a change of version {} came too late", list.generation), out);
             }
@@ -43,7 +44,8 @@
             return;
         }
         match self.node.limits.discovery_again {
-            // Guards a relay that is told of changes whether or not a watch is open.
+            // Where lists are pushed, this relay counts as notified of changes whether or not a watch is
+            // open.
             Some(after) => out.push(Effect::StartTimer { after, timer: Timer::RequestEndpointList }),
             None => self.step_balancer(
                 Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() },
@@ -52,7 +54,7 @@
         }
     }
 
-    /// A new configuration, whole and checked. What can't change while the program runs is named.
+    /// Takes over a new, valid configuration. Keys that hold from the next start on only are logged.
     pub(super) fn configuration_reloaded(&mut self, node: Node, out: &mut Vec<Effect>) {
         out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::KeyUnchanged { key }));
         self.apply_settings(&node, out);
@@ -66,16 +68,15 @@
         self.move_discovery(node.discovery, out);
     }
 
-    /// Takes over new settings. Who is here keeps the rules that it came under: its row of the module's
-    /// listeners is its own, and its dial timeout is in its due time.
+    /// Applies new settings. Sessions keep the rules that they were requested under: the balancer holds their
+    /// listener's rules with them, and their deadline is set.
     fn apply_settings(&mut self, node: &Node, out: &mut Vec<Effect>) {
         let zones = node.site.zones != self.node.site.zones;
         let before = self.node.limits;
         if node.site == self.node.site || self.node.tune(node.site.clone()).is_err() {
             return;
         }
-        // Guards a stop that is under way: whoever will end this process counts from what held as it was told
-        // to stop.
+        // A stop that is under way keeps its time: whoever may kill this process counts from the request.
         if self.is_stopping() {
             self.node.limits.stop_no_later(&before);
         }
@@ -86,14 +87,14 @@
         self.step_balancer(Input::Configure(config), out);
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
-            // The same servers, at other places of the zones' list.
+            // The same servers may have other zone numbers now.
             let instances = self.servers.values().map(|v| v.instance.clone()).collect();
             self.apply_list(List { whole: true, instances, ..List::default() }, out);
         }
     }
 
-    /// Guards a relay whose discovery moves: the new place is asked for the whole list at once, since the old
-    /// one's versions may mean nothing there, and the old watch goes on telling till the new one speaks.
+    /// Moves the watch to another discovery. It is asked for the whole list, since the versions of the old
+    /// one may mean nothing there; the old watch goes on until the new one delivers.
     fn move_discovery(&mut self, discovery: SocketAddr, out: &mut Vec<Effect>) {
         if std::mem::replace(&mut self.node.discovery, discovery) == discovery {
             return;
@@ -109,7 +110,7 @@
         self.watch_endpoints(out);
     }
 
-    /// Guards discovery against a process that leaves: once nobody here waits for a place, nothing is asked.
+    /// Stops watching in a process that was replaced, once no session waits to be placed.
     pub(super) fn stop_watching(&mut self, out: &mut Vec<Effect>) {
         if !self.sessions.values().any(|s| s.stage.awaits_answer()) && std::mem::take(&mut self.watch.is_open)
         {
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -1,5 +1,6 @@
-//! Drains that several processes coordinate: voters killed, stalled, without their disk, reduced to a minority,
-//! all without power at once. Checked by which relays drain, and by the sessions that reach each backend.
+//! Drains that several processes coordinate: voters killed, stalled, without their disk, reduced to a
+//! minority, all without power at once. Checked by which relays drain, and by the sessions that reach each
+//! backend.
 mod common;
 
 use common::coordination::{lease_row, leases, post, run_command, Fleet};
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -76,7 +76,8 @@
     }
 }
 
-/// A relay that holds a member in each state, met another of its own name, and dropped something of each kind.
+/// A relay that holds a member in each state, met another of its own name, and dropped something of each
+/// kind.
 fn in_each_state() -> Membership {
     let mut membership = Membership::new(local());
     let out = &mut Vec::new();
--- a/relay/tests/short_days/pieces.rs
+++ b/relay/tests/short_days/pieces.rs
@@ -67,9 +67,9 @@
     assert_eq!(fixture.relay.figure("passed.once"), Some(cuts as u64 - 1));
 }
 
-/// Bytes that go one by one in a line: each waits for a look at all sockets of the machine, which takes 0.1 s where
-/// some thousand connections have just ended. A whole line of them takes longer
-/// than a relay waits for a first line.
+/// Bytes that go one by one in a line: each waits for a look at all sockets of the machine, which takes 0.1 s
+/// where some thousand connections have just ended. A whole line of them takes longer than a relay waits for
+/// a first line.
 const SINGLE_BYTES: usize = 8;
 
 #[test]
--- a/tests/helpers/membership.rs
+++ b/tests/helpers/membership.rs
@@ -1,15 +1,16 @@
-//! `MembershipSubject` is membership alone, of relay `a`, started as number 5; relays have a letter each and are
-//! reached at addresses of their own. A site line may say `peers=b,c`, `relays=N`. Inputs, each with
+//! `MembershipSubject` is membership alone, of relay `a`, started as number 5; relays have a letter each and
+//! are reached at addresses of their own. A site line may say `peers=b,c`, `relays=N`. Inputs, each with
 //! `stalled` behind it where no timer could expire before it:
 //!   `begin`, `yield`, `leave`, `drains`, `run`: activate, deactivate, leave, report to be draining, nothing;
 //!   `says NAME ping|ack|nack|gossip [UPDATE ..]`, `says NAME ask OTHER`: a datagram, where an ack or nack is of
 //!   the last ping, and `ask` is a ping request;
 //!   `visits NAME [UPDATE ..]`, `returns NAME [UPDATE ..]`: push/pull request and response;
 //!   `rank=START.INCARNATION`, `at=NAME` (another's address), `name=NAME` (another's name) change the sender.
-//! An update is `NAME:STATE@START.INCARNATION[/REPORTER]`, where the state `gone` is dead.
-//! Effects: `ack NAME`, `nack NAME`, `asks NAME of OTHER` (ping request), `answers`, `answers nothing`, `open`,
-//! `shut`, `NAME is STATE` and `rank START.INCARNATION` where these have changed, `late` (stalled), `twin at NAME`
-//! (name conflict); `ping NAME`, `visit NAME` (push/pull request) and `gossip` only where a line asks for them.
+//! An update is `NAME:STATE@START.INCARNATION[/REPORTER]`, where the state `gone` is dead. Effects: `ack
+//! NAME`, `nack NAME`, `asks NAME of OTHER` (ping request), `answers`, `answers nothing`, `open`, `shut`,
+//! `NAME is STATE` and `rank START.INCARNATION` where these have changed, `late` (stalled), `twin at NAME`
+//! (name conflict); `ping NAME`, `visit NAME` (push/pull request) and `gossip` only where a line asks for
+//! them.
 use crate::{num, option, Fault, Subject};
 use hallrelay_balancer::types::Micros;
 use hallrelay_membership::message::{decode, MessageBody, Packet, MAX_DATAGRAM_BYTES};
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Clients that lost their sessions elsewhere come back to every relay at once, spread evenly over a span.
+    /// Clients that lost their sessions elsewhere come back to every relay at once, spread evenly over a
+    /// span.
     pub fn schedule_reconnect_storm(&mut self, from: Micros, span: Micros, per_relay: u32) {
         for relay in 0..self.relays.len() {
             for _ in 0..per_relay {
