--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,40 +1,53 @@
-//! The list of backends in discovery's form, as it stands in the start-up text and in each line of a watch.
+//! The endpoint list in the form of discovery: in a configuration, in the answer of a call, in a watch event.
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Micros, Phase};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
+/// One backend of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
+    /// The backend's name.
     pub id: String,
+    /// Address at which it takes sessions.
     pub addr: SocketAddr,
+    /// Name of its zone; empty where it is left out.
     pub zone: String,
+    /// Number of its cell within the zone.
     pub cell: u16,
+    /// Its state.
     pub phase: Phase,
-    /// Unix time; 0 is long ago.
+    /// Start as Unix time in microseconds; 0 where it is not known.
     pub came_up: Micros,
 }
 
+/// An endpoint list, or the changes to one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct List {
+    /// Number of the list's version.
     pub generation: u64,
+    /// Whether these are all backends; otherwise only those that changed.
     pub whole: bool,
+    /// The entries that can be read.
     pub instances: Vec<Instance>,
-    /// Entries that can't be read whole: by their ids, where these can. Nothing new goes to a server of which
-    /// such a word was the last.
+    /// Ids of the entries that can't be read, where the id can. A backend whose last entry was one of these
+    /// gets no new sessions.
     pub odd: Vec<Option<String>>,
 }
 
 const PHASES: [(&str, Phase); 3] =
     [("up", Phase::Ready), ("draining", Phase::Draining), ("removed", Phase::Gone)];
 
-/// How the list calls a phase.
+/// The name of a phase in the list.
 pub fn word(phase: Phase) -> &'static str {
     PHASES.iter().find(|one| one.1 == phase).map_or("removed", |one| one.0)
 }
 
-/// One value of a watch, or the answer of a call. An entry that can't be read spoils no other.
+/// Parses a watch event or the answer of a call. Entries that can't be read are collected in `odd`.
+///
+/// # Errors
+/// Not JSON, or no list.
 pub fn parse(text: &[u8]) -> Result<List, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::ListNotJson)?;
     decode(&JsonNode::root(&value))
@@ -52,12 +65,19 @@
     })
 }
 
-/// One that a person or a program wrote down for a start: all of it can be read, or it is refused by its key.
-pub fn strict(at: &JsonNode) -> Result<List, ConfigError> {
+/// Decodes a list of a configuration, where each entry must be readable.
+///
+/// # Errors
+/// The key that is missing or can't be used.
+pub fn decode_strict(at: &JsonNode) -> Result<List, ConfigError> {
     at.key("instances")?.list()?.iter().try_for_each(|at| instance(at).map(|_| ()))?;
     decode(at)
 }
 
+/// Decodes a list; entries that can't be read are collected in `odd`.
+///
+/// # Errors
+/// No list.
 pub fn decode(at: &JsonNode) -> Result<List, ConfigError> {
     let mut list = List {
         generation: at.key("generation")?.integer()?,
@@ -73,7 +93,7 @@
     Ok(list)
 }
 
-/// The list in the form in which it is read.
+/// Encodes a list in the form that `parse` reads.
 pub fn encode<'a>(generation: u64, whole: bool, instances: impl Iterator<Item = &'a Instance>) -> Value {
     let instance = |one: &Instance| {
         json!({"instanceId": one.id, "hostPort": one.addr.to_string(), "zone": one.zone, "cell": one.cell,
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -178,7 +178,7 @@
         state,
         digest: fleet::settings_digest(settings.value),
         seed: seed(top.key("seed")?)?,
-        known: top.option("known").map_or(Ok(List::default()), |at| list::strict(&at))?,
+        known: top.option("known").map_or(Ok(List::default()), |at| list::decode_strict(&at))?,
         site,
         limits,
         sockets,
