--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -59,8 +59,8 @@
 }
 
 impl Node {
-    /// Keys that differ in a reloaded configuration and can't change while the program runs. Its endpoint list
-    /// and its seed are not compared: the running relay goes on with its own.
+    /// Keys that differ in a reloaded configuration and can't change while the program runs. Its endpoint
+    /// list and its seed are not compared: the running relay goes on with its own.
     pub fn fixed(&self, later: &Node) -> Vec<&'static str> {
         let (own, new) = (&self.site.facts, &later.site.facts);
         let fleet = match (&self.fleet, &later.fleet) {
--- a/config/tests/error_texts.rs
+++ b/config/tests/error_texts.rs
@@ -70,8 +70,8 @@
     });
     assert_eq!(
         text,
-        "fleet is given, and settings.Ceilings.PeerMessages is false: relays may not talk there, leave out one \
-         of the two"
+        "fleet is given, and settings.Ceilings.PeerMessages is false: relays may not talk there, \
+         leave out one of the two"
     );
     let text = error(|text| {
         text["fleet"] = fleet.clone();
