--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,18 +1,24 @@
-//! Turns a relay's settings, in the words of the wire, into the facts that the program reads.
+//! Decodes a site's settings, in the names of the wire, into the configuration that the program reads.
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
-/// What the settings tell, beyond the module's facts, of names and of time on sockets.
+/// A site's settings: those of the balancer, and names and times of the relay around it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
+    /// Settings of the balancer.
     pub facts: SiteConfig,
+    /// Positions of the values in a load report.
     pub report: ReportOrder,
-    /// Names of the listeners and of the zones, at the places that the module knows them by.
+    /// Names of the listeners, by the balancer's index.
     pub listeners: Vec<String>,
+    /// Names of the zones, by the balancer's index.
     pub zones: Vec<String>,
+    /// Dial timeout of each listener in microseconds.
     pub dial_timeouts: Vec<Micros>,
+    /// Time in microseconds for a connection to a backend to come up.
     pub connect: Micros,
+    /// Grace in microseconds after a backend began to drain.
     pub drain_grace: Micros,
     /// Whether backends tell, on some of their connections, how long messages take there.
     pub tells_delay: bool,
@@ -23,16 +29,21 @@
 /// Which of a report's values are the ones that decisions read.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportOrder {
+    /// Position of the load.
     pub load: Option<usize>,
+    /// Position of the queueing delay.
     pub queue_delay: Option<usize>,
+    /// Position of the number of sessions.
     pub sessions: Option<usize>,
     /// Whether `load` is the part of the cores in use, which sites without a better figure report.
     pub by_cores: bool,
 }
 
+/// The first values of a load report, by position.
 pub type RawReport = [Option<f64>; 4];
 
 impl ReportOrder {
+    /// The load report from values by position.
     pub fn pick(self, raw: RawReport) -> LoadReport {
         let at = |i: Option<usize>| i.and_then(|i| raw[i]);
         LoadReport { load: at(self.load), queue_delay: at(self.queue_delay), sessions: at(self.sessions) }
@@ -50,6 +61,10 @@
     }
 }
 
+/// Decodes the settings.
+///
+/// # Errors
+/// The key that is missing or can't be used.
 pub fn decode(top: &JsonNode) -> Result<Site, ConfigError> {
     let (limits, rules, charges) = (top.key("Ceilings")?, top.key("Rules")?, top.key("Charges")?);
     let family = top.key("FamilyInfo")?;
