--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -20,9 +20,9 @@
     pub(crate) mean_load: f64,
     /// One session's part of a server.
     pub(crate) session_load: f64,
-    /// The same where it bounds what a warming server gets.
+    /// The same with a higher bound, for the budget of a warming server.
     pub(crate) slot_load: f64,
-    /// From this relay's own change to that of all relays.
+    /// Multiplies this relay's change of sessions to an estimate of the change of all relays.
     pub(crate) fleet_factor: f64,
     /// Mean age of the reports.
     pub(crate) report_age: Micros,
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -126,7 +126,7 @@
 
     /// The mean time until a session comes that has a given server in its pool, in microseconds.
     fn wait_for_session(&self, fleet: &FleetEstimate) -> f64 {
-        self.slot_arrivals.mean() * pools(fleet)
+        self.slot_arrivals.mean() * sessions_per_candidacy(fleet)
     }
 
     /// Whether this relay is one of those that may use a slot at a warming server however long it lay unused.
@@ -148,7 +148,7 @@
         // Until one interval after the server's start some relays have had no slot yet.
         let opened = self.now.saturating_sub(server.endpoint.started_at) as f64 / interval;
         let unused = (session_wait / (session_wait + interval)).min(opened);
-        let in_pool = (SESSIONS_AT_ONCE / pools(fleet)).min(1.0);
+        let in_pool = (SESSIONS_AT_ONCE / sessions_per_candidacy(fleet)).min(1.0);
         let slots_at_once = f64::from(self.site.relay_count) * unused * in_pool;
         let bearable = budget + budget.sqrt() + 1.0;
         let server_key = (u64::from(server.endpoint.server) << 32) ^ server.endpoint.started_at;
@@ -185,7 +185,7 @@
     }
 }
 
-/// The sessions that come for each one whose pool has a given server.
-fn pools(fleet: &FleetEstimate) -> f64 {
+/// The sessions that come for each one among whose candidates a given server is.
+fn sessions_per_candidacy(fleet: &FleetEstimate) -> f64 {
     ((fleet.capacity - fleet.congested) / POOL_SIZE as f64).max(1.0)
 }
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -56,7 +56,7 @@
 pub struct SiteConfig {
     /// The listeners, by index; one at least.
     pub listeners: Vec<Listener>,
-    /// Relays that share the servers, this one among them.
+    /// Relays that share the servers, this one among them; 1 at least.
     pub relay_count: u32,
     /// This relay's number, from 0 to `relay_count` - 1.
     pub relay_index: u32,
@@ -68,7 +68,7 @@
     pub may_probe: bool,
     /// Whether sessions of one group share work on a server.
     pub groups_enabled: bool,
-    /// Dials of one session, at most.
+    /// Dials of one session, at most; 1 at least.
     pub max_dials: u32,
     /// Sessions of this relay, dialled and established, at most (the paper's c_id).
     pub max_sessions: u32,
--- a/disruption/src/analysis.rs
+++ b/disruption/src/analysis.rs
@@ -3,15 +3,15 @@
 
 /// How far above the bound the failure rate must be, in standard errors, to end an analysis early.
 const EARLY_STANDARD_ERRORS: f64 = 3.0;
-/// An analysis may end early once this part of the wanted sessions is there: one in so many.
-const EARLY_PART: u64 = 4;
+/// An analysis may end early once the wanted sessions over this are there.
+const EARLY_DIVISOR: u64 = 4;
 /// The failure rate from which the standard error is taken stays inside these bounds.
 const ESTIMATE_BOUNDS: (f64, f64) = (0.01, 0.99);
 
 /// Sessions, and the failed ones among them: refused, failed, or reset after they were established.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionCounts {
-    /// All sessions that came to an end or an answer.
+    /// Sessions that got a final answer, or ended after they were established.
     pub sessions: u64,
     /// The failed ones among them.
     pub failed: u64,
@@ -79,7 +79,7 @@
     if new.sessions >= min_sessions {
         return Some(Verdict { passed: excess <= 0.0, reason: describe(new, old) });
     }
-    if new.sessions * EARLY_PART >= min_sessions && excess > EARLY_STANDARD_ERRORS * standard_error {
+    if new.sessions * EARLY_DIVISOR >= min_sessions && excess > EARLY_STANDARD_ERRORS * standard_error {
         return Some(Verdict { passed: false, reason: describe(new, old) });
     }
     if elapsed_s >= u64::from(policy.deadline_s) {
--- a/disruption/src/budget.rs
+++ b/disruption/src/budget.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// A bound on unavailable targets. With both bounds the lower one holds; with neither there is none.
+/// A bound on unavailable targets. With both bounds the lower one holds; with neither there is no bound.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Budget {
     /// Which targets it counts.
@@ -38,7 +38,8 @@
     pub scope: Scope,
     /// Unavailable targets at most.
     pub max_count: Option<u32>,
-    /// The same as a share of the known targets of the scope, in millionths, rounded down.
+    /// The same as a share of the known targets of the scope, in millionths, rounded down:
+    /// 5% of ten targets are none, so that nothing may go out of service.
     pub max_share_ppm: Option<u32>,
 }
 
--- a/disruption/src/command.rs
+++ b/disruption/src/command.rs
@@ -36,7 +36,7 @@
         requested_by: String,
         /// Why.
         reason: String,
-        /// Past the budgets.
+        /// Whether the budgets are ignored.
         force: bool,
     },
     /// The requester waits no more.
@@ -60,7 +60,7 @@
         /// The grant.
         lease_id: u64,
     },
-    /// The target is to serve again, or serves.
+    /// Ends a disruption: the target returns to service, or has returned.
     Return {
         /// Who returns.
         target: Target,
--- a/disruption/src/error.rs
+++ b/disruption/src/error.rs
@@ -16,7 +16,7 @@
     /// The lease id is not the current one, or the command does not apply in the present state.
     #[error("that means nothing as it stands now")]
     Stale,
-    /// Bytes of a version that this voter does not read.
+    /// Bytes that are malformed, or of a version that this voter does not read.
     #[error("the leader does not read this relay's version")]
     UnsupportedVersion,
 }
--- a/disruption/src/limits.rs
+++ b/disruption/src/limits.rs
@@ -1,7 +1,7 @@
 //! Bounds on what the replicated state may hold. A command that would exceed one is rejected with
 //! [`crate::CommandError::LimitExceeded`].
 
-/// Targets, relays and backends together: a thousand of each.
+/// Targets that are known at a time, relays and backends together.
 pub const MAX_TARGETS: usize = 2_048;
 /// Targets whose request waits for a budget.
 pub const MAX_WAITING: usize = 64;
--- a/disruption/src/rollout.rs
+++ b/disruption/src/rollout.rs
@@ -12,7 +12,7 @@
     /// Not begun.
     #[default]
     Pending,
-    /// Its lease is requested; it is out of service, to be updated, once that is granted.
+    /// Its lease is requested, and it is updated once that is granted.
     Updating,
     /// It has the new build, and was not yet observed to be up.
     Updated,
--- a/hot_restart/src/codec.rs
+++ b/hot_restart/src/codec.rs
@@ -132,7 +132,7 @@
 
 fn is_valid_server(server: &ServerState) -> bool {
     let is_valid_report = server.report.is_none_or(|report| {
-        [report.load, report.queued, report.sessions].into_iter().all(is_valid_quantity)
+        [report.load, report.queue_delay, report.sessions].into_iter().all(is_valid_quantity)
     });
     server.name.len() <= MAX_NAME_BYTES
         && is_valid_report
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -159,21 +159,21 @@
     pub age: u64,
     /// The part of the server's capacity in use.
     pub load: f64,
-    /// Queued work, in the server's own unit.
-    pub queued: f64,
+    /// How long queue_delay work waits, in seconds.
+    pub queue_delay: f64,
     /// Sessions at the server.
     pub sessions: f64,
 }
 
 impl From<(u64, f64, f64, f64)> for LoadReport {
-    fn from((age, load, queued, sessions): (u64, f64, f64, f64)) -> LoadReport {
-        LoadReport { age, load, queued, sessions }
+    fn from((age, load, queue_delay, sessions): (u64, f64, f64, f64)) -> LoadReport {
+        LoadReport { age, load, queue_delay, sessions }
     }
 }
 
 impl From<LoadReport> for (u64, f64, f64, f64) {
     fn from(report: LoadReport) -> (u64, f64, f64, f64) {
-        (report.age, report.load, report.queued, report.sessions)
+        (report.age, report.load, report.queue_delay, report.sessions)
     }
 }
 
--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -17,7 +17,7 @@
         "lifecycle": "READY", "startedAtMs": 1.5});
     let warm = ServerState {
         name: "s-1".into(),
-        report: Some(LoadReport { age: 1_500, load: 0.25, queued: 1.5, sessions: 12.0 }),
+        report: Some(LoadReport { age: 1_500, load: 0.25, queue_delay: 1.5, sessions: 12.0 }),
         consecutive_failures: 2,
         recently_placed: -3.5,
         slow_start_slot: SlowStartSlot { age: 7_000_000, interval_fraction: 0.75 },
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -157,7 +157,7 @@
 fn state() -> RelayState {
     let server = ServerState {
         name: "s-1".into(),
-        report: Some(LoadReport { age: 5, load: 0.5, queued: 0.0, sessions: 3.0 }),
+        report: Some(LoadReport { age: 5, load: 0.5, queue_delay: 0.0, sessions: 3.0 }),
         consecutive_failures: 1,
         recently_placed: -2.0,
         slow_start_slot: SlowStartSlot { age: 7, interval_fraction: 0.25 },
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -18,7 +18,7 @@
 /// SWIM's lambda: each member sends an update so many times the decimal logarithm of the members, rounded up.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 /// Least retransmit limit: in a small fleet half of the transmissions of a member that bridges two partitions
-/// go to the wrong side.
+/// go to the wrong side. It rules up to a thousand members.
 const MIN_RETRANSMIT_LIMIT: u32 = 12;
 
 /// An update that is being disseminated.
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -19,9 +19,9 @@
 /// A stall from this length on is logged.
 const LOGGED_STALL: Micros = 5 * PROBE_PERIOD;
 /// A dead member, or one that left, is forgotten after this.
-const RETENTION: Micros = 3_600_000 * MILLISECOND;
+const MEMBER_RETENTION: Micros = 3_600_000 * MILLISECOND;
 /// Interval at which members are looked through for those to forget.
-const EXPIRY_INTERVAL: Micros = RETENTION / 60;
+const EXPIRY_INTERVAL: Micros = MEMBER_RETENTION / 60;
 /// A member counts as reachable for at least this long after it was last received from.
 const MIN_REACHABLE_WINDOW: Micros = 10 * PROBE_PERIOD;
 
@@ -258,7 +258,7 @@
             self.recover_from_stall(late, out);
         }
         self.run_probes(out);
-        self.run_relayed_pings(out);
+        self.run_forwarded_pings(out);
         self.expire_suspicions(out);
         self.run_joins(out);
         if self.push_pull.next_deadline() <= self.now {
@@ -266,7 +266,7 @@
         }
         if self.next_expiry <= self.now {
             self.next_expiry = self.now + EXPIRY_INTERVAL;
-            self.members.remove_expired(self.now, RETENTION);
+            self.members.remove_expired(self.now, MEMBER_RETENTION);
         }
         if self.broadcasts.next_deadline() <= self.now {
             self.run_gossip(out);
--- a/membership/src/name_conflict.rs
+++ b/membership/src/name_conflict.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// A conflict is reported for so long after the other process was last seen.
-const RETENTION: Micros = 30_000 * MILLISECOND;
+const CONFLICT_RETENTION: Micros = 30_000 * MILLISECOND;
 
 /// Another process of this relay's name. Both go on; in the others' tables the later start holds the name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 impl Membership {
     /// Another process of this relay's name that was seen lately.
     pub fn name_conflict(&self) -> Option<NameConflict> {
-        self.conflict.filter(|conflict| self.now < conflict.seen_at + RETENTION)
+        self.conflict.filter(|conflict| self.now < conflict.seen_at + CONFLICT_RETENTION)
     }
 
     /// Whether the other process holds the name: the later start does, the higher address between equals.
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -21,9 +21,9 @@
 /// Probes in flight.
 const MAX_PROBES: usize = 16;
 /// Pings in flight on behalf of others.
-const MAX_RELAYED_PINGS: usize = 64;
+const MAX_FORWARDED_PINGS: usize = 64;
 /// A ping on another's behalf is forgotten after this.
-const RELAYED_PING_TIMEOUT: Micros = 2 * PROBE_PERIOD;
+const FORWARDED_PING_TIMEOUT: Micros = 2 * PROBE_PERIOD;
 
 /// A probe of this relay's own.
 struct Probe {
@@ -45,7 +45,7 @@
 }
 
 /// A ping on another member's behalf.
-struct RelayedPing {
+struct ForwardedPing {
     requester: SocketAddr,
     /// Sequence number of the requester's probe.
     sequence: u32,
@@ -54,7 +54,7 @@
     deadline: Micros,
 }
 
-impl RelayedPing {
+impl ForwardedPing {
     fn next_deadline(&self) -> Micros {
         self.nack_at.min(self.deadline)
     }
@@ -63,7 +63,7 @@
 /// Probes in flight, by the sequence numbers of their pings, and the time of the next one.
 pub(crate) struct FailureDetector {
     probes: BTreeMap<u32, Probe>,
-    relayed_pings: BTreeMap<u32, RelayedPing>,
+    forwarded_pings: BTreeMap<u32, ForwardedPing>,
     last_sequence: u32,
     pub(crate) local_health: LocalHealth,
     next_probe: Micros,
@@ -73,7 +73,7 @@
     pub(crate) fn new() -> FailureDetector {
         FailureDetector {
             probes: BTreeMap::new(),
-            relayed_pings: BTreeMap::new(),
+            forwarded_pings: BTreeMap::new(),
             last_sequence: 0,
             local_health: LocalHealth::default(),
             next_probe: Micros::MAX,
@@ -87,14 +87,14 @@
 
     pub(crate) fn next_deadline(&self) -> Micros {
         let probes = self.probes.values().map(Probe::next_deadline);
-        let relayed_pings = self.relayed_pings.values().map(RelayedPing::next_deadline);
-        probes.chain(relayed_pings).fold(self.next_probe, Micros::min)
+        let forwarded_pings = self.forwarded_pings.values().map(ForwardedPing::next_deadline);
+        probes.chain(forwarded_pings).fold(self.next_probe, Micros::min)
     }
 
     /// Drops all that is in flight, without a verdict.
     pub(crate) fn reset(&mut self, next_probe: Micros) {
         self.probes.clear();
-        self.relayed_pings.clear();
+        self.forwarded_pings.clear();
         self.next_probe = next_probe;
     }
 
@@ -236,7 +236,7 @@
                 member.source = Some(from.clone());
                 member.reached_through = Some(from.clone());
             }
-        } else if let Some(ping) = self.detector.relayed_pings.remove(&sequence) {
+        } else if let Some(ping) = self.detector.forwarded_pings.remove(&sequence) {
             let body = MessageBody::Ack { sequence: ping.sequence };
             self.send_message(ping.requester, None, body, out);
         }
@@ -260,29 +260,29 @@
         out: &mut Vec<Effect>,
     ) {
         let is_known = self.members.addr_of(target) == Some(addr);
-        if !is_known || self.detector.relayed_pings.len() >= MAX_RELAYED_PINGS {
+        if !is_known || self.detector.forwarded_pings.len() >= MAX_FORWARDED_PINGS {
             return;
         }
         let sequence = self.detector.next_sequence();
-        let ping = RelayedPing {
+        let ping = ForwardedPing {
             requester,
             sequence: requested,
             nack_at: self.now + NACK_DELAY,
-            deadline: self.now + RELAYED_PING_TIMEOUT,
+            deadline: self.now + FORWARDED_PING_TIMEOUT,
         };
-        self.detector.relayed_pings.insert(sequence, ping);
+        self.detector.forwarded_pings.insert(sequence, ping);
         self.send_message(addr, Some(target), MessageBody::Ping { sequence }, out);
     }
 
     /// Sends nacks that are due, and forgets the pings that were never answered.
-    pub(crate) fn run_relayed_pings(&mut self, out: &mut Vec<Effect>) {
+    pub(crate) fn run_forwarded_pings(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
-        let due = self.detector.relayed_pings.iter().filter(|(_, ping)| ping.next_deadline() <= now);
+        let due = self.detector.forwarded_pings.iter().filter(|(_, ping)| ping.next_deadline() <= now);
         let due: Vec<u32> = due.map(|(sequence, _)| *sequence).collect();
         for sequence in due {
-            let Some(ping) = self.detector.relayed_pings.get_mut(&sequence) else { continue };
+            let Some(ping) = self.detector.forwarded_pings.get_mut(&sequence) else { continue };
             if ping.deadline <= now {
-                self.detector.relayed_pings.remove(&sequence);
+                self.detector.forwarded_pings.remove(&sequence);
                 continue;
             }
             ping.nack_at = Micros::MAX;
--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -29,15 +29,18 @@
 /// The position of an entry in the log; the first entry has 1, 0 is "before the first".
 pub type Index = u64;
 
-/// A voting member: a server with a particular disk.
+/// A server with a particular disk: one that lost its disk is another voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// The server's name.
     pub id: Id,
-    /// Identifies its disk. As the recipient of a message, 0 stands for whichever disk the server has.
+    /// Identifies its disk. In the recipient of a message, [`ANY_DISK`] stands for whichever it has.
     pub incarnation: u64,
 }
 
+/// The incarnation that addresses a server whatever its disk.
+pub const ANY_DISK: u64 = 0;
+
 /// The longest command that is accepted, in bytes.
 pub const MAX_COMMAND_BYTES: usize = 8 << 10;
 /// The most entries in one AppendEntries message.
--- a/raft/src/message.rs
+++ b/raft/src/message.rs
@@ -59,7 +59,7 @@
     AppendResponse {
         /// The sender's log matches the leader's up to `index`.
         success: bool,
-        /// Last matching index; after a failure, the index before which the leader should try next.
+        /// Last matching index; after a failure a hint, the `prev_log_index` that the leader should try next.
         index: Index,
     },
     /// InstallSnapshot of figure 13, in one piece.
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -12,7 +12,7 @@
 
 pub use role::Role;
 
-use crate::{
+use crate::{ANY_DISK, 
     Id, Index, Log, Message, MessageBody, PersistentState, Snapshot, Term, Voter, Write, MAX_VOTERS,
 };
 use durability::PendingWrites;
@@ -273,12 +273,13 @@
     /// Whether a message is for this server with its present disk, and from another server.
     fn is_recipient(&self, message: &Message) -> bool {
         let to = message.to;
-        let incarnation_matches = to.incarnation == 0 || to.incarnation == self.own.incarnation;
+        let incarnation_matches = to.incarnation == ANY_DISK || to.incarnation == self.own.incarnation;
         to.id == self.own.id && incarnation_matches && message.from.id != self.own.id
     }
 
     /// Whether a request would depose a working leader: a server that was removed or cut off campaigns in a
-    /// later term. Votes are not given while a leader is heard (section 6, thesis 4.2.3).
+    /// later term. A follower gives no vote while it hears a leader (section 6, thesis 4.2.3). A leader itself is
+    /// not protected by this, but by the followers' pre-votes.
     fn is_disruptive(&self, body: &MessageBody) -> bool {
         let requests_vote = matches!(body, MessageBody::RequestVote { .. });
         requests_vote && !self.leader_timed_out && self.leader.is_some()
--- a/raft/src/node/replication.rs
+++ b/raft/src/node/replication.rs
@@ -13,7 +13,7 @@
     pub next_index: Index,
     /// `matchIndex` of figure 2.
     pub match_index: Index,
-    /// It has answered since the last election timeout.
+    /// It has answered since the leader's last check for a quorum.
     pub recently_active: bool,
 }
 
--- a/recovery/src/recover.rs
+++ b/recovery/src/recover.rs
@@ -172,8 +172,7 @@
     }
 
     /// The age that a record counts with; `None` where it is too old to be used. A record of unknown age
-    /// counts as written just now: a removed server stays removed, a slot is waited for as long as it can
-    /// mean.
+    /// counts as written just now: a removed server stays removed, a slow-start slot counts as just used.
     fn trusted_age(&self, kind: RecordKind, written_at: Micros) -> Option<Micros> {
         let Some(age) = self.age(written_at) else { return Some(0) };
         let is_too_old = self.max_age(kind).is_some_and(|max_age| age >= max_age);
--- a/relay/src/control_message.rs
+++ b/relay/src/control_message.rs
@@ -14,7 +14,7 @@
     Raft(Message),
     /// A command for the log, from any relay to the leader.
     Propose {
-        /// The proposer's number for it; the same number again is the same proposal.
+        /// The proposer's number for it, by which the answer is matched.
         request_id: u64,
         /// The encoded command.
         command: Vec<u8>,
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -128,7 +128,7 @@
         "BYE" => BackendReply::Bye(report()),
         "MOVE" => BackendReply::Move,
         "ERR" => BackendReply::Error(report()),
-        // What may not be read as a refusal is none: that a dial never ran is to be said, not guessed.
+        // It tells that the dial did not run, which must not be guessed: only a well-formed line counts.
         "BUSY" if tail.is_none() || tail.is_some_and(refusal) => BackendReply::Busy(report()),
         "PONG" => BackendReply::Pong(report()),
         "LOAD" => tail.and_then(figure).map_or(BackendReply::Other, BackendReply::Load),
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -19,7 +19,7 @@
     buffer: Buffer,
 }
 
-/// Why a check got no load report from a healthy backend.
+/// Why a check failed.
 struct CheckFailure {
     end: DialEnd,
     /// What the backend reported beside its refusal.
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -129,7 +129,7 @@
         let report = known.report.map(|balancer::PastReport { age, report }| LoadReport {
             age,
             load: report.load.unwrap_or(0.0),
-            queued: report.queue_delay.unwrap_or(0.0),
+            queue_delay: report.queue_delay.unwrap_or(0.0),
             sessions: report.sessions.unwrap_or(0.0),
         });
         let SlotSnapshot { age, interval_fraction } = known.slot;
@@ -173,10 +173,10 @@
     }
 
     fn server_snapshot(&self, state: ServerState) -> Option<ServerSnapshot> {
-        let report = state.report.map(|LoadReport { age, load, queued, sessions }| {
+        let report = state.report.map(|LoadReport { age, load, queue_delay, sessions }| {
             let report = balancer::LoadReport {
                 load: Some(load),
-                queue_delay: Some(queued),
+                queue_delay: Some(queue_delay),
                 sessions: Some(sessions),
             };
             balancer::PastReport { age, report }
