--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -62,10 +62,13 @@
         let max_sessions = f64::from(self.site.max_sessions);
         let shared_capacity = fleet.capacity * (1.0 - HIGH_PRIORITY_RESERVE);
         let shared_sessions = max_sessions * (1.0 - HIGH_PRIORITY_RESERVE);
-        let has_shared_room =
+        let fits_shared_thresholds =
             own_sessions < shared_sessions && fleet.busy < shared_capacity - fleet.congested;
-        let has_reserved_room = own_sessions < max_sessions && fleet.busy < fleet.capacity - fleet.congested;
-        fleet.capacity == 0.0 || has_shared_room || (self.is_high_priority(session) && has_reserved_room)
+        let fits_reserved_thresholds =
+            own_sessions < max_sessions && fleet.busy < fleet.capacity - fleet.congested;
+        fleet.capacity == 0.0
+            || fits_shared_thresholds
+            || (self.is_high_priority(session) && fits_reserved_thresholds)
     }
 
     /// Whether a listener's priority weight is at or above the middle between the site's lowest and highest,
--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -179,11 +179,11 @@
     /// only as far as others are congested too: it counts as congested already, and one slow server would
     /// close the fleet.
     fn counted_load(&self) -> f64 {
-        /// A mean load that leaves the others room.
+        /// A mean load that leaves the others capacity.
         const ROOMY_LOAD: f64 = 0.6;
-        let others_have_room =
+        let others_have_capacity =
             self.load - self.congested_load < ROOMY_LOAD * (self.reported - self.congested);
-        if !others_have_room {
+        if !others_have_capacity {
             return self.load;
         }
         self.load - self.congested_load * (1.0 - self.congested / self.reported.max(1e-9))
--- a/balancer/src/placement.rs
+++ b/balancer/src/placement.rs
@@ -3,7 +3,7 @@
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
 use crate::random::hash;
-use crate::relay::{Relay, FEW_SESSIONS, ROOM_BELOW_LOAD};
+use crate::relay::{Relay, FEW_SESSIONS, FULL_LOAD};
 use crate::server::Server;
 use crate::session::Session;
 use crate::smallest::Smallest;
@@ -65,7 +65,7 @@
                 server: server.endpoint.server,
             };
             // At its best; most servers rank too low for a closer look.
-            if best.would_keep(&preference) && self.is_candidate(session, server, fleet, candidates) {
+            if best.would_insert(&preference) && self.is_candidate(session, server, fleet, candidates) {
                 let tier = self.health_tier(server, &session.tried);
                 let is_full = self.current_load(server, fleet) >= full_from;
                 best.add(Preference { tier, is_full, ..preference });
@@ -77,8 +77,8 @@
     /// The load from which a server counts as full. A group keeps to its servers for longer, by what a new
     /// server would pay for it, in a relay that has too few sessions to know where the group is.
     fn full_from(&self, is_grouped: bool, fleet: &FleetEstimate) -> f64 {
-        let keeps_group = is_grouped && self.own_sessions < FEW_SESSIONS;
-        ROOM_BELOW_LOAD + f64::from(keeps_group) * GROUP_COST * fleet.session_load
+        let favors_group = is_grouped && self.own_sessions < FEW_SESSIONS;
+        FULL_LOAD + f64::from(favors_group) * GROUP_COST * fleet.session_load
     }
 
     fn is_candidate(
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -3,7 +3,7 @@
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
 use crate::placement::{Candidates, Position, GROUP_COST, POOL_SIZE};
-use crate::relay::{Relay, REPORT_LAG, ROOM_BELOW_LOAD};
+use crate::relay::{Relay, FULL_LOAD, REPORT_LAG};
 use crate::server::Server;
 use crate::session::{Event, Session, State};
 use crate::types::{Effect, ServerId, SessId};
@@ -26,7 +26,7 @@
         }
         let fleet = self.fleet_estimate();
         let server = &self.servers[&server_id];
-        let load = self.current_load(server, &fleet).max(ROOM_BELOW_LOAD);
+        let load = self.current_load(server, &fleet).max(FULL_LOAD);
         let is_shedding = self.is_shedding(server, load, &fleet);
         let candidates = self.migration_candidates(server_id, is_shedding);
         let excess = self.excess_load(server, load, is_shedding, &fleet);
@@ -49,7 +49,7 @@
         let Some(server) = self.servers.get(&server_id) else { return false };
         self.now - server.last_rebalance_at >= REPORT_LAG
             && server.endpoint.ready()
-            && self.current_load(server, &self.estimate) >= ROOM_BELOW_LOAD
+            && self.current_load(server, &self.estimate) >= FULL_LOAD
     }
 
     /// Whether sessions are cut off for the rest to be well: a congested server that was just reported to be
@@ -86,9 +86,9 @@
     /// How much load a server gives up: half of the way down to the mean of all, or all of it where its
     /// messages are late and the others have room.
     fn excess_load(&self, server: &Server, load: f64, is_shedding: bool, fleet: &FleetEstimate) -> f64 {
-        let others_have_room = fleet.busy < ROOM_BELOW_LOAD * fleet.capacity - fleet.congested;
-        let is_urgent = is_shedding || (self.is_unhealthy(server) && others_have_room);
-        let mean = (fleet.busy / fleet.capacity.max(1.0)).min(ROOM_BELOW_LOAD);
+        let others_have_capacity = fleet.busy < FULL_LOAD * fleet.capacity - fleet.congested;
+        let is_urgent = is_shedding || (self.is_unhealthy(server) && others_have_capacity);
+        let mean = (fleet.busy / fleet.capacity.max(1.0)).min(FULL_LOAD);
         (load - mean) * if is_urgent { 1.0 } else { 0.5 }
     }
 
@@ -112,7 +112,7 @@
             let load = self.current_load(server, fleet) + fleet.session_load * session.weight;
             let is_usable = *other != session.server && !self.is_unhealthy(server);
             let there = Position { place, own_members: 0 };
-            (is_usable && load < ROOM_BELOW_LOAD).then(|| self.cost(server, session, load, there))
+            (is_usable && load < FULL_LOAD).then(|| self.cost(server, session, load, there))
         });
         cost_here - costs.fold(f64::INFINITY, f64::min)
     }
--- a/balancer/src/relay.rs
+++ b/balancer/src/relay.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Below this load a server has room for all, and nothing is gained by a migration.
-pub(crate) const ROOM_BELOW_LOAD: f64 = 0.75;
+/// A server below this load has capacity for all its sessions, and nothing is gained by a migration.
+pub(crate) const FULL_LOAD: f64 = 0.75;
 /// Own sessions below which chance is more than a quarter of what they tell.
 pub(crate) const FEW_SESSIONS: u32 = 16;
 /// The time in which reports are made and travel before an answer brings them.
--- a/balancer/src/rolling_sum.rs
+++ b/balancer/src/rolling_sum.rs
@@ -28,8 +28,8 @@
     /// The sum from `age` ago until now, from the beginning of the bucket, and no further back than buckets
     /// reach.
     pub(crate) fn sum(&self, now: Micros, age: Micros) -> f64 {
-        let first_kept = (now / RollingSum::BUCKET_WIDTH + 1).saturating_sub(RollingSum::BUCKETS);
-        let oldest = (now.saturating_sub(age) / RollingSum::BUCKET_WIDTH).max(first_kept);
+        let first_bucket = (now / RollingSum::BUCKET_WIDTH + 1).saturating_sub(RollingSum::BUCKETS);
+        let oldest = (now.saturating_sub(age) / RollingSum::BUCKET_WIDTH).max(first_bucket);
         (oldest..=self.newest).map(|bucket| f64::from(self.buckets[RollingSum::place(bucket)])).sum()
     }
 
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -11,7 +11,7 @@
 //!
 //! **Unused slots.** A slot that is not used stays open, and in a reconnect storm all relays have a session
 //! in the same moment. Two rules hold the budget then: only as many relays as the budget bears keep unused
-//! slots at all, by a draw of each (`keeps_unused_slots`); and returning sessions beyond what all warming
+//! slots at all, by a draw of each (`may_use_unused_slots`); and returning sessions beyond what all warming
 //! servers together bear stay away from them (`is_in_reconnect_storm`). Neither acts where relays are so few
 //! that their slots at once are within what chance adds to a budget (`is_small_fleet`).
 
@@ -19,7 +19,7 @@
 use crate::outlier::HealthTier;
 use crate::placement::POOL_SIZE;
 use crate::random::hash;
-use crate::relay::{Relay, REPORT_LAG, ROOM_BELOW_LOAD, SECOND};
+use crate::relay::{Relay, FULL_LOAD, REPORT_LAG, SECOND};
 use crate::server::Server;
 use crate::session::Session;
 use crate::types::{Endpoint, Micros};
@@ -79,7 +79,7 @@
         }
         !session.in_reconnect_storm
             && self.is_slot_open(server, fleet)
-            && self.keeps_unused_slots(server, fleet)
+            && self.may_use_unused_slots(server, fleet)
     }
 
     fn is_slot_open(&self, server: &Server, fleet: &FleetEstimate) -> bool {
@@ -97,7 +97,7 @@
             self.is_warming_up(server) && self.slot_interval(server, fleet, 1.0) > MIN_INTERVAL as f64;
         is_rare
             && self.health_tier(server, &session.tried) == HealthTier::Healthy
-            && self.current_load(server, fleet) < ROOM_BELOW_LOAD
+            && self.current_load(server, fleet) < FULL_LOAD
     }
 
     /// The time from the beginning of this relay's wait to its next slot at a warming server, in
@@ -136,7 +136,7 @@
     /// fraction of them whose slot lies unused, times the chance that a session's pool has the server. The
     /// draw is a hash of the relay and the server's start: a relay stays drawn for the whole warm-up, so no
     /// window sees two sets of relays.
-    fn keeps_unused_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
+    fn may_use_unused_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
         /// Sessions of one relay in a storm that may have the server in their pools before it is seen as one.
         const SESSIONS_AT_ONCE: f64 = 1.3;
         let budget = self.budget(server, fleet.slot_load).per_window;
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -19,7 +19,7 @@
     /// Its state.
     pub phase: Phase,
     /// Start as Unix time in microseconds; 0 where it is not known.
-    pub came_up: Micros,
+    pub started_at: Micros,
 }
 
 /// An endpoint list, or the changes to one.
@@ -28,12 +28,12 @@
     /// Number of the list's version.
     pub generation: u64,
     /// Whether these are all backends; otherwise only those that changed.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The entries that can be read.
     pub instances: Vec<Instance>,
     /// Ids of the entries that can't be read, where the id can. A backend whose last entry was one of these
     /// gets no new sessions.
-    pub odd: Vec<Option<String>>,
+    pub unreadable: Vec<Option<String>>,
 }
 
 const PHASES: [(&str, Phase); 3] =
@@ -61,7 +61,7 @@
         zone: at.option("zone").map_or(Ok(""), |at| at.text())?.to_string(),
         cell: at.option("cell").map_or(Ok(0), |at| at.bounded_integer())?,
         phase: at.key("lifecycle")?.one_of(&PHASES)?,
-        came_up: started.map_or(Ok(0), |at| at.micros())?,
+        started_at: started.map_or(Ok(0), |at| at.micros())?,
     })
 }
 
@@ -81,13 +81,15 @@
 pub fn decode(at: &JsonNode) -> Result<List, ConfigError> {
     let mut list = List {
         generation: at.key("generation")?.integer()?,
-        whole: at.option("reset").map_or(Ok(false), |at| at.boolean())?,
+        is_complete: at.option("reset").map_or(Ok(false), |at| at.boolean())?,
         ..List::default()
     };
     for at in at.key("instances")?.list()? {
         match instance(&at) {
             Ok(one) => list.instances.push(one),
-            Err(_) => list.odd.push(at.option("instanceId").and_then(|id| Some(id.text().ok()?.to_string()))),
+            Err(_) => {
+                list.unreadable.push(at.option("instanceId").and_then(|id| Some(id.text().ok()?.to_string())))
+            }
         }
     }
     Ok(list)
@@ -97,7 +99,7 @@
 pub fn encode<'a>(generation: u64, whole: bool, instances: impl Iterator<Item = &'a Instance>) -> Value {
     let instance = |one: &Instance| {
         json!({"instanceId": one.id, "hostPort": one.addr.to_string(), "zone": one.zone, "cell": one.cell,
-            "lifecycle": word(one.phase), "startedAtMs": one.came_up as f64 / 1e3})
+            "lifecycle": word(one.phase), "startedAtMs": one.started_at as f64 / 1e3})
     };
     let instances: Vec<Value> = instances.map(instance).collect();
     json!({"generation": generation, "reset": whole, "instances": instances})
--- a/lab/src/losses/backends.rs
+++ b/lab/src/losses/backends.rs
@@ -42,10 +42,10 @@
 impl Backends {
     pub fn record_list(&mut self, at: Micros, list: &List) {
         for one in &list.instances {
-            let listing = Listing { since: at, addr: one.addr, phase: one.phase, came_up: one.came_up };
+            let listing = Listing { since: at, addr: one.addr, phase: one.phase, came_up: one.started_at };
             self.insert(&one.id, list.generation, listing);
         }
-        if list.whole {
+        if list.is_complete {
             let names = list.instances.iter().map(|one| one.id.clone()).collect();
             let whole = self.whole_lists.entry(list.generation).or_insert(Whole { since: at, names });
             whole.since = whole.since.min(at);
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -389,9 +389,9 @@
     let (_, instances) = what.split_once("instances: [")?;
     Some(List {
         generation: fields::parsed(what, "generation")?,
-        whole: fields::parsed(what, "whole")?,
+        is_complete: fields::parsed(what, "is_complete").or_else(|| fields::parsed(what, "whole"))?,
         instances: instances.split(INSTANCE).skip(1).map(instance).collect::<Option<_>>()?,
-        odd: Vec::new(),
+        unreadable: Vec::new(),
     })
 }
 
@@ -409,7 +409,7 @@
             "Gone" => Phase::Gone,
             _ => return None,
         },
-        came_up: fields::parsed(&of, "came_up")?,
+        started_at: fields::parsed(&of, "started_at").or_else(|| fields::parsed(&of, "came_up"))?,
     })
 }
 
--- a/lab/src/virt/list.rs
+++ b/lab/src/virt/list.rs
@@ -18,10 +18,11 @@
             zone: endpoints.identities[i].zone.clone(),
             cell: endpoints.identities[i].cell,
             phase: endpoints.entry(i).phase,
-            came_up: endpoints.entry(i).started_at,
+            started_at: endpoints.entry(i).started_at,
         };
         let instances = servers.iter().map(instance).collect();
-        let list = List { generation: endpoints.generation, whole, instances, ..List::default() };
+        let list =
+            List { generation: endpoints.generation, is_complete: whole, instances, ..List::default() };
         if whole {
             // What a whole list leaves out is gone.
             let gone: Vec<usize> = (0..self.day.servers.len())
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -48,8 +48,8 @@
                 Event::EndpointListReceived { watch, list }
             }
             (Plant::PushesTheCold, Event::EndpointListReceived { watch, mut list }) => {
-                for one in list.instances.iter_mut().filter(|one| one.came_up > 0) {
-                    one.came_up = 0;
+                for one in list.instances.iter_mut().filter(|one| one.started_at > 0) {
+                    one.started_at = 0;
                     self.cold = Some(one.addr).filter(|_| one.phase == Phase::Ready).or(self.cold);
                 }
                 Event::EndpointListReceived { watch, list }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -132,7 +132,7 @@
         zone: "north, phase: Gone".to_string(),
         cell: 3,
         phase,
-        came_up,
+        started_at: came_up,
     };
     let instances = vec![
         instance("oak", Phase::Ready, 0),
@@ -140,7 +140,7 @@
         instance("ash", Phase::Gone, 18),
     ];
     for instances in [instances, Vec::new()] {
-        let list = List { generation: 5, whole: true, instances, odd: Vec::new() };
+        let list = List { generation: 5, is_complete: true, instances, unreadable: Vec::new() };
         assert_eq!(
             event(Event::EndpointListReceived { watch: 2, list: list.clone() }),
             Entry::EndpointList(list)
--- a/recovery/src/recover.rs
+++ b/recovery/src/recover.rs
@@ -76,7 +76,7 @@
 /// different sources can't be compared, so there the configuration's list holds. A server that was draining
 /// or removed stays so until a later version of the same list says otherwise, or until it has restarted.
 pub fn recover(input: &RecoverInput) -> Recovered {
-    let list = List { whole: true, ..input.configured.clone() };
+    let list = List { is_complete: true, ..input.configured.clone() };
     let recovery = Recovery { input, recovered: Recovered { list, ..Recovered::default() } };
     if input.stored.relay_name.as_deref() != Some(input.relay_name) {
         return recovery.with_foreign_store();
@@ -126,7 +126,7 @@
             .filter(|server| server.instance.phase == Phase::Gone)
             .map(|server| RemovedServer {
                 name: server.instance.id.clone(),
-                started_at: server.instance.came_up,
+                started_at: server.instance.started_at,
             })
             .collect();
         self.choose_list(&servers);
@@ -226,7 +226,7 @@
                 |s: &&&StoredServer| s.instance.id == instance.id && s.instance.phase != Phase::Ready;
             let Some(stored) = servers.iter().find(is_stored) else { continue };
             let is_overruled = is_same_source && generation > stored.generation;
-            let has_restarted = instance.came_up > stored.instance.came_up;
+            let has_restarted = instance.started_at > stored.instance.started_at;
             if instance.phase == Phase::Ready && !is_overruled && !has_restarted {
                 instance.phase = stored.instance.phase;
                 changed += 1;
--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -59,7 +59,7 @@
 
 fn instance(id: &str, phase: Phase, came_up: Micros) -> Instance {
     let addr = "10.0.0.9:80".parse().expect("an address");
-    Instance { id: id.to_string(), addr, zone: "east".to_string(), cell: 2, phase, came_up }
+    Instance { id: id.to_string(), addr, zone: "east".to_string(), cell: 2, phase, started_at: came_up }
 }
 
 fn instances() -> [Instance; 3] {
--- a/recovery/tests/recover.rs
+++ b/recovery/tests/recover.rs
@@ -19,12 +19,12 @@
         zone: "east".to_string(),
         cell: 2,
         phase,
-        came_up,
+        started_at: came_up,
     }
 }
 
 fn list(generation: u64, instances: Vec<Instance>) -> List {
-    List { generation, whole: true, instances, ..List::default() }
+    List { generation, is_complete: true, instances, ..List::default() }
 }
 
 /// As a relay `r` would have stored it some seconds ago.
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -189,7 +189,7 @@
             opening = None;
             last_heard = Instant::now();
             if let Some(list) = list {
-                since = if list.whole { list.generation } else { list.generation.max(since) };
+                since = if list.is_complete { list.generation } else { list.generation.max(since) };
                 self.hub.notify(Event::EndpointListReceived { watch: self.id, list }).await;
             }
         }
@@ -205,7 +205,7 @@
         let fetched = timeout(span(limits.discovery_first), fetch_list(self.addr, limits.list)).await;
         let list = fetched.unwrap_or(Err(WatchError::NoList))?;
         let since = list.generation;
-        let list = List { whole: true, ..list };
+        let list = List { is_complete: true, ..list };
         self.hub.notify(Event::EndpointListReceived { watch: self.id, list }).await;
         Ok(since)
     }
--- a/relay/src/net/interleaving_tests/lists.rs
+++ b/relay/src/net/interleaving_tests/lists.rs
@@ -166,7 +166,7 @@
         call.says(&chunk(&text)).await;
         let list = told(&mut events).await;
         assert_eq!(list.instances.iter().map(|one| one.id.as_str()).collect::<Vec<_>>(), ["s-3"]);
-        assert_eq!(list.odd, [Some("s-1".to_string()), Some("s-2".to_string()), None]);
+        assert_eq!(list.unreadable, [Some("s-1".to_string()), Some("s-2".to_string()), None]);
     });
 }
 
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -149,7 +149,7 @@
         let list = state.endpoint_list.and_then(|list| list::parse(list.to_string().as_bytes()).ok());
         if let Some(list) = list {
             if self.list_version.is_none_or(|own| own < list.generation) {
-                self.apply_list(List { whole: true, ..list }, out);
+                self.apply_list(List { is_complete: true, ..list }, out);
             }
         }
         let servers = state.servers.into_iter().filter_map(|server| self.server_snapshot(server)).collect();
@@ -194,7 +194,7 @@
     /// Tells the successor what discovery told this process: the successor's own watch may not be open.
     pub(super) fn send_list_to_successor(&mut self, list: &List, out: &mut Vec<Effect>) {
         if self.ownership.successor().is_some() {
-            let list = list::encode(list.generation, list.whole, list.instances.iter());
+            let list = list::encode(list.generation, list.is_complete, list.instances.iter());
             self.apply_ownership_event(OwnershipEvent::ListReceived { list }, out);
         }
     }
@@ -208,7 +208,7 @@
         }
         if self.discovery_contacted.is_some() {
             list.instances.retain(|one| one.phase != Phase::Ready);
-            list.whole = false;
+            list.is_complete = false;
         }
         self.persist_list(&list, out);
         self.send_list_to_successor(&list, out);
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -194,7 +194,7 @@
         self.start_review(out);
         let recovered = stored.map(|stored| self.recover_state(now, &stored, out)).unwrap_or_default();
         let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
-        let known = stored.unwrap_or(List { whole: true, ..self.node.known.clone() });
+        let known = stored.unwrap_or(List { is_complete: true, ..self.node.known.clone() });
         self.list_version = Some(known.generation);
         let start = now.max(recovered.min_start_number);
         self.membership = membership::new_membership(&self.node, start);
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -86,14 +86,14 @@
     fn accept_from_peer(&self, offered: Instance) -> Option<Instance> {
         let known = self.ids.get(&offered.id).and_then(|id| self.servers.get(id)).map(|v| &v.instance);
         let removed = self.removed_servers.get(&offered.id).copied();
-        let removed = removed.or(known.filter(|one| one.phase == Phase::Gone).map(|one| one.came_up));
+        let removed = removed.or(known.filter(|one| one.phase == Phase::Gone).map(|one| one.started_at));
         if let Some(started_at) = removed {
             // Only a later start of a removed server is another one.
-            return (offered.came_up > started_at).then_some(offered);
+            return (offered.started_at > started_at).then_some(offered);
         }
         let Some(known) = known else { return Some(offered) };
         // Both are the cautious side: a later start makes it slow, a drain ends new sessions.
-        let has_restarted = offered.came_up > known.came_up;
+        let has_restarted = offered.started_at > known.started_at;
         let drains = known.phase == Phase::Ready && offered.phase == Phase::Draining;
         let stays_draining = known.phase == Phase::Draining && !has_restarted;
         let phase = if stays_draining { Phase::Draining } else { offered.phase };
@@ -105,14 +105,14 @@
         if self.membership.is_none() {
             return;
         }
-        if list.whole {
+        if list.is_complete {
             let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
             let left_out = self.servers.values().map(|v| &v.instance).filter(|told| !is_named(&told.id));
-            self.removed_servers.extend(left_out.map(|told| (told.id.clone(), told.came_up)));
+            self.removed_servers.extend(left_out.map(|told| (told.id.clone(), told.started_at)));
         }
         for one in &list.instances {
             match one.phase {
-                Phase::Gone => _ = self.removed_servers.insert(one.id.clone(), one.came_up),
+                Phase::Gone => _ = self.removed_servers.insert(one.id.clone(), one.started_at),
                 Phase::Ready | Phase::Draining => _ = self.removed_servers.remove(&one.id),
             }
         }
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -91,7 +91,7 @@
             return;
         }
         let changed = list.instances.iter().filter(|one| self.known_instance(&one.id) != Some(*one));
-        let removed = if list.whole { self.left_out_by(list) } else { Vec::new() };
+        let removed = if list.is_complete { self.left_out_by(list) } else { Vec::new() };
         let changed: Vec<Instance> = changed.cloned().chain(removed).collect();
         for instance in &changed {
             self.persist(Record::server(list.generation, self.now, instance), out);
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -84,7 +84,7 @@
             return;
         }
         let mut instance = v.instance.clone();
-        instance.came_up = self.now;
+        instance.started_at = self.now;
         let endpoint = self.endpoint(instance, ListUpdate::Delta);
         self.step_balancer(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
     }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -34,16 +34,16 @@
     }
 
     pub(super) fn apply_list(&mut self, list: List, out: &mut Vec<Effect>) {
-        if list.whole {
+        if list.is_complete {
             self.servers.values_mut().for_each(|v| v.instance.phase = Phase::Gone);
         }
-        let update = if list.whole { ListUpdate::Snapshot } else { ListUpdate::Delta };
+        let update = if list.is_complete { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let mut instances = list.instances;
-        if !list.odd.is_empty() {
-            log(format!("{} entries of the list can't be read", list.odd.len()), out);
+        if !list.unreadable.is_empty() {
+            log(format!("{} entries of the list can't be read", list.unreadable.len()), out);
             // Such an entry may say that the server drains, so nothing new goes there. A whole list has that
             // effect anyway.
-            let held = list.odd.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
+            let held = list.unreadable.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
             let there = held.map(|v| &v.instance).filter(|told| told.phase == Phase::Ready);
             instances.extend(there.map(|told| Instance { phase: Phase::Draining, ..told.clone() }));
         }
@@ -80,7 +80,7 @@
                 server
             }
         };
-        let started = self.local_start(server, one.came_up, update);
+        let started = self.local_start(server, one.started_at, update);
         let fresh = || Server {
             instance: one.clone(),
             started_at: started,
@@ -109,7 +109,7 @@
             return 0;
         }
         let held = self.servers.get(&server);
-        if let Some(v) = held.filter(|v| v.instance.came_up == came_up && v.started_at > 0) {
+        if let Some(v) = held.filter(|v| v.instance.started_at == came_up && v.started_at > 0) {
             return v.started_at;
         }
         let ahead = came_up > self.now;
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -21,7 +21,7 @@
         let w = &mut self.watch;
         if watch == w.latest {
             // Changes may arrive out of order: one that is older than the list in force is dropped.
-            if !list.whole && self.list_version.is_some_and(|held| list.generation < held) {
+            if !list.is_complete && self.list_version.is_some_and(|held| list.generation < held) {
                 return log(format!("a change of version {} came too late", list.generation), out);
             }
             self.list_version = Some(list.generation);
@@ -89,7 +89,7 @@
         if zones {
             // The same servers may have other zone numbers now.
             let instances = self.servers.values().map(|v| v.instance.clone()).collect();
-            self.apply_list(List { whole: true, instances, ..List::default() }, out);
+            self.apply_list(List { is_complete: true, instances, ..List::default() }, out);
         }
     }
 
