--- a/balancer/tests/decisions_trace/main.rs
+++ b/balancer/tests/decisions_trace/main.rs
@@ -4,6 +4,7 @@
 //! servers would: a changed decision changes all that follows in its site.
 //!
 //! A line of the fixture: site, inputs so far, the hash, then how many effects of each kind there were.
+mod config;
 mod site;
 
 use hallrelay_balancer::types::*;
--- a/emulator/tests/models.rs
+++ b/emulator/tests/models.rs
@@ -10,7 +10,8 @@
 fn day(servers: &str, more: &str) -> Scenario {
     let text = format!(
         "name = \"models\"\nlength_s = 60\n[relays]\ncount = 2\n[servers]\nzones = [\"a\", \"b\"]\n\
-         per_core = 10\nreport_noise = 0\nreport_every_ms = [500, 500]\nreport_late_ms = [100, 100]\n{servers}\n\
+         per_core = 10\nreport_noise = 0\nreport_every_ms = [500, 500]\n\
+         report_late_ms = [100, 100]\n{servers}\n\
          [[servers.kind]]\nname = \"one\"\ncount = 4\ncores = 1\nspeed = 1.0\n\
          [[listener]]\nname = \"low\"\nshare = 1\nutility = 1\nhandshake_target_ms = 300\n\
          dial_timeout_ms = 2000\nmessage_target_ms = 60\nlife_s = 30\nload_sigma = 0\nswing_sigma = 0\n\
--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -155,7 +155,8 @@
         let by_all = times(&row.detection_by_all);
         _ = writeln!(
             table,
-            "{:8} {:6} {:5.2} {:7.2}  {detection:>19}  {by_all:>18}  {:6}  {:5}  {:7}  {:11.1}  {:7.0}  {:8.0}",
+            "{:8} {:6} {:5.2} {:7.2}  {detection:>19}  {by_all:>18}  {:6}  {:5}  {:7}  \
+             {:11.1}  {:7.0}  {:8.0}",
             row.protocol,
             row.relays,
             row.loss,
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -19,7 +19,8 @@
     );
     _ = writeln!(
         t,
-        "sessions: {} asked for ({} tries), {} up, {} refused, {} torn down, {} given up by clients; {} open at most",
+        "sessions: {} asked for ({} tries), {} up, {} refused, {} torn down, {} given up by clients; \
+         {} open at most",
         sum(|l| l.first_tries),
         sum(|l| l.tries),
         sum(|l| l.up),
@@ -32,7 +33,8 @@
         let [p50, p99, p999, most] = l.wait_ms;
         _ = writeln!(
             t,
-            "{}: service {:.3}, up in {p50:.1} ms (p99 {p99:.1}, p99.9 {p999:.1}, most {most:.0}), {} refused",
+            "{}: service {:.3}, up in {p50:.1} ms (p99 {p99:.1}, p99.9 {p999:.1}, \
+             most {most:.0}), {} refused",
             l.name, l.service, l.refused
         );
     }
@@ -181,7 +183,8 @@
         let [a, b, c, d] = l.wait_ms;
         _ = write!(
             p,
-            "<tr><td>{}</td><td>{a:.2}</td><td>{b:.2}</td><td>{c:.2}</td><td>{d:.1}</td><td>{part:.2}%</td></tr>",
+            "<tr><td>{}</td><td>{a:.2}</td><td>{b:.2}</td><td>{c:.2}</td><td>{d:.1}</td>\
+             <td>{part:.2}%</td></tr>",
             escape(&l.name)
         );
     }
