--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -109,9 +109,8 @@
     /// What the successor is to know.
     fn relay_state(&self) -> RelayState {
         let Snapshot { session_load, servers } = self.balancer.snapshot(self.now);
-        let listed = self.servers.values().map(|v| &v.instance).filter(|told| told.phase != Phase::Gone);
         RelayState {
-            endpoint_list: self.list_version.map(|generation| list::encode(generation, true, listed)),
+            endpoint_list: self.encoded_list(),
             servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
             session_load,
             draining_age: self.draining_since().map(|since| self.now - since),
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -46,15 +46,18 @@
         self.step_membership(MembershipEvent::PollEndpointList, out);
     }
 
+    /// The whole endpoint list in discovery's form; `None` before any version is known.
+    pub(super) fn encoded_list(&self) -> Option<Value> {
+        let listed = self.servers.values().map(|v| &v.instance).filter(|one| one.phase != Phase::Gone);
+        self.list_version.map(|generation| list::encode(generation, true, listed))
+    }
+
     /// Another relay polls for the list.
     pub(super) fn send_list_to_peer(&mut self, stream: u64, out: &mut Vec<Effect>) {
-        let answer = self.list_version.map(|generation| {
-            let listed = self.servers.values().map(|v| &v.instance).filter(|told| told.phase != Phase::Gone);
-            PeerList {
-                source: self.node.discovery.to_string(),
-                age_ms: self.discovery_contacted.map(|at| self.now.saturating_sub(at) / 1000),
-                list: list::encode(generation, true, listed),
-            }
+        let answer = self.encoded_list().map(|list| PeerList {
+            source: self.node.discovery.to_string(),
+            age_ms: self.discovery_contacted.map(|at| self.now.saturating_sub(at) / 1000),
+            list,
         });
         let bytes = answer.and_then(|answer| serde_json::to_vec(&answer).ok());
         self.step_membership(MembershipEvent::EndpointListReply { stream, bytes }, out);
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -2,7 +2,7 @@
 //! connection and then answers has most likely restarted in between, and starts slowly.
 //!
 //! After a power loss nobody tells of restarts, and an old list calls every server warm. Where a network was
-//! merely interrupted, its servers are spared for one slow start, unless discovery tells otherwise.
+//! merely interrupted, its servers go through one needless slow start, unless discovery tells otherwise.
 use super::Reducer;
 use hallrelay_balancer::types::{DialEnd, Input, ListUpdate, ServerId};
 
