--- a/relay/src/buffer.rs
+++ b/relay/src/buffer.rs
@@ -1,63 +1,85 @@
-//! One buffer a connection: nothing till bytes come, then small, grown as lines need it, compacted in place.
+//! The read buffer of a connection: empty until bytes come, grown as lines need it, compacted in place.
 use crate::socket;
 use socket2::SockRef;
 use std::io::{self, Read};
 use tokio::net::TcpStream;
 
+/// Bytes that were read from one connection and not yet taken.
 pub struct Buffer {
     bytes: Vec<u8>,
-    /// What is read and not yet taken, and how far of it was looked through for line ends.
-    from: usize,
-    till: usize,
-    seen: usize,
-    /// End of the last whole line, and where the lines begin that the last read made whole.
-    whole: usize,
+    /// Where the bytes begin that are not taken yet.
+    start: usize,
+    /// Where they end.
+    end: usize,
+    /// How far they were searched for line ends.
+    searched: usize,
+    /// The end of the last complete line.
+    complete: usize,
+    /// Where the lines begin that the last read completed.
     fresh: usize,
-    first: usize,
-    most: usize,
+    /// Bytes that are allocated first.
+    initial_capacity: usize,
+    /// Bytes that may be held.
+    max_capacity: usize,
 }
 
 impl Buffer {
-    pub fn new(first: usize, most: usize) -> Buffer {
-        Buffer { bytes: Vec::new(), from: 0, till: 0, seen: 0, whole: 0, fresh: 0, first, most }
+    /// An empty buffer. It takes `initial_capacity` bytes with the first read, and at most `max_capacity`.
+    pub fn new(initial_capacity: usize, max_capacity: usize) -> Buffer {
+        Buffer {
+            bytes: Vec::new(),
+            start: 0,
+            end: 0,
+            searched: 0,
+            complete: 0,
+            fresh: 0,
+            initial_capacity,
+            max_capacity,
+        }
     }
 
-    /// One that goes on with what another process had read and not yet written.
-    pub fn holding(bytes: &[u8], first: usize, most: usize) -> Buffer {
-        let mut buffer = Buffer::new(first, most.max(bytes.len()));
-        (buffer.bytes, buffer.till) = (bytes.to_vec(), bytes.len());
-        buffer.look();
-        buffer.fresh = buffer.whole;
+    /// A buffer that goes on with what another process had read and not yet written.
+    pub fn holding(bytes: &[u8], initial_capacity: usize, max_capacity: usize) -> Buffer {
+        let mut buffer = Buffer::new(initial_capacity, max_capacity.max(bytes.len()));
+        (buffer.bytes, buffer.end) = (bytes.to_vec(), bytes.len());
+        buffer.find_last_line_end();
+        buffer.fresh = buffer.complete;
         buffer
     }
 
-    /// All that is not taken, whole lines or not.
+    /// All that is not taken, complete lines or not.
     pub fn rest(&self) -> &[u8] {
-        &self.bytes[self.from..self.till]
+        &self.bytes[self.start..self.end]
     }
 
-    pub fn has_room(&self) -> bool {
-        self.till - self.from < self.most
+    /// Whether it takes more bytes before some are taken.
+    pub fn has_capacity(&self) -> bool {
+        self.end - self.start < self.max_capacity
     }
 
-    /// Bytes that stand behind the last whole line.
+    /// How many bytes there are behind the last complete line.
     pub fn partial(&self) -> usize {
-        self.till - self.whole
+        self.end - self.complete
     }
 
-    /// Whole lines that are not yet taken, with their ends.
+    /// Complete lines that are not yet taken, with their ends.
     pub fn lines(&self) -> &[u8] {
-        &self.bytes[self.from..self.whole]
+        &self.bytes[self.start..self.complete]
     }
 
+    /// Drops the first `count` bytes, which were used.
     pub fn take(&mut self, count: usize) {
-        self.from += count;
-        if self.from == self.till {
-            (self.from, self.till, self.seen, self.whole, self.fresh) = (0, 0, 0, 0, 0);
+        self.start += count;
+        if self.start == self.end {
+            self.start = 0;
+            self.end = 0;
+            self.searched = 0;
+            self.complete = 0;
+            self.fresh = 0;
         }
     }
 
-    /// Takes the first whole line, without its end.
+    /// Takes the first complete line; it is returned without its end.
     pub fn take_line(&mut self) -> Option<Vec<u8>> {
         let at = self.lines().windows(2).position(|w| w == b"\r\n")?;
         let line = self.lines()[..at].to_vec();
@@ -65,18 +87,19 @@
         Some(line)
     }
 
-    fn make_room(&mut self) {
-        if self.till < self.bytes.len() {
+    /// Makes place behind the last byte: by compaction, else by growth.
+    fn reserve(&mut self) {
+        if self.end < self.bytes.len() {
             return;
         }
-        if self.from > 0 {
-            self.bytes.copy_within(self.from..self.till, 0);
-            for place in [&mut self.till, &mut self.seen, &mut self.whole] {
-                *place -= self.from;
+        if self.start > 0 {
+            self.bytes.copy_within(self.start..self.end, 0);
+            for position in [&mut self.end, &mut self.searched, &mut self.complete] {
+                *position -= self.start;
             }
-            self.from = 0;
+            self.start = 0;
         } else {
-            self.bytes.resize((self.bytes.len() * 2).max(self.first).min(self.most), 0);
+            self.bytes.resize((self.bytes.len() * 2).max(self.initial_capacity).min(self.max_capacity), 0);
         }
     }
 
@@ -85,38 +108,38 @@
         self.read_with(|bytes| socket::try_read(stream, bytes))
     }
 
-    /// Reads once what lies there, also what the runtime has not been told of: it learns of bytes with its
-    /// next look at all sockets.
+    /// Reads once what is there, also what the runtime does not know of yet: it learns of bytes as it next
+    /// polls all sockets.
     pub fn read_now(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.read_with(|bytes| socket::uninterrupted(|| (&*SockRef::from(stream)).read(bytes)))
     }
 
     fn read_with(&mut self, read: impl FnOnce(&mut [u8]) -> io::Result<usize>) -> io::Result<usize> {
-        self.make_room();
-        let count = read(&mut self.bytes[self.till..])?;
-        self.till += count;
-        self.fresh = self.whole.max(self.from);
-        self.look();
+        self.reserve();
+        let count = read(&mut self.bytes[self.end..])?;
+        self.end += count;
+        self.fresh = self.complete.max(self.start);
+        self.find_last_line_end();
         Ok(count)
     }
 
-    /// Finds the end of the last whole line.
-    fn look(&mut self) {
-        let look = &self.bytes[self.seen..self.till];
-        if let Some(at) = look.windows(2).rposition(|w| w == b"\r\n") {
-            self.whole = self.seen + at + 2;
+    /// Finds the end of the last complete line.
+    fn find_last_line_end(&mut self) {
+        let unsearched = &self.bytes[self.searched..self.end];
+        if let Some(at) = unsearched.windows(2).rposition(|w| w == b"\r\n") {
+            self.complete = self.searched + at + 2;
         }
-        self.whole = self.whole.max(self.from);
+        self.complete = self.complete.max(self.start);
         // A line's end may come in two parts.
-        self.seen = self.whole.max(self.till.saturating_sub(1));
+        self.searched = self.complete.max(self.end.saturating_sub(1));
     }
 
-    /// Whether bytes stand behind what was taken, or lie on the stream.
+    /// Whether bytes follow what was taken, here or on the stream. It may read from the stream.
     pub fn holds_more(&mut self, stream: &TcpStream) -> bool {
-        self.till > self.from || matches!(self.read(stream), Ok(1..))
+        self.end > self.start || matches!(self.read(stream), Ok(1..))
     }
 
-    /// Waits for something and reads it; 0 is the end. Given up while it waits, it has read nothing.
+    /// Waits for bytes and reads them; 0 is the stream's end. Cancelled while it waits, it has read nothing.
     pub async fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             stream.readable().await?;
@@ -127,26 +150,26 @@
         }
     }
 
-    /// The lines that the last read made whole.
+    /// The lines that the last read completed.
     pub fn fresh(&self) -> &[u8] {
-        &self.bytes[self.fresh..self.whole]
+        &self.bytes[self.fresh..self.complete]
     }
 
-    /// Keeps those lines from being passed on.
+    /// Takes the lines that the last read completed out of what is forwarded.
     pub fn reject_fresh(&mut self) {
-        self.whole = self.fresh;
+        self.complete = self.fresh;
     }
 
-    /// Writes what it can of the whole lines.
+    /// Writes what it can of the complete lines and takes it; the count of bytes.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let count = socket::try_write(stream, self.lines())?;
         self.take(count);
         Ok(count)
     }
 
-    /// Gives back what a burst took.
+    /// Frees the memory of an empty buffer that has grown.
     pub fn shrink(&mut self) {
-        if self.from == self.till && self.bytes.len() > self.first {
+        if self.start == self.end && self.bytes.len() > self.initial_capacity {
             self.bytes = Vec::new();
         }
     }
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -7,12 +7,19 @@
 use winnow::prelude::*;
 use winnow::token::{rest, take_while};
 
+/// The end of every line.
 pub const END: &[u8] = b"\r\n";
+/// To a client or from a backend: come again with the same key; the session goes on elsewhere.
 pub const MOVE: &[u8] = b"MOVE\r\n";
+/// The answer to `PING`: ready.
 pub const PONG: &[u8] = b"PONG\r\n";
+/// Rejected, without a time to come back after.
 pub const BUSY: &[u8] = b"BUSY\r\n";
+/// The final answer of a session that failed after its first line was forwarded.
 pub const FAIL: &[u8] = b"FAIL\r\n";
+/// The answer to a line that is not of the protocol.
 pub const ERROR: &[u8] = b"ERR\r\n";
+/// Asks a backend for its load report.
 pub const STATS: &[u8] = b"STATS\r\n";
 
 /// The whole lines among some bytes, without their ends.
@@ -29,22 +36,30 @@
 /// What a client's first line says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FirstLine {
+    /// `PING`: is this relay ready?
     Ping,
+    /// `OPEN`: a session is requested.
     Open(SessionRequest),
 }
 
+/// An `OPEN` line.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SessionRequest {
-    /// This connection's own mark.
+    /// The id that the client gave this connection.
     pub id: u64,
+    /// The listener's name; never empty.
     pub listener: String,
+    /// The client's own identifier, the same when it returns; 0 is none.
     pub key: u64,
+    /// The group of keys; 0 where none is given.
     pub group: u64,
+    /// Whether the client comes back with a session that was open before.
     pub returned: bool,
-    /// How long the client waits, in milliseconds, and where in the line this stands.
+    /// How long the client waits, in milliseconds.
     pub wait_ms: u64,
+    /// Where in the line that number stands, in bytes.
     pub wait_at: Range<usize>,
-    /// The backend at which this connection stood before.
+    /// The id of the backend at which this session was open before.
     pub at: Option<String>,
 }
 
@@ -103,25 +118,34 @@
     ["0", "1"].iter().position(|v| *v == value).map(|i| i == 1)
 }
 
-/// What a backend says, in the first line of its answer or among later ones.
+/// A backend's line: the first of its answer, or a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendReply {
+    /// The session is established.
     Up,
+    /// The session ended in order.
     Bye(Option<LoadReport>),
+    /// The client is to come again; the session goes on elsewhere.
     Move,
+    /// The backend failed on the session.
     Error(Option<LoadReport>),
+    /// Rejected; nothing ran.
     Busy(Option<LoadReport>),
+    /// The answer to a health check.
     Pong(Option<LoadReport>),
+    /// The load of an open session, or its message delay in milliseconds; never negative.
     Load(f64),
+    /// Any other line, malformed ones among them; it is passed on.
     Other,
 }
 
+/// A backend's line without its end. `order` names the fields of its load report.
 pub fn parse_backend_reply(line: &[u8], order: ReportOrder) -> BackendReply {
     let Ok(text) = std::str::from_utf8(line) else { return BackendReply::Other };
     let Ok((word, tail)) = split.parse(text) else { return BackendReply::Other };
     let report = || {
         let values = pairs.parse(tail?).ok()?;
-        Some(order.find(|name| values.iter().find(|v| v.0 == name).and_then(|v| figure(v.1))))
+        Some(order.find(|name| values.iter().find(|v| v.0 == name).and_then(|v| non_negative_number(v.1))))
     };
     match word {
         "UP" => BackendReply::Up,
@@ -129,28 +153,28 @@
         "MOVE" => BackendReply::Move,
         "ERR" => BackendReply::Error(report()),
         // It tells that the dial did not run, which must not be guessed: only a well-formed line counts.
-        "BUSY" if tail.is_none() || tail.is_some_and(refusal) => BackendReply::Busy(report()),
+        "BUSY" if tail.is_none() || tail.is_some_and(is_rejection_detail) => BackendReply::Busy(report()),
         "PONG" => BackendReply::Pong(report()),
-        "LOAD" => tail.and_then(figure).map_or(BackendReply::Other, BackendReply::Load),
+        "LOAD" => tail.and_then(non_negative_number).map_or(BackendReply::Other, BackendReply::Load),
         _ => BackendReply::Other,
     }
 }
 
-/// What may stand behind a backend's refusal: a time to come back after, or figures.
-fn refusal(tail: &str) -> bool {
-    figure(tail).is_some() || pairs.parse(tail).is_ok()
+/// What may stand behind a backend's rejection: a time to come back after, or a load report.
+fn is_rejection_detail(tail: &str) -> bool {
+    non_negative_number(tail).is_some() || pairs.parse(tail).is_ok()
 }
 
 fn split<'a>(input: &mut &'a str) -> ModalResult<(&'a str, Option<&'a str>)> {
     (alpha1, opt(preceded(' ', rest))).parse_next(input)
 }
 
-fn figure(text: &str) -> Option<f64> {
+fn non_negative_number(text: &str) -> Option<f64> {
     let mut number = float::<_, f64, winnow::error::ContextError>;
     number.parse(text).ok().filter(|x| x.is_finite() && *x >= 0.0)
 }
 
-/// The refusal, with the time to come back after where the client is to be told one.
+/// A rejection; with the milliseconds after which to come back, unless they are 0.
 pub fn busy(after_ms: u64) -> Vec<u8> {
     match after_ms {
         0 => BUSY.to_vec(),
@@ -158,13 +182,13 @@
     }
 }
 
-/// A name in which nothing can be taken for the marks of a form or of a path.
+/// The name with `_` for each character that metrics or paths could take for a separator.
 pub fn sanitize(name: &str) -> String {
     let fit = |c: char| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' };
     name.chars().map(fit).collect()
 }
 
-/// The client's first line as it goes on: unchanged but for how long the relay will wait.
+/// The client's first line as it is forwarded: unchanged but for the time that the relay waits.
 pub fn rewrite_timeout(line: &[u8], wait_at: &Range<usize>, wait_ms: u64) -> Vec<u8> {
     [&line[..wait_at.start], wait_ms.to_string().as_bytes(), &line[wait_at.end..], END].concat()
 }
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -4,30 +4,31 @@
 use hallrelay_membership::MemberState;
 use std::fmt::Write;
 
-pub fn text(figures: &Metrics) -> String {
+/// All metrics as text. Names keep the older terms, since operators' tools read them.
+pub fn text(metrics: &Metrics) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: char| _ = writeln!(text, "node.{name}:{value}|{kind}");
-    for (listener, n) in &figures.listeners {
+    for (listener, n) in &metrics.listeners {
         let listener = sanitize(listener);
         let counts = [("passed", n.passed), ("dropped", n.dropped), ("bad_gateway", n.failed)];
         counts.iter().for_each(|(name, value)| line(&format!("{name}.{listener}"), *value, 'c'));
     }
-    line("upstream_tries", figures.tries, 'c');
-    let denials = figures.denials;
+    line("upstream_tries", metrics.tries, 'c');
+    let denials = metrics.denials;
     let denied = [("client", denials.client), ("late", denials.late), ("leaving", denials.leaving)];
     denied.iter().for_each(|(why, value)| line(&format!("denied_dials.{why}"), *value, 'c'));
-    line("loads", figures.loads, 'c');
-    line("load_errors", figures.load_errors, 'c');
-    line("in_progress", figures.in_progress as u64, 'g');
-    line("known_backends", figures.known as u64, 'g');
-    line("skipped_backends", figures.avoided as u64, 'g');
-    if let Some(store) = &figures.store {
+    line("loads", metrics.loads, 'c');
+    line("load_errors", metrics.load_errors, 'c');
+    line("in_progress", metrics.in_progress as u64, 'g');
+    line("known_backends", metrics.known as u64, 'g');
+    line("skipped_backends", metrics.avoided as u64, 'g');
+    if let Some(store) = &metrics.store {
         line("store_failing", u64::from(store.last_error.is_some()), 'g');
         line("store_bytes", store.file_bytes, 'g');
         let counts = [("batches", store.batches), ("failures", store.failures), ("refused", store.rejected)];
         counts.iter().for_each(|(name, value)| line(&format!("store_{name}"), *value, 'c'));
     }
-    if let Some(membership) = &figures.membership {
+    if let Some(membership) = &metrics.membership {
         let c = &membership.counters;
         for (state, n) in MemberState::ALL.iter().zip(membership.members_by_state) {
             line(&format!("fleet_{}", state.as_str()), n as u64, 'g');
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -93,7 +93,7 @@
         loop {
             match self.values.next(max_bytes)? {
                 Some(Part::Value(text)) => return Ok(Some(list::parse(&text)?)),
-                Some(Part::Blank) => return Ok(None),
+                Some(Part::BlankLine) => return Ok(None),
                 None => {}
             }
             let frame = self.body.frame().await.ok_or(WatchError::Ended)??;
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -309,7 +309,7 @@
                         return end;
                     }
                 }
-                count = from_backend.fill(backend), if from_backend.has_room() => match count {
+                count = from_backend.fill(backend), if from_backend.has_capacity() => match count {
                     Ok(0) | Err(_) => return observer.backend_closed(),
                     Ok(_) => {
                         let valid = observer.backend_lines(from_backend.fresh()).await;
@@ -319,7 +319,7 @@
                         }
                     }
                 },
-                count = from_client.fill(client), if from_client.has_room() => match count {
+                count = from_client.fill(client), if from_client.has_capacity() => match count {
                     Ok(0) => return SessionEnd::ClientClosed,
                     Ok(_) if observer.client_lines(from_client.fresh())
                         && from_client.partial() <= max_partial => {}
--- a/relay/src/reducer/metrics.rs
+++ b/relay/src/reducer/metrics.rs
@@ -20,6 +20,7 @@
     pub abandoned: u64,
 }
 
+/// What `/v1/metrics` shows: counts since the start of this process, and gauges.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
     /// By the listener's name; what a listener counted stays when it is dropped.
@@ -30,7 +31,7 @@
     pub loads: u64,
     /// Reloads whose configuration was invalid.
     pub load_errors: u64,
-    /// Dials that were not begun, since a rule did not hold any more as they were to begin.
+    /// Dials that were not started, since a condition did not hold any more.
     pub denials: Denials,
     /// Sessions now.
     pub in_progress: usize,
@@ -40,17 +41,17 @@
     pub known: usize,
     /// Backends among them that get sessions only where there is no other.
     pub avoided: usize,
-    /// Of the other relays; none where this one is told of none.
+    /// Of the other relays; `None` without a fleet in the configuration.
     pub membership: Option<Box<MembershipMetrics>>,
-    /// Of the store; none where nothing is kept.
+    /// Of the store; `None` until its first report, and without a store.
     pub store: Option<Box<WriterHealth>>,
 }
 
 impl Metrics {
     pub(super) fn of(listeners: &[String]) -> Metrics {
-        let mut figures = Metrics::default();
-        figures.name(listeners);
-        figures
+        let mut metrics = Metrics::default();
+        metrics.name(listeners);
+        metrics
     }
 
     /// Listeners that have no session yet count as well.
@@ -66,8 +67,8 @@
 }
 
 impl Reducer {
-    /// The figures as they are now.
-    pub fn figures(&self) -> Metrics {
+    /// The metrics as they are now.
+    pub fn metrics(&self) -> Metrics {
         let listed =
             self.servers.iter().filter(|(_, v)| v.instance.phase != hallrelay_balancer::types::Phase::Gone);
         Metrics {
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -25,7 +25,7 @@
             OperatorRequest::Leases => OperatorReply::Leases(self.grants_answer()),
             OperatorRequest::Rollout => OperatorReply::Leases(self.release_answer()),
             OperatorRequest::Membership => OperatorReply::Membership(self.fleet_status()),
-            OperatorRequest::Metrics => OperatorReply::Metrics(Box::new(self.figures())),
+            OperatorRequest::Metrics => OperatorReply::Metrics(Box::new(self.metrics())),
             OperatorRequest::Readiness => self.readiness(),
             OperatorRequest::Drain(_) => self.command(LifecycleEvent::Drain, out),
             OperatorRequest::Activate => self.command(LifecycleEvent::Activate, out),
--- a/relay/src/values.rs
+++ b/relay/src/values.rs
@@ -8,8 +8,8 @@
 pub enum Part {
     /// One whole object or list.
     Value(Vec<u8>),
-    /// A line's end that stands in no value: whoever sends it lives.
-    Blank,
+    /// A line's end between values: a sign of life of the sender.
+    BlankLine,
 }
 
 /// Why a stream can't be read any further.
@@ -23,43 +23,45 @@
     TooLarge(usize),
 }
 
-/// Collects what has come of the next value. It looks at each byte once.
+/// Collects the bytes of the next value, and reads each of them once.
 #[derive(Default)]
 pub struct Values {
     bytes: Vec<u8>,
-    /// How far of them was looked through.
-    seen: usize,
-    /// Brackets that are open; a value has begun where there are some.
+    /// How many of them were read.
+    parsed: usize,
+    /// How many brackets are open; 0 between values.
     depth: usize,
-    /// Inside of a text, and behind a backslash in it.
-    text: bool,
+    /// Inside of a string.
+    in_string: bool,
+    /// Behind a backslash in a string.
     escaped: bool,
 }
 
 impl Values {
+    /// Appends bytes as they came.
     pub fn add(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next part; none where it is not whole yet.
+    /// The next part; `None` where it is not complete yet.
     ///
     /// # Errors
-    /// What stands between values is no white space, or a value has more bytes than `most`: with that the
-    /// stream means nothing any more.
-    pub fn next(&mut self, most: usize) -> Result<Option<Part>, ValuesError> {
-        while let Some(&byte) = self.bytes.get(self.seen) {
-            self.seen += 1;
+    /// A byte between values is no white space, or a value has more bytes than `max_bytes`: the stream can't
+    /// be read any further.
+    pub fn next(&mut self, max_bytes: usize) -> Result<Option<Part>, ValuesError> {
+        while let Some(&byte) = self.bytes.get(self.parsed) {
+            self.parsed += 1;
             let was = self.depth;
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.text => self.escaped = true,
-                b'"' if was > 0 => self.text = !self.text,
-                _ if self.text => {}
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' if was > 0 => self.in_string = !self.in_string,
+                _ if self.in_string => {}
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' if was > 0 => self.depth -= 1,
                 b'\n' if was == 0 => {
                     self.take();
-                    return Ok(Some(Part::Blank));
+                    return Ok(Some(Part::BlankLine));
                 }
                 _ if was == 0 && !byte.is_ascii_whitespace() => {
                     return Err(ValuesError::NotJson);
@@ -69,7 +71,7 @@
             match (was, self.depth) {
                 (0, 0) => _ = self.take(),
                 (1, 0) => return Ok(Some(Part::Value(self.take()))),
-                _ if self.seen > most => return Err(ValuesError::TooLarge(most)),
+                _ if self.parsed > max_bytes => return Err(ValuesError::TooLarge(max_bytes)),
                 _ => {}
             }
         }
@@ -77,8 +79,8 @@
     }
 
     fn take(&mut self) -> Vec<u8> {
-        let rest = self.bytes.split_off(self.seen);
-        self.seen = 0;
+        let rest = self.bytes.split_off(self.parsed);
+        self.parsed = 0;
         std::mem::replace(&mut self.bytes, rest)
     }
 }
@@ -97,13 +99,13 @@
         let value = |text: &str| Part::Value(text.as_bytes().to_vec());
         vec![
             value("{\"a\":[1,{\"b\":\"}]{[\\\"\\\\\"}]}"),
-            Part::Blank,
-            Part::Blank,
+            Part::BlankLine,
+            Part::BlankLine,
             value("{\n  \"c\": [\n  ]\n}"),
-            Part::Blank,
+            Part::BlankLine,
             value("[2]"),
             value("{}"),
-            Part::Blank,
+            Part::BlankLine,
         ]
     }
 
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -126,7 +126,7 @@
     fn note(&mut self, now: Micros, mut out: Vec<Effect>) {
         // Whatever is played, each session that was taken has one outcome, or waits for it.
         if let Some(reducer) = &self.reducer {
-            let figures = reducer.figures();
+            let figures = reducer.metrics();
             let sums = figures.listeners.values().fold((0, 0), |sum, n| {
                 (sum.0 + n.taken, sum.1 + n.passed + n.dropped + n.failed + n.abandoned)
             });
