--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -1,25 +1,25 @@
-//! Dials: how a session is dialled or waits for reports, what a dial's end says, and where sessions are
-//! counted.
+//! Dials: how a session is dialled or waits for reports, what a dial's end reveals of its server, and where
+//! sessions are counted.
 
-use crate::relay::{Relay, HELD_TIMER, SECOND};
+use crate::relay::{GroupKey, Relay, REPORTS_TIMER, SECOND};
 use crate::retry::PossibleRun;
 use crate::session::{Event, State};
 use crate::slow_start::SlotWait;
 use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId, SessId};
 
 impl Relay {
-    /// Dials the server that was chosen for a session. One dial at a time.
-    pub(crate) fn dial(&mut self, id: SessId, out: &mut Vec<Effect>) {
+    /// Dials the server that a session was placed on. A session has one dial in flight at most.
+    pub(crate) fn dial(&mut self, id: SessId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let server_id = session.server;
         session.dials += 1;
         session.dialled_at = self.now;
         session.weight = 1.0;
-        session.tried.push(server_id);
+        session.dialled_servers.push(server_id);
         let timeout = session.dial_timeout(self.now);
         let send_within = session.send_within(self.now);
-        out.push(Effect::Dial { session: id, server: server_id, timeout, send_within });
-        self.book(id, 1);
+        effects.push(Effect::Dial { session: id, server: server_id, timeout, send_within });
+        self.count_session(id, 1);
         self.last_dial_at = self.now;
         let server = self.servers.get_mut(&server_id).expect("pools name listed servers");
         server.slot_wait = SlotWait { since: self.now, interval_fraction: 1.0 };
@@ -27,36 +27,37 @@
     }
 
     /// Lets a session wait for the reports of its pool, and probes for them.
-    pub(crate) fn await_reports(&mut self, id: SessId, out: &mut Vec<Effect>) {
+    pub(crate) fn await_reports(&mut self, id: SessId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let after = session.probe_deadline - self.now;
-        let awaited = session.awaited_probes.clone();
-        out.push(Effect::SetTimer { after, label: HELD_TIMER });
+        let after = session.report_deadline - self.now;
+        let awaited = session.awaited_reports.clone();
+        effects.push(Effect::SetTimer { after, label: REPORTS_TIMER });
         self.awaiting_reports.push(id);
         for server in awaited {
-            self.probe(server, out);
+            self.probe(server, effects);
         }
     }
 
     /// Evaluates the waiting sessions again that have all their reports, or have waited long enough.
     /// `answered` is the server whose probe ended.
-    pub(crate) fn reevaluate_waiting(&mut self, answered: Option<ServerId>, out: &mut Vec<Effect>) {
+    pub(crate) fn reevaluate_waiting(&mut self, answered: Option<ServerId>, effects: &mut Vec<Effect>) {
         let mut due = Vec::new();
         self.awaiting_reports.retain(|&id| {
             let Some(session) = self.sessions.get_mut(&id) else { return false };
-            session.awaited_probes.retain(|server| Some(*server) != answered);
-            let is_due = session.awaited_probes.is_empty() || self.now >= session.probe_deadline;
+            session.awaited_reports.retain(|server| Some(*server) != answered);
+            let is_due = session.awaited_reports.is_empty() || self.now >= session.report_deadline;
             if is_due {
                 due.push(id);
             }
             !is_due
         });
         for id in due {
-            self.advance(id, Event::EvaluationDue, out);
+            self.advance(id, Event::EvaluationDue, effects);
         }
     }
 
-    /// Takes in what the end of a session's last dial says of its server, and of where it may go next.
+    /// Records the end of a session's last dial: its server's report and faults, and whether the session may
+    /// have run.
     pub(crate) fn record_dial_end(&mut self, id: SessId, end: DialEnd, report: Option<LoadReport>) {
         let was_taken_up = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::Moot);
         if was_taken_up {
@@ -66,7 +67,7 @@
         let Some(server) = self.servers.get_mut(&session.server) else { return };
         let is_fault = matches!(end, DialEnd::Error | DialEnd::Reset | DialEnd::Timeout);
         if is_fault {
-            session.weight = 0.0; // its client comes again: its load is not gone
+            session.weight = 0.0; // its client returns at once: its load remains
         }
         if was_taken_up {
             let endpoint = &server.endpoint;
@@ -79,13 +80,13 @@
         server.record_report(self.now, report);
     }
 
-    /// Counts a session on its server (`change` 1), or off it (-1), in all sums that are read before the next
-    /// reports.
-    pub(crate) fn book(&mut self, id: SessId, change: i32) {
+    /// Counts a session as placed on its server (`change` 1) or as ended there (-1), in all sums that correct
+    /// the reports until the next ones.
+    pub(crate) fn count_session(&mut self, id: SessId, change: i32) {
         let session = &self.sessions[&id];
-        let group_key = (session.server, session.request.group);
+        let group_key = GroupKey { server: session.server, group: session.request.group };
         let returned = change > 0 && session.request.returned;
-        // An adopted session is in the reports already.
+        // Reports include an adopted session already.
         let is_reported = change > 0 && session.state == State::Established;
         let weight = if is_reported { 0.0 } else { session.weight };
         let load_change = f64::from(change) * weight;
@@ -97,16 +98,16 @@
         self.net_sessions.add(self.now, fleet_change);
         self.estimate.busy += fleet_change * self.estimate.fleet_factor * self.estimate.session_load;
         self.count_group_member(group_key, change);
-        if let Some(server) = self.servers.get_mut(&group_key.0) {
+        if let Some(server) = self.servers.get_mut(&group_key.server) {
             server.net_sessions.add(self.now, load_change);
         }
     }
 
-    /// Whether sessions that ended here lately may come back still. Where none are missing, a returned
+    /// Whether sessions that ended here in the last 8 s may still return. Where none are missing, a returned
     /// session has only changed relays, and its load is reported already.
     fn has_missing_sessions(&self) -> bool {
         const WINDOW: Micros = 8 * SECOND;
-        /// Of the own sessions: more than are missing come back by chance.
+        /// Of the own sessions: by so many the returned may exceed the ended ones by chance.
         const CHANCE_RATIO: f64 = 0.2;
         self.disconnects.sum(self.now, WINDOW) >= -CHANCE_RATIO * f64::from(self.own_sessions)
     }
@@ -116,10 +117,10 @@
         self.disconnects.add(self.now, f64::from(-change * i32::from(is_counted)));
     }
 
-    fn count_group_member(&mut self, key: (ServerId, u64), change: i32) {
+    fn count_group_member(&mut self, key: GroupKey, change: i32) {
         let members = self.group_sessions.entry(key).or_insert(0);
         *members = members.saturating_add_signed(change);
-        let is_ungrouped = key.1 == 0;
+        let is_ungrouped = key.group == 0;
         if *members == 0 || is_ungrouped {
             self.group_sessions.remove(&key);
         }
--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -1,8 +1,8 @@
-//! The estimate of the whole fleet: what one relay makes of the load reports that it has, and of the sessions
-//! that it placed since. Loads and capacities are in servers.
+//! The estimate of the whole fleet, from the load reports that one relay has and the sessions that it placed
+//! since. Loads and capacities are in servers.
 
 use crate::outlier::HealthTier;
-use crate::relay::{Relay, FEW_SESSIONS, REPORT_LAG, SECOND};
+use crate::relay::{Relay, MIN_SAMPLE_SESSIONS, REPORT_LAG, SECOND};
 use crate::server::Server;
 use crate::types::Micros;
 use std::ops::RangeInclusive;
@@ -16,36 +16,36 @@
     pub(crate) busy: f64,
     /// Capacity of servers that are congested (the paper's x_cong), in servers.
     pub(crate) congested: f64,
-    /// Mean load of a server.
+    /// Mean load of the servers that reported.
     pub(crate) mean_load: f64,
-    /// One session's part of a server.
+    /// One session's load on a server, as a fraction of the server; within `SESSION_LOAD`.
     pub(crate) session_load: f64,
-    /// The same with a higher bound, for the budget of a warming server.
-    pub(crate) slot_load: f64,
+    /// The same for the budget of a warming server; within `SLOT_SESSION_LOAD`.
+    pub(crate) slot_session_load: f64,
     /// Multiplies this relay's change of sessions to an estimate of the change of all relays.
     pub(crate) fleet_factor: f64,
-    /// Mean age of the reports.
+    /// Mean age of the reports, in microseconds.
     pub(crate) report_age: Micros,
-    /// Until when this is not computed again, unless there is a new report.
+    /// Until when this estimate is reused; the end of a probe, new settings or a snapshot make it invalid.
     pub(crate) valid_until: Micros,
 }
 
-/// One session's part of a server, wherever load is foreseen.
+/// Bounds of one session's load on a server, where load is predicted.
 pub(crate) const SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.05;
-/// The same for a warming server's budget, as far as reports tell it: at most that of a server that five
-/// fill.
-pub(crate) const SLOT_LOAD: RangeInclusive<f64> = 0.002..=0.2;
+/// The same for a warming server's budget, as far as reports show it: at most that on a server which five
+/// sessions fill.
+pub(crate) const SLOT_SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.2;
 
-/// How long work that was seen to wait at a server counts: delays are measured each second.
+/// How long a queue delay counts: a new one comes each second.
 const QUEUE_DELAY_AGE: Micros = 2 * SECOND;
 
-/// Sums over the servers that take sessions and answer, each weighted by its warm-up.
+/// Sums over the servers that take sessions and answer, each weighted by its warm-up fraction.
 #[derive(Default)]
 struct FleetSample {
     /// All of them.
     available: f64,
-    /// Those that never reported and whose messages are late: each counts for itself alone.
-    unreported_late: f64,
+    /// Those that never reported and are congested by a message's delay: they represent no others.
+    unreported_congested: f64,
     /// Those that reported: a sample of all. The sums below are over these.
     reported: f64,
     /// Load with queued work, up to 1 each.
@@ -62,7 +62,8 @@
 }
 
 impl Relay {
-    /// The estimate as of now. It is kept for a while: what is placed meanwhile is added at once (`book`).
+    /// The estimate as of now, reused for 0.25 s: sessions that are placed meanwhile are added at once
+    /// (`count_session`).
     pub(crate) fn fleet_estimate(&mut self) -> FleetEstimate {
         const VALID_FOR: Micros = SECOND / 4;
         if self.now < self.estimate.valid_until {
@@ -72,7 +73,7 @@
         let mut estimate = FleetEstimate {
             valid_until: self.now + VALID_FOR,
             session_load: self.estimate.session_load,
-            slot_load: self.estimate.slot_load,
+            slot_session_load: self.estimate.slot_session_load,
             fleet_factor: self.fleet_factor(),
             ..FleetEstimate::default()
         };
@@ -90,7 +91,7 @@
             let weight = self.warm_up_fraction(server);
             sample.available += weight;
             let Some(reported_at) = server.last_report_at else {
-                sample.unreported_late += weight * f64::from(self.is_late(server));
+                sample.unreported_congested += weight * f64::from(self.is_congested(server));
                 continue;
             };
             let load = (server.load + self.queue_delay(server)).min(1.0);
@@ -106,7 +107,8 @@
         sample
     }
 
-    /// With a handful of sessions a relay's own change is mostly chance, with a hundred it tells that of the
+    /// The factor from this relay's change of sessions to that of all relays, up to the number of relays.
+    /// With a handful of sessions a relay's own change is mostly chance, with a hundred it represents the
     /// fleet.
     fn fleet_factor(&self) -> f64 {
         /// Own sessions by which half of the change counts.
@@ -115,41 +117,44 @@
         f64::from(self.site.relay_count) * own_sessions / (own_sessions + HALF_TRUSTED)
     }
 
+    /// The capacity, load and congestion of the fleet: the sample's means, scaled to all available servers.
     fn estimate_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
-        /// What fills of a server before its messages are late.
+        /// The fraction of a server that is in use when its messages start to be late.
         const USABLE_CAPACITY: f64 = 0.85;
-        let sampled = sample.available - sample.unreported_late;
+        let sampled = sample.available - sample.unreported_congested;
         estimate.capacity = USABLE_CAPACITY * sample.available;
         estimate.mean_load = sample.counted_load() / sample.reported;
-        estimate.congested = sample.congested / sample.reported * sampled + sample.unreported_late;
+        estimate.congested = sample.congested / sample.reported * sampled + sample.unreported_congested;
         estimate.report_age = (sample.report_age / sample.reported) as Micros;
         let placed = self.net_sessions.sum(self.now, estimate.report_age + REPORT_LAG);
         let placed_load = placed * estimate.fleet_factor * estimate.session_load;
-        let busy = estimate.mean_load * sampled + sample.unreported_late + placed_load;
+        let busy = estimate.mean_load * sampled + sample.unreported_congested + placed_load;
         estimate.busy = busy.max(0.0);
     }
 
-    /// One session's part of a server. Reports tell it where they count sessions; a relay with many sessions
-    /// of its own knows it better by these, as a running mean over some seconds.
+    /// One session's load on a server: the reported load over the reported sessions. A relay with many
+    /// sessions of its own, or without reported ones, divides by its own times the relays, as a running mean
+    /// over some seconds.
     fn estimate_session_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
         /// Sessions that the last estimate counts for, beside those that servers report.
         const PRIOR_SESSIONS: f64 = 8.0;
         const GAIN: f64 = 0.08;
-        if sample.sessions > 0.0 && self.own_sessions < FEW_SESSIONS {
+        if sample.sessions > 0.0 && self.own_sessions < MIN_SAMPLE_SESSIONS {
             let reported =
                 |before: f64| (sample.demand + PRIOR_SESSIONS * before) / (sample.sessions + PRIOR_SESSIONS);
             estimate.session_load = clamp(reported(estimate.session_load), &SESSION_LOAD);
-            estimate.slot_load = clamp(reported(estimate.slot_load), &SLOT_LOAD);
+            estimate.slot_session_load = clamp(reported(estimate.slot_session_load), &SLOT_SESSION_LOAD);
         } else {
             let fleet_sessions = f64::from(self.own_sessions) * f64::from(self.site.relay_count);
             let load = sample.demand / sample.reported * sample.available / fleet_sessions.max(1.0);
             let gain = if self.estimate.capacity > 0.0 { GAIN } else { 1.0 };
             estimate.session_load += (clamp(load, &SESSION_LOAD) - estimate.session_load) * gain;
-            estimate.slot_load = estimate.session_load;
+            estimate.slot_session_load = estimate.session_load;
         }
     }
 
-    /// How long work waits at a server, in seconds, by its last report or a message of an own session.
+    /// The queue delay of a server in seconds: the longer of its last report's and that of a message on one
+    /// of this relay's sessions. Each counts for `QUEUE_DELAY_AGE`.
     pub(crate) fn queue_delay(&self, server: &Server) -> f64 {
         let is_recent = |then: Micros| f64::from(self.now - then < QUEUE_DELAY_AGE);
         let reported = server.queue_delay * server.last_report_at.map_or(0.0, is_recent);
@@ -157,10 +162,10 @@
         reported.max(measured)
     }
 
-    /// A server's load now: as reported, or the mean of the fleet, with its queued work and what was placed
-    /// there since. A server whose messages are late is full at least.
+    /// A server's load now, as a fraction of the server: the reported one, or the mean of the fleet, with its
+    /// queue delay and the sessions placed there since. A congested server counts as full at least.
     pub(crate) fn current_load(&self, server: &Server, fleet: &FleetEstimate) -> f64 {
-        /// What other relays placed there meanwhile, in own sessions, at most: more is mostly chance.
+        /// The most sessions of all relays that one own session stands for: more is mostly chance.
         const MAX_FLEET_FACTOR: f64 = 4.0;
         let report_age = server.last_report_at.map_or(0, |reported_at| self.now - reported_at);
         let placed = server.net_sessions.sum(self.now, report_age + REPORT_LAG);
@@ -170,26 +175,27 @@
         };
         let placed_load = fleet.session_load * placed * fleet.fleet_factor.min(MAX_FLEET_FACTOR);
         let load = reported + self.queue_delay(server) + placed_load;
-        load.max(f64::from(self.is_late(server)))
+        load.max(f64::from(self.is_congested(server)))
     }
 }
 
 impl FleetSample {
-    /// The load that counts as busy. Where the others have room for the load of a late server, that counts
-    /// only as far as others are congested too: it counts as congested already, and one slow server would
-    /// close the fleet.
+    /// The load that counts as busy (the paper's x_busy), in servers of the sample. Where the others have
+    /// capacity for the load of the congested ones, that counts only in proportion to the congested part: it
+    /// counts as congested already, and one slow server would close the fleet.
     fn counted_load(&self) -> f64 {
-        /// A mean load that leaves the others capacity.
-        const ROOMY_LOAD: f64 = 0.6;
-        let others_have_capacity =
-            self.load - self.congested_load < ROOMY_LOAD * (self.reported - self.congested);
-        if !others_have_capacity {
+        /// The mean load of the others below which they have capacity for more.
+        const SPARE_CAPACITY_LOAD: f64 = 0.6;
+        let has_spare_capacity =
+            self.load - self.congested_load < SPARE_CAPACITY_LOAD * (self.reported - self.congested);
+        if !has_spare_capacity {
             return self.load;
         }
         self.load - self.congested_load * (1.0 - self.congested / self.reported.max(1e-9))
     }
 }
 
+/// The value, or the bound that it exceeds.
 pub(crate) fn clamp(value: f64, range: &RangeInclusive<f64>) -> f64 {
     value.clamp(*range.start(), *range.end())
 }
--- a/balancer/src/interarrival.rs
+++ b/balancer/src/interarrival.rs
@@ -11,7 +11,8 @@
 impl MeanInterarrival {
     /// The mean before anything arrived, in microseconds: that of a relay of few sessions.
     const INITIAL_MEAN: f64 = 12e6;
-    /// The weight of the newest interval: enough to follow a burst, and steady to a quarter.
+    /// The weight of the newest interval: enough to follow a burst, with a deviation of a quarter of the
+    /// mean.
     const NEWEST_WEIGHT: f64 = 1.0 / 8.0;
 
     /// Counts an arrival.
@@ -21,7 +22,7 @@
         }
     }
 
-    /// In microseconds.
+    /// The mean so far, in microseconds.
     pub(crate) fn mean(&self) -> f64 {
         self.mean
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -7,9 +7,9 @@
 //! Four rules hold at all times, by these numbers in the modules: 1. Each session gets exactly one final
 //! answer in its time, and nothing after it. 2. No effect happens twice: what may run once only is retried or
 //! rejected only where no earlier dial can have run. 3. Nothing new goes to a server later than the drain
-//! grace after this relay was notified that it drains or is gone. 4. All relays together do not overload a
-//! server in slow start.
-#![deny(missing_docs)]
+//! grace after this relay was notified that it drains or was removed. 4. All relays together do not overload
+//! a server in slow start.
+#![warn(missing_docs)]
 
 mod admission;
 mod dialing;
--- a/balancer/src/random.rs
+++ b/balancer/src/random.rs
@@ -1,4 +1,4 @@
-//! Random draws from a seed, and an even hash.
+//! Seeded random numbers, and a hash that spreads evenly.
 
 /// A seeded generator: the same seed draws the same numbers.
 #[derive(Clone, Copy)]
@@ -9,8 +9,8 @@
         Random(oorandom::Rand64::new(u128::from(seed)))
     }
 
-    /// Any number, all equally likely.
-    pub(crate) fn draw(&mut self) -> u64 {
+    /// A number of all 64 bits, evenly distributed.
+    pub(crate) fn next_u64(&mut self) -> u64 {
         self.0.rand_u64()
     }
 
@@ -19,8 +19,8 @@
         self.0.rand_range(0..end)
     }
 
-    /// True with a probability, to a thousandth; always where it is 1 or more.
-    pub(crate) fn is_drawn(&mut self, probability: f64) -> bool {
+    /// True with a probability, in steps of a thousandth; always where it is 1 or more.
+    pub(crate) fn random_bool(&mut self, probability: f64) -> bool {
         (self.below(1000) as f64) < probability * 1000.0
     }
 }
@@ -32,8 +32,8 @@
 }
 
 /// Spreads numbers evenly over all 64 bits (the finalizer of splitmix64).
-pub(crate) fn hash(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+pub(crate) fn hash(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -1,26 +1,26 @@
-//! Rebalancing: which established sessions are migrated away from a server that fills up.
+//! Rebalancing: which established sessions are migrated off a server that fills up.
 
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
-use crate::placement::{Candidates, Position, GROUP_COST, POOL_SIZE};
-use crate::relay::{Relay, FULL_LOAD, REPORT_LAG};
+use crate::placement::{Candidates, PoolPosition, GROUP_COST, POOL_SIZE};
+use crate::relay::{GroupKey, Relay, FULL_LOAD, REPORT_LAG};
 use crate::server::Server;
 use crate::session::{Event, Session, State};
 use crate::types::{Effect, ServerId, SessId};
 
-/// An established session on the server that is relieved.
+/// An established session that may be migrated.
 struct Candidate {
-    /// Whether it stays as long as others can be cut off.
+    /// Whether it stays while there are others to shed.
     is_protected: bool,
-    /// What its leaving frees, in sessions.
+    /// Load that its migration frees, in sessions.
     freed: f64,
     id: SessId,
 }
 
 impl Relay {
-    /// Migrates sessions of a server that fills up to where they lose less, those first whose leaving frees
-    /// most. Called when a report or a message delay says something new of the server.
-    pub(crate) fn rebalance(&mut self, server_id: ServerId, out: &mut Vec<Effect>) {
+    /// Migrates sessions off a server that fills up, to where they lose less service; those first that free
+    /// most load. Called when a probe's end or a message delay brings news of the server.
+    pub(crate) fn rebalance(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
         if !self.is_rebalance_due(server_id) {
             return;
         }
@@ -32,19 +32,20 @@
         let excess = self.excess_load(server, load, is_shedding, &fleet);
         let mut surplus = candidates.iter().map(|candidate| candidate.freed).sum::<f64>() * excess / load;
         for Candidate { freed, id, .. } in candidates {
-            // Less than one session is migrated by chance: all relays together move the right number.
-            if surplus < freed && !self.random.is_drawn(surplus / freed) {
+            // A fraction of a session is migrated by chance: all relays together migrate the right number.
+            if surplus < freed && !self.random.random_bool(surplus / freed) {
                 break;
             }
-            if is_shedding || self.is_migration_worth(id, load, &fleet) {
+            if is_shedding || self.is_migration_beneficial(id, load, &fleet) {
                 surplus -= freed;
-                self.advance(id, Event::MigrationDue, out);
+                self.advance(id, Event::MigrationDue, effects);
                 self.servers.get_mut(&server_id).expect("just read").last_rebalance_at = self.now;
             }
         }
     }
 
-    /// Whether a server is too full, and what was migrated before shows in its reports.
+    /// Whether a ready server's load is at least `FULL_LOAD`, and its last migrations are `REPORT_LAG` ago,
+    /// so that reports include them.
     fn is_rebalance_due(&self, server_id: ServerId) -> bool {
         let Some(server) = self.servers.get(&server_id) else { return false };
         self.now - server.last_rebalance_at >= REPORT_LAG
@@ -52,8 +53,9 @@
             && self.current_load(server, &self.estimate) >= FULL_LOAD
     }
 
-    /// Whether sessions are cut off for the rest to be well: a congested server that was just reported to be
-    /// asked for more than it can do, in a slow-down that all share, where no server is better.
+    /// Whether a server sheds sessions for the rest to be served, wherever they go: it is congested, a report
+    /// of now has it above 1.0, and more than half of the fleet's capacity is congested too, so that there is
+    /// no better server.
     fn is_shedding(&self, server: &Server, load: f64, fleet: &FleetEstimate) -> bool {
         server.last_report_at == Some(self.now)
             && load > 1.0
@@ -61,14 +63,16 @@
             && fleet.congested > fleet.capacity / 2.0
     }
 
-    /// The established sessions of a server in the order in which they leave.
+    /// The established sessions of a server in the order of their migration: those of low priority first when
+    /// it sheds, then those that free most load.
     fn migration_candidates(&self, server_id: ServerId, is_shedding: bool) -> Vec<Candidate> {
-        let here = |session: &&Session| session.server == server_id && session.state == State::Established;
-        let established = self.sessions.iter().filter(|(_, session)| here(session));
+        let is_established_there =
+            |session: &Session| session.server == server_id && session.state == State::Established;
+        let established = self.sessions.iter().filter(|(_, session)| is_established_there(session));
         let mut candidates: Vec<Candidate> = established
             .map(|(&id, session)| Candidate {
                 is_protected: is_shedding && self.is_high_priority(session),
-                freed: self.freed_by(session),
+                freed: self.freed_sessions(session),
                 id,
             })
             .collect();
@@ -76,45 +80,50 @@
         candidates
     }
 
-    /// What a session's leaving frees on its server, in sessions: a group's last one frees what the group
-    /// costs.
-    fn freed_by(&self, session: &Session) -> f64 {
-        let is_last_of_group = self.group_sessions.get(&(session.server, session.request.group)) == Some(&1);
+    /// The load that a session's migration frees on its server, in sessions; for the last one of a group the
+    /// group's cost too.
+    fn freed_sessions(&self, session: &Session) -> f64 {
+        let key = GroupKey { server: session.server, group: session.request.group };
+        let is_last_of_group = self.group_sessions.get(&key) == Some(&1);
         session.weight + if is_last_of_group { GROUP_COST } else { 0.0 }
     }
 
-    /// How much load a server gives up: half of the way down to the mean of all, or all of it where its
-    /// messages are late and the others have room.
+    /// How much load leaves a server, as a fraction of the server: half of what it has above the mean of all,
+    /// or all of that where it sheds, or is unhealthy while the others have capacity.
     fn excess_load(&self, server: &Server, load: f64, is_shedding: bool, fleet: &FleetEstimate) -> f64 {
-        let others_have_capacity = fleet.busy < FULL_LOAD * fleet.capacity - fleet.congested;
-        let is_urgent = is_shedding || (self.is_unhealthy(server) && others_have_capacity);
+        let has_spare_capacity = fleet.busy < FULL_LOAD * fleet.capacity - fleet.congested;
+        let is_urgent = is_shedding || (self.is_unhealthy(server) && has_spare_capacity);
         let mean = (fleet.busy / fleet.capacity.max(1.0)).min(FULL_LOAD);
         (load - mean) * if is_urgent { 1.0 } else { 0.5 }
     }
 
-    /// Whether a session loses less where its pool would place it now, by more than the migration costs.
-    fn is_migration_worth(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> bool {
-        /// Beyond the migration's price: the gap, the new handshake, and doubt about old reports.
+    /// Whether the gain of a session's migration exceeds its cost.
+    fn is_migration_beneficial(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> bool {
+        /// Beyond the site's cost: for the gap, the new handshake, and the age of the reports. A fraction of
+        /// a session's value, as that is.
         const MARGIN: f64 = 0.15;
         self.migration_gain(id, load, fleet) > self.site.migration_cost + MARGIN
     }
 
+    /// The cost of a session where it is, less that on the cheapest other server of its pool that is healthy
+    /// and not full with it: a fraction of a session's value. Negative infinity where there is none.
     fn migration_gain(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> f64 {
-        /// From there on service is lost anyway.
+        /// The load from which further load costs nothing more: service is lost anyway.
         const MAX_COUNTED_LOAD: f64 = 1.2;
         let session = &self.sessions[&id];
         let pool = self.pool(session, fleet, Candidates::All);
-        let place = pool.iter().position(|server| *server == session.server).unwrap_or(POOL_SIZE);
-        let here = Position { place, own_members: 1 };
-        let cost_here = self.cost(&self.servers[&session.server], session, load.min(MAX_COUNTED_LOAD), here);
-        let costs = pool.iter().enumerate().filter_map(|(place, other)| {
+        let index = pool.iter().position(|server| *server == session.server).unwrap_or(POOL_SIZE);
+        let current_position = PoolPosition { index, own_members: 1 };
+        let current_server = &self.servers[&session.server];
+        let current_cost = self.cost(current_server, session, load.min(MAX_COUNTED_LOAD), current_position);
+        let other_costs = pool.iter().enumerate().filter_map(|(index, other)| {
             let server = &self.servers[other];
             let load = self.current_load(server, fleet) + fleet.session_load * session.weight;
             let is_usable = *other != session.server && !self.is_unhealthy(server);
-            let there = Position { place, own_members: 0 };
-            (is_usable && load < FULL_LOAD).then(|| self.cost(server, session, load, there))
+            let position = PoolPosition { index, own_members: 0 };
+            (is_usable && load < FULL_LOAD).then(|| self.cost(server, session, load, position))
         });
-        cost_here - costs.fold(f64::INFINITY, f64::min)
+        current_cost - other_costs.fold(f64::INFINITY, f64::min)
     }
 
     fn is_unhealthy(&self, server: &Server) -> bool {
--- a/balancer/src/relay.rs
+++ b/balancer/src/relay.rs
@@ -1,4 +1,4 @@
-//! One relay: the state that its decisions rest on, and the step that takes an input to effects.
+//! One relay: the state that its decisions depend on, and the step from an input to effects.
 
 use crate::estimate::FleetEstimate;
 use crate::interarrival::MeanInterarrival;
@@ -11,72 +11,82 @@
 use std::rc::Rc;
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// A server below this load has capacity for all its sessions, and nothing is gained by a migration.
+/// The load from which a server counts as full. Below it all its sessions are served in time, and a migration
+/// gains nothing.
 pub(crate) const FULL_LOAD: f64 = 0.75;
-/// Own sessions below which chance is more than a quarter of what they tell.
-pub(crate) const FEW_SESSIONS: u32 = 16;
-/// The time in which reports are made and travel before an answer brings them.
+/// Own sessions below which chance is more than a quarter of what they show of the fleet.
+pub(crate) const MIN_SAMPLE_SESSIONS: u32 = 16;
+/// The time that reports take, from the measurement of a load to the answer that brings it.
 pub(crate) const REPORT_LAG: Micros = SECOND;
 
 /// Timer of the next probe.
 pub(crate) const PROBE_TIMER: u32 = 0;
 /// Timer of the next watch of the endpoint list.
 pub(crate) const WATCH_TIMER: u32 = 1;
-/// Timer of sessions that wait for reports.
-pub(crate) const HELD_TIMER: u32 = 2;
+/// Timer of the report deadline of sessions that wait for reports.
+pub(crate) const REPORTS_TIMER: u32 = 2;
 
-/// The decisions of one relay, with all that they rest on.
+/// The sessions of one group on one server.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct GroupKey {
+    pub(crate) server: ServerId,
+    /// As in the session's request; 0 is no group.
+    pub(crate) group: u64,
+}
+
+/// The decisions of one relay, and the state that they depend on.
 #[derive(Default)]
 pub struct Relay {
     pub(crate) site: SiteConfig,
     /// One for each listener, shared by its sessions.
     pub(crate) policies: Vec<Rc<SessionPolicy>>,
     pub(crate) random: Random,
-    /// Draws the warming servers at which this relay keeps unused slots.
+    /// Selects the warming servers at which this relay may use slots that lay unused.
     pub(crate) slot_selection_key: u64,
     pub(crate) now: Micros,
     started: bool,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) sessions: BTreeMap<SessId, Session>,
-    /// Sessions that wait for reports, in the order in which they came.
+    /// Sessions that wait for reports, in the order of their requests.
     pub(crate) awaiting_reports: Vec<SessId>,
     /// Own sessions of a group at a server, dialled and established.
-    pub(crate) group_sessions: BTreeMap<(ServerId, u64), u32>,
-    /// Running mean of the sessions' loads, in their unit; 0 where none was told.
+    pub(crate) group_sessions: BTreeMap<GroupKey, u32>,
+    /// Running mean of the sessions' loads, in their unit; 0 before the first one.
     mean_session_load: f64,
-    /// Dialled and established (the paper's n).
+    /// Sessions dialled and established (the paper's n).
     pub(crate) own_sessions: u32,
     /// Sessions that may take a slot at a warming server, rejected ones too.
     pub(crate) slot_arrivals: MeanInterarrival,
     /// Sessions dialled, less those that ended, weighted by their load.
     pub(crate) net_sessions: RollingSum,
-    /// Sessions that ended here, less those that came again.
+    /// Sessions that ended here, less those that returned here.
     pub(crate) disconnects: RollingSum,
-    /// Sessions that came back from any relay.
+    /// Sessions that returned here from any relay.
     pub(crate) reconnects: RollingSum,
     pub(crate) last_dial_at: Micros,
-    /// Dials that servers took up, and those throttled.
+    /// Dials that reached servers, and sessions throttled in their place.
     pub(crate) dials: RollingSum,
-    /// Those of them that were accepted in time.
+    /// Dials accepted within the handshake objective.
     pub(crate) accepts: RollingSum,
-    /// Seconds that work waits, over which a server is congested.
+    /// The queue delay above which a server is congested, in seconds: the shortest message objective.
     pub(crate) queue_delay_limit: f64,
     pub(crate) estimate: FleetEstimate,
-    /// Probes that are paid for and not yet sent.
+    /// Probes that may be sent beyond those sent so far.
     pub(crate) probe_credit: f64,
-    /// Failed watches in a row, up to the last step of the backoff.
+    /// Failed watches in a row, up to the last index of the backoff.
     pub(crate) watch_failures: u32,
     pub(crate) last_watch_at: Micros,
 }
 
 impl Relay {
-    /// A relay that knows nothing yet. `seed` draws its chances; `site` names one listener at least.
+    /// A relay without servers and sessions. `seed` is that of all its random numbers; `site` has one
+    /// listener at least.
     pub fn new(site: SiteConfig, seed: u64) -> Relay {
-        /// Until reports tell more.
+        /// One session's load on a server before the first reports.
         const INITIAL_SESSION_LOAD: f64 = 0.02;
         let estimate = FleetEstimate {
             session_load: INITIAL_SESSION_LOAD,
-            slot_load: INITIAL_SESSION_LOAD,
+            slot_session_load: INITIAL_SESSION_LOAD,
             ..FleetEstimate::default()
         };
         let mut relay = Relay {
@@ -99,92 +109,92 @@
         self.estimate.valid_until = self.now;
     }
 
-    /// Takes one input at `now`, never earlier than the last; appends its effects to `out`, to be carried out
-    /// in order.
-    pub fn step(&mut self, now: Micros, input: Input, out: &mut Vec<Effect>) {
+    /// Takes one input at `now`, never earlier than the last; appends its effects to `effects`, to be carried
+    /// out in order.
+    pub fn step(&mut self, now: Micros, input: Input, effects: &mut Vec<Effect>) {
         self.now = now;
         if !self.started {
-            self.start(out);
+            self.start(effects);
         }
-        self.handle(input, out);
+        self.handle(input, effects);
     }
 
-    fn start(&mut self, out: &mut Vec<Effect>) {
+    fn start(&mut self, effects: &mut Vec<Effect>) {
         self.started = true;
         if self.site.must_watch {
-            out.push(Effect::WatchEndpoints);
+            effects.push(Effect::WatchEndpoints);
         }
         if self.site.may_probe {
-            out.push(Effect::SetTimer { after: 1, label: PROBE_TIMER });
+            effects.push(Effect::SetTimer { after: 1, label: PROBE_TIMER });
         }
     }
 
-    /// What is of a dial or a session that is over changes nothing.
-    fn handle(&mut self, input: Input, out: &mut Vec<Effect>) {
+    /// Dispatches one input. Inputs about a dial or a session that is over change nothing.
+    fn handle(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
-            Input::Configure(site) => self.reconfigure(*site, out),
+            Input::Configure(site) => self.reconfigure(*site, effects),
             Input::Restore(snapshot) => self.restore(snapshot),
-            Input::EndpointList { update, endpoints } => self.update_list(update, endpoints, out),
+            Input::EndpointList { update, endpoints } => self.update_list(update, endpoints, effects),
             Input::SessionRequested { session, request } => {
                 self.register(session, Session { request, ..Session::default() });
-                self.advance(session, Event::EvaluationDue, out);
+                self.advance(session, Event::EvaluationDue, effects);
             }
             Input::SessionAdopted { session, server, request } => {
                 let state = State::Established;
                 self.register(session, Session { request, server, state, dials: 1, ..Session::default() });
-                self.book(session, 1);
+                self.count_session(session, 1);
             }
             Input::SessionEstablished { session, .. } => {
                 self.count_dial(session, true);
-                self.advance(session, Event::Established, out);
+                self.advance(session, Event::Established, effects);
             }
             Input::DialEnded { session, dial, end, settled, report } => {
                 if self.is_last_dial(session, dial) {
                     self.record_dial_end(session, end, report);
-                    self.advance(session, if settled { Event::Ended } else { Event::DialFailed }, out);
+                    self.advance(session, if settled { Event::Ended } else { Event::DialFailed }, effects);
                 }
             }
             Input::DialNotStarted { session, dial } => {
                 if self.is_last_dial(session, dial) {
                     self.sessions.entry(session).and_modify(|session| session.dials -= 1);
-                    self.advance(session, Event::DialFailed, out);
+                    self.advance(session, Event::DialFailed, effects);
                 }
             }
             Input::SessionLoad { session, load } => self.record_session_load(session, load),
-            Input::MessageDelay { session, delay } => self.record_message_delay(session, delay, out),
-            Input::SessionEnded { session } => self.advance(session, Event::Ended, out),
+            Input::MessageDelay { session, delay } => self.record_message_delay(session, delay, effects),
+            Input::SessionEnded { session } => self.advance(session, Event::Ended, effects),
             Input::ProbeEnded { server, end, report } => {
                 self.record_probe_end(server, end, report);
-                self.rebalance(server, out);
-                self.reevaluate_waiting(Some(server), out);
+                self.rebalance(server, effects);
+                self.reevaluate_waiting(Some(server), effects);
             }
-            Input::TimerExpired { label } => self.timer_expired(label, out),
+            Input::TimerExpired { label } => self.timer_expired(label, effects),
         }
     }
 
-    fn reconfigure(&mut self, site: SiteConfig, out: &mut Vec<Effect>) {
-        let begins_to_probe = site.may_probe && !self.site.may_probe;
+    fn reconfigure(&mut self, site: SiteConfig, effects: &mut Vec<Effect>) {
+        let starts_probing = site.may_probe && !self.site.may_probe;
         self.configure(site);
-        if begins_to_probe {
-            out.push(Effect::SetTimer { after: 1, label: PROBE_TIMER });
+        if starts_probing {
+            effects.push(Effect::SetTimer { after: 1, label: PROBE_TIMER });
         }
     }
 
-    fn timer_expired(&mut self, label: u32, out: &mut Vec<Effect>) {
+    fn timer_expired(&mut self, label: u32, effects: &mut Vec<Effect>) {
         match label {
-            PROBE_TIMER => self.probe_tick(out),
+            PROBE_TIMER => self.probe_tick(effects),
             WATCH_TIMER => {
                 self.last_watch_at = self.now;
-                out.push(Effect::WatchEndpoints);
+                effects.push(Effect::WatchEndpoints);
             }
-            _ => self.reevaluate_waiting(None, out),
+            _ => self.reevaluate_waiting(None, effects),
         }
     }
 
-    /// Sets a heavy session apart from a light one, by a running mean over some fifty inputs.
+    /// Weights a session by its load over the running mean of some fifty such inputs.
     fn record_session_load(&mut self, id: SessId, load: f64) {
         const GAIN: f64 = 0.02;
-        /// Of a session, over the mean.
+        /// Bounds of a weight: the mean load is 1.0.
         const MIN_WEIGHT: f64 = 0.3;
         const MAX_WEIGHT: f64 = 3.0;
         let gain = if self.mean_session_load > 0.0 { GAIN } else { 1.0 };
@@ -193,10 +203,10 @@
         self.sessions.entry(id).and_modify(|session| session.weight = weight);
     }
 
-    fn record_message_delay(&mut self, id: SessId, seconds: f64, out: &mut Vec<Effect>) {
+    fn record_message_delay(&mut self, id: SessId, seconds: f64, effects: &mut Vec<Effect>) {
         let Some(server_id) = self.sessions.get(&id).map(|session| session.server) else { return };
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.message_delay = MessageDelay { seconds, measured_at: self.now };
-        self.rebalance(server_id, out);
+        self.rebalance(server_id, effects);
     }
 }
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: where a session may be dialled again after a dial that may have run, for how long a dial may
-//! wait, and when the relay gives up (rules 1 and 2).
+//! Retries and giving up (rules 1 and 2): where a session may be dialled again after a dial that may have
+//! run, how long a dial may take, and how a session without a further dial ends.
 
 use crate::session::{Event, Session};
 use crate::types::{Endpoint, Idempotency, KeyScope, Micros};
@@ -7,13 +7,14 @@
 /// The first dial that may have run, and where.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
+    /// When that dial started.
     pub(crate) since: Micros,
     pub(crate) zone: u8,
     pub(crate) cell: u16,
 }
 
 impl Session {
-    /// Whether no further dial is allowed: its client's time is up, or it has had all its dials.
+    /// Whether no further dial is allowed: its client's deadline has passed, or it has had `max_dials` dials.
     pub(crate) fn is_exhausted(&self, now: Micros) -> bool {
         now >= self.deadline || self.dials >= self.policy.max_dials
     }
@@ -32,8 +33,8 @@
         }
     }
 
-    /// How to give up. A rejection says that trying again is harmless, which is so only where nothing may
-    /// have run, or where a repeat is harmless anywhere.
+    /// How to give up. A rejection announces that a retry is harmless: that holds where no dial may have
+    /// run, or where servers anywhere tolerate or drop a repeat. Otherwise the session is torn down.
     pub(crate) fn give_up_event(&self) -> Event {
         let is_harmless = matches!(
             self.policy.listener.idempotency,
@@ -46,8 +47,9 @@
         }
     }
 
-    /// How long the dial that begins now may take: its handshake objective, doubled with each dial; all that
-    /// is left of the client's time where it is the last one.
+    /// How long the dial that starts now may take, in microseconds. `dials` includes it. An idempotent
+    /// session gets the handshake objective times two for each dial, to leave time for a retry; the last
+    /// dial, and any of another session, gets all the time until the client's deadline.
     pub(crate) fn dial_timeout(&self, now: Micros) -> Micros {
         let remaining = self.deadline - now;
         let listener = &self.policy.listener;
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Within which a further dial must be sent: what is left of its idempotency key's window.
+    /// Within which a retry must be sent, in microseconds: the rest of its idempotency key's window. None
+    /// where no key bounds it.
     pub(crate) fn send_within(&self, now: Micros) -> Option<Micros> {
         match (self.may_have_run, self.policy.listener.idempotency) {
             (Some(run), Idempotency::Keyed { window, .. }) => Some(run.since + window - now),
--- a/balancer/src/rolling_sum.rs
+++ b/balancer/src/rolling_sum.rs
@@ -1,4 +1,4 @@
-//! A sum over the last seconds, in buckets of fixed width that are used again in turn.
+//! A sum over the last seconds, in a ring of buckets of fixed width.
 
 use crate::types::Micros;
 
@@ -19,21 +19,21 @@
     pub(crate) fn add(&mut self, now: Micros, value: f64) {
         let bucket = now / RollingSum::BUCKET_WIDTH;
         for passed in self.newest.max(bucket.saturating_sub(RollingSum::BUCKETS)) + 1..=bucket {
-            self.buckets[RollingSum::place(passed)] = 0.0;
+            self.buckets[RollingSum::index(passed)] = 0.0;
         }
         self.newest = self.newest.max(bucket);
-        self.buckets[RollingSum::place(bucket)] += value as f32;
+        self.buckets[RollingSum::index(bucket)] += value as f32;
     }
 
-    /// The sum from `age` ago until now, from the beginning of the bucket, and no further back than buckets
-    /// reach.
+    /// The sum from `age` ago until now, from the start of that bucket on, and over the last `BUCKETS`
+    /// buckets at most.
     pub(crate) fn sum(&self, now: Micros, age: Micros) -> f64 {
         let first_bucket = (now / RollingSum::BUCKET_WIDTH + 1).saturating_sub(RollingSum::BUCKETS);
         let oldest = (now.saturating_sub(age) / RollingSum::BUCKET_WIDTH).max(first_bucket);
-        (oldest..=self.newest).map(|bucket| f64::from(self.buckets[RollingSum::place(bucket)])).sum()
+        (oldest..=self.newest).map(|bucket| f64::from(self.buckets[RollingSum::index(bucket)])).sum()
     }
 
-    fn place(bucket: u64) -> usize {
+    fn index(bucket: u64) -> usize {
         (bucket % RollingSum::BUCKETS) as usize
     }
 }
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -1,10 +1,10 @@
-//! What a relay knows of one server.
+//! The state that a relay has of one server.
 
 use crate::rolling_sum::RollingSum;
 use crate::slow_start::SlotWait;
 use crate::types::{Endpoint, LoadReport, Micros};
 
-/// What a relay knows of one server.
+/// The state of one server, from the endpoint list, its load reports and this relay's sessions there.
 #[derive(Default)]
 pub(crate) struct Server {
     /// As the endpoint list has it.
@@ -15,7 +15,7 @@
     pub(crate) queue_delay: f64,
     /// Sessions of all relays, as last reported; 0 where this is not reported.
     pub(crate) sessions: f64,
-    /// When the last report came.
+    /// When the last report was received; none before the first.
     pub(crate) last_report_at: Option<Micros>,
     pub(crate) message_delay: MessageDelay,
     /// Probes and connects in a row that failed.
@@ -40,7 +40,7 @@
 }
 
 impl Server {
-    /// Takes over a report that has a load; others say nothing.
+    /// Records a report that has a load; others are ignored.
     pub(crate) fn record_report(&mut self, now: Micros, report: Option<LoadReport>) {
         if let Some(LoadReport { load: Some(load), queue_delay, sessions }) = report {
             self.last_report_at = Some(now);
--- a/balancer/src/session.rs
+++ b/balancer/src/session.rs
@@ -5,38 +5,38 @@
 use crate::types::{AdmissionRequest, Effect, Listener, Micros, ServerId, SessId};
 use std::rc::Rc;
 
-/// Where a session stands.
+/// The states of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum State {
-    /// It is evaluated; lasts only within a step.
+    /// Its admission is decided; lasts only within a step.
     #[default]
     Evaluating,
     /// It waits for load reports.
     AwaitingReports,
     Dialling,
     Established,
-    /// Its client was told to come again.
+    /// Its client was requested to reconnect.
     Migrating,
     Closed,
 }
 
-/// What happened to a session, as an input or as the result of its evaluation.
+/// The events of a session, from inputs or as the result of its evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// A server was chosen.
+    /// A server was selected.
     Placed,
-    /// Reports are worth a wait.
+    /// It waits for newer reports.
     ReportsAwaited,
-    /// It is given up, and nothing ran that must not run twice.
+    /// It is given up, and a retry is harmless.
     Rejected,
-    /// It is given up after a dial that may have run.
+    /// It is given up after a dial that may have run and must not be repeated.
     Aborted,
-    /// It is new, or the reports are there or late.
+    /// It is new, or its reports have arrived, or its report deadline has passed.
     EvaluationDue,
     Established,
     DialFailed,
     Ended,
-    /// Its server gives up sessions.
+    /// Rebalancing selected it.
     MigrationDue,
 }
 
@@ -56,7 +56,7 @@
     action: Action,
 }
 
-/// What an event leads to in a state; none where it changes nothing.
+/// The transition on an event in a state; none where the event changes nothing.
 fn transition(from: State, event: Event) -> Option<Transition> {
     let (to, action) = match (from, event) {
         (State::Evaluating, Event::EvaluationDue) => (State::Evaluating, Action::Evaluate),
@@ -78,13 +78,13 @@
 }
 
 impl State {
-    /// Whether the session counts on its server: from the dial on, so that what is in flight counts.
-    fn is_booked(self) -> bool {
+    /// Whether the session counts as one of its server's: from the dial on, so that those in flight count.
+    fn occupies_server(self) -> bool {
         matches!(self, State::Dialling | State::Established | State::Migrating)
     }
 }
 
-/// What a session may do, as its listener was when it came, whatever the settings are by now.
+/// The rules of a session: its listener's at its request, whatever settings apply later.
 #[derive(Default)]
 pub(crate) struct SessionPolicy {
     pub(crate) listener: Listener,
@@ -96,31 +96,31 @@
 pub(crate) struct Session {
     pub(crate) request: AdmissionRequest,
     pub(crate) policy: Rc<SessionPolicy>,
-    /// Whether it is of a reconnect storm beyond what warming servers bear.
+    /// Whether it is excess of a reconnect storm, and no warming server may get it.
     pub(crate) in_reconnect_storm: bool,
-    /// Ranks the servers for its pool: its group, or drawn.
+    /// The key of the rendezvous hashing that ranks servers for its pool: its group, or random without one.
     pub(crate) hash_key: u64,
-    /// When its client's timeout ends.
+    /// When its client's timeout expires.
     pub(crate) deadline: Micros,
     pub(crate) state: State,
-    /// Where it is, or is dialled.
+    /// The server that it is on, or is dialled at.
     pub(crate) server: ServerId,
     pub(crate) dials: u32,
-    /// When the last dial began.
+    /// When the last dial started.
     pub(crate) dialled_at: Micros,
-    /// Where it was dialled.
-    pub(crate) tried: Vec<ServerId>,
+    /// The servers of its dials, in order.
+    pub(crate) dialled_servers: Vec<ServerId>,
     pub(crate) may_have_run: Option<PossibleRun>,
     /// Servers whose reports it waits for.
-    pub(crate) awaited_probes: Vec<ServerId>,
+    pub(crate) awaited_reports: Vec<ServerId>,
     /// Until when it may wait for reports.
-    pub(crate) probe_deadline: Micros,
-    /// Its load over the mean of all sessions, as far as known.
+    pub(crate) report_deadline: Micros,
+    /// Its load over the mean of this relay's sessions; 1.0 before its load is known, 0 after a fault.
     pub(crate) weight: f64,
 }
 
 impl Relay {
-    /// Takes up a session, under its listener's rules as they are now.
+    /// Adds a session under its listener's current rules, and counts its arrival.
     pub(crate) fn register(&mut self, id: SessId, mut session: Session) {
         let last_listener = self.policies.len() - 1;
         session.policy = self.policies[session.request.listener.min(last_listener)].clone();
@@ -129,16 +129,16 @@
         let handshake_target = session.policy.listener.handshake_target;
         session.deadline = self.now + request.time_remaining;
         // Half of the objective leaves time to dial.
-        session.probe_deadline = self.now + handshake_target.min(request.time_remaining) / 2;
+        session.report_deadline = self.now + handshake_target.min(request.time_remaining) / 2;
         session.weight = 1.0;
-        session.hash_key = if request.group != 0 { request.group } else { self.random.draw() };
+        session.hash_key = if request.group != 0 { request.group } else { self.random.next_u64() };
         let is_established = session.state == State::Established;
         self.reconnects.add(self.now, f64::from(request.returned && !is_established));
         session.in_reconnect_storm = request.returned && self.is_in_reconnect_storm();
         if !session.in_reconnect_storm && !is_established {
             self.slot_arrivals.add(self.now);
         }
-        self.earn_probes(request.returned);
+        self.add_probe_credit(request.returned);
         self.sessions.insert(id, session);
     }
 
@@ -147,45 +147,45 @@
         self.sessions.get(&id).is_some_and(|session| session.dials == dial + 1)
     }
 
-    /// Takes a session through its transitions: each event leads to an action, which may bring the next
-    /// event.
-    pub(crate) fn advance(&mut self, id: SessId, event: Event, out: &mut Vec<Effect>) {
+    /// Applies an event to a session: each transition's action may result in the next event.
+    pub(crate) fn advance(&mut self, id: SessId, event: Event, effects: &mut Vec<Effect>) {
         let mut next_event = Some(event);
         while let Some(event) = next_event.take() {
             let Some(session) = self.sessions.get_mut(&id) else { return };
             let from = session.state;
             let Some(Transition { to, action }) = transition(from, event) else { return };
             session.state = to;
-            if from.is_booked() && !to.is_booked() {
-                self.book(id, -1);
+            if from.occupies_server() && !to.occupies_server() {
+                self.count_session(id, -1);
             }
-            next_event = self.carry_out(action, id, out);
+            next_event = self.perform(action, id, effects);
             if to == State::Closed {
                 self.sessions.remove(&id);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action, id: SessId, out: &mut Vec<Effect>) -> Option<Event> {
+    /// Performs a transition's action; an evaluation results in the next event.
+    fn perform(&mut self, action: Action, id: SessId, effects: &mut Vec<Effect>) -> Option<Event> {
         match action {
             Action::Evaluate => return Some(self.evaluate(id)),
-            Action::Dial => self.dial(id, out),
-            Action::AwaitReports => self.await_reports(id, out),
+            Action::Dial => self.dial(id, effects),
+            Action::AwaitReports => self.await_reports(id, effects),
             Action::Reject => {
                 let retry_after = self.retry_after();
-                out.push(Effect::Reject { session: id, retry_after });
+                effects.push(Effect::Reject { session: id, retry_after });
             }
-            Action::TearDown => out.push(Effect::TearDown { session: id }),
-            Action::Migrate => out.push(Effect::Migrate { session: id }),
+            Action::TearDown => effects.push(Effect::TearDown { session: id }),
+            Action::Migrate => effects.push(Effect::Migrate { session: id }),
             Action::None => {}
         }
         None
     }
 
-    /// When a rejected client may come again. By then reports are newer; spread, so that clients do not come
-    /// as one.
+    /// The Retry-After of a rejection, in microseconds: 0.5 to 1.5 s, by when there are newer reports, random
+    /// so that clients do not return all at once; the site's `max_retry_after` at most.
     fn retry_after(&mut self) -> Micros {
-        let refreshed = SECOND / 2 + self.random.below(SECOND);
-        refreshed.min(self.site.max_retry_after.unwrap_or(0))
+        let retry_after = SECOND / 2 + self.random.below(SECOND);
+        retry_after.min(self.site.max_retry_after.unwrap_or(0))
     }
 }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,19 +1,19 @@
 //! Slow start: how many sessions all relays together send to a server while it warms up (rule 4).
 //!
-//! **The budget.** A warming server takes up `overload_multiple` times what fills it within one warm-up, in
-//! proportion to the capacity that it surely has by then; more than that within `overload_window` makes it
-//! fail. The budget is a rate, in sessions per microsecond from all relays, and what the rate gives within
-//! one overload window.
+//! **The budget.** A warming server sustains `overload_multiple` times the sessions that fill it within one
+//! warm-up, in proportion to the capacity that it surely has at its age; more than that within
+//! `overload_window` makes it fail. The budget is a rate, in sessions per microsecond from all relays, and
+//! the sessions of one overload window at that rate.
 //!
-//! **Slots.** Relays do not talk to each other, so each keeps to its own share: after a dial at a warming
-//! server it waits for an interval before the next one. The shares are oversubscribed, as not every relay has
-//! a session when its slot opens; a relay gives back the time that it waits for a session beyond its slot.
+//! **Slots.** Relays do not communicate, so each has a fixed share: after a dial at a warming server it waits
+//! for an interval before the next one. The shares are oversubscribed, as not every relay has a session when
+//! its slot opens; the time that a relay waits for a session beyond its slot shortens its next interval.
 //!
 //! **Unused slots.** A slot that is not used stays open, and in a reconnect storm all relays have a session
-//! in the same moment. Two rules hold the budget then: only as many relays as the budget bears keep unused
-//! slots at all, by a draw of each (`may_use_unused_slots`); and returning sessions beyond what all warming
-//! servers together bear stay away from them (`is_in_reconnect_storm`). Neither acts where relays are so few
-//! that their slots at once are within what chance adds to a budget (`is_small_fleet`).
+//! in the same moment. Two rules hold the budget then: no more relays than the budget sustains may use their
+//! unused slots, selected by a hash (`may_use_unused_slots`); and returning sessions beyond the budgets of
+//! all warming servers together are not sent there (`is_in_reconnect_storm`). Neither applies where relays
+//! are so few that all their slots at once exceed a budget by no more than chance does (`is_small_fleet`).
 
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
@@ -27,13 +27,13 @@
 /// From when a relay waits for its next slot at a warming server, and for how long.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlotWait {
-    /// The relay's last dial there, or when it heard of the server's start.
+    /// The relay's last dial there, or when it was notified of the server's start.
     pub(crate) since: Micros,
     /// The fraction of a slot interval.
     pub(crate) interval_fraction: f64,
 }
 
-/// What a warming server takes from all relays together.
+/// The sessions that a warming server sustains from all relays together.
 struct Budget {
     /// Sessions per microsecond.
     rate: f64,
@@ -42,8 +42,8 @@
 }
 
 impl Relay {
-    /// The fraction of its capacity that a server surely has by its age: it rises evenly from the initial
-    /// capacity to 1 over the warm-up.
+    /// The fraction of its capacity that a server surely has at its age: it rises linearly from the initial
+    /// capacity to 1 over the warm-up. 1 where the start is long ago or not known.
     pub(crate) fn warm_up_fraction(&self, server: &Server) -> f64 {
         let age =
             self.now.saturating_sub(server.endpoint.started_at) as f64 / self.site.warm_up.max(1) as f64;
@@ -55,15 +55,16 @@
         self.warm_up_fraction(server) < 1.0
     }
 
-    /// The budget of a server by its warm-up now; `session_load` is a session's part of a full server.
+    /// The budget of a server at its warm-up fraction now; `session_load` is one session's load, as a
+    /// fraction of a full server.
     fn budget(&self, server: &Server, session_load: f64) -> Budget {
         let warm_up = self.site.warm_up.max(1) as f64;
         let rate = self.site.overload_multiple * self.warm_up_fraction(server) / (warm_up * session_load);
         Budget { rate, per_window: self.site.overload_window as f64 * rate }
     }
 
-    /// The wait for the first slot at a server that has just started. It takes least just then: the relays'
-    /// first slots are spread over one interval, each relay's at another place for each server.
+    /// The wait for the first slot at a server that has just started. Its capacity is lowest then, so the
+    /// relays' first slots are spread over one interval, in another order for each server.
     pub(crate) fn first_slot_wait(&self, endpoint: &Endpoint) -> SlotWait {
         let position = hash(u64::from(endpoint.server)).wrapping_add(u64::from(self.site.relay_index));
         let relays = u64::from(self.site.relay_count.max(1));
@@ -71,8 +72,9 @@
         SlotWait { since: self.now, interval_fraction }
     }
 
-    /// Whether a session may be sent to a server as far as its slow start goes: it is warm, or this relay has
-    /// an open slot there that it keeps, and the session is not one too many of a reconnect storm.
+    /// The slow-start rule: whether a session may be sent to a server. It may where the server is warm; or
+    /// where this relay has an open slot there that it may use, and the session is not excess of a reconnect
+    /// storm.
     pub(crate) fn has_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
         if !self.is_warming_up(server) {
             return true;
@@ -87,105 +89,106 @@
         waited >= self.slot_interval(server, fleet, server.slot_wait.interval_fraction)
     }
 
-    /// Whether an open slot may be used by a session that the thresholds of admission reject: such a slot is
-    /// room of this relay alone, and lost if unused. Only where slots are rare and the server is known to
-    /// have room.
+    /// Whether an open slot may be used by a session that the admission thresholds reject: such a slot is
+    /// capacity of this relay alone, and lost if unused. Only where slots are rare and the server is healthy
+    /// and not full.
     pub(crate) fn is_spare_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
-        /// With few relays slots come each second or two, and must not open a way past the thresholds.
+        /// With few relays slots open every second or two, and the thresholds would not hold.
         const MIN_INTERVAL: Micros = 4 * REPORT_LAG;
-        let is_rare =
+        let is_slot_rare =
             self.is_warming_up(server) && self.slot_interval(server, fleet, 1.0) > MIN_INTERVAL as f64;
-        is_rare
-            && self.health_tier(server, &session.tried) == HealthTier::Healthy
+        is_slot_rare
+            && self.health_tier(server, &session.dialled_servers) == HealthTier::Healthy
             && self.current_load(server, fleet) < FULL_LOAD
     }
 
-    /// The time from the beginning of this relay's wait to its next slot at a warming server, in
-    /// microseconds, for a fraction of the plain interval.
+    /// The time from the start of this relay's wait to its next slot at a warming server, in microseconds,
+    /// for a fraction of the full interval.
     ///
-    /// The interval is this relay's share of the budget less the wait for a session once the slot is open, so
-    /// a busy relay keeps to its plain share; the oversubscription bounds how far it shrinks. Where the
-    /// server has warmed since the last slot, what it took on the way counts, not what it takes now.
+    /// The interval is the inverse of this relay's share of the budget, less the mean wait for a session once
+    /// the slot is open, so a busy relay uses its exact share; the oversubscription bounds how far the
+    /// interval shrinks. Where the server has warmed since the last slot, its mean capacity meanwhile counts,
+    /// not the present one.
     fn slot_interval(&self, server: &Server, fleet: &FleetEstimate, fraction: f64) -> f64 {
         let relays = f64::from(self.site.relay_count);
-        let share = fraction * relays / self.budget(server, fleet.slot_load).rate;
-        let session_wait = self.wait_for_session(fleet);
-        // It warms evenly, so it took less by half of what it has gained.
+        let share = fraction * relays / self.budget(server, fleet.slot_session_load).rate;
+        let session_wait = self.mean_session_wait(fleet);
+        // Capacity rises linearly, so its mean is lower by half of the gain.
         let warm_up_rate = (1.0 - self.site.initial_capacity) / self.site.warm_up.max(1) as f64;
         let waited = (self.now - server.slot_wait.since) as f64;
         let gained = warm_up_rate * waited / self.warm_up_fraction(server);
         ((share - session_wait) / (1.0 - gained / 2.0).max(0.5)).max(share / self.oversubscription())
     }
 
-    /// How far a relay's share may be exceeded: 1.4 times for one relay, nearly 4 for a hundred. The more
-    /// relays share a budget, the fewer have a session when their slot opens.
+    /// The most that a relay's rate may exceed its share, as a factor: 1.4 for one relay, nearly 4 for a
+    /// hundred, below 5. The more relays share a budget, the fewer have a session when their slot opens.
     fn oversubscription(&self) -> f64 {
         let others = f64::from(self.site.relay_count - 1);
         1.4 + 3.6 * others / (others + 40.0)
     }
 
-    /// The mean time until a session comes that has a given server in its pool, in microseconds.
-    fn wait_for_session(&self, fleet: &FleetEstimate) -> f64 {
-        self.slot_arrivals.mean() * sessions_per_candidacy(fleet)
+    /// The mean time between this relay's sessions that have a given server in their pool, in microseconds.
+    fn mean_session_wait(&self, fleet: &FleetEstimate) -> f64 {
+        self.slot_arrivals.mean() * sessions_per_pool_entry(fleet)
     }
 
-    /// Whether this relay is one of those that may use a slot at a warming server however long it lay unused.
+    /// Whether this relay is selected to use its slots at a warming server, however long they lay unused.
     ///
-    /// Unused slots of all relays meet in the moment in which each relay has a session. So relays are drawn,
-    /// with the chance of what the budget bears over the slots that would meet: the relays, times the
-    /// fraction of them whose slot lies unused, times the chance that a session's pool has the server. The
-    /// draw is a hash of the relay and the server's start: a relay stays drawn for the whole warm-up, so no
-    /// window sees two sets of relays.
+    /// In a storm each relay has a session in the same moment, and all unused slots are used at once. So
+    /// relays are selected with the probability of the budget over these slots: the relays, times the
+    /// fraction of them whose slot is unused, times the probability that a session's pool has the server. The
+    /// selection is a hash of the relay and the server's start, constant for the whole warm-up, so that no
+    /// overload window sees two sets of relays.
     fn may_use_unused_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
-        /// Sessions of one relay in a storm that may have the server in their pools before it is seen as one.
+        /// Sessions of one relay that are placed before it detects a storm.
         const SESSIONS_AT_ONCE: f64 = 1.3;
-        let budget = self.budget(server, fleet.slot_load).per_window;
+        let budget = self.budget(server, fleet.slot_session_load).per_window;
         if self.is_small_fleet(budget) {
             return true;
         }
-        let session_wait = self.wait_for_session(fleet);
+        let session_wait = self.mean_session_wait(fleet);
         let interval = self.slot_interval(server, fleet, 1.0);
-        // Until one interval after the server's start some relays have had no slot yet.
-        let opened = self.now.saturating_sub(server.endpoint.started_at) as f64 / interval;
-        let unused = (session_wait / (session_wait + interval)).min(opened);
-        let in_pool = (SESSIONS_AT_ONCE / sessions_per_candidacy(fleet)).min(1.0);
-        let slots_at_once = f64::from(self.site.relay_count) * unused * in_pool;
-        let bearable = budget + budget.sqrt() + 1.0;
+        // Within one interval after the server's start only this fraction of the relays has had a slot.
+        let opened_fraction = self.now.saturating_sub(server.endpoint.started_at) as f64 / interval;
+        let unused_fraction = (session_wait / (session_wait + interval)).min(opened_fraction);
+        let pool_probability = (SESSIONS_AT_ONCE / sessions_per_pool_entry(fleet)).min(1.0);
+        let simultaneous_slots = f64::from(self.site.relay_count) * unused_fraction * pool_probability;
+        let sustained_slots = budget + budget.sqrt() + 1.0;
         let server_key = (u64::from(server.endpoint.server) << 32) ^ server.endpoint.started_at;
         let draw = hash(self.slot_selection_key ^ server_key);
-        draw as f64 <= bearable / slots_at_once * u64::MAX as f64
+        draw as f64 <= sustained_slots / simultaneous_slots * u64::MAX as f64
     }
 
-    /// Whether the slots of all relays at once are no more than chance adds to a budget of sessions per
-    /// overload window: slots alone hold the budget then.
+    /// Whether the slots of all relays at once exceed a budget, in sessions per overload window, by no more
+    /// than chance does: slots alone hold the budget then.
     fn is_small_fleet(&self, budget: f64) -> bool {
         f64::from(self.site.relay_count) <= budget + 2.0 * budget.sqrt() + 2.0
     }
 
-    /// Whether a returning session is one too many for the warming servers, by a chance that keeps their
-    /// budgets.
+    /// Whether a returning session is excess for the warming servers, at random such that their budgets hold.
     ///
-    /// The sessions that came back to this relay beside it, within an overload window or at an even rate over
-    /// a longer time, times the relays, are an unbiased guess of the fleet's. Beyond what the warming servers
-    /// bear within a window together (their budgets, and one each) a session is one too many, with the chance
-    /// of the excess. Servers that a small fleet cannot overload do not count.
+    /// The other sessions that returned to this relay, within an overload window or as the mean rate over a
+    /// longer window, times the relays, are an unbiased estimate of the fleet's. Where it exceeds the
+    /// sessions that all warming servers sustain within a window (their budgets, and one each), a session is
+    /// excess with the probability of that excess. Servers that a small fleet cannot overload do not count.
     pub(crate) fn is_in_reconnect_storm(&mut self) -> bool {
         const LONG_WINDOW: Micros = 4 * SECOND;
-        // A rolling sum reaches half a bucket further back in the mean; the session itself is no other.
+        // A rolling sum covers half a bucket more in the mean; the session itself is subtracted.
         let others = |age: Micros| self.reconnects.sum(self.now, age.saturating_sub(SECOND / 4)) - 1.0;
         let window = self.site.overload_window;
-        let spread = others(LONG_WINDOW) * window as f64 / LONG_WINDOW as f64;
-        let returned = others(window).max(spread) * f64::from(self.site.relay_count);
+        let at_mean_rate = others(LONG_WINDOW) * window as f64 / LONG_WINDOW as f64;
+        let returned = others(window).max(at_mean_rate) * f64::from(self.site.relay_count);
         let warming =
             self.servers.values().filter(|server| server.endpoint.ready() && self.is_warming_up(server));
-        let budgets = warming.map(|server| self.budget(server, self.estimate.slot_load).per_window);
-        let bearable =
-            budgets.filter(|&budget| !self.is_small_fleet(budget)).map(|budget| budget + 1.0).sum::<f64>();
-        bearable > 0.0 && bearable < returned && !self.random.is_drawn(bearable / returned)
+        let budgets = warming.map(|server| self.budget(server, self.estimate.slot_session_load).per_window);
+        let large_fleet_budgets = budgets.filter(|&budget| !self.is_small_fleet(budget));
+        let sustained = large_fleet_budgets.map(|budget| budget + 1.0).sum::<f64>();
+        sustained > 0.0 && sustained < returned && !self.random.random_bool(sustained / returned)
     }
 }
 
-/// The sessions that come for each one among whose candidates a given server is.
-fn sessions_per_candidacy(fleet: &FleetEstimate) -> f64 {
+/// Sessions for each one that has a given server in its pool: the uncongested servers over the pool's size,
+/// at least 1.
+fn sessions_per_pool_entry(fleet: &FleetEstimate) -> f64 {
     ((fleet.capacity - fleet.congested) / POOL_SIZE as f64).max(1.0)
 }
--- a/balancer/src/smallest.rs
+++ b/balancer/src/smallest.rs
@@ -1,6 +1,6 @@
-//! The smallest few of many items.
+//! A bounded list of the smallest of many items.
 
-/// The smallest items that it is given, in ascending order.
+/// The smallest of the items added, in ascending order, up to a limit.
 pub(crate) struct Smallest<T> {
     items: Vec<T>,
     limit: usize,
@@ -12,15 +12,15 @@
         Smallest { items: Vec::with_capacity(limit + 1), limit }
     }
 
-    /// Whether an item would be among them now.
+    /// Whether an item would be among the smallest now.
     pub(crate) fn would_insert(&self, item: &T) -> bool {
         self.items.len() < self.limit || self.items.last().is_some_and(|largest| item < largest)
     }
 
-    /// Adds an item behind those that are smaller, and drops the largest beyond the limit.
-    pub(crate) fn add(&mut self, item: T) {
-        let place = self.items.partition_point(|smaller| *smaller < item);
-        self.items.insert(place, item);
+    /// Inserts an item behind the smaller ones, and drops the largest beyond the limit.
+    pub(crate) fn insert(&mut self, item: T) {
+        let index = self.items.partition_point(|smaller| *smaller < item);
+        self.items.insert(index, item);
         self.items.truncate(self.limit);
     }
 }
--- a/balancer/src/snapshot.rs
+++ b/balancer/src/snapshot.rs
@@ -1,26 +1,26 @@
-//! What a relay knows, handed from a process to the one that takes its place: the two are one relay, with one
-//! budget.
+//! The state that a hot restart hands from a process to its successor: the two are one relay, with one share
+//! of each slow-start budget.
 
-use crate::estimate::{clamp, SESSION_LOAD, SLOT_LOAD};
+use crate::estimate::{clamp, SESSION_LOAD, SLOT_SESSION_LOAD};
 use crate::relay::Relay;
 use crate::server::Server;
 use crate::slow_start::SlotWait;
 use crate::types::{LoadReport, Micros, PastReport, ServerId, ServerSnapshot, SlotSnapshot, Snapshot};
 
-/// How long ago sessions were placed that are handed over.
-const RECENT: Micros = 8_000_000;
+/// The time over which placed sessions are handed over, in microseconds: all that a rolling sum has.
+const RECENT_SESSIONS_WINDOW: Micros = 8_000_000;
 
 impl Relay {
-    /// What goes on with the process that takes this one's place.
+    /// The state to hand to the successor of this process.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         let servers = self.servers.iter().map(|(&id, server)| server.snapshot(id, now)).collect();
-        Snapshot { session_load: self.estimate.slot_load, servers }
+        Snapshot { session_load: self.estimate.slot_session_load, servers }
     }
 
-    /// Takes over what the process before knew. Own reports count where they are newer.
+    /// Takes over the state of the predecessor. This process's own reports stay where they are newer.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.estimate.session_load = clamp(snapshot.session_load, &SESSION_LOAD);
-        self.estimate.slot_load = clamp(snapshot.session_load, &SLOT_LOAD);
+        self.estimate.slot_session_load = clamp(snapshot.session_load, &SLOT_SESSION_LOAD);
         for server in snapshot.servers {
             self.restore_server(server);
         }
@@ -51,11 +51,12 @@
             sessions: Some(self.sessions),
         };
         let age = |then: Micros| now.saturating_sub(then);
+        let recent_sessions = self.net_sessions.sum(now, RECENT_SESSIONS_WINDOW);
         ServerSnapshot {
             server: id,
             report: self.last_report_at.map(|then| PastReport { age: age(then), report }),
             misses: self.misses,
-            recent_sessions: self.net_sessions.sum(now, RECENT),
+            recent_sessions,
             slot: SlotSnapshot {
                 age: age(self.slot_wait.since),
                 interval_fraction: self.slot_wait.interval_fraction,
--- a/balancer/src/throttle.rs
+++ b/balancer/src/throttle.rs
@@ -1,6 +1,6 @@
 //! Client-side throttling of dials (Beyer et al., "Site Reliability Engineering", chapter 21): where servers
-//! accept too small a part of this relay's dials, sessions are rejected here, with the chance of the excess.
-//! It guards what all servers share and no load report shows.
+//! accept too small a part of this relay's dials, it rejects sessions itself, with the probability of the
+//! excess. This protects dependencies that all servers share and that no load report shows.
 
 use crate::admission::HIGH_PRIORITY_RESERVE;
 use crate::relay::{Relay, SECOND};
@@ -8,19 +8,19 @@
 use crate::session::State;
 use crate::types::{Micros, SessId};
 
-/// How long dials count.
+/// The window over which dials count.
 const WINDOW: Micros = 4 * SECOND;
-/// Dials for each accepted one from which a session of high priority may be rejected; others by the reserve
-/// earlier.
+/// Dials for each accepted one above which a session of high priority may be rejected; for others it is lower
+/// by `HIGH_PRIORITY_RESERVE`.
 const MAX_DIALS_PER_ACCEPT: f64 = 1.5;
-/// Dials of all relays together that say nothing yet.
+/// Dials of all relays together that are never throttled: too small a sample.
 const MIN_FLEET_DIALS: f64 = 8.0;
-/// Servers with faults from which the fault may be shared: a single server's is its own.
+/// Servers with faults in the window from which a shared fault is assumed: a single one may be an outlier.
 const MIN_FAULTY_SERVERS: usize = 2;
 
 impl Relay {
-    /// Counts the last dial of a session that is being dialled, and whether it was accepted within its
-    /// objective.
+    /// Counts the last dial of a session that is being dialled, and whether it was accepted within the
+    /// handshake objective.
     pub(crate) fn count_dial(&mut self, id: SessId, is_accepted: bool) {
         let Some(session) = self.sessions.get(&id).filter(|session| session.state == State::Dialling) else {
             return;
@@ -31,23 +31,24 @@
         self.accepts.add(self.now, f64::from(is_in_time));
     }
 
-    /// Whether a session is rejected here; a rejected one counts as a dial. A relay without any accept still
-    /// sends one dial in a window, and so finds out when the fault is over.
+    /// The throttling rule: whether a session is rejected, with the probability (excess dials) / (dials + 1)
+    /// over `WINDOW`. A rejected session counts as a dial. Even without any accept one dial in a window is
+    /// sent, which shows when the fault is over.
     pub(crate) fn is_throttled(&mut self, is_high_priority: bool) -> bool {
         let dials = self.recent(&self.dials);
         let excess = self.excess_dials(dials, is_high_priority);
         let is_throttled =
-            excess > 0.0 && self.is_fault_shared() && self.random.is_drawn(excess / (dials + 1.0));
+            excess > 0.0 && self.is_fault_shared() && self.random.random_bool(excess / (dials + 1.0));
         self.dials.add(self.now, f64::from(is_throttled));
         is_throttled
     }
 
-    /// The dials beyond what the accepted ones allow.
+    /// The dials beyond those that the accepted ones allow; negative where there are fewer.
     fn excess_dials(&self, dials: f64, is_high_priority: bool) -> f64 {
-        let own_part = MIN_FLEET_DIALS / f64::from(self.site.relay_count);
+        let exempt_dials = MIN_FLEET_DIALS / f64::from(self.site.relay_count);
         let priority_factor = if is_high_priority { 1.0 } else { 1.0 - HIGH_PRIORITY_RESERVE };
         let allowed_per_accept = MAX_DIALS_PER_ACCEPT * priority_factor;
-        dials - own_part - allowed_per_accept * self.recent(&self.accepts)
+        dials - exempt_dials - allowed_per_accept * self.recent(&self.accepts)
     }
 
     fn is_fault_shared(&self) -> bool {
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -1,16 +1,16 @@
-//! The balancer's interface: the settings of its site, its inputs, and the effects it asks for.
+//! The balancer's interface: the settings of its site, its inputs, and its effects.
 //!
 //! Times are whole microseconds on the caller's clock, ages and durations too unless a unit is named. Loads
 //! and capacities are fractions of one server, 1.0 being a full one.
 
-/// Microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 /// A session, as the caller numbers it.
 pub type SessId = u32;
 /// A server, as the caller numbers it. All relays of a fleet must use the same number for the same server.
 pub type ServerId = u32;
 
-/// What dialling a session a second time may do, once the first dial may have reached a server.
+/// Whether a session may be dialled again once its first dial may have reached a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
     /// A repeated dial does no harm.
@@ -41,7 +41,8 @@
 /// A class of sessions that share their rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listener {
-    /// What a session is worth; listeners in the upper half of the site's range are of high priority.
+    /// The priority weight of a session, 0 or more; listeners in the upper half of the site's range are of
+    /// high priority.
     pub priority_weight: f64,
     /// Whether a dial may be repeated.
     pub idempotency: Idempotency,
@@ -62,7 +63,7 @@
     pub relay_index: u32,
     /// The zone of this relay.
     pub zone: u8,
-    /// Whether the endpoint list must be watched; otherwise it comes unrequested.
+    /// Whether the endpoint list must be watched; otherwise it is received without a request.
     pub must_watch: bool,
     /// Whether servers may be probed for load reports.
     pub may_probe: bool,
@@ -78,11 +79,11 @@
     pub warm_up: Micros,
     /// The fraction of its capacity that a server has at its start.
     pub initial_capacity: f64,
-    /// How many times a full server's sessions a warming server takes up within one warm-up.
+    /// How many times a full server's sessions a warming server accepts within one warm-up.
     pub overload_multiple: f64,
-    /// How long a warming server bears more than that before it fails.
+    /// How long a warming server sustains more than that before it fails.
     pub overload_window: Micros,
-    /// Cost of a session in another zone, as a fraction of a session's value.
+    /// Cost of a session in another zone, as a fraction of a session's value; 0 where zones do not matter.
     pub cross_zone_cost: f64,
     /// Cost of a session's migration, in the same unit.
     pub migration_cost: f64,
@@ -90,12 +91,12 @@
     pub probe_cost: f64,
 }
 
-/// A server's load report. What is not reported is none.
+/// A server's load report; each value is none where it is not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Demand over capacity.
     pub load: Option<f64>,
-    /// How long queued work waits, in seconds.
+    /// Queue delay, in seconds.
     pub queue_delay: Option<f64>,
     /// Sessions of all relays on the server.
     pub sessions: Option<f64>,
@@ -106,9 +107,9 @@
 pub enum Phase {
     /// Takes new sessions.
     Ready,
-    /// Keeps its sessions, takes no new ones.
+    /// Accepts no new sessions; those that it has may end there.
     Draining,
-    /// Not in the list.
+    /// Removed from the list, or never in it.
     #[default]
     Gone,
 }
@@ -138,7 +139,7 @@
 /// What an answer about the endpoint list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// All servers; who is not named is gone.
+    /// All servers; any other one is removed.
     Snapshot,
     /// Only the servers that changed.
     Delta,
@@ -161,13 +162,13 @@
     Unconnected,
     /// The connection broke; it may have run.
     Reset,
-    /// The caller cancelled it; it may have run.
+    /// The server ended it with `MOVE`, or the caller cancelled it; it may have run.
     Recalled,
-    /// It was not sent.
+    /// It was not sent: its time had passed, or this machine could not start it.
     Moot,
 }
 
-/// A session that asks to be placed.
+/// A session that requests a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionRequest {
     /// Its listener's index; one beyond the last counts as the last.
@@ -176,22 +177,22 @@
     pub key: u64,
     /// Sessions of one group share work on a server; 0 is none.
     pub group: u64,
-    /// Whether the client is back after a lost or migrated session.
+    /// Whether the client returned after a lost or migrated session.
     pub returned: bool,
-    /// What is left of the client's timeout.
+    /// The rest of the client's timeout.
     pub time_remaining: Micros,
 }
 
-/// What a relay's process hands to the one that takes its place.
+/// The state that a relay's process hands to its successor in a hot restart.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The estimate of one session's load on a server.
+    /// The estimate of one session's load on a server, as a fraction of the server.
     pub session_load: f64,
-    /// What is known of each server.
+    /// The state of each server.
     pub servers: Vec<ServerSnapshot>,
 }
 
-/// What a relay knows of one server. Times are ages.
+/// A relay's state of one server. Times are ages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSnapshot {
     /// The server.
@@ -209,7 +210,7 @@
 /// A load report and its age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PastReport {
-    /// How long ago it came.
+    /// How long ago it was received.
     pub age: Micros,
     /// The report.
     pub report: LoadReport,
@@ -218,18 +219,18 @@
 /// The state of a relay's slow-start slot at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlotSnapshot {
-    /// How long ago the interval to the next slot began.
+    /// How long ago the interval to the next slot started.
     pub age: Micros,
     /// The fraction of an interval that the next slot takes.
     pub interval_fraction: f64,
 }
 
-/// What the relay is told.
+/// The inputs of a relay.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The site's settings have changed; sessions keep the rules that they were requested under.
+    /// The site's settings have changed; sessions retain the rules that they were requested under.
     Configure(Box<SiteConfig>),
-    /// What the process knew whose place this relay takes.
+    /// The state of the predecessor in a hot restart.
     Restore(Snapshot),
     /// The endpoint list, or that it could not be read.
     EndpointList {
@@ -238,11 +239,11 @@
         /// Servers of the list; empty where the watch failed.
         endpoints: Vec<Endpoint>,
     },
-    /// A session asks to be placed.
+    /// A session requests a server.
     SessionRequested {
         /// The session, not known before.
         session: SessId,
-        /// What it asks for.
+        /// Its request.
         request: AdmissionRequest,
     },
     /// A session was already established before this relay decided anything.
@@ -251,10 +252,10 @@
         session: SessId,
         /// Where it is.
         server: ServerId,
-        /// What it asked for.
+        /// Its request.
         request: AdmissionRequest,
     },
-    /// The server took a dialled session up.
+    /// A dialled session was established at its server.
     SessionEstablished {
         /// The session.
         session: SessId,
@@ -272,7 +273,7 @@
     MessageDelay {
         /// The session.
         session: SessId,
-        /// Seconds.
+        /// The time from a message to its answer, in seconds.
         delay: f64,
     },
     /// A dial ended without an established session, or an established session ended at its server.
@@ -285,7 +286,7 @@
         end: DialEnd,
         /// Whether the session is over; otherwise it is placed again.
         settled: bool,
-        /// The load report that came with it.
+        /// The load report that was received with it.
         report: Option<LoadReport>,
     },
     /// This machine could not start the last dial: it does not count.
@@ -316,7 +317,7 @@
     },
 }
 
-/// What the relay asks for.
+/// The effects that a relay requests of its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Dial a server for a session.
@@ -330,24 +331,24 @@
         /// Within which the request must be sent, where its idempotency key bounds that.
         send_within: Option<Micros>,
     },
-    /// Reject a session. The client may try again.
+    /// Reject a session. Its client may retry.
     Reject {
         /// The session.
         session: SessId,
-        /// When to try again; 0 where that is not conveyed.
+        /// Retry-After; 0 where that is not conveyed.
         retry_after: Micros,
     },
-    /// Close a session that may have run: its client must not take it for rejected.
+    /// Close a session that may have run: its client must not see a rejection.
     TearDown {
         /// The session.
         session: SessId,
     },
-    /// Tell an established session's client to come again, to be placed elsewhere.
+    /// Request an established session's client to reconnect, to be placed elsewhere.
     Migrate {
         /// The session.
         session: SessId,
     },
-    /// Ask a server for a load report.
+    /// Probe a server for a load report.
     Probe {
         /// The server.
         server: ServerId,
@@ -356,7 +357,7 @@
     SetTimer {
         /// From now.
         after: Micros,
-        /// Handed back.
+        /// Returned in the input.
         label: u32,
     },
     /// Watch the endpoint list.
