--- a/config/src/coordination.rs
+++ b/config/src/coordination.rs
@@ -6,10 +6,10 @@
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Budget, Scope, TargetKind, MAX_BUDGETS};
 
-/// Seconds in which a lease must be begun, unless configured: long enough to learn of it and to begin; a
-/// request that waits for the same budget waits no longer.
+/// Seconds in which a lease must be started, unless configured: long enough to be notified of it and to
+/// start; a request that waits for the same budget waits no longer.
 const DEFAULT_LEASE_START_S: f64 = 10.0;
-/// Sessions moved in a second, unless configured: half a minute for a backend's hundreds.
+/// Sessions migrated in a second, unless configured: half a minute for a backend's hundreds.
 const DEFAULT_MOVES_PER_S: u32 = 20;
 /// Largest number of voters.
 const MAX_VOTERS: usize = 7;
@@ -17,24 +17,26 @@
 /// The voters, and what they agree on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationConfig {
-    /// Names of the voting relays: 1 to 7, by custom three or five.
+    /// Names of the voting relays: 1 to 7 different ones, by custom three or five.
     pub voters: Vec<String>,
-    /// Disruption budgets.
+    /// Disruption budgets, 64 at most; none by default.
     pub budgets: Vec<Budget>,
-    /// A lease that is not begun within this expires.
+    /// A lease that is not started within this expires: 1 to 3600 s, in microseconds; 10 s by default.
     pub lease_start_timeout: Micros,
-    /// Sessions that the whole fleet moves off draining backends in a second.
+    /// Sessions that the whole fleet migrates off draining backends in a second: 1 to 100,000; 20 by default.
     pub moves_per_s: u32,
-    /// What this relay is counted with by budgets of scope `kind`; empty where it is not.
+    /// The failure domain of this relay in budgets of scope `kind`, 64 bytes at most; empty where it is in
+    /// none.
     pub kind: String,
-    /// What this relay is counted with by budgets of scope `group`; empty where it is not.
+    /// The failure domain of this relay in budgets of scope `group`, 64 bytes at most; empty where it is in
+    /// none.
     pub group: String,
 }
 
 /// Reads the keys from the table `fleet`; `voters` is its key of that name.
 ///
 /// # Errors
-/// One that names the faulty key and what was wanted.
+/// The key that is missing or can't be used.
 pub(crate) fn decode(table: &JsonNode, voters: &JsonNode) -> Result<CoordinationConfig, ConfigError> {
     let voters = decode_voters(voters)?;
     let budgets = table.option("budgets").map_or(Ok(Vec::new()), |at| decode_budgets(&at))?;
@@ -48,13 +50,14 @@
             moves if (1..=100_000).contains(&moves) => Ok(moves),
             _ => at.invalid("1 to 100000 a second"),
         })?;
+    let (kind, group) = (decode_label(table, "kind")?, decode_label(table, "group")?);
     Ok(CoordinationConfig {
         voters,
         budgets,
         lease_start_timeout: (lease_start_s * 1e6) as Micros,
         moves_per_s,
-        kind: decode_label(table, "kind")?,
-        group: decode_label(table, "group")?,
+        kind,
+        group,
     })
 }
 
@@ -62,7 +65,7 @@
     let names = at.list()?;
     let names =
         names.iter().map(|name| Ok(name.text()?.to_string())).collect::<Result<Vec<_>, ConfigError>>()?;
-    let has_duplicate = (1..names.len()).any(|i| names[..i].contains(&names[i]));
+    let has_duplicate = (1..names.len()).any(|index| names[..index].contains(&names[index]));
     let is_valid = !names.is_empty() && names.len() <= MAX_VOTERS && names.iter().all(|name| is_name(name));
     if has_duplicate || !is_valid {
         return at.invalid("1 to 7 different names of relays, three or five by custom");
@@ -70,7 +73,7 @@
     Ok(names)
 }
 
-/// A text of the table, empty where it is left out.
+/// A string of the table, empty where it is left out.
 fn decode_label(table: &JsonNode, key: &str) -> Result<String, ConfigError> {
     table.option(key).map_or(Ok(String::new()), |at| match at.text()? {
         text if text.len() <= MAX_NAME_BYTES => Ok(text.to_string()),
--- a/config/src/error.rs
+++ b/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used. Each text names the key at fault and what was wanted there.
+//! The errors of configurations. Each text names the key at fault and what is accepted there.
 
 /// Why a configuration, a list of backends or a site's settings can't be used.
 #[derive(Debug, thiserror::Error)]
--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,9 +1,12 @@
-//! Decodes a site's settings, in the names of the wire, into the configuration that the program reads.
+//! Decodes a site's settings from the names of the protocol.
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
-/// A site's settings: those of the balancer, and names and times of the relay around it.
+/// The overload window where the settings have none, as the protocol has it.
+const DEFAULT_OVERLOAD_WINDOW: Micros = 2_000_000;
+
+/// A site's settings: those of the balancer, and the names and times that the rest of the relay needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
     /// Settings of the balancer.
@@ -14,15 +17,15 @@
     pub listeners: Vec<String>,
     /// Names of the zones, by the balancer's index.
     pub zones: Vec<String>,
-    /// Dial timeout of each listener in microseconds.
+    /// Dial timeouts in microseconds, by the balancer's index of the listener.
     pub dial_timeouts: Vec<Micros>,
-    /// Time in microseconds for a connection to a backend to come up.
+    /// Connect timeout to a backend, in microseconds.
     pub connect: Micros,
-    /// Grace in microseconds after a backend began to drain.
+    /// How long after a backend started to drain it may still get new sessions, in microseconds.
     pub drain_grace: Micros,
-    /// Whether backends tell, on some of their connections, how long messages take there.
+    /// Whether backends report, on some of their connections, how long messages take there; false by default.
     pub tells_delay: bool,
-    /// How long a relay may go without asking for the list; none where it is told unasked.
+    /// The longest time between two polls of the endpoint list, in microseconds; none where it is pushed.
     pub ask_within: Option<Micros>,
 }
 
@@ -35,24 +38,31 @@
     pub queue_delay: Option<usize>,
     /// Position of the number of sessions.
     pub sessions: Option<usize>,
-    /// Whether `load` is the part of the cores in use, which sites without a better figure report.
+    /// Whether `load` is the fraction of the cores in use, which sites report that have no better figure.
     pub by_cores: bool,
 }
 
-/// The first values of a load report, by position.
-pub type RawReport = [Option<f64>; 4];
+/// Values of a load report that are read: no position beyond these is used.
+const REPORT_VALUES: usize = 4;
+
+/// The first values of a load report, by position; none where a value is missing.
+pub type RawReport = [Option<f64>; REPORT_VALUES];
 
 impl ReportOrder {
     /// The load report from values by position.
     pub fn pick(self, raw: RawReport) -> LoadReport {
-        let at = |i: Option<usize>| i.and_then(|i| raw[i]);
-        LoadReport { load: at(self.load), queue_delay: at(self.queue_delay), sessions: at(self.sessions) }
+        let value_at = |position: Option<usize>| position.and_then(|position| raw[position]);
+        LoadReport {
+            load: value_at(self.load),
+            queue_delay: value_at(self.queue_delay),
+            sessions: value_at(self.sessions),
+        }
     }
 
-    /// From names and values, as reports stand in lines of text.
+    /// The load report from values by name, as lines of text have it.
     pub fn find(self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
-        // The settings' own words, and those that the protocol's page shows.
-        let either = |told, shown| value(told).or_else(|| value(shown));
+        // The names of the settings, and those of the protocol's description.
+        let either = |in_settings, in_protocol| value(in_settings).or_else(|| value(in_protocol));
         let load =
             self.load.and_then(|_| if self.by_cores { either("cpu_share", "util") } else { value("x0") });
         let sessions = self.sessions.and_then(|_| either("busy_reqs", "inflight"));
@@ -61,92 +71,161 @@
     }
 }
 
+/// The tables of the settings.
+struct Tables<'a> {
+    top: &'a JsonNode<'a>,
+    ceilings: JsonNode<'a>,
+    rules: JsonNode<'a>,
+    charges: JsonNode<'a>,
+    family: JsonNode<'a>,
+}
+
 /// Decodes the settings.
 ///
 /// # Errors
 /// The key that is missing or can't be used.
 pub fn decode(top: &JsonNode) -> Result<Site, ConfigError> {
-    let (limits, rules, charges) = (top.key("Ceilings")?, top.key("Rules")?, top.key("Charges")?);
-    let family = top.key("FamilyInfo")?;
-    family.key("Mode")?.one_of(&[("proxy", ()), ("pass", ())])?;
-    let message_targets = family.key("MessageAim")?;
-    let (listeners_at, targets) = (top.key("Listeners")?, message_targets.list()?);
-    let listener = |(i, at): (usize, &JsonNode)| -> Result<Listener, ConfigError> {
-        let scope = at.key("Group")?.one_of(&[
-            ("all", KeyScope::All),
-            ("zone", KeyScope::Zone),
-            ("cell", KeyScope::Cell),
-        ])?;
-        let window = at.key("Window")?.micros()?;
-        let kinds = [
-            ("retryable", Idempotency::Idempotent),
-            ("dedup", Idempotency::Keyed { scope, window }),
-            ("fragile", Idempotency::NonIdempotent),
-        ];
-        let Some(message) = targets.get(i) else {
+    let tables = Tables {
+        top,
+        ceilings: top.key("Ceilings")?,
+        rules: top.key("Rules")?,
+        charges: top.key("Charges")?,
+        family: top.key("FamilyInfo")?,
+    };
+    tables.family.key("Mode")?.one_of(&[("proxy", ()), ("pass", ())])?;
+    let message_targets = tables.family.key("MessageAim")?;
+    let listeners_node = top.key("Listeners")?;
+    // A list of the wrong type is reported before the listeners are.
+    message_targets.list()?;
+    let listeners = listeners_node.list()?;
+    if listeners.is_empty() {
+        return listeners_node.invalid("one listener at least");
+    }
+    let report = decode_report_order(&top.key("Report")?)?;
+    let must_watch = top.key("Discovery")?.one_of(&[("automatic", false), ("subscribe", true)])?;
+    let decoded_listeners = decode_listeners(&listeners, &message_targets)?;
+    let facts = decode_balancer_settings(&tables, decoded_listeners, must_watch)?;
+    decode_site(&tables, &listeners, facts, report)
+}
+
+/// The rest of the settings, beside those of the balancer.
+fn decode_site(
+    tables: &Tables,
+    listeners: &[JsonNode],
+    facts: SiteConfig,
+    report: ReportOrder,
+) -> Result<Site, ConfigError> {
+    let Tables { top, ceilings, rules, family, .. } = tables;
+    let dial_timeout = |listener: &JsonNode| listener.key("DialTimeout")?.micros();
+    let must_watch = facts.must_watch;
+    let ask_within = || rules.key("AskWithin")?.micros();
+    Ok(Site {
+        facts,
+        report,
+        listeners: listeners.iter().map(|at| decode_text(&at.key("Name")?)).collect::<Result<_, _>>()?,
+        zones: top.key("FailureDomains")?.list()?.iter().map(decode_text).collect::<Result<_, _>>()?,
+        dial_timeouts: listeners.iter().map(dial_timeout).collect::<Result<_, _>>()?,
+        connect: ceilings.key("ConnectTimeout")?.micros()?,
+        drain_grace: rules.key("DrainGrace")?.micros()?,
+        tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.boolean())?,
+        ask_within: must_watch.then(ask_within).transpose()?,
+    })
+}
+
+fn decode_text(at: &JsonNode) -> Result<String, ConfigError> {
+    Ok(at.text()?.to_string())
+}
+
+fn decode_listeners(
+    listeners: &[JsonNode],
+    message_targets: &JsonNode,
+) -> Result<Vec<Listener>, ConfigError> {
+    let targets = message_targets.list()?;
+    let decode = |(index, at): (usize, &JsonNode)| {
+        let idempotency = IdempotencyKeys::decode(at)?;
+        let Some(message_target) = targets.get(index) else {
             return message_targets.invalid("a time for each of Listeners");
         };
         Ok(Listener {
             priority_weight: at.key("Utility")?.number()?,
-            idempotency: at.key("Effect")?.one_of(&kinds)?,
+            idempotency: idempotency.of_effect(at)?,
             handshake_target: at.key("HandshakeTarget")?.micros()?,
-            message_target: message.micros()?,
+            message_target: message_target.micros()?,
         })
     };
-    let listeners = listeners_at.list()?;
-    if listeners.is_empty() {
-        return listeners_at.invalid("one listener at least");
+    listeners.iter().enumerate().map(decode).collect()
+}
+
+/// A listener's keys `Group` and `Window`, which must be given whatever its effect.
+struct IdempotencyKeys {
+    scope: KeyScope,
+    window: Micros,
+}
+
+impl IdempotencyKeys {
+    fn decode(listener: &JsonNode) -> Result<IdempotencyKeys, ConfigError> {
+        let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
+        let scope = listener.key("Group")?.one_of(&scopes)?;
+        Ok(IdempotencyKeys { scope, window: listener.key("Window")?.micros()? })
+    }
+
+    fn of_effect(self, listener: &JsonNode) -> Result<Idempotency, ConfigError> {
+        let IdempotencyKeys { scope, window } = self;
+        listener.key("Effect")?.one_of(&[
+            ("retryable", Idempotency::Idempotent),
+            ("dedup", Idempotency::Keyed { scope, window }),
+            ("fragile", Idempotency::NonIdempotent),
+        ])
     }
-    let report = top.key("Report")?;
+}
+
+fn decode_report_order(report: &JsonNode) -> Result<ReportOrder, ConfigError> {
     report.key("How")?.one_of(&[("inline", ()), ("on_probe", ()), ("off", ())])?;
     let fields = report.key("Fields")?.list()?;
-    let place = |name: &str| fields.iter().take(4).position(|at| at.value.as_str() == Some(name));
-    let (asked, cores) = (place("x0"), place("cpu_share"));
-    let (queue_delay, sessions) = (place("x1"), place("busy_reqs"));
-    let order = ReportOrder { load: asked.or(cores), queue_delay, sessions, by_cores: asked.is_none() };
-    let must_watch = top.key("Discovery")?.one_of(&[("automatic", false), ("subscribe", true)])?;
-    let facts = SiteConfig {
-        listeners: listeners.iter().enumerate().map(listener).collect::<Result<_, _>>()?,
+    let position =
+        |name: &str| fields.iter().take(REPORT_VALUES).position(|field| field.value.as_str() == Some(name));
+    let demand = position("x0");
+    Ok(ReportOrder {
+        load: demand.or(position("cpu_share")),
+        queue_delay: position("x1"),
+        sessions: position("busy_reqs"),
+        by_cores: demand.is_none(),
+    })
+}
+
+fn decode_balancer_settings(
+    tables: &Tables,
+    listeners: Vec<Listener>,
+    must_watch: bool,
+) -> Result<SiteConfig, ConfigError> {
+    let Tables { top, ceilings, rules, charges, family } = tables;
+    let overload_window = |at: JsonNode| at.micros();
+    Ok(SiteConfig {
+        listeners,
         relay_count: top.key("Instances")?.bounded_integer::<u32>()?.max(1),
         relay_index: top.key("SlotNo")?.bounded_integer()?,
         zone: top.key("Zone")?.bounded_integer()?,
         must_watch,
-        may_probe: limits.key("MayProbe")?.boolean()?,
+        may_probe: ceilings.key("MayProbe")?.boolean()?,
         groups_enabled: family.key("Groups")?.boolean()?,
-        max_dials: limits.key("MostDials")?.bounded_integer()?,
-        max_sessions: limits.key("MaxOpen")?.bounded_integer()?,
-        max_retry_after: if limits.key("RetryAfter")?.boolean()? {
-            Some(limits.key("MaxRetryAfter")?.micros()?)
-        } else {
-            None
-        },
+        max_dials: ceilings.key("MostDials")?.bounded_integer()?,
+        max_sessions: ceilings.key("MaxOpen")?.bounded_integer()?,
+        max_retry_after: decode_max_retry_after(ceilings)?,
         warm_up: rules.key("Cold")?.micros()?,
         initial_capacity: rules.key("ColdFrom")?.number()?,
         overload_multiple: rules.key("FallMultiple")?.number()?,
-        // As the protocol's page has it.
-        overload_window: rules.option("Fall").map_or(Ok(2_000_000), |at| at.micros())?,
+        overload_window: rules.option("Fall").map_or(Ok(DEFAULT_OVERLOAD_WINDOW), overload_window)?,
         cross_zone_cost: charges.key("CrossZone")?.number()?,
         migration_cost: charges.key("Moves")?.number()?,
         probe_cost: charges.key("Probe")?.number()?,
-    };
-    let names = |at: JsonNode| -> Result<Vec<String>, ConfigError> {
-        at.list()?.iter().map(|at| Ok(at.text()?.to_string())).collect()
-    };
-    Ok(Site {
-        facts,
-        report: order,
-        listeners: listeners
-            .iter()
-            .map(|at| Ok(at.key("Name")?.text()?.to_string()))
-            .collect::<Result<_, ConfigError>>()?,
-        zones: names(top.key("FailureDomains")?)?,
-        dial_timeouts: listeners
-            .iter()
-            .map(|at| at.key("DialTimeout")?.micros())
-            .collect::<Result<_, ConfigError>>()?,
-        connect: limits.key("ConnectTimeout")?.micros()?,
-        drain_grace: rules.key("DrainGrace")?.micros()?,
-        tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.boolean())?,
-        ask_within: if must_watch { Some(rules.key("AskWithin")?.micros()?) } else { None },
     })
 }
+
+/// None where Retry-After is not conveyed to clients.
+fn decode_max_retry_after(ceilings: &JsonNode) -> Result<Option<Micros>, ConfigError> {
+    if ceilings.key("RetryAfter")?.boolean()? {
+        Ok(Some(ceilings.key("MaxRetryAfter")?.micros()?))
+    } else {
+        Ok(None)
+    }
+}
--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,5 +1,5 @@
 //! The table `fleet` of a relay's configuration: where the relay listens for the other relays and finds them,
-//! and what they agree on. Without the table no socket is opened for them.
+//! and what they agree on. Without the table no socket is opened for that.
 use crate::coordination::{self, CoordinationConfig};
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
@@ -34,25 +34,37 @@
     pub name: String,
     /// Address at which datagrams and streams of other relays are received.
     pub listen: SocketAddr,
-    /// Address at which others reach this relay; that of `listen` unless it is given.
+    /// Address at which other relays reach this one, with a definite IP and port; by default that of
+    /// `listen`.
     pub advertise: SocketAddr,
-    /// Addresses at which other relays may be found; this relay's own address among them does no harm.
+    /// Addresses at which other relays may be found, 1024 at most; this relay's own one may be among them.
     pub peers: Vec<SocketAddr>,
     /// What the relays agree on; none where no voters are configured.
     pub coordination: Option<CoordinationConfig>,
 }
 
-/// A key, and whether it differs between two configurations.
-pub(crate) type KeyDiffers = (&'static str, bool);
+/// A key that is compared between two configurations.
+pub(crate) struct ComparedKey {
+    /// The key's path.
+    pub(crate) path: &'static str,
+    /// Whether its values differ.
+    pub(crate) differs: bool,
+}
+
+impl ComparedKey {
+    pub(crate) fn new(path: &'static str, differs: bool) -> ComparedKey {
+        ComparedKey { path, differs }
+    }
+}
 
 impl FleetConfig {
     /// The keys that cannot change while the program runs.
-    pub(crate) fn fixed_keys(&self, later: &FleetConfig) -> [KeyDiffers; 4] {
+    pub(crate) fn fixed_keys(&self, later: &FleetConfig) -> [ComparedKey; 4] {
         [
-            ("fleet.name", self.name != later.name),
-            ("fleet.listen", self.listen != later.listen),
-            ("fleet.advertise", self.advertise != later.advertise),
-            ("fleet.voters", self.coordination != later.coordination),
+            ComparedKey::new("fleet.name", self.name != later.name),
+            ComparedKey::new("fleet.listen", self.listen != later.listen),
+            ComparedKey::new("fleet.advertise", self.advertise != later.advertise),
+            ComparedKey::new("fleet.voters", self.coordination != later.coordination),
         ]
     }
 }
@@ -60,7 +72,7 @@
 /// Reads the table of a whole configuration; none where it is left out. `relay` is the relay's name.
 ///
 /// # Errors
-/// One that names the faulty key and what was wanted.
+/// The key that is missing or can't be used.
 pub fn decode(top: &JsonNode, relay: &str) -> Result<Option<FleetConfig>, ConfigError> {
     let Some(table) = top.option("fleet") else { return Ok(None) };
     check_keys(&table)?;
@@ -125,7 +137,7 @@
     Ok(advertise)
 }
 
-/// Whether a name fits into messages.
+/// Whether a name has 1 to 64 bytes, as messages between relays require.
 pub(crate) fn is_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
--- a/config/src/json_node.rs
+++ b/config/src/json_node.rs
@@ -27,12 +27,12 @@
     pub fn key(&self, key: &str) -> Result<JsonNode<'a>, ConfigError> {
         self.option(key).ok_or_else(|| ConfigError::MissingKey { path: self.path_of(key) })
     }
-    /// The value of a key that may be left out; null counts as left out.
+    /// The value of an optional key; null counts as left out.
     pub fn option(&self, key: &str) -> Option<JsonNode<'a>> {
         let value = self.value.get(key).filter(|v| !v.is_null())?;
         Some(JsonNode { value, path: self.path_of(key) })
     }
-    /// The error that this value is not what is wanted.
+    /// The error that this value is invalid; `wanted` says what is accepted.
     pub fn invalid<T>(&self, wanted: &str) -> Result<T, ConfigError> {
         Err(ConfigError::InvalidValue {
             path: self.path.clone(),
@@ -67,7 +67,7 @@
     pub fn text(&self) -> Result<&'a str, ConfigError> {
         self.value.as_str().map_or_else(|| self.invalid("a text"), Ok)
     }
-    /// What a string stands for, by a table of names and values.
+    /// The value that a string names, by a table of names and values.
     pub fn one_of<T: Copy>(&self, names: &[(&str, T)]) -> Result<T, ConfigError> {
         let known = names.iter().find(|(name, _)| self.value.as_str() == Some(name));
         known.map_or_else(
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,4 +1,6 @@
-//! The one place where configuration is read, checked and given its defaults. Every complaint names its key.
+//! Reads and checks configuration, and applies its defaults. Every error names the key at fault.
+#![warn(missing_docs)]
+
 pub mod coordination;
 mod error;
 pub mod facts;
@@ -14,7 +16,10 @@
 
 use serde_json::Value;
 
-/// The settings alone, as the simulator's wire brings them.
+/// Decodes the settings alone, as the simulator sends them.
+///
+/// # Errors
+/// Not JSON, or the key that is missing or can't be used.
 pub fn settings(text: &[u8]) -> Result<facts::Site, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::SettingsNotJson)?;
     facts::decode(&json_node::JsonNode::root(&value)).map_err(|error| ConfigError::Settings(Box::new(error)))
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -18,33 +18,34 @@
     pub cell: u16,
     /// Its state.
     pub phase: Phase,
-    /// Start as Unix time in microseconds; 0 where it is not known.
+    /// When it started, as Unix time in microseconds; 0 where that is not known.
     pub started_at: Micros,
 }
 
 /// An endpoint list, or the changes to one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct List {
-    /// Number of the list's version.
+    /// The list's version.
     pub generation: u64,
     /// Whether these are all backends; otherwise only those that changed.
     pub is_complete: bool,
     /// The entries that can be read.
     pub instances: Vec<Instance>,
-    /// Ids of the entries that can't be read, where the id can. A backend whose last entry was one of these
-    /// gets no new sessions.
+    /// Ids of the entries that can't be read; none where the id can't be read either. A backend whose last
+    /// entry is one of these gets no new sessions.
     pub unreadable: Vec<Option<String>>,
 }
 
+/// The names of the phases in the list.
 const PHASES: [(&str, Phase); 3] =
     [("up", Phase::Ready), ("draining", Phase::Draining), ("removed", Phase::Gone)];
 
 /// The name of a phase in the list.
 pub fn word(phase: Phase) -> &'static str {
-    PHASES.iter().find(|one| one.1 == phase).map_or("removed", |one| one.0)
+    PHASES.iter().find(|(_, named)| *named == phase).map_or("removed", |(name, _)| name)
 }
 
-/// Parses a watch event or the answer of a call. Entries that can't be read are collected in `odd`.
+/// Parses a watch event or the answer of a call. Entries that can't be read are collected in `unreadable`.
 ///
 /// # Errors
 /// Not JSON, or no list.
@@ -53,7 +54,7 @@
     decode(&JsonNode::root(&value))
 }
 
-fn instance(at: &JsonNode) -> Result<Instance, ConfigError> {
+fn decode_instance(at: &JsonNode) -> Result<Instance, ConfigError> {
     let (host_port, started) = (at.key("hostPort")?, at.option("startedAtMs"));
     Ok(Instance {
         id: at.key("instanceId")?.text()?.to_string(),
@@ -70,11 +71,11 @@
 /// # Errors
 /// The key that is missing or can't be used.
 pub fn decode_strict(at: &JsonNode) -> Result<List, ConfigError> {
-    at.key("instances")?.list()?.iter().try_for_each(|at| instance(at).map(|_| ()))?;
+    at.key("instances")?.list()?.iter().try_for_each(|at| decode_instance(at).map(|_| ()))?;
     decode(at)
 }
 
-/// Decodes a list; entries that can't be read are collected in `odd`.
+/// Decodes a list; entries that can't be read are collected in `unreadable`.
 ///
 /// # Errors
 /// No list.
@@ -85,22 +86,36 @@
         ..List::default()
     };
     for at in at.key("instances")?.list()? {
-        match instance(&at) {
-            Ok(one) => list.instances.push(one),
-            Err(_) => {
-                list.unreadable.push(at.option("instanceId").and_then(|id| Some(id.text().ok()?.to_string())))
-            }
+        match decode_instance(&at) {
+            Ok(instance) => list.instances.push(instance),
+            Err(_) => list.unreadable.push(readable_id(&at)),
         }
     }
     Ok(list)
 }
 
-/// Encodes a list in the form that `parse` reads.
-pub fn encode<'a>(generation: u64, whole: bool, instances: impl Iterator<Item = &'a Instance>) -> Value {
-    let instance = |one: &Instance| {
-        json!({"instanceId": one.id, "hostPort": one.addr.to_string(), "zone": one.zone, "cell": one.cell,
-            "lifecycle": word(one.phase), "startedAtMs": one.started_at as f64 / 1e3})
-    };
-    let instances: Vec<Value> = instances.map(instance).collect();
-    json!({"generation": generation, "reset": whole, "instances": instances})
+/// The id of an entry that can't be read, where the id can.
+fn readable_id(at: &JsonNode) -> Option<String> {
+    Some(at.option("instanceId")?.text().ok()?.to_string())
+}
+
+/// Encodes a list in the form that `parse` reads; `is_complete` tells whether `instances` are all backends.
+pub fn encode<'a>(
+    generation: u64,
+    is_complete: bool,
+    instances: impl Iterator<Item = &'a Instance>,
+) -> Value {
+    let instances: Vec<Value> = instances.map(encode_instance).collect();
+    json!({"generation": generation, "reset": is_complete, "instances": instances})
+}
+
+fn encode_instance(instance: &Instance) -> Value {
+    json!({
+        "instanceId": instance.id,
+        "hostPort": instance.addr.to_string(),
+        "zone": instance.zone,
+        "cell": instance.cell,
+        "lifecycle": word(instance.phase),
+        "startedAtMs": instance.started_at as f64 / 1e3,
+    })
 }
--- a/config/src/scenario/read.rs
+++ b/config/src/scenario/read.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario's text, and finds the line and the key that a complaint is about.
+//! Reads a scenario's text, and finds the line and the key of an error.
 use super::{
     check::{check, InvalidKey},
     Scenario,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads a scenario; `file` is how errors call the text.
+/// Reads a scenario; `file` names the text in errors.
 ///
 /// # Errors
 /// Not TOML, not a scenario's keys, or values that no run can have.
@@ -68,7 +68,7 @@
     Ok(scenario)
 }
 
-/// The path of the key or the value that stands at a place of the text.
+/// The path of the key or the value at a byte offset of the text; empty where there is none.
 fn key_at(table: &DeTable, at: usize) -> String {
     for (key, value) in table {
         let (key_span, span) = (key.span(), value.span());
@@ -100,7 +100,7 @@
     String::new()
 }
 
-/// Where a key stands, such as `trouble[1].share`; where it is left out, the table that it belongs to.
+/// The byte offset of a key, such as `trouble[1].share`; where it is left out, that of its table.
 fn key_offset(table: &DeTable, path: &str) -> Option<usize> {
     let mut place = None;
     let mut here: Option<&DeTable> = Some(table);
--- a/config/src/scenario/servers.rs
+++ b/config/src/scenario/servers.rs
@@ -6,40 +6,43 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Servers {
-    /// Names of the zones.
+    /// Names of the zones, 1 to 200, which servers are in by turns; one zone, `here`, by default.
     pub zones: Vec<String>,
-    /// Groups of equal machines.
+    /// The kinds of servers, one at least; 1 to 4096 servers in all.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// Sessions of the usual load that fill one core of speed 1.
+    /// Sessions of the usual load that fill one core of speed 1, more than 0; 16 by default.
     pub per_core: Num,
-    /// Work of a new connection, on a core of speed 1.
+    /// Work of a new session, as time of a core of speed 1; 1.5 ms by default.
     pub setup_ms: Millis,
-    /// Work of a probe, on a core of speed 1.
+    /// Work of a probe, as time of a core of speed 1; 0.7 ms by default.
     pub probe_ms: Millis,
-    /// New sessions that the shared session store takes in a second; 0 is no limit.
+    /// New sessions that the shared session store accepts in a second; 0, the default, is no limit.
     pub store_per_s: Num,
-    /// Connections that a core holds.
+    /// Most connections by core, 1 at least; 40 by default.
     pub cap_per_core: u32,
-    /// What a group costs each server that holds any of it, in usual sessions.
+    /// Load of a group on each server that has any session of it, in usual sessions; 0.5 by default.
     pub group_cost: Num,
-    /// Interval at which a report is refreshed: a time between two.
+    /// Interval at which a server measures its report, random between two times, more than 0; 0.3 to 1.5 s by
+    /// default.
     pub report_every_ms: [Millis; 2],
-    /// How much later than it was taken a report can be read: a time between two.
+    /// Age at which a measured report can be read, random between two times; 90 to 490 ms by default.
     pub report_late_ms: [Millis; 2],
-    /// How far reported figures are off, as a part of them.
+    /// Relative standard deviation of reported values; 0.05 by default.
     pub report_noise: Part,
-    /// Part of its capacity that a server has when it starts.
+    /// Fraction of its capacity that a server has when it starts, more than 0; 0.2 by default.
     pub cold_from: Part,
-    /// Warm-up time, after which a server has its whole capacity.
+    /// Warm-up time, after which a server has its whole capacity; 15 s by default.
     pub cold_s: Secs,
-    /// How capacity grows during warm-up.
+    /// How capacity grows during warm-up; evenly by default.
     pub warms: Warms,
-    /// How a draining server sends its clients away.
+    /// How a draining server ends its sessions; bit by bit by default.
     pub drains: Drains,
-    /// How long a server that drains takes to send its clients away.
+    /// How long a draining server takes for that, where it ends them bit by bit; 3 s by default.
     pub drain_s: Secs,
+    /// Whether servers report the load of each session to its relay; true by default.
     pub tells_load: bool,
+    /// Whether servers report late messages, once a second on one session of each relay; true by default.
     pub tells_delay: bool,
 }
 
@@ -74,28 +77,33 @@
 pub enum Warms {
     /// In proportion to the time.
     Evenly,
-    /// All at once when the time is over.
+    /// In one step at the end of the warm-up.
     AtTheEnd,
 }
 
-/// How a draining server sends its clients away.
+/// How a draining server ends its sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Drains {
-    /// Spread over the drain's time.
+    /// Spread over `Servers::drain_s`.
     BitByBit,
-    /// All of them when it begins.
+    /// All of them at once.
     AtOnce,
 }
 
+/// Servers of one kind.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
+    /// The kind's name.
     pub name: String,
+    /// Number of servers of this kind.
     pub count: usize,
+    /// Cores of each, 1 at least.
     pub cores: u32,
+    /// Speed of a core, more than 0; 1 is the usual one.
     pub speed: Num,
-    /// How far one machine's speed may be from another's, as a part of it.
+    /// Largest deviation of one server's speed, as a fraction of the speed; 0 by default.
     #[serde(default)]
     pub speed_off: Part,
 }
--- a/config/src/scenario/trouble.rs
+++ b/config/src/scenario/trouble.rs
@@ -1,112 +1,159 @@
-//! What goes wrong on a day: whom it meets, when, how much.
+//! The tables `trouble` of a scenario: faults, what they affect, when, and how strongly.
 use super::{Millis, Num, Part, Secs};
 use serde::Deserialize;
 
+/// One fault. A key that its kind does not have must be left out.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
+    /// What happens.
     pub kind: TroubleKind,
+    /// When it starts, from the day's beginning; before the day's end.
     pub at_s: Secs,
+    /// How long it lasts; 0 by default, which most kinds do not allow.
     #[serde(default)]
     pub length_s: Secs,
-    /// The part of the servers (of clients, of relays) that it meets; 0 is one of them.
+    /// Fraction of the servers, relays or open clients that it affects, drawn at random; one server or relay
+    /// at least, so that 0, the default, is one of them.
     #[serde(default)]
     pub share: Part,
-    /// How strong: times slower, times the rate, part that fails, times what is true, seconds late.
+    /// How strong it is, in the unit that its kind names; 0 by default.
     #[serde(default)]
     pub strength: Num,
-    /// The zone that is cut off.
+    /// The zone of `zone-cut`, which is cut off from the relays.
     #[serde(default)]
     pub zone: Option<String>,
-    /// The fault on the way.
+    /// The fault of `wire`.
     #[serde(default)]
     pub fault: Option<Fault>,
-    /// The relays that it meets, by number, in place of a share of them.
+    /// The relays that it affects, by number from 0, in place of a share of them.
     #[serde(default)]
     pub relays: Vec<usize>,
-    /// The ways between relays that it meets: from any of these to any of those; all where both are left out.
+    /// The relays at whose end the affected links start; any where it is left out.
     #[serde(default)]
     pub from: Vec<usize>,
+    /// The relays at whose end the affected links end; any where it is left out.
     #[serde(default)]
     pub to: Vec<usize>,
-    /// Only from `from` to `to`, and not back.
+    /// Whether only the links from `from` to `to` are affected, and not those back; false by default.
     #[serde(default)]
     pub one_way: bool,
-    /// Relays that hear each other in a split; two halves where it is left out. Who is in none hears nobody.
+    /// The groups of `link-split`, within which relays reach each other; two halves where it is left out. A
+    /// relay in no group reaches none.
     #[serde(default)]
     pub groups: Vec<Vec<usize>>,
-    /// The relay that hears all groups, and is heard by them.
+    /// The relay of `link-split` that reaches all groups and is reached by them.
     #[serde(default)]
     pub bridge: Option<usize>,
-    /// It comes and goes in this period, half of it each; of a relay in a loop, the time from start to start.
+    /// Period of a link fault that is intermittent: it holds for the first half of each; 0, the default, is
+    /// all the time. Of `relay-looping` the time from a kill to the start, and from that to the next kill.
+    /// 0.1 s at least.
     #[serde(default)]
     pub every_s: Secs,
-    /// How much later what goes a way comes: a time between two.
+    /// Delay of `link-delay` and `link-reorder`, random between two times.
     #[serde(default)]
     pub delay_ms: [Millis; 2],
 }
 
+/// The kinds of faults, with the unit of their `strength`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TroubleKind {
+    /// Servers end, and start anew at the fault's end; with a length of 0 they stay down.
     Crash,
+    /// The same without closing their connections: they answer nothing.
     Vanish,
+    /// Servers are slower by the factor `strength`, 1 or more.
     Slow,
+    /// Servers stall for the fraction `strength` of each period of 2 to 4 s.
     Pauses,
+    /// Servers fail the fraction `strength` of dials, with `ERR`.
     Failing,
+    /// Servers' load reports are `strength` seconds older.
     LateReports,
+    /// The servers of a zone are not reached.
     ZoneCut,
+    /// All servers and their session store are slower by the factor `strength`, 1 or more.
     SharedSlow,
+    /// Servers drain and restart, in groups that are the fraction `strength` of them (0 is 0.2), spread over
+    /// the fault's length.
     Deploy,
+    /// Servers drain, end, and start anew after the fault's length, 1 s at least.
     Drain,
+    /// The rate of new clients is multiplied by `strength`, 1 or more.
     Burst,
+    /// The fraction `share` of the open clients disconnects, and reconnects within `strength` seconds (0 is
+    /// 1).
     Reconnect,
+    /// The discovery service does not answer.
     ListDown,
+    /// The endpoint list's changes are `strength` seconds later.
     ListLate,
+    /// Servers report their load multiplied by `strength`.
     Lies,
+    /// The fraction `strength` of connections to servers (0 is all) meets the `fault`.
     Wire,
+    /// Relays are killed (SIGKILL), and start at the fault's end.
     RelayKilled,
+    /// Relays are stopped (SIGTERM), and start at the fault's end.
     RelayStopped,
+    /// Relays reload their configuration.
     RelayReloaded,
-    /// The process stands still (SIGSTOP), and goes on after a time.
+    /// Relays stall (SIGSTOP), and continue at the fault's end.
     RelayStalled,
-    /// It is killed and started again and again.
+    /// Relays are killed and started again and again, by `every_s`.
     RelayLooping,
-    /// A new process takes the place of the running one.
+    /// A new process takes over from the running one (hot restart).
     RelayReplaced,
-    /// An operator wants each of them out, asks till it is let out, and brings it back after `strength`
-    /// seconds.
+    /// An operator requests a lease for each relay, repeats that until it is granted, and returns the relay
+    /// after `strength` seconds (0 is 3).
     RelaysOut,
-    /// Ways between relays, and those between some relays and the list service or some servers.
+    /// Links between relays lose everything.
     LinkCut,
+    /// Links lose the fraction `strength` of datagrams.
     LinkLoss,
+    /// Links duplicate the fraction `strength` of datagrams.
     LinkDouble,
+    /// Links delay everything by `delay_ms`.
     LinkDelay,
+    /// Links delay the fraction `strength` of datagrams by `delay_ms`.
     LinkReorder,
+    /// Links corrupt the fraction `strength` of datagrams.
     LinkDamage,
-    /// All that goes a way waits, and comes at once in the end.
+    /// Links hold everything back, and deliver it at the fault's end.
     LinkHold,
+    /// Links between groups of relays lose everything.
     LinkSplit,
+    /// Relays do not reach the discovery service.
     ListCut,
+    /// The relays named, or all, do not reach a share of the servers.
     ServersCut,
-    /// Sends a cold server more than it bears, past the relays: shows what falling over looks like.
+    /// Servers get `strength` cores of work past the relays: overloads those that warm up.
     Overrun,
 }
 
+/// What a connection to a server meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
+    /// It is refused, or reset at once where only a fraction meets the fault.
     Refused,
+    /// It is never established, or never answered where only a fraction meets the fault.
     NeverUp,
+    /// It is reset before the first line is read.
     ResetBefore,
+    /// It is reset after the first line is read.
     ResetAfter,
+    /// The first line is not answered.
     Silence,
+    /// The first line is answered with half a line; with nothing in virtual time.
     HalfLine,
+    /// On an open session each line is read a second late; on sockets only.
     SlowReader,
 }
 
 impl TroubleKind {
-    /// Whether it is about ways between relays, and so wants relays that know each other.
+    /// Whether it is about links between relays, and so needs `relays.fleet`.
     pub fn is_link(self) -> bool {
         use TroubleKind::{
             LinkCut, LinkDamage, LinkDelay, LinkDouble, LinkHold, LinkLoss, LinkReorder, LinkSplit,
@@ -117,7 +164,7 @@
         )
     }
 
-    /// Whether it is about relays' processes.
+    /// Whether it affects relays that can be named: their processes, and what they reach.
     pub fn is_of_relays(self) -> bool {
         use TroubleKind::{
             ListCut, RelayKilled, RelayLooping, RelayReloaded, RelayReplaced, RelayStalled, RelayStopped,
--- a/config/src/scenario/units.rs
+++ b/config/src/scenario/units.rs
@@ -1,4 +1,4 @@
-//! Numbers of a scenario that carry a unit or a range: times, parts of a whole, numbers of 0 or more.
+//! Numbers of a scenario with a unit or a range: times, fractions, numbers of 0 or more.
 use hallrelay_balancer::types::Micros;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -20,7 +20,7 @@
 
 impl<'de, const UNIT: u64> Deserialize<'de> for Span<UNIT> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        // A week: whatever is longer was meant in another unit.
+        // Whatever is longer than a week was meant in another unit.
         const MAX_MICROS: f64 = 7.0 * 86_400e6;
         let micros = number(from)? * UNIT as f64;
         if micros > MAX_MICROS {
@@ -32,23 +32,23 @@
 
 /// A number of 0 or more.
 fn number<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    let x = f64::deserialize(from)?;
-    if x.is_finite() && x >= 0.0 {
-        Ok(x)
+    let value = f64::deserialize(from)?;
+    if value.is_finite() && value >= 0.0 {
+        Ok(value)
     } else {
-        Err(D::Error::custom(format!("wanted a number of 0 or more, not {x}")))
+        Err(D::Error::custom(format!("wanted a number of 0 or more, not {value}")))
     }
 }
 
-/// A part of a whole, 0 to 1.
+/// A fraction, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Part(pub f64);
 
 impl<'de> Deserialize<'de> for Part {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         match number(from)? {
-            x if x <= 1.0 => Ok(Part(x)),
-            x => Err(D::Error::custom(format!("wanted a part from 0 to 1, not {x}"))),
+            fraction if fraction <= 1.0 => Ok(Part(fraction)),
+            other => Err(D::Error::custom(format!("wanted a part from 0 to 1, not {other}"))),
         }
     }
 }
