--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -58,7 +58,7 @@
 
     /// Takes in what the end of a session's last dial says of its server, and of where it may go next.
     pub(crate) fn record_dial_end(&mut self, id: SessId, end: DialEnd, report: Option<LoadReport>) {
-        let was_taken_up = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::Moot);
+        let was_taken_up = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
         if was_taken_up {
             self.count_dial(id, end == DialEnd::Ok);
         }
--- a/balancer/src/probes.rs
+++ b/balancer/src/probes.rs
@@ -76,7 +76,7 @@
                 server.record_report(self.now, report);
             }
             // A full server lives; one that was not asked tells nothing.
-            DialEnd::Full | DialEnd::Moot => {}
+            DialEnd::Full | DialEnd::NotSent => {}
             _ => server.misses += 1,
         }
         self.estimate.valid_until = self.now;
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -2,6 +2,7 @@
 //!
 //! Times are whole microseconds on the caller's clock, ages and durations too unless a unit is named. Loads
 //! and capacities are fractions of one server, 1.0 being a full one.
+use std::fmt;
 
 /// Microseconds.
 pub type Micros = u64;
@@ -147,7 +148,7 @@
 }
 
 /// How a dial, an established session or a probe ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum DialEnd {
     /// It was served.
     Ok,
@@ -162,9 +163,25 @@
     /// The connection broke; it may have run.
     Reset,
     /// The caller cancelled it; it may have run.
-    Recalled,
+    Cancelled,
     /// It was not sent.
-    Moot,
+    NotSent,
+}
+
+/// The names in logs, by which `hallrelay-lab` reads them: two are older ones.
+impl fmt::Debug for DialEnd {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            DialEnd::Ok => "Ok",
+            DialEnd::Error => "Error",
+            DialEnd::Full => "Full",
+            DialEnd::Timeout => "Timeout",
+            DialEnd::Unconnected => "Unconnected",
+            DialEnd::Reset => "Reset",
+            DialEnd::Cancelled => "Recalled",
+            DialEnd::NotSent => "Moot",
+        })
+    }
 }
 
 /// A session that asks to be placed.
--- a/balancer/tests/decisions_trace/site.rs
+++ b/balancer/tests/decisions_trace/site.rs
@@ -250,7 +250,7 @@
                 let end = match report {
                     _ if silent && self.hits(60) => DialEnd::Timeout,
                     None => DialEnd::Unconnected,
-                    Some(_) if self.hits(3) => DialEnd::Moot,
+                    Some(_) if self.hits(3) => DialEnd::NotSent,
                     Some(_) if self.hits(3) => DialEnd::Full,
                     Some(_) => DialEnd::Ok,
                 };
@@ -298,8 +298,8 @@
                 DialEnd::Timeout,
                 DialEnd::Unconnected,
                 DialEnd::Reset,
-                DialEnd::Recalled,
-                DialEnd::Moot,
+                DialEnd::Cancelled,
+                DialEnd::NotSent,
             ];
             let end = ends[self.below(7) as usize];
             return self.step(Input::DialEnded { session: sess, dial, end, settled: false, report });
@@ -360,7 +360,7 @@
                 if let Some((sess, server)) = self.open_session() {
                     let dial = self.sessions.remove(&sess).map_or(0, |held| held.dial);
                     self.leave(server);
-                    let end = [DialEnd::Reset, DialEnd::Ok, DialEnd::Recalled][self.below(3) as usize];
+                    let end = [DialEnd::Reset, DialEnd::Ok, DialEnd::Cancelled][self.below(3) as usize];
                     self.step(Input::DialEnded { session: sess, dial, end, settled: true, report: None });
                 }
             }
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -363,8 +363,8 @@
         "Timeout" => DialEnd::Timeout,
         "Unconnected" => DialEnd::Unconnected,
         "Reset" => DialEnd::Reset,
-        "Recalled" => DialEnd::Recalled,
-        "Moot" => DialEnd::Moot,
+        "Recalled" => DialEnd::Cancelled,
+        "Moot" => DialEnd::NotSent,
         _ => return None,
     })
 }
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -150,7 +150,7 @@
     fn backend_ended(&mut self, at: Moment, session_id: SessId, end: DialEnd) {
         let end = match end {
             DialEnd::Ok => End::Done,
-            DialEnd::Recalled => End::SentAway,
+            DialEnd::Cancelled => End::SentAway,
             DialEnd::Reset => End::Reset,
             _ => End::Otherwise,
         };
--- a/lab/src/losses/rows.rs
+++ b/lab/src/losses/rows.rs
@@ -162,8 +162,8 @@
                     DialEnd::Timeout => &mut self.timeout,
                     DialEnd::Unconnected => &mut self.unconnected,
                     DialEnd::Reset => &mut self.reset,
-                    DialEnd::Recalled => &mut self.recalled,
-                    DialEnd::Moot => &mut self.moot,
+                    DialEnd::Cancelled => &mut self.recalled,
+                    DialEnd::NotSent => &mut self.moot,
                 }
             }
         })*
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -565,7 +565,7 @@
                     if let Some(conn) = conn {
                         self.later(way, Ev::Closed { conn });
                     }
-                    let end = DialEnd::Recalled;
+                    let end = DialEnd::Cancelled;
                     self.tell(relay, 0, Event::SessionEnded { session_id: sess, end, report: None });
                     self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
                 }
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -268,8 +268,8 @@
             Word::Busy => self.dial_ends(conn, way, DialEnd::Full),
             Word::Err => self.dial_ends(conn, way, DialEnd::Error),
             Word::Bye if up => self.open_ends(conn, way, DialEnd::Ok),
-            Word::Move if up => self.open_ends(conn, way, DialEnd::Recalled),
-            Word::Move => self.dial_ends(conn, way, DialEnd::Recalled),
+            Word::Move if up => self.open_ends(conn, way, DialEnd::Cancelled),
+            Word::Move => self.dial_ends(conn, way, DialEnd::Cancelled),
             Word::Bye => {
                 self.dial_ends(conn, way, DialEnd::Ok);
                 let client_way = self.client_way();
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn events_of_sessions_are_read_as_they_are_logged() {
-    use DialEnd::{Error, Full, Moot, Ok, Recalled, Reset, Timeout, Unconnected};
-    for end in [Ok, Error, Full, Timeout, Unconnected, Reset, Recalled, Moot] {
+    use DialEnd::{Cancelled, Error, Full, NotSent, Ok, Reset, Timeout, Unconnected};
+    for end in [Ok, Error, Full, Timeout, Unconnected, Reset, Cancelled, NotSent] {
         let report = Some(LoadReport { load: Some(0.5), queue_delay: None, sessions: Some(3.0) });
         let entry = event(Event::DialEnded { session_id: 1, dial: 2, end, report });
         assert_eq!(entry, Entry::DialEnded { session_id: 1, dial: 2, end });
--- a/relay/src/drain_command.rs
+++ b/relay/src/drain_command.rs
@@ -1,5 +1,5 @@
-//! `hallrelay drain`: asks a relay to take a target out of service within the disruption budgets, and prints
-//! the answer.
+//! `hallrelay drain`: has a relay take a target out of service within the disruption budgets, and
+//! prints the answer.
 use crate::cli::{self, CliError};
 use crate::operator_client::{get, post, Answer, CallError};
 use serde_json::json;
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -10,18 +10,18 @@
     let mut line = |name: &str, value: u64, kind: char| _ = writeln!(text, "node.{name}:{value}|{kind}");
     for (listener, n) in &metrics.listeners {
         let listener = sanitize(listener);
-        let counts = [("passed", n.passed), ("dropped", n.dropped), ("bad_gateway", n.failed)];
+        let counts = [("passed", n.established), ("dropped", n.rejected), ("bad_gateway", n.failed)];
         counts.iter().for_each(|(name, value)| line(&format!("{name}.{listener}"), *value, 'c'));
     }
-    line("upstream_tries", metrics.tries, 'c');
+    line("upstream_tries", metrics.dials, 'c');
     let denials = metrics.denials;
-    let denied = [("client", denials.client), ("late", denials.late), ("leaving", denials.leaving)];
+    let denied = [("client", denials.client), ("late", denials.late), ("leaving", denials.draining)];
     denied.iter().for_each(|(why, value)| line(&format!("denied_dials.{why}"), *value, 'c'));
-    line("loads", metrics.loads, 'c');
-    line("load_errors", metrics.load_errors, 'c');
+    line("loads", metrics.reloads, 'c');
+    line("load_errors", metrics.reload_errors, 'c');
     line("in_progress", metrics.in_progress as u64, 'g');
-    line("known_backends", metrics.known as u64, 'g');
-    line("skipped_backends", metrics.avoided as u64, 'g');
+    line("known_backends", metrics.known_backends as u64, 'g');
+    line("skipped_backends", metrics.avoided_backends as u64, 'g');
     if let Some(store) = &metrics.store {
         line("store_failing", u64::from(store.last_error.is_some()), 'g');
         line("store_bytes", store.file_bytes, 'g');
--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -12,7 +12,7 @@
 /// every dial timeout and the second within which an operator is answered.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts for as long as the process runs. `accepting` tells whether this process owns the listener, or
+/// Accepts for as long as the process runs. `accepting` is whether this process owns the listener, or
 /// leaves its connections to another process.
 pub async fn run(listener: Rc<TcpListener>, mut accepting: watch::Receiver<bool>, hub: Hub) {
     // A connection over the limit waits no longer than it takes to shed one before it.
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -1,5 +1,5 @@
-//! One dial: connect, send the first line, wait for the backend's first answer. Dropping the future gives it
-//! up.
+//! One dial: connect, send the first line, wait for the backend's first answer. Dropping the future cancels
+//! it.
 use super::dial_permit::{self, Denied, DialConditions, DialPermit};
 use super::read::{self, ClientState};
 use super::{close, Hub};
@@ -54,13 +54,13 @@
     fn from(reason: Denied) -> DialOutcome {
         match reason {
             Denied::Client(state) => DialOutcome::ClientGone(state),
-            Denied::Late => DialOutcome::Failed(DialEnd::Moot, None),
+            Denied::Late => DialOutcome::Failed(DialEnd::NotSent, None),
             Denied::Draining => DialOutcome::NotStarted,
         }
     }
 }
 
-/// Runs one dial to its outcome. Whether the last byte of the line was written tells whether it may have run.
+/// Runs one dial to its outcome. It may have run only where the last byte of the line was written.
 pub async fn run(request: DialRequest<'_>, client: &TcpStream, hub: &Hub) -> DialOutcome {
     let limits = hub.limits();
     let deadline = Instant::now() + span(request.timeout);
@@ -120,7 +120,7 @@
             line.extend_from_slice(lines::END);
             DialOutcome::Completed { line, report }
         }
-        BackendReply::Move => DialOutcome::Failed(DialEnd::Recalled, None),
+        BackendReply::Move => DialOutcome::Failed(DialEnd::Cancelled, None),
         BackendReply::Busy(report) => DialOutcome::Failed(DialEnd::Full, report),
         BackendReply::Error(report) => DialOutcome::Failed(DialEnd::Error, report),
         // No backend of this protocol sends another line first: the dial may have run.
--- a/relay/src/net/dial_permit.rs
+++ b/relay/src/net/dial_permit.rs
@@ -40,7 +40,7 @@
     /// The decision was too old.
     pub late: u64,
     /// The backend was draining.
-    pub leaving: u64,
+    pub draining: u64,
 }
 
 /// The running counts of denials.
@@ -58,7 +58,7 @@
         match reason {
             Denied::Client(_) => counts.client += 1,
             Denied::Late => counts.late += 1,
-            Denied::Draining => counts.leaving += 1,
+            Denied::Draining => counts.draining += 1,
         }
         self.0.set(counts);
     }
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -120,13 +120,13 @@
     }
 }
 
-/// A call that was just opened, with the first thing that it brought.
+/// A call that was just opened, with the first value or blank line that it brought.
 struct Opened {
     call: OpenCall,
     list: Option<List>,
 }
 
-/// Opens a call from a version on, and waits for the first thing that it brings.
+/// Opens a call from a version on, and waits for what it brings first.
 async fn open(addr: SocketAddr, since: u64, hub: Hub) -> Result<Opened, WatchError> {
     let limits = hub.limits();
     let path = format!("{LIST_PATH}?follow=1&since={since}");
@@ -156,8 +156,8 @@
         };
         let mut current: Option<OpenCall> = None;
         let mut opening = Some(self.open(since));
-        // When it last brought something whole: bytes of a value that never ends are no sign of life.
-        let mut last_heard = Instant::now();
+        // When a complete value or a blank line came last: bytes of a value that never ends prove nothing.
+        let mut last_received_at = Instant::now();
         loop {
             let (call, list) = tokio::select! {
                 biased;
@@ -179,7 +179,7 @@
                 }
                 // One that is silent for too long is doubted: it may miss changes. The next is opened beside
                 // it, from the version that was received last.
-                () = sleep_until(last_heard + span(limits.discovery_doubt)), if opening.is_none() => {
+                () = sleep_until(last_received_at + span(limits.discovery_doubt)), if opening.is_none() => {
                     slog::debug!(self.hub.log, "the watch of the list is doubted"; "at" => %self.addr);
                     opening = Some(self.open(since));
                     continue;
@@ -187,7 +187,7 @@
             };
             current = call;
             opening = None;
-            last_heard = Instant::now();
+            last_received_at = Instant::now();
             if let Some(list) = list {
                 since = if list.is_complete { list.generation } else { list.generation.max(since) };
                 self.hub.notify(Event::EndpointListReceived { watch: self.id, list }).await;
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -9,6 +9,8 @@
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, Timer};
 use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_config::facts::ReportOrder;
+use hallrelay_config::limits::Limits;
 use hallrelay_hot_restart::{Message, PeerId};
 use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_recovery::Record;
@@ -201,18 +203,12 @@
             Effect::SetSuspect { session_id, suspect } => {
                 self.hub.command(session_id, Command::SetSuspect(suspect));
             }
-            Effect::CloseClient { session_id } => {
-                self.cancel_waiting_dial(session_id);
-                self.hub.command(session_id, Command::Close);
-            }
+            Effect::CloseClient { session_id } => self.close_client(session_id),
             Effect::HealthCheck { server, addr } => self.check_health(server, addr),
             Effect::ForgetServer { server } => _ = self.health_checks.remove(&server),
             Effect::WatchEndpoints { watch, addr, since } => self.watch_endpoints(watch, addr, since),
             Effect::StopWatch { watch } => _ = self.watches.remove(&watch).inspect(AbortHandle::abort),
-            Effect::ApplyTuning { limits, order } => {
-                let limits = Rc::new(*limits);
-                *self.hub.tuning.borrow_mut() = Tuning { limits, report_order: order };
-            }
+            Effect::ApplyTuning { limits, order } => self.apply_tuning(*limits, order),
             Effect::KeyUnchanged { key } => {
                 slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
             }
@@ -228,15 +224,10 @@
                 self.persist_voter_writes(voter_start, number, records);
             }
             Effect::SetStoreOwnership { owned: true } => self.open_store(),
-            Effect::SetStoreOwnership { owned: false } => {
-                self.state_store.iter_mut().for_each(StateStore::close);
-            }
+            Effect::SetStoreOwnership { owned: false } => self.close_store(),
             Effect::Membership(effect) => self.carry_out_membership(effect),
             Effect::Log { message } => slog::info!(self.hub.log, "{}", message),
-            Effect::Abort { reason } => {
-                let reason = format!("the running process keeps its place: {reason}");
-                self.exit = Some(Err(io::Error::other(reason)));
-            }
+            Effect::Abort { reason } => self.abort(&reason),
             Effect::Exit => self.exit = Some(Ok(())),
         }
     }
@@ -277,16 +268,22 @@
         self.hub.command(session_id, Command::FinalAnswer(line));
     }
 
+    /// Closes a connection without an answer; no dial is sent for it any more.
+    fn close_client(&mut self, session_id: SessId) {
+        self.cancel_waiting_dial(session_id);
+        self.hub.command(session_id, Command::Close);
+    }
+
     fn cancel_waiting_dial(&mut self, session_id: SessId) {
         self.waiting_dials.retain(|dial| dial.session_id != session_id);
     }
 
     fn check_health(&mut self, server: ServerId, addr: SocketAddr) {
-        let keep = self.health_checks.len() < self.hub.limits().probes;
+        let keep_connection = self.health_checks.len() < self.hub.limits().probes;
         let requests = self.health_checks.entry(server).or_insert_with(|| {
-            // The balancer asks for one check of a server at a time.
+            // The balancer requests one check of a server at a time.
             let (to, requests) = mpsc::channel(1);
-            tokio::task::spawn_local(health_check::run(server, keep, requests, self.hub.clone()));
+            tokio::task::spawn_local(health_check::run(server, keep_connection, requests, self.hub.clone()));
             to
         });
         if requests.try_send(addr).is_err() {
@@ -294,6 +291,10 @@
         }
     }
 
+    fn apply_tuning(&self, limits: Limits, report_order: ReportOrder) {
+        *self.hub.tuning.borrow_mut() = Tuning { limits: Rc::new(limits), report_order };
+    }
+
     fn watch_endpoints(&mut self, watch: u32, addr: SocketAddr, since: Option<u64>) {
         let task = discovery::run(watch, addr, since, self.hub.clone());
         self.watches.insert(watch, tokio::task::spawn_local(task).abort_handle());
@@ -356,6 +357,16 @@
         });
     }
 
+    fn close_store(&mut self) {
+        self.state_store.iter_mut().for_each(StateStore::close);
+    }
+
+    /// Ends this process, which does not take over.
+    fn abort(&mut self, reason: &str) {
+        let reason = format!("the running process keeps its place: {reason}");
+        self.exit = Some(Err(io::Error::other(reason)));
+    }
+
     fn carry_out_membership(&mut self, effect: MembershipEffect) {
         let Some(sockets) = &mut self.membership_sockets else { return };
         match effect {
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -32,9 +32,9 @@
     }
 }
 
-/// Runs the checks that are requested until no more can be. `keep` tells whether a connection may be kept
-/// between two.
-pub async fn run(server: ServerId, keep: bool, mut requests: Receiver<SocketAddr>, hub: Hub) {
+/// Runs the checks that are requested until no more can be. `keep_connection` is whether a connection stays
+/// open between two.
+pub async fn run(server: ServerId, keep_connection: bool, mut requests: Receiver<SocketAddr>, hub: Hub) {
     let mut idle: Option<Connection> = None;
     loop {
         let request = if idle.is_some() {
@@ -49,10 +49,10 @@
             requests.recv().await
         };
         let Some(addr) = request else { return };
-        let usable = idle.take().filter(|kept| kept.addr == addr && is_idle(&kept.stream));
+        let usable = idle.take().filter(|connection| connection.addr == addr && is_idle(&connection.stream));
         let (end, report) = match timeout(span(hub.limits().probe), check(addr, usable, &hub)).await {
             Ok(Ok((report, connection))) => {
-                idle = Some(connection).filter(|_| keep);
+                idle = Some(connection).filter(|_| keep_connection);
                 (DialEnd::Ok, report)
             }
             Ok(Err(failure)) => (failure.end, failure.report),
@@ -95,7 +95,7 @@
     let deadline = Instant::now() + span(hub.limits().connect);
     hub.connect(addr, deadline).await.map_err(|error| match error {
         // A fault of this machine says nothing of the backend.
-        ConnectError::Local(_) => DialEnd::Moot.into(),
+        ConnectError::Local(_) => DialEnd::NotSent.into(),
         ConnectError::Remote(_) | ConnectError::TimedOut => DialEnd::Unconnected.into(),
     })
 }
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -122,7 +122,7 @@
         server.says("M 1\r\nM 2\r\nhalf").await;
         play.turns().await;
         play.says(connection_id, Command::Migrate);
-        assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Recalled, .. }));
+        assert!(matches!(play.event().await, Event::SessionEnded { end: DialEnd::Cancelled, .. }));
         for wanted in ["M 1\r\n", "M 2\r\n", "MOVE\r\n", ""] {
             assert_eq!(client.hears().await, wanted);
         }
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -259,7 +259,7 @@
         play.dials(connection_id, 0, &backend, 0);
         std::thread::sleep(Duration::from_millis(2));
         let moot =
-            |dial| Event::DialEnded { session_id: connection_id, dial, end: DialEnd::Moot, report: None };
+            |dial| Event::DialEnded { session_id: connection_id, dial, end: DialEnd::NotSent, report: None };
         assert_eq!(play.event().await, moot(0));
         play.dials(connection_id, 1, &backend, 20_000);
         tokio::task::yield_now().await;
@@ -286,7 +286,7 @@
         play.hub.draining.borrow_mut().insert(SERVER);
         assert_eq!(play.event().await, Event::DialNotStarted { session_id: connection_id, dial: 0 });
         untouched(&backend).await;
-        assert_eq!(play.hub.denials.counts().leaving, 2);
+        assert_eq!(play.hub.denials.counts().draining, 2);
     });
 }
 
@@ -304,7 +304,7 @@
         ("", DialEnd::Reset),
         ("\r\n", DialEnd::Error),
         ("ERR\r\nBUSY\r\n", DialEnd::Error),
-        ("MOVE\r\n", DialEnd::Recalled),
+        ("MOVE\r\n", DialEnd::Cancelled),
     ];
     play(|mut play| async move {
         let (backend, _client) = (bound().await, play.client_with(LINE).await);
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The tasks that carry out what the reducer asks for; they own sockets and decide nothing.
+//! The tasks that carry out the reducer's effects; they own sockets and decide nothing.
 //!
 //! A connection goes through `accept`, `first_line`, `await_answer` with `dial`, `proxy` and `close`. Beside
 //! it run `health_check`, `discovery`, `operator`, `membership`, `hot_restart` and `signals`. `serve` runs
@@ -54,11 +54,11 @@
         timeout: Micros,
         conditions: dial_permit::DialConditions,
     },
-    /// Passes lines both ways from now on.
+    /// Proxies lines both ways from now on.
     StartProxying,
     /// Sends this final answer and closes.
     FinalAnswer(Vec<u8>),
-    /// Tells the client to come again and ends the session.
+    /// Sends `MOVE` to the client and ends the session.
     Migrate,
     /// Hands the session over to another process.
     HandOver(PeerId, Box<SessionState>),
@@ -134,23 +134,23 @@
 
     /// A new connection's id: counted up, and not one that is in use after the count went round.
     fn register(&self) -> (SessId, mpsc::Receiver<Command>) {
-        let mut conns = self.connections.borrow_mut();
+        let mut connections = self.connections.borrow_mut();
         let mut id = self.last_id.get().wrapping_add(1);
-        while conns.contains_key(&id) {
+        while connections.contains_key(&id) {
             id = id.wrapping_add(1);
         }
         self.last_id.set(id);
         let (to, commands) = mpsc::channel(self.limits().commands);
-        conns.insert(id, to);
+        connections.insert(id, to);
         (id, commands)
     }
 
-    /// Connects to a server. A way that is missing to this one alone, as others come up meanwhile, is the
-    /// server's trouble and not this machine's.
+    /// Connects to a server. Where a route is missing to this one alone, as connections to others are
+    /// established meanwhile, the fault is the server's and not this machine's.
     async fn connect(&self, addr: SocketAddr, by: Instant) -> Result<TcpStream, ConnectError> {
-        let began = self.clock.now();
-        let others_come_up = || self.last_connected_at.get() >= began;
-        let is_remote = |e: &std::io::Error| socket::may_concern_one_route(e) && others_come_up();
+        let started_at = self.clock.now();
+        let others_connect = || self.last_connected_at.get() >= started_at;
+        let is_remote = |e: &std::io::Error| socket::may_concern_one_route(e) && others_connect();
         let stream = socket::connect(addr, by, is_remote).await?;
         self.last_connected_at.set(self.clock.now());
         Ok(stream)
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -1,5 +1,5 @@
-//! An open session: lines pass both ways unchanged, and what they tell of load and latency is reported to the
-//! reducer.
+//! An open session: lines pass both ways unchanged, and what they show of load and latency is reported to
+//! the reducer.
 use super::dial::Backend;
 use super::processes::{hand_over_session, SessionSockets};
 use super::{close, Command, Hub};
@@ -9,7 +9,7 @@
 use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessId};
 use hallrelay_hot_restart::{PeerId, SessionState};
 use std::collections::VecDeque;
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
 use tokio::time::sleep_until;
@@ -101,7 +101,7 @@
                     self.backend_end = Some(BackendEnd { end: DialEnd::Ok, report });
                 }
                 BackendReply::Move => {
-                    self.backend_end = Some(BackendEnd { end: DialEnd::Recalled, report: None });
+                    self.backend_end = Some(BackendEnd { end: DialEnd::Cancelled, report: None });
                 }
                 _ => self.answered().await,
             }
@@ -109,6 +109,49 @@
         true
     }
 
+    /// Takes what a read from the client brought; how the session ends by it, where it does. `max_partial`
+    /// is the most bytes of an incomplete line.
+    fn client_read(
+        &mut self,
+        count: io::Result<usize>,
+        from_client: &Buffer,
+        max_partial: usize,
+    ) -> Option<SessionEnd> {
+        match count {
+            Ok(0) => Some(SessionEnd::ClientClosed),
+            Ok(_) if self.client_lines(from_client.fresh()) && from_client.partial() <= max_partial => None,
+            // A line that is too long ends the session as a failed connection does.
+            _ => Some(SessionEnd::ClientBroken),
+        }
+    }
+
+    /// The same of a read from the backend. Lines that end the session so are not forwarded.
+    async fn backend_read(
+        &mut self,
+        count: io::Result<usize>,
+        from_backend: &mut Buffer,
+        max_partial: usize,
+    ) -> Option<SessionEnd> {
+        if matches!(count, Ok(0) | Err(_)) {
+            return Some(self.backend_closed());
+        }
+        let valid = self.backend_lines(from_backend.fresh()).await;
+        if valid && from_backend.partial() <= max_partial {
+            return None;
+        }
+        from_backend.reject_fresh();
+        Some(SessionEnd::Backend(BackendEnd::RESET))
+    }
+
+    /// The time is up that the client has to take lines, or else the backend to answer; how the session
+    /// ends by it, where it does.
+    fn time_expired(&mut self, client_is_stalled: bool) -> Option<SessionEnd> {
+        if client_is_stalled {
+            return Some(SessionEnd::ClientBroken);
+        }
+        self.is_lost().then_some(SessionEnd::Backend(BackendEnd::RESET))
+    }
+
     /// A line of the backend answers the oldest message.
     async fn answered(&mut self) {
         if let Some(sent_at) = self.unanswered.pop_front() {
@@ -228,22 +271,25 @@
                 SessionEnd::ClientClosed => return self.client_closed().await,
                 SessionEnd::ClientBroken => {
                     close::reset(self.backend);
-                    // The client may be there still: it is told as far as it can be.
-                    return say_last(self.client, &self.from_backend, lines::MOVE, &mut commands, hub).await;
+                    // The client may be there still: it gets the line as far as it can be written.
+                    return send_last_line(self.client, &self.from_backend, lines::MOVE, &mut commands, hub)
+                        .await;
                 }
                 SessionEnd::Closed => return,
                 SessionEnd::Backend(BackendEnd { end, report }) => {
                     hub.notify(Event::SessionEnded { session_id: connection_id, end, report }).await;
-                    // A client that got no last line is told to come again.
-                    let word: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
+                    // A client that got no last line is asked to come again.
+                    let last_line: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
                     drop(self.backend);
-                    return say_last(self.client, &self.from_backend, word, &mut commands, hub).await;
+                    return send_last_line(self.client, &self.from_backend, last_line, &mut commands, hub)
+                        .await;
                 }
                 SessionEnd::Migrated => {
                     drop(self.backend);
-                    let end = DialEnd::Recalled;
+                    let end = DialEnd::Cancelled;
                     hub.notify(Event::SessionEnded { session_id: connection_id, end, report: None }).await;
-                    return say_last(self.client, &self.from_backend, lines::MOVE, &mut commands, hub).await;
+                    return send_last_line(self.client, &self.from_backend, lines::MOVE, &mut commands, hub)
+                        .await;
                 }
             }
         }
@@ -309,23 +355,16 @@
                         return end;
                     }
                 }
-                count = from_backend.fill(backend), if from_backend.has_capacity() => match count {
-                    Ok(0) | Err(_) => return observer.backend_closed(),
-                    Ok(_) => {
-                        let valid = observer.backend_lines(from_backend.fresh()).await;
-                        if !valid || from_backend.partial() > max_partial {
-                            from_backend.reject_fresh();
-                            return SessionEnd::Backend(BackendEnd::RESET);
-                        }
+                count = from_backend.fill(backend), if from_backend.has_capacity() => {
+                    if let Some(end) = observer.backend_read(count, from_backend, max_partial).await {
+                        return end;
+                    }
+                }
+                count = from_client.fill(client), if from_client.has_capacity() => {
+                    if let Some(end) = observer.client_read(count, from_client, max_partial) {
+                        return end;
                     }
-                },
-                count = from_client.fill(client), if from_client.has_capacity() => match count {
-                    Ok(0) => return SessionEnd::ClientClosed,
-                    Ok(_) if observer.client_lines(from_client.fresh())
-                        && from_client.partial() <= max_partial => {}
-                    // A line that is too long ends the session as a failed connection does.
-                    _ => return SessionEnd::ClientBroken,
-                },
+                }
                 ready = backend.writable(), if to_backend => {
                     if ready.is_err() || write_some(from_client, backend).is_err() {
                         return observer.backend_closed();
@@ -339,10 +378,8 @@
                     }
                 }
                 () = sleep_until(wake_at), if wake.is_some() => {
-                    match stalled_since {
-                        Some(_) => return SessionEnd::ClientBroken,
-                        None if observer.is_lost() => return SessionEnd::Backend(BackendEnd::RESET),
-                        None => {}
+                    if let Some(end) = observer.time_expired(stalled_since.is_some()) {
+                        return end;
                     }
                 }
             }
@@ -351,7 +388,7 @@
 }
 
 /// Sends the complete lines that wait, then a last one, and closes.
-async fn say_last(
+async fn send_last_line(
     client: TcpStream,
     from_backend: &Buffer,
     last: &[u8],
@@ -363,7 +400,7 @@
 }
 
 /// Writes as much of the complete lines as the system takes.
-fn write_some(buffer: &mut Buffer, stream: &TcpStream) -> std::io::Result<usize> {
+fn write_some(buffer: &mut Buffer, stream: &TcpStream) -> io::Result<usize> {
     match buffer.write(stream) {
         Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(0),
         written => {
--- a/relay/src/reducer/balancer_effects.rs
+++ b/relay/src/reducer/balancer_effects.rs
@@ -4,17 +4,17 @@
 use hallrelay_balancer::types::{self as balancer, DialEnd, Input, Micros};
 
 impl Reducer {
-    /// Steps the balancer with an input and carries out what it asks for.
+    /// Steps the balancer with an input and carries out its effects.
     pub(super) fn step_balancer(&mut self, input: Input, out: &mut Vec<Effect>) {
-        let mut asks = std::mem::take(&mut self.balancer_effects);
-        self.balancer.step(self.now, input, &mut asks);
-        asks.drain(..).for_each(|ask| self.apply_balancer_effect(ask, out));
-        self.balancer_effects = asks;
+        let mut effects = std::mem::take(&mut self.balancer_effects);
+        self.balancer.step(self.now, input, &mut effects);
+        effects.drain(..).for_each(|effect| self.apply_balancer_effect(effect, out));
+        self.balancer_effects = effects;
     }
 
     /// Turns an effect of the balancer into effects of the relay.
-    fn apply_balancer_effect(&mut self, ask: balancer::Effect, out: &mut Vec<Effect>) {
-        match ask {
+    fn apply_balancer_effect(&mut self, effect: balancer::Effect, out: &mut Vec<Effect>) {
+        match effect {
             balancer::Effect::Dial { session: session_id, server, timeout, send_within } => {
                 let Some(s) = self.sessions.get_mut(&session_id) else { return };
                 let dial = s.dials;
--- a/relay/src/reducer/coordination.rs
+++ b/relay/src/reducer/coordination.rs
@@ -35,6 +35,7 @@
     pub ids: BTreeSet<String>,
 }
 
+/// This relay's part in the coordination of disruptions.
 pub(super) struct Coordination {
     pub own_name: Rc<str>,
     /// As configured.
@@ -43,18 +44,18 @@
     pub voter: RaftVoter,
     pub state: State,
     pub applied_index: Index,
-    /// As this relay last heard.
+    /// As this relay learned last; `None` where no leader is known.
     pub leader: Option<Rc<str>>,
-    /// Which voter is tried next where no leader is known.
+    /// Counts proposals without a known leader: each goes to the next voter.
     next_voter: usize,
-    /// Of operators, by the number of their call.
+    /// Requests of operators that wait, by the number of their call.
     pub requests: BTreeMap<u32, PendingRequest>,
     last_request_id: u64,
     pub excluded: ExcludedBackends,
     /// Sessions that the whole fleet migrates off excluded backends in a second.
     pub moves_per_s: u32,
     /// This relay's part of those that is still to be migrated, in thousandths of a session.
-    pub owed_moves_milli: u64,
+    pub pending_moves_milli: u64,
     pub reports: BTreeMap<Rc<str>, PeerReport>,
     pub outcome_counts: OutcomeCounts,
     pub grants_seen: BTreeMap<Target, GrantSeen>,
@@ -77,7 +78,7 @@
             last_request_id: now,
             excluded: ExcludedBackends::default(),
             moves_per_s: config.moves_per_s,
-            owed_moves_milli: 0,
+            pending_moves_milli: 0,
             reports: BTreeMap::new(),
             outcome_counts: OutcomeCounts::default(),
             grants_seen: BTreeMap::new(),
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -1,5 +1,5 @@
-//! How a drain or a stop empties this process: sessions are moved in batches, so that the backends are not
-//! asked for all of them at once, and whoever still waits at the end is answered.
+//! How a drain or a stop empties this process: sessions are migrated in batches, so that the backends do
+//! not get all of them at once, and whoever still waits at the end is answered.
 use super::lifecycle::Lifecycle;
 use super::sessions::final_answer;
 use super::{Effect, Reducer, SessionStage, Timer};
@@ -74,8 +74,8 @@
         if is_replaced {
             self.stop_watching(out);
         }
-        // Connections without a session, clients in the middle of their first line among them, are not waited
-        // for: they are told to come again, and have a moment to read it.
+        // Connections without a session, clients in the middle of their first line among them, are not
+        // waited for: they are rejected, and have a moment to read that.
         let idle_connections_are_done =
             self.idle_connections.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
         if elapsed >= limits.stop_end {
@@ -83,7 +83,7 @@
             out.extend(idle.map(|idle| Effect::ShedConnection { connection_id: idle.id }));
         }
         let is_empty = self.sessions.is_empty() && idle_connections_are_done;
-        // Shortly before the process may be killed: everyone was answered or told to move by then.
+        // Shortly before the process may be killed: every client got an answer or `MOVE` by then.
         let is_out_of_time = elapsed >= limits.stop_end + 2 * BATCH_INTERVAL;
         if is_out_of_time || is_empty && (elapsed >= limits.stop_least || is_replaced) {
             self.leave_fleet(out);
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,5 +1,5 @@
 //! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one
-//! rate. What was heard last holds until a later word, so a relay without a leader readmits none.
+//! rate. What was received last holds until a later message, so a relay without a leader readmits none.
 use super::coordination::ExcludedBackends;
 use super::{log, Effect, Reducer, SessionStage};
 use crate::control_message::RemainingSessions;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A backend's phase for this relay: an excluded one drains, whatever discovery says.
+    /// A backend's phase for this relay: an excluded one drains, whatever discovery has.
     pub(super) fn phase(&self, backend: &Instance) -> Phase {
         let is_excluded = self
             .coordination
@@ -99,12 +99,12 @@
         let relays = u64::from(self.node.site.facts.relay_count.max(1));
         let Some(coordination) = &mut self.coordination else { return };
         if sessions.is_empty() {
-            coordination.owed_moves_milli = 0;
+            coordination.pending_moves_milli = 0;
             return;
         }
-        coordination.owed_moves_milli += u64::from(coordination.moves_per_s) * 1000 / relays;
-        let part = (coordination.owed_moves_milli / 1000) as usize;
-        coordination.owed_moves_milli %= 1000;
+        coordination.pending_moves_milli += u64::from(coordination.moves_per_s) * 1000 / relays;
+        let part = (coordination.pending_moves_milli / 1000) as usize;
+        coordination.pending_moves_milli %= 1000;
         sessions.into_iter().take(part).for_each(|one| self.migrate_session(one.session, out));
     }
 }
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct IdleConnection {
     pub id: SessId,
-    /// A part of its first line has come.
+    /// A part of its first line was read.
     pub line_started: bool,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A connection whose first line makes progress is kept before those whose line does not.
+    /// A connection whose first line makes progress is shed after those whose line does not.
     pub(super) fn first_line_started(&mut self, connection_id: SessId) {
         let position = self.idle_connections.iter().position(|idle| idle.id == connection_id);
         if let Some(position) = position {
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -1,4 +1,4 @@
-//! What backends and messages tell of load and latency within open sessions.
+//! What backends report and messages show of load and latency within open sessions.
 use super::{Effect, LatencyReport, Reducer};
 use hallrelay_balancer::types::{Input, Micros, SessId};
 
@@ -22,6 +22,9 @@
     /// A value that a backend reported within a session. Backends use one word for a session's load and for
     /// its message delay in milliseconds: a value that comes one interval after the last is a delay.
     pub(super) fn load_reported(&mut self, session_id: SessId, load: f64, out: &mut Vec<Effect>) {
+        if !self.is_proxying(session_id) {
+            return;
+        }
         let Some(s) = self.sessions.get_mut(&session_id) else { return };
         let last = s.last_load_at.replace(self.now);
         let is_periodic = last
@@ -37,9 +40,12 @@
         self.step_balancer(input, out);
     }
 
-    /// A message of a session took this long. The balancer is told while a server's messages are slow, and
-    /// once more when that is over.
+    /// A message of a session took this long. The balancer is notified while a server's messages are slow,
+    /// and once more when that is over.
     pub(super) fn latency_measured(&mut self, session_id: SessId, time: Micros, out: &mut Vec<Effect>) {
+        if !self.is_proxying(session_id) {
+            return;
+        }
         let Some(server) = self.sessions[&session_id].server else { return };
         let Some(v) = self.servers.get_mut(&server) else { return };
         let objectives = self.node.site.facts.listeners.iter().map(|listener| listener.message_target);
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -1,6 +1,6 @@
 //! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what
-//! it observes of relays and backends, expires grants that nobody began, notes who serves again, and tells
-//! all relays which backends are excluded. Times in microseconds.
+//! it observes of relays and backends, expires grants that nobody began, notes who serves again, and
+//! notifies all relays which backends are excluded. Times in microseconds.
 use super::{Effect, Reducer, Server, Timer};
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
@@ -13,7 +13,8 @@
 const MAX_COMMANDS: usize = 64;
 /// A relay that began to drain has reported it by then.
 const SERVING_AGAIN_DELAY: Micros = 3 * REVIEW_INTERVAL;
-/// Reports received this long after a grant were sent after the relay heard that the backend is excluded.
+/// Reports received this long after a grant were sent after the relay was notified that the backend is
+/// excluded.
 pub(super) const EXCLUSION_DELAY: Micros = 3 * REVIEW_INTERVAL;
 /// Probes or connections in a row without an answer, from which a backend is down.
 const MAX_MISSES: u32 = 2;
@@ -124,7 +125,7 @@
     }
 
     /// A relay that is out and reports that it serves is back, or never began. One that is out for the
-    /// rollout serves on: whoever deploys says when it is updated.
+    /// rollout serves on: whoever deploys reports when it is updated.
     fn relay_return(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let coordination = self.coordination.as_ref()?;
         let Target::Relay(name) = target else { return None };
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The lifecycle of this process: whether it serves, drains, stops, or has been replaced by another process.
 //! One table decides what each command, signal and handover does in each state.
 use super::{log, Effect, Reducer};
-use hallrelay_balancer::types::Micros;
+use hallrelay_balancer::types::{Micros, SessId};
 use hallrelay_config::limits::Limits;
 use std::fmt;
 
@@ -18,7 +18,7 @@
     HandedOver,
     /// The same, while a drain goes on.
     HandedOverDraining,
-    /// The same, told to stop.
+    /// The same, while a stop goes on.
     HandedOverStopping,
 }
 
@@ -46,7 +46,7 @@
 pub(super) enum LifecycleAction {
     /// Connections are accepted.
     StartAccepting,
-    /// Sessions are moved away, batch by batch.
+    /// Sessions are migrated, batch by batch.
     StartDraining,
     /// Both.
     StartAcceptingAndDraining,
@@ -251,6 +251,11 @@
         !self.servers.is_empty()
     }
 
+    pub(super) fn ping_received(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
+        self.pending_pings.push(connection_id);
+        self.answer_pings(out);
+    }
+
     /// Answers the connections that sent `PING`: not while the process starts or stops, with a rejection
     /// while it drains.
     pub(super) fn answer_pings(&mut self, out: &mut Vec<Effect>) {
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -21,12 +21,13 @@
     pub sessions: u32,
 }
 
-/// How often the successor is told what remains here, so that it can use the capacity before clients return.
+/// How often the successor gets a report of what remains here, so that it can use the capacity before
+/// clients return.
 const PROGRESS_INTERVAL: Micros = 100_000;
 
 impl Reducer {
-    /// The start is over. Without a predecessor this process owns the listener; else it tells the predecessor
-    /// that it is ready.
+    /// The start is over. Without a predecessor this process owns the listener; else it reports to the
+    /// predecessor that it is ready.
     pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
         match self.ownership.awaited_predecessor() {
             Some(peer) => out.push(Effect::SendToProcess { peer, message: Message::Ready {} }),
@@ -89,7 +90,7 @@
         log("the successor takes over from this process", out);
         out.push(Effect::SetTakeoverListener { open: false });
         self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
-        // One process speaks for the relay: this one falls silent before the other can begin.
+        // One process speaks for the relay: this one goes silent before the other can begin.
         self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { owned: false });
@@ -144,7 +145,7 @@
     /// This process owns the listener from now on, and goes on with what its predecessor knew.
     fn take_over(&mut self, state: RelayState, out: &mut Vec<Effect>) {
         log("this process takes over from its predecessor", out);
-        // This process' own watch may have heard more by now. A list that can't be read stops nothing.
+        // This process' own watch may have received more by now. A list that can't be read stops nothing.
         let list = state.endpoint_list.and_then(|list| list::parse(list.to_string().as_bytes()).ok());
         if let Some(list) = list {
             if self.list_version.is_none_or(|own| own < list.generation) {
@@ -190,7 +191,7 @@
         })
     }
 
-    /// Tells the successor what discovery told this process: the successor's own watch may not be open.
+    /// Sends the successor what discovery sent this process: the successor's own watch may not be open.
     pub(super) fn send_list_to_successor(&mut self, list: &List, out: &mut Vec<Effect>) {
         if self.ownership.successor().is_some() {
             let list = list::encode(list.generation, list.is_complete, list.instances.iter());
@@ -198,7 +199,7 @@
         }
     }
 
-    /// What discovery told the predecessor. Until discovery has answered this process it counts like a list
+    /// What discovery sent the predecessor. Until discovery has answered this process it counts like a list
     /// of its own; afterwards only newer drains and removals count.
     fn receive_predecessor_list(&mut self, list: &serde_json::Value, out: &mut Vec<Effect>) {
         let Ok(mut list) = list::parse(list.to_string().as_bytes()) else { return };
@@ -214,7 +215,7 @@
         self.apply_list(list, out);
     }
 
-    /// Tells the successor what remains here, as it changes.
+    /// Reports to the successor what remains here, as it changes.
     pub(super) fn report_remaining(&mut self, out: &mut Vec<Effect>) {
         if self.ownership.is_owner() {
             return;
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -2,7 +2,7 @@
 //! tasks of `net` carry out.
 //!
 //! It reads no clock, no socket and no unseeded chance, so the same events give the same effects.
-//! Load-balancing decisions are the balancer's; the reducer turns events into its inputs and its effects into
+//! Load-balancing decisions are the balancer's; the reducer maps events to its inputs and its effects into
 //! dials, answers and timers.
 //!
 //! Four rules hold at all times: 1. Each session gets exactly one final answer in its time, and nothing after
@@ -10,7 +10,7 @@
 //! attempt can have run. 3. Nothing new goes to a backend later than the drain grace after this relay was
 //! notified that it drains or is gone. 4. All relays together do not overload a backend in slow start.
 //!
-//! A relay that hears nobody never becomes bolder by it.
+//! A relay that receives nothing from others never admits or dials more for it.
 mod balancer_effects;
 mod control;
 mod coordination;
@@ -136,7 +136,7 @@
     predecessor_remaining: Remaining,
     /// The ids of the sessions there.
     predecessor_session_ids: HashSet<u64>,
-    /// What the successor was last told that remains here.
+    /// What was last reported to the successor as remaining here.
     reported_remaining: Remaining,
     /// Scratch space for the balancer's effects.
     balancer_effects: Vec<balancer::Effect>,
@@ -151,7 +151,7 @@
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
             balancer: Relay::new(node.site.facts.clone(), node.seed),
-            metrics: Metrics::of(&node.site.listeners),
+            metrics: Metrics::with_listeners(&node.site.listeners),
             membership: None,
             stored: None,
             store_health: None,
@@ -204,7 +204,7 @@
             self.persist_identity(start, out);
             self.start_polling_peers(out);
         }
-        // Otherwise the balancer asks for the watch.
+        // Otherwise the balancer requests the watch.
         if !self.node.site.facts.must_watch {
             self.watch_endpoints(out);
         }
@@ -219,68 +219,41 @@
             Event::ClientConnected { connection_id } => self.client_connected(connection_id, out),
             Event::FirstLineStarted { connection_id } => self.first_line_started(connection_id),
             Event::ProtocolViolation { connection_id } => self.protocol_violation(connection_id, out),
-            Event::Ping { connection_id } => {
-                self.pending_pings.push(connection_id);
-                self.answer_pings(out);
-            }
-            Event::SessionRequested { session_id, open, time_remaining: left } => {
-                self.session_requested(session_id, open, left, out)
-            }
-            Event::ClientDisconnected { session_id } => {
-                self.abandon_session(session_id, out);
-                self.remove_idle_connection(session_id);
-                self.pending_pings.retain(|connection_id| *connection_id != session_id);
+            Event::Ping { connection_id } => self.ping_received(connection_id, out),
+            Event::SessionRequested { session_id, open, time_remaining } => {
+                self.session_requested(session_id, open, time_remaining, out)
             }
+            Event::ClientDisconnected { session_id } => self.client_disconnected(session_id, out),
             Event::ClientHalfClosed { session_id } => self.client_half_closed(session_id, out),
-            Event::FirstLineForwarded => self.metrics.tries += 1,
-            Event::SessionEstablished { session_id, dial } if self.is_current_dial(session_id, dial) => {
-                self.session_established(session_id, dial, out)
-            }
-            Event::DialEnded { session_id, dial, end, report } if self.is_current_dial(session_id, dial) => {
+            Event::FirstLineForwarded => self.metrics.dials += 1,
+            Event::SessionEstablished { session_id, dial } => self.session_established(session_id, dial, out),
+            Event::DialEnded { session_id, dial, end, report } => {
                 self.dial_ended(session_id, dial, end, report, out);
             }
-            Event::DialNotStarted { session_id, dial } if self.is_current_dial(session_id, dial) => {
-                self.dial_not_started(session_id, dial, out)
-            }
+            Event::DialNotStarted { session_id, dial } => self.dial_not_started(session_id, dial, out),
             Event::SessionEnded { session_id, end, report } => {
                 self.session_ended(session_id, end, report, out);
             }
-            Event::LoadReported { session_id, load } if self.is_proxying(session_id) => {
-                self.load_reported(session_id, load, out)
-            }
-            Event::MessageLatency { session_id, time } if self.is_proxying(session_id) => {
-                self.latency_measured(session_id, time, out)
-            }
+            Event::LoadReported { session_id, load } => self.load_reported(session_id, load, out),
+            Event::MessageLatency { session_id, time } => self.latency_measured(session_id, time, out),
             Event::HealthCheckEnded { server, end, report } => {
-                self.health_check_ended(server, end, out);
-                self.step_balancer(Input::ProbeEnded { server, end, report }, out);
+                self.health_check_ended(server, end, report, out);
             }
             Event::EndpointListReceived { watch, list } => self.list_received(watch, list, out),
             Event::EndpointWatchFailed { watch } => self.watch_failed(watch, out),
-            Event::ConfigurationReloaded(node) => {
-                self.metrics.loads += 1;
-                self.configuration_reloaded(*node, out);
-            }
-            Event::ConfigurationRejected => self.metrics.load_errors += 1,
-            Event::OperatorCall { call, request: what } => self.operator_call(call, what, out),
-            Event::VoterWritesDurable { voter_start: life, number } => self.raft_written(life, number, out),
+            Event::ConfigurationReloaded(node) => self.configuration_reloaded(*node, out),
+            Event::ConfigurationRejected => self.metrics.reload_errors += 1,
+            Event::OperatorCall { call, request } => self.operator_call(call, request, out),
+            Event::VoterWritesDurable { voter_start, number } => self.raft_written(voter_start, number, out),
             Event::StoreReopened(stored) => self.start_voter(Some(&stored), out),
             Event::SessionHandedOver { session_id } => self.abandon_session(session_id, out),
             Event::SessionHandoverFailed { session_id } => self.session_handover_failed(session_id),
-            Event::SessionAdopted { session_id, state: session } => {
-                self.adopt_session(session_id, *session, out)
-            }
+            Event::SessionAdopted { session_id, state } => self.adopt_session(session_id, *state, out),
             Event::HotRestart(event) => self.apply_ownership_event(event, out),
             Event::Membership(event) => self.step_membership(event, out),
             Event::StoreHealth(health) => self.store_health = Some(health),
             Event::Timer(timer) => self.timer_expired(timer, out),
             Event::StopRequested => _ = self.apply_lifecycle_event(LifecycleEvent::Stop, out),
-            // They concern a dial or a session that is over.
-            Event::SessionEstablished { .. }
-            | Event::DialEnded { .. }
-            | Event::DialNotStarted { .. }
-            | Event::LoadReported { .. }
-            | Event::MessageLatency { .. } => {}
         }
     }
 
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -6,8 +6,8 @@
 const NO_VOTERS: &str = "fleet.voters is not configured here: backends drain by their list";
 
 impl Reducer {
-    pub(super) fn operator_call(&mut self, call: u32, what: OperatorRequest, out: &mut Vec<Effect>) {
-        let reply = match what {
+    pub(super) fn operator_call(&mut self, call: u32, request: OperatorRequest, out: &mut Vec<Effect>) {
+        let reply = match request {
             // A relay that does not serve needs no lease to drain.
             OperatorRequest::Drain(drain)
                 if self.is_coordinated()
@@ -15,8 +15,8 @@
             {
                 return self.request_drain(call, *drain, out);
             }
-            OperatorRequest::Propose { command, confirmation: words } if self.is_coordinated() => {
-                return self.request_commit(call, *command, words, out);
+            OperatorRequest::Propose { command, confirmation } if self.is_coordinated() => {
+                return self.request_commit(call, *command, confirmation, out);
             }
             OperatorRequest::Drain(drain) if drain.backend.is_some() => {
                 OperatorReply::Blocked(NO_VOTERS.to_string())
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -21,7 +21,7 @@
 /// The list of a relay, as it sends it to another.
 #[derive(Serialize, Deserialize)]
 struct PeerList {
-    /// The address that the list came from. Versions of another source can't be compared.
+    /// The address of the discovery service that sent the list. Versions of another one can't be compared.
     source: String,
     /// How long ago discovery answered the relay, in milliseconds; `None` where it never did.
     age_ms: Option<u64>,
@@ -80,7 +80,7 @@
         }
         let count = accepted.len();
         log(format!("{count} servers by the list of relay {name}, as discovery is unavailable"), out);
-        // The version stays, so that discovery tells all that changed after it.
+        // The version stays, so that discovery sends all that changed after it.
         let generation = self.list_version.unwrap_or(0);
         self.apply_list(List { generation, instances: accepted, ..List::default() }, out);
     }
@@ -110,8 +110,8 @@
         }
         if list.is_complete {
             let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
-            let left_out = self.servers.values().map(|v| &v.instance).filter(|told| !is_named(&told.id));
-            self.removed_servers.extend(left_out.map(|told| (told.id.clone(), told.started_at)));
+            let left_out = self.servers.values().map(|v| &v.instance).filter(|one| !is_named(&one.id));
+            self.removed_servers.extend(left_out.map(|one| (one.id.clone(), one.started_at)));
         }
         for one in &list.instances {
             match one.phase {
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -108,8 +108,8 @@
     fn left_out_by(&self, list: &List) -> Vec<Instance> {
         let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
         let known = self.servers.values().map(|v| &v.instance);
-        let left_out = known.filter(|told| told.phase != Phase::Gone && !is_named(&told.id));
-        left_out.map(|told| Instance { phase: Phase::Gone, ..told.clone() }).collect()
+        let left_out = known.filter(|one| one.phase != Phase::Gone && !is_named(&one.id));
+        left_out.map(|one| Instance { phase: Phase::Gone, ..one.clone() }).collect()
     }
 
     /// Stores a slot at a server in slow start before the dial that uses it goes out, so that a relay that
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -1,8 +1,9 @@
-//! Detects restarts of servers from their own answers while discovery says nothing: a server that accepted no
-//! connection and then answers has most likely restarted in between, and starts slowly.
+//! Detects restarts of servers from their own answers while discovery is unavailable: a server that
+//! accepted no connection and then answers has most likely restarted in between, and starts slowly.
 //!
-//! After a power loss nobody tells of restarts, and an old list calls every server warm. Where a network was
-//! merely interrupted, its servers go through one needless slow start, unless discovery tells otherwise.
+//! After a power loss nobody reports restarts, and by an old list no server is warming up. Where a network
+//! was merely interrupted, its servers go through one needless slow start, unless discovery reports
+//! otherwise.
 use super::Reducer;
 use hallrelay_balancer::types::{DialEnd, Input, ListUpdate, ServerId};
 
@@ -41,7 +42,7 @@
 /// Whether a contact proves that the server runs. Silence does not: the connection was made, and no answer
 /// came.
 fn is_answer(end: DialEnd) -> bool {
-    matches!(end, DialEnd::Ok | DialEnd::Full | DialEnd::Error | DialEnd::Recalled)
+    matches!(end, DialEnd::Ok | DialEnd::Full | DialEnd::Error | DialEnd::Cancelled)
 }
 
 impl Reducer {
@@ -76,7 +77,7 @@
     }
 
     fn server_answered(&mut self, server: ServerId, out: &mut Vec<super::Effect>) {
-        // A watch that is open tells of restarts itself.
+        // A watch that is open reports restarts itself.
         let is_discovery_unavailable = self.watch.delivering.is_none();
         let Some(v) = self.servers.get_mut(&server) else { return };
         let failed_connects = std::mem::take(&mut v.consecutive_connect_failures);
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -22,7 +22,7 @@
             DialEnd::Error | DialEnd::Reset | DialEnd::Timeout => {
                 server.session_counts.add(SessionCounts { sessions: 1, failed: 1 });
             }
-            DialEnd::Full | DialEnd::Unconnected | DialEnd::Recalled | DialEnd::Moot => {}
+            DialEnd::Full | DialEnd::Unconnected | DialEnd::Cancelled | DialEnd::NotSent => {}
         }
     }
 
@@ -44,8 +44,8 @@
     fn take_own_counts(&mut self) -> SessionCounts {
         let mut total = SessionCounts::default();
         for listener in self.metrics.listeners.values() {
-            let failed = listener.dropped + listener.failed;
-            total.add(SessionCounts { sessions: listener.passed + failed, failed });
+            let failed = listener.rejected + listener.failed;
+            total.add(SessionCounts { sessions: listener.established + failed, failed });
         }
         let reported = std::mem::replace(&mut self.reported_counts, total);
         total.since(reported)
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,7 +1,7 @@
-//! The backends of the endpoint list: what the list and health checks tell of them, and when they are
+//! The backends of the endpoint list: what the list and health checks report of them, and when they are
 //! forgotten.
 use super::{log, Effect, LatencyReport, Reducer, Server, SessionStage};
-use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, Micros, Phase, ServerId};
+use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, LoadReport, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::SessionCounts;
 use std::collections::BTreeMap;
@@ -14,10 +14,23 @@
 const MAX_START_REPORT_DELAY: Micros = 60_000_000;
 
 impl Reducer {
-    /// A health check ended. Where several in a row get no answer, the sessions there are told that their
-    /// backend is suspect: otherwise each would find out by a message of its own.
-    pub(super) fn health_check_ended(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
+    /// A health check ended. Where several in a row get no answer, the open sessions there are notified
+    /// that their backend is suspect: otherwise each would find out by a message of its own.
+    pub(super) fn health_check_ended(
+        &mut self,
+        server: ServerId,
+        end: DialEnd,
+        report: Option<LoadReport>,
+        out: &mut Vec<Effect>,
+    ) {
         self.observe_contact(Some(server), end, out);
+        self.count_miss(server, end, out);
+        self.step_balancer(Input::ProbeEnded { server, end, report }, out);
+    }
+
+    /// Counts health checks in a row without an answer, and announces where that makes a backend suspect or
+    /// clears it.
+    fn count_miss(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
         let Some(v) = self.servers.get_mut(&server) else { return };
         v.health_check_pending = false;
         let missed = matches!(end, DialEnd::Timeout | DialEnd::Unconnected);
@@ -25,14 +38,15 @@
         v.consecutive_misses = if missed { before + 1 } else { 0 };
         let suspect = v.consecutive_misses >= SUSPECT_AFTER_MISSES;
         if suspect != (before >= SUSPECT_AFTER_MISSES) {
-            let there = self
+            let affected = self
                 .sessions
                 .iter()
                 .filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
-            out.extend(there.map(|(&session_id, _)| Effect::SetSuspect { session_id, suspect }));
+            out.extend(affected.map(|(&session_id, _)| Effect::SetSuspect { session_id, suspect }));
         }
     }
 
+    /// Applies a list or changes of one: the tasks first, then the balancer.
     pub(super) fn apply_list(&mut self, list: List, out: &mut Vec<Effect>) {
         if list.is_complete {
             self.servers.values_mut().for_each(|v| v.instance.phase = Phase::Gone);
@@ -41,11 +55,12 @@
         let mut instances = list.instances;
         if !list.unreadable.is_empty() {
             log(format!("{} entries of the list can't be read", list.unreadable.len()), out);
-            // Such an entry may say that the server drains, so nothing new goes there. A whole list has that
-            // effect anyway.
-            let held = list.unreadable.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
-            let there = held.map(|v| &v.instance).filter(|told| told.phase == Phase::Ready);
-            instances.extend(there.map(|told| Instance { phase: Phase::Draining, ..told.clone() }));
+            // Such an entry may say that the server drains, so nothing new goes there. A complete list has
+            // that effect anyway.
+            let unreadable =
+                list.unreadable.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
+            let ready = unreadable.map(|v| &v.instance).filter(|known| known.phase == Phase::Ready);
+            instances.extend(ready.map(|known| Instance { phase: Phase::Draining, ..known.clone() }));
         }
         let endpoints: Vec<Endpoint> = instances.into_iter().map(|one| self.endpoint(one, update)).collect();
         self.announce_draining(update, &endpoints, out);
@@ -54,11 +69,11 @@
         self.answer_pings(out);
     }
 
-    /// Tells the tasks which servers drain from now on, before anything is decided by the list.
+    /// Notifies the tasks which servers drain from now on, before anything is decided by the list.
     fn announce_draining(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Effect>) {
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
         if update == ListUpdate::Snapshot {
-            // Servers that a whole list does not name are removed.
+            // Servers that a complete list does not name are removed.
             named.extend(self.servers.iter().map(|(&server, v)| (server, v.instance.phase != Phase::Ready)));
         }
         named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
@@ -68,6 +83,7 @@
         }
     }
 
+    /// Takes one entry of a list over, and returns it as the balancer gets it.
     pub(super) fn endpoint(&mut self, one: Instance, update: ListUpdate) -> Endpoint {
         let server = match self.ids.get(&one.id) {
             Some(&server) => server,
@@ -104,34 +120,35 @@
     /// counts as started now, since it may be warming up, where the list's time lies ahead of this clock, or
     /// where a change of the list names the server first and its start lies long before the list that did not
     /// name it.
-    fn local_start(&self, server: ServerId, came_up: Micros, update: ListUpdate) -> Micros {
-        if came_up == 0 {
+    fn local_start(&self, server: ServerId, listed_start: Micros, update: ListUpdate) -> Micros {
+        if listed_start == 0 {
             return 0;
         }
-        let held = self.servers.get(&server);
-        if let Some(v) = held.filter(|v| v.instance.started_at == came_up && v.started_at > 0) {
+        let known = self.servers.get(&server);
+        if let Some(v) = known.filter(|v| v.instance.started_at == listed_start && v.started_at > 0) {
             return v.started_at;
         }
-        let ahead = came_up > self.now;
+        let is_ahead = listed_start > self.now;
         let before = self.discovery_contacted_before.filter(|_| update == ListUpdate::Delta);
-        let long_ago = before.is_some_and(|then| came_up.saturating_add(MAX_START_REPORT_DELAY) < then);
-        if ahead || long_ago {
+        let is_long_before_last_list =
+            before.is_some_and(|then| listed_start.saturating_add(MAX_START_REPORT_DELAY) < then);
+        if is_ahead || is_long_before_last_list {
             self.now
         } else {
-            came_up
+            listed_start
         }
     }
 
     /// Forgets removed servers that no session is on, so that a long-lived process does not collect all there
     /// ever were.
     pub(super) fn forget_removed_servers(&mut self, out: &mut Vec<Effect>) {
-        let gone: Vec<ServerId> = self
+        let removed: Vec<ServerId> = self
             .servers
             .iter()
             .filter(|(_, v)| v.instance.phase == Phase::Gone && !v.health_check_pending)
             .map(|v| *v.0)
             .collect();
-        for server in gone {
+        for server in removed {
             if self.sessions.values().any(|s| s.server == Some(server)) {
                 continue;
             }
--- a/relay/src/reducer/session.rs
+++ b/relay/src/reducer/session.rs
@@ -9,9 +9,9 @@
     AwaitingPlacement,
     /// A dial is out for it.
     Dialing,
-    /// Open: lines pass both ways.
+    /// Open: lines are proxied both ways.
     Proxying,
-    /// Its client was told to come again; it ends with its backend's connection.
+    /// Its client got `MOVE`; it ends with its backend's connection.
     Migrating,
     /// It is being handed over to another process.
     HandingOver,
@@ -32,6 +32,7 @@
     pub listener: Rc<str>,
     pub request: AdmissionRequest,
     pub stage: SessionStage,
+    /// Where it was dialled last, or is open.
     pub server: Option<ServerId>,
     /// Dials so far.
     pub dials: u32,
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -13,11 +13,13 @@
         let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.stage == SessionStage::Proxying) else {
             return;
         };
-        let Some(told) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.instance) else { return };
+        let Some(backend) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.instance) else {
+            return;
+        };
         let session = SessionState {
             id: s.id,
             listener: s.listener.to_string(),
-            server: told.id.clone(),
+            server: backend.id.clone(),
             key: s.request.key,
             group: s.request.group,
             returned: s.request.returned,
@@ -34,18 +36,18 @@
         }
     }
 
-    /// An open session of the predecessor, in the middle of its life.
+    /// An open session of the predecessor, after its first answer.
     pub(super) fn adopt_session(&mut self, session_id: SessId, session: SessionState, out: &mut Vec<Effect>) {
         let listeners = &self.node.site.listeners;
         // This process' configuration may no longer have its listener; an open session needs none.
         let listener = listeners.iter().position(|name| *name == session.listener).unwrap_or(0);
         let SessionState { key, group, returned, .. } = session;
-        let asked = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
+        let request = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
         let server = self.ids.get(&session.server).copied();
         let adopted = Session {
             id: session.id,
             listener: session.listener.as_str().into(),
-            request: asked,
+            request,
             stage: SessionStage::Proxying,
             server,
             dials: 1,
@@ -60,9 +62,9 @@
         remaining.connections = remaining.connections.saturating_sub(1);
         remaining.sessions = remaining.sessions.saturating_sub(1);
         out.push(Effect::StartProxying { session_id });
-        // At a server that the list no longer names the session goes on, and the module need not know.
+        // At a server that the list no longer names the session goes on, and the balancer need not know.
         if let Some(server) = server {
-            self.step_balancer(Input::SessionAdopted { session: session_id, server, request: asked }, out);
+            self.step_balancer(Input::SessionAdopted { session: session_id, server, request }, out);
         }
         // This process may have a successor by now.
         self.hand_over_session(session_id, out);
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -18,7 +18,7 @@
 
 impl Reducer {
     /// Whether the dial is the one that is out for the session; events of earlier dials are ignored.
-    pub(super) fn is_current_dial(&self, session_id: SessId, dial: u32) -> bool {
+    fn is_current_dial(&self, session_id: SessId, dial: u32) -> bool {
         let is_out = |s: &Session| s.stage == SessionStage::Dialing && s.dials == dial + 1;
         self.sessions.get(&session_id).is_some_and(is_out)
     }
@@ -34,7 +34,7 @@
         self.abandon_session(connection_id, out);
     }
 
-    /// A session ends by its client's doing. The balancer is told, unless the session still waits to be
+    /// A session ends by its client's doing. The balancer is notified, unless the session still waits to be
     /// resumed.
     pub(super) fn abandon_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
         let Some(s) = self.remove_session(session_id) else { return };
@@ -44,6 +44,13 @@
         }
     }
 
+    /// The client closed its connection, whether or not it was a session.
+    pub(super) fn client_disconnected(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+        self.abandon_session(session_id, out);
+        self.remove_idle_connection(session_id);
+        self.pending_pings.retain(|connection_id| *connection_id != session_id);
+    }
+
     /// The client ended its sending before it was answered. It may have left, so nothing is forwarded; it may
     /// still read, so its final answer is sent.
     pub(super) fn client_half_closed(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
@@ -97,7 +104,7 @@
             last_load_at: None,
             is_resuming,
         };
-        self.metrics.of_listener(&session.listener).taken += 1;
+        self.metrics.of_listener(&session.listener).requested += 1;
         self.session_ids.insert(session.id);
         self.sessions.insert(session_id, session);
         if self.is_full() || !self.accepts_sessions() || self.is_past_stop_deadline() {
@@ -143,10 +150,10 @@
     pub(super) fn send_final_answer(&mut self, session_id: SessId, answer: Effect, out: &mut Vec<Effect>) {
         let Some(s) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&s.listener);
-        // Until then a late answer is still worth more to the client than none.
+        // Until then a late answer serves the client better than none.
         let is_too_late = self.now > s.deadline + self.node.limits.answer_late;
         match answer {
-            Effect::Reject { .. } if !is_too_late => outcomes.dropped += 1,
+            Effect::Reject { .. } if !is_too_late => outcomes.rejected += 1,
             _ => outcomes.failed += 1,
         }
         out.push(if is_too_late { Effect::CloseClient { session_id } } else { answer });
@@ -174,8 +181,8 @@
         self.answer_waiting_session(session_id, Effect::TearDown { session_id }, out);
     }
 
-    /// Gives a waiting session the relay's own final answer. The balancer is told, unless the session still
-    /// waits to be resumed.
+    /// Gives a waiting session the relay's own final answer. The balancer is notified, unless the session
+    /// still waits to be resumed.
     pub(super) fn answer_waiting_session(
         &mut self,
         session_id: SessId,
@@ -191,6 +198,9 @@
 
     /// A backend accepted a session.
     pub(super) fn session_established(&mut self, session_id: SessId, dial: u32, out: &mut Vec<Effect>) {
+        if !self.is_current_dial(session_id, dial) {
+            return;
+        }
         let earliest_deadline = self.now.saturating_sub(self.node.limits.answer_margin);
         let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.deadline >= earliest_deadline) else {
             // The client's time is up, so the backend's answer is not used.
@@ -201,12 +211,12 @@
         self.observe_contact(server, DialEnd::Ok, out);
         self.count_outcome(server, DialEnd::Ok);
         let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        self.metrics.of_listener(&s.listener).passed += 1;
+        self.metrics.of_listener(&s.listener).established += 1;
         out.push(Effect::StartProxying { session_id });
         let was_resuming = std::mem::take(&mut s.is_resuming);
         match s.server {
             Some(server) if was_resuming => {
-                // The balancer counts a dial that it never asked for as the first.
+                // The balancer counts a dial that it never requested as the first.
                 s.dials = 1;
                 let request = s.request;
                 self.step_balancer(Input::SessionAdopted { session: session_id, server, request }, out);
@@ -225,7 +235,7 @@
         report: Option<LoadReport>,
         out: &mut Vec<Effect>,
     ) {
-        if self.retries_resuming(session_id, out) {
+        if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
             return;
         }
         let Some(s) = self.sessions.get_mut(&session_id) else { return };
@@ -233,7 +243,7 @@
         // `Ok`: the backend served the session to its end at once, and its last line is the final answer.
         let settled = end == DialEnd::Ok;
         if settled {
-            self.metrics.of_listener(&s.listener).passed += 1;
+            self.metrics.of_listener(&s.listener).established += 1;
             self.remove_session(session_id);
         }
         self.observe_contact(server, end, out);
@@ -244,7 +254,7 @@
     /// A dial that this machine could not start does not count: the balancer decides anew while the session
     /// waits.
     pub(super) fn dial_not_started(&mut self, session_id: SessId, dial: u32, out: &mut Vec<Effect>) {
-        if self.retries_resuming(session_id, out) {
+        if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
             return;
         }
         let Some(s) = self.sessions.get_mut(&session_id) else { return };
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -7,6 +7,7 @@
 use std::net::SocketAddr;
 
 impl Reducer {
+    /// Opens a watch, unless one is open.
     pub(super) fn watch_endpoints(&mut self, out: &mut Vec<Effect>) {
         if !self.watch.is_open {
             (self.watch.latest, self.watch.is_open) = (self.watch.latest + 1, true);
@@ -21,7 +22,7 @@
         let w = &mut self.watch;
         if watch == w.latest {
             // Changes may arrive out of order: one that is older than the list in force is dropped.
-            if !list.is_complete && self.list_version.is_some_and(|held| list.generation < held) {
+            if !list.is_complete && self.list_version.is_some_and(|current| list.generation < current) {
                 return log(format!("a change of version {} came too late", list.generation), out);
             }
             self.list_version = Some(list.generation);
@@ -56,6 +57,7 @@
 
     /// Takes over a new, valid configuration. Keys that hold from the next start on only are logged.
     pub(super) fn configuration_reloaded(&mut self, node: Node, out: &mut Vec<Effect>) {
+        self.metrics.reloads += 1;
         out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::KeyUnchanged { key }));
         self.apply_settings(&node, out);
         if let (Some(own), Some(new)) = (&mut self.node.fleet, &node.fleet) {
@@ -76,14 +78,14 @@
         if node.site == self.node.site || self.node.tune(node.site.clone()).is_err() {
             return;
         }
-        // A stop that is under way keeps its time: whoever may kill this process counts from the request.
+        // A stop that has begun keeps its deadlines: whoever may kill this process counts from the request.
         if self.is_stopping() {
             self.node.limits.stop_no_later(&before);
         }
         self.node.digest = node.digest;
         let (site, limits) = (&self.node.site, Box::new(self.node.limits));
         let (config, order) = (Box::new(site.facts.clone()), site.report);
-        self.metrics.name(&site.listeners);
+        self.metrics.add_listeners(&site.listeners);
         self.step_balancer(Input::Configure(config), out);
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Moves the watch to another discovery. It is asked for the whole list, since the versions of the old
+    /// Moves the watch to another discovery. The complete list is requested, since the versions of the old
     /// one may mean nothing there; the old watch goes on until the new one delivers.
     fn move_discovery(&mut self, discovery: SocketAddr, out: &mut Vec<Effect>) {
         if std::mem::replace(&mut self.node.discovery, discovery) == discovery {
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -1,5 +1,5 @@
-//! `hallrelay release`: asks a relay to start a rollout, to halt, resume or roll it back, and prints its
-//! status.
+//! `hallrelay release`: has a relay start, halt, resume or roll back a rollout, and prints
+//! its status.
 use crate::cli::CliError;
 use crate::drain_command::{print_answer, KindArg, OperatorAddr, RequestArgs};
 use crate::operator_client::{get, post, Answer, CallError};
--- a/relay/src/values.rs
+++ b/relay/src/values.rs
@@ -95,7 +95,7 @@
         std::iter::from_fn(|| values.next(64).expect("it is sound")).collect()
     }
 
-    fn wanted() -> Vec<Part> {
+    fn expected() -> Vec<Part> {
         let value = |text: &str| Part::Value(text.as_bytes().to_vec());
         vec![
             value("{\"a\":[1,{\"b\":\"}]{[\\\"\\\\\"}]}"),
@@ -117,14 +117,14 @@
                 values.add(part.as_bytes());
                 got.extend(all(&mut values));
             }
-            assert_eq!(got, wanted(), "cut at {cut}");
+            assert_eq!(got, expected(), "cut at {cut}");
         }
         let (mut values, mut got) = (Values::default(), Vec::new());
         for byte in TEXT.bytes() {
             values.add(&[byte]);
             got.extend(all(&mut values));
         }
-        assert_eq!(got, wanted());
+        assert_eq!(got, expected());
     }
 
     #[test]
@@ -138,8 +138,8 @@
         for odd in ["ok", "1", "}", "\"a\"", "{} x"] {
             let mut values = Values::default();
             values.add(odd.as_bytes());
-            let said: Vec<_> = (0..3).map(|_| values.next(64)).collect();
-            assert!(said.iter().any(Result::is_err), "{odd}: {said:?}");
+            let results: Vec<_> = (0..3).map(|_| values.next(64)).collect();
+            assert!(results.iter().any(Result::is_err), "{odd}: {results:?}");
         }
     }
 }
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 
 fn figures() -> Metrics {
-    let first = Outcomes { taken: 101, passed: 102, dropped: 103, failed: 104, abandoned: 105 };
-    let second = Outcomes { taken: 201, passed: 202, dropped: 203, failed: 204, abandoned: 205 };
+    let first = Outcomes { requested: 101, established: 102, rejected: 103, failed: 104, abandoned: 105 };
+    let second = Outcomes { requested: 201, established: 202, rejected: 203, failed: 204, abandoned: 205 };
     // A name that no line may carry as it is.
-    let odd = Outcomes { taken: 301, passed: 302, dropped: 303, failed: 304, abandoned: 305 };
+    let odd = Outcomes { requested: 301, established: 302, rejected: 303, failed: 304, abandoned: 305 };
     let listeners = [("alpha", first), ("beta-2", second), ("g:h|i j\nk\u{e9}", odd)];
     let dropped = DropReason::ALL.into_iter().zip(801..).collect();
     let counters = Counters {
@@ -42,14 +42,14 @@
     };
     Metrics {
         listeners: BTreeMap::from(listeners.map(|(name, outcomes)| (name.into(), outcomes))),
-        tries: 401,
-        loads: 402,
-        load_errors: 403,
-        denials: Denials { client: 404, late: 405, leaving: 406 },
+        dials: 401,
+        reloads: 402,
+        reload_errors: 403,
+        denials: Denials { client: 404, late: 405, draining: 406 },
         in_progress: 407,
         waiting: 408,
-        known: 409,
-        avoided: 410,
+        known_backends: 409,
+        avoided_backends: 410,
         membership: Some(Box::new(membership)),
         store: Some(Box::new(store)),
     }
--- a/sim_adapter/src/record.rs
+++ b/sim_adapter/src/record.rs
@@ -167,8 +167,8 @@
         4 => DialEnd::Timeout,
         5 => DialEnd::Unconnected,
         6 => DialEnd::Reset,
-        7 => DialEnd::Recalled,
-        8 => DialEnd::Moot,
+        7 => DialEnd::Cancelled,
+        8 => DialEnd::NotSent,
         _ => return Err(RecordError::UnknownOutcome(code)),
     })
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -128,7 +128,7 @@
         if let Some(reducer) = &self.reducer {
             let figures = reducer.metrics();
             let sums = figures.listeners.values().fold((0, 0), |sum, n| {
-                (sum.0 + n.taken, sum.1 + n.passed + n.dropped + n.failed + n.abandoned)
+                (sum.0 + n.requested, sum.1 + n.established + n.rejected + n.failed + n.abandoned)
             });
             assert_eq!(sums.0, sums.1 + figures.waiting as u64, "{figures:?}");
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -107,7 +107,7 @@
 pub fn dial_end(word: &str) -> Result<DialEnd, Fault> {
     use DialEnd::*;
     let words = ["ok", "error", "full", "timeout", "unconnected", "reset", "recalled", "moot"];
-    let ends = [Ok, Error, Full, Timeout, Unconnected, Reset, Recalled, Moot];
+    let ends = [Ok, Error, Full, Timeout, Unconnected, Reset, Cancelled, NotSent];
     let place = words.iter().position(|w| *w == word).ok_or(format!("unknown outcome '{word}'"))?;
     Result::Ok(ends[place])
 }
