--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -59,7 +59,7 @@
     /// Records the end of a session's last dial: its server's report and faults, and whether the session may
     /// have run.
     pub(crate) fn record_dial_end(&mut self, id: SessId, end: DialEnd, report: Option<LoadReport>) {
-        let was_taken_up = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::Moot);
+        let was_taken_up = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
         if was_taken_up {
             self.count_dial(id, end == DialEnd::Ok);
         }
