--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -8,43 +8,43 @@
 
 /// A connection's first line, and who says it where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     pub mark: u64,
     pub relay: usize,
     pub listener: usize,
     pub key: u64,
     pub group: u64,
     /// Back after a break or a move; a try after one that was not taken.
-    pub again: bool,
+    pub returned: bool,
     pub retry: bool,
-    pub wait: Micros,
+    pub dial_timeout: Micros,
     /// The server at which it stood before the day.
-    pub at: Option<usize>,
+    pub pre_existing_at: Option<usize>,
     /// How long it lives where the server is to end it.
-    pub bye: Option<Micros>,
+    pub ended_after: Option<Micros>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Does {
-    Opens(Ask),
+pub enum ClientAction {
+    Open(ClientRequest),
     /// Ends its connection, whatever its state.
-    Leaves {
+    Leave {
         mark: u64,
     },
 }
 
 /// What became of a connection, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    Up,
-    Busy(Micros),
+pub enum ClientEvent {
+    Established,
+    Rejected(Micros),
     Failed,
     /// The end without a word, before or after the answer.
     Closed,
-    Moved,
-    Bye,
+    Migrated,
+    Ended,
     /// Connecting did not work.
-    Unreached,
+    Unreachable,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -164,7 +164,7 @@
     }
 
     /// Sessions that stand at servers before the day, spread over relays and servers.
-    pub fn standing(&mut self, now: Micros, servers: usize, out: &mut Vec<Does>) {
+    pub fn open_pre_existing(&mut self, now: Micros, servers: usize, out: &mut Vec<ClientAction>) {
         self.now = now;
         for i in 0..self.s.load.standing {
             let id = self.person(self.begin);
@@ -181,7 +181,7 @@
         self.front[relay] = true;
     }
 
-    pub fn step(&mut self, now: Micros, out: &mut Vec<Does>) {
+    pub fn step(&mut self, now: Micros, out: &mut Vec<ClientAction>) {
         while let Some((at, due)) = self.due.pop_due(now) {
             self.now = self.now.max(at);
             match due {
@@ -212,7 +212,7 @@
             }
         }
         self.now = self.now.max(now);
-        out.extend(self.ends_early.drain(..).map(|mark| Does::Leaves { mark }));
+        out.extend(self.ends_early.drain(..).map(|mark| ClientAction::Leave { mark }));
     }
 
     fn rate(&self, now: Micros) -> f64 {
@@ -280,7 +280,7 @@
         }
     }
 
-    fn ask(&mut self, id: u64, relay: Option<usize>, out: &mut Vec<Does>) {
+    fn ask(&mut self, id: u64, relay: Option<usize>, out: &mut Vec<ClientAction>) {
         let Some(p) = self.people.get(&id) else { return };
         if self.now >= p.until || p.state != State::Away {
             return;
@@ -304,17 +304,17 @@
         let l = &self.s.listeners[p.listener];
         let retry = p.tries < self.s.clients.retries;
         let wait = if p.at.is_some() { 40_000_000 } else { l.dial_timeout_ms.us() };
-        let ask = Ask {
+        let ask = ClientRequest {
             mark,
             relay,
             listener: p.listener,
             key: p.key,
             group: p.group,
-            again: p.again,
+            returned: p.again,
             retry,
-            wait,
-            at: p.at,
-            bye: p.bye.then(|| p.until - self.now),
+            dial_timeout: wait,
+            pre_existing_at: p.at,
+            ended_after: p.bye.then(|| p.until - self.now),
         };
         self.counts[p.listener].tries += 1;
         self.marks.insert(mark, id);
@@ -322,10 +322,10 @@
         self.set(id, State::Asks(mark, now));
         // A little longer than it says, to see what comes late.
         self.due.schedule(now + wait + 2 * self.s.rules.slack_ms.us(), Due::GivesUp(mark));
-        out.push(Does::Opens(ask));
+        out.push(ClientAction::Open(ask));
     }
 
-    fn life_ends(&mut self, id: u64, out: &mut Vec<Does>) {
+    fn life_ends(&mut self, id: u64, out: &mut Vec<ClientAction>) {
         let Some(p) = self.people.get(&id) else { return };
         // Who is ended by the server waits for that, and leaves where it does not come.
         const BYE: Micros = 1_000_000;
@@ -338,7 +338,7 @@
         }
         if let State::Open(mark) | State::Asks(mark, _) = p.state {
             self.marks.remove(&mark);
-            out.push(Does::Leaves { mark });
+            out.push(ClientAction::Leave { mark });
         }
         self.remove(id);
     }
@@ -348,13 +348,13 @@
         self.people.remove(&id);
     }
 
-    fn gives_up(&mut self, mark: u64, out: &mut Vec<Does>) {
+    fn gives_up(&mut self, mark: u64, out: &mut Vec<ClientAction>) {
         let Some(&id) = self.marks.get(&mark) else { return };
         if !matches!(self.people[&id].state, State::Asks(m, _) if m == mark) {
             return;
         }
         self.marks.remove(&mark);
-        out.push(Does::Leaves { mark });
+        out.push(ClientAction::Leave { mark });
         let listener = self.people[&id].listener;
         self.counts[listener].unanswered += 1;
         self.turned_away(id, 0, false);
@@ -381,12 +381,12 @@
     }
 
     /// What became of a connection; false where it is not known any more.
-    pub fn heard(&mut self, now: Micros, mark: u64, heard: Heard) -> bool {
+    pub fn handle(&mut self, now: Micros, mark: u64, heard: ClientEvent) -> bool {
         self.now = self.now.max(now);
         let Some(&id) = self.marks.get(&mark) else { return false };
         let p = &self.people[&id];
         let (state, listener) = (p.state, p.listener);
-        if let (Heard::Up, State::Asks(_, since)) = (heard, state) {
+        if let (ClientEvent::Established, State::Asks(_, since)) = (heard, state) {
             let took = self.now - since;
             // Who stood before the day has waited for nothing.
             let standing = p.at.is_some();
@@ -405,7 +405,7 @@
         self.marks.remove(&mark);
         let counts = &mut self.counts[listener];
         match (state, heard) {
-            (State::Open(_), Heard::Bye) => {
+            (State::Open(_), ClientEvent::Ended) => {
                 if self.now >= self.people[&id].until {
                     self.remove(id);
                 } else {
@@ -414,19 +414,19 @@
                 }
             }
             (State::Open(_), _) => {
-                self.moves += u64::from(heard == Heard::Moved);
-                self.breaks += u64::from(heard != Heard::Moved);
+                self.moves += u64::from(heard == ClientEvent::Migrated);
+                self.breaks += u64::from(heard != ClientEvent::Migrated);
                 self.rejoins(id, self.s.clients.rejoin_ms.map(|t| t.us()));
             }
-            (_, Heard::Busy(after)) => {
+            (_, ClientEvent::Rejected(after)) => {
                 counts.busy += 1;
                 self.turned_away(id, after, true);
             }
-            (_, Heard::Unreached) => {
+            (_, ClientEvent::Unreachable) => {
                 counts.unreached += 1;
                 self.turned_away(id, 0, true);
             }
-            (_, Heard::Closed) => {
+            (_, ClientEvent::Closed) => {
                 counts.closed += 1;
                 self.turned_away(id, 0, false);
             }
@@ -461,7 +461,7 @@
     }
 
     /// A relay answers `PING` (or has died): the front deals to it from now on, or stops when it notices.
-    pub fn relay_is(&mut self, now: Micros, relay: usize, up: bool) {
+    pub fn set_relay_serving(&mut self, now: Micros, relay: usize, up: bool) {
         self.now = self.now.max(now);
         let after = if up { 0 } else { self.rng.between(self.s.clients.front_notice_s.map(|t| t.us())) };
         self.changes[relay] += u32::from(up);
@@ -469,7 +469,7 @@
     }
 
     /// Whether a mark's client is still there.
-    pub fn is_there(&self, mark: u64) -> bool {
+    pub fn is_present(&self, mark: u64) -> bool {
         self.marks.contains_key(&mark)
     }
 }
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -1,16 +1,16 @@
 //! One day: servers, clients, auditor and service figure together, for whoever drives them.
 use crate::audit::Audit;
-use crate::clients::{Clients, Does};
+use crate::clients::{ClientAction, Clients};
 use crate::links::{Arrival, Links};
 use crate::membership_audit::MembershipAudit;
-use crate::script::{Act, Deed};
-use crate::servers::{Servers, Told};
+use crate::script::{Act, RelayAction};
+use crate::servers::{ServerEvent, Servers};
 use crate::service::{Outcome, Service};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 
 pub struct Day {
-    pub s: Scenario,
+    pub scenario: Scenario,
     pub seed: u64,
     pub begin: Micros,
     pub end: Micros,
@@ -29,20 +29,21 @@
 
 /// What the driver has to do, beyond what its own calls brought.
 #[derive(Default)]
-pub struct Todo {
-    pub told: Vec<Told>,
-    pub does: Vec<Does>,
-    pub deeds: Vec<(usize, Deed)>,
-    pub list_down: Option<bool>,
-    pub list_news: bool,
+pub struct DriverActions {
+    pub server_events: Vec<ServerEvent>,
+    pub client_actions: Vec<ClientAction>,
+    pub relay_actions: Vec<(usize, RelayAction)>,
+    pub discovery_down: Option<bool>,
+    pub list_changed: bool,
     /// Datagrams between relays that were held, and go on now.
     pub arrivals: Vec<Arrival>,
 }
 
-impl Todo {
+impl DriverActions {
     pub fn is_empty(&self) -> bool {
-        let quiet = self.told.is_empty() && self.does.is_empty() && self.deeds.is_empty();
-        quiet && self.arrivals.is_empty() && !self.list_news && self.list_down.is_none()
+        let quiet =
+            self.server_events.is_empty() && self.client_actions.is_empty() && self.relay_actions.is_empty();
+        quiet && self.arrivals.is_empty() && !self.list_changed && self.discovery_down.is_none()
     }
 }
 
@@ -53,7 +54,7 @@
             (0..servers.len()).map(|i| (servers.zone(i), servers.endpoints.identities[i].cell)).collect();
         let names = servers.endpoints.identities.iter().map(|p| p.id.clone()).collect();
         Day {
-            s: s.clone(),
+            scenario: s.clone(),
             seed,
             begin,
             end: begin + s.length_s.us(),
@@ -69,24 +70,24 @@
     }
 
     /// When it wants to be stepped next.
-    pub fn next(&self) -> Micros {
+    pub fn next_at(&self) -> Micros {
         let times = [self.servers.next(), self.clients.next()];
         times.into_iter().flatten().fold(self.service.next(), Micros::min)
     }
 
     /// All that is due by now. What servers say comes as `told`, what clients do as `does`.
-    pub fn step(&mut self, now: Micros, todo: &mut Todo) {
-        self.servers.step(now, &mut todo.told);
-        self.sort(now, todo);
-        self.clients.step(now, &mut todo.does);
+    pub fn step(&mut self, now: Micros, todo: &mut DriverActions) {
+        self.servers.step(now, &mut todo.server_events);
+        self.take_internal_events(now, todo);
+        self.clients.step(now, &mut todo.client_actions);
         if now >= self.service.next() {
-            self.service.tick(now, &mut self.servers, &self.clients, &mut todo.told);
+            self.service.tick(now, &mut self.servers, &self.clients, &mut todo.server_events);
             self.audit.check_deadlines(now);
-            if self.s.relays.fleet {
+            if self.scenario.relays.fleet {
                 self.look_at_links(now);
                 self.membership_audit.check_pending(now);
             }
-            self.sort(now, todo);
+            self.take_internal_events(now, todo);
         }
         if now >= self.forget_at {
             self.forget_at = now + 10_000_000;
@@ -95,49 +96,59 @@
     }
 
     /// Takes out of `told` what is not the driver's: news of the list, falls, the log.
-    pub fn sort(&mut self, now: Micros, todo: &mut Todo) {
+    pub fn take_internal_events(&mut self, now: Micros, todo: &mut DriverActions) {
         // Most of the time all that was told is the driver's.
-        let drivers =
-            |told: &Told| matches!(told, Told::Word { .. } | Told::Reset { .. } | Told::Reach { .. });
-        if todo.told.iter().all(drivers) {
+        let drivers = |told: &ServerEvent| {
+            matches!(
+                told,
+                ServerEvent::Line { .. }
+                    | ServerEvent::Reset { .. }
+                    | ServerEvent::ReachabilityChanged { .. }
+            )
+        };
+        if todo.server_events.iter().all(drivers) {
             return;
         }
-        let mut kept = Vec::with_capacity(todo.told.len());
-        for told in std::mem::take(&mut todo.told) {
+        let mut kept = Vec::with_capacity(todo.server_events.len());
+        for told in std::mem::take(&mut todo.server_events) {
             match told {
-                Told::Log(text) => self.service.note(now, text),
-                Told::Fell { server, blamed } => self.audit.backend_overloaded(now, server, blamed),
-                Told::List => {
+                ServerEvent::Log(text) => self.service.log_event(now, text),
+                ServerEvent::Overloaded { server, blamed } => {
+                    self.audit.backend_overloaded(now, server, blamed)
+                }
+                ServerEvent::EndpointListChanged => {
                     for server in 0..self.servers.len() {
                         self.audit.endpoint_listed(now, server, self.servers.endpoints.entry(server).phase);
                     }
-                    todo.list_news = true;
+                    todo.list_changed = true;
+                }
+                ServerEvent::DiscoveryDown { down } => todo.discovery_down = Some(down),
+                ServerEvent::Action(Act::Rate { times }) => self.clients.rate_times(times),
+                ServerEvent::Action(Act::Reconnect { part, within }) => {
+                    self.clients.reconnect(now, part, within)
                 }
-                Told::ListDown { down } => todo.list_down = Some(down),
-                Told::Act(Act::Rate { times }) => self.clients.rate_times(times),
-                Told::Act(Act::Reconnect { part, within }) => self.clients.reconnect(now, part, within),
-                Told::Act(Act::Relay { relay, deed }) => todo.deeds.push((relay, deed)),
-                Told::Act(Act::Links { trouble, fault: Some((links, fault)) }) => {
+                ServerEvent::Action(Act::Relay { relay, deed }) => todo.relay_actions.push((relay, deed)),
+                ServerEvent::Action(Act::Links { trouble, fault: Some((links, fault)) }) => {
                     self.links.start_fault(trouble, links, fault);
                     self.look_at_links(now);
                 }
-                Told::Act(Act::Links { trouble, fault: None }) => {
+                ServerEvent::Action(Act::Links { trouble, fault: None }) => {
                     // Cut till now, and no longer.
                     self.look_at_links(now);
                     self.links.end_fault(now, trouble, &mut todo.arrivals);
                 }
-                Told::Act(Act::CutList { relay, cut }) => {
+                ServerEvent::Action(Act::CutList { relay, cut }) => {
                     self.list_cut[relay] = cut;
-                    todo.list_news = true;
+                    todo.list_changed = true;
                 }
                 other => kept.push(other),
             }
         }
-        todo.told = kept;
+        todo.server_events = kept;
     }
 
     /// The list has told a relay of these servers, as it stands.
-    pub fn list_told(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<Told>) {
+    pub fn list_sent(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<ServerEvent>) {
         self.servers.told(now, relay, servers, out);
         for &server in servers {
             self.audit.endpoint_notified(now, relay, server, self.servers.endpoints.entry(server).phase);
@@ -149,8 +160,9 @@
     }
 
     pub fn outcome(&self) -> Outcome {
-        let mut out = self.service.outcome(&self.s, self.seed, &self.servers, &self.clients, &self.audit);
-        if self.s.relays.fleet {
+        let mut out =
+            self.service.outcome(&self.scenario, self.seed, &self.servers, &self.clients, &self.audit);
+        if self.scenario.relays.fleet {
             let mut membership = self.membership_audit.outcome();
             let counts = self.links.counts;
             membership.datagrams = [counts.sent, counts.arrived, counts.lost, counts.corrupted];
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -2,7 +2,7 @@
 use super::lines::{self, Lines, Unread};
 use super::{Host, Shared, ToClient};
 use crate::audit::{Answer, RequestSent};
-use crate::clients::{mix, Ask, Heard};
+use crate::clients::{mix, ClientEvent, ClientRequest};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,32 +20,32 @@
     matches!(timeout(Duration::from_millis(500), asked).await, Ok(Some(_)))
 }
 
-pub async fn run(ask: Ask, commands: mpsc::Receiver<ToClient>, host: Shared) {
+pub async fn run(ask: ClientRequest, commands: mpsc::Receiver<ToClient>, host: Shared) {
     let mark = ask.mark;
     session(&ask, commands, &host).await;
     host.clients.borrow_mut().remove(&mark);
     host.asks.borrow_mut().remove(&mark);
 }
 
-fn heard(mark: u64, heard: Heard, host: &Rc<Host>) {
-    host.with(|day, now, _| day.clients.heard(now, mark, heard));
+fn heard(mark: u64, heard: ClientEvent, host: &Rc<Host>) {
+    host.with(|day, now, _| day.clients.handle(now, mark, heard));
 }
 
-async fn session(ask: &Ask, mut commands: mpsc::Receiver<ToClient>, host: &Rc<Host>) {
+async fn session(ask: &ClientRequest, mut commands: mpsc::Receiver<ToClient>, host: &Rc<Host>) {
     let mark = ask.mark;
     let addr = host.relays.borrow()[ask.relay];
     // A relay that does not take a connection for a second is as good as dead.
     let Ok(Ok(stream)) = timeout(Duration::from_secs(1), TcpStream::connect(addr)).await else {
-        return heard(mark, Heard::Unreached, host);
+        return heard(mark, ClientEvent::Unreachable, host);
     };
     _ = stream.set_nodelay(true);
     let line = {
         let day = host.day.borrow();
-        let at = ask.at.map(|i| day.servers.endpoints.identities[i].id.clone());
-        lines::open(ask, &day.s.listeners[ask.listener].name, at.as_deref()) + "\r\n"
+        let at = ask.pre_existing_at.map(|i| day.servers.endpoints.identities[i].id.clone());
+        lines::open(ask, &day.scenario.listeners[ask.listener].name, at.as_deref()) + "\r\n"
     };
     if !lines::write(&stream, line.as_bytes()).await {
-        return heard(mark, Heard::Unreached, host);
+        return heard(mark, ClientEvent::Unreachable, host);
     }
     host.with(|day, now, _| {
         day.audit.session_requested(
@@ -54,8 +54,8 @@
                 mark,
                 relay: ask.relay,
                 listener: ask.listener,
-                wait: ask.wait,
-                is_pre_existing: ask.at.is_some(),
+                wait: ask.dial_timeout,
+                is_pre_existing: ask.pre_existing_at.is_some(),
             },
         );
     });
@@ -68,19 +68,19 @@
         Ok(line) => match line.split_once(' ').unwrap_or((line, "")) {
             ("UP", receipt) => {
                 let receipt = receipt.strip_prefix('r').and_then(|r| u64::from_str_radix(r, 16).ok());
-                (Answer::Up(receipt.unwrap_or(0)), Heard::Up)
+                (Answer::Up(receipt.unwrap_or(0)), ClientEvent::Established)
             }
-            ("BUSY", ms) => (Answer::Busy, Heard::Busy(ms.parse::<u64>().unwrap_or(0) * 1000)),
-            ("BYE", _) => (Answer::Failed, Heard::Bye),
-            _ => (Answer::Failed, Heard::Failed),
+            ("BUSY", ms) => (Answer::Busy, ClientEvent::Rejected(ms.parse::<u64>().unwrap_or(0) * 1000)),
+            ("BYE", _) => (Answer::Failed, ClientEvent::Ended),
+            _ => (Answer::Failed, ClientEvent::Failed),
         },
-        Err(_) => (Answer::Closed, Heard::Closed),
+        Err(_) => (Answer::Closed, ClientEvent::Closed),
     };
     host.with(|day, now, _| {
         day.audit.client_answered(now, mark, &what.0);
-        day.clients.heard(now, mark, what.1);
+        day.clients.handle(now, mark, what.1);
     });
-    if what.1 == Heard::Up {
+    if what.1 == ClientEvent::Established {
         return open(ask, &stream, lines, commands, host).await;
     }
     if answer.is_ok() {
@@ -99,25 +99,25 @@
 
 /// Lines go and come, till one side has enough.
 async fn open(
-    ask: &Ask,
+    ask: &ClientRequest,
     stream: &TcpStream,
     mut lines: Lines,
     mut commands: mpsc::Receiver<ToClient>,
     host: &Rc<Host>,
 ) {
     let mark = ask.mark;
-    let period = Duration::from_micros(host.day.borrow().s.clients.message_s.us());
+    let period = Duration::from_micros(host.day.borrow().scenario.clients.message_s.us());
     // Each speaks at a moment of its own.
     let offset = Duration::from_micros(mix(mark) % period.as_micros().max(1) as u64);
     let mut messages = interval_at(Instant::now() + offset, period);
     messages.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut last = Heard::Closed;
+    let mut last = ClientEvent::Closed;
     let mut count = 0u64;
     loop {
         tokio::select! {
             line = lines.next(stream) => match line {
-                Ok(line) if line == "MOVE" => last = Heard::Moved,
-                Ok(line) if line.starts_with("BYE") => last = Heard::Bye,
+                Ok(line) if line == "MOVE" => last = ClientEvent::Migrated,
+                Ok(line) if line.starts_with("BYE") => last = ClientEvent::Ended,
                 Ok(_) => {}
                 Err(Unread::Ended | Unread::Reset | Unread::Long) => break,
             },
@@ -130,7 +130,7 @@
             }
         }
     }
-    if last == Heard::Closed {
+    if last == ClientEvent::Closed {
         host.cut_off(mark);
     }
     heard(mark, last, host);
--- a/emulator/src/net/lines.rs
+++ b/emulator/src/net/lines.rs
@@ -1,6 +1,6 @@
 //! The lines of the protocol as servers and clients have them. Parsed apart from the relay's own parsers, so
 //! that a fault there is not repeated here.
-use crate::clients::Ask;
+use crate::clients::ClientRequest;
 use std::io::ErrorKind;
 use std::os::fd::RawFd;
 use tokio::net::TcpStream;
@@ -92,15 +92,16 @@
 }
 
 /// A client's first line.
-pub fn open(ask: &Ask, listener: &str, at: Option<&str>) -> String {
-    let mut line = format!("OPEN {:016x} {:016x} c={listener},d={}", ask.mark, ask.key, ask.wait / 1000);
+pub fn open(ask: &ClientRequest, listener: &str, at: Option<&str>) -> String {
+    let mut line =
+        format!("OPEN {:016x} {:016x} c={listener},d={}", ask.mark, ask.key, ask.dial_timeout / 1000);
     if ask.group != 0 {
         line += &format!(",g={:016x}", ask.group);
     }
     if ask.retry {
         line += ",r=1";
     }
-    if ask.again {
+    if ask.returned {
         line += ",again=1";
     }
     if let Some(at) = at {
@@ -140,17 +141,17 @@
 
     #[test]
     fn a_line_is_the_clients_own_whatever_wait_it_names() {
-        let ask = Ask {
+        let ask = ClientRequest {
             mark: 0xab,
             relay: 0,
             listener: 0,
             key: 7,
             group: 9,
-            again: true,
+            returned: true,
             retry: false,
-            wait: 1_800_000,
-            at: None,
-            bye: None,
+            dial_timeout: 1_800_000,
+            pre_existing_at: None,
+            ended_after: None,
         };
         let line = open(&ask, "low", None);
         assert_eq!(line, "OPEN 00000000000000ab 0000000000000007 c=low,d=1800,g=0000000000000009,again=1");
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -36,16 +36,16 @@
         if until.is_err() {
             return;
         }
-        if let Some(next) = bound(relay, &host).await {
+        if let Some(next) = bind(relay, &host).await {
             listener = next;
         }
     }
 }
 
 /// A free port for a relay's list, known to the host from now on.
-pub async fn bound(relay: usize, host: &Rc<Host>) -> Option<TcpListener> {
+pub async fn bind(relay: usize, host: &Rc<Host>) -> Option<TcpListener> {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.ok()?;
-    host.list_at.borrow_mut()[relay] = listener.local_addr().ok()?;
+    host.list_addresses.borrow_mut()[relay] = listener.local_addr().ok()?;
     Some(listener)
 }
 
@@ -120,7 +120,7 @@
     let line = text(relay, true, &servers, host);
     // What a whole list leaves out is gone; all that there is was told.
     let all: Vec<usize> = (0..host.day.borrow().servers.len()).collect();
-    host.with(|day, now, todo| day.list_told(now, relay, &all, &mut todo.told));
+    host.with(|day, now, todo| day.list_sent(now, relay, &all, &mut todo.server_events));
     line
 }
 
@@ -152,7 +152,7 @@
             if to.send_data(text(relay, false, &servers, &host).into()).await.is_err() {
                 return;
             }
-            host.with(|day, now, todo| day.list_told(now, relay, &servers, &mut todo.told));
+            host.with(|day, now, todo| day.list_sent(now, relay, &servers, &mut todo.server_events));
         }
         match tokio::time::timeout(Duration::from_secs(2), news.changed()).await {
             Ok(Ok(())) => {}
--- a/emulator/src/net/bad.rs
+++ b/emulator/src/net/malformed.rs
@@ -15,7 +15,7 @@
 pub async fn run(host: Shared) {
     let (rate, sorts, begin, end, seed) = {
         let day = host.day.borrow();
-        (day.s.bad.rate.0, day.s.bad.sorts.clone(), day.begin, day.end, day.seed)
+        (day.scenario.bad.rate.0, day.scenario.bad.sorts.clone(), day.begin, day.end, day.seed)
     };
     if rate <= 0.0 || sorts.is_empty() {
         return;
@@ -36,10 +36,10 @@
     let addr = host.relays.borrow()[relay];
     // A relay that is down owes nothing.
     let Ok(Ok(stream)) = timeout(OWED, TcpStream::connect(addr)).await else { return };
-    host.bad.borrow_mut().came += 1;
+    host.malformed_clients.borrow_mut().came += 1;
     let owed = if sort == BadSort::Huge { OWED * 2 } else { OWED };
     let ended = timeout(owed, play(sort, draw, &stream, &host)).await.is_ok();
-    let mut figures = host.bad.borrow_mut();
+    let mut figures = host.malformed_clients.borrow_mut();
     if ended {
         figures.answered += 1;
     } else {
@@ -53,7 +53,7 @@
 
 /// Returns as the relay has answered or ended it.
 async fn play(sort: BadSort, draw: u64, stream: &TcpStream, host: &Shared) {
-    let listener = host.day.borrow().s.listeners[0].name.clone();
+    let listener = host.day.borrow().scenario.listeners[0].name.clone();
     let good = line(draw, &listener, "1000");
     let sent = match sort {
         BadSort::Noise => vec![0xff, 0x00, 0x80, b'\n', b'\r', b'\n', 0xfe, b'\r', b'\n'],
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -1,19 +1,19 @@
 //! The models on sockets of 127.0.0.0/8: servers, list service, clients and front, in one process and one
 //! thread. The models decide; tasks here carry bytes and tell the models when.
-pub mod bad;
 pub mod client;
 pub mod lines;
 pub mod links;
 pub mod list;
+pub mod malformed;
 pub mod server;
 
 use crate::audit::DialOutcome;
-use crate::clients::{mix, Ask, Does};
-use crate::day::{Day, Todo};
+use crate::clients::{mix, ClientAction, ClientRequest};
+use crate::day::{Day, DriverActions};
 use crate::links::Arrival;
 use crate::membership_audit::ProcessState;
-use crate::script::Deed;
-use crate::servers::{ConnNo, Told, Word};
+use crate::script::RelayAction;
+use crate::servers::{ConnectionId, ServerEvent, ServerLine};
 use crate::service::BadFigures;
 use hallrelay_balancer::types::Micros;
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
 /// What a server's connection is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ToConn {
-    Word(Word),
+    ServerLine(ServerLine),
     Reset,
 }
 
@@ -70,13 +70,13 @@
 pub struct Host {
     pub day: RefCell<Day>,
     pub clock: Clock,
-    conns: RefCell<BTreeMap<ConnNo, Conn>>,
+    conns: RefCell<BTreeMap<ConnectionId, Conn>>,
     /// The same by mark.
-    by_mark: RefCell<std::collections::BTreeSet<(u64, ConnNo)>>,
+    by_mark: RefCell<std::collections::BTreeSet<(u64, ConnectionId)>>,
     clients: RefCell<BTreeMap<u64, mpsc::Sender<ToClient>>>,
     /// The asks whose clients are there, for servers to compare lines with.
-    asks: RefCell<BTreeMap<u64, Ask>>,
-    next_conn: Cell<ConnNo>,
+    asks: RefCell<BTreeMap<u64, ClientRequest>>,
+    next_conn: Cell<ConnectionId>,
     /// Where servers listen, by relay and server.
     pub servers: Vec<Vec<SocketAddr>>,
     /// Where relays listen.
@@ -87,18 +87,18 @@
     pub list_down: Cell<bool>,
     /// By relay: counted up as its list service moves.
     pub list_moves: RefCell<Vec<watch::Sender<u64>>>,
-    pub list_at: RefCell<Vec<SocketAddr>>,
+    pub list_addresses: RefCell<Vec<SocketAddr>>,
     /// Datagrams that were held between relays, and go on.
     arrivals: RefCell<Vec<Arrival>>,
     let_go: tokio::sync::Notify,
-    deeds: RefCell<Vec<(usize, Deed)>>,
+    deeds: RefCell<Vec<(usize, RelayAction)>>,
     deed_due: tokio::sync::Notify,
     stepped: tokio::sync::Notify,
     /// How late the models were stepped at most.
-    pub late: Cell<Micros>,
-    pub bad: RefCell<BadFigures>,
+    pub max_delay: Cell<Micros>,
+    pub malformed_clients: RefCell<BadFigures>,
     /// Whether lines of clients that are not ours are taken as well; the auditor does not see them.
-    pub open_house: Cell<bool>,
+    pub accepts_foreign_clients: Cell<bool>,
     /// Where bytes go that nobody reads.
     waste: RefCell<Vec<u8>>,
 }
@@ -123,15 +123,15 @@
             news: watch::channel(0).0,
             list_down: Cell::new(false),
             list_moves: RefCell::new((0..count).map(|_| watch::channel(0).0).collect()),
-            list_at: RefCell::new(vec![nowhere; count]),
+            list_addresses: RefCell::new(vec![nowhere; count]),
             arrivals: RefCell::default(),
             let_go: tokio::sync::Notify::new(),
             deeds: RefCell::default(),
             deed_due: tokio::sync::Notify::new(),
             stepped: tokio::sync::Notify::new(),
-            late: Cell::new(0),
-            bad: RefCell::default(),
-            open_house: Cell::new(false),
+            max_delay: Cell::new(0),
+            malformed_clients: RefCell::default(),
+            accepts_foreign_clients: Cell::new(false),
             waste: RefCell::new(vec![0; 1 << 16]),
         })
     }
@@ -141,8 +141,8 @@
     }
 
     /// Calls the models, and carries out what they want by it.
-    pub fn with<T>(self: &Rc<Host>, call: impl FnOnce(&mut Day, Micros, &mut Todo) -> T) -> T {
-        let mut todo = Todo::default();
+    pub fn with<T>(self: &Rc<Host>, call: impl FnOnce(&mut Day, Micros, &mut DriverActions) -> T) -> T {
+        let mut todo = DriverActions::default();
         let now = self.now();
         let result = call(&mut self.day.borrow_mut(), now, &mut todo);
         self.carry_out(&mut todo);
@@ -150,13 +150,14 @@
         result
     }
 
-    fn carry_out(self: &Rc<Host>, todo: &mut Todo) {
+    fn carry_out(self: &Rc<Host>, todo: &mut DriverActions) {
         let now = self.now();
         while !todo.is_empty() {
-            self.day.borrow_mut().sort(now, todo);
-            let (told, does) = (std::mem::take(&mut todo.told), std::mem::take(&mut todo.does));
-            let (news, down) = (std::mem::take(&mut todo.list_news), todo.list_down.take());
-            let deeds = std::mem::take(&mut todo.deeds);
+            self.day.borrow_mut().take_internal_events(now, todo);
+            let (told, does) =
+                (std::mem::take(&mut todo.server_events), std::mem::take(&mut todo.client_actions));
+            let (news, down) = (std::mem::take(&mut todo.list_changed), todo.discovery_down.take());
+            let deeds = std::mem::take(&mut todo.relay_actions);
             told.into_iter().for_each(|one| self.told(now, one));
             does.into_iter().for_each(|one| self.does(one));
             if let Some(down) = down {
@@ -177,48 +178,48 @@
         }
     }
 
-    fn told(self: &Rc<Host>, now: Micros, told: Told) {
+    fn told(self: &Rc<Host>, now: Micros, told: ServerEvent) {
         match told {
-            Told::Word { conn, word } => {
+            ServerEvent::Line { connection: conn, line: word } => {
                 let over = match word {
-                    Word::Up | Word::Load(_) => None,
-                    Word::Busy => Some(DialOutcome::NeverRan),
-                    Word::Err | Word::Bye | Word::Move => Some(DialOutcome::MayHaveRan),
+                    ServerLine::Up | ServerLine::Load(_) => None,
+                    ServerLine::Busy => Some(DialOutcome::NeverRan),
+                    ServerLine::Err | ServerLine::Bye | ServerLine::Move => Some(DialOutcome::MayHaveRan),
                 };
                 let conns = self.conns.borrow();
                 let Some(c) = conns.get(&conn) else { return };
                 let audit = &mut self.day.borrow_mut().audit;
-                if word == Word::Up {
+                if word == ServerLine::Up {
                     audit.session_established(now, c.mark, c.server, conn);
                 }
                 if let Some(over) = over {
                     audit.dial_ended(now, c.mark, c.server, over);
                 }
                 // Places are kept for words that must not be lost.
-                if !matches!(word, Word::Load(_)) || c.to.capacity() > 4 {
-                    _ = c.to.try_send(ToConn::Word(word));
+                if !matches!(word, ServerLine::Load(_)) || c.to.capacity() > 4 {
+                    _ = c.to.try_send(ToConn::ServerLine(word));
                 }
             }
-            Told::Reset { conn } => {
+            ServerEvent::Reset { connection: conn } => {
                 if let Some(c) = self.forget(conn) {
                     self.day.borrow_mut().audit.dial_ended(now, c.mark, c.server, DialOutcome::MayHaveRan);
                     _ = c.to.try_send(ToConn::Reset);
                 }
             }
-            Told::Reach { .. } => self.reach.send_modify(|n| *n += 1),
+            ServerEvent::ReachabilityChanged { .. } => self.reach.send_modify(|n| *n += 1),
             _ => {}
         }
     }
 
-    fn does(self: &Rc<Host>, does: Does) {
+    fn does(self: &Rc<Host>, does: ClientAction) {
         match does {
-            Does::Opens(ask) => {
+            ClientAction::Open(ask) => {
                 let (to, commands) = mpsc::channel(2);
                 self.clients.borrow_mut().insert(ask.mark, to);
                 self.asks.borrow_mut().insert(ask.mark, ask.clone());
                 tokio::task::spawn_local(client::run(ask, commands, self.clone()));
             }
-            Does::Leaves { mark } => {
+            ClientAction::Leave { mark } => {
                 if let Some(to) = self.clients.borrow().get(&mark) {
                     _ = to.try_send(ToClient::Leave);
                 }
@@ -231,7 +232,7 @@
         loop {
             let (next, end) = {
                 let day = self.day.borrow();
-                (day.next(), day.end)
+                (day.next_at(), day.end)
             };
             if next > end {
                 tokio::time::sleep_until(self.clock.at(end)).await;
@@ -240,7 +241,7 @@
             tokio::select! {
                 () = tokio::time::sleep_until(self.clock.at(next)) => {
                     let now = self.now();
-                    self.late.set(self.late.get().max(now.saturating_sub(next)));
+                    self.max_delay.set(self.max_delay.get().max(now.saturating_sub(next)));
                     self.with(|day, now, todo| day.step(now, todo));
                 }
                 // What was called meanwhile may be due sooner.
@@ -250,7 +251,7 @@
     }
 
     /// The next things to be done to relays.
-    pub async fn deeds(&self) -> Vec<(usize, Deed)> {
+    pub async fn next_relay_actions(&self) -> Vec<(usize, RelayAction)> {
         loop {
             let due = std::mem::take(&mut *self.deeds.borrow_mut());
             if !due.is_empty() {
@@ -263,35 +264,35 @@
     /// Guards the auditor from the order in which tasks run: a dial whose relay has closed it by now is over,
     /// though its task has not read that yet.
     fn settle(self: &Rc<Host>, mark: u64) {
-        let ended: Vec<ConnNo> =
+        let ended: Vec<ConnectionId> =
             self.of(mark).into_iter().filter(|(_, _, fd)| lines::has_ended(*fd)).map(|c| c.0).collect();
         ended.into_iter().for_each(|conn| self.closed(conn));
     }
 
-    fn remember(&self, no: ConnNo, conn: Conn) {
+    fn remember(&self, no: ConnectionId, conn: Conn) {
         self.by_mark.borrow_mut().insert((conn.mark, no));
         self.conns.borrow_mut().insert(no, conn);
     }
 
-    fn forget(&self, no: ConnNo) -> Option<Conn> {
+    fn forget(&self, no: ConnectionId) -> Option<Conn> {
         let conn = self.conns.borrow_mut().remove(&no)?;
         self.by_mark.borrow_mut().remove(&(conn.mark, no));
         Some(conn)
     }
 
     /// The servers' connections of a mark: number, server, descriptor.
-    fn of(&self, mark: u64) -> Vec<(ConnNo, usize, RawFd)> {
+    fn of(&self, mark: u64) -> Vec<(ConnectionId, usize, RawFd)> {
         let (by_mark, conns) = (self.by_mark.borrow(), self.conns.borrow());
-        let numbers = by_mark.range((mark, 0)..=(mark, ConnNo::MAX)).map(|(_, no)| *no);
+        let numbers = by_mark.range((mark, 0)..=(mark, ConnectionId::MAX)).map(|(_, no)| *no);
         numbers.filter_map(|no| conns.get(&no).map(|c| (no, c.server, c.fd))).collect()
     }
 
     /// A relay's connection to a server is over by the relay's doing.
-    fn closed(self: &Rc<Host>, conn: ConnNo) {
+    fn closed(self: &Rc<Host>, conn: ConnectionId) {
         let Some(c) = self.forget(conn) else { return };
         self.with(|day, now, todo| {
             day.audit.dial_ended(now, c.mark, c.server, DialOutcome::MayHaveRan);
-            day.servers.closed(now, conn, &mut todo.told);
+            day.servers.connection_closed(now, conn, &mut todo.server_events);
         });
     }
 
@@ -299,7 +300,7 @@
     fn cut_off(self: &Rc<Host>, mark: u64) {
         let Some(&(conn, server, _)) = self.of(mark).first() else { return };
         self.with(|day, now, _| {
-            if day.servers.has(conn) && day.servers.is_up(server) {
+            if day.servers.has_connection(conn) && day.servers.is_up(server) {
                 day.audit.connection_cut(now, mark);
             }
         });
@@ -310,21 +311,21 @@
         self.with(|day, now, _| {
             day.audit.relay_ended(now, relay);
             day.membership_audit.process_changed(now, relay, ProcessState::Down);
-            day.servers.forgets(relay);
-            day.clients.relay_is(now, relay, false);
+            day.servers.relay_restarted(relay);
+            day.clients.set_relay_serving(now, relay, false);
         });
     }
 
     /// It takes no new ones, though it still answers those that it has.
-    pub fn relay_stops(self: &Rc<Host>, relay: usize) {
+    pub fn relay_stopping(self: &Rc<Host>, relay: usize) {
         self.with(|day, now, _| {
-            day.clients.relay_is(now, relay, false);
+            day.clients.set_relay_serving(now, relay, false);
             day.membership_audit.process_changed(now, relay, ProcessState::Stopping);
         });
     }
 
     /// A relay's process stands still from now on, or goes on.
-    pub fn relay_stalls(self: &Rc<Host>, relay: usize, stalls: bool) {
+    pub fn set_relay_stalled(self: &Rc<Host>, relay: usize, stalls: bool) {
         self.with(|day, now, _| {
             let process = if stalls { ProcessState::Stalled } else { ProcessState::Up };
             day.membership_audit.process_changed(now, relay, process);
@@ -350,7 +351,7 @@
         };
         let up = tokio::time::timeout(within, pinged).await.is_ok();
         if up {
-            self.with(|day, now, _| day.clients.relay_is(now, relay, true));
+            self.with(|day, now, _| day.clients.set_relay_serving(now, relay, true));
         }
         up
     }
@@ -377,7 +378,7 @@
 
 /// Where servers listen, an address for each relay and server so that either side tells who it is. All are
 /// bound once, to see that they are free.
-pub fn places(relays: usize, servers: usize) -> Result<Vec<Vec<SocketAddr>>, String> {
+pub fn endpoint_addresses(relays: usize, servers: usize) -> Result<Vec<Vec<SocketAddr>>, String> {
     // 127.16 to 127.79 are the relays' sides, away from 127.0.0.1 where others listen.
     let place = |relay: usize, server: usize| {
         free_port(Ipv4Addr::new(127, 16 + relay as u8, (server / 250) as u8, (server % 250 + 1) as u8))
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -2,8 +2,8 @@
 use super::lines::{self, Lines, Unread};
 use super::{Conn, Host, Shared, ToConn};
 use crate::audit::DialReceived;
-use crate::clients::Ask;
-use crate::servers::{Dialled, Reach, Word};
+use crate::clients::ClientRequest;
+use crate::servers::{DialRequest, Reachability, ServerLine};
 use hallrelay_config::scenario::Fault;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::net::SocketAddr;
@@ -30,34 +30,36 @@
     let addr = host.servers[relay][server];
     let mut changed = host.reach.subscribe();
     loop {
-        let reach = host.day.borrow().servers.reach(server, relay);
+        let reach = host.day.borrow().servers.reachability(server, relay);
         let what = match reach {
-            Reach::Refused => {
+            Reachability::Refused => {
                 _ = changed.changed().await;
                 continue;
             }
-            Reach::Open => socket(addr, BACKLOG),
-            Reach::NeverUp => socket(addr, 0),
+            Reachability::Open => socket(addr, BACKLOG),
+            Reachability::Unresponsive => socket(addr, 0),
         };
         let what = match what {
             Ok(what) => what,
             Err(e) => {
-                host.with(|day, now, _| day.service.note(now, format!("{addr} cannot be listened on: {e}")));
+                host.with(|day, now, _| {
+                    day.service.log_event(now, format!("{addr} cannot be listened on: {e}"))
+                });
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 continue;
             }
         };
-        if reach == Reach::NeverUp {
+        if reach == Reachability::Unresponsive {
             // Connections that nobody takes fill the place there is: what comes after them never comes up.
             let fillers: Vec<_> = (0..4).map(|_| filler(addr)).collect();
-            while host.day.borrow().servers.reach(server, relay) == Reach::NeverUp {
+            while host.day.borrow().servers.reachability(server, relay) == Reachability::Unresponsive {
                 _ = changed.changed().await;
             }
             drop(fillers);
             continue;
         }
         let Ok(listener) = TcpListener::from_std(what.into()) else { continue };
-        while host.day.borrow().servers.reach(server, relay) == Reach::Open {
+        while host.day.borrow().servers.reachability(server, relay) == Reachability::Open {
             tokio::select! {
                 taken = listener.accept() => match taken {
                     Ok((stream, _)) => {
@@ -100,7 +102,7 @@
 }
 
 async fn conn(server: usize, relay: usize, stream: TcpStream, host: Shared) {
-    let fault = host.day.borrow_mut().servers.fault(server);
+    let fault = host.day.borrow_mut().servers.draw_wire_fault(server);
     if matches!(fault, Some(Fault::ResetBefore | Fault::Refused)) {
         return reset(stream);
     }
@@ -162,29 +164,29 @@
             }
             _ = reach.changed() => continue,
         };
-        let Some(ToConn::Word(word)) = command else {
+        let Some(ToConn::ServerLine(word)) = command else {
             // Reset, or nobody can say anything any more.
             return reset(stream);
         };
         let text = match word {
-            Word::Up => {
+            ServerLine::Up => {
                 let no = session.as_mut().map_or(0, |s| {
                     s.open = true;
                     s.no
                 });
                 format!("UP r{no:x}\r\n")
             }
-            Word::Busy => "BUSY\r\n".to_string(),
-            Word::Err => "ERR\r\n".to_string(),
-            Word::Bye => "BYE\r\n".to_string(),
-            Word::Move => "MOVE\r\n".to_string(),
-            Word::Load(x) => format!("LOAD {x:.1}\r\n"),
+            ServerLine::Busy => "BUSY\r\n".to_string(),
+            ServerLine::Err => "ERR\r\n".to_string(),
+            ServerLine::Bye => "BYE\r\n".to_string(),
+            ServerLine::Move => "MOVE\r\n".to_string(),
+            ServerLine::Load(x) => format!("LOAD {x:.1}\r\n"),
         };
         let written = lines::write(&stream, text.as_bytes()).await;
         if !written {
             break;
         }
-        if !matches!(word, Word::Up | Word::Load(_)) {
+        if !matches!(word, ServerLine::Up | ServerLine::Load(_)) {
             // The last word is out: the end follows, once the other side has read it.
             if let Some(s) = session.take() {
                 host.forget(s.no);
@@ -201,7 +203,7 @@
 
 /// Waits as long as the machine is silent or cut off.
 async fn mute(server: usize, relay: usize, reach: &mut watch::Receiver<u64>, host: &Rc<Host>) {
-    while !host.day.borrow().servers.speaks(server, relay) {
+    while !host.day.borrow().servers.can_send(server, relay) {
         if reach.changed().await.is_err() {
             return;
         }
@@ -239,9 +241,10 @@
 }
 
 async fn probed(server: usize, relay: usize, line: &str, stream: &TcpStream, host: &Rc<Host>) -> bool {
-    let (done, figures) = host.with(|day, now, todo| day.servers.probed(now, server, relay, &mut todo.told));
+    let (done, figures) =
+        host.with(|day, now, todo| day.servers.answer_probe(now, server, relay, &mut todo.server_events));
     tokio::time::sleep_until(host.clock.at(done)).await;
-    if !host.day.borrow().servers.speaks(server, relay) {
+    if !host.day.borrow().servers.can_send(server, relay) {
         return true;
     }
     let text = if line == "PING" {
@@ -273,60 +276,60 @@
     let no = host.next_conn.get() + 1;
     host.next_conn.set(no);
     host.remember(no, Conn { to: to.clone(), mark, server: at.server, fd: at.fd });
-    let dialled = Dialled {
+    let dialled = DialRequest {
         server: at.server,
         relay: at.relay,
         listener: ask.listener,
         key: ask.key,
         group: ask.group,
-        standing: ask.at.is_some(),
-        life: ask.bye,
+        is_pre_existing: ask.pre_existing_at.is_some(),
+        lifetime: ask.ended_after,
     };
     let held = matches!(at.fault, Some(Fault::Silence | Fault::HalfLine));
     host.with(|day, now, todo| {
-        if !host.open_house.get() {
+        if !host.accepts_foreign_clients.get() {
             day.audit.dial_received(
                 now,
                 &DialReceived { mark, relay: at.relay, backend: at.server, first_byte_at: first },
             );
         }
         if !held {
-            day.servers.dialled(now, no, &dialled, &mut todo.told);
+            day.servers.dial_received(now, no, &dialled, &mut todo.server_events);
         }
     });
     Ok(no)
 }
 
 /// The client of ours that sent a line, where it is as that one sent it.
-fn known(line: &str, host: &Rc<Host>) -> Option<(u64, Ask)> {
+fn known(line: &str, host: &Rc<Host>) -> Option<(u64, ClientRequest)> {
     let (mark, rest) = lines::opened(line)?;
     let ask = host.asks.borrow().get(&mark)?.clone();
     let day = host.day.borrow();
-    let at = ask.at.map(|i| day.servers.endpoints.identities[i].id.clone());
-    let sent = lines::open(&ask, &day.s.listeners[ask.listener].name, at.as_deref());
+    let at = ask.pre_existing_at.map(|i| day.servers.endpoints.identities[i].id.clone());
+    let sent = lines::open(&ask, &day.scenario.listeners[ask.listener].name, at.as_deref());
     (lines::opened(&sent)?.1 == rest).then_some((mark, ask))
 }
 
 /// A line of a client that is not ours, where such are taken.
-fn foreign(line: &str, host: &Rc<Host>) -> Option<(u64, Ask)> {
-    let (mark, rest) = lines::opened(line).filter(|_| host.open_house.get())?;
+fn foreign(line: &str, host: &Rc<Host>) -> Option<(u64, ClientRequest)> {
+    let (mark, rest) = lines::opened(line).filter(|_| host.accepts_foreign_clients.get())?;
     let value = |name: &str| rest.split([' ', ',']).filter_map(|p| p.split_once('=')).find(|p| p.0 == name);
     let hex = |text: &str| u64::from_str_radix(text, 16).ok();
     let day = host.day.borrow();
     let listener = value("c")?.1;
     Some((
         mark,
-        Ask {
+        ClientRequest {
             mark,
             relay: 0,
-            listener: day.s.listeners.iter().position(|l| l.name == listener)?,
+            listener: day.scenario.listeners.iter().position(|l| l.name == listener)?,
             key: rest.split(' ').nth(1).and_then(hex)?,
             group: value("g").and_then(|v| hex(v.1)).unwrap_or(0),
-            again: value("again").is_some(),
+            returned: value("again").is_some(),
             retry: value("r").is_some(),
-            wait: 0,
-            at: None,
-            bye: None,
+            dial_timeout: 0,
+            pre_existing_at: None,
+            ended_after: None,
         },
     ))
 }
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -6,7 +6,7 @@
 
 /// Where one relay listens and finds the list.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct RelayPlacement {
     pub relay: usize,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -61,7 +61,12 @@
 }
 
 /// The whole text, with the list as this relay last had it.
-pub fn text(s: &Scenario, place: &Place, endpoints: &EndpointList, addr: impl Fn(usize) -> String) -> Value {
+pub fn text(
+    s: &Scenario,
+    place: &RelayPlacement,
+    endpoints: &EndpointList,
+    addr: impl Fn(usize) -> String,
+) -> Value {
     let known = match s.relays.known {
         KnownList::Newest => endpoints.json(true, &endpoints.present(), addr),
         KnownList::First => endpoints.initial_json(addr),
--- a/emulator/src/script.rs
+++ b/emulator/src/script.rs
@@ -78,7 +78,7 @@
     },
     Relay {
         relay: usize,
-        deed: Deed,
+        deed: RelayAction,
     },
     /// A fault of links between relays starts, or ends.
     Links {
@@ -102,17 +102,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum RelayAction {
     Kill,
     Stop,
     Start,
     Reload,
     Stall,
-    Wake,
+    Resume,
     /// Another process takes the place of the running one.
     Replace,
     /// An operator wants it out for so long, and asks till it is let out.
-    WantOut(Micros),
+    RequestLease(Micros),
 }
 
 /// A trouble as a page shows it, in microseconds from the day's beginning.
@@ -269,23 +269,25 @@
                 self.acts.schedule(from, Act::ListLate { by: seconds });
                 self.acts.schedule(to, Act::ListLate { by: 0 });
             }
-            TroubleKind::RelayKilled => self.relays(from, Deed::Kill, Some((to, Deed::Start))),
-            TroubleKind::RelayStopped => self.relays(from, Deed::Stop, Some((to, Deed::Start))),
-            TroubleKind::RelayStalled => self.relays(from, Deed::Stall, Some((to, Deed::Wake))),
-            TroubleKind::RelayReloaded => self.relays(from, Deed::Reload, None),
-            TroubleKind::RelayReplaced => self.relays(from, Deed::Replace, None),
+            TroubleKind::RelayKilled => self.relays(from, RelayAction::Kill, Some((to, RelayAction::Start))),
+            TroubleKind::RelayStopped => self.relays(from, RelayAction::Stop, Some((to, RelayAction::Start))),
+            TroubleKind::RelayStalled => {
+                self.relays(from, RelayAction::Stall, Some((to, RelayAction::Resume)))
+            }
+            TroubleKind::RelayReloaded => self.relays(from, RelayAction::Reload, None),
+            TroubleKind::RelayReplaced => self.relays(from, RelayAction::Replace, None),
             TroubleKind::RelaysOut => {
                 let stay = if strength > 0.0 { seconds } else { 3_000_000 };
-                self.relays(from, Deed::WantOut(stay), None);
+                self.relays(from, RelayAction::RequestLease(stay), None);
             }
             TroubleKind::RelayLooping => {
                 let every = self.t.every_s.us();
                 for relay in self.met_relays() {
                     let mut at = from;
                     while at < to {
-                        self.acts.schedule(at, Act::Relay { relay, deed: Deed::Kill });
+                        self.acts.schedule(at, Act::Relay { relay, deed: RelayAction::Kill });
                         at += every;
-                        self.acts.schedule(at.min(to), Act::Relay { relay, deed: Deed::Start });
+                        self.acts.schedule(at.min(to), Act::Relay { relay, deed: RelayAction::Start });
                         // As long as it takes to die once more, it lives.
                         at += every;
                     }
@@ -331,7 +333,7 @@
         }
     }
 
-    fn relays(&mut self, from: Micros, deed: Deed, then: Option<(Micros, Deed)>) {
+    fn relays(&mut self, from: Micros, deed: RelayAction, then: Option<(Micros, RelayAction)>) {
         for relay in self.met_relays() {
             self.acts.schedule(from, Act::Relay { relay, deed });
             if let Some((at, deed)) = then {
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -16,24 +16,24 @@
 pub const PREPARED: Micros = 60_000_000;
 
 /// A relay's connection to a server, numbered by who drives them.
-pub type ConnNo = u64;
+pub type ConnectionId = u64;
 
 /// A first line, as it comes to a server.
 #[derive(Clone, Debug, Default)]
-pub struct Dialled {
+pub struct DialRequest {
     pub server: usize,
     pub relay: usize,
     pub listener: usize,
     pub key: u64,
     pub group: u64,
     /// Stood here before the relay started.
-    pub standing: bool,
+    pub is_pre_existing: bool,
     /// When the server is to end it with `BYE`; none where the client will leave.
-    pub life: Option<Micros>,
+    pub lifetime: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum ServerLine {
     Up,
     Busy,
     Err,
@@ -43,53 +43,53 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ServerEvent {
     /// A line on a connection; all but `UP` and `LOAD` end it.
-    Word {
-        conn: ConnNo,
-        word: Word,
+    Line {
+        connection: ConnectionId,
+        line: ServerLine,
     },
     /// A connection is reset.
     Reset {
-        conn: ConnNo,
+        connection: ConnectionId,
     },
     /// Whether connecting to a server works has changed.
-    Reach {
+    ReachabilityChanged {
         server: usize,
     },
     /// The list service has news, or is down or back.
-    List,
-    ListDown {
+    EndpointListChanged,
+    DiscoveryDown {
         down: bool,
     },
     /// A cold server fell over; whether those who knew of its start are to blame.
-    Fell {
+    Overloaded {
         server: usize,
         blamed: bool,
     },
     /// What the script asks of others: arrivals, clients, relays.
-    Act(Act),
+    Action(Act),
     /// For those who watch.
     Log(String),
 }
 
 /// What connecting meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     Open,
     Refused,
-    NeverUp,
+    Unresponsive,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Due {
     /// The set-up of a session is done.
-    Ready(ConnNo),
+    Ready(ConnectionId),
     /// Its load changes, or its life is over.
-    Changes(ConnNo),
-    Ends(ConnNo),
+    Changes(ConnectionId),
+    Ends(ConnectionId),
     /// A drain sends it away.
-    SentAway(ConnNo),
+    SentAway(ConnectionId),
     /// A server's report is taken.
     Report(usize),
     /// Once a second: delays are told; and each bucket while it is cold.
@@ -114,7 +114,7 @@
 struct Node {
     server: Server,
     zone: usize,
-    conns: BTreeSet<ConnNo>,
+    conns: BTreeSet<ConnectionId>,
     groups: BTreeMap<u64, u32>,
     /// Open sessions by listener.
     open: Vec<u32>,
@@ -160,7 +160,7 @@
     s: Scenario,
     nodes: Vec<Node>,
     /// Looked up and never walked.
-    conns: HashMap<ConnNo, Conn>,
+    conns: HashMap<ConnectionId, Conn>,
     due: EventQueue<Due>,
     acts: EventQueue<Act>,
     pub endpoints: EndpointList,
@@ -256,7 +256,7 @@
     }
 
     /// All that is due by now, in order.
-    pub fn step(&mut self, now: Micros, out: &mut Vec<Told>) {
+    pub fn step(&mut self, now: Micros, out: &mut Vec<ServerEvent>) {
         loop {
             let (due, acts) = (self.due.next_at(), self.acts.next_at());
             let acts_first = acts.is_some_and(|at| due.is_none_or(|d| at <= d));
@@ -273,15 +273,15 @@
         self.now = self.now.max(now);
     }
 
-    fn fall_due(&mut self, due: Due, out: &mut Vec<Told>) {
+    fn fall_due(&mut self, due: Due, out: &mut Vec<ServerEvent>) {
         let now = self.now;
         match due {
             Due::Ready(conn) => self.ready(conn, out),
             Due::Changes(conn) => self.changes(conn, out),
-            Due::Ends(conn) => self.says_last(conn, Word::Bye, out),
+            Due::Ends(conn) => self.says_last(conn, ServerLine::Bye, out),
             Due::SentAway(conn) => {
                 if self.conns.get(&conn).is_some_and(|c| self.nodes[c.server].server.draining) {
-                    self.says_last(conn, Word::Move, out);
+                    self.says_last(conn, ServerLine::Move, out);
                 }
             }
             Due::Report(server) => {
@@ -317,32 +317,35 @@
         }
     }
 
-    fn advance(&mut self, server: usize, out: &mut Vec<Told>) {
+    fn advance(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         if self.nodes[server].server.advance(self.now) {
             self.fell(server, out);
         }
     }
 
-    fn fell(&mut self, server: usize, out: &mut Vec<Told>) {
+    fn fell(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         self.counts.fell += 1;
         let blamed = self.nodes[server].server.blames_the_told();
-        out.push(Told::Log(format!("{} falls over while it is cold", self.endpoints.identities[server].id)));
-        out.push(Told::Fell { server, blamed });
+        out.push(ServerEvent::Log(format!(
+            "{} falls over while it is cold",
+            self.endpoints.identities[server].id
+        )));
+        out.push(ServerEvent::Overloaded { server, blamed });
         self.lose(server, out);
-        out.push(Told::Reach { server });
+        out.push(ServerEvent::ReachabilityChanged { server });
         self.notice_later(server, self.s.list.notice_s.map(|t| t.us()));
     }
 
     /// Resets all connections of a server.
-    fn lose(&mut self, server: usize, out: &mut Vec<Told>) {
+    fn lose(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         for conn in std::mem::take(&mut self.nodes[server].conns) {
             self.drop_conn(conn);
-            out.push(Told::Reset { conn });
+            out.push(ServerEvent::Reset { connection: conn });
         }
     }
 
     /// Takes a connection out of all sums.
-    fn drop_conn(&mut self, conn: ConnNo) -> Option<Conn> {
+    fn drop_conn(&mut self, conn: ConnectionId) -> Option<Conn> {
         let c = self.conns.remove(&conn)?;
         let n = &mut self.nodes[c.server];
         n.conns.remove(&conn);
@@ -367,14 +370,14 @@
         Some(c)
     }
 
-    fn says_last(&mut self, conn: ConnNo, word: Word, out: &mut Vec<Told>) {
+    fn says_last(&mut self, conn: ConnectionId, word: ServerLine, out: &mut Vec<ServerEvent>) {
         let Some(server) = self.conns.get(&conn).map(|c| c.server) else { return };
         if self.nodes[server].server.life != Life::Up {
             return;
         }
         self.advance(server, out);
         if self.drop_conn(conn).is_some() {
-            out.push(Told::Word { conn, word });
+            out.push(ServerEvent::Line { connection: conn, line: word });
         }
     }
 
@@ -389,32 +392,32 @@
     }
 
     /// Whether a server says anything to a relay now.
-    pub fn speaks(&self, server: usize, relay: usize) -> bool {
+    pub fn can_send(&self, server: usize, relay: usize) -> bool {
         self.nodes[server].server.life != Life::Silent && !self.is_cut(server, relay)
     }
 
     /// What a relay meets that connects now.
-    pub fn reach(&self, server: usize, relay: usize) -> Reach {
+    pub fn reachability(&self, server: usize, relay: usize) -> Reachability {
         match self.nodes[server].server.life {
-            Life::Silent => Reach::NeverUp,
-            _ if self.is_cut(server, relay) => Reach::NeverUp,
-            Life::Down | Life::Fallen => Reach::Refused,
+            Life::Silent => Reachability::Unresponsive,
+            _ if self.is_cut(server, relay) => Reachability::Unresponsive,
+            Life::Down | Life::Fallen => Reachability::Refused,
             Life::Up => match self.nodes[server].wire {
-                Some((Fault::Refused, part)) if part >= 1.0 => Reach::Refused,
-                Some((Fault::NeverUp, part)) if part >= 1.0 => Reach::NeverUp,
-                _ => Reach::Open,
+                Some((Fault::Refused, part)) if part >= 1.0 => Reachability::Refused,
+                Some((Fault::NeverUp, part)) if part >= 1.0 => Reachability::Unresponsive,
+                _ => Reachability::Open,
             },
         }
     }
 
     /// The fault that a new connection meets on the way, if any.
-    pub fn fault(&mut self, server: usize) -> Option<Fault> {
+    pub fn draw_wire_fault(&mut self, server: usize) -> Option<Fault> {
         let (fault, part) = self.nodes[server].wire?;
         (self.rng.fraction() < part).then_some(fault)
     }
 
     /// A relay has been told of servers by the list: what it sends to a cold one counts as known from now on.
-    pub fn told(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<Told>) {
+    pub fn told(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<ServerEvent>) {
         self.now = self.now.max(now);
         for &server in servers {
             self.advance(server, out);
@@ -428,7 +431,7 @@
     }
 
     /// A relay that has started anew knows nothing.
-    pub fn forgets(&mut self, relay: usize) {
+    pub fn relay_restarted(&mut self, relay: usize) {
         self.nodes.iter_mut().for_each(|n| n.knows[relay] = false);
     }
 
@@ -437,7 +440,7 @@
         self.due.schedule(at, Due::Notice(server));
     }
 
-    fn notice(&mut self, server: usize, out: &mut Vec<Told>) {
+    fn notice(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let s = &self.nodes[server].server;
         let phase = match s.life {
             Life::Up if s.draining => Phase::Draining,
@@ -448,14 +451,19 @@
         let came_up = s.came_up;
         if self.endpoints.update(server, Entry { phase, started_at: came_up }) {
             let id = &self.endpoints.identities[server].id;
-            out.push(Told::Log(format!("the list tells that {id} is {phase:?}").to_lowercase()));
-            out.push(Told::List);
+            out.push(ServerEvent::Log(format!("the list tells that {id} is {phase:?}").to_lowercase()));
+            out.push(ServerEvent::EndpointListChanged);
         }
     }
 
     /// For the service figure: open sessions by listener, and how long a message takes; none where nobody is
     /// heard.
-    pub fn serves(&mut self, now: Micros, server: usize, out: &mut Vec<Told>) -> (Option<Micros>, &[u32]) {
+    pub fn serves(
+        &mut self,
+        now: Micros,
+        server: usize,
+        out: &mut Vec<ServerEvent>,
+    ) -> (Option<Micros>, &[u32]) {
         self.now = self.now.max(now);
         self.advance(server, out);
         let n = &self.nodes[server];
@@ -476,7 +484,7 @@
     }
 
     /// Whether a connection is known there.
-    pub fn has(&self, conn: ConnNo) -> bool {
+    pub fn has_connection(&self, conn: ConnectionId) -> bool {
         self.conns.contains_key(&conn)
     }
 
--- a/emulator/src/servers/sessions.rs
+++ b/emulator/src/servers/sessions.rs
@@ -3,13 +3,19 @@
 
 impl Servers {
     /// The last byte of a first line has come.
-    pub fn dialled(&mut self, now: Micros, conn: ConnNo, d: &Dialled, out: &mut Vec<Told>) {
+    pub fn dial_received(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        d: &DialRequest,
+        out: &mut Vec<ServerEvent>,
+    ) {
         self.now = self.now.max(now);
         let (now, server) = (self.now, d.server);
         self.advance(server, out);
         self.counts.dials += 1;
         // Sessions that stood before cost nothing again.
-        let setup = self.s.servers.setup_ms.us() * CORE * u64::from(!d.standing);
+        let setup = self.s.servers.setup_ms.us() * CORE * u64::from(!d.is_pre_existing);
         let n = &mut self.nodes[server];
         if n.server.life != Life::Up {
             return;
@@ -20,7 +26,7 @@
         // What waits at the store longer than this is turned away: its queue is bounded.
         const STORE: Micros = 2_000_000;
         let store_full = self.store_at > now + STORE;
-        let full = n.conns.len() >= cap || ((n.server.draining || store_full) && !d.standing);
+        let full = n.conns.len() >= cap || ((n.server.draining || store_full) && !d.is_pre_existing);
         // Turning away is work as well, if little.
         let work = if full { setup / 10 } else { setup };
         let done = n.server.done(now, work);
@@ -28,7 +34,10 @@
         let fails = self.rng.fraction() < n.fails;
         if full || fails {
             self.counts.wasted += work;
-            out.push(Told::Word { conn, word: if full { Word::Busy } else { Word::Err } });
+            out.push(ServerEvent::Line {
+                connection: conn,
+                line: if full { ServerLine::Busy } else { ServerLine::Err },
+            });
         } else {
             let l = &self.s.listeners[d.listener];
             // The same client weighs the same wherever it goes.
@@ -45,9 +54,9 @@
             };
             n.conns.insert(conn);
             self.conns.insert(conn, c);
-            let stored = if d.standing { now } else { self.stored() };
+            let stored = if d.is_pre_existing { now } else { self.stored() };
             self.due.schedule(done.max(stored), Due::Ready(conn));
-            if let Some(life) = d.life {
+            if let Some(life) = d.lifetime {
                 self.due.schedule(now + life, Due::Ends(conn));
             }
         }
@@ -66,7 +75,7 @@
         self.store_at
     }
 
-    pub(super) fn ready(&mut self, conn: ConnNo, out: &mut Vec<Told>) {
+    pub(super) fn ready(&mut self, conn: ConnectionId, out: &mut Vec<ServerEvent>) {
         let now = self.now;
         let Some(c) = self.conns.get(&conn) else { return };
         let (server, relay) = (c.server, c.relay);
@@ -96,16 +105,16 @@
         let told = n.knows[relay];
         n.server.ask(more, 0, told);
         let change = self.rng.exponential(l.change_s.us() as f64) as Micros;
-        out.push(Told::Word { conn, word: Word::Up });
+        out.push(ServerEvent::Line { connection: conn, line: ServerLine::Up });
         if self.s.servers.tells_load {
-            out.push(Told::Word { conn, word: Word::Load(load as f64) });
+            out.push(ServerEvent::Line { connection: conn, line: ServerLine::Load(load as f64) });
         }
         if l.change_s.us() > 0 {
             self.due.schedule(now + change.max(50_000), Due::Changes(conn));
         }
     }
 
-    pub(super) fn changes(&mut self, conn: ConnNo, out: &mut Vec<Told>) {
+    pub(super) fn changes(&mut self, conn: ConnectionId, out: &mut Vec<ServerEvent>) {
         let Some(c) = self.conns.get(&conn) else { return };
         let (server, relay) = (c.server, c.relay);
         self.advance(server, out);
@@ -119,13 +128,13 @@
         n.server.ask(load, before, told);
         let change = self.rng.exponential(l.change_s.us() as f64) as Micros;
         self.due.schedule(self.now + change.max(50_000), Due::Changes(conn));
-        if self.s.servers.tells_load && self.speaks(server, relay) {
-            out.push(Told::Word { conn, word: Word::Load(load as f64) });
+        if self.s.servers.tells_load && self.can_send(server, relay) {
+            out.push(ServerEvent::Line { connection: conn, line: ServerLine::Load(load as f64) });
         }
     }
 
     /// A late server says so once a second, on one connection of each relay.
-    pub(super) fn tell_delay(&mut self, server: usize, out: &mut Vec<Told>) {
+    pub(super) fn tell_delay(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let keenest = self.s.listeners.iter().map(|l| l.message_target_ms.us()).min().unwrap_or(0);
         let n = &self.nodes[server];
         let delay = n.server.delay(self.now);
@@ -135,8 +144,11 @@
         let mut told = vec![false; n.asks.len()];
         for conn in &n.conns {
             let c = &self.conns[conn];
-            if c.open && !std::mem::replace(&mut told[c.relay], true) && self.speaks(server, c.relay) {
-                out.push(Told::Word { conn: *conn, word: Word::Load((delay as f64 / 1e3).round()) });
+            if c.open && !std::mem::replace(&mut told[c.relay], true) && self.can_send(server, c.relay) {
+                out.push(ServerEvent::Line {
+                    connection: *conn,
+                    line: ServerLine::Load((delay as f64 / 1e3).round()),
+                });
             }
             if told.iter().all(|t| *t) {
                 break;
@@ -145,7 +157,7 @@
     }
 
     /// The relay has ended a connection, or its sending on it.
-    pub fn closed(&mut self, now: Micros, conn: ConnNo, out: &mut Vec<Told>) {
+    pub fn connection_closed(&mut self, now: Micros, conn: ConnectionId, out: &mut Vec<ServerEvent>) {
         self.now = self.now.max(now);
         let Some(server) = self.conns.get(&conn).map(|c| c.server) else { return };
         self.advance(server, out);
@@ -153,12 +165,12 @@
     }
 
     /// A probe has come: when it is answered, and with what.
-    pub fn probed(
+    pub fn answer_probe(
         &mut self,
         now: Micros,
         server: usize,
         relay: usize,
-        out: &mut Vec<Told>,
+        out: &mut Vec<ServerEvent>,
     ) -> (Micros, Figures) {
         self.now = self.now.max(now);
         let now = self.now;
--- a/emulator/src/servers/troubles.rs
+++ b/emulator/src/servers/troubles.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 impl Servers {
-    pub(super) fn act(&mut self, act: Act, out: &mut Vec<Told>) {
+    pub(super) fn act(&mut self, act: Act, out: &mut Vec<ServerEvent>) {
         let now = self.now;
         match act {
             Act::Dies { server, silent, until } => self.dies(server, silent, until, out),
@@ -23,7 +23,7 @@
             Act::Lies { server, times } => self.nodes[server].lies = times,
             Act::Wire { server, fault, part } => {
                 self.nodes[server].wire = fault.map(|fault| (fault, part));
-                out.push(Told::Reach { server });
+                out.push(ServerEvent::ReachabilityChanged { server });
             }
             Act::Drains { server } => {
                 let n = &mut self.nodes[server];
@@ -45,7 +45,8 @@
             }
             Act::Cut { zone, cut } => {
                 self.cut[zone] = cut;
-                (0..self.nodes.len()).for_each(|server| out.push(Told::Reach { server }));
+                (0..self.nodes.len())
+                    .for_each(|server| out.push(ServerEvent::ReachabilityChanged { server }));
             }
             Act::StoreSlows { times } => self.store_times = times,
             Act::Overrun { server, cores } => {
@@ -56,24 +57,24 @@
                 n.server.ask(asked, std::mem::replace(&mut n.overrun, asked), false);
             }
             Act::ListLate { by } => self.list_late = by,
-            Act::ListDown { down } => out.push(Told::ListDown { down }),
-            Act::Mark { text } => out.push(Told::Log(text)),
+            Act::ListDown { down } => out.push(ServerEvent::DiscoveryDown { down }),
+            Act::Mark { text } => out.push(ServerEvent::Log(text)),
             Act::CutServer { relay, server, cut } => {
                 match cut {
                     true => self.cut_pairs.insert((server, relay)),
                     false => self.cut_pairs.remove(&(server, relay)),
                 };
-                out.push(Told::Reach { server });
+                out.push(ServerEvent::ReachabilityChanged { server });
             }
             act @ (Act::Rate { .. }
             | Act::Reconnect { .. }
             | Act::Relay { .. }
             | Act::Links { .. }
-            | Act::CutList { .. }) => out.push(Told::Act(act)),
+            | Act::CutList { .. }) => out.push(ServerEvent::Action(act)),
         }
     }
 
-    pub(super) fn dies(&mut self, server: usize, silent: bool, until: Micros, out: &mut Vec<Told>) {
+    pub(super) fn dies(&mut self, server: usize, silent: bool, until: Micros, out: &mut Vec<ServerEvent>) {
         self.advance(server, out);
         let n = &mut self.nodes[server];
         n.down_until = n.down_until.max(if until == 0 { Micros::MAX } else { until });
@@ -82,16 +83,16 @@
         }
         n.server.life = if silent { Life::Silent } else { Life::Down };
         let id = &self.endpoints.identities[server].id;
-        out.push(Told::Log(format!("{id} {}", if silent { "vanishes" } else { "dies" })));
+        out.push(ServerEvent::Log(format!("{id} {}", if silent { "vanishes" } else { "dies" })));
         if !silent {
             self.lose(server, out);
         }
-        out.push(Told::Reach { server });
+        out.push(ServerEvent::ReachabilityChanged { server });
         let within = if silent { self.s.list.silent_notice_s } else { self.s.list.notice_s };
         self.notice_later(server, within.map(|t| t.us()));
     }
 
-    pub(super) fn starts(&mut self, server: usize, out: &mut Vec<Told>) {
+    pub(super) fn starts(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let n = &mut self.nodes[server];
         // Two troubles may meet one server: it is back when the later one is over. Who fell over stays down.
         if self.now < n.down_until || matches!(n.server.life, Life::Up | Life::Fallen) {
@@ -113,8 +114,8 @@
             n.server.ask(asked, 0, false);
         }
         self.due.schedule(now, Due::Cold(server));
-        out.push(Told::Log(format!("{} starts cold", self.endpoints.identities[server].id)));
-        out.push(Told::Reach { server });
+        out.push(ServerEvent::Log(format!("{} starts cold", self.endpoints.identities[server].id)));
+        out.push(ServerEvent::ReachabilityChanged { server });
         self.notice_later(server, self.s.list.add_s.map(|t| t.us()));
     }
 }
--- a/emulator/src/service.rs
+++ b/emulator/src/service.rs
@@ -3,7 +3,7 @@
 use crate::clients::Clients;
 use crate::membership_audit::MembershipOutcome;
 use crate::script;
-use crate::servers::{Servers, Told};
+use crate::servers::{ServerEvent, Servers};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 use serde::{Deserialize, Serialize};
@@ -189,7 +189,7 @@
         self.at + TICK
     }
 
-    pub fn note(&mut self, now: Micros, text: String) {
+    pub fn log_event(&mut self, now: Micros, text: String) {
         // A day that logs more has told enough.
         const MOST: usize = 20_000;
         if self.log.len() < MOST {
@@ -198,7 +198,13 @@
     }
 
     /// Counts the time since the last tick.
-    pub fn tick(&mut self, now: Micros, servers: &mut Servers, clients: &Clients, out: &mut Vec<Told>) {
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        servers: &mut Servers,
+        clients: &Clients,
+        out: &mut Vec<ServerEvent>,
+    ) {
         if now <= self.at {
             return;
         }
--- a/lab/src/cost.rs
+++ b/lab/src/cost.rs
@@ -7,7 +7,7 @@
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::day::Day;
 use hallrelay_emulator::net::lines::{write, Lines};
-use hallrelay_emulator::net::{client, free_port, places, Clock, Host};
+use hallrelay_emulator::net::{client, endpoint_addresses, free_port, Clock, Host};
 use serde::Serialize;
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -158,9 +158,13 @@
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let listen = free_port(Ipv4Addr::new(127, 8, 0, 1))?;
     let clock = Clock::anchored();
-    let host =
-        Host::new(Day::new(&s, s.seed, clock.now()), clock, places(1, s.server_count())?, vec![listen]);
-    host.open_house.set(true);
+    let host = Host::new(
+        Day::new(&s, s.seed, clock.now()),
+        clock,
+        endpoint_addresses(1, s.server_count())?,
+        vec![listen],
+    );
+    host.accepts_foreign_clients.set(true);
     serve_fleet(&host).await?;
     let config = out.join("cost.json");
     write_config(&s, &place(0, s.seed, &host), &host, &config)?;
--- a/lab/src/serve_fleet.rs
+++ b/lab/src/serve_fleet.rs
@@ -1,7 +1,7 @@
 //! `hallrelay-lab serve-fleet`: emulated servers and a list service alone.
 use super::{interrupts, load, End};
 use hallrelay_emulator::day::Day;
-use hallrelay_emulator::net::{places, Clock, Host};
+use hallrelay_emulator::net::{endpoint_addresses, Clock, Host};
 use hallrelay_lab::sockets;
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -18,11 +18,11 @@
         let clock = Clock::anchored();
         let seed = s.seed;
         let day = Day::new(&s, seed, clock.now());
-        let host = Host::new(day, clock, places(1, s.server_count())?, vec![listen]);
-        host.open_house.set(true);
+        let host = Host::new(day, clock, endpoint_addresses(1, s.server_count())?, vec![listen]);
+        host.accepts_foreign_clients.set(true);
         sockets::serve_fleet(&host).await?;
         sockets::write_config(&s, &sockets::place(0, seed, &host), &host, config)?;
-        println!("{} servers, list at {}", s.server_count(), host.list_at.borrow()[0]);
+        println!("{} servers, list at {}", s.server_count(), host.list_addresses.borrow()[0]);
         println!("start a relay with: hallrelay serve --config {}", config.display());
         println!("its clients connect to {listen}; interrupt to end");
         let interrupted = async {
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -4,9 +4,9 @@
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::day::Day;
 use hallrelay_emulator::net::links::{self, RelayAddresses};
-use hallrelay_emulator::net::{bad, free_port, list, places, server, Clock, Host, Shared};
-use hallrelay_emulator::node::{self, Place};
-use hallrelay_emulator::script::Deed;
+use hallrelay_emulator::net::{endpoint_addresses, free_port, list, malformed, server, Clock, Host, Shared};
+use hallrelay_emulator::node::{self, RelayPlacement};
+use hallrelay_emulator::script::RelayAction;
 use hallrelay_emulator::service::{Outcome, RelayFigures};
 use std::cell::Cell;
 use std::future::Future;
@@ -124,7 +124,7 @@
         ));
     }
     let addresses = if s.relays.fleet { Some(RelayAddresses::free(s.relays.count)?) } else { None };
-    let (places, listens) = (places(s.relays.count, s.server_count())?, listens(s)?);
+    let (places, listens) = (endpoint_addresses(s.relays.count, s.server_count())?, listens(s)?);
     let clock = Clock::anchored();
     // Relays start and standing sessions come up before the day begins.
     let before = 1_000_000 + s.load.standing as u64 * 500;
@@ -158,8 +158,8 @@
         stage.comes_up(relay).await?;
     }
     let servers = s.server_count();
-    stage.host.with(|day, now, todo| day.clients.standing(now, servers, &mut todo.does));
-    tokio::task::spawn_local(bad::run(stage.host.clone()));
+    stage.host.with(|day, now, todo| day.clients.open_pre_existing(now, servers, &mut todo.client_actions));
+    tokio::task::spawn_local(malformed::run(stage.host.clone()));
     let partial = stage.play(interrupted).await?;
     let outcome = stage.finish(partial).await;
     Ok(outcome)
@@ -193,11 +193,16 @@
         Process::start(&self.options.program, &r.config, &r.log, operated.then_some(self.options.out))
     }
 
-    fn place(&self, relay: usize, seed: u64) -> Place {
+    fn place(&self, relay: usize, seed: u64) -> RelayPlacement {
         let fleet = self.addresses.as_ref().map(|all| (all.listen[relay], all.advertised.clone()));
         let state = self.options.out.join(format!("relay-{relay}.state")).display().to_string();
         let state = self.s.relays.state.then_some(state);
-        Place { operator: self.relays[relay].operator, state, fleet, ..place(relay, seed, &self.host) }
+        RelayPlacement {
+            operator: self.relays[relay].operator,
+            state,
+            fleet,
+            ..place(relay, seed, &self.host)
+        }
     }
 
     /// Polls all relays that are up for their views of each other.
@@ -241,7 +246,7 @@
             while old.ended().is_none() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            host.with(|day, now, _| day.service.note(now, format!("relay {relay} is replaced")));
+            host.with(|day, now, _| day.service.log_event(now, format!("relay {relay} is replaced")));
         });
         Ok(())
     }
@@ -278,7 +283,7 @@
             tokio::select! {
                 () = &mut day => return Ok(None),
                 () = &mut interrupted => return Ok(Some("interrupted".to_string())),
-                deeds = host.deeds() => {
+                deeds = host.next_relay_actions() => {
                     for (relay, deed) in deeds {
                         self.deed(relay, deed).await?;
                     }
@@ -312,7 +317,7 @@
                 let what = if r.stopping { "has stopped" } else { "CRASHED" };
                 let text = format!("relay {relay} {what} ({})", how(status));
                 let host = self.host.clone();
-                host.with(|day, now, _| day.service.note(now, text));
+                host.with(|day, now, _| day.service.log_event(now, text));
                 host.relay_ended(relay);
             } else if looked.is_multiple_of(5) {
                 self.count(relay);
@@ -328,19 +333,19 @@
         r.figures.descriptors = r.figures.descriptors.max(now.descriptors);
     }
 
-    async fn deed(&mut self, relay: usize, deed: Deed) -> Result<(), String> {
+    async fn deed(&mut self, relay: usize, deed: RelayAction) -> Result<(), String> {
         let host = self.host.clone();
         match deed {
-            Deed::Kill => self.kill(relay).await,
-            Deed::Stop => {
+            RelayAction::Kill => self.kill(relay).await,
+            RelayAction::Stop => {
                 let r = &mut self.relays[relay];
                 r.stopping = true;
-                host.relay_stops(relay);
+                host.relay_stopping(relay);
                 if let Some(process) = &r.process {
                     process.signal(libc::SIGTERM);
                 }
             }
-            Deed::Start => {
+            RelayAction::Start => {
                 self.kill(relay).await;
                 self.start(relay)?;
                 let host = self.host.clone();
@@ -349,28 +354,28 @@
                 });
             }
             // Refused at the start: operators' calls are not played here.
-            Deed::WantOut(_) => {}
-            Deed::Stall => {
+            RelayAction::RequestLease(_) => {}
+            RelayAction::Stall => {
                 let r = &mut self.relays[relay];
                 if let Some(process) = r.process.as_ref().filter(|_| !r.stalled) {
                     process.signal(libc::SIGSTOP);
                     r.stalled = true;
-                    host.relay_stalls(relay, true);
+                    host.set_relay_stalled(relay, true);
                 }
             }
-            Deed::Wake => {
+            RelayAction::Resume => {
                 let r = &mut self.relays[relay];
                 if let Some(process) = r.process.as_ref().filter(|_| r.stalled) {
                     process.signal(libc::SIGCONT);
                     r.stalled = false;
-                    host.relay_stalls(relay, false);
+                    host.set_relay_stalled(relay, false);
                 }
             }
-            Deed::Replace => self.replace(relay).await?,
-            Deed::Reload => {
-                let before = host.list_at.borrow()[relay];
+            RelayAction::Replace => self.replace(relay).await?,
+            RelayAction::Reload => {
+                let before = host.list_addresses.borrow()[relay];
                 host.list_moves.borrow()[relay].send_modify(|n| *n += 1);
-                while host.list_at.borrow()[relay] == before {
+                while host.list_addresses.borrow()[relay] == before {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
                 let (place, r) = (self.place(relay, 1), &self.relays[relay]);
@@ -404,8 +409,8 @@
         outcome.relays = self.relays.iter().map(|r| r.figures.clone()).collect();
         outcome.way = "sockets".to_string();
         outcome.partial = partial;
-        outcome.late_ms = self.host.late.get() as f64 / 1e3;
-        outcome.bad_clients = self.host.bad.borrow().clone();
+        outcome.late_ms = self.host.max_delay.get() as f64 / 1e3;
+        outcome.bad_clients = self.host.malformed_clients.borrow().clone();
         outcome
     }
 }
@@ -413,7 +418,7 @@
 /// Servers and list services of all relays.
 pub async fn serve_fleet(host: &Shared) -> Result<(), String> {
     for relay in 0..host.servers.len() {
-        let first = list::bound(relay, host).await.ok_or("no free port for the list service")?;
+        let first = list::bind(relay, host).await.ok_or("no free port for the list service")?;
         tokio::task::spawn_local(list::serve(relay, first, host.clone()));
         for at in 0..host.servers[relay].len() {
             tokio::task::spawn_local(server::listen(at, relay, host.clone()));
@@ -423,13 +428,13 @@
 }
 
 /// Where a relay finds what it serves; operators and other relays come beside it.
-pub fn place(relay: usize, seed: u64, host: &Shared) -> Place {
-    let (listen, discovery) = (host.relays.borrow()[relay], host.list_at.borrow()[relay]);
-    Place { relay, listen, discovery, seed, operator: None, state: None, fleet: None }
+pub fn place(relay: usize, seed: u64, host: &Shared) -> RelayPlacement {
+    let (listen, discovery) = (host.relays.borrow()[relay], host.list_addresses.borrow()[relay]);
+    RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, fleet: None }
 }
 
 /// A relay's configuration as operators would write it.
-pub fn write_config(s: &Scenario, place: &Place, host: &Shared, file: &Path) -> Result<(), String> {
+pub fn write_config(s: &Scenario, place: &RelayPlacement, host: &Shared, file: &Path) -> Result<(), String> {
     let day = host.day.borrow();
     let text = node::text(s, place, &day.servers.endpoints, |at| host.servers[place.relay][at].to_string());
     let text = serde_json::to_string_pretty(&text).map_err(|e| e.to_string())?;
--- a/lab/src/virt/list.rs
+++ b/lab/src/virt/list.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 impl Virtual<'_> {
-    pub(super) fn tells(&mut self, relay: usize, watch: u32, todo: &mut Todo) {
+    pub(super) fn tells(&mut self, relay: usize, watch: u32, todo: &mut DriverActions) {
         let way = self.way();
         if self.day.list_cut[relay] {
             return; // told once the way is whole again
@@ -28,9 +28,9 @@
             let gone: Vec<usize> = (0..self.day.servers.len())
                 .filter(|&i| self.day.servers.endpoints.entry(i).phase == Phase::Gone)
                 .collect();
-            self.day.list_told(self.now, relay, &gone, &mut todo.told);
+            self.day.list_sent(self.now, relay, &gone, &mut todo.server_events);
         }
-        self.day.list_told(self.now, relay, &servers, &mut todo.told);
+        self.day.list_sent(self.now, relay, &servers, &mut todo.server_events);
         self.tell(relay, way, Event::EndpointListReceived { watch, list });
     }
 
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -91,7 +91,7 @@
                 (bytes, MAX_FRAME_BYTES)
             }
         };
-        let event = match decode(&self.day.s.name, bytes, max_bytes) {
+        let event = match decode(&self.day.scenario.name, bytes, max_bytes) {
             Err(error) => MembershipEvent::PacketsDropped { reason: error.into(), count: 1 },
             Ok(packet) => {
                 let packet = Box::new(packet);
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -11,13 +11,13 @@
 use hallrelay_config::node::{self as config, Node, Overrides as Given};
 use hallrelay_config::scenario::{Fault, Scenario};
 use hallrelay_emulator::audit::{Answer, DialOutcome, DialReceived, RequestSent};
-use hallrelay_emulator::clients::{mix, Ask, Does, Heard};
-use hallrelay_emulator::day::{Day, Todo};
+use hallrelay_emulator::clients::{mix, ClientAction, ClientEvent, ClientRequest};
+use hallrelay_emulator::day::{Day, DriverActions};
 use hallrelay_emulator::event_queue::EventQueue;
 use hallrelay_emulator::membership_audit::ProcessState;
-use hallrelay_emulator::node::{self, Place};
-use hallrelay_emulator::script::Deed;
-use hallrelay_emulator::servers::{ConnNo, Dialled, Reach, Told, Word};
+use hallrelay_emulator::node::{self, RelayPlacement};
+use hallrelay_emulator::script::RelayAction;
+use hallrelay_emulator::servers::{ConnectionId, DialRequest, Reachability, ServerEvent, ServerLine};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
 use hallrelay_recovery::record::VERSION;
 use hallrelay_recovery::{Record, StoredState};
@@ -69,7 +69,7 @@
         alarm: Timer,
     },
     /// A client's first line comes to a relay, or its end does.
-    Line(Box<Ask>),
+    Line(Box<ClientRequest>),
     Gone {
         relay: usize,
         life: u32,
@@ -77,12 +77,12 @@
     },
     Client {
         mark: u64,
-        heard: Heard,
+        heard: ClientEvent,
         receipt: u64,
     },
     /// A dial's line comes to its server.
     Dialled {
-        conn: ConnNo,
+        conn: ConnectionId,
     },
     TimesOut {
         relay: usize,
@@ -91,7 +91,7 @@
         dial: u32,
     },
     Closed {
-        conn: ConnNo,
+        conn: ConnectionId,
     },
     Probe {
         relay: usize,
@@ -127,7 +127,7 @@
         relay: usize,
         life: u32,
         sess: SessId,
-        conn: ConnNo,
+        conn: ConnectionId,
     },
 }
 
@@ -155,7 +155,7 @@
 struct Line {
     mark: u64,
     dials: u32,
-    conn: Option<ConnNo>,
+    conn: Option<ConnectionId>,
     open: bool,
     doubted: bool,
     /// Its client has left, or has had its last line.
@@ -169,7 +169,7 @@
     dial: u32,
     mark: u64,
     server: usize,
-    ask: Dialled,
+    ask: DialRequest,
     /// The server has it.
     there: bool,
     up: bool,
@@ -208,9 +208,9 @@
     queue: EventQueue<Ev>,
     relays: Vec<Relay>,
     /// Looked up and never walked, as is what is asked.
-    dials: HashMap<ConnNo, Dial>,
-    asks: HashMap<u64, Ask>,
-    next_conn: ConnNo,
+    dials: HashMap<ConnectionId, Dial>,
+    asks: HashMap<u64, ClientRequest>,
+    next_conn: ConnectionId,
     now: Micros,
     list_down: bool,
     maker: Maker<'a>,
@@ -275,25 +275,31 @@
 
 impl Virtual<'_> {
     fn node(&self, relay: usize, life: u32) -> Result<Node, String> {
-        let place = Place {
+        let place = RelayPlacement {
             relay,
             listen: SocketAddr::from(([127, 0, 0, 1], 1)),
             discovery: SocketAddr::from(([127, 0, 0, 1], 2)),
             seed: mix(self.day.seed ^ (relay as u64) << 32 ^ u64::from(life) << 48),
             operator: None,
-            state: self.day.s.relays.state.then(|| "virtual".to_string()),
-            fleet: self.day.s.relays.fleet.then(|| membership::addresses(relay, self.day.s.relays.count)),
+            state: self.day.scenario.relays.state.then(|| "virtual".to_string()),
+            fleet: self
+                .day
+                .scenario
+                .relays
+                .fleet
+                .then(|| membership::addresses(relay, self.day.scenario.relays.count)),
         };
-        let text = node::text(&self.day.s, &place, &self.day.servers.endpoints, |i| addr(i).to_string());
+        let text =
+            node::text(&self.day.scenario, &place, &self.day.servers.endpoints, |i| addr(i).to_string());
         config::parse(text.to_string().as_bytes(), &Given::default()).map_err(|e| e.to_string())
     }
 
     fn play(mut self, progress: &mut dyn FnMut(f64) -> bool) -> Result<Outcome, String> {
-        let mut todo = Todo::default();
+        let mut todo = DriverActions::default();
         let servers = self.day.servers.len();
-        self.day.clients.standing(self.now, servers, &mut todo.does);
+        self.day.clients.open_pre_existing(self.now, servers, &mut todo.client_actions);
         self.carry_out(&mut todo)?;
-        if self.day.s.relays.fleet {
+        if self.day.scenario.relays.fleet {
             self.poll_views();
         }
         let mut partial = None;
@@ -301,7 +307,7 @@
         const LOOK: Micros = 250_000;
         let mut look = self.now;
         loop {
-            let next = self.queue.next_at().map_or(Micros::MAX, |at| at).min(self.day.next());
+            let next = self.queue.next_at().map_or(Micros::MAX, |at| at).min(self.day.next_at());
             if next > self.day.end {
                 break;
             }
@@ -314,7 +320,7 @@
                     break;
                 }
             }
-            if self.day.next() <= self.now {
+            if self.day.next_at() <= self.now {
                 self.day.step(self.now, &mut todo);
                 self.carry_out(&mut todo)?;
             }
@@ -334,11 +340,11 @@
 
     /// One way, in microseconds.
     fn way(&self) -> Micros {
-        self.day.s.net.server_ms.us()
+        self.day.scenario.net.server_ms.us()
     }
 
     fn client_way(&self) -> Micros {
-        self.day.s.net.client_ms.us()
+        self.day.scenario.net.client_ms.us()
     }
 
     fn later(&mut self, after: Micros, ev: Ev) {
@@ -355,7 +361,7 @@
         let node = self.node(relay, life)?;
         let mut mind = (self.maker)(node);
         let mut out = Vec::new();
-        if self.day.s.relays.state {
+        if self.day.scenario.relays.state {
             let mut stored = StoredState::default();
             for ((kind, name), bytes) in &self.relays[relay].stored_records {
                 stored.add(*kind, VERSION, name.as_bytes(), bytes);
@@ -371,7 +377,7 @@
         r.known = known;
         self.day.audit.relay_started(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
-        self.day.clients.relay_is(self.now, relay, true);
+        self.day.clients.set_relay_serving(self.now, relay, true);
         self.effects(relay, out);
         Ok(())
     }
@@ -390,15 +396,15 @@
         let lines = std::mem::take(&mut r.lines);
         self.day.audit.relay_ended(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Down);
-        self.day.servers.forgets(relay);
-        self.day.clients.relay_is(self.now, relay, false);
+        self.day.servers.relay_restarted(relay);
+        self.day.clients.set_relay_serving(self.now, relay, false);
         let (way, client_way) = (self.way(), self.client_way());
         for line in lines.into_values() {
             if let Some(conn) = line.conn {
                 self.later(way, Ev::Closed { conn });
             }
             if !line.over {
-                let heard = Heard::Closed;
+                let heard = ClientEvent::Closed;
                 self.later(client_way, Ev::Client { mark: line.mark, heard, receipt: 0 });
             }
         }
@@ -425,7 +431,7 @@
         self.effects(relay, out);
     }
 
-    fn event(&mut self, event: Ev, todo: &mut Todo) -> Result<(), String> {
+    fn event(&mut self, event: Ev, todo: &mut DriverActions) -> Result<(), String> {
         let alive = |v: &Self, relay: usize, life: u32| v.relays[relay].life == life;
         // What comes to a process that stands still waits for it.
         if let Some(waiting) = event.comes_to().and_then(|relay| self.relays[relay].stalled.as_mut()) {
@@ -480,14 +486,15 @@
     }
 
     /// What the models want done.
-    fn carry_out(&mut self, todo: &mut Todo) -> Result<(), String> {
+    fn carry_out(&mut self, todo: &mut DriverActions) -> Result<(), String> {
         // Each call may bring news, so until there is none.
         while !todo.is_empty() {
-            self.day.sort(self.now, todo);
-            let (told, does) = (std::mem::take(&mut todo.told), std::mem::take(&mut todo.does));
-            let deeds = std::mem::take(&mut todo.deeds);
+            self.day.take_internal_events(self.now, todo);
+            let (told, does) =
+                (std::mem::take(&mut todo.server_events), std::mem::take(&mut todo.client_actions));
+            let deeds = std::mem::take(&mut todo.relay_actions);
             self.schedule_arrivals(std::mem::take(&mut todo.arrivals));
-            let (news, down) = (std::mem::take(&mut todo.list_news), todo.list_down.take());
+            let (news, down) = (std::mem::take(&mut todo.list_changed), todo.discovery_down.take());
             told.into_iter().for_each(|one| self.told(one, todo));
             does.into_iter().for_each(|one| self.does(one));
             if let Some(down) = down {
@@ -501,22 +508,22 @@
             }
             for (relay, deed) in deeds {
                 match deed {
-                    Deed::Kill => self.ends(relay),
-                    Deed::Stop => {
+                    RelayAction::Kill => self.ends(relay),
+                    RelayAction::Stop => {
                         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Stopping);
-                        self.day.clients.relay_is(self.now, relay, false);
+                        self.day.clients.set_relay_serving(self.now, relay, false);
                         self.step(relay, Event::StopRequested);
                     }
-                    Deed::Start => {
+                    RelayAction::Start => {
                         self.ends(relay);
                         self.starts(relay)?;
                     }
-                    Deed::WantOut(stay) => self.wants_out(relay, stay),
-                    Deed::Stall => self.stall(relay),
-                    Deed::Wake => self.wake(relay),
+                    RelayAction::RequestLease(stay) => self.wants_out(relay, stay),
+                    RelayAction::Stall => self.stall(relay),
+                    RelayAction::Resume => self.wake(relay),
                     // A virtual relay is one process all its life: sessions and member go on as they are.
-                    Deed::Replace => {}
-                    Deed::Reload => {
+                    RelayAction::Replace => {}
+                    RelayAction::Reload => {
                         let mut node = self.node(relay, 0)?;
                         node.discovery.set_port(3);
                         self.step(relay, Event::ConfigurationReloaded(Box::new(node)));
@@ -546,18 +553,20 @@
                     if let Some(conn) = line.conn {
                         self.dials.entry(conn).and_modify(|d| d.up = true);
                     }
-                    self.later(client_way, Ev::Client { mark, heard: Heard::Up, receipt });
+                    self.later(client_way, Ev::Client { mark, heard: ClientEvent::Established, receipt });
                     self.may_be_silent(relay, sess);
                 }
                 Effect::Reject { session_id: sess, retry_after } => {
-                    self.last(relay, sess, Heard::Busy(retry_after))
+                    self.last(relay, sess, ClientEvent::Rejected(retry_after))
                 }
                 Effect::TearDown { session_id: sess }
                 | Effect::ReportProtocolError { connection_id: sess } => {
-                    self.last(relay, sess, Heard::Failed);
+                    self.last(relay, sess, ClientEvent::Failed);
                 }
-                Effect::ShedConnection { connection_id: conn } => self.last(relay, conn, Heard::Busy(0)),
-                Effect::CloseClient { session_id: sess } => self.last(relay, sess, Heard::Closed),
+                Effect::ShedConnection { connection_id: conn } => {
+                    self.last(relay, conn, ClientEvent::Rejected(0))
+                }
+                Effect::CloseClient { session_id: sess } => self.last(relay, sess, ClientEvent::Closed),
                 Effect::Migrate { session_id: sess } => {
                     let Some(line) = self.relays[relay].lines.get_mut(&sess) else { continue };
                     (line.open, line.over) = (false, true);
@@ -567,7 +576,7 @@
                     }
                     let end = DialEnd::Recalled;
                     self.tell(relay, 0, Event::SessionEnded { session_id: sess, end, report: None });
-                    self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
+                    self.later(client_way, Ev::Client { mark, heard: ClientEvent::Migrated, receipt: 0 });
                 }
                 Effect::SetSuspect { session_id: sess, suspect: doubted } => {
                     if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
@@ -630,13 +639,14 @@
         }
     }
 
-    fn probe(&mut self, relay: usize, server: ServerId, at: usize, sent: Micros, todo: &mut Todo) {
+    fn probe(&mut self, relay: usize, server: ServerId, at: usize, sent: Micros, todo: &mut DriverActions) {
         let (way, limit) = (self.way(), self.relays[relay].limits.probe);
-        let (after, end, report) = match self.day.servers.reach(at, relay) {
-            Reach::Refused => (way, DialEnd::Unconnected, None),
-            Reach::NeverUp => ((sent + limit).saturating_sub(self.now), DialEnd::Timeout, None),
-            Reach::Open => {
-                let (done, figures) = self.day.servers.probed(self.now, at, relay, &mut todo.told);
+        let (after, end, report) = match self.day.servers.reachability(at, relay) {
+            Reachability::Refused => (way, DialEnd::Unconnected, None),
+            Reachability::Unresponsive => ((sent + limit).saturating_sub(self.now), DialEnd::Timeout, None),
+            Reachability::Open => {
+                let (done, figures) =
+                    self.day.servers.answer_probe(self.now, at, relay, &mut todo.server_events);
                 if done + way > sent + limit {
                     ((sent + limit).saturating_sub(self.now), DialEnd::Timeout, None)
                 } else {
--- a/lab/src/virt/outs.rs
+++ b/lab/src/virt/outs.rs
@@ -58,14 +58,14 @@
             };
             let away = (0..self.relays.len()).filter(away).count() + 1;
             self.outs.draining.insert(relay);
-            let (draining, may) = (self.outs.draining.len(), self.day.s.relays.out as usize);
+            let (draining, may) = (self.outs.draining.len(), self.day.scenario.relays.out as usize);
             let told = &mut self.outs.told;
             told.let_out += 1;
             told.most_draining = told.most_draining.max(draining);
             told.most_away = told.most_away.max(away);
             told.over += u64::from(draining > may);
             // The front sees that it answers no more.
-            self.day.clients.relay_is(self.now, relay, false);
+            self.day.clients.set_relay_serving(self.now, relay, false);
             self.later(stay, Ev::BringsBack { relay });
         } else {
             self.outs.told.held += 1;
@@ -78,7 +78,7 @@
         self.outs.back.insert(relay);
         self.outs.last = self.now;
         if self.relays[relay].mind.is_some() {
-            self.day.clients.relay_is(self.now, relay, true);
+            self.day.clients.set_relay_serving(self.now, relay, true);
             self.step(relay, Event::OperatorCall { call: 0, request: OperatorRequest::Activate });
         }
     }
--- a/lab/src/virt/sessions.rs
+++ b/lab/src/virt/sessions.rs
@@ -2,14 +2,14 @@
 use super::*;
 
 impl Virtual<'_> {
-    pub(super) fn does(&mut self, does: Does) {
+    pub(super) fn does(&mut self, does: ClientAction) {
         let way = self.client_way();
         match does {
-            Does::Opens(ask) => {
+            ClientAction::Open(ask) => {
                 self.asks.insert(ask.mark, ask.clone());
                 self.later(way, Ev::Line(Box::new(ask)));
             }
-            Does::Leaves { mark } => {
+            ClientAction::Leave { mark } => {
                 self.day.audit.client_left(self.now, mark);
                 let Some(ask) = self.asks.remove(&mark) else { return };
                 let r = &self.relays[ask.relay];
@@ -22,13 +22,13 @@
     }
 
     /// A client's line comes to its relay.
-    pub(super) fn line(&mut self, ask: Ask) {
+    pub(super) fn line(&mut self, ask: ClientRequest) {
         let relay = ask.relay;
         if !self.asks.contains_key(&ask.mark) {
             return; // left on the way
         }
         if self.relays[relay].mind.is_none() {
-            return self.client(ask.mark, Heard::Unreached, 0);
+            return self.client(ask.mark, ClientEvent::Unreachable, 0);
         }
         let sent = self.now - self.client_way();
         self.day.audit.session_requested(
@@ -37,8 +37,8 @@
                 mark: ask.mark,
                 relay,
                 listener: ask.listener,
-                wait: ask.wait,
-                is_pre_existing: ask.at.is_some(),
+                wait: ask.dial_timeout,
+                is_pre_existing: ask.pre_existing_at.is_some(),
             },
         );
         let r = &mut self.relays[relay];
@@ -51,37 +51,37 @@
         let margin = r.limits.answer_margin;
         let open = SessionRequest {
             id: mark,
-            listener: self.day.s.listeners[ask.listener].name.clone(),
+            listener: self.day.scenario.listeners[ask.listener].name.clone(),
             key: ask.key,
             group: ask.group,
-            returned: ask.again,
-            wait_ms: ask.wait / 1000,
-            at: ask.at.map(|server| self.day.servers.endpoints.identities[server].id.clone()),
+            returned: ask.returned,
+            wait_ms: ask.dial_timeout / 1000,
+            at: ask.pre_existing_at.map(|server| self.day.servers.endpoints.identities[server].id.clone()),
             ..SessionRequest::default()
         };
-        let left = ask.wait.saturating_sub(margin + self.client_way());
+        let left = ask.dial_timeout.saturating_sub(margin + self.client_way());
         self.step(relay, Event::ClientConnected { connection_id: sess });
         self.step(relay, Event::SessionRequested { session_id: sess, open, time_remaining: left });
     }
 
     /// A client hears its last word, or `UP`.
-    pub(super) fn client(&mut self, mark: u64, heard: Heard, receipt: u64) {
+    pub(super) fn client(&mut self, mark: u64, heard: ClientEvent, receipt: u64) {
         let answer = match heard {
-            Heard::Up => Some(Answer::Up(receipt)),
-            Heard::Busy(_) => Some(Answer::Busy),
-            Heard::Failed => Some(Answer::Failed),
-            Heard::Closed => Some(Answer::Closed),
-            Heard::Moved | Heard::Bye | Heard::Unreached => None,
+            ClientEvent::Established => Some(Answer::Up(receipt)),
+            ClientEvent::Rejected(_) => Some(Answer::Busy),
+            ClientEvent::Failed => Some(Answer::Failed),
+            ClientEvent::Closed => Some(Answer::Closed),
+            ClientEvent::Migrated | ClientEvent::Ended | ClientEvent::Unreachable => None,
         };
-        let open = heard != Heard::Up && self.is_open(mark);
+        let open = heard != ClientEvent::Established && self.is_open(mark);
         if let Some(answer) = answer.filter(|_| !open) {
             self.day.audit.client_answered(self.now, mark, &answer);
         }
-        if !self.day.clients.is_there(mark) {
+        if !self.day.clients.is_present(mark) {
             return;
         }
-        self.day.clients.heard(self.now, mark, heard);
-        if heard != Heard::Up {
+        self.day.clients.handle(self.now, mark, heard);
+        if heard != ClientEvent::Established {
             self.day.audit.client_left(self.now, mark);
             if let Some(ask) = self.asks.remove(&mark) {
                 let r = &self.relays[ask.relay];
@@ -111,16 +111,16 @@
         self.step(relay, Event::ClientDisconnected { session_id: sess });
     }
 
-    pub(super) fn close_now(&mut self, conn: ConnNo, todo: &mut Todo) {
+    pub(super) fn close_now(&mut self, conn: ConnectionId, todo: &mut DriverActions) {
         let Some(dial) = self.dials.remove(&conn) else { return };
         if dial.there {
-            self.day.servers.closed(self.now, conn, &mut todo.told);
+            self.day.servers.connection_closed(self.now, conn, &mut todo.server_events);
             self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRan);
         }
     }
 
     /// A session's last word from its relay; a dial that is out for it is given up.
-    pub(super) fn last(&mut self, relay: usize, sess: SessId, heard: Heard) {
+    pub(super) fn last(&mut self, relay: usize, sess: SessId, heard: ClientEvent) {
         let (way, client_way) = (self.way(), self.client_way());
         let Some(line) = self.relays[relay].lines.get_mut(&sess) else { return };
         line.over = true;
@@ -134,8 +134,9 @@
     pub(super) fn dial(&mut self, relay: usize, sess: SessId, dial: u32, addr: SocketAddr, wait: Micros) {
         let way = self.way();
         let (life, server) = (self.relays[relay].life, server_at(addr));
-        let (connect, reach) = (self.relays[relay].limits.connect, self.day.servers.reach(server, relay));
-        let fault = if reach == Reach::Open { self.day.servers.fault(server) } else { None };
+        let (connect, reach) =
+            (self.relays[relay].limits.connect, self.day.servers.reachability(server, relay));
+        let fault = if reach == Reachability::Open { self.day.servers.draw_wire_fault(server) } else { None };
         let r = &mut self.relays[relay];
         let mark = r.lines.get(&sess).map(|l| l.mark).or(r.past.get(&sess).copied());
         let Some(mark) = mark else { return };
@@ -144,21 +145,23 @@
             line.dials = dial + 1;
         }
         match (reach, fault) {
-            (Reach::Refused, _) | (_, Some(Fault::Refused)) => return self.tell(relay, 2 * way, never),
-            (Reach::NeverUp, _) | (_, Some(Fault::NeverUp)) => {
+            (Reachability::Refused, _) | (_, Some(Fault::Refused)) => {
+                return self.tell(relay, 2 * way, never)
+            }
+            (Reachability::Unresponsive, _) | (_, Some(Fault::NeverUp)) => {
                 return self.tell(relay, wait.min(connect), never);
             }
-            (Reach::Open, _) => {}
+            (Reachability::Open, _) => {}
         }
         self.next_conn += 1;
         let conn = self.next_conn;
         if let Some(line) = self.relays[relay].lines.get_mut(&sess) {
             line.conn = Some(conn);
         }
-        let mut asked = Dialled { server, relay, ..Dialled::default() };
+        let mut asked = DialRequest { server, relay, ..DialRequest::default() };
         if let Some(ask) = self.asks.get(&mark) {
             (asked.listener, asked.key, asked.group) = (ask.listener, ask.key, ask.group);
-            (asked.standing, asked.life) = (ask.at.is_some(), ask.bye);
+            (asked.is_pre_existing, asked.lifetime) = (ask.pre_existing_at.is_some(), ask.ended_after);
         }
         let d = Dial { relay, life, sess, dial, mark, server, ask: asked, there: false, up: false, fault };
         self.dials.insert(conn, d);
@@ -167,11 +170,11 @@
         self.later(wait, Ev::TimesOut { relay, life, sess, dial });
     }
 
-    pub(super) fn dialled(&mut self, conn: ConnNo, todo: &mut Todo) {
+    pub(super) fn dialled(&mut self, conn: ConnectionId, todo: &mut DriverActions) {
         let way = self.way();
         let Some(d) = self.dials.get_mut(&conn) else { return };
         let (relay, server, mark) = (d.relay, d.server, d.mark);
-        let open = self.day.servers.reach(server, relay) == Reach::Open;
+        let open = self.day.servers.reachability(server, relay) == Reachability::Open;
         if !open || matches!(d.fault, Some(Fault::ResetBefore | Fault::ResetAfter)) {
             if open && d.fault == Some(Fault::ResetAfter) {
                 self.day.audit.dial_received(
@@ -188,12 +191,12 @@
             .audit
             .dial_received(self.now, &DialReceived { mark, relay, backend: server, first_byte_at: self.now });
         if !matches!(fault, Some(Fault::Silence | Fault::HalfLine)) {
-            self.day.servers.dialled(self.now, conn, &ask, &mut todo.told);
+            self.day.servers.dial_received(self.now, conn, &ask, &mut todo.server_events);
         }
     }
 
     /// A dial ends before it is up.
-    pub(super) fn dial_ends(&mut self, conn: ConnNo, after: Micros, end: DialEnd) {
+    pub(super) fn dial_ends(&mut self, conn: ConnectionId, after: Micros, end: DialEnd) {
         let Some(d) = self.dials.remove(&conn) else { return };
         let r = &mut self.relays[d.relay];
         let Some(line) = r.lines.get_mut(&d.sess) else { return };
@@ -204,11 +207,11 @@
         }
     }
 
-    pub(super) fn told(&mut self, told: Told, todo: &mut Todo) {
+    pub(super) fn told(&mut self, told: ServerEvent, todo: &mut DriverActions) {
         let way = self.way();
         match told {
-            Told::Word { conn, word } => self.word(conn, word),
-            Told::Reset { conn } => {
+            ServerEvent::Line { connection: conn, line: word } => self.word(conn, word),
+            ServerEvent::Reset { connection: conn } => {
                 let Some(d) = self.dials.get(&conn) else { return };
                 let (mark, server, up) = (d.mark, d.server, d.up);
                 self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
@@ -218,12 +221,12 @@
                     self.dial_ends(conn, way, DialEnd::Reset);
                 }
             }
-            Told::Reach { server } => {
+            ServerEvent::ReachabilityChanged { server } => {
                 for relay in 0..self.relays.len() {
-                    if self.day.servers.reach(server, relay) != Reach::NeverUp {
+                    if self.day.servers.reachability(server, relay) != Reachability::Unresponsive {
                         continue;
                     }
-                    let there = |conn: Option<ConnNo>| {
+                    let there = |conn: Option<ConnectionId>| {
                         conn.and_then(|c| self.dials.get(&c)).is_some_and(|d| d.server == server)
                     };
                     let lines = self.relays[relay].lines.iter();
@@ -232,54 +235,54 @@
                     open.into_iter().for_each(|sess| self.may_be_silent(relay, sess));
                 }
             }
-            other => todo.told.push(other),
+            other => todo.server_events.push(other),
         }
     }
 
     /// A server's word comes to the relay.
-    pub(super) fn word(&mut self, conn: ConnNo, word: Word) {
+    pub(super) fn word(&mut self, conn: ConnectionId, word: ServerLine) {
         let way = self.way();
         let Some(d) = self.dials.get(&conn) else { return };
         let (relay, life, sess, dial, mark, server, up) =
             (d.relay, d.life, d.sess, d.dial, d.mark, d.server, d.up);
-        let heard = self.day.servers.speaks(server, relay);
+        let heard = self.day.servers.can_send(server, relay);
         let alive = self.relays[relay].life == life;
         let mine = alive && self.relays[relay].lines.get(&sess).is_some_and(|l| l.conn == Some(conn));
         let over = match word {
-            Word::Busy => Some(DialOutcome::NeverRan),
-            Word::Err | Word::Bye | Word::Move => Some(DialOutcome::MayHaveRan),
-            Word::Up | Word::Load(_) => None,
+            ServerLine::Busy => Some(DialOutcome::NeverRan),
+            ServerLine::Err | ServerLine::Bye | ServerLine::Move => Some(DialOutcome::MayHaveRan),
+            ServerLine::Up | ServerLine::Load(_) => None,
         };
         if let Some(over) = over {
             self.day.audit.dial_ended(self.now, mark, server, over);
         }
-        if word == Word::Up {
+        if word == ServerLine::Up {
             self.day.audit.session_established(self.now, mark, server, conn);
         }
         if !mine || !heard {
             return;
         }
         match word {
-            Word::Up => self.tell(relay, way, Event::SessionEstablished { session_id: sess, dial }),
+            ServerLine::Up => self.tell(relay, way, Event::SessionEstablished { session_id: sess, dial }),
             // Nine of ten lines: told at once, as a way of their own would change nothing but the time it
             // takes.
-            Word::Load(load) if up => self.step(relay, Event::LoadReported { session_id: sess, load }),
-            Word::Load(load) => self.tell(relay, way, Event::LoadReported { session_id: sess, load }),
-            Word::Busy => self.dial_ends(conn, way, DialEnd::Full),
-            Word::Err => self.dial_ends(conn, way, DialEnd::Error),
-            Word::Bye if up => self.open_ends(conn, way, DialEnd::Ok),
-            Word::Move if up => self.open_ends(conn, way, DialEnd::Recalled),
-            Word::Move => self.dial_ends(conn, way, DialEnd::Recalled),
-            Word::Bye => {
+            ServerLine::Load(load) if up => self.step(relay, Event::LoadReported { session_id: sess, load }),
+            ServerLine::Load(load) => self.tell(relay, way, Event::LoadReported { session_id: sess, load }),
+            ServerLine::Busy => self.dial_ends(conn, way, DialEnd::Full),
+            ServerLine::Err => self.dial_ends(conn, way, DialEnd::Error),
+            ServerLine::Bye if up => self.open_ends(conn, way, DialEnd::Ok),
+            ServerLine::Move if up => self.open_ends(conn, way, DialEnd::Recalled),
+            ServerLine::Move => self.dial_ends(conn, way, DialEnd::Recalled),
+            ServerLine::Bye => {
                 self.dial_ends(conn, way, DialEnd::Ok);
                 let client_way = self.client_way();
-                self.later(way + client_way, Ev::Client { mark, heard: Heard::Bye, receipt: 0 });
+                self.later(way + client_way, Ev::Client { mark, heard: ClientEvent::Ended, receipt: 0 });
             }
         }
     }
 
     /// An open session ends at its server's side; its client hears why.
-    pub(super) fn open_ends(&mut self, conn: ConnNo, after: Micros, end: DialEnd) {
+    pub(super) fn open_ends(&mut self, conn: ConnectionId, after: Micros, end: DialEnd) {
         let Some(d) = self.dials.remove(&conn) else { return };
         let client_way = self.client_way();
         let r = &mut self.relays[d.relay];
@@ -289,7 +292,7 @@
         }
         line.over = true;
         self.tell(d.relay, after, Event::SessionEnded { session_id: d.sess, end, report: None });
-        let heard = if end == DialEnd::Ok { Heard::Bye } else { Heard::Moved };
+        let heard = if end == DialEnd::Ok { ClientEvent::Ended } else { ClientEvent::Migrated };
         self.later(after + client_way, Ev::Client { mark: d.mark, heard, receipt: 0 });
     }
 
@@ -298,12 +301,12 @@
         let Some(line) = self.relays[relay].lines.get(&sess).filter(|l| l.open) else { return };
         let Some(conn) = line.conn else { return };
         let Some(d) = self.dials.get(&conn) else { return };
-        if self.day.servers.speaks(d.server, relay) {
+        if self.day.servers.can_send(d.server, relay) {
             return;
         }
         let limits = &self.relays[relay].limits;
         let patience = if line.doubted { limits.probe } else { limits.silence };
-        let period = self.day.s.clients.message_s.us();
+        let period = self.day.scenario.clients.message_s.us();
         // Clients speak each period, at a moment of their own.
         let phase = mix(line.mark) % period;
         let next = self.now + (phase + period - self.now % period) % period;
@@ -313,10 +316,10 @@
         self.queue.schedule(waits + patience, Ev::Silent { relay, life, sess, conn });
     }
 
-    pub(super) fn silent(&mut self, relay: usize, sess: SessId, conn: ConnNo) {
+    pub(super) fn silent(&mut self, relay: usize, sess: SessId, conn: ConnectionId) {
         let Some(line) = self.relays[relay].lines.get(&sess) else { return };
         let Some(server) = self.dials.get(&conn).map(|d| d.server) else { return };
-        if !line.open || line.conn != Some(conn) || self.day.servers.speaks(server, relay) {
+        if !line.open || line.conn != Some(conn) || self.day.servers.can_send(server, relay) {
             return;
         }
         let (way, client_way, mark) = (self.way(), self.client_way(), line.mark);
@@ -325,6 +328,6 @@
             (line.open, line.over, line.conn) = (false, true, None);
         }
         self.step(relay, Event::SessionEnded { session_id: sess, end: DialEnd::Reset, report: None });
-        self.later(client_way, Ev::Client { mark, heard: Heard::Moved, receipt: 0 });
+        self.later(client_way, Ev::Client { mark, heard: ClientEvent::Migrated, receipt: 0 });
     }
 }
