--- a/emulator/src/audit/answers.rs
+++ b/emulator/src/audit/answers.rs
@@ -1,6 +1,6 @@
 //! Rule 1, one final answer in time, and the part of rule 2 that is about rejections.
 use super::session::{Answer, Session, TraceEvent};
-use super::Audit;
+use super::{Audit, PendingAnswer};
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
 /// A client's whole first line, on its way to a relay that took the connection.
@@ -13,7 +13,7 @@
     pub listener: usize,
     /// What is left of the dial timeout.
     pub wait: Micros,
-    /// It stood at its backend before the relay started.
+    /// It was open at its backend before the relay started.
     pub is_pre_existing: bool,
 }
 
@@ -24,7 +24,7 @@
         self.sessions_seen += 1;
         let deadline = now + wait;
         self.sessions.insert(mark, Session::new(listener, relay, deadline, is_pre_existing));
-        self.deadlines.insert((deadline + self.rules.slack, mark));
+        self.deadlines.insert(PendingAnswer { deadline: deadline + self.rules.slack, mark });
         self.trace(now, mark, TraceEvent::Requested { relay });
     }
 
@@ -45,7 +45,7 @@
         let deadline = session.deadline;
         let is_excused = session.is_excused && *answer == Answer::Closed;
         session.answered_at = Some(now);
-        self.deadlines.remove(&(deadline + slack, mark));
+        self.deadlines.remove(&PendingAnswer { deadline: deadline + slack, mark });
         if now > deadline + slack && !is_excused {
             let late_ms = (now - deadline) as f64 / 1e3;
             let details = format!("{name} comes {late_ms:.1} ms after the dial timeout");
@@ -90,8 +90,8 @@
         let deadline = session.deadline + self.rules.slack;
         let is_answered = session.answered_at.is_some();
         let relay = session.relay;
-        let was_owed = self.deadlines.remove(&(deadline, mark));
-        if was_owed && !is_answered && now > deadline && !self.relays[relay].is_stalled {
+        let was_pending = self.deadlines.remove(&PendingAnswer { deadline, mark });
+        if was_pending && !is_answered && now > deadline && !self.relays[relay].is_stalled {
             self.record_breach(1, now, mark, "no answer within the dial timeout".to_string());
         }
     }
@@ -112,8 +112,9 @@
 
     /// Finds the answers that are overdue.
     pub fn check_deadlines(&mut self, now: Micros) {
-        while let Some(&(deadline, mark)) = self.deadlines.first().filter(|(deadline, _)| *deadline < now) {
-            self.deadlines.remove(&(deadline, mark));
+        while let Some(&pending) = self.deadlines.first().filter(|pending| pending.deadline < now) {
+            self.deadlines.remove(&pending);
+            let PendingAnswer { mark, .. } = pending;
             let Some(session) = self.sessions.get_mut(&mark) else { continue };
             let relay = &self.relays[session.relay];
             if relay.is_stalled {
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -57,6 +57,16 @@
     idempotency: Vec<Idempotency>,
 }
 
+/// A backend, and where it is.
+pub struct BackendPlace {
+    /// Its id in the endpoint list.
+    pub name: String,
+    /// Its zone.
+    pub zone: usize,
+    /// Its cell.
+    pub cell: u16,
+}
+
 /// A backend as the rules see it.
 struct Backend {
     name: String,
@@ -81,6 +91,13 @@
     notified_earlier: Vec<Option<Micros>>,
 }
 
+/// A final answer that is pending, ordered by its deadline.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingAnswer {
+    deadline: Micros,
+    mark: u64,
+}
+
 /// The auditor of one day.
 pub struct Audit {
     begin: Micros,
@@ -89,8 +106,8 @@
     backends: Vec<Backend>,
     /// By mark.
     sessions: BTreeMap<u64, Session>,
-    /// Deadlines of answers that are owed, with the sessions' marks.
-    deadlines: BTreeSet<(Micros, u64)>,
+    /// Deadlines of final answers that are pending.
+    deadlines: BTreeSet<PendingAnswer>,
     relays: Vec<Relay>,
     /// Whether relays store what they must know, so that a notification outlives the process.
     relays_have_stores: bool,
@@ -109,13 +126,13 @@
 }
 
 impl Audit {
-    /// An auditor for a scenario's relays and for backends of these zones and cells, and names.
-    pub fn new(s: &Scenario, places: Vec<(usize, u16)>, names: Vec<String>, begin: Micros) -> Audit {
-        let slack = s.rules.slack_ms.us();
-        let backends = places.into_iter().zip(names).map(|((zone, cell), name)| Backend {
-            name,
-            zone,
-            cell,
+    /// An auditor for a scenario's relays and for these backends.
+    pub fn new(scenario: &Scenario, backends: Vec<BackendPlace>, begin: Micros) -> Audit {
+        let slack = scenario.rules.slack_ms.us();
+        let backends = backends.into_iter().map(|place| Backend {
+            name: place.name,
+            zone: place.zone,
+            cell: place.cell,
             draining_since: None,
         });
         let backends: Vec<Backend> = backends.collect();
@@ -132,18 +149,18 @@
             begin,
             rules: Rules {
                 slack,
-                in_flight: slack + s.net.client_ms.us() + 3 * s.net.server_ms.us(),
-                drain_grace: s.rules.drain_grace_ms.us(),
-                poll_within: s.rules.ask_within_s.us(),
-                max_dials: s.relays.most_dials,
-                idempotency: s.listeners.iter().map(|listener| listener.repeats()).collect(),
+                in_flight: slack + scenario.net.client_ms.us() + 3 * scenario.net.server_ms.us(),
+                drain_grace: scenario.rules.drain_grace_ms.us(),
+                poll_within: scenario.rules.ask_within_s.us(),
+                max_dials: scenario.relays.most_dials,
+                idempotency: scenario.listeners.iter().map(|listener| listener.repeats()).collect(),
             },
-            listeners: s.listeners.iter().map(|listener| listener.name.clone()).collect(),
-            relays: (0..s.relays.count).map(|_| relay()).collect(),
+            listeners: scenario.listeners.iter().map(|listener| listener.name.clone()).collect(),
+            relays: (0..scenario.relays.count).map(|_| relay()).collect(),
             backends,
             sessions: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            relays_have_stores: s.relays.state,
+            relays_have_stores: scenario.relays.state,
             stale_dials: 0,
             breaches: Vec::new(),
             unkept_breaches: 0,
@@ -184,7 +201,8 @@
         self.relays[relay].is_up = false;
         self.relays[relay].ended_at = now;
         let sessions = &self.sessions;
-        self.deadlines.retain(|(_, mark)| sessions.get(mark).is_none_or(|session| session.relay != relay));
+        let is_other = |mark: u64| sessions.get(&mark).is_none_or(|session| session.relay != relay);
+        self.deadlines.retain(|pending| is_other(pending.mark));
         self.sessions.retain(|_, session| session.relay != relay);
     }
 
--- a/emulator/src/audit/session.rs
+++ b/emulator/src/audit/session.rs
@@ -65,7 +65,7 @@
     pub relay: usize,
     pub deadline: Micros,
     pub answered_at: Option<Micros>,
-    /// Its deadline came while its relay stalled: no answer is owed any more, and none may come.
+    /// Its deadline came while its relay stalled: no answer is due any more, and none may come.
     pub is_excused: bool,
     /// The client got `UP`.
     pub is_established: bool,
@@ -76,7 +76,7 @@
     pub first_run: Option<FirstRun>,
     /// The receipt that a backend gave.
     pub receipt: Option<u64>,
-    /// It stood at its backend before the relay started.
+    /// It was open at its backend before the relay started.
     pub is_pre_existing: bool,
     trace: Vec<TraceEntry>,
 }
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -1,173 +1,208 @@
-//! One day: servers, clients, auditor and service figure together, for whoever drives them.
-use crate::audit::Audit;
+//! One day: servers, clients, auditors and the service figure together, for whoever drives them.
+use crate::audit::{Audit, BackendPlace};
 use crate::clients::{ClientAction, Clients};
 use crate::links::{Arrival, Links};
 use crate::membership_audit::MembershipAudit;
-use crate::script::{Act, RelayAction};
+use crate::script::{Action, RelayAction};
 use crate::servers::{ServerEvent, Servers};
 use crate::service::{Outcome, Service};
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 
+/// Interval at which the auditor forgets sessions that ended long ago, in microseconds.
+const FORGET_INTERVAL: Micros = 10_000_000;
+
+/// All models of one day.
 pub struct Day {
+    /// What is played.
     pub scenario: Scenario,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// When the day begins, in microseconds of the driver's clock.
     pub begin: Micros,
+    /// When it ends.
     pub end: Micros,
+    /// All servers, and what discovery knows of them.
     pub servers: Servers,
+    /// All clients, and the front.
     pub clients: Clients,
+    /// Auditor of the four rules.
     pub audit: Audit,
+    /// The service figure.
     pub service: Service,
     /// Links between relays.
     pub links: Links,
     /// Auditor of the relays' views of each other.
     pub membership_audit: MembershipAudit,
-    /// By relay: whether the way to its list service is cut.
+    /// By relay: whether it is cut off from discovery.
     pub list_cut: Vec<bool>,
     forget_at: Micros,
 }
 
-/// What the driver has to do, beyond what its own calls brought.
+/// What the driver has to do, beyond what its own calls returned.
 #[derive(Default)]
 pub struct DriverActions {
+    /// Lines and resets on connections, and changes of reachability.
     pub server_events: Vec<ServerEvent>,
+    /// What clients do.
     pub client_actions: Vec<ClientAction>,
+    /// What is done to relays, by their numbers.
     pub relay_actions: Vec<(usize, RelayAction)>,
+    /// Whether discovery is unavailable from now on; none where that does not change.
     pub discovery_down: Option<bool>,
+    /// The endpoint list, or who is cut off from discovery, has changed.
     pub list_changed: bool,
     /// Datagrams between relays that were held, and go on now.
     pub arrivals: Vec<Arrival>,
 }
 
 impl DriverActions {
+    /// Whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
-        let quiet =
-            self.server_events.is_empty() && self.client_actions.is_empty() && self.relay_actions.is_empty();
-        quiet && self.arrivals.is_empty() && !self.list_changed && self.discovery_down.is_none()
+        self.server_events.is_empty()
+            && self.client_actions.is_empty()
+            && self.relay_actions.is_empty()
+            && self.arrivals.is_empty()
+            && !self.list_changed
+            && self.discovery_down.is_none()
     }
 }
 
 impl Day {
-    pub fn new(s: &Scenario, seed: u64, begin: Micros) -> Day {
-        let servers = Servers::new(s, seed, begin);
-        let places =
-            (0..servers.len()).map(|i| (servers.zone(i), servers.endpoints.identities[i].cell)).collect();
-        let names = servers.endpoints.identities.iter().map(|p| p.id.clone()).collect();
+    /// A scenario with a seed, from `begin` on.
+    pub fn new(scenario: &Scenario, seed: u64, begin: Micros) -> Day {
+        let servers = Servers::new(scenario, seed, begin);
+        let identities = servers.endpoints.identities.iter().enumerate();
+        let backends = identities.map(|(index, identity)| BackendPlace {
+            name: identity.id.clone(),
+            zone: servers.zone(index),
+            cell: identity.cell,
+        });
+        let audit = Audit::new(scenario, backends.collect(), begin);
         Day {
-            scenario: s.clone(),
+            scenario: scenario.clone(),
             seed,
             begin,
-            end: begin + s.length_s.us(),
-            clients: Clients::new(s, seed, begin),
-            audit: Audit::new(s, places, names, begin),
-            service: Service::new(s, begin),
-            links: Links::new(s.net.server_ms.us(), seed),
-            membership_audit: MembershipAudit::new(s.relays.count, begin),
-            list_cut: vec![false; s.relays.count],
+            end: begin + scenario.length_s.us(),
+            clients: Clients::new(scenario, seed, begin),
+            audit,
+            service: Service::new(scenario, begin),
+            links: Links::new(scenario.net.server_ms.us(), seed),
+            membership_audit: MembershipAudit::new(scenario.relays.count, begin),
+            list_cut: vec![false; scenario.relays.count],
             servers,
             forget_at: begin,
         }
     }
 
-    /// When it wants to be stepped next.
+    /// When `step` is due next.
     pub fn next_at(&self) -> Micros {
-        let times = [self.servers.next(), self.clients.next()];
-        times.into_iter().flatten().fold(self.service.next(), Micros::min)
+        let times = [self.servers.next_at(), self.clients.next_at()];
+        times.into_iter().flatten().fold(self.service.next_at(), Micros::min)
     }
 
-    /// All that is due by now. What servers say comes as `told`, what clients do as `does`.
+    /// Does all that is due by now, and appends what the driver has to do.
     pub fn step(&mut self, now: Micros, todo: &mut DriverActions) {
         self.servers.step(now, &mut todo.server_events);
         self.take_internal_events(now, todo);
         self.clients.step(now, &mut todo.client_actions);
-        if now >= self.service.next() {
+        if now >= self.service.next_at() {
             self.service.tick(now, &mut self.servers, &self.clients, &mut todo.server_events);
             self.audit.check_deadlines(now);
             if self.scenario.relays.fleet {
-                self.look_at_links(now);
+                self.audit_link_cuts(now);
                 self.membership_audit.check_pending(now);
             }
             self.take_internal_events(now, todo);
         }
         if now >= self.forget_at {
-            self.forget_at = now + 10_000_000;
+            self.forget_at = now + FORGET_INTERVAL;
             self.audit.forget_ended(now);
         }
     }
 
-    /// Takes out of `told` what is not the driver's: news of the list, falls, the log.
+    /// Handles the events that are not the driver's: changes of the endpoint list, overloads, script
+    /// actions, the log.
     pub fn take_internal_events(&mut self, now: Micros, todo: &mut DriverActions) {
-        // Most of the time all that was told is the driver's.
-        let drivers = |told: &ServerEvent| {
+        let is_for_driver = |event: &ServerEvent| {
             matches!(
-                told,
+                event,
                 ServerEvent::Line { .. }
                     | ServerEvent::Reset { .. }
                     | ServerEvent::ReachabilityChanged { .. }
             )
         };
-        if todo.server_events.iter().all(drivers) {
+        // Nearly always all of them are.
+        if todo.server_events.iter().all(is_for_driver) {
             return;
         }
-        let mut kept = Vec::with_capacity(todo.server_events.len());
-        for told in std::mem::take(&mut todo.server_events) {
-            match told {
+        let events = std::mem::take(&mut todo.server_events);
+        todo.server_events.reserve(events.len());
+        for event in events {
+            match event {
                 ServerEvent::Log(text) => self.service.log_event(now, text),
                 ServerEvent::Overloaded { server, blamed } => {
-                    self.audit.backend_overloaded(now, server, blamed)
+                    self.audit.backend_overloaded(now, server, blamed);
                 }
                 ServerEvent::EndpointListChanged => {
                     for server in 0..self.servers.len() {
-                        self.audit.endpoint_listed(now, server, self.servers.endpoints.entry(server).phase);
+                        let phase = self.servers.endpoints.entry(server).phase;
+                        self.audit.endpoint_listed(now, server, phase);
                     }
                     todo.list_changed = true;
                 }
                 ServerEvent::DiscoveryDown { down } => todo.discovery_down = Some(down),
-                ServerEvent::Action(Act::Rate { times }) => self.clients.rate_times(times),
-                ServerEvent::Action(Act::Reconnect { part, within }) => {
-                    self.clients.reconnect(now, part, within)
-                }
-                ServerEvent::Action(Act::Relay { relay, deed }) => todo.relay_actions.push((relay, deed)),
-                ServerEvent::Action(Act::Links { trouble, fault: Some((links, fault)) }) => {
-                    self.links.start_fault(trouble, links, fault);
-                    self.look_at_links(now);
-                }
-                ServerEvent::Action(Act::Links { trouble, fault: None }) => {
-                    // Cut till now, and no longer.
-                    self.look_at_links(now);
-                    self.links.end_fault(now, trouble, &mut todo.arrivals);
-                }
-                ServerEvent::Action(Act::CutList { relay, cut }) => {
-                    self.list_cut[relay] = cut;
-                    todo.list_changed = true;
-                }
-                other => kept.push(other),
+                ServerEvent::Action(action) => self.perform(now, action, todo),
+                event => todo.server_events.push(event),
+            }
+        }
+    }
+
+    fn perform(&mut self, now: Micros, action: Action, todo: &mut DriverActions) {
+        match action {
+            Action::SetArrivalRate { factor } => self.clients.set_arrival_factor(factor),
+            Action::Reconnect { fraction, within } => self.clients.reconnect(now, fraction, within),
+            Action::Relay { relay, action } => todo.relay_actions.push((relay, action)),
+            Action::StartLinkFault { fault_id, links, fault } => {
+                self.links.start_fault(fault_id, links, fault);
+                self.audit_link_cuts(now);
+            }
+            Action::EndLinkFault { fault_id } => {
+                // Before the end: links are cut until now.
+                self.audit_link_cuts(now);
+                self.links.end_fault(now, fault_id, &mut todo.arrivals);
+            }
+            Action::SetDiscoveryCut { relay, is_cut } => {
+                self.list_cut[relay] = is_cut;
+                todo.list_changed = true;
             }
+            other => todo.server_events.push(ServerEvent::Action(other)),
         }
-        todo.server_events = kept;
     }
 
-    /// The list has told a relay of these servers, as it stands.
+    /// Discovery has sent a relay the present state of these servers.
     pub fn list_sent(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<ServerEvent>) {
-        self.servers.told(now, relay, servers, out);
+        self.servers.relay_notified(now, relay, servers, out);
         for &server in servers {
-            self.audit.endpoint_notified(now, relay, server, self.servers.endpoints.entry(server).phase);
+            let phase = self.servers.endpoints.entry(server).phase;
+            self.audit.endpoint_notified(now, relay, server, phase);
         }
     }
 
-    fn look_at_links(&mut self, now: Micros) {
+    fn audit_link_cuts(&mut self, now: Micros) {
         self.membership_audit.links_cut(now, |relay| self.links.is_cut(relay));
     }
 
+    /// The outcome up to now; what only the driver knows is left at its default.
     pub fn outcome(&self) -> Outcome {
-        let mut out =
+        let mut outcome =
             self.service.outcome(&self.scenario, self.seed, &self.servers, &self.clients, &self.audit);
         if self.scenario.relays.fleet {
             let mut membership = self.membership_audit.outcome();
             let counts = self.links.counts;
             membership.datagrams = [counts.sent, counts.arrived, counts.lost, counts.corrupted];
-            out.membership = Some(membership);
+            outcome.membership = Some(membership);
         }
-        out
+        outcome
     }
 }
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -250,7 +250,7 @@
     let text = if line == "PING" {
         "PONG\r\n".to_string()
     } else {
-        format!("PONG inflight={},x0={:.4},x1={:.4}\r\n", figures.inflight, figures.load, figures.piled)
+        format!("PONG inflight={},x0={:.4},x1={:.4}\r\n", figures.inflight, figures.load, figures.queue_delay)
     };
     lines::write(stream, text.as_bytes()).await
 }
--- /dev/null
+++ b/emulator/src/script/schedule.rs
@@ -0,0 +1,320 @@
+//! The actions of one fault of a scenario.
+use super::{kind_text, Action, RelayAction, WireFault};
+use crate::event_queue::EventQueue;
+use crate::links::{LinkFault, LinkSet};
+use crate::random::Random;
+use hallrelay_balancer::types::Micros;
+use hallrelay_config::scenario::{Drains, Scenario, Trouble, TroubleKind};
+use std::rc::Rc;
+
+/// How long an operator keeps a relay out where the scenario does not say.
+const DEFAULT_LEASE: Micros = 3_000_000;
+/// In which clients are back after a reconnect storm where the scenario does not say.
+const DEFAULT_RECONNECT_WITHIN: Micros = 1_000_000;
+/// The shortest time that a server is out between drain and start.
+const MIN_RELEASE_OUTAGE: Micros = 1_000_000;
+/// How long a server is out in a deployment.
+const DEPLOY_OUTAGE: Micros = 2_000_000;
+/// Fraction of the servers that a deployment takes at a time where the scenario does not say.
+const DEFAULT_DEPLOY_FRACTION: f64 = 0.2;
+/// How long the clients of a server that drains at once need to leave it.
+const IMMEDIATE_DRAIN: Micros = 500_000;
+/// Interval between the pauses of a server, drawn anew for each.
+const PAUSE_INTERVAL: [Micros; 2] = [2_000_000, 4_000_000];
+
+/// Schedules the actions of one fault.
+pub(super) struct FaultSchedule<'a> {
+    pub scenario: &'a Scenario,
+    pub fault_id: usize,
+    pub fault: &'a Trouble,
+    pub from: Micros,
+    pub to: Micros,
+    pub actions: &'a mut EventQueue<Action>,
+    pub random: &'a mut Random,
+}
+
+impl FaultSchedule<'_> {
+    pub(super) fn log(&mut self, at: Micros, event: &str) {
+        let text = format!("{} {event}", kind_text(self.fault.kind));
+        self.actions.schedule(at, Action::Log { text });
+    }
+
+    /// Schedules all that the fault does.
+    pub(super) fn add(&mut self) {
+        let strength = self.fault.strength.0;
+        match self.fault.kind {
+            TroubleKind::Crash => self.crash(false),
+            TroubleKind::Vanish => self.crash(true),
+            TroubleKind::Slow => self.slow_servers(),
+            TroubleKind::SharedSlow => self.slow_all_servers_and_store(),
+            TroubleKind::Pauses => self.pause_servers(),
+            TroubleKind::Failing => {
+                self.on_servers(strength, 0.0, |server, fraction| Action::SetFailing { server, fraction });
+            }
+            TroubleKind::LateReports => {
+                let delay = self.strength_as_time();
+                self.on_servers(delay, 0, |server, delay| Action::SetReportDelay { server, delay });
+            }
+            TroubleKind::Lies => {
+                self.on_servers(strength, 1.0, |server, factor| Action::SetReportFactor { server, factor });
+            }
+            TroubleKind::Overrun => {
+                self.on_servers(strength, 0.0, |server, cores| Action::SetBypassLoad { server, cores });
+            }
+            TroubleKind::Wire => self.wire_fault(),
+            TroubleKind::ZoneCut => self.cut_zone(),
+            TroubleKind::ServersCut => self.cut_servers(),
+            TroubleKind::Deploy => self.deploy(),
+            TroubleKind::Drain => self.drain(),
+            TroubleKind::Burst => self.during(strength, 1.0, |factor| Action::SetArrivalRate { factor }),
+            TroubleKind::Reconnect => self.reconnect(),
+            TroubleKind::ListDown => {
+                self.during(true, false, |is_down| Action::SetDiscoveryDown { is_down });
+            }
+            TroubleKind::ListLate => {
+                let delay = self.strength_as_time();
+                self.during(delay, 0, |delay| Action::SetDiscoveryDelay { delay });
+            }
+            TroubleKind::ListCut => self.cut_discovery(),
+            TroubleKind::RelayKilled => self.on_relays(RelayAction::Kill, Some(RelayAction::Start)),
+            TroubleKind::RelayStopped => self.on_relays(RelayAction::Stop, Some(RelayAction::Start)),
+            TroubleKind::RelayStalled => self.on_relays(RelayAction::Stall, Some(RelayAction::Resume)),
+            TroubleKind::RelayReloaded => self.on_relays(RelayAction::Reload, None),
+            TroubleKind::RelayReplaced => self.on_relays(RelayAction::Replace, None),
+            TroubleKind::RelaysOut => self.request_leases(),
+            TroubleKind::RelayLooping => self.crash_loop(),
+            TroubleKind::LinkCut | TroubleKind::LinkSplit => self.intermittent_link_fault(LinkFault::Cut),
+            TroubleKind::LinkLoss => self.link_fault(LinkFault::Loss(strength)),
+            TroubleKind::LinkDouble => self.link_fault(LinkFault::Duplicate(strength)),
+            TroubleKind::LinkDelay => self.link_fault(LinkFault::Delay(self.link_delay())),
+            TroubleKind::LinkReorder => self.link_fault(LinkFault::Reorder(strength, self.link_delay())),
+            TroubleKind::LinkDamage => self.link_fault(LinkFault::Corrupt(strength)),
+            TroubleKind::LinkHold => self.link_fault(LinkFault::Hold),
+        }
+    }
+
+    /// The strength, which the scenario has in seconds.
+    fn strength_as_time(&self) -> Micros {
+        (self.fault.strength.0 * 1e6) as Micros
+    }
+
+    /// Draws the fault's share of a number of things, at least one.
+    fn draw(&mut self, of: usize) -> Vec<usize> {
+        let count = ((of as f64 * self.fault.share.0).round() as usize).clamp(1, of.max(1));
+        let mut drawn: Vec<usize> = (0..of).collect();
+        for index in 0..count.min(of) {
+            let other = index + self.random.below(of - index);
+            drawn.swap(index, other);
+        }
+        drawn.truncate(count);
+        drawn
+    }
+
+    fn draw_servers(&mut self) -> Vec<usize> {
+        self.draw(self.scenario.server_count())
+    }
+
+    /// The relays that it names, or a share of them.
+    fn affected_relays(&mut self) -> Vec<usize> {
+        if self.fault.relays.is_empty() {
+            self.draw(self.scenario.relays.count)
+        } else {
+            self.fault.relays.clone()
+        }
+    }
+
+    /// An action as it starts, and one with another value as it ends.
+    fn during<T>(&mut self, value: T, value_after: T, action: impl Fn(T) -> Action) {
+        self.actions.schedule(self.from, action(value));
+        self.actions.schedule(self.to, action(value_after));
+    }
+
+    /// The same for each server that it affects.
+    fn on_servers<T: Copy>(&mut self, value: T, value_after: T, action: impl Fn(usize, T) -> Action) {
+        for server in self.draw_servers() {
+            self.during(value, value_after, |value| action(server, value));
+        }
+    }
+
+    /// An action for each relay that it affects, and one as it ends.
+    fn on_relays(&mut self, action: RelayAction, action_after: Option<RelayAction>) {
+        let end = self.to.max(self.from + 1);
+        for relay in self.affected_relays() {
+            self.actions.schedule(self.from, Action::Relay { relay, action });
+            if let Some(action) = action_after {
+                self.actions.schedule(end, Action::Relay { relay, action });
+            }
+        }
+    }
+
+    fn crash(&mut self, is_silent: bool) {
+        let until = Some(self.to).filter(|to| *to > self.from);
+        for server in self.draw_servers() {
+            self.actions.schedule(self.from, Action::Crash { server, is_silent, until });
+            if let Some(until) = until {
+                self.actions.schedule(until, Action::Start { server });
+            }
+        }
+    }
+
+    fn slow_servers(&mut self) {
+        let fault_id = self.fault_id;
+        let factor = self.fault.strength.0;
+        self.on_servers(factor, 1.0, |server, factor| Action::SetSlowdown { server, fault_id, factor });
+    }
+
+    fn slow_all_servers_and_store(&mut self) {
+        let fault_id = self.fault_id;
+        let factor = self.fault.strength.0;
+        for server in 0..self.scenario.server_count() {
+            self.during(factor, 1.0, |factor| Action::SetSlowdown { server, fault_id, factor });
+        }
+        self.during(factor, 1.0, |factor| Action::SetStoreSlowdown { factor });
+    }
+
+    /// Servers stall for a fraction (`strength`) of each interval.
+    fn pause_servers(&mut self) {
+        for server in self.draw_servers() {
+            let mut at = self.from + self.random.between([0, PAUSE_INTERVAL[0]]);
+            while at < self.to {
+                let interval = self.random.between(PAUSE_INTERVAL);
+                let pause = ((interval as f64 * self.fault.strength.0) as Micros).min(self.to - at);
+                self.actions.schedule(at, Action::SetStalled { server, is_stalled: true });
+                self.actions.schedule(at + pause, Action::SetStalled { server, is_stalled: false });
+                at += interval;
+            }
+        }
+    }
+
+    fn wire_fault(&mut self) {
+        let strength = self.fault.strength.0;
+        let fraction = if strength > 0.0 { strength.min(1.0) } else { 1.0 };
+        let fault = self.fault.fault.map(|fault| WireFault { fault, fraction });
+        self.on_servers(fault, None, |server, fault| Action::SetWireFault { server, fault });
+    }
+
+    fn cut_zone(&mut self) {
+        let zones = &self.scenario.servers.zones;
+        let named = self.fault.zone.as_ref().and_then(|name| zones.iter().position(|zone| zone == name));
+        let zone = named.unwrap_or(0);
+        self.during(true, false, |is_cut| Action::SetZoneCut { zone, is_cut });
+    }
+
+    /// The named relays, or all: the share is one of the servers.
+    fn cut_servers(&mut self) {
+        let relays = if self.fault.relays.is_empty() {
+            (0..self.scenario.relays.count).collect()
+        } else {
+            self.fault.relays.clone()
+        };
+        for server in self.draw_servers() {
+            for &relay in &relays {
+                self.during(true, false, |is_cut| Action::SetServerCut { relay, server, is_cut });
+            }
+        }
+    }
+
+    fn cut_discovery(&mut self) {
+        for relay in self.affected_relays() {
+            self.during(true, false, |is_cut| Action::SetDiscoveryCut { relay, is_cut });
+        }
+    }
+
+    fn reconnect(&mut self) {
+        let is_given = self.fault.strength.0 > 0.0;
+        let within = if is_given { self.strength_as_time() } else { DEFAULT_RECONNECT_WITHIN };
+        let fraction = self.fault.share.0;
+        self.actions.schedule(self.from, Action::Reconnect { fraction, within });
+    }
+
+    fn request_leases(&mut self) {
+        let is_given = self.fault.strength.0 > 0.0;
+        let length = if is_given { self.strength_as_time() } else { DEFAULT_LEASE };
+        self.on_relays(RelayAction::RequestLease(length), None);
+    }
+
+    /// Kills relays again and again; each runs for as long as it is down.
+    fn crash_loop(&mut self) {
+        let interval = self.fault.every_s.us();
+        for relay in self.affected_relays() {
+            let mut at = self.from;
+            while at < self.to {
+                let start_at = (at + interval).min(self.to);
+                self.actions.schedule(at, Action::Relay { relay, action: RelayAction::Kill });
+                self.actions.schedule(start_at, Action::Relay { relay, action: RelayAction::Start });
+                at += 2 * interval;
+            }
+        }
+    }
+
+    fn link_delay(&self) -> [Micros; 2] {
+        self.fault.delay_ms.map(|ms| ms.us())
+    }
+
+    fn link_fault(&mut self, fault: LinkFault) {
+        self.link_fault_between(self.from, self.to, fault);
+    }
+
+    fn link_fault_between(&mut self, from: Micros, to: Micros, fault: LinkFault) {
+        let relay_count = self.scenario.relays.count;
+        let fault_id = self.fault_id;
+        let settings = self.fault;
+        let links = match settings.kind {
+            TroubleKind::LinkSplit => LinkSet::partition(relay_count, &settings.groups, settings.bridge),
+            _ => LinkSet::between(relay_count, &settings.from, &settings.to, settings.one_way),
+        };
+        self.actions.schedule(from, Action::StartLinkFault { fault_id, links: Rc::new(links), fault });
+        self.actions.schedule(to, Action::EndLinkFault { fault_id });
+    }
+
+    /// All the time, or for the first half of each interval.
+    fn intermittent_link_fault(&mut self, fault: LinkFault) {
+        let interval = self.fault.every_s.us();
+        if interval == 0 {
+            return self.link_fault(fault);
+        }
+        let mut at = self.from;
+        while at < self.to {
+            self.link_fault_between(at, (at + interval / 2).min(self.to), fault);
+            at += interval;
+        }
+    }
+
+    fn drain(&mut self) {
+        let outage = self.to.saturating_sub(self.from);
+        for server in self.draw_servers() {
+            self.release(self.from, outage, server);
+        }
+    }
+
+    /// Drains a server, ends its process and starts it anew after an outage.
+    fn release(&mut self, at: Micros, outage: Micros, server: usize) {
+        // The process ends after discovery has reported the drain and the clients have left.
+        let reported_after = self.scenario.list.notice_s[1].us();
+        let drained_after = match self.scenario.servers.drains {
+            Drains::BitByBit => self.scenario.servers.drain_s.us(),
+            Drains::AtOnce => IMMEDIATE_DRAIN,
+        };
+        let ends_at = at + reported_after + drained_after;
+        let starts_at = ends_at + outage.max(MIN_RELEASE_OUTAGE);
+        self.actions.schedule(at, Action::Drain { server });
+        self.actions.schedule(ends_at, Action::Crash { server, is_silent: false, until: Some(starts_at) });
+        self.actions.schedule(starts_at, Action::Start { server });
+    }
+
+    /// Releases all servers that it affects, in groups one after the other within its length.
+    fn deploy(&mut self) {
+        let strength = self.fault.strength.0;
+        let fraction = if strength > 0.0 { strength.min(1.0) } else { DEFAULT_DEPLOY_FRACTION };
+        let servers = self.draw_servers();
+        let group_size = ((servers.len() as f64 * fraction).ceil() as usize).max(1);
+        let group_count = servers.len().div_ceil(group_size) as u64;
+        let length = self.to.saturating_sub(self.from);
+        for (index, group) in servers.chunks(group_size).enumerate() {
+            let at = self.from + length * index as u64 / group_count.max(1);
+            for &server in group {
+                self.release(at, DEPLOY_OUTAGE, server);
+            }
+        }
+    }
+}
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,5 +1,5 @@
-//! One server: what it can do, what is asked of it, what piled up. Loads are whole millionths of a core of
-//! speed 1, work is such a load times microseconds, so that sums are exact.
+//! One server: its capacity, the demand on it and the work that is queued. Loads are whole millionths of a
+//! core of speed 1, work is such a load times microseconds, so that sums are exact.
 use hallrelay_balancer::types::Micros;
 
 /// Millionths of a core of speed 1.
@@ -7,334 +7,275 @@
 /// `Cores` times microseconds.
 pub type Work = u64;
 
+/// One core of speed 1.
 pub const CORE: Cores = 1_000_000;
 
 /// What a machine is, whatever happens to it.
 #[derive(Clone, Debug)]
 pub struct Machine {
+    /// Number of cores.
     pub cores: u32,
-    /// Of one core.
+    /// Speed of one core.
     pub speed: Cores,
-    pub cold_from: f64,
-    pub cold: Micros,
-    /// Warm all at once when the time is over, or bit by bit till then.
-    pub at_the_end: bool,
-    pub fall_multiple: f64,
-    pub fall: Micros,
+    /// Fraction of its capacity with which it starts, from 0 to 1.
+    pub initial_capacity: f64,
+    /// How long it warms up after a start, in microseconds.
+    pub warm_up: Micros,
+    /// Whether it gets its whole capacity at once when it has warmed up; otherwise linearly until then.
+    pub warms_at_end: bool,
+    /// Work that overloads it while it warms up, as a multiple of what it can do in the overload window.
+    pub overload_multiple: f64,
+    /// Overload window, in microseconds.
+    pub overload_window: Micros,
 }
 
+/// Whether a server serves, and if not, how connections to it fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ServerState {
+    /// It serves.
     Up,
     /// The process is dead: connections are reset and refused.
     Down,
-    /// The machine says nothing any more.
+    /// The machine sends nothing any more, and resets nothing.
     Silent,
-    /// Sent too much while it was cold; stays down.
-    Fallen,
+    /// It was overloaded while it warmed up, and stays down.
+    Overloaded,
 }
 
 /// Work that came in a window of time, in buckets that are used again in a ring.
 #[derive(Clone, Debug)]
-struct Window {
-    width: Micros,
+struct WorkWindow {
+    bucket_width: Micros,
     /// The bucket that is filled now, counted from the start.
-    last: u64,
-    slots: [Work; Window::SLOTS],
+    last_bucket: u64,
+    buckets: [Work; WorkWindow::BUCKETS],
 }
 
-impl Window {
-    /// A hundredth of the window is the step in which old work leaves it.
-    const SLOTS: usize = 100;
+impl WorkWindow {
+    /// Old work leaves the window in steps of a bucket.
+    const BUCKETS: usize = 100;
 
-    fn new(length: Micros) -> Window {
-        Window { width: (length / Window::SLOTS as Micros).max(1), last: 0, slots: [0; Window::SLOTS] }
+    fn new(length: Micros) -> WorkWindow {
+        let bucket_width = (length / WorkWindow::BUCKETS as Micros).max(1);
+        WorkWindow { bucket_width, last_bucket: 0, buckets: [0; WorkWindow::BUCKETS] }
     }
 
-    /// `since` is the time since the window's own beginning.
+    /// Adds work; `since` is the time since the server's start.
     fn add(&mut self, since: Micros, work: Work) {
-        let bucket = since / self.width;
-        let first = self.last.max(bucket.saturating_sub(Window::SLOTS as u64));
-        for b in first + 1..=bucket {
-            self.slots[b as usize % Window::SLOTS] = 0;
+        let bucket = since / self.bucket_width;
+        let first_to_clear = self.last_bucket.max(bucket.saturating_sub(WorkWindow::BUCKETS as u64)) + 1;
+        for cleared in first_to_clear..=bucket {
+            self.buckets[cleared as usize % WorkWindow::BUCKETS] = 0;
         }
-        self.last = self.last.max(bucket);
-        self.slots[bucket as usize % Window::SLOTS] += work;
+        self.last_bucket = self.last_bucket.max(bucket);
+        self.buckets[bucket as usize % WorkWindow::BUCKETS] += work;
     }
 
     fn sum(&self) -> Work {
-        self.slots.iter().sum()
+        self.buckets.iter().sum()
     }
 }
 
+/// One server. Calls come in order of time; those that change the demand are preceded by `advance`.
 #[derive(Clone, Debug)]
 pub struct Server {
+    /// The machine it runs on.
     pub machine: Machine,
-    pub life: Life,
-    pub draining: bool,
+    /// Whether it serves.
+    pub state: ServerState,
+    /// Whether it drains.
+    pub is_draining: bool,
     /// When it started last; 0 is long ago.
-    pub came_up: Micros,
-    /// Millionths by which it is slower than it should be: 1,000,000 is not at all.
-    pub slower: u64,
-    /// Since when it stands still.
-    pub stands: Option<Micros>,
+    pub started_at: Micros,
+    /// How many times slower than usual it is, in millionths; 1,000,000 is the usual speed.
+    pub slowdown: u64,
+    /// Since when it does no work at all; none where it works.
+    pub stalled_since: Option<Micros>,
     /// All work that ever came.
-    pub came: Work,
+    pub total_work: Work,
     demand: Cores,
-    pile: Work,
-    at: Micros,
-    sent: Window,
-    /// The part of it that came through relays that knew of the start, and what they ask now.
-    sent_told: Window,
-    demand_told: Cores,
+    queued_work: Work,
+    advanced_to: Micros,
+    recent_work: WorkWindow,
+    /// The part of it that came through relays that were notified of the start.
+    recent_notified_work: WorkWindow,
+    /// The part of the demand that comes through such relays.
+    notified_demand: Cores,
 }
 
 impl Server {
-    /// More work than this, in time at full strength, is thrown away: queues are bounded.
-    const PILE: Micros = 4_000_000;
+    /// Queued work beyond this, in time at full capacity, is dropped.
+    const MAX_QUEUE_DELAY: Micros = 4_000_000;
 
+    /// A server that is up, started long ago and has no demand.
     pub fn new(machine: Machine, now: Micros) -> Server {
-        let window = Window::new(machine.fall);
+        let window = WorkWindow::new(machine.overload_window);
         Server {
             machine,
-            life: Life::Up,
-            draining: false,
-            came_up: 0,
-            slower: CORE,
-            stands: None,
-            came: 0,
+            state: ServerState::Up,
+            is_draining: false,
+            started_at: 0,
+            slowdown: CORE,
+            stalled_since: None,
+            total_work: 0,
             demand: 0,
-            pile: 0,
-            at: now,
-            sent: window.clone(),
-            sent_told: window,
-            demand_told: 0,
+            queued_work: 0,
+            advanced_to: now,
+            recent_work: window.clone(),
+            recent_notified_work: window,
+            notified_demand: 0,
         }
     }
 
-    pub fn cold(&self, now: Micros) -> bool {
-        self.came_up > 0 && now < self.came_up + self.machine.cold
+    /// Whether it warms up after a start.
+    pub fn is_warming_up(&self, now: Micros) -> bool {
+        self.started_at > 0 && now < self.started_at + self.machine.warm_up
     }
 
-    fn warmth(&self, now: Micros) -> f64 {
-        if !self.cold(now) {
+    /// The part of its full capacity that it has now, from 0 to 1.
+    fn warm_up_fraction(&self, now: Micros) -> f64 {
+        if !self.is_warming_up(now) {
             return 1.0;
         }
-        let age = now.saturating_sub(self.came_up) as f64 / self.machine.cold as f64;
-        let grown = if self.machine.at_the_end { 0.0 } else { age };
-        self.machine.cold_from + (1.0 - self.machine.cold_from) * grown
+        let elapsed = now.saturating_sub(self.started_at) as f64 / self.machine.warm_up as f64;
+        let gained = if self.machine.warms_at_end { 0.0 } else { elapsed };
+        self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * gained
     }
 
-    /// What all its cores can do now, if it does not stand.
-    pub fn can(&self, now: Micros) -> Cores {
+    /// Capacity of all its cores now, were it not stalled; at least 1.
+    pub fn capacity(&self, now: Micros) -> Cores {
         let full = Cores::from(self.machine.cores) * self.machine.speed;
-        let slowed = full as u128 * u128::from(CORE) / u128::from(self.slower.max(CORE));
-        ((slowed as f64 * self.warmth(now)) as Cores).max(1)
+        let slowed = full as u128 * u128::from(CORE) / u128::from(self.slowdown.max(CORE));
+        ((slowed as f64 * self.warm_up_fraction(now)) as Cores).max(1)
     }
 
+    /// Demand of its sessions.
     pub fn demand(&self) -> Cores {
         self.demand
     }
 
-    /// Load asked over what it can do.
+    /// Demand over capacity.
     pub fn load(&self, now: Micros) -> f64 {
-        self.demand as f64 / self.can(now) as f64
+        self.demand as f64 / self.capacity(now) as f64
     }
 
-    /// Starts anew, cold, with nothing.
-    pub fn start(&mut self, now: Micros) {
-        let window = Window::new(self.machine.fall);
-        (self.life, self.draining, self.came_up, self.at) = (Life::Up, false, now.max(1), now);
-        (self.demand, self.demand_told, self.pile) = (0, 0, 0);
-        (self.sent, self.sent_told) = (window.clone(), window);
+    /// Starts anew, warming up, without demand and queued work.
+    pub fn restart(&mut self, now: Micros) {
+        let window = WorkWindow::new(self.machine.overload_window);
+        self.state = ServerState::Up;
+        self.is_draining = false;
+        self.started_at = now.max(1);
+        self.advanced_to = now;
+        self.demand = 0;
+        self.notified_demand = 0;
+        self.queued_work = 0;
+        self.recent_work = window.clone();
+        self.recent_notified_work = window;
     }
 
-    /// Brings the work up to now; true where the server falls over by it.
+    /// Brings the work up to now. Returns whether the server is overloaded by it.
     pub fn advance(&mut self, now: Micros) -> bool {
-        // Warmth and the window of a cold server are read in steps of a bucket, all else is even in between.
-        while self.at < now {
-            let cold = self.cold(self.at) && self.life == Life::Up;
-            let until = if cold {
-                let since = self.at - self.came_up;
-                (self.at - since % self.sent.width + self.sent.width).min(now)
-            } else {
-                now
-            };
-            if self.advance_to(until, cold) {
+        // Capacity and window of a server that warms up are read in steps of a bucket; all else is constant
+        // in between.
+        while self.advanced_to < now {
+            let warming_up = self.is_warming_up(self.advanced_to) && self.state == ServerState::Up;
+            let until = if warming_up { self.next_bucket_at().min(now) } else { now };
+            if self.advance_step(until, warming_up) {
                 return true;
             }
         }
         false
     }
 
-    fn advance_to(&mut self, until: Micros, cold: bool) -> bool {
-        let (from, time) = (self.at, until - self.at);
-        self.at = until;
-        if self.life != Life::Up {
-            self.pile = 0;
+    fn next_bucket_at(&self) -> Micros {
+        let since_start = self.advanced_to - self.started_at;
+        let width = self.recent_work.bucket_width;
+        self.advanced_to - since_start % width + width
+    }
+
+    fn advance_step(&mut self, until: Micros, warming_up: bool) -> bool {
+        let from = self.advanced_to;
+        let elapsed = until - from;
+        self.advanced_to = until;
+        if self.state != ServerState::Up {
+            self.queued_work = 0;
             return false;
         }
-        let came = self.demand * time;
-        self.came += came;
-        let done = if self.stands.is_some() { 0 } else { self.can(from) * time };
-        let most = Cores::from(self.machine.cores) * self.machine.speed * Server::PILE;
-        self.pile = (self.pile + came).saturating_sub(done).min(most);
-        if !cold {
+        let added = self.demand * elapsed;
+        self.total_work += added;
+        let done = if self.stalled_since.is_some() { 0 } else { self.capacity(from) * elapsed };
+        let max_queue = Cores::from(self.machine.cores) * self.machine.speed * Server::MAX_QUEUE_DELAY;
+        self.queued_work = (self.queued_work + added).saturating_sub(done).min(max_queue);
+        if !warming_up {
             return false;
         }
-        let since = from - self.came_up;
-        self.sent.add(since, came);
-        self.sent_told.add(since, self.demand_told * time);
-        self.falls(from)
+        let since_start = from - self.started_at;
+        self.recent_work.add(since_start, added);
+        self.recent_notified_work.add(since_start, self.notified_demand * elapsed);
+        self.check_overload(from)
     }
 
-    /// The budget is one for any window of the length: multiple times what it can do times the window.
-    fn falls(&mut self, now: Micros) -> bool {
-        let budget = self.machine.fall_multiple * self.can(now) as f64 * self.machine.fall as f64;
-        let over = self.cold(now) && self.sent.sum() as f64 >= budget;
-        if over {
-            self.life = Life::Fallen;
+    /// The budget holds for any window of the length: a multiple of what it can do in that time.
+    fn check_overload(&mut self, now: Micros) -> bool {
+        let window = self.machine.overload_window as f64;
+        let budget = self.machine.overload_multiple * self.capacity(now) as f64 * window;
+        let is_overloaded = self.is_warming_up(now) && self.recent_work.sum() as f64 >= budget;
+        if is_overloaded {
+            self.state = ServerState::Overloaded;
         }
-        over
+        is_overloaded
     }
 
-    /// Whether the relays that knew are to blame: two thirds of the work came through them.
-    pub fn blames_the_told(&self) -> bool {
-        self.sent_told.sum() * 3 >= self.sent.sum() * 2
+    /// Whether relays that were notified of the start caused an overload: two thirds of the work came
+    /// through them.
+    pub fn is_overload_by_notified(&self) -> bool {
+        self.recent_notified_work.sum() * 3 >= self.recent_work.sum() * 2
     }
 
-    /// Work that comes at once; true where the server falls over by it. Advance first.
-    pub fn burst(&mut self, now: Micros, work: Work, told: bool) -> bool {
-        if self.life != Life::Up {
+    /// Queues work that comes at once. Returns whether the server is overloaded by it.
+    pub fn add_work(&mut self, now: Micros, work: Work, is_notified: bool) -> bool {
+        if self.state != ServerState::Up {
             return false;
         }
-        self.pile += work;
-        self.came += work;
-        if !self.cold(now) {
+        self.queued_work += work;
+        self.total_work += work;
+        if !self.is_warming_up(now) {
             return false;
         }
-        let since = now - self.came_up;
-        self.sent.add(since, work);
-        self.sent_told.add(since, if told { work } else { 0 });
-        self.falls(now)
-    }
-
-    /// Load that is asked from now on, more or less. Advance first.
-    pub fn ask(&mut self, more: Cores, less: Cores, told: bool) {
-        self.demand = (self.demand + more).saturating_sub(less);
-        if told {
-            self.demand_told = (self.demand_told + more).saturating_sub(less);
-        }
-    }
-
-    /// A relay has now been told of the start: what it asks counts as such from here on.
-    pub fn told(&mut self, of: Cores) {
-        self.demand_told = (self.demand_told + of).min(self.demand);
-    }
-
-    /// Seconds of work piled up.
-    pub fn piled(&self, now: Micros) -> f64 {
-        self.pile as f64 / self.can(now) as f64 / 1e6
-    }
-
-    /// How long a message takes now.
-    pub fn delay(&self, now: Micros) -> Micros {
-        let stood = self.stands.map_or(0, |since| now.saturating_sub(since));
-        stood + self.pile / self.can(now)
-    }
-
-    /// When work that comes now is done: what is there goes first, and one core does it.
-    pub fn done(&self, now: Micros, work: Work) -> Micros {
-        let speed =
-            (self.machine.speed as u128 * u128::from(CORE) / u128::from(self.slower.max(CORE))).max(1);
-        now + self.pile / self.can(now) + (u128::from(work) / speed) as Micros
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn machine() -> Machine {
-        Machine {
-            cores: 2,
-            speed: CORE,
-            cold_from: 0.25,
-            cold: 20_000_000,
-            at_the_end: true,
-            fall_multiple: 3.0,
-            fall: 2_000_000,
-        }
-    }
-
-    fn started() -> Server {
-        let mut s = Server::new(machine(), 0);
-        s.start(1_000_000);
-        s
+        let since_start = now - self.started_at;
+        self.recent_work.add(since_start, work);
+        self.recent_notified_work.add(since_start, if is_notified { work } else { 0 });
+        self.check_overload(now)
     }
 
-    /// Can do half a core while it is cold, so 1.5 cores for two seconds are what it does not bear.
-    #[test]
-    fn falls_at_multiple_and_time_and_not_one_step_below() {
-        for (asked, until, falls) in [
-            (1_500_000, 3_000_000, true),
-            (1_500_000, 2_999_999, false),
-            (1_499_999, 20_000_000, false),
-            (1_500_000, 2_980_000, false),
-        ] {
-            let mut s = started();
-            s.ask(asked, 0, true);
-            assert_eq!(s.advance(until), falls, "{asked} asked until {until}");
-            assert_eq!(s.life == Life::Fallen, falls);
+    /// Changes the demand; `is_notified` where it comes through a relay that was notified of the start.
+    pub fn change_demand(&mut self, added: Cores, removed: Cores, is_notified: bool) {
+        self.demand = (self.demand + added).saturating_sub(removed);
+        if is_notified {
+            self.notified_demand = (self.notified_demand + added).saturating_sub(removed);
         }
     }
 
-    #[test]
-    fn falls_by_one_burst_of_the_whole_budget() {
-        let budget = 1_500_000 * 2_000_000;
-        let mut s = started();
-        assert!(!s.burst(1_000_000, budget - 1, true));
-        assert!(s.burst(1_000_000, 1, true));
-        assert!(s.blames_the_told());
-        let mut untold = started();
-        assert!(untold.burst(1_000_000, budget, false));
-        assert!(!untold.blames_the_told());
+    /// A relay has been notified of the start: its demand counts as such from now on.
+    pub fn relay_notified(&mut self, demand: Cores) {
+        self.notified_demand = (self.notified_demand + demand).min(self.demand);
     }
 
-    /// What is older than the window counts no more; a warm server bears anything.
-    #[test]
-    fn old_work_leaves_the_window_and_warm_servers_stand() {
-        let mut s = started();
-        s.burst(1_000_000, 1_500_000 * 1_900_000, true);
-        assert!(!s.advance(3_100_000));
-        assert!(!s.burst(3_100_000, 1_500_000 * 1_900_000, true));
-        let mut warm = Server::new(machine(), 0);
-        warm.ask(90_000_000, 0, true);
-        assert!(!warm.advance(60_000_000));
+    /// Queue delay in seconds.
+    pub fn queue_delay_s(&self, now: Micros) -> f64 {
+        self.queued_work as f64 / self.capacity(now) as f64 / 1e6
     }
 
-    #[test]
-    fn work_piles_up_and_is_worked_off() {
-        let mut s = Server::new(machine(), 0);
-        s.ask(3_000_000, 0, true);
-        s.advance(1_000_000);
-        assert_eq!(s.delay(1_000_000), 500_000);
-        s.ask(0, 3_000_000, true);
-        s.advance(1_250_000);
-        assert_eq!(s.delay(1_250_000), 250_000);
-        s.slower = 2 * CORE;
-        assert_eq!(s.delay(1_250_000), 500_000);
-        s.stands = Some(1_250_000);
-        s.advance(1_350_000);
-        assert_eq!(s.delay(1_350_000), 600_000);
+    /// Latency of a message that comes now, in microseconds.
+    pub fn message_delay(&self, now: Micros) -> Micros {
+        let stalled_for = self.stalled_since.map_or(0, |since| now.saturating_sub(since));
+        stalled_for + self.queued_work / self.capacity(now)
     }
 
-    #[test]
-    fn warms_bit_by_bit() {
-        let mut s = Server::new(Machine { at_the_end: false, ..machine() }, 0);
-        s.start(1_000_000);
-        assert_eq!(s.can(1_000_000), 500_000);
-        assert_eq!(s.can(11_000_000), 1_250_000);
-        assert_eq!(s.can(21_000_000), 2_000_000);
+    /// When work that comes now is done: one core does it, after all that is queued.
+    pub fn completion_time(&self, now: Micros, work: Work) -> Micros {
+        let core_speed =
+            (self.machine.speed as u128 * u128::from(CORE) / u128::from(self.slowdown.max(CORE))).max(1);
+        now + self.queued_work / self.capacity(now) + (u128::from(work) / core_speed) as Micros
     }
 }
--- /dev/null
+++ b/emulator/src/servers/discovery.rs
@@ -0,0 +1,55 @@
+//! What discovery knows of servers, and which relays it has notified.
+use super::*;
+use crate::list::Entry;
+use hallrelay_balancer::types::Phase;
+
+impl Servers {
+    /// Discovery has notified a relay of servers: demand that comes through it counts as notified from now
+    /// on.
+    pub fn relay_notified(
+        &mut self,
+        now: Micros,
+        relay: usize,
+        servers: &[usize],
+        out: &mut Vec<ServerEvent>,
+    ) {
+        self.now = self.now.max(now);
+        for &server in servers {
+            self.advance(server, out);
+            let entry = self.endpoints.entry(server);
+            let node = &mut self.nodes[server];
+            let has_last_start = entry.started_at == node.server.started_at && entry.phase == Phase::Ready;
+            if has_last_start && !std::mem::replace(&mut node.notified_of_start[relay], true) {
+                node.server.relay_notified(node.demand_by_relay[relay]);
+            }
+        }
+    }
+
+    /// A relay has started anew, and was notified of nothing.
+    pub fn relay_restarted(&mut self, relay: usize) {
+        for node in &mut self.nodes {
+            node.notified_of_start[relay] = false;
+        }
+    }
+
+    /// Discovery learns of a server's state within a range of time.
+    pub(super) fn schedule_discovery_update(&mut self, server: usize, within: [Micros; 2]) {
+        let at = self.now + self.random.between(within) + self.discovery_delay;
+        self.events.schedule(at, Event::DiscoveryUpdate(server));
+    }
+
+    pub(super) fn update_discovery(&mut self, index: usize, out: &mut Vec<ServerEvent>) {
+        let server = &self.nodes[index].server;
+        let phase = match server.state {
+            ServerState::Up if server.is_draining => Phase::Draining,
+            ServerState::Up => Phase::Ready,
+            _ => Phase::Gone,
+        };
+        let started_at = server.started_at;
+        if self.endpoints.update(index, Entry { phase, started_at }) {
+            let id = &self.endpoints.identities[index].id;
+            out.push(ServerEvent::Log(format!("the list tells that {id} is {phase:?}").to_lowercase()));
+            out.push(ServerEvent::EndpointListChanged);
+        }
+    }
+}
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -1,464 +1,390 @@
-//! The servers: their sessions, the shared store, reports, troubles, and what the list service knows of
-//! it. No I/O: what reaches a server is a call with its time, what servers say is appended.
+//! All servers: their sessions, the shared store, load reports, faults, and what discovery knows of them. No
+//! I/O: what reaches a server is a call with its time, what servers send is appended as events.
+mod connections;
+mod discovery;
+mod faults;
+mod reports;
 mod sessions;
-mod troubles;
 
 use crate::event_queue::EventQueue;
-use crate::list::{BackendIdentity, EndpointList, Entry};
+use crate::list::{BackendIdentity, EndpointList};
 use crate::random::Random;
-use crate::script::{self, Act};
-use crate::server::{Cores, Life, Machine, Server, Work, CORE};
-use hallrelay_balancer::types::{LoadReport, Micros, Phase};
-use hallrelay_config::scenario::{Drains, Fault, Scenario, Warms};
+use crate::script::{self, Action, WireFault};
+use crate::server::{Cores, Machine, Server, ServerState, Work, CORE};
+use connections::Connection;
+use hallrelay_balancer::types::Micros;
+use hallrelay_config::scenario::{Fault, Kind, Scenario, Warms};
+pub use reports::LoadFigures;
+use reports::PublishedReport;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Sessions may be set up this long before a day begins.
-pub const PREPARED: Micros = 60_000_000;
-
-/// A relay's connection to a server, numbered by who drives them.
+/// Sessions may be set up this long before a day begins, in microseconds.
+pub const SETUP_BEFORE_DAY: Micros = 60_000_000;
+/// Interval at which a server sends its message delay.
+const DELAY_INTERVAL: Micros = 1_000_000;
+/// The shortest interval at which a server that warms up is advanced.
+const MIN_WARM_UP_INTERVAL: Micros = 1_000;
+/// Random stream of the servers.
+const RANDOM_STREAM: u64 = 1;
+/// Random stream that decides what faults affect.
+const SCRIPT_RANDOM_STREAM: u64 = 2;
+
+/// A relay's connection to a server, numbered by the driver; no number is used twice.
 pub type ConnectionId = u64;
 
-/// A first line, as it comes to a server.
+/// A session's first line, as it comes to a server.
 #[derive(Clone, Debug, Default)]
 pub struct DialRequest {
+    /// Server that is dialled.
     pub server: usize,
+    /// Relay that dials.
     pub relay: usize,
+    /// Listener that the session is for.
     pub listener: usize,
+    /// Key of the session's client.
     pub key: u64,
+    /// Group of the session; 0 is none.
     pub group: u64,
-    /// Stood here before the relay started.
+    /// The session was open here before the relay started.
     pub is_pre_existing: bool,
-    /// When the server is to end it with `BYE`; none where the client will leave.
+    /// When the server is to end it with `BYE`, in microseconds from now; none where the client will leave.
     pub lifetime: Option<Micros>,
 }
 
+/// A line that a server sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerLine {
+    /// The session is established.
     Up,
+    /// The session is rejected, and has not run.
     Busy,
+    /// The session failed, and may have run.
     Err,
+    /// The session has ended.
     Bye,
+    /// The session has to migrate.
     Move,
+    /// Load of the session, or message delay of the server.
     Load(f64),
 }
 
+/// What servers and the day's script do, for whoever drives them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
     /// A line on a connection; all but `UP` and `LOAD` end it.
     Line {
+        /// The connection.
         connection: ConnectionId,
+        /// The line.
         line: ServerLine,
     },
     /// A connection is reset.
     Reset {
+        /// The connection.
         connection: ConnectionId,
     },
-    /// Whether connecting to a server works has changed.
+    /// What connecting to a server meets has changed.
     ReachabilityChanged {
+        /// The server.
         server: usize,
     },
-    /// The list service has news, or is down or back.
+    /// The endpoint list has changed.
     EndpointListChanged,
+    /// Discovery becomes unavailable, or is back.
     DiscoveryDown {
+        /// Whether it is unavailable.
         down: bool,
     },
-    /// A cold server fell over; whether those who knew of its start are to blame.
+    /// A server that warmed up was overloaded.
     Overloaded {
+        /// The server.
         server: usize,
+        /// Whether it was by relays that were notified of its start.
         blamed: bool,
     },
-    /// What the script asks of others: arrivals, clients, relays.
-    Action(Act),
-    /// For those who watch.
+    /// What the script does to others than servers: arrivals, clients, relays, links.
+    Action(Action),
+    /// A line of the day's log.
     Log(String),
 }
 
-/// What connecting meets.
+/// What connecting to a server meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
+    /// It connects.
     Open,
+    /// It is refused.
     Refused,
+    /// Nothing answers.
     Unresponsive,
 }
 
+/// What is scheduled for servers and their connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Due {
+enum Event {
     /// The set-up of a session is done.
-    Ready(ConnectionId),
-    /// Its load changes, or its life is over.
-    Changes(ConnectionId),
-    Ends(ConnectionId),
-    /// A drain sends it away.
-    SentAway(ConnectionId),
-    /// A server's report is taken.
+    SessionReady(ConnectionId),
+    /// The load of a session changes.
+    LoadChange(ConnectionId),
+    /// The server ends a session.
+    SessionEnd(ConnectionId),
+    /// A drain ends a session.
+    DrainSession(ConnectionId),
+    /// A server takes its load report.
     Report(usize),
-    /// Once a second: delays are told; and each bucket while it is cold.
-    Beat(usize),
-    Cold(usize),
-    /// The list service takes notice of a server.
-    Notice(usize),
-}
-
-#[derive(Clone, Debug)]
-struct Conn {
-    server: usize,
-    relay: usize,
-    listener: usize,
-    group: u64,
-    open: bool,
-    load: Cores,
-    usual: f64,
-    setup: Work,
+    /// A server sends its message delay.
+    DelayReport(usize),
+    /// A server that warms up is advanced.
+    WarmUpStep(usize),
+    /// Discovery learns of a server's state.
+    DiscoveryUpdate(usize),
 }
 
+/// A server with its connections and the faults that are in force for it.
 struct Node {
     server: Server,
     zone: usize,
-    conns: BTreeSet<ConnectionId>,
+    connections: BTreeSet<ConnectionId>,
+    /// Open sessions by group.
     groups: BTreeMap<u64, u32>,
     /// Open sessions by listener.
-    open: Vec<u32>,
-    /// By relay: what is asked through it, and whether it knows of the last start.
-    asks: Vec<Cores>,
-    knows: Vec<bool>,
-    reports: VecDeque<(Micros, Figures)>,
-    every: Micros,
-    slows: BTreeMap<usize, f64>,
-    fails: f64,
-    late: Micros,
-    lies: f64,
-    wire: Option<(Fault, f64)>,
+    open_by_listener: Vec<u32>,
+    demand_by_relay: Vec<Cores>,
+    /// By relay: whether it was notified of the last start.
+    notified_of_start: Vec<bool>,
+    /// Load reports, the oldest first; one that is visible stays until the next one is.
+    reports: VecDeque<PublishedReport>,
+    report_interval: Micros,
+    /// Slowdown factors by the faults that cause them.
+    slowdowns: BTreeMap<usize, f64>,
+    failure_fraction: f64,
+    report_delay: Micros,
+    report_factor: f64,
+    wire_fault: Option<WireFault>,
     down_until: Micros,
-    overrun: Cores,
+    /// Demand that does not come through relays.
+    bypass_load: Cores,
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
-    pub inflight: u32,
-    pub load: f64,
-    pub piled: f64,
-}
-
-impl Figures {
-    pub fn report(self) -> LoadReport {
-        let sessions = Some(f64::from(self.inflight));
-        LoadReport { load: Some(self.load), queue_delay: Some(self.piled), sessions }
+impl Node {
+    fn new(server: Server, zone: usize, scenario: &Scenario, begin: Micros, report_interval: Micros) -> Node {
+        let first_report = PublishedReport { visible_at: begin, figures: LoadFigures::default() };
+        Node {
+            server,
+            zone,
+            connections: BTreeSet::new(),
+            groups: BTreeMap::new(),
+            open_by_listener: vec![0; scenario.listeners.len()],
+            demand_by_relay: vec![0; scenario.relays.count],
+            notified_of_start: vec![false; scenario.relays.count],
+            reports: VecDeque::from([first_report]),
+            report_interval,
+            slowdowns: BTreeMap::new(),
+            failure_fraction: 0.0,
+            report_delay: 0,
+            report_factor: 1.0,
+            wire_fault: None,
+            down_until: 0,
+            bypass_load: 0,
+        }
     }
 }
 
 /// Counts over the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// First lines received.
     pub dials: u64,
+    /// Health checks answered.
     pub probes: u64,
+    /// Work of session set-ups.
     pub setup: Work,
+    /// Work of set-ups of sessions that never opened.
     pub wasted: Work,
-    pub fell: u32,
+    /// Servers overloaded while they warmed up.
+    pub overloads: u32,
 }
 
+/// A relay and a server that are cut off from each other.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct CutPath {
+    server: usize,
+    relay: usize,
+}
+
+/// All servers of a day.
 pub struct Servers {
-    s: Scenario,
+    scenario: Scenario,
     nodes: Vec<Node>,
-    /// Looked up and never walked.
-    conns: HashMap<ConnectionId, Conn>,
-    due: EventQueue<Due>,
-    acts: EventQueue<Act>,
+    /// Looked up and never iterated.
+    connections: HashMap<ConnectionId, Connection>,
+    events: EventQueue<Event>,
+    actions: EventQueue<Action>,
+    /// The endpoint list as discovery has it.
     pub endpoints: EndpointList,
-    list_late: Micros,
-    cut: Vec<bool>,
-    /// Servers and relays that don't hear each other.
-    cut_pairs: BTreeSet<(usize, usize)>,
-    store_at: Micros,
-    store_times: f64,
-    rng: Random,
+    discovery_delay: Micros,
+    /// By zone: whether it is cut off.
+    cut_zones: Vec<bool>,
+    cut_paths: BTreeSet<CutPath>,
+    /// When the shared store has done all set-ups that were queued.
+    store_free_at: Micros,
+    store_slowdown: f64,
+    random: Random,
+    /// Counts since the day began.
     pub counts: Counts,
     now: Micros,
 }
 
+/// The machine of a kind, whose speed differs by a random part.
+fn draw_machine(kind: &Kind, scenario: &Scenario, random: &mut Random) -> Machine {
+    let speed_deviation = 1.0 + kind.speed_off.0 * (2.0 * random.fraction() - 1.0);
+    Machine {
+        cores: kind.cores,
+        speed: (kind.speed.0 * speed_deviation * CORE as f64) as Cores,
+        initial_capacity: scenario.servers.cold_from.0,
+        warm_up: scenario.servers.cold_s.us(),
+        warms_at_end: scenario.servers.warms == Warms::AtTheEnd,
+        overload_multiple: scenario.rules.fall_multiple.0,
+        overload_window: scenario.rules.fall_s.us(),
+    }
+}
+
 impl Servers {
-    pub fn new(s: &Scenario, seed: u64, begin: Micros) -> Servers {
-        let mut rng = Random::new(seed, 1);
-        let (mut nodes, mut identities, mut due) = (Vec::new(), Vec::new(), EventQueue::default());
-        for kind in &s.servers.kinds {
+    /// The servers of a scenario, all up since long ago, for a day that begins at a time.
+    pub fn new(scenario: &Scenario, seed: u64, begin: Micros) -> Servers {
+        let mut servers = Servers {
+            cut_zones: vec![false; scenario.servers.zones.len()],
+            cut_paths: BTreeSet::new(),
+            scenario: scenario.clone(),
+            nodes: Vec::new(),
+            connections: HashMap::new(),
+            events: EventQueue::default(),
+            actions: script::actions(scenario, begin, &mut Random::new(seed, SCRIPT_RANDOM_STREAM)),
+            endpoints: EndpointList::new(Vec::new()),
+            discovery_delay: 0,
+            store_free_at: 0,
+            store_slowdown: 1.0,
+            random: Random::new(seed, RANDOM_STREAM),
+            counts: Counts::default(),
+            now: begin - SETUP_BEFORE_DAY,
+        };
+        let mut identities = Vec::new();
+        for kind in &scenario.servers.kinds {
             for _ in 0..kind.count {
-                let i = nodes.len();
-                let off = 1.0 + kind.speed_off.0 * (2.0 * rng.fraction() - 1.0);
-                let machine = Machine {
-                    cores: kind.cores,
-                    speed: (kind.speed.0 * off * CORE as f64) as Cores,
-                    cold_from: s.servers.cold_from.0,
-                    cold: s.servers.cold_s.us(),
-                    at_the_end: s.servers.warms == Warms::AtTheEnd,
-                    fall_multiple: s.rules.fall_multiple.0,
-                    fall: s.rules.fall_s.us(),
-                };
-                let zone = i % s.servers.zones.len();
-                identities.push(BackendIdentity {
-                    id: format!("s-{i:03}"),
-                    zone: s.servers.zones[zone].clone(),
-                    kind: kind.name.clone(),
-                    cell: (i / 4) as u16,
-                });
-                let every = rng.between(s.servers.report_every_ms.map(|t| t.us()));
-                due.schedule(begin + rng.between([0, every]), Due::Report(i));
-                due.schedule(begin + rng.between([0, 1_000_000]), Due::Beat(i));
-                let server = Server::new(machine, begin - PREPARED);
-                nodes.push(Node {
-                    server,
-                    zone,
-                    conns: BTreeSet::new(),
-                    groups: BTreeMap::new(),
-                    open: vec![0; s.listeners.len()],
-                    asks: vec![0; s.relays.count],
-                    knows: vec![false; s.relays.count],
-                    reports: VecDeque::from([(begin, Figures::default())]),
-                    every,
-                    slows: BTreeMap::new(),
-                    fails: 0.0,
-                    late: 0,
-                    lies: 1.0,
-                    wire: None,
-                    down_until: 0,
-                    overrun: 0,
-                });
+                identities.push(servers.add_node(kind, begin));
             }
         }
-        let acts = script::acts(s, begin, &mut Random::new(seed, 2));
-        Servers {
-            cut: vec![false; s.servers.zones.len()],
-            cut_pairs: BTreeSet::new(),
-            s: s.clone(),
-            nodes,
-            conns: HashMap::new(),
-            due,
-            acts,
-            endpoints: EndpointList::new(identities),
-            list_late: 0,
-            store_at: 0,
-            store_times: 1.0,
-            rng,
-            counts: Counts::default(),
-            now: begin - PREPARED,
-        }
+        servers.endpoints = EndpointList::new(identities);
+        servers
     }
 
+    fn add_node(&mut self, kind: &Kind, begin: Micros) -> BackendIdentity {
+        let index = self.nodes.len();
+        let settings = &self.scenario.servers;
+        let machine = draw_machine(kind, &self.scenario, &mut self.random);
+        let zone = index % settings.zones.len();
+        let identity = BackendIdentity {
+            id: format!("s-{index:03}"),
+            zone: settings.zones[zone].clone(),
+            kind: kind.name.clone(),
+            cell: (index / 4) as u16,
+        };
+        let report_interval = self.random.between(settings.report_every_ms.map(|ms| ms.us()));
+        let first_report = begin + self.random.between([0, report_interval]);
+        self.events.schedule(first_report, Event::Report(index));
+        let first_delay_report = begin + self.random.between([0, DELAY_INTERVAL]);
+        self.events.schedule(first_delay_report, Event::DelayReport(index));
+        let server = Server::new(machine, begin - SETUP_BEFORE_DAY);
+        self.nodes.push(Node::new(server, zone, &self.scenario, begin, report_interval));
+        identity
+    }
+
+    /// Number of servers.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
+    /// Whether there is no server.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// When it wants to be stepped next.
-    pub fn next(&self) -> Option<Micros> {
-        [self.due.next_at(), self.acts.next_at()].into_iter().flatten().min()
+    /// When `step` has something to do next; none where never.
+    pub fn next_at(&self) -> Option<Micros> {
+        [self.events.next_at(), self.actions.next_at()].into_iter().flatten().min()
     }
 
-    /// All that is due by now, in order.
+    /// Does all that is due by now, in order of time; of one time, the script's actions first.
     pub fn step(&mut self, now: Micros, out: &mut Vec<ServerEvent>) {
         loop {
-            let (due, acts) = (self.due.next_at(), self.acts.next_at());
-            let acts_first = acts.is_some_and(|at| due.is_none_or(|d| at <= d));
-            if acts_first {
-                let Some((at, act)) = self.acts.pop_due(now) else { break };
+            let event_at = self.events.next_at();
+            let is_action_next =
+                self.actions.next_at().is_some_and(|action_at| event_at.is_none_or(|at| action_at <= at));
+            if is_action_next {
+                let Some((at, action)) = self.actions.pop_due(now) else { break };
                 self.now = self.now.max(at);
-                self.act(act, out);
+                self.perform(action, out);
             } else {
-                let Some((at, due)) = self.due.pop_due(now) else { break };
+                let Some((at, event)) = self.events.pop_due(now) else { break };
                 self.now = self.now.max(at);
-                self.fall_due(due, out);
+                self.handle(event, out);
             }
         }
         self.now = self.now.max(now);
     }
 
-    fn fall_due(&mut self, due: Due, out: &mut Vec<ServerEvent>) {
-        let now = self.now;
-        match due {
-            Due::Ready(conn) => self.ready(conn, out),
-            Due::Changes(conn) => self.changes(conn, out),
-            Due::Ends(conn) => self.says_last(conn, ServerLine::Bye, out),
-            Due::SentAway(conn) => {
-                if self.conns.get(&conn).is_some_and(|c| self.nodes[c.server].server.draining) {
-                    self.says_last(conn, ServerLine::Move, out);
+    fn handle(&mut self, event: Event, out: &mut Vec<ServerEvent>) {
+        match event {
+            Event::SessionReady(connection) => self.session_ready(connection, out),
+            Event::LoadChange(connection) => self.change_load(connection, out),
+            Event::SessionEnd(connection) => self.end_session(connection, ServerLine::Bye, out),
+            Event::DrainSession(connection) => {
+                let found = self.connections.get(&connection);
+                if found.is_some_and(|found| self.nodes[found.server].server.is_draining) {
+                    self.end_session(connection, ServerLine::Move, out);
                 }
             }
-            Due::Report(server) => {
+            Event::Report(server) => self.take_report(server, out),
+            Event::DelayReport(server) => {
                 self.advance(server, out);
-                let off = |rng: &mut Random, part: f64| (1.0 + part * rng.normal()).max(0.0);
-                let (noise, late) = (self.s.servers.report_noise.0, self.s.servers.report_late_ms);
-                let n = &mut self.nodes[server];
-                let figures = Figures {
-                    inflight: n.conns.len() as u32,
-                    load: n.server.load(now) * n.lies * off(&mut self.rng, noise),
-                    piled: n.server.piled(now) * n.lies.min(1.0) * off(&mut self.rng, noise),
-                };
-                let seen = now + self.rng.between(late.map(|t| t.us())) + n.late;
-                if n.server.life == Life::Up {
-                    n.reports.push_back((seen, figures));
-                }
-                self.due.schedule(now + n.every, Due::Report(server));
-            }
-            Due::Beat(server) => {
-                self.advance(server, out);
-                self.tell_delay(server, out);
-                self.due.schedule(now + 1_000_000, Due::Beat(server));
-            }
-            Due::Cold(server) => {
-                self.advance(server, out);
-                let n = &self.nodes[server].server;
-                if n.cold(now) && n.life == Life::Up {
-                    // A hundredth of the window, in which the server itself looks.
-                    self.due.schedule(now + (self.s.rules.fall_s.us() / 100).max(1_000), Due::Cold(server));
-                }
-            }
-            Due::Notice(server) => self.notice(server, out),
-        }
-    }
-
-    fn advance(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
-        if self.nodes[server].server.advance(self.now) {
-            self.fell(server, out);
-        }
-    }
-
-    fn fell(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
-        self.counts.fell += 1;
-        let blamed = self.nodes[server].server.blames_the_told();
-        out.push(ServerEvent::Log(format!(
-            "{} falls over while it is cold",
-            self.endpoints.identities[server].id
-        )));
-        out.push(ServerEvent::Overloaded { server, blamed });
-        self.lose(server, out);
-        out.push(ServerEvent::ReachabilityChanged { server });
-        self.notice_later(server, self.s.list.notice_s.map(|t| t.us()));
-    }
-
-    /// Resets all connections of a server.
-    fn lose(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
-        for conn in std::mem::take(&mut self.nodes[server].conns) {
-            self.drop_conn(conn);
-            out.push(ServerEvent::Reset { connection: conn });
-        }
-    }
-
-    /// Takes a connection out of all sums.
-    fn drop_conn(&mut self, conn: ConnectionId) -> Option<Conn> {
-        let c = self.conns.remove(&conn)?;
-        let n = &mut self.nodes[c.server];
-        n.conns.remove(&conn);
-        if c.open {
-            let group_ends = c.group != 0 && {
-                let members = n.groups.entry(c.group).or_insert(1);
-                *members -= 1;
-                *members == 0
-            };
-            let mut less = c.load;
-            if group_ends {
-                n.groups.remove(&c.group);
-                less += group_cost(&self.s);
+                self.send_delay(server, out);
+                self.events.schedule(self.now + DELAY_INTERVAL, Event::DelayReport(server));
             }
-            n.open[c.listener] -= 1;
-            n.asks[c.relay] = n.asks[c.relay].saturating_sub(less);
-            let told = n.knows[c.relay];
-            n.server.ask(0, less, told);
-        } else {
-            self.counts.wasted += c.setup;
+            Event::WarmUpStep(server) => self.warm_up_step(server, out),
+            Event::DiscoveryUpdate(server) => self.update_discovery(server, out),
         }
-        Some(c)
     }
 
-    fn says_last(&mut self, conn: ConnectionId, word: ServerLine, out: &mut Vec<ServerEvent>) {
-        let Some(server) = self.conns.get(&conn).map(|c| c.server) else { return };
-        if self.nodes[server].server.life != Life::Up {
-            return;
-        }
+    /// Advances a server that warms up a hundred times in an overload window, as its own window is divided.
+    fn warm_up_step(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         self.advance(server, out);
-        if self.drop_conn(conn).is_some() {
-            out.push(ServerEvent::Line { connection: conn, line: word });
+        let advanced = &self.nodes[server].server;
+        if advanced.is_warming_up(self.now) && advanced.state == ServerState::Up {
+            let interval = (self.scenario.rules.fall_s.us() / 100).max(MIN_WARM_UP_INTERVAL);
+            self.events.schedule(self.now + interval, Event::WarmUpStep(server));
         }
     }
 
-    pub fn zone_of_relay(&self, relay: usize) -> usize {
-        relay % self.s.servers.zones.len()
-    }
-
-    /// Whether the way between a relay and a server is cut.
-    fn is_cut(&self, server: usize, relay: usize) -> bool {
-        let (a, b) = (self.nodes[server].zone, self.zone_of_relay(relay));
-        (a != b && (self.cut[a] || self.cut[b])) || self.cut_pairs.contains(&(server, relay))
-    }
-
-    /// Whether a server says anything to a relay now.
-    pub fn can_send(&self, server: usize, relay: usize) -> bool {
-        self.nodes[server].server.life != Life::Silent && !self.is_cut(server, relay)
-    }
-
-    /// What a relay meets that connects now.
-    pub fn reachability(&self, server: usize, relay: usize) -> Reachability {
-        match self.nodes[server].server.life {
-            Life::Silent => Reachability::Unresponsive,
-            _ if self.is_cut(server, relay) => Reachability::Unresponsive,
-            Life::Down | Life::Fallen => Reachability::Refused,
-            Life::Up => match self.nodes[server].wire {
-                Some((Fault::Refused, part)) if part >= 1.0 => Reachability::Refused,
-                Some((Fault::NeverUp, part)) if part >= 1.0 => Reachability::Unresponsive,
-                _ => Reachability::Open,
-            },
-        }
-    }
-
-    /// The fault that a new connection meets on the way, if any.
-    pub fn draw_wire_fault(&mut self, server: usize) -> Option<Fault> {
-        let (fault, part) = self.nodes[server].wire?;
-        (self.rng.fraction() < part).then_some(fault)
-    }
-
-    /// A relay has been told of servers by the list: what it sends to a cold one counts as known from now on.
-    pub fn told(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<ServerEvent>) {
-        self.now = self.now.max(now);
-        for &server in servers {
-            self.advance(server, out);
-            let entry = self.endpoints.entry(server);
-            let n = &mut self.nodes[server];
-            let news = entry.started_at == n.server.came_up && entry.phase == Phase::Ready;
-            if news && !std::mem::replace(&mut n.knows[relay], true) {
-                n.server.told(n.asks[relay]);
-            }
+    fn advance(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
+        if self.nodes[server].server.advance(self.now) {
+            self.overloaded(server, out);
         }
     }
 
-    /// A relay that has started anew knows nothing.
-    pub fn relay_restarted(&mut self, relay: usize) {
-        self.nodes.iter_mut().for_each(|n| n.knows[relay] = false);
-    }
-
-    fn notice_later(&mut self, server: usize, within: [Micros; 2]) {
-        let at = self.now + self.rng.between(within) + self.list_late;
-        self.due.schedule(at, Due::Notice(server));
-    }
-
-    fn notice(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
-        let s = &self.nodes[server].server;
-        let phase = match s.life {
-            Life::Up if s.draining => Phase::Draining,
-            Life::Up => Phase::Ready,
-            _ => Phase::Gone,
-        };
-        // Milliseconds are all that a list tells.
-        let came_up = s.came_up;
-        if self.endpoints.update(server, Entry { phase, started_at: came_up }) {
-            let id = &self.endpoints.identities[server].id;
-            out.push(ServerEvent::Log(format!("the list tells that {id} is {phase:?}").to_lowercase()));
-            out.push(ServerEvent::EndpointListChanged);
-        }
+    fn overloaded(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
+        self.counts.overloads += 1;
+        let blamed = self.nodes[server].server.is_overload_by_notified();
+        let id = &self.endpoints.identities[server].id;
+        out.push(ServerEvent::Log(format!("{id} falls over while it is cold")));
+        out.push(ServerEvent::Overloaded { server, blamed });
+        self.reset_connections(server, out);
+        out.push(ServerEvent::ReachabilityChanged { server });
+        self.schedule_discovery_update(server, self.scenario.list.notice_s.map(|s| s.us()));
     }
 
-    /// For the service figure: open sessions by listener, and how long a message takes; none where nobody is
-    /// heard.
-    pub fn serves(
+    /// For the service figure: open sessions by listener, and the latency of a message in microseconds; none
+    /// where the server is down.
+    pub fn open_sessions(
         &mut self,
         now: Micros,
         server: usize,
@@ -466,41 +392,47 @@
     ) -> (Option<Micros>, &[u32]) {
         self.now = self.now.max(now);
         self.advance(server, out);
-        let n = &self.nodes[server];
-        let delay = (n.server.life == Life::Up).then(|| n.server.delay(self.now));
-        (delay, &n.open)
+        let node = &self.nodes[server];
+        let is_up = node.server.state == ServerState::Up;
+        let delay = is_up.then(|| node.server.message_delay(self.now));
+        (delay, &node.open_by_listener)
     }
 
-    /// All work that was asked of the servers so far, set-ups and sessions.
-    pub fn worked(&self) -> Work {
-        self.nodes.iter().map(|n| n.server.came).sum()
+    /// All work that came to the servers so far, of set-ups and sessions.
+    pub fn total_work(&self) -> Work {
+        self.nodes.iter().map(|node| node.server.total_work).sum()
     }
 
+    /// Demand over capacity of a server; 0 where it is down.
     pub fn load(&self, server: usize) -> f64 {
-        match self.nodes[server].server.life {
-            Life::Up => self.nodes[server].server.load(self.now),
+        match self.nodes[server].server.state {
+            ServerState::Up => self.nodes[server].server.load(self.now),
             _ => 0.0,
         }
     }
 
-    /// Whether a connection is known there.
-    pub fn has_connection(&self, conn: ConnectionId) -> bool {
-        self.conns.contains_key(&conn)
-    }
-
+    /// Whether a server serves.
     pub fn is_up(&self, server: usize) -> bool {
-        self.nodes[server].server.life == Life::Up
+        self.nodes[server].server.state == ServerState::Up
     }
 
+    /// Zone of a server.
     pub fn zone(&self, server: usize) -> usize {
         self.nodes[server].zone
     }
+
+    /// Zone of a relay.
+    pub fn zone_of_relay(&self, relay: usize) -> usize {
+        relay % self.scenario.servers.zones.len()
+    }
 }
 
-fn unit(s: &Scenario) -> Cores {
-    (CORE as f64 / s.servers.per_core.0) as Cores
+/// Cores that a session of usual load takes.
+fn session_cores(scenario: &Scenario) -> Cores {
+    (CORE as f64 / scenario.servers.per_core.0) as Cores
 }
 
-fn group_cost(s: &Scenario) -> Cores {
-    (unit(s) as f64 * s.servers.group_cost.0) as Cores
+/// Cores that a group takes at each server that has a session of it.
+fn group_cores(scenario: &Scenario) -> Cores {
+    (session_cores(scenario) as f64 * scenario.servers.group_cost.0) as Cores
 }
--- a/emulator/src/servers/sessions.rs
+++ b/emulator/src/servers/sessions.rs
@@ -1,193 +1,168 @@
-//! What comes of dials, sessions and probes at a server.
+//! Sessions at a server: dial, set-up, and the load while they are open.
 use super::*;
 
+/// A session waits at the shared store this long at most; beyond that it is rejected.
+const MAX_STORE_DELAY: Micros = 2_000_000;
+/// Rejecting a session is a tenth of the work of setting it up.
+const REJECTION_COST_DIVISOR: Work = 10;
+/// Interval at which a session is looked at again that is set up while its server stalls.
+const STALL_RETRY_INTERVAL: Micros = 10_000;
+/// The shortest interval between changes of a session's load.
+const MIN_LOAD_CHANGE_INTERVAL: Micros = 50_000;
+/// Random stream of a client's usual load, with its key as the seed.
+const CLIENT_RANDOM_STREAM: u64 = 3;
+
 impl Servers {
-    /// The last byte of a first line has come.
+    /// The last byte of a session's first line has come.
     pub fn dial_received(
         &mut self,
         now: Micros,
-        conn: ConnectionId,
-        d: &DialRequest,
+        connection: ConnectionId,
+        request: &DialRequest,
         out: &mut Vec<ServerEvent>,
     ) {
         self.now = self.now.max(now);
-        let (now, server) = (self.now, d.server);
+        let now = self.now;
+        let server = request.server;
         self.advance(server, out);
         self.counts.dials += 1;
-        // Sessions that stood before cost nothing again.
-        let setup = self.s.servers.setup_ms.us() * CORE * u64::from(!d.is_pre_existing);
-        let n = &mut self.nodes[server];
-        if n.server.life != Life::Up {
+        // A session that was open before costs no set-up.
+        let setup = self.scenario.servers.setup_ms.us() * CORE * u64::from(!request.is_pre_existing);
+        if self.nodes[server].server.state != ServerState::Up {
             return;
         }
         self.counts.setup += setup;
-        let told = n.knows[d.relay];
-        let cap = self.s.servers.cap_per_core as usize * n.server.machine.cores as usize;
-        // What waits at the store longer than this is turned away: its queue is bounded.
-        const STORE: Micros = 2_000_000;
-        let store_full = self.store_at > now + STORE;
-        let full = n.conns.len() >= cap || ((n.server.draining || store_full) && !d.is_pre_existing);
-        // Turning away is work as well, if little.
-        let work = if full { setup / 10 } else { setup };
-        let done = n.server.done(now, work);
-        let fell = n.server.burst(now, work, told);
-        let fails = self.rng.fraction() < n.fails;
-        if full || fails {
+        let is_full = self.is_full(request);
+        let work = if is_full { setup / REJECTION_COST_DIVISOR } else { setup };
+        let node = &mut self.nodes[server];
+        let is_notified = node.notified_of_start[request.relay];
+        let set_up_at = node.server.completion_time(now, work);
+        let is_overloaded = node.server.add_work(now, work, is_notified);
+        let is_failing = self.random.fraction() < node.failure_fraction;
+        if is_full || is_failing {
             self.counts.wasted += work;
-            out.push(ServerEvent::Line {
-                connection: conn,
-                line: if full { ServerLine::Busy } else { ServerLine::Err },
-            });
+            let line = if is_full { ServerLine::Busy } else { ServerLine::Err };
+            out.push(ServerEvent::Line { connection, line });
         } else {
-            let l = &self.s.listeners[d.listener];
-            // The same client weighs the same wherever it goes.
-            let usual = l.load.0 * Random::new(d.key, 3).log_normal(l.load_sigma.0);
-            let c = Conn {
-                server,
-                relay: d.relay,
-                listener: d.listener,
-                group: d.group,
-                open: false,
-                load: 0,
-                usual,
-                setup,
-            };
-            n.conns.insert(conn);
-            self.conns.insert(conn, c);
-            let stored = if d.is_pre_existing { now } else { self.stored() };
-            self.due.schedule(done.max(stored), Due::Ready(conn));
-            if let Some(life) = d.lifetime {
-                self.due.schedule(now + life, Due::Ends(conn));
-            }
+            self.set_up_session(connection, request, setup, set_up_at);
         }
-        if fell {
-            self.fell(server, out);
+        if is_overloaded {
+            self.overloaded(server, out);
         }
     }
 
-    /// When the shared store has taken one more session in.
-    pub(super) fn stored(&mut self) -> Micros {
-        if self.s.servers.store_per_s.0 <= 0.0 {
-            return self.now;
-        }
-        let each = (1e6 / self.s.servers.store_per_s.0 * self.store_times) as Micros;
-        self.store_at = self.store_at.max(self.now) + each;
-        self.store_at
+    /// Whether a server rejects a session: it is at its cap, drains, or the store's queue is full.
+    fn is_full(&self, request: &DialRequest) -> bool {
+        let node = &self.nodes[request.server];
+        let cap = self.scenario.servers.cap_per_core as usize * node.server.machine.cores as usize;
+        let is_store_full = self.store_free_at > self.now + MAX_STORE_DELAY;
+        let takes_nothing_new = node.server.is_draining || is_store_full;
+        node.connections.len() >= cap || (takes_nothing_new && !request.is_pre_existing)
     }
 
-    pub(super) fn ready(&mut self, conn: ConnectionId, out: &mut Vec<ServerEvent>) {
-        let now = self.now;
-        let Some(c) = self.conns.get(&conn) else { return };
-        let (server, relay) = (c.server, c.relay);
-        match self.nodes[server].server.life {
-            Life::Up => {}
-            _ => return,
-        }
-        if self.nodes[server].server.stands.is_some() {
-            // Looked at again soon: how long it stands is not known here.
-            return self.due.schedule(now + 10_000, Due::Ready(conn));
-        }
-        self.advance(server, out);
-        let unit = unit(&self.s);
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let l = &self.s.listeners[c.listener];
-        let load = (c.usual * self.rng.log_normal(l.swing_sigma.0) * unit as f64) as Cores;
-        (c.open, c.load) = (true, load);
-        let n = &mut self.nodes[server];
-        n.open[c.listener] += 1;
-        let mut more = load;
-        if c.group != 0 {
-            let members = n.groups.entry(c.group).or_insert(0);
-            *members += 1;
-            more += if *members == 1 { group_cost(&self.s) } else { 0 };
-        }
-        n.asks[relay] += more;
-        let told = n.knows[relay];
-        n.server.ask(more, 0, told);
-        let change = self.rng.exponential(l.change_s.us() as f64) as Micros;
-        out.push(ServerEvent::Line { connection: conn, line: ServerLine::Up });
-        if self.s.servers.tells_load {
-            out.push(ServerEvent::Line { connection: conn, line: ServerLine::Load(load as f64) });
-        }
-        if l.change_s.us() > 0 {
-            self.due.schedule(now + change.max(50_000), Due::Changes(conn));
+    fn set_up_session(&mut self, id: ConnectionId, request: &DialRequest, setup: Work, set_up_at: Micros) {
+        let listener = &self.scenario.listeners[request.listener];
+        // The usual load of a client is the same at each server.
+        let mut client_random = Random::new(request.key, CLIENT_RANDOM_STREAM);
+        let usual_load = listener.load.0 * client_random.log_normal(listener.load_sigma.0);
+        let connection = Connection {
+            server: request.server,
+            relay: request.relay,
+            listener: request.listener,
+            group: request.group,
+            is_open: false,
+            load: 0,
+            usual_load,
+            setup,
+        };
+        self.nodes[request.server].connections.insert(id);
+        self.connections.insert(id, connection);
+        let stored_at = if request.is_pre_existing { self.now } else { self.queue_at_store() };
+        self.events.schedule(set_up_at.max(stored_at), Event::SessionReady(id));
+        if let Some(lifetime) = request.lifetime {
+            self.events.schedule(self.now + lifetime, Event::SessionEnd(id));
         }
     }
 
-    pub(super) fn changes(&mut self, conn: ConnectionId, out: &mut Vec<ServerEvent>) {
-        let Some(c) = self.conns.get(&conn) else { return };
-        let (server, relay) = (c.server, c.relay);
-        self.advance(server, out);
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let l = &self.s.listeners[c.listener];
-        let load = (c.usual * self.rng.log_normal(l.swing_sigma.0) * unit(&self.s) as f64) as Cores;
-        let before = std::mem::replace(&mut c.load, load);
-        let n = &mut self.nodes[server];
-        n.asks[relay] = (n.asks[relay] + load).saturating_sub(before);
-        let told = n.knows[relay];
-        n.server.ask(load, before, told);
-        let change = self.rng.exponential(l.change_s.us() as f64) as Micros;
-        self.due.schedule(self.now + change.max(50_000), Due::Changes(conn));
-        if self.s.servers.tells_load && self.can_send(server, relay) {
-            out.push(ServerEvent::Line { connection: conn, line: ServerLine::Load(load as f64) });
+    /// Queues one session at the shared store. Returns when it is stored.
+    fn queue_at_store(&mut self) -> Micros {
+        let rate = self.scenario.servers.store_per_s.0;
+        if rate <= 0.0 {
+            return self.now;
         }
+        let time = (1e6 / rate * self.store_slowdown) as Micros;
+        self.store_free_at = self.store_free_at.max(self.now) + time;
+        self.store_free_at
+    }
+
+    /// Draws the load that an open session has from now on.
+    fn draw_load(&mut self, id: ConnectionId) -> Option<Cores> {
+        let connection = self.connections.get(&id)?;
+        let deviation = self.scenario.listeners[connection.listener].swing_sigma.0;
+        let swing = self.random.log_normal(deviation);
+        Some((connection.usual_load * swing * session_cores(&self.scenario) as f64) as Cores)
     }
 
-    /// A late server says so once a second, on one connection of each relay.
-    pub(super) fn tell_delay(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
-        let keenest = self.s.listeners.iter().map(|l| l.message_target_ms.us()).min().unwrap_or(0);
-        let n = &self.nodes[server];
-        let delay = n.server.delay(self.now);
-        if !self.s.servers.tells_delay || n.server.life != Life::Up || delay <= keenest / 3 {
+    /// Draws the time until the load of a session changes, in microseconds.
+    fn draw_load_change(&mut self, listener: usize) -> Micros {
+        let mean = self.scenario.listeners[listener].change_s.us() as f64;
+        let after = self.random.exponential(mean) as Micros;
+        after.max(MIN_LOAD_CHANGE_INTERVAL)
+    }
+
+    /// The set-up of a session is done: it opens.
+    pub(super) fn session_ready(&mut self, id: ConnectionId, out: &mut Vec<ServerEvent>) {
+        let Some(server) = self.connections.get(&id).map(|connection| connection.server) else { return };
+        if self.nodes[server].server.state != ServerState::Up {
             return;
         }
-        let mut told = vec![false; n.asks.len()];
-        for conn in &n.conns {
-            let c = &self.conns[conn];
-            if c.open && !std::mem::replace(&mut told[c.relay], true) && self.can_send(server, c.relay) {
-                out.push(ServerEvent::Line {
-                    connection: *conn,
-                    line: ServerLine::Load((delay as f64 / 1e3).round()),
-                });
-            }
-            if told.iter().all(|t| *t) {
-                break;
-            }
+        if self.nodes[server].server.stalled_since.is_some() {
+            return self.events.schedule(self.now + STALL_RETRY_INTERVAL, Event::SessionReady(id));
         }
-    }
-
-    /// The relay has ended a connection, or its sending on it.
-    pub fn connection_closed(&mut self, now: Micros, conn: ConnectionId, out: &mut Vec<ServerEvent>) {
-        self.now = self.now.max(now);
-        let Some(server) = self.conns.get(&conn).map(|c| c.server) else { return };
         self.advance(server, out);
-        self.drop_conn(conn);
+        let Some(load) = self.draw_load(id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.is_open = true;
+        connection.load = load;
+        let relay = connection.relay;
+        let listener = connection.listener;
+        let group = connection.group;
+        let node = &mut self.nodes[server];
+        node.open_by_listener[listener] += 1;
+        let mut added = load;
+        if group != 0 {
+            let members = node.groups.entry(group).or_insert(0);
+            *members += 1;
+            added += if *members == 1 { group_cores(&self.scenario) } else { 0 };
+        }
+        node.demand_by_relay[relay] += added;
+        node.server.change_demand(added, 0, node.notified_of_start[relay]);
+        let change_after = self.draw_load_change(listener);
+        out.push(ServerEvent::Line { connection: id, line: ServerLine::Up });
+        if self.scenario.servers.tells_load {
+            out.push(ServerEvent::Line { connection: id, line: ServerLine::Load(load as f64) });
+        }
+        if self.scenario.listeners[listener].change_s.us() > 0 {
+            self.events.schedule(self.now + change_after, Event::LoadChange(id));
+        }
     }
 
-    /// A probe has come: when it is answered, and with what.
-    pub fn answer_probe(
-        &mut self,
-        now: Micros,
-        server: usize,
-        relay: usize,
-        out: &mut Vec<ServerEvent>,
-    ) -> (Micros, Figures) {
-        self.now = self.now.max(now);
-        let now = self.now;
+    /// The load of an open session changes.
+    pub(super) fn change_load(&mut self, id: ConnectionId, out: &mut Vec<ServerEvent>) {
+        let Some(server) = self.connections.get(&id).map(|connection| connection.server) else { return };
         self.advance(server, out);
-        self.counts.probes += 1;
-        let work = self.s.servers.probe_ms.us() * CORE;
-        let n = &mut self.nodes[server];
-        let told = n.knows[relay];
-        let done = n.server.done(now, work);
-        let fell = n.server.burst(now, work, told);
-        while n.reports.len() > 1 && n.reports[1].0 <= now {
-            n.reports.pop_front();
-        }
-        let figures = n.reports.front().map(|r| r.1).unwrap_or_default();
-        if fell {
-            self.fell(server, out);
+        let Some(load) = self.draw_load(id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let previous = std::mem::replace(&mut connection.load, load);
+        let relay = connection.relay;
+        let listener = connection.listener;
+        let node = &mut self.nodes[server];
+        node.demand_by_relay[relay] = (node.demand_by_relay[relay] + load).saturating_sub(previous);
+        node.server.change_demand(load, previous, node.notified_of_start[relay]);
+        let change_after = self.draw_load_change(listener);
+        self.events.schedule(self.now + change_after, Event::LoadChange(id));
+        if self.scenario.servers.tells_load && self.can_send(server, relay) {
+            out.push(ServerEvent::Line { connection: id, line: ServerLine::Load(load as f64) });
         }
-        (done, figures)
     }
 }
--- a/emulator/tests/models.rs
+++ b/emulator/tests/models.rs
@@ -238,12 +238,12 @@
     s.load.steps = vec![scenario::Step { at_s: scenario::Span(20 * SECOND), times: scenario::Num(4.0) }];
     let mut clients = Clients::new(&s, 1, BEGIN);
     let came = |clients: &mut Clients, until: Micros| {
-        let before = clients.counts[0].first_tries;
+        let before = clients.counts[0].first_attempts;
         clients.step(BEGIN + until, &mut Vec::new());
-        clients.counts[0].first_tries - before
+        clients.counts[0].first_attempts - before
     };
     let (calm, stepped) = (came(&mut clients, 20 * SECOND), came(&mut clients, 40 * SECOND));
-    clients.rate_times(0.25);
+    clients.set_arrival_factor(0.25);
     let quiet = came(&mut clients, 60 * SECOND);
     // 100, 400 and 100 in the mean; four standard deviations are 40 and 80.
     assert!((60..=140).contains(&calm) && (320..=480).contains(&stepped), "{calm} {stepped}");
