--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -1,6 +1,6 @@
-//! Clients on sockets: one task a connection, from its first line to its end.
-use super::lines::{self, Lines, Unread};
-use super::{Host, Shared, ToClient};
+//! Clients on sockets: one task for each connection, from its first line to its end.
+use super::lines::{self, Lines, ReadError};
+use super::{Host, LeaveCommand, Shared};
 use crate::audit::{Answer, RequestSent};
 use crate::clients::{mix, ClientEvent, ClientRequest};
 use std::net::SocketAddr;
@@ -8,131 +8,154 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use tokio::time::{interval_at, timeout, Instant};
+use tokio::time::{interval_at, timeout, Instant, Interval, MissedTickBehavior};
+
+/// In which a relay has to answer `PING`.
+const PING_TIMEOUT: Duration = Duration::from_millis(500);
+/// A relay that does not take a connection within this counts as dead.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a client waits for lines after its final answer, which there may not be.
+const AFTER_ANSWER: Duration = Duration::from_millis(500);
 
 /// Whether a relay answers `PING`.
 pub async fn ping(addr: SocketAddr) -> bool {
-    let asked = async {
+    let answer = async {
         let stream = TcpStream::connect(addr).await.ok()?;
         lines::write(&stream, b"PING\r\n").await.then_some(())?;
         Lines::default().next(&stream).await.ok().filter(|line| line == "PONG")
     };
-    matches!(timeout(Duration::from_millis(500), asked).await, Ok(Some(_)))
+    matches!(timeout(PING_TIMEOUT, answer).await, Ok(Some(_)))
 }
 
-pub async fn run(ask: ClientRequest, commands: mpsc::Receiver<ToClient>, host: Shared) {
-    let mark = ask.mark;
-    session(&ask, commands, &host).await;
+/// Runs a client's connection until it ends.
+pub async fn run(request: ClientRequest, commands: mpsc::Receiver<LeaveCommand>, host: Shared) {
+    let mark = request.mark;
+    run_attempt(&request, commands, &host).await;
     host.clients.borrow_mut().remove(&mark);
-    host.asks.borrow_mut().remove(&mark);
+    host.requests.borrow_mut().remove(&mark);
 }
 
-fn heard(mark: u64, heard: ClientEvent, host: &Rc<Host>) {
-    host.with(|day, now, _| day.clients.handle(now, mark, heard));
+fn handle(mark: u64, event: ClientEvent, host: &Rc<Host>) {
+    host.with(|day, now, _| day.clients.handle(now, mark, event));
 }
 
-async fn session(ask: &ClientRequest, mut commands: mpsc::Receiver<ToClient>, host: &Rc<Host>) {
-    let mark = ask.mark;
-    let addr = host.relays.borrow()[ask.relay];
-    // A relay that does not take a connection for a second is as good as dead.
-    let Ok(Ok(stream)) = timeout(Duration::from_secs(1), TcpStream::connect(addr)).await else {
-        return heard(mark, ClientEvent::Unreachable, host);
-    };
-    _ = stream.set_nodelay(true);
-    let line = {
-        let day = host.day.borrow();
-        let at = ask.pre_existing_at.map(|i| day.servers.endpoints.identities[i].id.clone());
-        lines::open(ask, &day.scenario.listeners[ask.listener].name, at.as_deref()) + "\r\n"
+fn left(mark: u64, host: &Rc<Host>) {
+    host.with(|day, now, _| day.audit.client_left(now, mark));
+}
+
+async fn run_attempt(request: &ClientRequest, mut commands: mpsc::Receiver<LeaveCommand>, host: &Rc<Host>) {
+    let mark = request.mark;
+    let Some(stream) = send_first_line(request, host).await else {
+        return handle(mark, ClientEvent::Unreachable, host);
     };
-    if !lines::write(&stream, line.as_bytes()).await {
-        return heard(mark, ClientEvent::Unreachable, host);
-    }
-    host.with(|day, now, _| {
-        day.audit.session_requested(
-            now,
-            &RequestSent {
-                mark,
-                relay: ask.relay,
-                listener: ask.listener,
-                wait: ask.dial_timeout,
-                is_pre_existing: ask.pre_existing_at.is_some(),
-            },
-        );
-    });
     let mut lines = Lines::default();
-    let answer = tokio::select! {
-        answer = lines.next(&stream) => answer,
+    let line = tokio::select! {
+        line = lines.next(&stream) => line,
         _ = commands.recv() => return left(mark, host),
     };
-    let what = match &answer {
-        Ok(line) => match line.split_once(' ').unwrap_or((line, "")) {
-            ("UP", receipt) => {
-                let receipt = receipt.strip_prefix('r').and_then(|r| u64::from_str_radix(r, 16).ok());
-                (Answer::Up(receipt.unwrap_or(0)), ClientEvent::Established)
-            }
-            ("BUSY", ms) => (Answer::Busy, ClientEvent::Rejected(ms.parse::<u64>().unwrap_or(0) * 1000)),
-            ("BYE", _) => (Answer::Failed, ClientEvent::Ended),
-            _ => (Answer::Failed, ClientEvent::Failed),
-        },
+    let has_line = line.is_ok();
+    let (answer, event) = match line {
+        Ok(line) => parse_answer(&line),
         Err(_) => (Answer::Closed, ClientEvent::Closed),
     };
     host.with(|day, now, _| {
-        day.audit.client_answered(now, mark, &what.0);
-        day.clients.handle(now, mark, what.1);
+        day.audit.client_answered(now, mark, &answer);
+        day.clients.handle(now, mark, event);
     });
-    if what.1 == ClientEvent::Established {
-        return open(ask, &stream, lines, commands, host).await;
+    if event == ClientEvent::Established {
+        return run_session(mark, &stream, lines, commands, host).await;
     }
-    if answer.is_ok() {
-        // Whether anything comes behind the final answer.
-        let more = timeout(Duration::from_millis(500), lines.next(&stream)).await;
-        if let Ok(Ok(_)) = more {
+    if has_line {
+        let next = timeout(AFTER_ANSWER, lines.next(&stream)).await;
+        if let Ok(Ok(_)) = next {
             host.with(|day, now, _| day.audit.client_answered(now, mark, &Answer::Failed));
         }
     }
     left(mark, host);
 }
 
-fn left(mark: u64, host: &Rc<Host>) {
-    host.with(|day, now, _| day.audit.client_left(now, mark));
+/// Connects to the relay and sends the first line; none where that fails.
+async fn send_first_line(request: &ClientRequest, host: &Rc<Host>) -> Option<TcpStream> {
+    let addr = host.relays.borrow()[request.relay];
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?;
+    _ = stream.set_nodelay(true);
+    let line = {
+        let day = host.day.borrow();
+        let identities = &day.servers.endpoints.identities;
+        let pre_existing_at = request.pre_existing_at.map(|server| identities[server].id.clone());
+        let listener = &day.scenario.listeners[request.listener].name;
+        lines::first_line(request, listener, pre_existing_at.as_deref()) + "\r\n"
+    };
+    if !lines::write(&stream, line.as_bytes()).await {
+        return None;
+    }
+    let sent = RequestSent {
+        mark: request.mark,
+        relay: request.relay,
+        listener: request.listener,
+        wait: request.dial_timeout,
+        is_pre_existing: request.pre_existing_at.is_some(),
+    };
+    host.with(|day, now, _| day.audit.session_requested(now, &sent));
+    Some(stream)
 }
 
-/// Lines go and come, till one side has enough.
-async fn open(
-    ask: &ClientRequest,
+/// What an answer means for the auditor and for the client.
+fn parse_answer(line: &str) -> (Answer, ClientEvent) {
+    match line.split_once(' ').unwrap_or((line, "")) {
+        ("UP", receipt) => {
+            let receipt = receipt.strip_prefix('r').and_then(|hex| u64::from_str_radix(hex, 16).ok());
+            (Answer::Up(receipt.unwrap_or(0)), ClientEvent::Established)
+        }
+        ("BUSY", ms) => {
+            let retry_after = ms.parse::<u64>().unwrap_or(0) * 1000;
+            (Answer::Busy, ClientEvent::Rejected(retry_after))
+        }
+        ("BYE", _) => (Answer::Failed, ClientEvent::Ended),
+        _ => (Answer::Failed, ClientEvent::Failed),
+    }
+}
+
+/// Times at which a client sends messages; clients are spread over the period.
+fn message_times(mark: u64, host: &Rc<Host>) -> Interval {
+    let period = Duration::from_micros(host.day.borrow().scenario.clients.message_s.us());
+    let offset = Duration::from_micros(mix(mark) % period.as_micros().max(1) as u64);
+    let mut times = interval_at(Instant::now() + offset, period);
+    times.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    times
+}
+
+/// Sends and receives messages until either side ends the session.
+async fn run_session(
+    mark: u64,
     stream: &TcpStream,
     mut lines: Lines,
-    mut commands: mpsc::Receiver<ToClient>,
+    mut commands: mpsc::Receiver<LeaveCommand>,
     host: &Rc<Host>,
 ) {
-    let mark = ask.mark;
-    let period = Duration::from_micros(host.day.borrow().scenario.clients.message_s.us());
-    // Each speaks at a moment of its own.
-    let offset = Duration::from_micros(mix(mark) % period.as_micros().max(1) as u64);
-    let mut messages = interval_at(Instant::now() + offset, period);
-    messages.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut last = ClientEvent::Closed;
-    let mut count = 0u64;
+    let mut message_times = message_times(mark, host);
+    let mut message_count = 0u64;
+    let mut last_event = ClientEvent::Closed;
     loop {
         tokio::select! {
             line = lines.next(stream) => match line {
-                Ok(line) if line == "MOVE" => last = ClientEvent::Migrated,
-                Ok(line) if line.starts_with("BYE") => last = ClientEvent::Ended,
+                Ok(line) if line == "MOVE" => last_event = ClientEvent::Migrated,
+                Ok(line) if line.starts_with("BYE") => last_event = ClientEvent::Ended,
                 Ok(_) => {}
-                Err(Unread::Ended | Unread::Reset | Unread::Long) => break,
+                Err(ReadError::Ended | ReadError::Reset | ReadError::TooLong) => break,
             },
             _ = commands.recv() => return left(mark, host),
-            _ = messages.tick() => {
-                count += 1;
-                if !lines::write(stream, format!("message {count}\r\n").as_bytes()).await {
+            _ = message_times.tick() => {
+                message_count += 1;
+                if !lines::write(stream, format!("message {message_count}\r\n").as_bytes()).await {
                     break;
                 }
             }
         }
     }
-    if last == ClientEvent::Closed {
-        host.cut_off(mark);
+    if last_event == ClientEvent::Closed {
+        host.client_cut_off(mark);
     }
-    heard(mark, last, host);
+    handle(mark, last_event, host);
     left(mark, host);
 }
--- a/emulator/src/net/links.rs
+++ b/emulator/src/net/links.rs
@@ -1,7 +1,7 @@
 //! Emulated links on sockets: each relay is advertised at an address of the proxy's, which receives what
 //! others send to the relay, passes it through the emulated links, and forwards it from the sender's own
-//! advertised address. The sender is told by the address that it sends from.
-use super::{free_port, Shared};
+//! advertised address. The address that it sends from identifies the sender.
+use super::{free_port, AddressError, Shared};
 use crate::links::Arrival;
 use hallrelay_balancer::types::Micros;
 use std::cell::{Cell, RefCell};
@@ -26,9 +26,9 @@
     /// Free ports for so many relays.
     ///
     /// # Errors
-    /// A text for the user, where a port cannot be had.
-    pub fn free(count: usize) -> Result<RelayAddresses, String> {
-        let in_net = |net: u8| -> Result<Vec<SocketAddr>, String> {
+    /// Where a port cannot be had.
+    pub fn free(count: usize) -> Result<RelayAddresses, AddressError> {
+        let in_net = |net: u8| -> Result<Vec<SocketAddr>, AddressError> {
             let ip = |relay: usize| Ipv4Addr::new(127, net, (relay / 250) as u8, (relay % 250 + 1) as u8);
             (0..count).map(|relay| free_port(ip(relay))).collect()
         };
@@ -47,16 +47,23 @@
 const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// A datagram that is due within this is forwarded at once: timers have no finer resolution.
 const TIMER_RESOLUTION: Micros = 1_000;
-/// With no datagram scheduled the queue is looked at this often.
+/// With no datagram scheduled the queue is checked at this interval.
 const IDLE_INTERVAL: Micros = 1_000_000;
 
+/// Order of datagrams: by time, then as they were scheduled.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduleKey {
+    at: Micros,
+    order: u64,
+}
+
 struct LinkProxy {
     host: Shared,
     addresses: RelayAddresses,
     /// By relay, the socket at its advertised address.
     sockets: Vec<UdpSocket>,
-    /// Datagrams that arrive later, by time and order.
-    scheduled: RefCell<BTreeMap<(Micros, u64), Arrival>>,
+    /// Datagrams that arrive later.
+    scheduled: RefCell<BTreeMap<ScheduleKey, Arrival>>,
     last_order: Cell<u64>,
     datagram_scheduled: Notify,
 }
@@ -64,12 +71,12 @@
 /// Starts forwarding what relays send each other; it ends with the runtime.
 ///
 /// # Errors
-/// A text for the user, where an advertised address cannot be bound.
-pub async fn serve(addresses: RelayAddresses, host: &Shared) -> Result<(), String> {
+/// Where an advertised address cannot be bound.
+pub async fn serve(addresses: RelayAddresses, host: &Shared) -> Result<(), AddressError> {
     let mut sockets = Vec::new();
     let mut listeners = Vec::new();
     for &addr in &addresses.advertised {
-        let with_addr = |e: std::io::Error| format!("the ways between relays: {addr}: {e}");
+        let with_addr = |source| AddressError::Link { addr, source };
         sockets.push(UdpSocket::bind(addr).await.map_err(with_addr)?);
         listeners.push(TcpListener::bind(addr).await.map_err(with_addr)?);
     }
@@ -111,7 +118,8 @@
             }
             let order = self.last_order.get() + 1;
             self.last_order.set(order);
-            self.scheduled.borrow_mut().insert((arrival.at, order), arrival);
+            let key = ScheduleKey { at: arrival.at, order };
+            self.scheduled.borrow_mut().insert(key, arrival);
             self.datagram_scheduled.notify_one();
         }
     }
@@ -129,19 +137,19 @@
             for arrival in self.take_due(now) {
                 self.forward(&arrival);
             }
-            let next = self.scheduled.borrow().first_key_value().map(|((at, _), _)| *at);
+            let next = self.scheduled.borrow().first_key_value().map(|(key, _)| key.at);
             let next = next.unwrap_or(now + IDLE_INTERVAL);
             tokio::select! {
                 () = tokio::time::sleep_until(self.host.clock.at(next)) => {}
                 () = self.datagram_scheduled.notified() => {}
-                () = self.host.let_go.notified() => {}
+                () = self.host.arrivals_released.notified() => {}
             }
         }
     }
 
     fn take_due(&self, now: Micros) -> Vec<Arrival> {
         let mut scheduled = self.scheduled.borrow_mut();
-        let later = scheduled.split_off(&(now + 1, 0));
+        let later = scheduled.split_off(&ScheduleKey { at: now + 1, order: 0 });
         std::mem::replace(&mut *scheduled, later).into_values().collect()
     }
 
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -1,4 +1,5 @@
-//! The list service on sockets: HTTP/1.1, the whole list or a watch on what changes, one address a relay.
+//! Discovery on sockets: HTTP/1.1, the whole endpoint list or a watch on its changes, one address for each
+//! relay.
 use super::{Host, Shared};
 use bytes::Bytes;
 use http_body_util::channel::{Channel, Sender};
@@ -11,29 +12,35 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
 
-/// How soon a cut way is found whole again.
-const CUT: Duration = Duration::from_millis(20);
+/// Interval at which a path that is cut is checked.
+const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long connections at an old address stay open after a move.
+const MOVE_GRACE: Duration = Duration::from_millis(1_500);
+/// Interval at which an empty line is written to a watch without changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Lines that wait to be written to a watch.
+const WATCH_CAPACITY: usize = 4;
 
 type Body = http_body_util::combinators::UnsyncBoxBody<Bytes, Infallible>;
 
-/// Serves one relay's list at a free port, and at another one each time that it moves.
+/// Serves one relay's discovery at a free port, and at another one each time that it moves.
 pub async fn serve(relay: usize, first: TcpListener, host: Shared) {
-    let mut moved = host.list_moves.borrow()[relay].subscribe();
+    let mut moves = host.list_moves.borrow()[relay].subscribe();
     let mut listener = first;
     loop {
-        let until = tokio::select! {
-            taken = listener.accept() => {
-                if let Ok((stream, _)) = taken {
-                    let (host, left) = (host.clone(), moved.clone());
-                    tokio::task::spawn_local(connection(relay, stream, left, host));
+        let moved = tokio::select! {
+            accepted = listener.accept() => {
+                if let Ok((stream, _)) = accepted {
+                    tokio::task::spawn_local(run_connection(relay, stream, moves.clone(), host.clone()));
                 }
                 continue;
             }
-            until = moved.changed() => until,
+            moved = moves.changed() => moved,
         };
-        if until.is_err() {
+        if moved.is_err() {
             return;
         }
         if let Some(next) = bind(relay, &host).await {
@@ -42,123 +49,130 @@
     }
 }
 
-/// A free port for a relay's list, known to the host from now on.
+/// Binds a free port for a relay's discovery, and sets its address in the host. None where that fails.
 pub async fn bind(relay: usize, host: &Rc<Host>) -> Option<TcpListener> {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.ok()?;
     host.list_addresses.borrow_mut()[relay] = listener.local_addr().ok()?;
     Some(listener)
 }
 
-async fn connection(
-    relay: usize,
-    stream: tokio::net::TcpStream,
-    mut moved: tokio::sync::watch::Receiver<u64>,
-    host: Shared,
-) {
+async fn run_connection(relay: usize, stream: TcpStream, mut moves: watch::Receiver<u64>, host: Shared) {
     _ = stream.set_nodelay(true);
-    // Nothing comes through while the way is cut; who waits gives up by itself.
-    while host.day.borrow().list_cut[relay] {
-        tokio::time::sleep(CUT).await;
-    }
-    moved.mark_unchanged();
-    let answers = service_fn(|ask: Request<Incoming>| {
+    // A client that waits too long gives up by itself.
+    wait_until_reachable(relay, &host).await;
+    moves.mark_unchanged();
+    let service = service_fn(|request: Request<Incoming>| {
         let host = host.clone();
-        async move { Ok::<_, Infallible>(answer(relay, &ask, &host)) }
+        async move { Ok::<_, Infallible>(respond(relay, &request, &host)) }
     });
-    let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), answers);
-    let mut down = host.news.subscribe();
+    let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+    let mut changes = host.list_changes.subscribe();
     tokio::select! {
         _ = served => {}
+        // Open connections end as discovery becomes unavailable.
         () = async {
             while !host.list_down.get() {
-                if down.changed().await.is_err() {
+                if changes.changed().await.is_err() {
                     return;
                 }
             }
-        } => {} // what is open ends as the service goes down
+        } => {}
         () = async {
-            _ = moved.changed().await;
-            // The old place closes what is open a moment later.
-            tokio::time::sleep(Duration::from_millis(1_500)).await;
+            _ = moves.changed().await;
+            tokio::time::sleep(MOVE_GRACE).await;
         } => {}
     }
 }
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
-    let mut answer = Response::new(Full::new(text.into()).boxed_unsync());
-    *answer.status_mut() = status;
-    answer
+/// Waits as long as a relay and its discovery are cut off from each other.
+async fn wait_until_reachable(relay: usize, host: &Shared) {
+    while host.day.borrow().list_cut[relay] {
+        tokio::time::sleep(CUT_CHECK_INTERVAL).await;
+    }
+}
+
+fn response(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
+    let mut response = Response::new(Full::new(text.into()).boxed_unsync());
+    *response.status_mut() = status;
+    response
 }
 
-fn answer(relay: usize, ask: &Request<Incoming>, host: &Shared) -> Response<Body> {
+fn respond(relay: usize, request: &Request<Incoming>, host: &Shared) -> Response<Body> {
     if host.list_down.get() {
         host.day.borrow_mut().audit.list_call_failed(relay);
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "down\n");
+        return response(StatusCode::SERVICE_UNAVAILABLE, "down\n");
     }
-    if ask.uri().path() != "/registry/instances" {
-        return plain(StatusCode::NOT_FOUND, "no such place\n");
+    if request.uri().path() != "/registry/instances" {
+        return response(StatusCode::NOT_FOUND, "no such place\n");
     }
-    let query = ask.uri().query().unwrap_or("");
-    let value = |name: &str| query.split('&').filter_map(|p| p.split_once('=')).find(|p| p.0 == name);
-    if value("follow").is_none_or(|v| v.1 != "1") {
-        return plain(StatusCode::OK, whole(relay, host));
+    let query = request.uri().query().unwrap_or("");
+    let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let value = |name: &str| pairs.clone().find(|pair| pair.0 == name).map(|pair| pair.1);
+    if value("follow") != Some("1") {
+        return response(StatusCode::OK, full_list(relay, host));
     }
-    let since = value("since").and_then(|v| v.1.parse::<u64>().ok());
-    let (to, body) = Channel::<Bytes, Infallible>::new(4);
-    tokio::task::spawn_local(follow(relay, since, to, host.clone()));
+    let since = value("since").and_then(|text| text.parse::<u64>().ok());
+    let (sender, body) = Channel::<Bytes, Infallible>::new(WATCH_CAPACITY);
+    tokio::task::spawn_local(watch_changes(relay, since, sender, host.clone()));
     Response::new(body.boxed_unsync())
 }
 
-fn text(relay: usize, reset: bool, servers: &[usize], host: &Shared) -> String {
+fn json_line(relay: usize, reset: bool, servers: &[usize], host: &Shared) -> String {
     let day = host.day.borrow();
-    let line = day.servers.endpoints.json(reset, servers, |server| host.servers[relay][server].to_string());
-    line.to_string() + "\n"
+    let json = day.servers.endpoints.json(reset, servers, |server| host.servers[relay][server].to_string());
+    json.to_string() + "\n"
 }
 
-fn whole(relay: usize, host: &Shared) -> String {
-    let servers = host.day.borrow().servers.endpoints.present();
-    let line = text(relay, true, &servers, host);
-    // What a whole list leaves out is gone; all that there is was told.
+/// The whole list, of which the relay counts as notified.
+fn full_list(relay: usize, host: &Shared) -> String {
+    let present = host.day.borrow().servers.endpoints.present();
+    let line = json_line(relay, true, &present, host);
+    // Servers that the list leaves out are removed, which is news as well.
     let all: Vec<usize> = (0..host.day.borrow().servers.len()).collect();
     host.with(|day, now, todo| day.list_sent(now, relay, &all, &mut todo.server_events));
     line
 }
 
-/// Writes what changes, as long as somebody reads.
-async fn follow(relay: usize, since: Option<u64>, mut to: Sender<Bytes, Infallible>, host: Shared) {
-    let mut news = host.news.subscribe();
-    let mut since = match since {
-        Some(since) => since,
+/// Writes the changes after a version, or the whole list and all changes, as long as somebody reads.
+async fn watch_changes(
+    relay: usize,
+    since: Option<u64>,
+    mut sender: Sender<Bytes, Infallible>,
+    host: Shared,
+) {
+    let mut changes = host.list_changes.subscribe();
+    let mut sent_generation = match since {
+        Some(generation) => generation,
         None => {
-            let line = whole(relay, &host);
-            if to.send_data(line.into()).await.is_err() {
+            let line = full_list(relay, &host);
+            if sender.send_data(line.into()).await.is_err() {
                 return;
             }
             host.day.borrow().servers.endpoints.generation
         }
     };
-    let mut first = true;
+    let mut is_first = true;
     loop {
-        while host.day.borrow().list_cut[relay] {
-            tokio::time::sleep(CUT).await;
-        }
-        let (generation, servers) = {
+        wait_until_reachable(relay, &host).await;
+        let (generation, changed) = {
             let day = host.day.borrow();
-            (day.servers.endpoints.generation, day.servers.endpoints.changed_since(since))
+            let endpoints = &day.servers.endpoints;
+            (endpoints.generation, endpoints.changed_since(sent_generation))
         };
-        if first || generation > since {
-            first = false;
-            since = generation;
-            if to.send_data(text(relay, false, &servers, &host).into()).await.is_err() {
+        if is_first || generation > sent_generation {
+            is_first = false;
+            sent_generation = generation;
+            let line = json_line(relay, false, &changed, &host);
+            if sender.send_data(line.into()).await.is_err() {
                 return;
             }
-            host.with(|day, now, todo| day.list_sent(now, relay, &servers, &mut todo.server_events));
+            host.with(|day, now, todo| day.list_sent(now, relay, &changed, &mut todo.server_events));
         }
-        match tokio::time::timeout(Duration::from_secs(2), news.changed()).await {
+        match tokio::time::timeout(KEEPALIVE_INTERVAL, changes.changed()).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return,
             Err(_) => {
-                if to.send_data(Bytes::from_static(b"\n")).await.is_err() {
+                if sender.send_data(Bytes::from_static(b"\n")).await.is_err() {
                     return;
                 }
             }
--- a/emulator/src/net/malformed.rs
+++ b/emulator/src/net/malformed.rs
@@ -1,4 +1,4 @@
-//! Clients that speak no protocol. Each is owed an error or an end within 3 s; it reads what it is sent.
+//! Clients that speak no protocol. Each is to get an error or an end in time; it reads what it is sent.
 use super::lines::{self, Lines};
 use super::Shared;
 use crate::random::Random;
@@ -8,95 +8,107 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Within this they are owed an end; those that send megabytes first have twice as long.
-const OWED: Duration = Duration::from_secs(3);
+/// In which such a client is to get an error or an end; twice that where it sends megabytes first.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// None are sent this long before the end of the day, since their answers would not be seen.
+const LAST_BEFORE_END: Micros = 7_000_000;
+/// Random stream of these clients.
+const RANDOM_STREAM: u64 = 6;
+/// How often a client sends its rejected line again.
+const REPEATS: usize = 5;
 
-/// Sends them as the scenario says, till the day is over.
+/// Sends them as the scenario has it, until the day is over.
 pub async fn run(host: Shared) {
-    let (rate, sorts, begin, end, seed) = {
+    let (rate, kinds, begin, end, seed) = {
         let day = host.day.borrow();
         (day.scenario.bad.rate.0, day.scenario.bad.sorts.clone(), day.begin, day.end, day.seed)
     };
-    if rate <= 0.0 || sorts.is_empty() {
+    if rate <= 0.0 || kinds.is_empty() {
         return;
     }
-    let mut rng = Random::new(seed, 6);
+    let mut random = Random::new(seed, RANDOM_STREAM);
     let mut at = begin;
-    // Those that come in the last moments would not be seen to their end.
-    while at + 7_000_000 < end {
-        at += rng.exponential(1e6 / rate) as Micros;
+    while at + LAST_BEFORE_END < end {
+        at += random.exponential(1e6 / rate) as Micros;
         tokio::time::sleep_until(host.clock.at(at)).await;
-        let sort = sorts[rng.below(sorts.len())];
-        let relay = rng.below(host.relays.borrow().len());
-        tokio::task::spawn_local(one(sort, relay, rng.bits(), host.clone()));
+        let kind = kinds[random.below(kinds.len())];
+        let relay = random.below(host.relays.borrow().len());
+        tokio::task::spawn_local(run_client(kind, relay, random.bits(), host.clone()));
     }
 }
 
-async fn one(sort: BadSort, relay: usize, draw: u64, host: Shared) {
+async fn run_client(kind: BadSort, relay: usize, draw: u64, host: Shared) {
     let addr = host.relays.borrow()[relay];
-    // A relay that is down owes nothing.
-    let Ok(Ok(stream)) = timeout(OWED, TcpStream::connect(addr)).await else { return };
+    // A relay that is down need not answer.
+    let Ok(Ok(stream)) = timeout(ANSWER_TIMEOUT, TcpStream::connect(addr)).await else { return };
     host.malformed_clients.borrow_mut().came += 1;
-    let owed = if sort == BadSort::Huge { OWED * 2 } else { OWED };
-    let ended = timeout(owed, play(sort, draw, &stream, &host)).await.is_ok();
-    let mut figures = host.malformed_clients.borrow_mut();
-    if ended {
-        figures.answered += 1;
+    let limit = if kind == BadSort::Huge { ANSWER_TIMEOUT * 2 } else { ANSWER_TIMEOUT };
+    let is_answered = timeout(limit, await_answer(kind, draw, &stream, &host)).await.is_ok();
+    let mut counts = host.malformed_clients.borrow_mut();
+    if is_answered {
+        counts.answered += 1;
     } else {
-        figures.left_waiting += 1;
+        counts.left_waiting += 1;
     }
 }
 
-fn line(mark: u64, listener: &str, wait: &str) -> String {
-    format!("OPEN {mark:016x} {:016x} c={listener},d={wait}\r\n", mark | 1)
+fn first_line(mark: u64, listener: &str, timeout_ms: &str) -> String {
+    format!("OPEN {mark:016x} {:016x} c={listener},d={timeout_ms}\r\n", mark | 1)
 }
 
-/// Returns as the relay has answered or ended it.
-async fn play(sort: BadSort, draw: u64, stream: &TcpStream, host: &Shared) {
+/// What a client of a kind sends.
+fn bytes_to_send(kind: BadSort, draw: u64, host: &Shared) -> Vec<u8> {
     let listener = host.day.borrow().scenario.listeners[0].name.clone();
-    let good = line(draw, &listener, "1000");
-    let sent = match sort {
+    let valid = first_line(draw, &listener, "1000");
+    match kind {
         BadSort::Noise => vec![0xff, 0x00, 0x80, b'\n', b'\r', b'\n', 0xfe, b'\r', b'\n'],
         BadSort::Endless => vec![b'x'; 64 << 10],
         BadSort::Huge => format!("OPEN {draw:016x} 0000000000000001 c={}", "y".repeat(4 << 20)).into_bytes(),
-        BadSort::NoListener => line(draw, "no-such-listener", "1000").into_bytes(),
+        BadSort::NoListener | BadSort::Again => first_line(draw, "no-such-listener", "1000").into_bytes(),
         BadSort::OddTime => {
-            let wait = ["soon", "-5", "99999999999999999999", "1e9"][draw as usize % 4];
-            line(draw, &listener, wait).into_bytes()
+            let timeout_ms = ["soon", "-5", "99999999999999999999", "1e9"][draw as usize % 4];
+            first_line(draw, &listener, timeout_ms).into_bytes()
         }
         BadSort::NoMark => format!("OPEN c={listener},d=1000\r\n").into_bytes(),
         BadSort::OpenMark => {
-            let open = host.asks.borrow().keys().next().copied().unwrap_or(draw);
-            line(open, "no-such-listener", "1000").into_bytes()
+            let open = host.requests.borrow().keys().next().copied().unwrap_or(draw);
+            first_line(open, "no-such-listener", "1000").into_bytes()
         }
-        BadSort::Half => good.as_bytes()[..good.len() / 2].to_vec(),
-        BadSort::Crowd => good.repeat(300).into_bytes(),
-        BadSort::Again => line(draw, "no-such-listener", "1000").into_bytes(),
+        BadSort::Half => valid.as_bytes()[..valid.len() / 2].to_vec(),
+        BadSort::Crowd => valid.repeat(300).into_bytes(),
         BadSort::Mute => Vec::new(),
-    };
-    if sort == BadSort::Half {
-        // It closes itself: nothing is owed.
-        _ = lines::write(stream, &sent).await;
+    }
+}
+
+/// Returns when the relay has answered or ended the connection.
+async fn await_answer(kind: BadSort, draw: u64, stream: &TcpStream, host: &Shared) {
+    let bytes = bytes_to_send(kind, draw, host);
+    if kind == BadSort::Half {
+        // It closes the connection itself, and awaits nothing.
+        _ = lines::write(stream, &bytes).await;
         return;
     }
-    let mut read = Lines::default();
+    let mut lines = Lines::default();
     tokio::select! {
         biased;
-        _ = read.next(stream) => {}
+        _ = lines.next(stream) => {}
         () = async {
-            if lines::write(stream, &sent).await {
+            if lines::write(stream, &bytes).await {
                 std::future::pending::<()>().await;
             }
         } => {}
     }
-    if sort == BadSort::Again {
-        // The same again, as soon as it is turned away; each of these is owed its end as well.
-        for _ in 0..5 {
-            let addr = stream.peer_addr();
-            let Ok(addr) = addr else { return };
-            let Ok(next) = TcpStream::connect(addr).await else { return };
-            _ = lines::write(&next, &sent).await;
-            _ = Lines::default().next(&next).await;
-        }
+    if kind == BadSort::Again {
+        repeat_rejected(stream, &bytes).await;
+    }
+}
+
+/// Sends a line that was rejected again on new connections; each is to be ended as well.
+async fn repeat_rejected(stream: &TcpStream, bytes: &[u8]) {
+    for _ in 0..REPEATS {
+        let Ok(addr) = stream.peer_addr() else { return };
+        let Ok(next) = TcpStream::connect(addr).await else { return };
+        _ = lines::write(&next, bytes).await;
+        _ = Lines::default().next(&next).await;
     }
 }
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -1,22 +1,38 @@
-//! Servers on sockets: listening, refusing or never coming up as the models say, and one task a connection.
-use super::lines::{self, Lines, Unread};
-use super::{Conn, Host, Shared, ToConn};
+//! Servers on sockets: they listen, refuse or do not respond as the models have it, with one task for each
+//! connection.
+use super::host::ServerConnection;
+use super::lines::{self, FirstLine, Lines, ReadError};
+use super::{ConnectionCommand, Host, Shared};
 use crate::audit::DialReceived;
 use crate::clients::ClientRequest;
-use crate::servers::{DialRequest, Reachability, ServerLine};
+use crate::servers::{ConnectionId, DialRequest, Reachability, ServerLine};
+use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Fault;
 use socket2::{Domain, SockRef, Socket, Type};
-use std::net::SocketAddr;
+use std::io;
+use std::net::{Shutdown, SocketAddr};
 use std::os::fd::{AsRawFd, RawFd};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// A wave of dials waits here.
+/// Connections that the system completes before they are accepted.
 const BACKLOG: i32 = 1024;
+/// Connections that fill a backlog of 0, so that further ones get no response.
+const FILLER_COUNT: usize = 4;
+/// Commands that wait for a connection's task.
+const COMMAND_CAPACITY: usize = 16;
+/// Backoff after an address could not be bound.
+const BIND_BACKOFF: Duration = Duration::from_millis(100);
+/// Backoff after a connection could not be accepted, as where no descriptor is free.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// What a server that reads slowly waits before each answer.
+const SLOW_READER_DELAY: Duration = Duration::from_secs(1);
+/// How long a connection is read on after its last line, so that the line is not lost to a reset.
+const LINGER: Duration = Duration::from_millis(500);
 
-fn socket(addr: SocketAddr, backlog: i32) -> std::io::Result<Socket> {
+fn listening_socket(addr: SocketAddr, backlog: i32) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
@@ -25,311 +41,366 @@
     Ok(socket)
 }
 
-/// Listens as one server towards one relay, as long as the process lives.
+/// A connection that nobody accepts.
+fn filler(addr: SocketAddr) -> Option<Socket> {
+    let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None).ok()?;
+    socket.set_nonblocking(true).ok()?;
+    _ = socket.connect(&addr.into());
+    Some(socket)
+}
+
+/// Listens as one server towards one relay, as long as the runtime lives.
 pub async fn listen(server: usize, relay: usize, host: Shared) {
     let addr = host.servers[relay][server];
-    let mut changed = host.reach.subscribe();
+    let mut changes = host.reachability.subscribe();
     loop {
-        let reach = host.day.borrow().servers.reachability(server, relay);
-        let what = match reach {
+        let reachability = host.day.borrow().servers.reachability(server, relay);
+        let backlog = match reachability {
             Reachability::Refused => {
-                _ = changed.changed().await;
+                _ = changes.changed().await;
                 continue;
             }
-            Reachability::Open => socket(addr, BACKLOG),
-            Reachability::Unresponsive => socket(addr, 0),
+            Reachability::Open => BACKLOG,
+            Reachability::Unresponsive => 0,
         };
-        let what = match what {
-            Ok(what) => what,
-            Err(e) => {
-                host.with(|day, now, _| {
-                    day.service.log_event(now, format!("{addr} cannot be listened on: {e}"))
-                });
-                tokio::time::sleep(Duration::from_millis(100)).await;
+        let socket = match listening_socket(addr, backlog) {
+            Ok(socket) => socket,
+            Err(error) => {
+                let text = format!("{addr} cannot be listened on: {error}");
+                host.with(|day, now, _| day.service.log_event(now, text));
+                tokio::time::sleep(BIND_BACKOFF).await;
                 continue;
             }
         };
-        if reach == Reachability::Unresponsive {
-            // Connections that nobody takes fill the place there is: what comes after them never comes up.
-            let fillers: Vec<_> = (0..4).map(|_| filler(addr)).collect();
+        if reachability == Reachability::Unresponsive {
+            let _fillers: Vec<_> = (0..FILLER_COUNT).map(|_| filler(addr)).collect();
             while host.day.borrow().servers.reachability(server, relay) == Reachability::Unresponsive {
-                _ = changed.changed().await;
+                _ = changes.changed().await;
             }
-            drop(fillers);
             continue;
         }
-        let Ok(listener) = TcpListener::from_std(what.into()) else { continue };
-        while host.day.borrow().servers.reachability(server, relay) == Reachability::Open {
-            tokio::select! {
-                taken = listener.accept() => match taken {
-                    Ok((stream, _)) => {
-                        _ = stream.set_nodelay(true);
-                        tokio::task::spawn_local(conn(server, relay, stream, host.clone()));
-                    }
-                    // Descriptors are short: the ones that wait do so a little longer.
-                    Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
-                },
-                _ = changed.changed() => {}
-            }
-        }
+        let Ok(listener) = TcpListener::from_std(socket.into()) else { continue };
+        accept(server, relay, &listener, &mut changes, &host).await;
     }
 }
 
-fn filler(addr: SocketAddr) -> Option<Socket> {
-    let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None).ok()?;
-    socket.set_nonblocking(true).ok()?;
-    _ = socket.connect(&addr.into());
-    Some(socket)
+/// Accepts connections as long as the server is open to the relay.
+async fn accept(
+    server: usize,
+    relay: usize,
+    listener: &TcpListener,
+    changes: &mut watch::Receiver<u64>,
+    host: &Shared,
+) {
+    while host.day.borrow().servers.reachability(server, relay) == Reachability::Open {
+        tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok((stream, _)) => {
+                    _ = stream.set_nodelay(true);
+                    tokio::task::spawn_local(run_connection(server, relay, stream, host.clone()));
+                }
+                Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
+            },
+            _ = changes.changed() => {}
+        }
+    }
 }
 
 /// Ends a connection by a reset.
-fn reset(stream: TcpStream) {
-    _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+fn reset(stream: &TcpStream) {
+    _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+}
+
+async fn run_connection(server: usize, relay: usize, stream: TcpStream, host: Shared) {
+    let fault = host.day.borrow_mut().servers.draw_wire_fault(server);
+    if matches!(fault, Some(Fault::ResetBefore | Fault::Refused)) {
+        return reset(&stream);
+    }
+    let (sender, commands) = mpsc::channel(COMMAND_CAPACITY);
+    if fault == Some(Fault::NeverUp) {
+        return hold(&stream, commands, &host).await;
+    }
+    let descriptor = stream.as_raw_fd();
+    let reachability = host.reachability.subscribe();
+    let mut connection = ConnectionTask {
+        server,
+        relay,
+        descriptor,
+        fault,
+        stream,
+        sender,
+        reachability,
+        host,
+        session: None,
+        first_byte_at: None,
+    };
+    connection.run(commands).await;
+}
+
+/// A session on a connection.
+struct Session {
+    id: ConnectionId,
+    is_open: bool,
+}
+
+/// Whether a connection's task goes on.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Flow {
+    Continue,
+    /// The connection is closed, and its session is over by the relay's doing.
+    Close,
+    /// The connection has ended already.
+    Ended,
 }
 
-/// Where a connection came in, and what befalls it.
-struct At {
+/// The task of one connection.
+struct ConnectionTask {
     server: usize,
     relay: usize,
-    fd: RawFd,
+    descriptor: RawFd,
+    /// What befalls the connection.
     fault: Option<Fault>,
+    stream: TcpStream,
+    /// For the models to send commands to this task.
+    sender: mpsc::Sender<ConnectionCommand>,
+    reachability: watch::Receiver<u64>,
+    host: Shared,
+    session: Option<Session>,
+    /// When a line came first, until a session is started.
+    first_byte_at: Option<Micros>,
 }
 
-/// What a connection is at.
-struct Session {
-    no: u64,
-    open: bool,
-}
+impl ConnectionTask {
+    async fn run(&mut self, mut commands: mpsc::Receiver<ConnectionCommand>) {
+        let mut lines = Lines::default();
+        loop {
+            self.wait_until_heard().await;
+            let flow = tokio::select! {
+                biased;
+                command = commands.recv() => self.perform(command).await,
+                line = lines.next(&self.stream) => self.handle_line(line).await,
+                _ = self.reachability.changed() => Flow::Continue,
+            };
+            match flow {
+                Flow::Continue => {}
+                Flow::Close => break,
+                Flow::Ended => return,
+            }
+        }
+        if let Some(session) = self.session.take() {
+            self.host.connection_closed(session.id);
+        }
+    }
 
-async fn conn(server: usize, relay: usize, stream: TcpStream, host: Shared) {
-    let fault = host.day.borrow_mut().servers.draw_wire_fault(server);
-    if matches!(fault, Some(Fault::ResetBefore | Fault::Refused)) {
-        return reset(stream);
+    /// Waits as long as nothing that the server sends reaches the relay.
+    async fn wait_until_heard(&mut self) {
+        while !self.host.day.borrow().servers.can_send(self.server, self.relay) {
+            if self.reachability.changed().await.is_err() {
+                return;
+            }
+        }
     }
-    let (to, mut commands) = mpsc::channel(16);
-    let mut lines = Lines::default();
-    let mut session: Option<Session> = None;
-    let mut first = None;
-    let mut reach = host.reach.subscribe();
-    if fault == Some(Fault::NeverUp) {
-        return hold(stream, commands, &host).await;
+
+    async fn handle_line(&mut self, line: Result<String, ReadError>) -> Flow {
+        self.first_byte_at = self.first_byte_at.or(Some(self.host.now()));
+        let line = match line {
+            Ok(line) => line,
+            Err(ReadError::Ended | ReadError::Reset | ReadError::TooLong) => return Flow::Close,
+        };
+        match &self.session {
+            Some(session) if session.is_open => self.echo(&line).await,
+            _ if line == "PING" || line == "STATS" => self.answer_probe(&line).await,
+            None => self.handle_first_line(&line).await,
+            // Lines before the answer are dropped.
+            Some(_) => Flow::Continue,
+        }
     }
-    let at = At { server, relay, fd: stream.as_raw_fd(), fault };
-    loop {
-        mute(server, relay, &mut reach, &host).await;
-        let command = tokio::select! {
-            biased;
-            command = commands.recv() => command,
-            line = lines.next(&stream) => {
-                first = first.or(Some(host.now()));
-                match line {
-                    // Who fell silent while this came says nothing to it now; it stays, unanswered.
-                    Ok(line) if session.as_ref().is_some_and(|s| s.open) => {
-                        if fault == Some(Fault::SlowReader) {
-                            tokio::time::sleep(Duration::from_secs(1)).await;
-                        }
-                        mute(server, relay, &mut reach, &host).await;
-                        if !lines::write(&stream, format!("{line}\r\n").as_bytes()).await {
-                            break;
-                        }
-                    }
-                    Ok(line) if line == "PING" || line == "STATS" => {
-                        if !probed(server, relay, &line, &stream, &host).await {
-                            break;
-                        }
-                    }
-                    Ok(line) if session.is_none() => {
-                        let began = first.take().unwrap_or_default();
-                        let no = match dialled(&line, began, &to, &at, &host) {
-                            Ok(no) => no,
-                            Err(answer) => {
-                                _ = lines::write(&stream, answer).await;
-                                break;
-                            }
-                        };
-                        session = Some(Session { no, open: false });
-                        match fault {
-                            Some(Fault::ResetAfter) => {
-                                host.closed(no);
-                                return reset(stream);
-                            }
-                            Some(Fault::HalfLine) => _ = lines::write(&stream, b"UP half-a-li").await,
-                            _ => {}
-                        }
-                    }
-                    Ok(_) => {} // more before the answer: kept for nobody
-                    Err(Unread::Ended | Unread::Reset | Unread::Long) => break,
-                }
-                continue;
+
+    /// Answers a message on an open session with the same line.
+    async fn echo(&mut self, line: &str) -> Flow {
+        if self.fault == Some(Fault::SlowReader) {
+            tokio::time::sleep(SLOW_READER_DELAY).await;
+        }
+        // The server may have fallen silent meanwhile.
+        self.wait_until_heard().await;
+        self.write(&format!("{line}\r\n")).await
+    }
+
+    async fn write(&self, text: &str) -> Flow {
+        if lines::write(&self.stream, text.as_bytes()).await {
+            Flow::Continue
+        } else {
+            Flow::Close
+        }
+    }
+
+    async fn answer_probe(&self, line: &str) -> Flow {
+        let (server, relay) = (self.server, self.relay);
+        let (answered_at, figures) = self
+            .host
+            .with(|day, now, todo| day.servers.answer_probe(now, server, relay, &mut todo.server_events));
+        tokio::time::sleep_until(self.host.clock.at(answered_at)).await;
+        if !self.host.day.borrow().servers.can_send(server, relay) {
+            return Flow::Continue;
+        }
+        if line == "PING" {
+            return self.write("PONG\r\n").await;
+        }
+        let sessions = figures.inflight;
+        let load = figures.load;
+        let queue_delay = figures.queue_delay;
+        self.write(&format!("PONG inflight={sessions},x0={load:.4},x1={queue_delay:.4}\r\n")).await
+    }
+
+    async fn handle_first_line(&mut self, line: &str) -> Flow {
+        let first_byte_at = self.first_byte_at.take().unwrap_or_default();
+        let Some(id) = self.start_session(line, first_byte_at) else {
+            _ = lines::write(&self.stream, b"SYNTAX\r\n").await;
+            return Flow::Close;
+        };
+        self.session = Some(Session { id, is_open: false });
+        match self.fault {
+            Some(Fault::ResetAfter) => {
+                self.host.connection_closed(id);
+                reset(&self.stream);
+                return Flow::Ended;
             }
-            _ = reach.changed() => continue,
+            Some(Fault::HalfLine) => _ = lines::write(&self.stream, b"UP half-a-li").await,
+            _ => {}
+        }
+        Flow::Continue
+    }
+
+    /// Makes a session known to auditor and models; none where its first line is not one of a client.
+    fn start_session(&self, line: &str, first_byte_at: Micros) -> Option<ConnectionId> {
+        let host = &self.host;
+        let request = known_request(line, host).or_else(|| foreign_request(line, host));
+        let Some(request) = request else {
+            // The auditor knows a client that has left meanwhile, and decides what is wrong.
+            let mark = lines::parse_first_line(line).map_or(0, |first_line| first_line.mark);
+            let server = self.server;
+            host.with(|day, now, _| day.audit.unexpected_line(now, first_byte_at, mark, server, line));
+            return None;
         };
-        let Some(ToConn::ServerLine(word)) = command else {
-            // Reset, or nobody can say anything any more.
-            return reset(stream);
+        let mark = request.mark;
+        host.close_ended_connections(mark);
+        let id = host.add_connection(ServerConnection {
+            commands: self.sender.clone(),
+            mark,
+            server: self.server,
+            descriptor: self.descriptor,
+        });
+        let dial = DialRequest {
+            server: self.server,
+            relay: self.relay,
+            listener: request.listener,
+            key: request.key,
+            group: request.group,
+            is_pre_existing: request.pre_existing_at.is_some(),
+            lifetime: request.ended_after,
         };
-        let text = match word {
+        let received = DialReceived { mark, relay: self.relay, backend: self.server, first_byte_at };
+        let is_answered = !matches!(self.fault, Some(Fault::Silence | Fault::HalfLine));
+        host.with(|day, now, todo| {
+            if !host.accepts_foreign_clients.get() {
+                day.audit.dial_received(now, &received);
+            }
+            if is_answered {
+                day.servers.dial_received(now, id, &dial, &mut todo.server_events);
+            }
+        });
+        Some(id)
+    }
+
+    async fn perform(&mut self, command: Option<ConnectionCommand>) -> Flow {
+        let Some(ConnectionCommand::Send(line)) = command else {
+            reset(&self.stream);
+            return Flow::Ended;
+        };
+        let text = match line {
             ServerLine::Up => {
-                let no = session.as_mut().map_or(0, |s| {
-                    s.open = true;
-                    s.no
+                let id = self.session.as_mut().map_or(0, |session| {
+                    session.is_open = true;
+                    session.id
                 });
-                format!("UP r{no:x}\r\n")
+                format!("UP r{id:x}\r\n")
             }
             ServerLine::Busy => "BUSY\r\n".to_string(),
             ServerLine::Err => "ERR\r\n".to_string(),
             ServerLine::Bye => "BYE\r\n".to_string(),
             ServerLine::Move => "MOVE\r\n".to_string(),
-            ServerLine::Load(x) => format!("LOAD {x:.1}\r\n"),
+            ServerLine::Load(load) => format!("LOAD {load:.1}\r\n"),
         };
-        let written = lines::write(&stream, text.as_bytes()).await;
-        if !written {
-            break;
+        if self.write(&text).await == Flow::Close {
+            return Flow::Close;
         }
-        if !matches!(word, ServerLine::Up | ServerLine::Load(_)) {
-            // The last word is out: the end follows, once the other side has read it.
-            if let Some(s) = session.take() {
-                host.forget(s.no);
-            }
-            _ = SockRef::from(&stream).shutdown(std::net::Shutdown::Write);
-            drain(&stream, &host).await;
-            return;
+        if matches!(line, ServerLine::Up | ServerLine::Load(_)) {
+            return Flow::Continue;
         }
+        self.end_after_last_line().await;
+        Flow::Ended
     }
-    if let Some(s) = session {
-        host.closed(s.no);
-    }
-}
 
-/// Waits as long as the machine is silent or cut off.
-async fn mute(server: usize, relay: usize, reach: &mut watch::Receiver<u64>, host: &Rc<Host>) {
-    while !host.day.borrow().servers.can_send(server, relay) {
-        if reach.changed().await.is_err() {
-            return;
+    /// Ends the connection once the relay has read the last line.
+    async fn end_after_last_line(&mut self) {
+        if let Some(session) = self.session.take() {
+            self.host.remove_connection(session.id);
         }
+        _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
+        _ = tokio::time::timeout(LINGER, discard(&self.stream, &self.host)).await;
     }
 }
 
-/// Reads on, so that the last line is not lost to a reset.
-async fn drain(stream: &TcpStream, host: &Rc<Host>) {
-    let until_end = async {
-        while stream.readable().await.is_ok() {
-            match stream.try_read(&mut host.waste.borrow_mut()) {
-                Ok(0) => return,
-                Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => return,
-                _ => {}
-            }
+/// Reads on until the other side ends the connection.
+async fn discard(stream: &TcpStream, host: &Rc<Host>) {
+    while stream.readable().await.is_ok() {
+        match stream.try_read(&mut host.discarded.borrow_mut()) {
+            Ok(0) => return,
+            Err(error) if error.kind() != io::ErrorKind::WouldBlock => return,
+            _ => {}
         }
-    };
-    _ = tokio::time::timeout(Duration::from_millis(500), until_end).await;
+    }
 }
 
-/// Takes a connection and says nothing.
-async fn hold(stream: TcpStream, mut commands: mpsc::Receiver<ToConn>, host: &Rc<Host>) {
+/// Takes a connection and sends nothing.
+async fn hold(stream: &TcpStream, mut commands: mpsc::Receiver<ConnectionCommand>, host: &Rc<Host>) {
     tokio::select! {
         _ = commands.recv() => {}
-        () = async {
-            while stream.readable().await.is_ok() {
-                match stream.try_read(&mut host.waste.borrow_mut()) {
-                    Ok(0) => return,
-                    Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => return,
-                    _ => {}
-                }
-            }
-        } => {}
-    }
-}
-
-async fn probed(server: usize, relay: usize, line: &str, stream: &TcpStream, host: &Rc<Host>) -> bool {
-    let (done, figures) =
-        host.with(|day, now, todo| day.servers.answer_probe(now, server, relay, &mut todo.server_events));
-    tokio::time::sleep_until(host.clock.at(done)).await;
-    if !host.day.borrow().servers.can_send(server, relay) {
-        return true;
+        () = discard(stream, host) => {}
     }
-    let text = if line == "PING" {
-        "PONG\r\n".to_string()
-    } else {
-        format!("PONG inflight={},x0={:.4},x1={:.4}\r\n", figures.inflight, figures.load, figures.queue_delay)
-    };
-    lines::write(stream, text.as_bytes()).await
 }
 
-/// A session's first line: known to auditor and models from here on. Else the answer that ends it.
-fn dialled(
-    line: &str,
-    first: u64,
-    to: &mpsc::Sender<ToConn>,
-    at: &At,
-    host: &Rc<Host>,
-) -> Result<u64, &'static [u8]> {
-    let (mark, ask) = match known(line, host).or_else(|| foreign(line, host)) {
-        Some(known) => known,
-        None => {
-            // A client that has left meanwhile is nothing new: the auditor knows it, and says what is wrong.
-            let mark = lines::opened(line).map_or(0, |opened| opened.0);
-            host.with(|day, now, _| day.audit.unexpected_line(now, first, mark, at.server, line));
-            return Err(b"SYNTAX\r\n");
-        }
-    };
-    host.settle(mark);
-    let no = host.next_conn.get() + 1;
-    host.next_conn.set(no);
-    host.remember(no, Conn { to: to.clone(), mark, server: at.server, fd: at.fd });
-    let dialled = DialRequest {
-        server: at.server,
-        relay: at.relay,
-        listener: ask.listener,
-        key: ask.key,
-        group: ask.group,
-        is_pre_existing: ask.pre_existing_at.is_some(),
-        lifetime: ask.ended_after,
-    };
-    let held = matches!(at.fault, Some(Fault::Silence | Fault::HalfLine));
-    host.with(|day, now, todo| {
-        if !host.accepts_foreign_clients.get() {
-            day.audit.dial_received(
-                now,
-                &DialReceived { mark, relay: at.relay, backend: at.server, first_byte_at: first },
-            );
-        }
-        if !held {
-            day.servers.dial_received(now, no, &dialled, &mut todo.server_events);
-        }
-    });
-    Ok(no)
-}
-
-/// The client of ours that sent a line, where it is as that one sent it.
-fn known(line: &str, host: &Rc<Host>) -> Option<(u64, ClientRequest)> {
-    let (mark, rest) = lines::opened(line)?;
-    let ask = host.asks.borrow().get(&mark)?.clone();
+/// The request of a client of the models, where its first line is as that client sent it.
+fn known_request(line: &str, host: &Rc<Host>) -> Option<ClientRequest> {
+    let FirstLine { mark, unchanged } = lines::parse_first_line(line)?;
+    let request = host.requests.borrow().get(&mark)?.clone();
     let day = host.day.borrow();
-    let at = ask.pre_existing_at.map(|i| day.servers.endpoints.identities[i].id.clone());
-    let sent = lines::open(&ask, &day.scenario.listeners[ask.listener].name, at.as_deref());
-    (lines::opened(&sent)?.1 == rest).then_some((mark, ask))
+    let identities = &day.servers.endpoints.identities;
+    let pre_existing_at = request.pre_existing_at.map(|server| identities[server].id.clone());
+    let listener = &day.scenario.listeners[request.listener].name;
+    let sent = lines::first_line(&request, listener, pre_existing_at.as_deref());
+    (lines::parse_first_line(&sent)?.unchanged == unchanged).then_some(request)
 }
 
-/// A line of a client that is not ours, where such are taken.
-fn foreign(line: &str, host: &Rc<Host>) -> Option<(u64, ClientRequest)> {
-    let (mark, rest) = lines::opened(line).filter(|_| host.accepts_foreign_clients.get())?;
-    let value = |name: &str| rest.split([' ', ',']).filter_map(|p| p.split_once('=')).find(|p| p.0 == name);
+/// The request of a client that is not the models', where such are taken.
+fn foreign_request(line: &str, host: &Rc<Host>) -> Option<ClientRequest> {
+    let first_line = lines::parse_first_line(line).filter(|_| host.accepts_foreign_clients.get())?;
+    let FirstLine { mark, unchanged } = first_line;
+    let pairs = unchanged.split([' ', ',']).filter_map(|pair| pair.split_once('='));
+    let value = |name: &str| pairs.clone().find(|pair| pair.0 == name).map(|pair| pair.1);
     let hex = |text: &str| u64::from_str_radix(text, 16).ok();
     let day = host.day.borrow();
-    let listener = value("c")?.1;
-    Some((
+    let name = value("c")?;
+    Some(ClientRequest {
         mark,
-        ClientRequest {
-            mark,
-            relay: 0,
-            listener: day.scenario.listeners.iter().position(|l| l.name == listener)?,
-            key: rest.split(' ').nth(1).and_then(hex)?,
-            group: value("g").and_then(|v| hex(v.1)).unwrap_or(0),
-            returned: value("again").is_some(),
-            retry: value("r").is_some(),
-            dial_timeout: 0,
-            pre_existing_at: None,
-            ended_after: None,
-        },
-    ))
+        relay: 0,
+        listener: day.scenario.listeners.iter().position(|listener| listener.name == name)?,
+        key: unchanged.split(' ').nth(1).and_then(hex)?,
+        group: value("g").and_then(hex).unwrap_or(0),
+        returned: value("again").is_some(),
+        retry: value("r").is_some(),
+        dial_timeout: 0,
+        pre_existing_at: None,
+        ended_after: None,
+    })
 }
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -67,7 +67,7 @@
 fn listens(s: &Scenario) -> Result<Vec<SocketAddr>, String> {
     let one = |relay: usize| {
         if s.relays.first_port == 0 {
-            return free_port(Ipv4Addr::new(127, 8, (relay / 250) as u8, (relay % 250 + 1) as u8));
+            return Ok(free_port(Ipv4Addr::new(127, 8, (relay / 250) as u8, (relay % 250 + 1) as u8))?);
         }
         let port = s.relays.first_port.checked_add(relay as u16);
         let port = port.ok_or("relays.first_port: there are no ports behind it")?;
