--- a/emulator/src/membership_audit.rs
+++ b/emulator/src/membership_audit.rs
@@ -16,7 +16,7 @@
     Up,
     /// It is stopped by a signal, and will go on.
     Stalled,
-    /// It was told to stop, and has not ended yet.
+    /// It was requested to stop, and has not ended yet.
     Stopping,
 }
 
@@ -51,7 +51,7 @@
 /// One wrong view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finding {
-    /// When it was found.
+    /// When it was found, in seconds since the day began.
     pub at: f64,
     /// What is wrong.
     #[serde(rename = "wrong")]
@@ -68,7 +68,7 @@
 /// The state that one relay held another to be in, from a moment on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ViewChange {
-    /// From when on.
+    /// From when on, in seconds since the day began.
     pub at: f64,
     /// Number of the relay whose view it is.
     pub observer: usize,
@@ -81,7 +81,7 @@
 /// What a relay reported of its whole view from a moment on; `down` and `stalled` are the fault injector's.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LaneEntry {
-    /// From when on.
+    /// From when on, in seconds since the day began.
     pub at: f64,
     /// The word.
     pub word: String,
@@ -159,8 +159,8 @@
     process_changed_at: Micros,
     /// When a link of it was last cut.
     last_cut: Micros,
-    /// Whether it was ever told to stop.
-    was_told_to_stop: bool,
+    /// Whether it was ever requested to stop.
+    was_stop_requested: bool,
     /// Starts that it reported itself.
     starts: BTreeSet<u64>,
     /// Last word of its lane.
@@ -174,7 +174,7 @@
             started_at: begin,
             process_changed_at: begin,
             last_cut: 0,
-            was_told_to_stop: false,
+            was_stop_requested: false,
             starts: BTreeSet::new(),
             word: String::new(),
         }
@@ -193,6 +193,14 @@
     observers: BTreeSet<usize>,
 }
 
+/// Whose view, and of whom.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct ViewKey {
+    observer: usize,
+    /// Name of the member.
+    subject: String,
+}
+
 /// What an observer held of a member last.
 #[derive(Clone, PartialEq)]
 struct View {
@@ -205,8 +213,7 @@
     begin: Micros,
     now: Micros,
     relays: Vec<Relay>,
-    /// By observer and name of the subject.
-    views: BTreeMap<(usize, String), View>,
+    views: BTreeMap<ViewKey, View>,
     pending: Vec<PendingDetection>,
     death_times: Vec<Micros>,
     return_times: Vec<Micros>,
@@ -260,7 +267,7 @@
         let died = process == ProcessState::Down;
         let returned = previous == ProcessState::Down && process == ProcessState::Up;
         relay.process_changed_at = now;
-        relay.was_told_to_stop |= process == ProcessState::Stopping;
+        relay.was_stop_requested |= process == ProcessState::Stopping;
         if returned {
             relay.started_at = now;
         }
@@ -282,7 +289,7 @@
             pending.observers.remove(&subject);
         }
         if is_death {
-            self.views.retain(|(observer, _), _| *observer != subject);
+            self.views.retain(|key, _| key.observer != subject);
         }
         let earlier_starts = self.relays[subject].starts.clone();
         let is_first_start = !is_death && earlier_starts.is_empty();
@@ -344,7 +351,7 @@
             if member.name == status.name {
                 continue;
             }
-            let key = (observer, member.name.clone());
+            let key = ViewKey { observer, subject: member.name.clone() };
             let view = View { state: member.state.clone(), start: member.start };
             if self.views.get(&key) == Some(&view) {
                 continue;
@@ -385,7 +392,7 @@
             let details = format!("never had the start number {}", view.start);
             self.record_finding(Violation::NeverTrue, observer, subject, details);
         }
-        if view.state == "left" && !self.relays[index].was_told_to_stop {
+        if view.state == "left" && !self.relays[index].was_stop_requested {
             let details = "was never told to stop".to_string();
             self.record_finding(Violation::NeverTrue, observer, subject, details);
         }
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -1,103 +1,120 @@
-//! What a relay is told at its start, from a scenario: the same text that operators write.
+//! A relay's configuration for a scenario, as the text that operators write.
 use crate::list::EndpointList;
-use hallrelay_config::scenario::{KnownList, Ring, Scenario, Sort};
+use hallrelay_config::scenario::{KnownList, Listener, Ring, Scenario, Sort};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Where one relay listens and finds the list.
+/// The longest `Retry-After` in microseconds where the scenario names none.
+const DEFAULT_MAX_RETRY_AFTER: u64 = 1_500_000;
+/// Cap on open sessions that no scenario comes near.
+const MAX_OPEN_SESSIONS: u64 = 1_000_000;
+
+/// Where one relay listens, and what it is given at its start.
 #[derive(Clone, Debug)]
 pub struct RelayPlacement {
+    /// Number of the relay.
     pub relay: usize,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
+    /// Where its discovery listens.
     pub discovery: SocketAddr,
+    /// Seed of its random draws.
     pub seed: u64,
-    /// Where operators call; none where nobody does.
+    /// Where it listens for operators; none where nobody calls.
     pub operator: Option<SocketAddr>,
-    /// The folder in which it keeps what it must know; none where it keeps nothing.
+    /// Directory of its store; none where it stores nothing.
     pub state: Option<String>,
-    /// Where it meets the other relays, and where all of them are reached; none where they know nobody.
+    /// Where it listens for the other relays, and where all relays are reached; none where they do not know
+    /// each other.
     pub fleet: Option<(SocketAddr, Vec<SocketAddr>)>,
 }
 
-pub fn settings(s: &Scenario, relay: usize) -> Value {
-    let ms = |us: u64| us as f64 / 1e3;
-    let listeners: Vec<Value> = s
-        .listeners
-        .iter()
-        .map(|l| {
-            let effect = match l.repeat {
-                Sort::Repeatable => "retryable",
-                Sort::Referenced => "dedup",
-                Sort::OnceOnly => "fragile",
-            };
-            let group = match l.within {
-                Ring::All => "all",
-                Ring::Zone => "zone",
-                Ring::Cell => "cell",
-            };
-            json!({"Name": l.name, "Utility": l.utility.0, "Effect": effect, "Group": group,
-                "Window": ms(l.window_ms.us()), "HandshakeTarget": ms(l.handshake_target_ms.us()),
-                "DialTimeout": ms(l.dial_timeout_ms.us())})
-        })
-        .collect();
+fn ms(us: u64) -> f64 {
+    us as f64 / 1e3
+}
+
+fn listener_settings(listener: &Listener) -> Value {
+    let effect = match listener.repeat {
+        Sort::Repeatable => "retryable",
+        Sort::Referenced => "dedup",
+        Sort::OnceOnly => "fragile",
+    };
+    let group = match listener.within {
+        Ring::All => "all",
+        Ring::Zone => "zone",
+        Ring::Cell => "cell",
+    };
+    json!({"Name": listener.name, "Utility": listener.utility.0, "Effect": effect, "Group": group,
+        "Window": ms(listener.window_ms.us()), "HandshakeTarget": ms(listener.handshake_target_ms.us()),
+        "DialTimeout": ms(listener.dial_timeout_ms.us())})
+}
+
+/// The balancer's settings of a relay.
+pub fn settings(scenario: &Scenario, relay: usize) -> Value {
+    let s = scenario;
+    let listeners: Vec<Value> = s.listeners.iter().map(listener_settings).collect();
     let retry_after = s.relays.retry_after_ms.us();
-    let longest = if retry_after > 0 { retry_after } else { 1_500_000 };
-    let messages: Vec<f64> = s.listeners.iter().map(|l| ms(l.message_target_ms.us())).collect();
+    let max_retry_after = if retry_after > 0 { retry_after } else { DEFAULT_MAX_RETRY_AFTER };
+    let objectives = s.listeners.iter().map(|listener| ms(listener.message_target_ms.us()));
+    let objectives: Vec<f64> = objectives.collect();
     json!({
         "Listeners": listeners,
-        "Ceilings": {"MayProbe": s.relays.may_probe, "MostDials": s.relays.most_dials, "MaxOpen": 1_000_000,
-            "RetryAfter": retry_after > 0, "MaxRetryAfter": ms(longest),
+        "Ceilings": {"MayProbe": s.relays.may_probe, "MostDials": s.relays.most_dials, "MaxOpen": MAX_OPEN_SESSIONS,
+            "RetryAfter": retry_after > 0, "MaxRetryAfter": ms(max_retry_after),
             "ConnectTimeout": ms(s.relays.connect_timeout_ms.us())},
         "Rules": {"Cold": ms(s.servers.cold_s.us()), "ColdFrom": s.servers.cold_from.0,
             "FallMultiple": s.rules.fall_multiple.0, "Fall": ms(s.rules.fall_s.us()),
             "DrainGrace": ms(s.rules.drain_grace_ms.us()), "AskWithin": ms(s.rules.ask_within_s.us())},
         "Charges": {"CrossZone": 0.0, "Moves": s.goal.price_move.0, "Probe": s.goal.price_probe.0},
         "FamilyInfo": {"Mode": "proxy", "Groups": s.load.groups > 0, "TellsDelay": s.servers.tells_delay,
-            "TellsLoad": s.servers.tells_load, "MessageAim": messages},
+            "TellsLoad": s.servers.tells_load, "MessageAim": objectives},
         "Report": {"How": "on_probe", "Fields": ["inflight", "x0", "x1"]},
         "Discovery": if s.list.watched { "subscribe" } else { "automatic" },
         "FailureDomains": s.servers.zones, "Zone": relay % s.servers.zones.len(),
         "Instances": s.relays.count, "SlotNo": relay})
 }
 
-/// The whole text, with the list as this relay last had it.
+/// A relay's whole configuration, with the endpoint list that it last knew; `addr` gives the address at which
+/// it reaches a server.
 pub fn text(
-    s: &Scenario,
-    place: &RelayPlacement,
+    scenario: &Scenario,
+    placement: &RelayPlacement,
     endpoints: &EndpointList,
     addr: impl Fn(usize) -> String,
 ) -> Value {
-    let known = match s.relays.known {
+    let relays = &scenario.relays;
+    let known = match relays.known {
         KnownList::Newest => endpoints.json(true, &endpoints.present(), addr),
         KnownList::First => endpoints.initial_json(addr),
     };
-    let mut text = json!({"name": name(place.relay), "listen": place.listen.to_string(),
-        "discovery": place.discovery.to_string(), "seed": format!("{:016x}", place.seed),
-        "limits": {"sockets": s.relays.sockets}, "known": known, "settings": settings(s, place.relay)});
-    if let Some(state) = &place.state {
+    let mut text = json!({"name": name(placement.relay), "listen": placement.listen.to_string(),
+        "discovery": placement.discovery.to_string(), "seed": format!("{:016x}", placement.seed),
+        "limits": {"sockets": relays.sockets}, "known": known,
+        "settings": settings(scenario, placement.relay)});
+    if let Some(state) = &placement.state {
         text["state"] = json!(state);
     }
-    if let Some(operator) = place.operator {
+    if let Some(operator) = placement.operator {
         text["operator"] = json!(operator.to_string());
     }
-    if let Some((listen, reached)) = &place.fleet {
-        let peers: Vec<String> = reached.iter().take(s.relays.seeds).map(ToString::to_string).collect();
-        text["fleet"] = json!({"name": s.name, "listen": listen.to_string(),
-            "advertise": reached[place.relay].to_string(), "peers": peers});
-        if s.relays.voters > 0 {
-            text["fleet"]["voters"] = json!((0..s.relays.voters).map(name).collect::<Vec<_>>());
-            text["fleet"]["budgets"] = json!([{"of": "relay", "scope": "fleet", "count": s.relays.out}]);
+    if let Some((listen, advertised)) = &placement.fleet {
+        let peers: Vec<String> = advertised.iter().take(relays.seeds).map(ToString::to_string).collect();
+        text["fleet"] = json!({"name": scenario.name, "listen": listen.to_string(),
+            "advertise": advertised[placement.relay].to_string(), "peers": peers});
+        if relays.voters > 0 {
+            text["fleet"]["voters"] = json!((0..relays.voters).map(name).collect::<Vec<_>>());
+            text["fleet"]["budgets"] = json!([{"of": "relay", "scope": "fleet", "count": relays.out}]);
         }
     }
     text
 }
 
-/// How a relay is called.
+/// Name of a relay.
 pub fn name(relay: usize) -> String {
     format!("relay-{relay}")
 }
 
-/// The relay of a name.
+/// Number of the relay of a name; none where it is no relay's.
 pub fn number(name: &str) -> Option<usize> {
     name.strip_prefix("relay-")?.parse().ok()
 }
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -6,7 +6,7 @@
 use crate::links::{LinkFault, LinkSet};
 use crate::random::Random;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{Fault, Scenario, Trouble, TroubleKind};
+use hallrelay_config::scenario::{Fault, Scenario, Trouble as FaultSettings, TroubleKind as FaultKind};
 use schedule::FaultSchedule;
 use std::rc::Rc;
 
@@ -204,7 +204,7 @@
 }
 
 /// A kind of fault in lower case, words apart, as logs and reports have it.
-pub fn kind_text(kind: TroubleKind) -> String {
+pub fn kind_text(kind: FaultKind) -> String {
     let mut text = String::new();
     for character in format!("{kind:?}").chars() {
         if character.is_ascii_uppercase() && !text.is_empty() {
@@ -217,7 +217,7 @@
 
 /// The times of a scenario's faults, in its order.
 pub fn fault_periods(scenario: &Scenario) -> Vec<FaultPeriod> {
-    let period = |fault: &Trouble| {
+    let period = |fault: &FaultSettings| {
         let from = fault.at_s.us();
         let to = (from + fault.length_s.us()).min(scenario.length_s.us());
         FaultPeriod { kind: kind_text(fault.kind), from, to }
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -4,7 +4,7 @@
 use crate::links::{LinkFault, LinkSet};
 use crate::random::Random;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{Drains, Scenario, Trouble, TroubleKind};
+use hallrelay_config::scenario::{Drains, Scenario, Trouble as FaultSettings, TroubleKind as FaultKind};
 use std::rc::Rc;
 
 /// How long an operator keeps a relay out where the scenario does not say.
@@ -26,7 +26,7 @@
 pub(super) struct FaultSchedule<'a> {
     pub scenario: &'a Scenario,
     pub fault_id: usize,
-    pub fault: &'a Trouble,
+    pub fault: &'a FaultSettings,
     pub from: Micros,
     pub to: Micros,
     pub actions: &'a mut EventQueue<Action>,
@@ -43,53 +43,53 @@
     pub(super) fn add(&mut self) {
         let strength = self.fault.strength.0;
         match self.fault.kind {
-            TroubleKind::Crash => self.crash(false),
-            TroubleKind::Vanish => self.crash(true),
-            TroubleKind::Slow => self.slow_servers(),
-            TroubleKind::SharedSlow => self.slow_all_servers_and_store(),
-            TroubleKind::Pauses => self.pause_servers(),
-            TroubleKind::Failing => {
+            FaultKind::Crash => self.crash(false),
+            FaultKind::Vanish => self.crash(true),
+            FaultKind::Slow => self.slow_servers(),
+            FaultKind::SharedSlow => self.slow_all_servers_and_store(),
+            FaultKind::Pauses => self.pause_servers(),
+            FaultKind::Failing => {
                 self.on_servers(strength, 0.0, |server, fraction| Action::SetFailing { server, fraction });
             }
-            TroubleKind::LateReports => {
+            FaultKind::LateReports => {
                 let delay = self.strength_as_time();
                 self.on_servers(delay, 0, |server, delay| Action::SetReportDelay { server, delay });
             }
-            TroubleKind::Lies => {
+            FaultKind::Lies => {
                 self.on_servers(strength, 1.0, |server, factor| Action::SetReportFactor { server, factor });
             }
-            TroubleKind::Overrun => {
+            FaultKind::Overrun => {
                 self.on_servers(strength, 0.0, |server, cores| Action::SetBypassLoad { server, cores });
             }
-            TroubleKind::Wire => self.wire_fault(),
-            TroubleKind::ZoneCut => self.cut_zone(),
-            TroubleKind::ServersCut => self.cut_servers(),
-            TroubleKind::Deploy => self.deploy(),
-            TroubleKind::Drain => self.drain(),
-            TroubleKind::Burst => self.during(strength, 1.0, |factor| Action::SetArrivalRate { factor }),
-            TroubleKind::Reconnect => self.reconnect(),
-            TroubleKind::ListDown => {
+            FaultKind::Wire => self.wire_fault(),
+            FaultKind::ZoneCut => self.cut_zone(),
+            FaultKind::ServersCut => self.cut_servers(),
+            FaultKind::Deploy => self.deploy(),
+            FaultKind::Drain => self.drain(),
+            FaultKind::Burst => self.during(strength, 1.0, |factor| Action::SetArrivalRate { factor }),
+            FaultKind::Reconnect => self.reconnect(),
+            FaultKind::ListDown => {
                 self.during(true, false, |is_down| Action::SetDiscoveryDown { is_down });
             }
-            TroubleKind::ListLate => {
+            FaultKind::ListLate => {
                 let delay = self.strength_as_time();
                 self.during(delay, 0, |delay| Action::SetDiscoveryDelay { delay });
             }
-            TroubleKind::ListCut => self.cut_discovery(),
-            TroubleKind::RelayKilled => self.on_relays(RelayAction::Kill, Some(RelayAction::Start)),
-            TroubleKind::RelayStopped => self.on_relays(RelayAction::Stop, Some(RelayAction::Start)),
-            TroubleKind::RelayStalled => self.on_relays(RelayAction::Stall, Some(RelayAction::Resume)),
-            TroubleKind::RelayReloaded => self.on_relays(RelayAction::Reload, None),
-            TroubleKind::RelayReplaced => self.on_relays(RelayAction::Replace, None),
-            TroubleKind::RelaysOut => self.request_leases(),
-            TroubleKind::RelayLooping => self.crash_loop(),
-            TroubleKind::LinkCut | TroubleKind::LinkSplit => self.intermittent_link_fault(LinkFault::Cut),
-            TroubleKind::LinkLoss => self.link_fault(LinkFault::Loss(strength)),
-            TroubleKind::LinkDouble => self.link_fault(LinkFault::Duplicate(strength)),
-            TroubleKind::LinkDelay => self.link_fault(LinkFault::Delay(self.link_delay())),
-            TroubleKind::LinkReorder => self.link_fault(LinkFault::Reorder(strength, self.link_delay())),
-            TroubleKind::LinkDamage => self.link_fault(LinkFault::Corrupt(strength)),
-            TroubleKind::LinkHold => self.link_fault(LinkFault::Hold),
+            FaultKind::ListCut => self.cut_discovery(),
+            FaultKind::RelayKilled => self.on_relays(RelayAction::Kill, Some(RelayAction::Start)),
+            FaultKind::RelayStopped => self.on_relays(RelayAction::Stop, Some(RelayAction::Start)),
+            FaultKind::RelayStalled => self.on_relays(RelayAction::Stall, Some(RelayAction::Resume)),
+            FaultKind::RelayReloaded => self.on_relays(RelayAction::Reload, None),
+            FaultKind::RelayReplaced => self.on_relays(RelayAction::Replace, None),
+            FaultKind::RelaysOut => self.request_leases(),
+            FaultKind::RelayLooping => self.crash_loop(),
+            FaultKind::LinkCut | FaultKind::LinkSplit => self.intermittent_link_fault(LinkFault::Cut),
+            FaultKind::LinkLoss => self.link_fault(LinkFault::Loss(strength)),
+            FaultKind::LinkDouble => self.link_fault(LinkFault::Duplicate(strength)),
+            FaultKind::LinkDelay => self.link_fault(LinkFault::Delay(self.link_delay())),
+            FaultKind::LinkReorder => self.link_fault(LinkFault::Reorder(strength, self.link_delay())),
+            FaultKind::LinkDamage => self.link_fault(LinkFault::Corrupt(strength)),
+            FaultKind::LinkHold => self.link_fault(LinkFault::Hold),
         }
     }
 
@@ -98,7 +98,7 @@
         (self.fault.strength.0 * 1e6) as Micros
     }
 
-    /// Draws the fault's share of a number of things, at least one.
+    /// Draws the fault's share of so many servers or relays, at least one.
     fn draw(&mut self, of: usize) -> Vec<usize> {
         let count = ((of as f64 * self.fault.share.0).round() as usize).clamp(1, of.max(1));
         let mut drawn: Vec<usize> = (0..of).collect();
@@ -260,7 +260,7 @@
         let fault_id = self.fault_id;
         let settings = self.fault;
         let links = match settings.kind {
-            TroubleKind::LinkSplit => LinkSet::partition(relay_count, &settings.groups, settings.bridge),
+            FaultKind::LinkSplit => LinkSet::partition(relay_count, &settings.groups, settings.bridge),
             _ => LinkSet::between(relay_count, &settings.from, &settings.to, settings.one_way),
         };
         self.actions.schedule(from, Action::StartLinkFault { fault_id, links: Rc::new(links), fault });
