--- a/emulator/src/net/malformed.rs
+++ b/emulator/src/net/malformed.rs
@@ -41,14 +41,14 @@
     let addr = host.relays.borrow()[relay];
     // A relay that is down need not answer.
     let Ok(Ok(stream)) = timeout(ANSWER_TIMEOUT, TcpStream::connect(addr)).await else { return };
-    host.malformed_clients.borrow_mut().came += 1;
+    host.malformed_clients.borrow_mut().connected += 1;
     let limit = if kind == BadSort::Huge { ANSWER_TIMEOUT * 2 } else { ANSWER_TIMEOUT };
     let is_answered = timeout(limit, await_answer(kind, draw, &stream, &host)).await.is_ok();
     let mut counts = host.malformed_clients.borrow_mut();
     if is_answered {
         counts.answered += 1;
     } else {
-        counts.left_waiting += 1;
+        counts.unanswered += 1;
     }
 }
 
--- a/emulator/src/service/mod.rs
+++ b/emulator/src/service/mod.rs
@@ -1,7 +1,9 @@
 //! The service figure of a day: session time requested and well served, samples, the log, and the outcome.
 mod outcome;
 
-pub use outcome::{BadFigures, BandFigures, ListenerFigures, Mark, Outcome, Outs, RelayFigures, Sample};
+pub use outcome::{
+    BadFigures, BandFigures, LeaseFigures, ListenerFigures, Mark, Outcome, RelayFigures, Sample,
+};
 
 use crate::audit::Audit;
 use crate::clients::Clients;
@@ -161,12 +163,12 @@
         let failed = |counts: &crate::clients::Counts| counts.failed + counts.closed + counts.unanswered;
         self.samples.push(Sample {
             at: (now - self.begin) as f64 / 1e6,
-            asking: clients.requesting,
+            requesting: clients.requesting,
             open: clients.open,
-            away: clients.waiting,
+            waiting: clients.waiting,
             wanted: clients.wanted.iter().sum(),
             service,
-            refused: clients.counts.iter().map(|counts| counts.rejected).collect(),
+            rejected: clients.counts.iter().map(|counts| counts.rejected).collect(),
             failed: clients.counts.iter().map(failed).sum(),
             moves: clients.moves,
             breaks: clients.breaks,
@@ -197,13 +199,13 @@
             dials: servers.counts.dials,
             probes: servers.counts.probes,
             wasted,
-            most_open: self.max_open,
+            max_open: self.max_open,
             stale_dials: audit.stale_dials,
-            cold_falls: audit.overloads,
+            overloads: audit.overloads,
             breaches: audit.breaches.clone(),
-            breaches_in_all: audit.breach_count(),
+            breach_count: audit.breach_count(),
             sessions_seen: audit.sessions_seen,
-            troubles: fault_figures(scenario),
+            faults: fault_figures(scenario),
             log: self.log.clone(),
             samples: self.samples.clone(),
             servers: servers.endpoints.identities.iter().map(|identity| identity.id.clone()).collect(),
@@ -240,16 +242,16 @@
             ListenerFigures {
                 name: listener.name.clone(),
                 service,
-                first_tries: counts.first_attempts,
-                tries: counts.attempts,
-                up: counts.established,
-                refused: counts.rejected,
+                first_attempts: counts.first_attempts,
+                attempts: counts.attempts,
+                established: counts.established,
+                rejected: counts.rejected,
                 failed: counts.failed,
                 closed: counts.closed,
-                unreached: counts.unreachable,
+                unreachable: counts.unreachable,
                 unanswered: counts.unanswered,
                 given_up: counts.given_up,
-                in_target: counts.within_target,
+                within_target: counts.within_target,
                 wait_ms: [wait_ms(0.5), wait_ms(0.99), wait_ms(0.999), waits.max() as f64 / 1e3],
             }
         });
--- a/emulator/src/service/outcome.rs
+++ b/emulator/src/service/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run leaves, as result files have it: fields keep the files' names.
+//! The outcome of a run. Result files have some fields under older names.
 use crate::audit::Breach;
 use crate::membership_audit::MembershipOutcome;
 use serde::{Deserialize, Serialize};
@@ -9,17 +9,20 @@
     /// Seconds since the day began.
     pub at: f64,
     /// Clients that await an answer.
-    pub asking: u32,
+    #[serde(rename = "asking")]
+    pub requesting: u32,
     /// Clients with an open session.
     pub open: u32,
     /// Clients that will send their next request later.
-    pub away: u32,
+    #[serde(rename = "away")]
+    pub waiting: u32,
     /// Clients that are to be served.
     pub wanted: u32,
     /// Utility well served since the last sample, as a fraction of what was requested.
     pub service: f64,
     /// By listener: attempts rejected since the day began.
-    pub refused: Vec<u64>,
+    #[serde(rename = "refused")]
+    pub rejected: Vec<u64>,
     /// Attempts that failed, were closed or got no answer since the day began.
     pub failed: u64,
     /// Sessions that migrated since the day began.
@@ -38,25 +41,31 @@
     /// Session time well served, as a fraction of what was requested.
     pub service: f64,
     /// Clients that arrived.
-    pub first_tries: u64,
+    #[serde(rename = "first_tries")]
+    pub first_attempts: u64,
     /// First lines sent.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     /// Sessions established.
-    pub up: u64,
+    #[serde(rename = "up")]
+    pub established: u64,
     /// Attempts that were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Attempts that got an error.
     pub failed: u64,
     /// Attempts whose connection ended without an answer.
     pub closed: u64,
     /// Attempts that did not connect.
-    pub unreached: u64,
+    #[serde(rename = "unreached")]
+    pub unreachable: u64,
     /// Attempts that got no answer in time.
     pub unanswered: u64,
     /// Clients that have given up.
     pub given_up: u64,
     /// Sessions established within the handshake target.
-    pub in_target: u64,
+    #[serde(rename = "in_target")]
+    pub within_target: u64,
     /// Milliseconds from the first line to `UP`: median, p99, p99.9, maximum.
     pub wait_ms: [f64; 4],
 }
@@ -89,7 +98,8 @@
     /// Seed of the run.
     pub seed: u64,
     /// `sockets` or `virtual`.
-    pub way: String,
+    #[serde(rename = "way")]
+    pub mode: String,
     /// Seconds that the day lasted.
     pub length_s: f64,
     /// Why it ended before its time, if it did.
@@ -117,17 +127,21 @@
     /// Work of set-ups without a session, as a fraction of all work.
     pub wasted: f64,
     /// The most sessions open at once.
-    pub most_open: u32,
+    #[serde(rename = "most_open")]
+    pub max_open: u32,
     /// Servers overloaded while they warmed up.
-    pub cold_falls: u32,
+    #[serde(rename = "cold_falls")]
+    pub overloads: u32,
     /// The first breaches of the rules.
     pub breaches: Vec<Breach>,
     /// Number of all breaches.
-    pub breaches_in_all: u64,
+    #[serde(rename = "breaches_in_all")]
+    pub breach_count: u64,
     /// Sessions that the auditor saw.
     pub sessions_seen: u64,
     /// Times of the scenario's faults.
-    pub troubles: Vec<BandFigures>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<BandFigures>,
     /// The day's log.
     pub log: Vec<Mark>,
     /// Samples at even intervals.
@@ -137,9 +151,11 @@
     /// By relay; in virtual time only its starts.
     pub relays: Vec<RelayFigures>,
     /// The most milliseconds that the emulation ran behind the clock; 0 in virtual time.
-    pub late_ms: f64,
+    #[serde(rename = "late_ms")]
+    pub max_delay_ms: f64,
     /// Clients that speak no protocol.
-    pub bad_clients: BadFigures,
+    #[serde(rename = "bad_clients")]
+    pub malformed_clients: BadFigures,
     /// Dials to a server whose drain the relay was notified of, by this process or an earlier one.
     #[serde(default, skip_serializing_if = "is_none")]
     pub stale_dials: u64,
@@ -148,7 +164,7 @@
     pub membership: Option<MembershipOutcome>,
     /// Leases of relays, where the scenario requests any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub outs: Option<Outs>,
+    pub outs: Option<LeaseFigures>,
 }
 
 fn is_none(count: &u64) -> bool {
@@ -157,21 +173,27 @@
 
 /// Leases that an operator requested for relays, and what was counted from outside.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Outs {
+pub struct LeaseFigures {
     /// Relays that a lease was requested for.
-    pub wanted: usize,
+    #[serde(rename = "wanted")]
+    pub requested: usize,
     /// Leases granted.
-    pub let_out: usize,
+    #[serde(rename = "let_out")]
+    pub granted: usize,
     /// Answers that a lease is not granted yet.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub deferred: u64,
     /// The most relays draining at once.
-    pub most_draining: usize,
+    #[serde(rename = "most_draining")]
+    pub max_draining: usize,
     /// The most relays draining, dead or stalled at once.
-    pub most_away: usize,
+    #[serde(rename = "most_away")]
+    pub max_unavailable: usize,
     /// Leases granted while more relays drained than the budget allows.
     pub over: u64,
     /// Seconds from the first request until the last relay was back; 0 where not all were.
-    pub took_s: f64,
+    #[serde(rename = "took_s")]
+    pub duration_s: f64,
 }
 
 /// What the system counted of a relay's processes.
@@ -193,9 +215,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BadFigures {
     /// Clients that connected.
-    pub came: u64,
+    #[serde(rename = "came")]
+    pub connected: u64,
     /// Those that got an error or an end in time.
     pub answered: u64,
     /// Those that did not.
-    pub left_waiting: u64,
+    #[serde(rename = "left_waiting")]
+    pub unanswered: u64,
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -244,7 +244,7 @@
 
 fn end(o: &Outcome) -> End {
     let wrong = o.membership.as_ref().is_some_and(|membership| membership.finding_count > 0);
-    if wrong || o.breaches_in_all > 0 || o.relays.iter().any(|r| r.crashed) {
+    if wrong || o.breach_count > 0 || o.relays.iter().any(|r| r.crashed) {
         End::Broken
     } else if o.partial.is_some() {
         End::Interrupted
@@ -374,7 +374,7 @@
             if !json {
                 println!(
                     "{name}, seed {seed}: service {:.4}, whole {:.4}, rules broken {}",
-                    o.figure, o.whole, o.breaches_in_all
+                    o.figure, o.whole, o.breach_count
                 );
             }
             pair[which] = Some(o);
@@ -422,7 +422,7 @@
             if o.partial.is_some() {
                 return Ok(End::Interrupted);
             }
-            let refused: u64 = o.listeners.iter().map(|l| l.refused).sum();
+            let refused: u64 = o.listeners.iter().map(|l| l.rejected).sum();
             let cpu: f64 = o.relays.iter().map(|r| r.cpu_s).sum();
             if !json {
                 println!(
@@ -432,17 +432,17 @@
                     o.whole,
                     o.worst_window,
                     o.moves,
-                    o.most_open,
-                    if o.breaches_in_all == 0 {
+                    o.max_open,
+                    if o.breach_count == 0 {
                         "kept".to_string()
                     } else {
-                        format!("BROKEN {}", o.breaches_in_all)
+                        format!("BROKEN {}", o.breach_count)
                     }
                 );
             }
             rows.push(serde_json::json!({"value": value.to_string(), "seed": seed, "service": o.figure,
                 "whole": o.whole, "worst_window": o.worst_window, "refused": refused, "moves": o.moves,
-                "most_open": o.most_open, "cpu_s": cpu, "breaches": o.breaches_in_all}));
+                "most_open": o.max_open, "cpu_s": cpu, "breaches": o.breach_count}));
         }
     }
     if json {
--- a/lab/src/membership_report.rs
+++ b/lab/src/membership_report.rs
@@ -97,7 +97,7 @@
     for (relay, entries) in membership.lanes.iter().enumerate() {
         svg += &lane(outcome, relay, entries);
     }
-    for band in &outcome.troubles {
+    for band in &outcome.faults {
         let from = x_of(outcome, band.from);
         let to = x_of(outcome, band.to.max(band.from + outcome.length_s / 300.0));
         _ = write!(
--- a/lab/src/pairs.rs
+++ b/lab/src/pairs.rs
@@ -15,7 +15,7 @@
     Measure { name: "whole", of: |o| o.whole },
     Measure { name: "worst ten seconds", of: |o| o.worst_window },
     Measure { name: "worst listener", of: |o| o.worst_listener },
-    Measure { name: "refused", of: |o| o.listeners.iter().map(|l| l.refused as f64).sum() },
+    Measure { name: "refused", of: |o| o.listeners.iter().map(|l| l.rejected as f64).sum() },
     Measure { name: "moves", of: |o| o.moves as f64 },
     Measure { name: "p99 ms to UP", of: |o| o.listeners.iter().map(|l| l.wait_ms[1]).fold(0.0, f64::max) },
     Measure { name: "relay CPU s", of: |o| o.relays.iter().map(|r| r.cpu_s).sum() },
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -21,13 +21,13 @@
         t,
         "sessions: {} asked for ({} tries), {} up, {} refused, {} torn down, {} given up by clients; \
          {} open at most",
-        sum(|l| l.first_tries),
-        sum(|l| l.tries),
-        sum(|l| l.up),
-        sum(|l| l.refused),
+        sum(|l| l.first_attempts),
+        sum(|l| l.attempts),
+        sum(|l| l.established),
+        sum(|l| l.rejected),
         sum(|l| l.failed + l.closed),
         sum(|l| l.given_up),
-        o.most_open
+        o.max_open
     );
     for l in &o.listeners {
         let [p50, p99, p999, most] = l.wait_ms;
@@ -35,20 +35,20 @@
             t,
             "{}: service {:.3}, up in {p50:.1} ms (p99 {p99:.1}, p99.9 {p999:.1}, \
              most {most:.0}), {} refused",
-            l.name, l.service, l.refused
+            l.name, l.service, l.rejected
         );
     }
     _ = writeln!(
         t,
         "{} moves, {} breaks, {} dials, {} probes, {} cold servers fell over",
-        o.moves, o.breaks, o.dials, o.probes, o.cold_falls
+        o.moves, o.breaks, o.dials, o.probes, o.overloads
     );
     if let Some(outs) = &o.outs {
         _ = writeln!(
             t,
             "relays let out {} of {} wanted (told to wait {} times), {} at a time at most, {} with the dead; \
              over what may: {}; {:.0} s in all",
-            outs.let_out, outs.wanted, outs.held, outs.most_draining, outs.most_away, outs.over, outs.took_s
+            outs.granted, outs.requested, outs.deferred, outs.max_draining, outs.max_unavailable, outs.over, outs.duration_s
         );
     }
     if o.stale_dials > 0 {
@@ -59,13 +59,13 @@
         );
     }
     let troubles: Vec<String> =
-        o.troubles.iter().map(|b| format!("{} {:.0} to {:.0} s", b.kind, b.from, b.to)).collect();
+        o.faults.iter().map(|b| format!("{} {:.0} to {:.0} s", b.kind, b.from, b.to)).collect();
     _ = writeln!(
         t,
         "troubles: {}",
         if troubles.is_empty() { "none".to_string() } else { troubles.join(", ") }
     );
-    if o.way == "sockets" {
+    if o.mode == "sockets" {
         let relays = o.relays.iter().map(|r| format!("{:.2} s CPU, {:.1} MB", r.cpu_s, r.resident_mb));
         let relays: Vec<String> = relays.collect();
         let crashed = o.relays.iter().filter(|r| r.crashed).count();
@@ -74,24 +74,24 @@
             t,
             "relays: {}{crashed}; the emulator ran {:.0} ms late at most",
             relays.join("; "),
-            o.late_ms
+            o.max_delay_ms
         );
     }
-    if o.bad_clients.came > 0 {
-        let b = &o.bad_clients;
+    if o.malformed_clients.connected > 0 {
+        let b = &o.malformed_clients;
         _ = writeln!(
             t,
             "bad clients: {} came, {} answered, {} left waiting",
-            b.came, b.answered, b.left_waiting
+            b.connected, b.answered, b.unanswered
         );
     }
     if let Some(membership) = &o.membership {
         membership_report::text(membership, &mut t);
     }
-    if o.breaches_in_all == 0 {
+    if o.breach_count == 0 {
         _ = writeln!(t, "rules: all four kept over {} sessions", o.sessions_seen);
     } else {
-        _ = writeln!(t, "rules: BROKEN {} times over {} sessions", o.breaches_in_all, o.sessions_seen);
+        _ = writeln!(t, "rules: BROKEN {} times over {} sessions", o.breach_count, o.sessions_seen);
         // All are on the page; three show what it is about.
         for b in o.breaches.iter().take(3) {
             _ = writeln!(
@@ -109,7 +109,7 @@
 }
 
 fn on(o: &Outcome) -> &'static str {
-    if o.way == "virtual" {
+    if o.mode == "virtual" {
         "in virtual time (emulated)"
     } else {
         "on sockets (emulated)"
@@ -119,7 +119,7 @@
 /// One self-contained page.
 pub fn page(o: &Outcome) -> Result<String, String> {
     let mut p = String::new();
-    let verdict = if o.breaches_in_all == 0 { "all four rules kept" } else { "RULES BROKEN" };
+    let verdict = if o.breach_count == 0 { "all four rules kept" } else { "RULES BROKEN" };
     _ = write!(
         p,
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>{name}</title><style>\
@@ -131,7 +131,7 @@
         name = escape(&o.name),
         way = on(o),
         seed = o.seed,
-        class = if o.breaches_in_all == 0 { "" } else { " class=\"bad\"" },
+        class = if o.breach_count == 0 { "" } else { " class=\"bad\"" },
         text = escape(&text(o))
     );
     let figure = |title: &str, unit: &str, lines: &[Line]| plot(o, title, unit, lines);
@@ -143,8 +143,8 @@
     let states = [
         line("wanted", &|s| f64::from(s.wanted)),
         line("open", &|s| f64::from(s.open)),
-        line("asking", &|s| f64::from(s.asking)),
-        line("away", &|s| f64::from(s.away)),
+        line("asking", &|s| f64::from(s.requesting)),
+        line("away", &|s| f64::from(s.waiting)),
     ];
     p += &figure("Sessions by state", "clients", &states)?;
     // More lines than this tell nothing apart.
@@ -170,7 +170,7 @@
     let mut refused: Vec<Line> = Vec::new();
     for (i, l) in o.listeners.iter().enumerate() {
         refused
-            .push(line(&format!("refused, {}", l.name), &|s| s.refused.get(i).copied().unwrap_or(0) as f64));
+            .push(line(&format!("refused, {}", l.name), &|s| s.rejected.get(i).copied().unwrap_or(0) as f64));
     }
     refused.push(line("failed or unanswered", &|s| s.failed as f64));
     p += &figure("Refusals and failures, summed up", "tries", &refused)?;
@@ -179,7 +179,8 @@
     p += "<h2>From the first line to UP</h2><table><tr><th>listener</th><th>p50 ms</th><th>p99 ms</th>\
         <th>p99.9 ms</th><th>most ms</th><th>in handshake target</th></tr>";
     for l in &o.listeners {
-        let part = if l.up > 0 { 100.0 * l.in_target as f64 / l.up as f64 } else { 100.0 };
+        let part =
+            if l.established > 0 { 100.0 * l.within_target as f64 / l.established as f64 } else { 100.0 };
         let [a, b, c, d] = l.wait_ms;
         _ = write!(
             p,
@@ -235,7 +236,7 @@
             .y_label_area_size(56)
             .build_cartesian_2d(0.0..o.length_s.max(0.1), 0.0..top)
             .map_err(told)?;
-        for band in &o.troubles {
+        for band in &o.faults {
             // What is over at once still shows.
             let to = band.to.max(band.from + o.length_s / 300.0).min(o.length_s);
             let shape =
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -407,10 +407,10 @@
             }
         }
         outcome.relays = self.relays.iter().map(|r| r.figures.clone()).collect();
-        outcome.way = "sockets".to_string();
+        outcome.mode = "sockets".to_string();
         outcome.partial = partial;
-        outcome.late_ms = self.host.max_delay.get() as f64 / 1e3;
-        outcome.bad_clients = self.host.malformed_clients.borrow().clone();
+        outcome.max_delay_ms = self.host.max_delay.get() as f64 / 1e3;
+        outcome.malformed_clients = self.host.malformed_clients.borrow().clone();
         outcome
     }
 }
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -334,7 +334,7 @@
         let relays = self.relays.iter().map(|r| RelayFigures { starts: r.starts, ..RelayFigures::default() });
         let mut outcome = self.day.outcome();
         outcome.outs = self.outs.outcome();
-        (outcome.relays, outcome.partial, outcome.way) = (relays.collect(), partial, "virtual".to_string());
+        (outcome.relays, outcome.partial, outcome.mode) = (relays.collect(), partial, "virtual".to_string());
         Ok(outcome)
     }
 
--- a/lab/src/virt/outs.rs
+++ b/lab/src/virt/outs.rs
@@ -1,7 +1,7 @@
 //! An operator who wants relays out and asks till each is let out, and the count of who is away, from
 //! outside.
 use super::*;
-use hallrelay_emulator::service::Outs;
+use hallrelay_emulator::service::LeaseFigures;
 use hallrelay_relay::reducer::{DrainRequest, OperatorReply, OperatorRequest};
 use std::collections::BTreeSet;
 
@@ -18,15 +18,15 @@
     back: BTreeSet<usize>,
     first: Option<Micros>,
     last: Micros,
-    told: Outs,
+    told: LeaseFigures,
 }
 
 impl Seen {
-    pub(super) fn outcome(&self) -> Option<Outs> {
+    pub(super) fn outcome(&self) -> Option<LeaseFigures> {
         let first = self.first?;
         let all = self.back.len() == self.wanted.len();
         let took_s = if all { (self.last - first) as f64 / 1e6 } else { 0.0 };
-        Some(Outs { wanted: self.wanted.len(), took_s, ..self.told.clone() })
+        Some(LeaseFigures { requested: self.wanted.len(), duration_s: took_s, ..self.told.clone() })
     }
 }
 
@@ -60,15 +60,15 @@
             self.outs.draining.insert(relay);
             let (draining, may) = (self.outs.draining.len(), self.day.scenario.relays.out as usize);
             let told = &mut self.outs.told;
-            told.let_out += 1;
-            told.most_draining = told.most_draining.max(draining);
-            told.most_away = told.most_away.max(away);
+            told.granted += 1;
+            told.max_draining = told.max_draining.max(draining);
+            told.max_unavailable = told.max_unavailable.max(away);
             told.over += u64::from(draining > may);
             // The front sees that it answers no more.
             self.day.clients.set_relay_serving(self.now, relay, false);
             self.later(stay, Ev::BringsBack { relay });
         } else {
-            self.outs.told.held += 1;
+            self.outs.told.deferred += 1;
             self.later(AGAIN, Ev::WantsOut { relay, stay });
         }
     }
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -160,7 +160,7 @@
     let honest = play(s, Plant::None);
     assert_eq!(honest.breaches, [], "{plant:?}: the honest relay");
     let o = play(s, plant);
-    assert!(o.breaches_in_all > 0, "{plant:?} was not caught");
+    assert!(o.breach_count > 0, "{plant:?} was not caught");
     let found = o.breaches.iter().find(|b| b.rule == rule && b.details.contains(what));
     let b = found.unwrap_or_else(|| panic!("{plant:?}: no breach of {rule} '{what}' in {:?}", o.breaches));
     if rule != 4 {
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -171,7 +171,7 @@
     let (o, code) = rehearse("power", relays, 32, more);
     let membership = o.membership.as_ref().expect("they know each other");
     assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
-    assert_eq!((o.stale_dials, o.cold_falls), (0, 0), "{:?}", o.log);
+    assert_eq!((o.stale_dials, o.overloads), (0, 0), "{:?}", o.log);
     assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 10);
     assert_eq!(last_words(&o), ["whole"; 4], "{:?}", membership.lanes);
     let last = o.samples.last().expect("some");
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -3,7 +3,7 @@
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_config::scenario::{self, Scenario};
-use hallrelay_emulator::service::Outs;
+use hallrelay_emulator::service::LeaseFigures;
 use hallrelay_lab::virt;
 use hallrelay_recovery::StoredState;
 use hallrelay_relay::reducer::{Effect, Event, LifecycleStatus, OperatorReply, OperatorRequest, Reducer};
@@ -13,7 +13,7 @@
     scenario::parse("relays-in-turn", text).expect("a scenario")
 }
 
-fn outs(seed: u64, maker: virt::Maker) -> Outs {
+fn outs(seed: u64, maker: virt::Maker) -> LeaseFigures {
     let outcome = virt::run(&day(), seed, maker, &mut |_| true).expect("a day");
     assert_eq!(outcome.breaches, [], "seed {seed}");
     outcome.outs.expect("relays were wanted out")
@@ -23,8 +23,8 @@
 fn one_is_out_at_a_time_and_each_has_its_turn() {
     for seed in 1..=3 {
         let outs = outs(seed, virt::reducers());
-        assert_eq!((outs.over, outs.most_draining), (0, 1), "seed {seed}");
-        assert!(outs.let_out >= 10 && outs.held > 50, "seed {seed}: {outs:?}");
+        assert_eq!((outs.over, outs.max_draining), (0, 1), "seed {seed}");
+        assert!(outs.granted >= 10 && outs.deferred > 50, "seed {seed}: {outs:?}");
     }
 }
 
@@ -53,5 +53,5 @@
 fn who_takes_no_notice_is_seen() {
     let maker = |node: Node| -> Box<dyn virt::Mind> { Box::new(Headstrong(Reducer::new(node, None))) };
     let outs = outs(1, Box::new(maker));
-    assert!(outs.over > 0 && outs.most_draining > 6, "{outs:?}");
+    assert!(outs.over > 0 && outs.max_draining > 6, "{outs:?}");
 }
--- a/lab/tests/sockets.rs
+++ b/lab/tests/sockets.rs
@@ -98,8 +98,8 @@
     let output = rehearse(&folder, &path).output().expect("it runs");
     let o = outcome(&output);
     assert_eq!((o.breaches.clone(), output.status.code()), (vec![], Some(0)));
-    assert!(o.bad_clients.came > 60, "{:?}", o.bad_clients);
-    assert_eq!(o.bad_clients.left_waiting, 0, "{:?}", o.bad_clients);
+    assert!(o.malformed_clients.connected > 60, "{:?}", o.malformed_clients);
+    assert_eq!(o.malformed_clients.unanswered, 0, "{:?}", o.malformed_clients);
     _ = std::fs::remove_dir_all(&folder);
 }
 
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -27,13 +27,13 @@
             }
             some.iter().sum::<f64>() / some.len() as f64
         }
-        "refused" => sum(|l| l.refused) as f64,
+        "refused" => sum(|l| l.rejected) as f64,
         "failed" => sum(|l| l.failed + l.closed) as f64,
         "moves" => o.moves as f64,
         "breaks" => o.breaks as f64,
         "dials" => o.dials as f64,
-        "open" => f64::from(o.most_open),
-        "cold_falls" => f64::from(o.cold_falls),
+        "open" => f64::from(o.max_open),
+        "cold_falls" => f64::from(o.overloads),
         "stale" => o.stale_dials as f64,
         "findings" => membership(o)?.finding_count as f64,
         "gone" => membership(o)?.view_changes.iter().filter(|b| b.state == "gone").count() as f64,
@@ -95,7 +95,7 @@
         return Err("the same seed gave another day".to_string());
     }
     if let Some(b) = o.breaches.first() {
-        let count = o.breaches_in_all;
+        let count = o.breach_count;
         return Err(format!("{count} breaches, first rule {}: {} {:?}", b.rule, b.details, b.trace));
     }
     let mut expected = 0;
