--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -363,8 +363,9 @@
         "Timeout" => DialEnd::Timeout,
         "Unconnected" => DialEnd::Unconnected,
         "Reset" => DialEnd::Reset,
-        "Recalled" => DialEnd::Cancelled,
-        "Moot" => DialEnd::NotSent,
+        // Older logs have the second name of each.
+        "Cancelled" | "Recalled" => DialEnd::Cancelled,
+        "NotSent" | "Moot" => DialEnd::NotSent,
         _ => return None,
     })
 }
--- a/lab/src/losses/trace.rs
+++ b/lab/src/losses/trace.rs
@@ -1,6 +1,7 @@
 //! One client's attempts at all relays, in the order in which it made them.
 use super::attempt::{Attempt, End, Fate, Origin};
 use super::logs::{Logs, Reader};
+use hallrelay_balancer::types::DialEnd;
 use serde::Serialize;
 use std::path::Path;
 
@@ -85,7 +86,7 @@
     let dials = attempt.dials.iter().map(|dial| TracedDial {
         at: dial.at.seconds(),
         backend: dial.backend.clone(),
-        end: dial.end.map(|(_, end)| format!("{end:?}").to_lowercase()),
+        end: dial.end.map(|(_, end)| dial_end_word(end).to_string()),
     });
     Traced {
         id: attempt.opening.id,
@@ -102,6 +103,19 @@
     }
 }
 
+fn dial_end_word(end: DialEnd) -> &'static str {
+    match end {
+        DialEnd::Ok => "ok",
+        DialEnd::Error => "error",
+        DialEnd::Full => "full",
+        DialEnd::Timeout => "timeout",
+        DialEnd::Unconnected => "unconnected",
+        DialEnd::Reset => "reset",
+        DialEnd::Cancelled => "recalled",
+        DialEnd::NotSent => "moot",
+    }
+}
+
 fn words(attempt: &Attempt) -> &'static str {
     match (&attempt.fate, attempt.end) {
         (_, Some(end)) => end_words(end),
