--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,6 @@
 //! The laboratory: scenarios played on sockets with real relays, or in virtual time with their reducers.
 pub mod cost;
+pub mod error;
 mod html;
 pub mod keys;
 pub mod losses;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -299,6 +299,7 @@
             show(part);
             !stop.load(Ordering::Relaxed)
         })
+        .map_err(|e| e.to_string())
     } else {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| format!("the runtime does not start: {e}"))?;
--- /dev/null
+++ b/lab/src/virt/events.rs
@@ -0,0 +1,165 @@
+//! What waits in the queue of a virtual day, and the handling of each when it is due.
+use super::membership::Transmission;
+use super::state::ProcessId;
+use super::VirtualDay;
+use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_emulator::clients::{Ask, Heard};
+use hallrelay_emulator::day::Todo;
+use hallrelay_emulator::servers::ConnNo;
+use hallrelay_relay::reducer::{Event, Timer};
+
+/// Something that happens at a later moment.
+pub(super) enum QueuedEvent {
+    /// An event for a relay's reducer; boxed to keep the others small.
+    Relay {
+        process: ProcessId,
+        event: Box<Event>,
+    },
+    Timer {
+        process: ProcessId,
+        timer: Timer,
+    },
+    /// A client's first line arrives at its relay.
+    FirstLine(Box<Ask>),
+    ClientDisconnected {
+        process: ProcessId,
+        session_id: SessId,
+    },
+    /// An answer arrives at a client.
+    Answer {
+        mark: u64,
+        answer: Heard,
+        receipt: u64,
+    },
+    /// A dial's first line arrives at its server.
+    DialReceived {
+        connection: ConnNo,
+    },
+    DialTimeout {
+        process: ProcessId,
+        session_id: SessId,
+        dial: u32,
+    },
+    /// The end of a connection arrives at its server.
+    ConnectionClosed {
+        connection: ConnNo,
+    },
+    /// A health check arrives at a server.
+    HealthCheck {
+        process: ProcessId,
+        server: ServerId,
+        index: usize,
+        sent_at: Micros,
+    },
+    /// The discovery service writes to a watch.
+    WatchEvent {
+        process: ProcessId,
+        watch: u32,
+    },
+    /// Something arrives from another relay.
+    Transmission {
+        from: usize,
+        to: usize,
+        transmission: Transmission,
+    },
+    /// All relays are polled for their views of each other.
+    PollViews,
+    /// An operator requests a drain, once more.
+    RequestDrain {
+        relay: usize,
+        stay: Micros,
+    },
+    /// An operator ends a drain.
+    Activate {
+        relay: usize,
+    },
+    /// The time for an answer to a client's message is over.
+    SilenceTimeout {
+        process: ProcessId,
+        session_id: SessId,
+        connection: ConnNo,
+    },
+}
+
+impl QueuedEvent {
+    /// The process that it was scheduled for; it is void once that has ended.
+    fn process(&self) -> Option<ProcessId> {
+        match self {
+            Self::Relay { process, .. }
+            | Self::Timer { process, .. }
+            | Self::ClientDisconnected { process, .. }
+            | Self::DialTimeout { process, .. }
+            | Self::HealthCheck { process, .. }
+            | Self::WatchEvent { process, .. }
+            | Self::SilenceTimeout { process, .. } => Some(*process),
+            Self::FirstLine(_)
+            | Self::Answer { .. }
+            | Self::DialReceived { .. }
+            | Self::ConnectionClosed { .. }
+            | Self::Transmission { .. }
+            | Self::PollViews
+            | Self::RequestDrain { .. }
+            | Self::Activate { .. } => None,
+        }
+    }
+
+    /// The relay whose process handles it, and must run for that.
+    fn receiver(&self) -> Option<usize> {
+        match self {
+            Self::FirstLine(request) => Some(request.relay),
+            Self::Transmission { to, .. } => Some(*to),
+            // Handled by the server and the discovery service, whatever the process does.
+            Self::HealthCheck { .. } | Self::WatchEvent { .. } => None,
+            other => other.process().map(|process| process.relay),
+        }
+    }
+}
+
+impl VirtualDay<'_> {
+    /// Handles what is due; what a stalled process should receive waits until it runs on.
+    pub(super) fn handle(&mut self, event: QueuedEvent, todo: &mut Todo) {
+        if let Some(waiting) = event.receiver().and_then(|relay| self.relays[relay].stalled.as_mut()) {
+            return waiting.push(event);
+        }
+        if event.process().is_some_and(|process| !self.is_current(process)) {
+            return;
+        }
+        match event {
+            QueuedEvent::Relay { process, event } => self.relay_event(process.relay, *event),
+            QueuedEvent::Timer { process, timer } => self.step(process.relay, Event::Timer(timer)),
+            QueuedEvent::FirstLine(request) => self.receive_first_line(*request),
+            QueuedEvent::ClientDisconnected { process, session_id } => {
+                self.client_disconnected(process.relay, session_id);
+            }
+            QueuedEvent::Answer { mark, answer, receipt } => self.receive_answer(mark, answer, receipt),
+            QueuedEvent::DialReceived { connection } => self.dial_received(connection, todo),
+            QueuedEvent::DialTimeout { process, session_id, dial } => {
+                self.dial_timeout(process.relay, session_id, dial, todo);
+            }
+            QueuedEvent::ConnectionClosed { connection } => self.close_connection(connection, todo),
+            QueuedEvent::HealthCheck { process, server, index, sent_at } => {
+                self.check_health(process.relay, server, index, sent_at, todo);
+            }
+            QueuedEvent::WatchEvent { process, watch } => self.send_watch_event(process.relay, watch, todo),
+            QueuedEvent::SilenceTimeout { process, session_id, connection } => {
+                self.silence_timeout(process.relay, session_id, connection);
+            }
+            QueuedEvent::Transmission { from, to, transmission } => {
+                self.receive_transmission(from, to, transmission);
+            }
+            QueuedEvent::PollViews => self.poll_views(),
+            QueuedEvent::RequestDrain { relay, stay } => self.request_drain(relay, stay),
+            QueuedEvent::Activate { relay } => self.activate(relay),
+        }
+    }
+
+    fn relay_event(&mut self, relay: usize, event: Event) {
+        // An open session that its relay has seen the end of has no connection any more.
+        if let Event::SessionEnded { session_id, .. } = &event {
+            if let Some(session) = self.relays[relay].sessions.get_mut(session_id) {
+                (session.is_open, session.connection) = (false, None);
+            }
+        }
+        self.step(relay, event);
+    }
+}
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -1,11 +1,14 @@
 //! Membership in virtual time: datagrams and streams between relays over the emulated links, stalls of their
 //! processes, and polls of their views.
-use super::*;
+use super::events::QueuedEvent;
+use super::VirtualDay;
+use hallrelay_balancer::types::Micros;
 use hallrelay_emulator::links::Arrival;
 use hallrelay_emulator::membership_audit::ProcessState;
 use hallrelay_membership::message::{decode, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 use hallrelay_membership::{Effect as MembershipEffect, Event as MembershipEvent};
-use hallrelay_relay::reducer::{OperatorReply, OperatorRequest};
+use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest};
+use std::net::SocketAddr;
 
 /// Where a relay is advertised.
 pub(super) fn advertised(relay: usize) -> SocketAddr {
@@ -30,6 +33,15 @@
     (listen(relay), (0..count).map(advertised).collect())
 }
 
+/// Time between polls of all views: a tenth of a second where that costs little.
+fn poll_interval(relays: usize) -> Micros {
+    match relays {
+        0..=16 => 100_000,
+        17..=64 => 250_000,
+        _ => 1_000_000,
+    }
+}
+
 /// What is on its way from one relay to another.
 pub(super) enum Transmission {
     Datagram(Vec<u8>),
@@ -39,7 +51,7 @@
     StreamResponse(Vec<u8>),
 }
 
-impl Virtual<'_> {
+impl VirtualDay<'_> {
     /// Carries out an effect that is for membership's sockets.
     pub(super) fn carry_out_membership(&mut self, from: usize, effect: MembershipEffect) {
         let count = self.relays.len();
@@ -55,14 +67,14 @@
                 // There and back to connect, and there with the frame.
                 if let Some(latency) = self.day.links.stream_latency(from, to) {
                     let transmission = Transmission::StreamRequest(bytes);
-                    self.later(3 * latency, Ev::Transmission { from, to, transmission });
+                    self.schedule_after(3 * latency, QueuedEvent::Transmission { from, to, transmission });
                 }
             }
             MembershipEffect::ReplyOnStream { stream, bytes: Some(bytes) } => {
                 let to = stream as usize;
                 if let Some(latency) = self.day.links.stream_latency(from, to) {
                     let transmission = Transmission::StreamResponse(bytes);
-                    self.later(latency, Ev::Transmission { from, to, transmission });
+                    self.schedule_after(latency, QueuedEvent::Transmission { from, to, transmission });
                 }
             }
             MembershipEffect::ReplyOnStream { bytes: None, .. } | MembershipEffect::SetListening { .. } => {}
@@ -79,7 +91,7 @@
     pub(super) fn schedule_arrivals(&mut self, arrivals: Vec<Arrival>) {
         for Arrival { at, from, to, bytes } in arrivals {
             let transmission = Transmission::Datagram(bytes);
-            self.queue.schedule(at, Ev::Transmission { from, to, transmission });
+            self.queue.schedule(at, QueuedEvent::Transmission { from, to, transmission });
         }
     }
 
@@ -110,7 +122,7 @@
 
     /// A relay's process stalls; what comes meanwhile waits.
     pub(super) fn stall(&mut self, relay: usize) {
-        if self.relays[relay].mind.is_some() && self.relays[relay].stalled.is_none() {
+        if self.relays[relay].state_machine.is_some() && self.relays[relay].stalled.is_none() {
             self.relays[relay].stalled = Some(Vec::new());
             self.day.audit.relay_stalled(relay);
             self.day.membership_audit.process_changed(self.now, relay, ProcessState::Stalled);
@@ -133,22 +145,16 @@
             if self.relays[relay].stalled.is_some() {
                 continue;
             }
-            let Some(mind) = self.relays[relay].mind.as_mut() else { continue };
+            let Some(state_machine) = self.relays[relay].state_machine.as_mut() else { continue };
             let mut effects = Vec::new();
             let request = Event::OperatorCall { call: 0, request: OperatorRequest::Membership };
-            mind.step(self.now, request, &mut effects);
+            state_machine.step(self.now, request, &mut effects);
             for effect in effects {
                 if let Effect::Reply { reply: OperatorReply::Membership(Some(status)), .. } = effect {
                     self.day.membership_audit.status_reported(self.now, relay, &status);
                 }
             }
         }
-        // Often enough to tell tenths of a second, where that costs little.
-        let interval = match self.relays.len() {
-            0..=16 => 100_000,
-            17..=64 => 250_000,
-            _ => 1_000_000,
-        };
-        self.later(interval, Ev::PollViews);
+        self.schedule_after(poll_interval(self.relays.len()), QueuedEvent::PollViews);
     }
 }
--- /dev/null
+++ b/lab/src/virt/silence.rs
@@ -0,0 +1,56 @@
+//! Open sessions at servers that have fallen silent: when the relay finds out, from a message that is not
+//! answered in time.
+use super::events::QueuedEvent;
+use super::VirtualDay;
+use hallrelay_balancer::types::{DialEnd, SessId};
+use hallrelay_emulator::clients::{mix, Heard};
+use hallrelay_emulator::servers::ConnNo;
+use hallrelay_relay::reducer::Event;
+
+impl VirtualDay<'_> {
+    /// The relay suspects the server of a session, or no longer.
+    pub(super) fn set_suspect(&mut self, relay: usize, session_id: SessId, is_suspect: bool) {
+        if let Some(session) = self.relays[relay].sessions.get_mut(&session_id) {
+            session.is_suspect = is_suspect;
+        }
+        self.schedule_silence_timeout(relay, session_id);
+    }
+
+    /// Schedules the end of an open session, if its server is silent now.
+    pub(super) fn schedule_silence_timeout(&mut self, relay: usize, session_id: SessId) {
+        let r = &self.relays[relay];
+        let Some(session) = r.sessions.get(&session_id).filter(|session| session.is_open) else { return };
+        let Some(connection) = session.connection else { return };
+        let Some(dial) = self.dials.get(&connection) else { return };
+        if self.day.servers.speaks(dial.server, relay) {
+            return;
+        }
+        let timeout = if session.is_suspect { r.limits.probe } else { r.limits.silence };
+        let period = self.day.s.clients.message_s.us();
+        // Each client sends a message every period, with an offset of its own.
+        let offset = mix(session.mark) % period;
+        let next_message = self.now + (offset + period - self.now % period) % period;
+        // For a suspect server the message before that counts too, as it may be unanswered.
+        let unanswered_since =
+            if session.is_suspect { next_message.saturating_sub(period).max(self.now) } else { next_message };
+        let process = self.process_id(relay);
+        let event = QueuedEvent::SilenceTimeout { process, session_id, connection };
+        self.queue.schedule(unanswered_since + timeout, event);
+    }
+
+    /// A message was not answered in time: unless the server speaks again, the relay ends the session.
+    pub(super) fn silence_timeout(&mut self, relay: usize, session_id: SessId, connection: ConnNo) {
+        let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
+        let Some(server) = self.dials.get(&connection).map(|dial| dial.server) else { return };
+        let is_there = session.is_open && session.connection == Some(connection);
+        if !is_there || self.day.servers.speaks(server, relay) {
+            return;
+        }
+        let mark = session.mark;
+        (session.is_open, session.is_over, session.connection) = (false, true, None);
+        self.schedule_after(self.server_latency(), QueuedEvent::ConnectionClosed { connection });
+        self.step(relay, Event::SessionEnded { session_id, end: DialEnd::Reset, report: None });
+        let answer = Heard::Moved;
+        self.schedule_after(self.client_latency(), QueuedEvent::Answer { mark, answer, receipt: 0 });
+    }
+}
--- /dev/null
+++ b/lab/src/virt/state.rs
@@ -0,0 +1,129 @@
+//! What a relay's sockets, watches and store hold in virtual time.
+use super::events::QueuedEvent;
+use super::StateMachine;
+use hallrelay_balancer::types::SessId;
+use hallrelay_config::limits::Limits;
+use hallrelay_config::scenario::Fault;
+use hallrelay_emulator::servers::{ConnNo, Dialled};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// One process of a relay.
+#[derive(Clone, Copy)]
+pub(super) struct ProcessId {
+    pub(super) relay: usize,
+    /// Grows whenever a process of this relay starts or ends.
+    pub(super) incarnation: u32,
+}
+
+/// A session as its relay's sockets have it.
+pub(super) struct ClientSession {
+    /// Identifier that the client gave.
+    pub(super) mark: u64,
+    /// Dials so far.
+    pub(super) dials: u32,
+    /// The connection to a server, of a dial or of the open session.
+    pub(super) connection: Option<ConnNo>,
+    pub(super) is_open: bool,
+    /// The relay suspects its server.
+    pub(super) is_suspect: bool,
+    /// Its client has left, or has had its final answer.
+    pub(super) is_over: bool,
+}
+
+impl ClientSession {
+    pub(super) fn new(mark: u64) -> Self {
+        ClientSession { mark, dials: 0, connection: None, is_open: false, is_suspect: false, is_over: false }
+    }
+}
+
+/// A connection from a relay to a server.
+pub(super) struct BackendConnection {
+    pub(super) process: ProcessId,
+    pub(super) session_id: SessId,
+    pub(super) dial: u32,
+    pub(super) mark: u64,
+    pub(super) server: usize,
+    pub(super) request: Dialled,
+    /// The server has received its first line.
+    pub(super) is_received: bool,
+    pub(super) is_established: bool,
+    /// Fault of the wire that it meets.
+    pub(super) fault: Option<Fault>,
+}
+
+/// A relay's watch of the endpoint list.
+pub(super) struct Watch {
+    pub(super) id: u32,
+    /// Generation of the list that the relay has.
+    pub(super) since: Option<u64>,
+    /// Its first answer was sent; changes follow.
+    pub(super) is_answered: bool,
+}
+
+/// Kind and name of a stored record, in the order in which records are loaded.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct RecordKey {
+    pub(super) kind: u8,
+    pub(super) name: String,
+}
+
+/// A relay with all that is around its reducer.
+pub(super) struct Relay {
+    /// None while no process runs.
+    pub(super) state_machine: Option<Box<dyn StateMachine>>,
+    pub(super) incarnation: u32,
+    pub(super) sessions: BTreeMap<SessId, ClientSession>,
+    pub(super) session_ids: BTreeMap<u64, SessId>,
+    /// Marks of sessions whose client has disconnected: a faulty relay may dial for them still.
+    pub(super) disconnected: BTreeMap<SessId, u64>,
+    pub(super) watches: Vec<Watch>,
+    pub(super) last_session_id: SessId,
+    /// Processes started.
+    pub(super) starts: u32,
+    pub(super) limits: Limits,
+    /// What its store holds; it outlives the process.
+    pub(super) stored_records: BTreeMap<RecordKey, Vec<u8>>,
+    /// While it stalls: what arrived meanwhile.
+    pub(super) stalled: Option<Vec<QueuedEvent>>,
+}
+
+impl Relay {
+    pub(super) fn new(limits: Limits) -> Self {
+        Relay {
+            state_machine: None,
+            incarnation: 0,
+            sessions: BTreeMap::new(),
+            session_ids: BTreeMap::new(),
+            disconnected: BTreeMap::new(),
+            watches: Vec::new(),
+            last_session_id: 0,
+            starts: 0,
+            limits,
+            stored_records: BTreeMap::new(),
+            stalled: None,
+        }
+    }
+
+    /// The mark of a session whose client is there, or has disconnected from this process.
+    pub(super) fn mark_of(&self, session_id: SessId) -> Option<u64> {
+        let session = self.sessions.get(&session_id).map(|session| session.mark);
+        session.or(self.disconnected.get(&session_id).copied())
+    }
+}
+
+/// Address of a server by its index.
+pub(super) fn address_of(server: usize) -> SocketAddr {
+    SocketAddr::from(([127, 1, (server >> 8) as u8, server as u8], 1))
+}
+
+/// Index of the server at an address.
+pub(super) fn server_at(addr: SocketAddr) -> usize {
+    match addr {
+        SocketAddr::V4(addr) => {
+            let [_, _, high, low] = addr.ip().octets();
+            usize::from(high) << 8 | usize::from(low)
+        }
+        SocketAddr::V6(_) => 0,
+    }
+}
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -119,7 +119,7 @@
     }
 }
 
-impl virt::Mind for Double {
+impl virt::StateMachine for Double {
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.inner.start(now, out);
     }
@@ -144,7 +144,7 @@
 }
 
 fn play(s: &Scenario, plant: Plant) -> Outcome {
-    let make: virt::Maker = Box::new(move |node| {
+    let make: virt::StateMachineFactory = Box::new(move |node| {
         Box::new(Double {
             inner: Reducer::new(node, None),
             plant,
--- a/lab/tests/membership_audit.rs
+++ b/lab/tests/membership_audit.rs
@@ -78,7 +78,7 @@
     }
 }
 
-impl virt::Mind for Double {
+impl virt::StateMachine for Double {
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         let mut fresh = Vec::new();
         self.inner.start(now, &mut fresh);
@@ -102,7 +102,7 @@
 }
 
 fn play(s: &Scenario, plant: Plant) -> Outcome {
-    let make: virt::Maker = Box::new(move |node| {
+    let make: virt::StateMachineFactory = Box::new(move |node| {
         let plant = if node.name == "relay-0" { plant } else { Plant::None };
         let fleet = node.fleet.as_ref().expect("they know each other").name.clone();
         Box::new(Double { inner: Reducer::new(node, None), plant, fleet })
--- a/lab/tests/outs.rs
+++ b/lab/tests/outs.rs
@@ -13,7 +13,7 @@
     scenario::parse("relays-in-turn", text).expect("a scenario")
 }
 
-fn outs(seed: u64, maker: virt::Maker) -> Outs {
+fn outs(seed: u64, maker: virt::StateMachineFactory) -> Outs {
     let outcome = virt::run(&day(), seed, maker, &mut |_| true).expect("a day");
     assert_eq!(outcome.breaches, [], "seed {seed}");
     outcome.outs.expect("relays were wanted out")
@@ -31,7 +31,7 @@
 /// It says that it drains as it is asked, whatever the others agree on.
 struct Headstrong(Reducer);
 
-impl virt::Mind for Headstrong {
+impl virt::StateMachine for Headstrong {
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.0.start(now, out);
     }
@@ -51,7 +51,8 @@
 
 #[test]
 fn who_takes_no_notice_is_seen() {
-    let maker = |node: Node| -> Box<dyn virt::Mind> { Box::new(Headstrong(Reducer::new(node, None))) };
+    let maker =
+        |node: Node| -> Box<dyn virt::StateMachine> { Box::new(Headstrong(Reducer::new(node, None))) };
     let outs = outs(1, Box::new(maker));
     assert!(outs.over > 0 && outs.most_draining > 6, "{outs:?}");
 }
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -88,7 +88,7 @@
         text = keys::set(&text, key, &values[0])?;
     }
     let s = scenario::parse(&path.display().to_string(), &text).map_err(|e| e.to_string())?;
-    let day = || virt::run(&s, s.seed, virt::reducers(), &mut |_| true);
+    let day = || virt::run(&s, s.seed, virt::reducers(), &mut |_| true).map_err(|e| e.to_string());
     let o = day()?;
     let bytes = |o: &Outcome| serde_json::to_string(o).map_err(|e| e.to_string());
     if bytes(&o)? != bytes(&day()?)? {
