--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -30,9 +30,9 @@
 
 /// A relay's state machine: the reducer, or a test's faulty one.
 pub trait StateMachine {
-    /// Starts it at `now` (Unix time in microseconds); what it wants done is appended to `out`.
+    /// Starts it at `now` (Unix time in microseconds); its effects are appended to `out`.
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>);
-    /// Handles one event at `now`; what it wants done is appended to `out`.
+    /// Handles one event at `now`; its effects are appended to `out`.
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>);
     /// Loads what the relay's store holds, before the start. The default ignores it.
     fn load_state(&mut self, _stored: StoredState) {}
