--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,13 +1,14 @@
-//! The laboratory: scenarios played on sockets with real relays, or in virtual time with their reducers.
+//! The laboratory: scenarios played on sockets with processes of relays, or in virtual time with their
+//! reducers; reports and comparisons of such days; costs of a relay; accounts of its logs.
+#![warn(missing_docs)]
+
+pub mod comparison;
 pub mod cost;
 pub mod error;
-mod html;
-pub mod keys;
 pub mod losses;
 pub mod members;
-pub mod membership_report;
-pub mod pairs;
-pub mod relays;
+pub mod relay_process;
 pub mod report;
+pub mod scenario_keys;
 pub mod sockets;
 pub mod virt;
--- a/lab/src/losses/account.rs
+++ b/lab/src/losses/account.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Work on a backend, in seconds, beyond which it counts as piled up.
-const PILED_SECONDS: f64 = 0.1;
+/// Queue delay in seconds from which on a backend counts as queued.
+const QUEUED_FROM_S: f64 = 0.1;
 
 /// What was counted in one second, or in all.
 #[derive(Clone, Debug, Default)]
@@ -19,12 +19,14 @@
     ends: Ends,
     /// Milliseconds.
     wait: Histogram,
-    probes_answered: u64,
-    probes_failed: u64,
+    checks_answered: u64,
+    checks_failed: u64,
     /// Thousandths.
     load: Histogram,
-    piled_reported: u64,
-    piled_over: u64,
+    /// Reports of a queue delay.
+    queue_reports: u64,
+    /// Those of them beyond [`QUEUED_FROM_S`].
+    queued_reports: u64,
 }
 
 impl Counted {
@@ -33,16 +35,16 @@
         self.sessions.add(&other.sessions);
         self.ends.add(&other.ends);
         self.wait.merge(&other.wait);
-        self.probes_answered += other.probes_answered;
-        self.probes_failed += other.probes_failed;
+        self.checks_answered += other.checks_answered;
+        self.checks_failed += other.checks_failed;
         self.load.merge(&other.load);
-        self.piled_reported += other.piled_reported;
-        self.piled_over += other.piled_over;
+        self.queue_reports += other.queue_reports;
+        self.queued_reports += other.queued_reports;
     }
 
     fn row(&self, second: u32, fleet: Fleet) -> Second {
         let load = |part: f64| Some(f64::from(self.load.quantile(part)?) / 1e3);
-        let piled = || self.piled_over as f64 / self.piled_reported as f64;
+        let queued_part = || self.queued_reports as f64 / self.queue_reports as f64;
         Second {
             second,
             attempts: self.attempts.clone(),
@@ -50,11 +52,11 @@
             wait: Wait { median_ms: self.wait.quantile(0.5), worst_ms: self.wait.largest() },
             ends: self.ends.clone(),
             probes: Probes {
-                answered: self.probes_answered,
-                failed: self.probes_failed,
+                answered: self.checks_answered,
+                failed: self.checks_failed,
                 load_median: load(0.5),
                 load_p90: load(0.9),
-                piled_part: (self.piled_reported > 0).then(piled),
+                queued_part: (self.queue_reports > 0).then(queued_part),
             },
             fleet,
         }
@@ -64,6 +66,7 @@
 /// All that is known of the day so far; logs may be read in any order.
 #[derive(Debug, Default)]
 pub struct Account {
+    /// What the lists state of the backends.
     pub backends: Backends,
     seconds: BTreeMap<u32, Counted>,
     stays: Vec<Stay>,
@@ -79,28 +82,29 @@
             *self.gaps.entry(gap).or_default() += 1;
         }
         match attempt.origin {
-            Origin::Client => self.opened(attempt),
-            Origin::Process(_) => self.at(attempt.opened).sessions.taken_over += 1,
+            Origin::Client => self.count_opened(attempt),
+            Origin::Process(_) => self.at(attempt.opened).sessions.adopted += 1,
             Origin::Missing => {}
         }
         if let Some(placed) = attempt.placed {
-            self.stayed(attempt, placed);
+            self.count_session(attempt, placed);
         }
     }
 
-    pub fn probed(&mut self, at: Moment, end: DialEnd, report: LoadReport) {
+    /// Counts the end of a health check.
+    pub fn health_checked(&mut self, at: Moment, end: DialEnd, report: LoadReport) {
         let second = self.at(at);
         if end != DialEnd::Ok {
-            second.probes_failed += 1;
+            second.checks_failed += 1;
             return;
         }
-        second.probes_answered += 1;
+        second.checks_answered += 1;
         if let Some(load) = report.load {
             second.load.add((load.clamp(0.0, 1e6) * 1e3).round() as u32);
         }
-        if let Some(piled) = report.queue_delay {
-            second.piled_reported += 1;
-            second.piled_over += u64::from(piled > PILED_SECONDS);
+        if let Some(queue_delay) = report.queue_delay {
+            second.queue_reports += 1;
+            second.queued_reports += u64::from(queue_delay > QUEUED_FROM_S);
         }
     }
 
@@ -148,29 +152,29 @@
         self.seconds.entry(at.second()).or_default()
     }
 
-    fn opened(&mut self, attempt: &Attempt) {
+    fn count_opened(&mut self, attempt: &Attempt) {
         let attempts = &mut self.at(attempt.opened).attempts;
         attempts.opened += 1;
         attempts.returned += u64::from(attempt.opening.returned);
         attempts.dials += attempt.dials.len() as u64;
-        for (_, end) in attempt.dials.iter().filter_map(|dial| dial.end) {
+        for end in attempt.dials.iter().filter_map(|dial| dial.end) {
             *attempts.dial_ends.of(end) += 1;
         }
         attempts.count(&attempt.fate);
     }
 
-    fn stayed(&mut self, attempt: &Attempt, placed: Moment) {
+    fn count_session(&mut self, attempt: &Attempt, placed: Moment) {
         if attempt.origin == Origin::Client {
             let second = self.at(placed);
-            second.sessions.came_up += 1;
+            second.sessions.established += 1;
             let waited = placed.clock.saturating_sub(attempt.opened.clock) / 1_000;
             second.wait.add(u32::try_from(waited).unwrap_or(u32::MAX));
         }
         let end = attempt.end.unwrap_or(End::StillOpen);
-        // A log whose times go back ends no session before it came up.
-        let over = if attempt.over.day < placed.day { placed } else { attempt.over };
-        self.at(over).ends.count(end);
-        let to = (end != End::StillOpen).then_some(over.second());
+        // Where times of a log go back, no session ends before it is placed.
+        let ended_at = if attempt.ended_at.day < placed.day { placed } else { attempt.ended_at };
+        self.at(ended_at).ends.count(end);
+        let to = (end != End::StillOpen).then_some(ended_at.second());
         let next = self.numbers.len() as u32;
         let backend = *self.numbers.entry(attempt.backend().to_string()).or_insert(next);
         self.stays.push(Stay { from: placed.second(), to, group: attempt.opening.group, backend });
--- a/lab/src/losses/attempt.rs
+++ b/lab/src/losses/attempt.rs
@@ -18,6 +18,7 @@
         (self.day / 1_000_000) as u32
     }
 
+    /// Seconds since the day began.
     pub fn seconds(self) -> f64 {
         self.day as f64 / 1e6
     }
@@ -38,18 +39,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dial {
     pub at: Moment,
+    /// Address of the backend.
     pub backend: String,
-    /// When and how it ended; none where it came up, or was still out.
-    pub end: Option<(Moment, DialEnd)>,
+    /// How it ended; none where the session was established, or the dial was in flight.
+    pub end: Option<DialEnd>,
 }
 
-/// How the last dial of an attempt stood as the attempt was answered.
+/// State of the last dial of an attempt as the attempt was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LastDial {
     /// No dial was made.
     None,
-    /// It was still out.
-    Out,
+    /// It was in flight.
+    InFlight,
+    /// It had ended.
     Ended(DialEnd),
 }
 
@@ -58,13 +61,13 @@
 pub enum Fate {
     /// It was placed on a backend.
     Placed,
-    /// Its backend's first word was its last: `BYE`.
+    /// Its backend answered `BYE` at once.
     ServedAtOnce,
     /// The relay answered `BUSY`.
-    Refused(LastDial),
+    Rejected(LastDial),
     /// The relay answered `FAIL`.
     Failed(LastDial),
-    /// Its line was not of the protocol, named an unknown listener, or bore a mark that was open.
+    /// Its line was not of the protocol, named an unknown listener, or repeated the id of an open session.
     NotProtocol,
     /// Its client left before it was answered.
     ClientLeft,
@@ -74,6 +77,7 @@
     RelayEnded,
     /// It was undecided as the day ended.
     StillWaiting,
+    /// It is not known.
     Unaccounted(Gap),
 }
 
@@ -82,24 +86,25 @@
 pub enum End {
     /// The client ended it.
     Client,
-    /// Its backend said `BYE`: it had run its time.
-    Done,
-    /// Its backend said `MOVE`.
-    SentAway,
-    /// Its backend ended it without a word.
+    /// Its backend sent `BYE`: it was complete.
+    Complete,
+    /// Its backend sent `MOVE`.
+    MigratedByBackend,
+    /// Its backend reset the connection.
     Reset,
     /// Another end: its backend was silent, or a line was not of the protocol.
-    Otherwise,
-    /// The relay moved it.
-    Moved,
-    /// The relay moved or ended it, since the relay itself drained, stopped or was replaced.
+    Other,
+    /// The relay migrated it.
+    Migrated,
+    /// The relay migrated or ended it, since the relay itself drained, stopped or was replaced.
     RelayStop,
-    /// Another process of the relay goes on with it.
-    PassedOn,
-    /// The relay's process ended without being told to.
+    /// Another process of the relay adopted it.
+    HandedOver,
+    /// The relay's process ended without a request to stop.
     RelayDied,
     /// It was open as the day ended.
     StillOpen,
+    /// It is not known.
     Unaccounted(Gap),
 }
 
@@ -111,14 +116,15 @@
     LogEnds,
     /// The number of the session was given to another one.
     NumberReused,
-    /// It ended as an open session, and nothing says that it was placed.
+    /// It ended as an open session, and is not logged as placed.
     NeverPlaced,
-    /// It was dialled, placed or answered, and nothing says that it was opened.
+    /// It was dialled, placed or answered, and is not logged as opened.
     NeverOpened,
 }
 
 impl Gap {
-    pub fn words(self) -> &'static str {
+    /// For users.
+    pub fn description(self) -> &'static str {
         match self {
             Gap::LogEnds => "the log ends before the day",
             Gap::NumberReused => "its number was used again",
@@ -128,7 +134,7 @@
     }
 }
 
-/// One attempt, with all that its relay's log says of it.
+/// One attempt as its relay's log has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub relay: String,
@@ -139,7 +145,7 @@
     /// When it was placed.
     pub placed: Option<Moment>,
     /// When it was answered, where it was not placed; else when the session ended.
-    pub over: Moment,
+    pub ended_at: Moment,
     pub fate: Fate,
     /// How the session ended, where it was placed.
     pub end: Option<End>,
@@ -154,18 +160,18 @@
             opened,
             dials: Vec::new(),
             placed: None,
-            over: opened,
+            ended_at: opened,
             fate: Fate::StillWaiting,
             end: None,
         }
     }
 
-    /// How the last dial stands.
+    /// State of the last dial.
     pub fn last_dial(&self) -> LastDial {
         match self.dials.last() {
             None => LastDial::None,
-            Some(Dial { end: Some((_, end)), .. }) => LastDial::Ended(*end),
-            Some(_) => LastDial::Out,
+            Some(Dial { end: Some(end), .. }) => LastDial::Ended(*end),
+            Some(_) => LastDial::InFlight,
         }
     }
 
--- a/lab/src/losses/backends.rs
+++ b/lab/src/losses/backends.rs
@@ -1,4 +1,4 @@
-//! What all relays' lists said of the backends, over the day.
+//! The backends over the day, as the endpoint lists of all relays state them.
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::List;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,12 +10,12 @@
     since: Micros,
     addr: SocketAddr,
     phase: Phase,
-    came_up: Micros,
+    started_at: Micros,
 }
 
 /// A version of the list that named all backends.
 #[derive(Clone, Debug)]
-struct Whole {
+struct CompleteList {
     since: Micros,
     names: BTreeSet<String>,
 }
@@ -23,7 +23,9 @@
 /// How many backends were known, by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Known {
+    /// Those in service.
     pub ready: u64,
+    /// Those that drain.
     pub draining: u64,
     /// Those of them that started during the day.
     pub started: u64,
@@ -34,39 +36,42 @@
 pub struct Backends {
     /// By instance and by version of the list.
     listings: BTreeMap<String, BTreeMap<u64, Listing>>,
-    whole_lists: BTreeMap<u64, Whole>,
-    /// Addresses that were dialled or probed, and since when.
+    complete_lists: BTreeMap<u64, CompleteList>,
+    /// Addresses that were dialled or checked, and since when.
     used: BTreeMap<SocketAddr, Micros>,
 }
 
 impl Backends {
+    /// Records a list that a relay received at a moment of the day.
     pub fn record_list(&mut self, at: Micros, list: &List) {
         for one in &list.instances {
-            let listing = Listing { since: at, addr: one.addr, phase: one.phase, came_up: one.started_at };
+            let listing = Listing { since: at, addr: one.addr, phase: one.phase, started_at: one.started_at };
             self.insert(&one.id, list.generation, listing);
         }
         if list.is_complete {
             let names = list.instances.iter().map(|one| one.id.clone()).collect();
-            let whole = self.whole_lists.entry(list.generation).or_insert(Whole { since: at, names });
-            whole.since = whole.since.min(at);
+            let complete =
+                self.complete_lists.entry(list.generation).or_insert(CompleteList { since: at, names });
+            complete.since = complete.since.min(at);
         }
     }
 
+    /// Records that a relay dialled or checked an address.
     pub fn record_use(&mut self, at: Micros, addr: SocketAddr) {
         let since = self.used.entry(addr).or_insert(at);
         *since = at.min(*since);
     }
 
-    /// All logs are read: what whole lists leave out is gone by them.
+    /// All logs are read: what complete lists leave out is removed by them.
     pub fn finish(&mut self) {
-        for (generation, whole) in std::mem::take(&mut self.whole_lists) {
+        for (generation, complete) in std::mem::take(&mut self.complete_lists) {
             let left_out: Vec<(String, Listing)> = self
                 .listings
                 .iter()
-                .filter(|(name, _)| !whole.names.contains(*name))
+                .filter(|(name, _)| !complete.names.contains(*name))
                 .filter_map(|(name, versions)| Some((name, versions.range(..generation).next_back()?.1)))
                 .map(|(name, listing)| {
-                    (name.clone(), Listing { since: whole.since, phase: Phase::Gone, ..listing.clone() })
+                    (name.clone(), Listing { since: complete.since, phase: Phase::Gone, ..listing.clone() })
                 })
                 .collect();
             left_out.into_iter().for_each(|(name, listing)| self.insert(&name, generation, listing));
@@ -78,7 +83,7 @@
         self.listings.get(name)?.last_key_value().map(|(_, listing)| listing.addr)
     }
 
-    /// How many are known at a moment. One that is used and that no list has named yet is held to be ready.
+    /// How many are known at a moment. One that is used and that no list has named yet counts as ready.
     pub fn known(&self, at: Micros) -> Known {
         let mut known = Known::default();
         let mut named = BTreeSet::new();
@@ -89,7 +94,7 @@
                 Phase::Draining => known.draining += 1,
                 Phase::Gone => continue,
             }
-            known.started += u64::from(listing.came_up > 0);
+            known.started += u64::from(listing.started_at > 0);
         }
         let unnamed = self.used.iter().filter(|(addr, since)| **since <= at && !named.contains(addr));
         known.ready += unnamed.count() as u64;
@@ -99,12 +104,13 @@
     /// Addresses of the backends that are known at a moment to have started during the day.
     pub fn started(&self, at: Micros) -> BTreeSet<SocketAddr> {
         let newest = self.listings.values().filter_map(|versions| newest(versions, at));
-        newest.filter(|listing| listing.came_up > 0).map(|listing| listing.addr).collect()
+        newest.filter(|listing| listing.started_at > 0).map(|listing| listing.addr).collect()
     }
 
     fn insert(&mut self, name: &str, generation: u64, listing: Listing) {
         let versions = self.listings.entry(name.to_string()).or_default();
-        let same = |a: &Listing, b: &Listing| (&a.addr, a.phase, a.came_up) == (&b.addr, b.phase, b.came_up);
+        let same =
+            |a: &Listing, b: &Listing| (&a.addr, a.phase, a.started_at) == (&b.addr, b.phase, b.started_at);
         let before = versions.range(..=generation).next_back();
         if before.is_some_and(|(_, before)| same(before, &listing) && before.since <= listing.since) {
             return;
--- a/lab/src/losses/fields.rs
+++ b/lab/src/losses/fields.rs
@@ -1,4 +1,4 @@
-//! Looks up fields in the `Debug` form of a value: `Name { field: value, other: Inner { .. } }`.
+//! Finds fields in the `Debug` form of a value: `Name { field: value, other: Inner { .. } }`.
 //! Text in quotes is never taken for structure.
 
 /// The name of the value and all that follows it: `Up { sess: 1 }` gives `Up` and ` { sess: 1 }`.
@@ -61,7 +61,7 @@
     Some(&rest[..end])
 }
 
-/// Characters that stand outside of quoted texts, with their places.
+/// Characters outside of quoted texts, with their positions.
 fn outside_quotes(value: &str) -> impl Iterator<Item = (usize, char)> + '_ {
     let mut quoted = false;
     let mut escaped = false;
--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -1,5 +1,6 @@
 //! Reads all logs of a folder, one after another, a line at a time.
 use super::attempt::{Attempt, Moment};
+use super::error::LogsError;
 use super::parse::{self, Entry, Line, Time};
 use super::process::Relay;
 use super::rows::Read;
@@ -10,10 +11,10 @@
 use std::path::{Path, PathBuf};
 
 /// The longest line that is read, in bytes: a list of thousands of backends is shorter.
-const MOST_BYTES: u64 = 4 << 20;
+const MAX_LINE_BYTES: u64 = 4 << 20;
 
 /// The longest day that is accounted for, second by second: a week.
-const MOST_DAY: Micros = 7 * 86_400_000_000;
+const MAX_DAY: Micros = 7 * 86_400_000_000;
 
 /// What comes out of the logs.
 pub trait Reader {
@@ -36,10 +37,10 @@
 
 impl Logs {
     /// Finds all files `*.log` of a folder, and when the day begins and ends by them.
-    pub fn find(folder: &Path) -> Result<Logs, String> {
+    pub fn find(folder: &Path) -> Result<Logs, LogsError> {
         let mut files = Vec::new();
-        for entry in std::fs::read_dir(folder).map_err(|e| with_path(folder, &e))? {
-            let path = entry.map_err(|e| with_path(folder, &e))?.path();
+        for entry in std::fs::read_dir(folder).map_err(LogsError::file(folder))? {
+            let path = entry.map_err(LogsError::file(folder))?.path();
             if path.extension().is_some_and(|kind| kind == "log") {
                 files.push(path);
             }
@@ -47,8 +48,8 @@
         files.sort();
         let mut logs = Logs { files, start: Micros::MAX, day_end: 0 };
         logs.span()?;
-        if logs.day_end > MOST_DAY {
-            return Err(format!("{}: the logs are of more than a week", folder.display()));
+        if logs.day_end > MAX_DAY {
+            return Err(LogsError::DayTooLong { folder: folder.to_path_buf() });
         }
         Ok(logs)
     }
@@ -59,7 +60,7 @@
     }
 
     /// Reads all of them.
-    pub fn read(&self, reader: &mut dyn Reader) -> Result<Read, String> {
+    pub fn read(&self, reader: &mut dyn Reader) -> Result<Read, LogsError> {
         let mut read = Read::default();
         for path in &self.files {
             self.one(path, reader, &mut read)?;
@@ -68,7 +69,7 @@
     }
 
     /// The first pass: when the day begins, and when it ends.
-    fn span(&mut self) -> Result<(), String> {
+    fn span(&mut self) -> Result<(), LogsError> {
         let mut last = Vec::new();
         for path in &self.files {
             let mut newest = None;
@@ -89,11 +90,11 @@
         Moment { day: time.prefix.unwrap_or(since_start), clock: time.clock }
     }
 
-    fn one(&self, path: &Path, reader: &mut dyn Reader, read: &mut Read) -> Result<(), String> {
+    fn one(&self, path: &Path, reader: &mut dyn Reader, read: &mut Read) -> Result<(), LogsError> {
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
         let mut lines = Lines::open(path)?;
         let mut relay = Relay::new(&name);
-        // A configuration bears no time; its list holds from the next line on.
+        // A configuration has no time; its list is valid from the next line on.
         let mut configured = None;
         let mut entries = 0;
         while let Some(text) = lines.next()? {
@@ -103,7 +104,7 @@
                 Line::Unknown => read.unknown += 1,
                 Line::Cut => read.cut += 1,
                 Line::Configured(list) => {
-                    relay.starts();
+                    relay.process_started();
                     configured = list;
                 }
                 Line::Logged { time, entry } => {
@@ -139,18 +140,18 @@
 }
 
 impl Lines {
-    fn open(path: &Path) -> Result<Lines, String> {
-        let file = File::open(path).map_err(|e| with_path(path, &e))?;
+    fn open(path: &Path) -> Result<Lines, LogsError> {
+        let file = File::open(path).map_err(LogsError::file(path))?;
         Ok(Lines { path: path.to_path_buf(), file: BufReader::new(file), line: Vec::new() })
     }
 
     /// The next line; `Some(None)` for one that is no text or too long to be one of a log.
-    fn next(&mut self) -> Result<Option<Option<&str>>, String> {
+    fn next(&mut self) -> Result<Option<Option<&str>>, LogsError> {
         let length = self.part()?;
         if length == 0 {
             return Ok(None);
         }
-        if self.line.last() != Some(&b'\n') && length as u64 == MOST_BYTES {
+        if self.line.last() != Some(&b'\n') && length as u64 == MAX_LINE_BYTES {
             self.skip_line()?;
             return Ok(Some(None));
         }
@@ -159,19 +160,15 @@
     }
 
     /// Reads up to the end of a line, or as much as a line may have; how many bytes.
-    fn part(&mut self) -> Result<usize, String> {
+    fn part(&mut self) -> Result<usize, LogsError> {
         use std::io::Read;
         self.line.clear();
-        let mut part = self.file.by_ref().take(MOST_BYTES);
-        part.read_until(b'\n', &mut self.line).map_err(|e| with_path(&self.path, &e))
+        let mut part = self.file.by_ref().take(MAX_LINE_BYTES);
+        part.read_until(b'\n', &mut self.line).map_err(LogsError::file(&self.path))
     }
 
-    fn skip_line(&mut self) -> Result<(), String> {
+    fn skip_line(&mut self) -> Result<(), LogsError> {
         while self.part()? > 0 && self.line.last() != Some(&b'\n') {}
         Ok(())
     }
 }
-
-fn with_path(path: &Path, error: &std::io::Error) -> String {
-    format!("{}: {error}", path.display())
-}
--- a/lab/src/losses/mod.rs
+++ b/lab/src/losses/mod.rs
@@ -1,11 +1,12 @@
 //! Where offered sessions went, by the logs that relays wrote at `-vv`: which attempts were refused and why,
 //! how placed sessions ended, and the state of the fleet beside them, second by second.
 //!
-//! Logs are streamed, one relay after another. What is kept is a few numbers for each placed session, the
-//! versions of the list of backends, and the counts of each second.
+//! Logs are streamed, one relay after another. A few numbers are stored for each placed session, the
+//! versions of the endpoint list, and the counts of each second.
 mod account;
 mod attempt;
 mod backends;
+mod error;
 mod fields;
 mod histogram;
 mod logs;
@@ -18,16 +19,17 @@
 
 use account::Account;
 use attempt::{Attempt, Moment};
+pub use error::LogsError;
 use hallrelay_config::list::List;
 use logs::{Logs, Reader};
 use parse::Entry;
 use rows::{Losses, Read};
 use std::path::{Path, PathBuf};
 
-/// The part of all attempts that may be unaccounted for before the result is not to be trusted.
-pub const MOST_UNACCOUNTED: f64 = 0.05;
+/// Where more than this part of all attempts is unaccounted for, the result is not to be trusted.
+pub const MAX_UNACCOUNTED: f64 = 0.05;
 
-/// The command line.
+/// Options of the command.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Plan {
     /// A folder with the log of each relay (`*.log`), written at -vv.
@@ -39,9 +41,12 @@
     json: bool,
 }
 
-/// Reads the logs and prints what was asked for. Errors: logs that can't be read or that hold no events, an
-/// unknown session, or too much that is unaccounted for (after the result is printed).
-pub fn run(plan: &Plan) -> Result<(), String> {
+/// Reads the logs and prints their account, or the attempts of one client.
+///
+/// # Errors
+/// Logs that can't be read or have no events, an unknown session, or too much that is unaccounted for; the
+/// result is printed before that.
+pub fn run(plan: &Plan) -> Result<(), LogsError> {
     match plan.session {
         Some(id) => {
             let attempts = trace::follow(&plan.folder, id)?;
@@ -50,13 +55,16 @@
         None => {
             let losses = read(&plan.folder)?;
             show(plan.json, &losses, || print::losses(&losses))?;
-            trusted(&losses)
+            check_complete(&losses)
         }
     }
 }
 
 /// Where the offered sessions of a day went, by the logs in a folder.
-pub fn read(folder: &Path) -> Result<Losses, String> {
+///
+/// # Errors
+/// Logs that can't be read or have no events.
+pub fn read(folder: &Path) -> Result<Losses, LogsError> {
     let logs = Logs::find(folder)?;
     let mut accountant = Accountant::default();
     let read = logs.read(&mut accountant)?;
@@ -65,38 +73,31 @@
     Ok(Losses { read, ..losses })
 }
 
-fn has_events(folder: &Path, logs: &Logs, read: &Read) -> Result<(), String> {
+fn has_events(folder: &Path, logs: &Logs, read: &Read) -> Result<(), LogsError> {
     if read.entries > 0 {
         return Ok(());
     }
-    let (folder, files, lines) = (folder.display(), logs.count(), read.lines);
-    Err(format!(
-        "{folder}: no events in {files} files *.log, {lines} lines; relays must log at -vv (serve -vv)"
-    ))
+    Err(LogsError::NoEvents { folder: folder.to_path_buf(), files: logs.count(), lines: read.lines })
 }
 
-fn trusted(losses: &Losses) -> Result<(), String> {
+fn check_complete(losses: &Losses) -> Result<(), LogsError> {
     let part = losses.unaccounted_part();
-    if part <= MOST_UNACCOUNTED {
+    if part <= MAX_UNACCOUNTED {
         return Ok(());
     }
-    let most = 100.0 * MOST_UNACCOUNTED;
-    Err(format!(
-        "{:.1}% of the attempts are unaccounted for, over {most}%: the logs are not whole",
-        100.0 * part
-    ))
+    Err(LogsError::Incomplete { percent: 100.0 * part, max_percent: 100.0 * MAX_UNACCOUNTED })
 }
 
-fn show<T: serde::Serialize>(json: bool, value: &T, text: impl Fn() -> String) -> Result<(), String> {
+fn show<T: serde::Serialize>(json: bool, value: &T, text: impl Fn() -> String) -> Result<(), LogsError> {
     if json {
-        println!("{}", serde_json::to_string_pretty(value).map_err(|e| e.to_string())?);
+        println!("{}", serde_json::to_string_pretty(value)?);
     } else {
         print!("{}", text());
     }
     Ok(())
 }
 
-/// Passes on what the logs say to the account.
+/// Adds what the logs hold to the account.
 #[derive(Default)]
 struct Accountant {
     account: Account,
@@ -116,7 +117,7 @@
             Entry::Dial { addr, .. } | Entry::HealthCheck { addr } => {
                 self.account.backends.record_use(at.day, *addr)
             }
-            Entry::HealthCheckEnded { end, report } => self.account.probed(at, *end, *report),
+            Entry::HealthCheckEnded { end, report } => self.account.health_checked(at, *end, *report),
             _ => {}
         }
     }
--- a/lab/src/losses/open.rs
+++ b/lab/src/losses/open.rs
@@ -8,16 +8,29 @@
 /// A placed session.
 #[derive(Clone, Copy, Debug)]
 pub struct Stay {
-    /// The second in which it came up.
+    /// The second in which it was placed.
     pub from: u32,
     /// The second in which it ended; none where it was open as the day ended.
     pub to: Option<u32>,
-    /// 0 is none.
+    /// Its group; 0 is none.
     pub group: u64,
     /// The number of its backend.
     pub backend: u32,
 }
 
+impl Stay {
+    fn pair(&self) -> Pair {
+        Pair { group: self.group, backend: self.backend }
+    }
+}
+
+/// A group with a backend that holds a session of it.
+#[derive(PartialEq, Eq, Hash)]
+struct Pair {
+    group: u64,
+    backend: u32,
+}
+
 /// Sessions that are open, second by second.
 pub struct Open {
     /// Sorted by their beginning, the last first.
@@ -25,8 +38,8 @@
     /// Sorted by their end, the last first.
     going: Vec<Stay>,
     on_backend: HashMap<u32, u64>,
-    /// Sessions by group and backend.
-    pairs: HashMap<(u64, u32), u64>,
+    /// Sessions by pair of group and backend.
+    pairs: HashMap<Pair, u64>,
     /// Pairs by group.
     groups: HashMap<u64, u64>,
     /// Addresses by the numbers of backends, where they are known.
@@ -34,6 +47,7 @@
 }
 
 impl Open {
+    /// Nothing is open yet; `addresses` are those of the backends by their numbers.
     pub fn new(stays: Vec<Stay>, addresses: Vec<Option<SocketAddr>>) -> Open {
         let mut going: Vec<Stay> = stays.iter().copied().filter(|stay| stay.to.is_some()).collect();
         going.sort_by_key(|stay| std::cmp::Reverse(stay.to));
@@ -78,16 +92,16 @@
         if stay.group == 0 {
             return;
         }
-        let held = self.pairs.entry((stay.group, stay.backend)).or_default();
-        *held += 1;
-        if *held == 1 {
+        let sessions = self.pairs.entry(stay.pair()).or_default();
+        *sessions += 1;
+        if *sessions == 1 {
             *self.groups.entry(stay.group).or_default() += 1;
         }
     }
 
     fn remove(&mut self, stay: Stay) {
         take_one(&mut self.on_backend, stay.backend);
-        if stay.group != 0 && take_one(&mut self.pairs, (stay.group, stay.backend)) {
+        if stay.group != 0 && take_one(&mut self.pairs, stay.pair()) {
             take_one(&mut self.groups, stay.group);
         }
     }
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -4,16 +4,21 @@
 use hallrelay_config::list::{self, Instance, List};
 use std::net::SocketAddr;
 
-/// Seconds of the day beyond which a prefix is not believed: a week.
+/// Seconds of the day beyond which a prefix is ignored: a week.
 const MOST_SECONDS: f64 = 7.0 * 86_400.0;
 
 /// What a line of a log is.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
     /// A line of a relay's log.
-    Logged { time: Time, entry: Entry },
-    /// A process of the relay starts: its configuration, as a rig may write it into the log, with the list
-    /// in it where that can be read. Such a line bears no time of the day.
+    Logged {
+        /// When.
+        time: Time,
+        /// What.
+        entry: Entry,
+    },
+    /// A process of the relay starts: its configuration, as a test environment may write it into the log,
+    /// with the list in it where that can be read. Such a line has no time of the day.
     Configured(Option<List>),
     /// Begins as an entry that matters, and ends before it is whole.
     Cut,
@@ -24,25 +29,25 @@
 /// When a line was logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Time {
-    /// The prefix that a rig may write, in microseconds since the day began.
+    /// The prefix that a test environment may write, in microseconds since the day began.
     pub prefix: Option<Micros>,
     /// The relay's own clock, in microseconds since the year began.
     pub clock: Micros,
 }
 
-/// What a client's first line says, as far as it is accounted for.
+/// A client's first line, as far as it is accounted for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opening {
-    /// The mark of this attempt.
+    /// The id of this attempt, as in its `OPEN` line.
     pub id: u64,
-    /// The client's own mark, the same in all its attempts; 0 is none.
+    /// The client's idempotency key, the same in all its attempts; 0 is none.
     pub key: u64,
     /// Sessions of one group share work on a backend; 0 is none.
     pub group: u64,
     /// The client is back after an interruption or a move.
     pub returned: bool,
-    /// The connection stood at a backend before this process of the relay began.
-    pub standing: bool,
+    /// The connection was open at a backend before this process of the relay started.
+    pub pre_existing: bool,
 }
 
 /// The entries of a log that matter to the accounting, each after the event or effect of its name.
@@ -50,73 +55,115 @@
 pub enum Entry {
     /// The process serves.
     Serving,
+    /// A client has connected.
     ClientConnected {
+        /// Number of the connection, and of its session.
         connection_id: SessId,
     },
+    /// A client's first line was read.
     SessionRequested {
+        /// Number of the session in its process.
         session_id: SessId,
+        /// Its first line.
         opening: Opening,
     },
     /// A session that the process before this one had open, at a backend of this name.
     SessionAdopted {
+        /// Number of the session in its process.
         session_id: SessId,
+        /// Its first line.
         opening: Opening,
+        /// Name of the backend.
         backend: String,
     },
+    /// The relay dials a backend.
     Dial {
+        /// Number of the session in its process.
         session_id: SessId,
+        /// Address of the backend.
         addr: SocketAddr,
     },
+    /// A dial ended before its session was established.
     DialEnded {
+        /// Number of the session in its process.
         session_id: SessId,
+        /// Number of the dial, from 0.
         dial: u32,
+        /// How it ended.
         end: DialEnd,
     },
-    /// The session is open: lines pass both ways.
+    /// The session is established: lines are proxied.
     StartProxying {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// An open session ended at its backend.
     SessionEnded {
+        /// Number of the session in its process.
         session_id: SessId,
+        /// How it ended.
         end: DialEnd,
     },
+    /// A client has closed its side.
     ClientHalfClosed {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// A client's connection has ended.
     ClientDisconnected {
+        /// Number of the session in its process.
         session_id: SessId,
     },
-    /// Another process goes on with the session.
+    /// Another process has adopted the session.
     SessionHandedOver {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// The relay answers `BUSY`.
     Reject {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// The relay answers `FAIL`.
     TearDown {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// The relay answers `ERR`.
     ReportProtocolError {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// The relay closes the connection without an answer.
     CloseClient {
+        /// Number of the session in its process.
         session_id: SessId,
     },
+    /// The relay answers `MOVE`.
     Migrate {
+        /// Number of the session in its process.
         session_id: SessId,
     },
-    /// The relay's duty changes: whether it moves its own sessions away from now on.
+    /// The relay's lifecycle changes.
     Lifecycle {
-        leaves: bool,
+        /// Whether it migrates its open sessions from now on.
+        migrates_sessions: bool,
     },
+    /// The process ends by itself.
     Exit,
+    /// The relay checks the health of a backend.
     HealthCheck {
+        /// Address of the backend.
         addr: SocketAddr,
     },
+    /// A health check has ended.
     HealthCheckEnded {
+        /// How it ended.
         end: DialEnd,
+        /// The load report in its answer.
         report: LoadReport,
     },
+    /// An endpoint list, or its changes, received.
     EndpointList(List),
     /// So many lines of the log were dropped, since they came faster than they could be written.
     Dropped(u64),
@@ -127,7 +174,7 @@
 }
 
 impl Entry {
-    /// Whether it stands for an event or an effect, which are logged at `-vv` alone.
+    /// Whether it is an event or an effect, which are logged at `-vv` alone.
     pub fn is_event_or_effect(&self) -> bool {
         !matches!(self, Entry::Serving | Entry::Dropped(_) | Entry::Other)
     }
@@ -157,7 +204,7 @@
     json.starts_with('{').then(|| known(json))
 }
 
-/// The list in a configuration. What a rig writes behind the configuration is no part of it.
+/// The list in a configuration. What a test environment writes behind the configuration is no part of it.
 fn known(json: &str) -> Option<List> {
     let mut values = serde_json::Deserializer::from_str(json).into_iter::<serde_json::Value>();
     let configuration = values.next()?.ok()?;
@@ -185,7 +232,7 @@
     (0.0..MOST_SECONDS).contains(&seconds).then(|| (seconds * 1e6).round() as Micros)
 }
 
-/// Days since the year began, in a year without a 29th of February (logs bear no year).
+/// Days since the year began, in a year without a 29th of February (logs have no year).
 fn day_of_year(month: &str, day: &str) -> Option<Micros> {
     const MONTHS: [(&str, Micros); 12] = [
         ("Jan", 0),
@@ -272,7 +319,7 @@
         "SessionRequested" => Entry::SessionRequested { session_id: session_id()?, opening: opened(what)? },
         "SessionAdopted" => Entry::SessionAdopted {
             session_id: session_id()?,
-            opening: inherited(what)?,
+            opening: adopted(what)?,
             backend: fields::text(what, "server")?.to_string(),
         },
         "DialEnded" => Entry::DialEnded {
@@ -304,7 +351,7 @@
         "CloseClient" => Entry::CloseClient { session_id: session_id()? },
         "Migrate" => Entry::Migrate { session_id: session_id()? },
         "HealthCheck" => Entry::HealthCheck { addr: fields::parsed(what, "addr")? },
-        "Log" => duty(fields::text(what, "message").or_else(|| fields::text(what, "what"))?),
+        "Log" => lifecycle(fields::text(what, "message").or_else(|| fields::text(what, "what"))?),
         "Exit" => Entry::Exit,
         _ => Entry::OtherEvent,
     })
@@ -340,18 +387,18 @@
         key: fields::parsed(what, "key")?,
         group: fields::parsed(what, "group")?,
         returned: fields::parsed(what, "returned")?,
-        standing: at.starts_with("Some("),
+        pre_existing: at.starts_with("Some("),
     })
 }
 
-fn inherited(what: &str) -> Option<Opening> {
+fn adopted(what: &str) -> Option<Opening> {
     Some(Opening {
         // Older logs name it `mark`.
         id: fields::parsed(what, "id").or_else(|| fields::parsed(what, "mark"))?,
         key: fields::parsed(what, "key")?,
         group: fields::parsed(what, "group")?,
         returned: fields::parsed(what, "returned")?,
-        standing: false,
+        pre_existing: false,
     })
 }
 
@@ -413,11 +460,11 @@
     })
 }
 
-/// A note of the form `from serving to stopping` is a change of duty.
-fn duty(note: &str) -> Entry {
+/// A note of the form `from serving to stopping` is a change of lifecycle.
+fn lifecycle(note: &str) -> Entry {
     match note.strip_prefix("from ").and_then(|rest| rest.split_once(" to ")) {
-        Some((_, "draining" | "stopping" | "replaced")) => Entry::Lifecycle { leaves: true },
-        Some((_, "serving")) => Entry::Lifecycle { leaves: false },
+        Some((_, "draining" | "stopping" | "replaced")) => Entry::Lifecycle { migrates_sessions: true },
+        Some((_, "serving")) => Entry::Lifecycle { migrates_sessions: false },
         _ => Entry::OtherEvent,
     }
 }
--- a/lab/src/losses/print.rs
+++ b/lab/src/losses/print.rs
@@ -29,7 +29,7 @@
     *text += "   s opened   back  no dial  after dials   left  other  waiting  unknown  placed\n";
     let row = |text: &mut String, name: &str, a: &Attempts| {
         let fates = &a.fates;
-        let undialled = fates.refused_undialled + fates.failed_undialled;
+        let undialled = fates.rejected_undialled + fates.failed_undialled;
         let other = fates.served_at_once + fates.not_protocol + fates.too_late + fates.relay_ended;
         _ = writeln!(
             text,
@@ -49,7 +49,7 @@
     row(text, "sum", &losses.sum.attempts);
 }
 
-/// Sessions by the second in which they came up, and ended.
+/// Sessions by the second in which they were placed, and ended.
 fn sessions_table(losses: &Losses, text: &mut String) {
     *text += "\nsessions, by the second in which they came up and ended\n";
     *text +=
@@ -58,24 +58,24 @@
     let row = |text: &mut String, name: &str, s: &Second| {
         let Ends {
             client,
-            done,
-            sent_away,
+            complete,
+            migrated_by_backend,
             reset,
-            otherwise,
-            moved,
+            other,
+            migrated,
             relay_stop,
-            passed_on,
+            handed_over,
             relay_died,
             unaccounted,
         } = &s.ends;
         _ = writeln!(
             text,
-            "{name:>4} {:6} {:5} {:>7} {:>8} | {client:6} {done:6} {sent_away:5} {reset:6} {otherwise:6} \
-             {moved:6} {relay_stop:6} {passed_on:3} {relay_died:5} {unaccounted:8} | {:5}",
-            s.sessions.came_up,
-            s.sessions.taken_over,
-            shown(s.wait.median_ms),
-            shown(s.wait.worst_ms),
+            "{name:>4} {:6} {:5} {:>7} {:>8} | {client:6} {complete:6} {migrated_by_backend:5} {reset:6} \
+             {other:6} {migrated:6} {relay_stop:6} {handed_over:3} {relay_died:5} {unaccounted:8} | {:5}",
+            s.sessions.established,
+            s.sessions.adopted,
+            integer(s.wait.median_ms),
+            integer(s.wait.worst_ms),
             s.fleet.open
         );
     };
@@ -85,7 +85,7 @@
     row(text, "sum", &losses.sum);
 }
 
-/// The fleet at the end of each second, and the probes in it.
+/// The fleet at the end of each second, and the health checks in it.
 fn fleet_table(losses: &Losses, text: &mut String) {
     *text += "\nthe fleet at the end of each second\n";
     *text += "   s   open on started | ready draining started | groups  pairs pairs/group | probes failed  \
@@ -108,7 +108,7 @@
             p.failed,
             decimal(p.load_median),
             decimal(p.load_p90),
-            percent(p.piled_part)
+            percent(p.queued_part)
         );
     }
 }
@@ -119,7 +119,7 @@
     let (attempts, fates, after) = (&sum.attempts, &sum.attempts.fates, &sum.attempts.after_dials);
     let fate = |text: &mut String, name: &str, count: u64| row(text, name, count, attempts.opened);
     _ = writeln!(text, "\n{:48} {:7}  back {}", "opened", attempts.opened, attempts.returned);
-    fate(text, "refused without any dial", fates.refused_undialled);
+    fate(text, "refused without any dial", fates.rejected_undialled);
     fate(text, "failed without any dial", fates.failed_undialled);
     fate(text, "answered after dials", after.total());
     for (name, count) in [
@@ -131,7 +131,7 @@
         ("the last was recalled", after.recalled),
         ("the last was moot", after.moot),
         ("the last ended by BYE", after.ok),
-        ("the last was still out", after.out),
+        ("the last was still out", after.in_flight),
     ] {
         fate(text, &format!("  {name}"), count);
     }
@@ -155,27 +155,27 @@
 
 fn sums_of_sessions(losses: &Losses, text: &mut String) {
     let sum = &losses.sum;
-    let begun = sum.sessions.total();
-    let (median, worst) = (shown(sum.wait.median_ms), shown(sum.wait.worst_ms));
+    let established = sum.sessions.total();
+    let (median, worst) = (integer(sum.wait.median_ms), integer(sum.wait.worst_ms));
     _ = writeln!(
         text,
         "{:48} {:7}  median {median} ms, worst {worst} ms; {} more taken over",
-        "came up", sum.sessions.came_up, sum.sessions.taken_over
+        "came up", sum.sessions.established, sum.sessions.adopted
     );
     for (name, count) in [
         ("ended by the client", sum.ends.client),
-        ("done (BYE)", sum.ends.done),
-        ("sent away by the backend", sum.ends.sent_away),
+        ("done (BYE)", sum.ends.complete),
+        ("sent away by the backend", sum.ends.migrated_by_backend),
         ("reset by the backend", sum.ends.reset),
-        ("ended otherwise", sum.ends.otherwise),
-        ("moved by the relay", sum.ends.moved),
+        ("ended otherwise", sum.ends.other),
+        ("moved by the relay", sum.ends.migrated),
         ("moved as the relay stopped", sum.ends.relay_stop),
-        ("passed on to another process", sum.ends.passed_on),
+        ("passed on to another process", sum.ends.handed_over),
         ("the relay's process died", sum.ends.relay_died),
         ("unaccounted for", sum.ends.unaccounted),
         ("still open", sum.fleet.open),
     ] {
-        row(text, name, count, begun);
+        row(text, name, count, established);
     }
 }
 
@@ -187,10 +187,10 @@
 /// The last line.
 fn unaccounted(losses: &Losses, text: &mut String) {
     let kinds: Vec<String> =
-        losses.unaccounted.iter().map(|(gap, count)| format!("{}: {count}", gap.words())).collect();
+        losses.unaccounted.iter().map(|(gap, count)| format!("{}: {count}", gap.description())).collect();
     let kinds = if kinds.is_empty() { String::new() } else { format!(" ({})", kinds.join("; ")) };
     let part = 100.0 * losses.unaccounted_part();
-    _ = writeln!(text, "unaccounted for: {} attempts, {part:.2}%{kinds}", losses.unaccounted_in_all());
+    _ = writeln!(text, "unaccounted for: {} attempts, {part:.2}%{kinds}", losses.unaccounted_total());
 }
 
 /// One client's attempts.
@@ -198,17 +198,17 @@
     let mut text = String::new();
     for one in attempts {
         let back = if one.returned { ", back" } else { "" };
-        let taken_over = if one.taken_over { ", taken over" } else { "" };
+        let adopted = if one.adopted { ", taken over" } else { "" };
         _ = writeln!(
             text,
-            "{:8.3} s  {} id {} key {} group {}{back}{taken_over}",
+            "{:8.3} s  {} id {} key {} group {}{back}{adopted}",
             one.opened, one.relay, one.id, one.key, one.group
         );
         one.dials.iter().for_each(|dial| dialled(dial, &mut text));
         if let Some(placed) = one.placed {
             _ = writeln!(text, "{placed:8.3} s    placed");
         }
-        _ = writeln!(text, "{:8.3} s    {}", one.over, one.end);
+        _ = writeln!(text, "{:8.3} s    {}", one.ended_at, one.end);
     }
     text
 }
@@ -218,7 +218,7 @@
     _ = writeln!(text, "{:8.3} s    dial {}{end}", dial.at, dial.backend);
 }
 
-fn shown(value: Option<u32>) -> String {
+fn integer(value: Option<u32>) -> String {
     value.map_or("-".to_string(), |value| value.to_string())
 }
 
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -4,9 +4,9 @@
 use hallrelay_balancer::types::{DialEnd, Micros, SessId};
 use std::collections::{BTreeMap, HashSet};
 
-/// A log whose last line lies longer than this before the end of the day says nothing of what was still
-/// undecided: relays log an alarm or a probe each second or two.
-const QUIET: Micros = 5_000_000;
+/// Where the last line of a log is older than this at the end of the day, it is unknown what became of that
+/// which was undecided: relays log a timer or a health check each second or two.
+const MAX_SILENCE: Micros = 5_000_000;
 
 /// The sessions of one relay.
 pub struct Relay {
@@ -15,8 +15,8 @@
     active: BTreeMap<SessId, Attempt>,
     /// Sessions that are over, and whose connections are not: what is still logged of them counts no more.
     closing: HashSet<SessId>,
-    /// The relay moves its own sessions away: it drains, stops or is replaced.
-    leaves: bool,
+    /// The relay migrates its open sessions: it drains, stops or is replaced.
+    migrates_sessions: bool,
     /// The highest number of a connection in this process; a lower one is of the next process.
     newest: SessId,
     last: Moment,
@@ -28,12 +28,13 @@
 }
 
 impl Relay {
+    /// A relay whose log is read next.
     pub fn new(name: &str) -> Relay {
         Relay {
             name: name.to_string(),
             active: BTreeMap::new(),
             closing: HashSet::new(),
-            leaves: false,
+            migrates_sessions: false,
             newest: 0,
             last: Moment::default(),
             done: Vec::new(),
@@ -42,19 +43,20 @@
         }
     }
 
-    /// The log says that a process starts: what the one before it had left undecided ended with it.
-    pub fn starts(&mut self) {
-        self.ends();
+    /// A process starts: what its predecessor had left undecided ended with that.
+    pub fn process_started(&mut self) {
+        self.process_ended();
         self.closing.clear();
-        (self.leaves, self.newest) = (false, 0);
+        (self.migrates_sessions, self.newest) = (false, 0);
     }
 
+    /// The next entry of the log.
     pub fn entry(&mut self, at: Moment, entry: &Entry) {
         if let Entry::Serving = entry {
-            self.starts();
+            self.process_started();
         }
         if matches!(entry, Entry::ClientConnected { connection_id } if *connection_id <= self.newest) {
-            self.starts();
+            self.process_started();
         }
         if !matches!(entry, Entry::Other | Entry::Dropped(_)) && !self.running {
             self.running = true;
@@ -64,27 +66,27 @@
         match entry {
             Entry::ClientConnected { connection_id } => self.newest = *connection_id,
             Entry::SessionRequested { session_id, opening } => {
-                self.begins(at, *session_id, opening, Origin::Client)
+                self.begin(at, *session_id, opening, Origin::Client)
             }
             Entry::SessionAdopted { session_id, opening, backend } => {
-                self.begins(at, *session_id, opening, Origin::Process(backend.clone()));
+                self.begin(at, *session_id, opening, Origin::Process(backend.clone()));
             }
-            Entry::Dial { session_id, addr } => self.dials(at, *session_id, addr.to_string()),
+            Entry::Dial { session_id, addr } => self.dialled(at, *session_id, addr.to_string()),
             Entry::DialEnded { session_id, dial, end } => self.dial_ended(at, *session_id, *dial, *end),
-            Entry::StartProxying { session_id } => self.passes(at, *session_id),
+            Entry::StartProxying { session_id } => self.placed(at, *session_id),
             Entry::SessionEnded { session_id, end } => self.backend_ended(at, *session_id, *end),
             Entry::ClientHalfClosed { session_id } | Entry::ClientDisconnected { session_id } => {
                 self.client_ended(at, *session_id)
             }
             Entry::SessionHandedOver { session_id } => {
-                self.is_over(at, *session_id, Fate::ClientLeft, End::PassedOn)
+                self.end(at, *session_id, Fate::ClientLeft, End::HandedOver)
             }
-            Entry::Reject { session_id } => self.answered(at, *session_id, Fate::Refused),
+            Entry::Reject { session_id } => self.answered(at, *session_id, Fate::Rejected),
             Entry::TearDown { session_id } => self.answered(at, *session_id, Fate::Failed),
-            Entry::ReportProtocolError { session_id } => self.spurned(at, *session_id),
-            Entry::CloseClient { session_id } => self.is_over(at, *session_id, Fate::TooLate, End::Otherwise),
-            Entry::Migrate { session_id } => self.moved(at, *session_id),
-            Entry::Lifecycle { leaves } => self.leaves = *leaves,
+            Entry::ReportProtocolError { session_id } => self.protocol_violated(at, *session_id),
+            Entry::CloseClient { session_id } => self.end(at, *session_id, Fate::TooLate, End::Other),
+            Entry::Migrate { session_id } => self.migrated(at, *session_id),
+            Entry::Lifecycle { migrates_sessions } => self.migrates_sessions = *migrates_sessions,
             Entry::Exit => self.exits(),
             _ => {}
         }
@@ -95,8 +97,8 @@
 
     /// The log is over; `day_end` is the last moment in any log.
     pub fn finish(&mut self, day_end: Micros) {
-        let says_all = self.last.day + QUIET >= day_end;
-        let (fate, end) = match says_all {
+        let is_complete = self.last.day + MAX_SILENCE >= day_end;
+        let (fate, end) = match is_complete {
             true => (Fate::StillWaiting, End::StillOpen),
             false => (Fate::Unaccounted(Gap::LogEnds), End::Unaccounted(Gap::LogEnds)),
         };
@@ -108,17 +110,17 @@
         self.done.drain(..)
     }
 
-    fn begins(&mut self, at: Moment, session_id: SessId, opening: &Opening, origin: Origin) {
+    fn begin(&mut self, at: Moment, session_id: SessId, opening: &Opening, origin: Origin) {
         if let Some(before) = self.active.remove(&session_id) {
             let gap = Gap::NumberReused;
-            self.hand_on(before, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
+            self.finish_attempt(before, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
         }
         self.closing.remove(&session_id);
         self.active.insert(session_id, Attempt::new(&self.name, at, opening.clone(), origin));
     }
 
-    fn dials(&mut self, at: Moment, session_id: SessId, backend: String) {
-        self.expects(at, session_id);
+    fn dialled(&mut self, at: Moment, session_id: SessId, backend: String) {
+        self.require_opening(at, session_id);
         if let Some(attempt) = self.active.get_mut(&session_id) {
             attempt.dials.push(Dial { at, backend, end: None });
         }
@@ -128,20 +130,20 @@
         let Some(attempt) = self.active.get_mut(&session_id).filter(|one| one.placed.is_none()) else {
             return;
         };
-        // Words of an earlier dial are late.
+        // The end of an earlier dial.
         if attempt.dials.len() != number as usize + 1 {
             return;
         }
         if let Some(dial) = attempt.dials.last_mut() {
-            dial.end = Some((at, end));
+            dial.end = Some(end);
         }
-        if end == DialEnd::Ok && !attempt.opening.standing {
-            self.is_over(at, session_id, Fate::ServedAtOnce, End::Otherwise);
+        if end == DialEnd::Ok && !attempt.opening.pre_existing {
+            self.end(at, session_id, Fate::ServedAtOnce, End::Other);
         }
     }
 
-    fn passes(&mut self, at: Moment, session_id: SessId) {
-        self.expects(at, session_id);
+    fn placed(&mut self, at: Moment, session_id: SessId) {
+        self.require_opening(at, session_id);
         if let Some(attempt) = self.active.get_mut(&session_id) {
             attempt.placed.get_or_insert(at);
         }
@@ -149,44 +151,44 @@
 
     fn backend_ended(&mut self, at: Moment, session_id: SessId, end: DialEnd) {
         let end = match end {
-            DialEnd::Ok => End::Done,
-            DialEnd::Recalled => End::SentAway,
+            DialEnd::Ok => End::Complete,
+            DialEnd::Recalled => End::MigratedByBackend,
             DialEnd::Reset => End::Reset,
-            _ => End::Otherwise,
+            _ => End::Other,
         };
-        self.is_over(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
     fn client_ended(&mut self, at: Moment, session_id: SessId) {
-        self.is_over(at, session_id, Fate::ClientLeft, End::Client);
+        self.end(at, session_id, Fate::ClientLeft, End::Client);
     }
 
-    fn spurned(&mut self, at: Moment, session_id: SessId) {
+    fn protocol_violated(&mut self, at: Moment, session_id: SessId) {
         // Connections that never became a session are answered so as well.
-        self.is_over(at, session_id, Fate::NotProtocol, End::Otherwise);
+        self.end(at, session_id, Fate::NotProtocol, End::Other);
     }
 
-    fn moved(&mut self, at: Moment, session_id: SessId) {
-        let end = if self.leaves { End::RelayStop } else { End::Moved };
-        self.is_over(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
+    fn migrated(&mut self, at: Moment, session_id: SessId) {
+        let end = if self.migrates_sessions { End::RelayStop } else { End::Migrated };
+        self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
     /// A final answer of the relay's own; what it is called depends on the dials before it.
     fn answered(&mut self, at: Moment, session_id: SessId, fate: fn(LastDial) -> Fate) {
-        self.expects(at, session_id);
+        self.require_opening(at, session_id);
         let Some(attempt) = self.active.get(&session_id) else { return };
         let fate = fate(attempt.last_dial());
-        self.is_over(at, session_id, fate, End::Otherwise);
+        self.end(at, session_id, fate, End::Other);
     }
 
     fn exits(&mut self) {
-        self.ends();
+        self.process_ended();
         self.closing.clear();
     }
 
-    /// What is undecided or open as a process ends; it ends with it.
-    fn ends(&mut self) {
-        let end = if self.leaves { End::RelayStop } else { End::RelayDied };
+    /// What is undecided or open as a process ends, ends with it.
+    fn process_ended(&mut self) {
+        let end = if self.migrates_sessions { End::RelayStop } else { End::RelayDied };
         self.end_all(&Fate::RelayEnded, end);
         self.running = false;
     }
@@ -194,30 +196,30 @@
     fn end_all(&mut self, fate: &Fate, end: End) {
         let at = self.last;
         for (_, attempt) in std::mem::take(&mut self.active) {
-            self.hand_on(attempt, at, fate, end);
+            self.finish_attempt(attempt, at, fate, end);
         }
     }
 
-    /// An attempt of which this is the first word: its opening is not in the log.
-    fn expects(&mut self, at: Moment, session_id: SessId) {
+    /// Where this is the first entry of an attempt, its opening is not in the log.
+    fn require_opening(&mut self, at: Moment, session_id: SessId) {
         if self.active.contains_key(&session_id) || !self.closing.insert(session_id) {
             return;
         }
-        let opening = Opening { id: 0, key: 0, group: 0, returned: false, standing: false };
+        let opening = Opening { id: 0, key: 0, group: 0, returned: false, pre_existing: false };
         let attempt = Attempt::new(&self.name, at, opening, Origin::Missing);
         let gap = Gap::NeverOpened;
-        self.hand_on(attempt, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
+        self.finish_attempt(attempt, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
     }
 
     /// The attempt is over: by `fate` where it was not placed, else by `end`.
-    fn is_over(&mut self, at: Moment, session_id: SessId, fate: Fate, end: End) {
+    fn end(&mut self, at: Moment, session_id: SessId, fate: Fate, end: End) {
         let Some(attempt) = self.active.remove(&session_id) else { return };
         self.closing.insert(session_id);
-        self.hand_on(attempt, at, &fate, end);
+        self.finish_attempt(attempt, at, &fate, end);
     }
 
-    fn hand_on(&mut self, mut attempt: Attempt, at: Moment, fate: &Fate, end: End) {
-        attempt.over = at;
+    fn finish_attempt(&mut self, mut attempt: Attempt, at: Moment, fate: &Fate, end: End) {
+        attempt.ended_at = at;
         (attempt.fate, attempt.end) = match attempt.placed {
             Some(_) => (Fate::Placed, Some(end)),
             None => (fate.clone(), None),
--- a/lab/src/losses/trace.rs
+++ b/lab/src/losses/trace.rs
@@ -1,5 +1,6 @@
 //! One client's attempts at all relays, in the order in which it made them.
 use super::attempt::{Attempt, End, Fate, Origin};
+use super::error::LogsError;
 use super::logs::{Logs, Reader};
 use serde::Serialize;
 use std::path::Path;
@@ -7,42 +8,51 @@
 /// One attempt, as it is printed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Traced {
+    /// Its id, as in its `OPEN` line.
     pub id: u64,
-    /// The client's own mark, the same in all its attempts.
+    /// The client's idempotency key, the same in all its attempts.
     pub key: u64,
+    /// Sessions of one group share work on a backend; 0 is none.
     pub group: u64,
+    /// The relay, by the name of its log.
     pub relay: String,
     /// Seconds of the day.
     pub opened: f64,
+    /// The client is back after an interruption or a move.
     pub returned: bool,
-    /// It came from another process of the relay, which had it open.
-    pub taken_over: bool,
+    /// It was adopted from another process of the relay, which had it open.
+    #[serde(rename = "taken_over")]
+    pub adopted: bool,
+    /// Its dials, in their order.
     pub dials: Vec<TracedDial>,
-    /// Seconds of the day.
+    /// Seconds of the day at which it was placed.
     pub placed: Option<f64>,
     /// Seconds of the day at which it was answered, or at which the session ended.
-    pub over: f64,
+    #[serde(rename = "over")]
+    pub ended_at: f64,
     /// What became of it, in words.
     pub end: String,
 }
 
+/// One dial, as it is printed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TracedDial {
     /// Seconds of the day.
     pub at: f64,
+    /// Address of the backend.
     pub backend: String,
-    /// How it ended; none where it came up, or was still out.
+    /// How it ended; none where the session was established, or the dial was in flight.
     pub end: Option<String>,
 }
 
 /// All attempts of the client that made the attempt of this id.
-pub fn follow(folder: &Path, id: u64) -> Result<Vec<Traced>, String> {
+pub fn follow(folder: &Path, id: u64) -> Result<Vec<Traced>, LogsError> {
     let logs = Logs::find(folder)?;
     let mut search = Search { id, key: None };
     let read = logs.read(&mut search)?;
     super::has_events(folder, &logs, &read)?;
     let Some(key) = search.key else {
-        return Err(format!("{}: no relay logged an OPEN with the id {id}", folder.display()));
+        return Err(LogsError::UnknownSession { folder: folder.to_path_buf(), id });
     };
     let mut collect = Collect { id, key, found: Vec::new() };
     logs.read(&mut collect)?;
@@ -64,7 +74,7 @@
     }
 }
 
-/// The second pass: all that bears this key. A key of 0 is none, and tells nothing of other attempts.
+/// The second pass: all attempts with this key; a key of 0 is none.
 struct Collect {
     id: u64,
     key: u64,
@@ -85,7 +95,7 @@
     let dials = attempt.dials.iter().map(|dial| TracedDial {
         at: dial.at.seconds(),
         backend: dial.backend.clone(),
-        end: dial.end.map(|(_, end)| format!("{end:?}").to_lowercase()),
+        end: dial.end.map(|end| format!("{end:?}").to_lowercase()),
     });
     Traced {
         id: attempt.opening.id,
@@ -94,42 +104,42 @@
         relay: attempt.relay.clone(),
         opened: attempt.opened.seconds(),
         returned: attempt.opening.returned,
-        taken_over: matches!(attempt.origin, Origin::Process(_)),
+        adopted: matches!(attempt.origin, Origin::Process(_)),
         dials: dials.collect(),
         placed: attempt.placed.map(|placed| placed.seconds()),
-        over: attempt.over.seconds(),
-        end: words(attempt).to_string(),
+        ended_at: attempt.ended_at.seconds(),
+        end: description(attempt).to_string(),
     }
 }
 
-fn words(attempt: &Attempt) -> &'static str {
+fn description(attempt: &Attempt) -> &'static str {
     match (&attempt.fate, attempt.end) {
-        (_, Some(end)) => end_words(end),
+        (_, Some(end)) => end_description(end),
         (Fate::Placed, None) => "placed",
         (Fate::ServedAtOnce, _) => "served at once",
-        (Fate::Refused(_), _) => "refused",
+        (Fate::Rejected(_), _) => "refused",
         (Fate::Failed(_), _) => "failed",
         (Fate::NotProtocol, _) => "not of the protocol",
         (Fate::ClientLeft, _) => "the client left before it was answered",
         (Fate::TooLate, _) => "closed without an answer",
         (Fate::RelayEnded, _) => "the relay's process ended first",
         (Fate::StillWaiting, _) => "still waiting as the day ends",
-        (Fate::Unaccounted(gap), _) => gap.words(),
+        (Fate::Unaccounted(gap), _) => gap.description(),
     }
 }
 
-fn end_words(end: End) -> &'static str {
+fn end_description(end: End) -> &'static str {
     match end {
         End::Client => "ended by the client",
-        End::Done => "done (BYE)",
-        End::SentAway => "sent away by the backend (MOVE)",
+        End::Complete => "done (BYE)",
+        End::MigratedByBackend => "sent away by the backend (MOVE)",
         End::Reset => "reset by the backend",
-        End::Otherwise => "ended otherwise",
-        End::Moved => "moved by the relay",
+        End::Other => "ended otherwise",
+        End::Migrated => "moved by the relay",
         End::RelayStop => "moved as the relay stopped",
-        End::PassedOn => "passed on to another process",
+        End::HandedOver => "passed on to another process",
         End::RelayDied => "the relay's process died",
         End::StillOpen => "still open as the day ends",
-        End::Unaccounted(gap) => gap.words(),
+        End::Unaccounted(gap) => gap.description(),
     }
 }
--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -3,9 +3,10 @@
 //! heartbeats as the baseline.
 mod simulation;
 
+use crate::error::LabError;
 use hallrelay_emulator::membership_audit::DetectionTimes;
 use serde::Serialize;
-use simulation::{Simulation, Tally, WARM_UP};
+use simulation::{Counts, Simulation, WARM_UP};
 use std::fmt::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -80,16 +81,16 @@
 /// Runs all days of a plan.
 ///
 /// # Errors
-/// A text for the user, where an option is out of its bounds.
-pub fn run(plan: &Plan) -> Result<Vec<Row>, String> {
+/// Where an option is out of its bounds.
+pub fn run(plan: &Plan) -> Result<Vec<Row>, LabError> {
     if plan.counts.iter().any(|n| *n == 0 || *n > 1_000) {
-        return Err("--counts: wanted 1 to 1000 relays".to_string());
+        return Err(LabError::RelayCounts);
     }
     if plan.loss.iter().any(|part| !(0.0..1.0).contains(part)) {
-        return Err("--loss: wanted parts from 0 to below 1".to_string());
+        return Err(LabError::LossParts);
     }
     if plan.seconds * 1_000_000 <= WARM_UP || plan.rounds == 0 {
-        return Err("--seconds: wanted more than 20, and --rounds 1 at least".to_string());
+        return Err(LabError::DayLength);
     }
     let mut rows = Vec::new();
     for &relays in &plan.counts {
@@ -101,7 +102,7 @@
 }
 
 fn row(plan: &Plan, relays: usize, loss: f64) -> Row {
-    let tally = simulate_all(plan, relays, loss);
+    let counts = simulate_all(plan, relays, loss);
     let seconds = (plan.rounds * (plan.seconds - WARM_UP / 1_000_000)) as f64;
     let per_relay_second = |sum: f64| sum / seconds / relays as f64;
     Row {
@@ -110,21 +111,21 @@
         loss,
         days: plan.rounds,
         hours: seconds / 3600.0,
-        detection: DetectionTimes::of(&tally.detection_times),
-        detection_by_all: DetectionTimes::of(&tally.detection_times_by_all),
-        undetected: tally.undetected,
-        falsely_dead: tally.falsely_dead,
-        suspicions: tally.suspicions,
-        datagrams: per_relay_second(tally.datagrams as f64),
-        bytes: per_relay_second(tally.bytes as f64),
-        cpu_us: per_relay_second(tally.cpu_s * 1e6),
+        detection: DetectionTimes::of(&counts.detection_times),
+        detection_by_all: DetectionTimes::of(&counts.detection_times_by_all),
+        undetected: counts.undetected,
+        falsely_dead: counts.falsely_dead,
+        suspicions: counts.suspicions,
+        datagrams: per_relay_second(counts.datagrams as f64),
+        bytes: per_relay_second(counts.bytes as f64),
+        cpu_us: per_relay_second(counts.cpu_s * 1e6),
     }
 }
 
 /// Simulates the days of all seeds, on all cores.
-fn simulate_all(plan: &Plan, relays: usize, loss: f64) -> Tally {
+fn simulate_all(plan: &Plan, relays: usize, loss: f64) -> Counts {
     let next_round = AtomicUsize::new(0);
-    let total = Mutex::new(Tally::default());
+    let total = Mutex::new(Counts::default());
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..cores.min(plan.rounds as usize) {
@@ -133,10 +134,10 @@
                 if round >= plan.rounds {
                     return;
                 }
-                let tally = Simulation::new(plan, relays, loss, plan.seed + round).run();
+                let counts = Simulation::new(plan, relays, loss, plan.seed + round).run();
                 // No thread panics while it holds the lock.
                 let Ok(mut total) = total.lock() else { return };
-                total.add(tally);
+                total.add(counts);
             });
         }
     });
--- a/lab/src/members/simulation.rs
+++ b/lab/src/members/simulation.rs
@@ -37,7 +37,7 @@
 
 /// Sums of one day, or of several.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct Counts {
     pub(super) detection_times: Vec<Micros>,
     pub(super) detection_times_by_all: Vec<Micros>,
     pub(super) undetected: usize,
@@ -48,8 +48,8 @@
     pub(super) cpu_s: f64,
 }
 
-impl Tally {
-    pub(super) fn add(&mut self, other: Tally) {
+impl Counts {
+    pub(super) fn add(&mut self, other: Counts) {
         self.detection_times.extend(other.detection_times);
         self.detection_times_by_all.extend(other.detection_times_by_all);
         self.undetected += other.undetected;
@@ -126,7 +126,7 @@
     protocol: Option<Protocol>,
     /// Counts its processes.
     process: u32,
-    /// While it stalls: what came meanwhile.
+    /// While it stalls: what arrived meanwhile.
     stalled: Option<Vec<Event>>,
     /// When it last went down or up, or woke.
     disturbed_at: Micros,
@@ -158,7 +158,7 @@
     relays: Vec<Relay>,
     names: Vec<Rc<str>>,
     death: Option<Death>,
-    tally: Tally,
+    counts: Counts,
 }
 
 impl Simulation<'_> {
@@ -178,11 +178,11 @@
             relays: (0..count).map(|_| Relay::default()).collect(),
             names: (0..count).map(|relay| format!("relay-{relay}").into()).collect(),
             death: None,
-            tally: Tally::default(),
+            counts: Counts::default(),
         }
     }
 
-    pub(super) fn run(mut self) -> Tally {
+    pub(super) fn run(mut self) -> Counts {
         let end = BEGIN + self.plan.seconds * 1_000_000;
         self.schedule_first_events();
         let mut started = Instant::now();
@@ -198,8 +198,8 @@
             }
         }
         // The queue's time is in it: an upper bound of what relays need.
-        self.tally.cpu_s = started.elapsed().as_secs_f64();
-        self.tally
+        self.counts.cpu_s = started.elapsed().as_secs_f64();
+        self.counts
     }
 
     fn schedule_first_events(&mut self) {
@@ -255,7 +255,7 @@
     /// Ends the wait for detections of the last death.
     fn close_death(&mut self) {
         if self.death.take().is_some_and(|death| death.waiting_count > 0) {
-            self.tally.undetected += 1;
+            self.counts.undetected += 1;
         }
     }
 
@@ -358,7 +358,7 @@
 
     fn send_datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         if self.now >= BEGIN + WARM_UP {
-            self.tally.datagrams += 1;
+            self.counts.datagrams += 1;
         }
         self.count_bytes(bytes.len());
         let mut arrivals = Vec::with_capacity(1);
@@ -370,7 +370,7 @@
 
     fn count_bytes(&mut self, bytes: usize) {
         if self.now >= BEGIN + WARM_UP {
-            self.tally.bytes += bytes as u64;
+            self.counts.bytes += bytes as u64;
         }
     }
 
@@ -393,7 +393,7 @@
         let mut effects = Vec::new();
         let suspicions_before = membership.counters.suspicions;
         membership.step(self.now, event, &mut effects);
-        self.tally.suspicions += membership.counters.suspicions - suspicions_before;
+        self.counts.suspicions += membership.counters.suspicions - suspicions_before;
         for effect in effects {
             self.carry_out(relay, effect);
         }
@@ -438,16 +438,16 @@
         let relay = &self.relays[subject];
         let is_running = relay.protocol.is_some() && relay.stalled.is_none();
         if is_running && self.now > relay.disturbed_at + EXCUSED_FOR {
-            self.tally.falsely_dead += 1;
+            self.counts.falsely_dead += 1;
         }
         let death = self.death.as_mut();
         let Some(death) = death.filter(|death| death.relay == subject && death.is_waiting[observer]) else {
             return;
         };
         death.stop_waiting_for(observer);
-        self.tally.detection_times.push(self.now - death.at);
+        self.counts.detection_times.push(self.now - death.at);
         if death.waiting_count == 0 {
-            self.tally.detection_times_by_all.push(self.now - death.at);
+            self.counts.detection_times_by_all.push(self.now - death.at);
         }
     }
 }
--- a/lab/src/relays.rs
+++ b/lab/src/relay_process.rs
@@ -1,25 +1,27 @@
-//! Real relay processes: started with a configuration of their own, watched, told to stop, killed. None
-//! outlives the laboratory.
+//! Processes of relays: started with a configuration of their own, observed, signalled, killed. None outlives
+//! the laboratory.
+use crate::error::LabError;
 use hallrelay_emulator::service::RelayFigures;
+use std::fs::OpenOptions;
 use std::os::unix::process::ExitStatusExt;
 use std::path::{Path, PathBuf};
 use std::process::{ExitStatus, Stdio};
 use tokio::process::{Child, Command};
 
-/// Which relay is started.
+/// Which build of the relay is started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Program {
     /// The one that this laboratory was built with, as a process of its own.
     Own,
-    /// Another build.
+    /// The program of another build.
     At(PathBuf),
 }
 
 impl Program {
-    fn command(&self) -> Result<Command, String> {
+    fn command(&self) -> Result<Command, LabError> {
         match self {
             Program::Own => {
-                let own = std::env::current_exe().map_err(|e| format!("this program is not found: {e}"))?;
+                let own = std::env::current_exe().map_err(LabError::OwnProgram)?;
                 let mut command = Command::new(own);
                 command.arg("relay");
                 Ok(command)
@@ -29,33 +31,41 @@
     }
 }
 
+/// Settings of a relay that are read from the environment; a relay of the laboratory gets none of them.
+const SETTINGS_IN_ENVIRONMENT: [&str; 5] =
+    ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"];
+
+/// A relay's process; it is killed as this value is dropped.
 pub struct Process {
     child: Child,
+    /// Its number in the system.
     pub pid: u32,
 }
 
 impl Process {
-    /// Starts a relay with a configuration's file; what it logs goes behind what is in a file already.
+    /// Starts a relay with a configuration file. It logs to the end of `log`; processes of one relay that are
+    /// to find each other, for a hot restart, share `hot_restart_folder`.
+    ///
+    /// # Errors
+    /// Where the log can't be opened or the program can't be started.
     pub fn start(
         program: &Program,
         config: &Path,
         log: &Path,
-        meets: Option<&Path>,
-    ) -> Result<Process, String> {
-        let told = |e: std::io::Error| format!("{}: {e}", log.display());
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(log).map_err(told)?;
+        hot_restart_folder: Option<&Path>,
+    ) -> Result<Process, LabError> {
+        let log_file = OpenOptions::new().create(true).append(true).open(log).map_err(LabError::file(log))?;
         let mut command = program.command()?;
         command.arg("serve").arg("--config").arg(config);
-        for name in ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"] {
+        for name in SETTINGS_IN_ENVIRONMENT {
             command.env_remove(name);
         }
-        // Where processes of one relay meet, if they are to.
-        match meets {
+        match hot_restart_folder {
             Some(folder) => command.env("TMPDIR", folder),
             None => command.env_remove("TMPDIR"),
         };
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
-        // An interrupt from the keyboard is the laboratory's to hear; it ends them itself.
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log_file).kill_on_drop(true);
+        // An interrupt from the keyboard is for the laboratory, which ends them itself.
         command.process_group(0);
         // SAFETY: prctl is safe to call between fork and exec; it only sets what happens as the parent ends.
         unsafe {
@@ -64,27 +74,30 @@
                 _ => Err(std::io::Error::last_os_error()),
             });
         }
-        let child = command.spawn().map_err(|e| format!("the relay does not start: {e}"))?;
-        let pid = child.id().ok_or("the relay ended at once")?;
+        let child = command.spawn().map_err(LabError::RelaySpawn)?;
+        let pid = child.id().ok_or(LabError::RelayEndedAtOnce)?;
         Ok(Process { child, pid })
     }
 
+    /// Sends it a signal, such as `SIGTERM`.
     pub fn signal(&self, signal: i32) {
         // SAFETY: the process is our own child, and is not reaped as long as this value lives.
         unsafe { libc::kill(self.pid as i32, signal) };
     }
 
-    /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// How it ended; none while it runs.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
+    /// Kills it and waits for its end.
     pub async fn kill(&mut self) {
         _ = self.child.kill().await;
     }
 
-    /// What the system counts of it: CPU seconds, most resident memory, descriptors now.
-    pub fn figures(&self) -> Option<RelayFigures> {
+    /// Its CPU seconds, peak of resident memory and descriptors now, as the system counts them; none where
+    /// they can't be read, as after its end.
+    pub fn usage(&self) -> Option<RelayFigures> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid)).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         // Fields 14 and 15 of the whole line, user and system time, in ticks.
@@ -103,8 +116,8 @@
     }
 }
 
-/// How a process ended, in words.
-pub fn how(status: ExitStatus) -> String {
+/// How a process ended: `exit 1`, `signal 9`.
+pub fn describe_exit(status: ExitStatus) -> String {
     match (status.code(), status.signal()) {
         (Some(code), _) => format!("exit {code}"),
         (None, Some(signal)) => format!("signal {signal}"),
@@ -112,9 +125,10 @@
     }
 }
 
-/// The last lines of a log, for whoever asks why.
-pub fn tail(log: &Path) -> String {
+/// The last five lines of a log; empty where it can't be read.
+pub fn log_tail(log: &Path) -> String {
+    const LINES: usize = 5;
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(5)..].join("\n")
+    lines[lines.len().saturating_sub(LINES)..].join("\n")
 }
--- a/lab/src/membership_report.rs
+++ b/lab/src/report/membership.rs
@@ -1,6 +1,6 @@
 //! What the membership audit found, as some lines of text and as a part of the report page: a lane for each
 //! relay.
-use crate::html::escape;
+use super::html::escape;
 use hallrelay_emulator::membership_audit::{DetectionTimes, LaneEntry, MembershipOutcome};
 use hallrelay_emulator::node::name;
 use hallrelay_emulator::service::Outcome;
@@ -18,7 +18,7 @@
 const LEGEND: [&str; 5] = ["whole", "parts missing", "cut off", "stalled", "down"];
 
 /// Appends the lines of text.
-pub fn text(membership: &MembershipOutcome, out: &mut String) {
+pub(super) fn text(membership: &MembershipOutcome, out: &mut String) {
     detection_text("deaths", &membership.deaths, out);
     detection_text("returns", &membership.returns, out);
     let [sent, arrived, lost, damaged] = membership.datagrams;
@@ -67,7 +67,7 @@
 }
 
 /// The part of the report page.
-pub fn page(outcome: &Outcome, membership: &MembershipOutcome) -> String {
+pub(super) fn page(outcome: &Outcome, membership: &MembershipOutcome) -> String {
     let mut page = String::from("<h2>What each relay believed</h2><p>");
     for word in LEGEND {
         _ = write!(page, "<span style=\"background:{};padding:0 .6em\">{word}</span> ", colour(word));
--- /dev/null
+++ b/lab/src/sockets/mod.rs
@@ -0,0 +1,224 @@
+//! A day on sockets: processes of relays, and the emulated clients, servers and discovery service around them
+//! on loopback addresses.
+mod descriptors;
+mod relays;
+
+use crate::error::LabError;
+use crate::relay_process::Program;
+pub use descriptors::{descriptors_needed, raise_descriptor_limit};
+use hallrelay_config::scenario::{Scenario, TroubleKind};
+use hallrelay_emulator::day::Day;
+use hallrelay_emulator::net::links::{self, RelayAddresses};
+use hallrelay_emulator::net::{bad, free_port, list, places, server, Clock, Host, Shared};
+use hallrelay_emulator::node::{self, Place};
+use hallrelay_emulator::service::Outcome;
+use relays::Relay;
+use std::future::Future;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::path::Path;
+use std::time::Duration;
+
+/// A relay that does not answer `PING` so long after its start is given up.
+pub const START_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Most relays on sockets: each has addresses of its own towards each server, 127.16 to 127.79.
+const MAX_RELAYS: usize = 64;
+
+/// Interval at which ends of processes are noticed and views are polled.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// CPU and memory of relays are read at every so many checks.
+const CHECKS_PER_USAGE: u64 = 5;
+
+/// How a day on sockets is played.
+pub struct Options<'a> {
+    /// Which build of the relay.
+    pub program: Program,
+    /// Folder for configurations, logs and stores of the relays.
+    pub out: &'a Path,
+    /// Called with the part of the day that is done, from 0 to 1.
+    pub progress: &'a dyn Fn(f64),
+}
+
+/// A day as it is played.
+struct SocketDay<'a> {
+    scenario: &'a Scenario,
+    seed: u64,
+    host: Shared,
+    /// Addresses for the emulated links, where relays know each other.
+    addresses: Option<RelayAddresses>,
+    relays: Vec<Relay>,
+    options: &'a Options<'a>,
+}
+
+/// Plays a day until its end, or until `interrupted` completes; the outcome is then marked as partial. All
+/// that it started has ended when this returns, or is dropped.
+///
+/// # Errors
+/// Where the day can't be played on sockets, ports or descriptors are missing, or a relay does not start.
+pub async fn run(
+    scenario: &Scenario,
+    seed: u64,
+    options: &Options<'_>,
+    interrupted: impl Future<Output = ()>,
+) -> Result<Outcome, LabError> {
+    check_limits(scenario, options.out)?;
+    let relay_count = scenario.relays.count;
+    let addresses = match scenario.relays.fleet {
+        true => Some(RelayAddresses::free(relay_count).map_err(LabError::emulator)?),
+        false => None,
+    };
+    let server_addresses = places(relay_count, scenario.server_count()).map_err(LabError::emulator)?;
+    let relay_addresses = relay_addresses(scenario)?;
+    let clock = Clock::anchored();
+    // Relays start and standing sessions come up before the day begins.
+    let preparation = 1_000_000 + scenario.load.standing as u64 * 500;
+    let day = Day::new(scenario, seed, clock.now() + preparation);
+    let host = Host::new(day, clock, server_addresses, relay_addresses);
+    let mut day = SocketDay { scenario, seed, host, addresses, relays: Vec::new(), options };
+    serve_fleet(&day.host).await?;
+    if let Some(addresses) = &day.addresses {
+        links::serve(addresses.clone(), &day.host).await.map_err(LabError::emulator)?;
+    }
+    for relay in 0..relay_count {
+        day.relays.push(Relay::new(relay, options.out));
+        day.start(relay)?;
+    }
+    for relay in 0..relay_count {
+        day.wait_until_serving(relay).await?;
+    }
+    let servers = scenario.server_count();
+    day.host.with(|day, now, todo| day.clients.standing(now, servers, &mut todo.does));
+    tokio::task::spawn_local(bad::run(day.host.clone()));
+    let partial = day.play(interrupted).await?;
+    Ok(day.finish(partial).await)
+}
+
+/// What must hold before anything is started; makes the folder of results.
+fn check_limits(scenario: &Scenario, out: &Path) -> Result<(), LabError> {
+    if scenario.troubles.iter().any(|trouble| trouble.kind == TroubleKind::RelaysOut) {
+        return Err(LabError::DrainsOnSockets);
+    }
+    raise_descriptor_limit(scenario, descriptors_needed(scenario))?;
+    std::fs::create_dir_all(out).map_err(LabError::file(out))?;
+    if scenario.relays.count > MAX_RELAYS {
+        return Err(LabError::TooManyRelays { count: scenario.relays.count, max: MAX_RELAYS });
+    }
+    Ok(())
+}
+
+/// Where the relays listen: free ports of an address each, or those that the scenario names.
+fn relay_addresses(scenario: &Scenario) -> Result<Vec<SocketAddr>, LabError> {
+    let address = |relay: usize| {
+        if scenario.relays.first_port == 0 {
+            let ip = Ipv4Addr::new(127, 8, (relay / 250) as u8, (relay % 250 + 1) as u8);
+            return free_port(ip).map_err(LabError::emulator);
+        }
+        let port = scenario.relays.first_port.checked_add(relay as u16).ok_or(LabError::PortRange)?;
+        let addr = SocketAddr::from(([127, 0, 0, 1], port));
+        match TcpListener::bind(addr) {
+            Ok(_) => Ok(addr),
+            Err(source) => Err(LabError::PortInUse { addr, source }),
+        }
+    };
+    (0..scenario.relays.count).map(address).collect()
+}
+
+impl SocketDay<'_> {
+    /// Plays the day; returns why it ended before its time, if it did.
+    async fn play(&mut self, interrupted: impl Future<Output = ()>) -> Result<Option<String>, LabError> {
+        let host = self.host.clone();
+        let mut day = std::pin::pin!(host.clone().run());
+        let mut interrupted = std::pin::pin!(interrupted);
+        let mut check = tokio::time::interval(CHECK_INTERVAL);
+        let mut checks = 0u64;
+        loop {
+            tokio::select! {
+                () = &mut day => return Ok(None),
+                () = &mut interrupted => return Ok(Some("interrupted".to_string())),
+                deeds = host.deeds() => {
+                    for (relay, deed) in deeds {
+                        self.apply_deed(relay, deed).await?;
+                    }
+                }
+                _ = check.tick() => {
+                    checks += 1;
+                    self.check_relays(checks);
+                    if self.scenario.relays.fleet {
+                        self.poll_views();
+                    }
+                }
+            }
+        }
+    }
+
+    /// Notices ended processes, and reads what the others use at each fifth check.
+    fn check_relays(&mut self, checks: u64) {
+        let (now, begin, end) = {
+            let day = self.host.day.borrow();
+            (self.host.now(), day.begin, day.end)
+        };
+        (self.options.progress)(now.saturating_sub(begin) as f64 / (end - begin) as f64);
+        for relay in 0..self.relays.len() {
+            if self.relays[relay].process.is_none() {
+                continue;
+            }
+            if let Some(event) = self.relays[relay].notice_end() {
+                let text = format!("relay {relay} {event}");
+                self.host.with(|day, now, _| day.service.note(now, text));
+                self.host.relay_ended(relay);
+            } else if checks.is_multiple_of(CHECKS_PER_USAGE) {
+                self.relays[relay].record_usage();
+            }
+        }
+    }
+
+    async fn finish(mut self, partial: Option<String>) -> Outcome {
+        self.relays.iter_mut().for_each(Relay::record_usage);
+        let mut outcome = self.host.day.borrow().outcome();
+        for relay in &mut self.relays {
+            if let Some(process) = &mut relay.process {
+                process.kill().await;
+            }
+        }
+        outcome.relays = self.relays.iter().map(|relay| relay.figures.clone()).collect();
+        outcome.way = "sockets".to_string();
+        outcome.partial = partial;
+        outcome.late_ms = self.host.late.get() as f64 / 1e3;
+        outcome.bad_clients = self.host.bad.borrow().clone();
+        outcome
+    }
+}
+
+/// Starts the emulated servers and the discovery services of all relays; they end with the runtime.
+///
+/// # Errors
+/// Where a discovery service finds no free port.
+pub async fn serve_fleet(host: &Shared) -> Result<(), LabError> {
+    for relay in 0..host.servers.len() {
+        let discovery = list::bound(relay, host).await.ok_or(LabError::NoDiscoveryPort)?;
+        tokio::task::spawn_local(list::serve(relay, discovery, host.clone()));
+        for index in 0..host.servers[relay].len() {
+            tokio::task::spawn_local(server::listen(index, relay, host.clone()));
+        }
+    }
+    Ok(())
+}
+
+/// Addresses in a relay's configuration; without an operator port, a store and other relays.
+pub fn relay_place(relay: usize, seed: u64, host: &Shared) -> Place {
+    let (listen, discovery) = (host.relays.borrow()[relay], host.list_at.borrow()[relay]);
+    Place { relay, listen, discovery, seed, operator: None, state: None, fleet: None }
+}
+
+/// Writes a relay's configuration as operators would write it.
+///
+/// # Errors
+/// Where the file can't be written.
+pub fn write_config(scenario: &Scenario, place: &Place, host: &Shared, file: &Path) -> Result<(), LabError> {
+    let day = host.day.borrow();
+    let address = |server: usize| host.servers[place.relay][server].to_string();
+    let configuration = node::text(scenario, place, &day.servers.endpoints, address);
+    let text = serde_json::to_string_pretty(&configuration)?;
+    std::fs::write(file, text + "\n").map_err(LabError::file(file))
+}
--- a/lab/src/virt/effects.rs
+++ b/lab/src/virt/effects.rs
@@ -1,4 +1,4 @@
-//! What a relay's reducer wants done, as its tasks would carry it out.
+//! Effects of a relay's reducer, carried out as its tasks would.
 use super::events::QueuedEvent;
 use super::state::{server_at, ProcessId};
 use super::VirtualDay;
--- a/lab/src/virt/events.rs
+++ b/lab/src/virt/events.rs
@@ -10,7 +10,7 @@
 
 /// Something that happens at a later moment.
 pub(super) enum QueuedEvent {
-    /// An event for a relay's reducer; boxed to keep the others small.
+    /// An event for a relay's reducer; boxed, as the largest variant sets the size of all.
     Relay {
         process: ProcessId,
         event: Box<Event>,
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// What is on its way from one relay to another.
+/// Something in flight from one relay to another.
 pub(super) enum Transmission {
     Datagram(Vec<u8>),
     /// The frame on a stream that the sender opened.
@@ -120,7 +120,7 @@
         self.step(to, Event::Membership(event));
     }
 
-    /// A relay's process stalls; what comes meanwhile waits.
+    /// A relay's process stalls; what arrives meanwhile waits.
     pub(super) fn stall(&mut self, relay: usize) {
         if self.relays[relay].state_machine.is_some() && self.relays[relay].stalled.is_none() {
             self.relays[relay].stalled = Some(Vec::new());
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A relay's process goes on; what came meanwhile is there at once, in its order.
+    /// A relay's process runs on; what arrived meanwhile is there at once, in its order.
     pub(super) fn wake(&mut self, relay: usize) {
         let Some(waiting) = self.relays[relay].stalled.take() else { return };
         self.day.audit.relay_woke(self.now, relay);
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -30,9 +30,9 @@
 
 /// A relay's state machine: the reducer, or a test's faulty one.
 pub trait StateMachine {
-    /// Starts it at `now` (Unix time in microseconds); what it wants done is appended to `out`.
+    /// Starts it at `now` (Unix time in microseconds); its effects are appended to `out`.
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>);
-    /// Handles one event at `now`; what it wants done is appended to `out`.
+    /// Handles one event at `now`; its effects are appended to `out`.
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>);
     /// Loads what the relay's store holds, before the start. The default ignores it.
     fn load_state(&mut self, _stored: StoredState) {}
@@ -173,7 +173,7 @@
         outcome
     }
 
-    /// Does what the models want done of relays, clients and the discovery service.
+    /// Applies what the models put out for relays, clients and the discovery service.
     fn apply_model_outputs(&mut self, todo: &mut Todo) -> Result<(), LabError> {
         // Each step may lead to more.
         while !todo.is_empty() {
@@ -202,7 +202,7 @@
         Ok(())
     }
 
-    /// Does to a relay's process what the scenario says.
+    /// Applies a fault or an operation of the scenario to a relay's process.
     fn apply_deed(&mut self, relay: usize, deed: Deed) -> Result<(), LabError> {
         match deed {
             Deed::Kill => self.end_process(relay),
--- a/lab/src/virt/processes.rs
+++ b/lab/src/virt/processes.rs
@@ -111,7 +111,7 @@
         self.step(relay, Event::StopRequested);
     }
 
-    /// Hands an event to the process, if one runs, and carries out what it wants done.
+    /// Hands an event to the process, if one runs, and carries out its effects.
     pub(super) fn step(&mut self, relay: usize, event: Event) {
         let Some(state_machine) = self.relays[relay].state_machine.as_mut() else { return };
         let mut effects = Vec::new();
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -3,7 +3,7 @@
 use hallrelay_balancer::types::{DialEnd, Micros, Phase};
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::service::Outcome;
-use hallrelay_lab::{keys, virt};
+use hallrelay_lab::{scenario_keys, virt};
 use hallrelay_relay::reducer::{Effect, Event, Reducer};
 use std::net::SocketAddr;
 
@@ -138,7 +138,8 @@
 fn day(more: &str, sets: &[(&str, &str)]) -> Scenario {
     let mut text = include_str!("troubles/base.toml").to_string() + more;
     for (key, value) in sets {
-        text = keys::set(&text, key, &keys::values(value).expect("a value")[0]).expect("a key");
+        text = scenario_keys::set(&text, key, &scenario_keys::values(value).expect("a value")[0])
+            .expect("a key");
     }
     scenario::parse("double", &text).expect("a sound scenario")
 }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -43,7 +43,7 @@
 #[test]
 fn openings_are_read_as_they_are_logged() {
     for (at, standing) in [(None, false), (Some("oak"), true)] {
-        let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing };
+        let opening = Opening { id: 11, key: 22, group: 33, returned: true, pre_existing: standing };
         let entry = event(Event::SessionRequested { session_id: 7, open: open(at), time_remaining: 5 });
         assert_eq!(entry, Entry::SessionRequested { session_id: 7, opening });
     }
@@ -52,7 +52,7 @@
         (session.id, session.key, session.group, session.returned) = (11, 22, 33, true);
         session.server = "oak".to_string();
     }
-    let opening = Opening { id: 11, key: 22, group: 33, returned: true, standing: false };
+    let opening = Opening { id: 11, key: 22, group: 33, returned: true, pre_existing: false };
     assert_eq!(
         event(inherited),
         Entry::SessionAdopted { session_id: 8, opening, backend: "oak".to_string() }
@@ -111,7 +111,7 @@
         [("serving", "stopping", true), ("draining", "serving", false), ("serving", "draining", true)];
     for (from, to, leaves) in notes {
         let what = format!("from {from} to {to}");
-        assert_eq!(effect(Effect::Log { message: what }), Entry::Lifecycle { leaves });
+        assert_eq!(effect(Effect::Log { message: what }), Entry::Lifecycle { migrates_sessions: leaves });
     }
     assert_eq!(effect(Effect::Log { message: "something else".to_string() }), Entry::OtherEvent);
 }
@@ -252,7 +252,7 @@
     let sum = &losses.sum;
     assert_eq!((losses.read.processes, sum.attempts.opened), (1, 2), "{losses:?}");
     assert_eq!((sum.attempts.fates.placed, sum.attempts.fates.not_protocol), (1, 1));
-    assert_eq!((sum.ends.done, sum.sessions.came_up, sum.fleet.open), (1, 1, 0));
-    assert_eq!((sum.fleet.ready, losses.unaccounted_in_all()), (1, 0));
+    assert_eq!((sum.ends.complete, sum.sessions.established, sum.fleet.open), (1, 1, 0));
+    assert_eq!((sum.fleet.ready, losses.unaccounted_total()), (1, 0));
     assert_eq!((losses.read.cut, losses.read.unknown), (0, 0));
 }
--- a/lab/tests/membership_audit.rs
+++ b/lab/tests/membership_audit.rs
@@ -4,7 +4,7 @@
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::membership_audit::Violation;
 use hallrelay_emulator::service::Outcome;
-use hallrelay_lab::{keys, virt};
+use hallrelay_lab::{scenario_keys, virt};
 use hallrelay_membership::message::{decode, encode, encode_update, MessageBody, MAX_DATAGRAM_BYTES};
 use hallrelay_membership::{Effect as MembershipEffect, Event as MembershipEvent, MemberState};
 use hallrelay_relay::reducer::{Effect, Event, Reducer, Timer};
@@ -96,7 +96,8 @@
 fn day(more: &str) -> Scenario {
     let mut text = include_str!("troubles/base.toml").to_string() + more;
     for (key, value) in [("relays.fleet", "true"), ("relays.count", "5"), ("length_s", "60")] {
-        text = keys::set(&text, key, &keys::values(value).expect("a value")[0]).expect("a key");
+        text = scenario_keys::set(&text, key, &scenario_keys::values(value).expect("a value")[0])
+            .expect("a key");
     }
     scenario::parse("double", &text).expect("a sound scenario")
 }
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -11,7 +11,7 @@
 use hallrelay_config::scenario;
 use hallrelay_emulator::membership_audit::MembershipOutcome;
 use hallrelay_emulator::service::Outcome;
-use hallrelay_lab::{keys, virt};
+use hallrelay_lab::{scenario_keys, virt};
 use std::path::Path;
 
 fn measure(o: &Outcome, name: &str, within: Option<(f64, f64)>) -> Result<f64, String> {
@@ -84,8 +84,8 @@
     let mut text = format!("{base}\n{own}");
     for line in own.lines().filter_map(|l| l.strip_prefix("# set ")) {
         let (key, value) = line.split_once(" = ").ok_or("a set line says KEY = VALUE")?;
-        let values = keys::values(value)?;
-        text = keys::set(&text, key, &values[0])?;
+        let values = scenario_keys::values(value).map_err(|e| e.to_string())?;
+        text = scenario_keys::set(&text, key, &values[0]).map_err(|e| e.to_string())?;
     }
     let s = scenario::parse(&path.display().to_string(), &text).map_err(|e| e.to_string())?;
     let day = || virt::run(&s, s.seed, virt::reducers(), &mut |_| true).map_err(|e| e.to_string());
