--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -122,7 +122,7 @@
     Configuration {
         /// The configuration's file.
         path: PathBuf,
-        /// The key at fault, and what was wanted.
+        /// The key at fault, and what it may hold.
         source: ConfigError,
     },
     /// The async runtime does not start.
@@ -165,7 +165,7 @@
 /// Runs a command to its end; the exit status where it could be carried out.
 ///
 /// # Errors
-/// What kept it from being carried out.
+/// Why it was not carried out.
 pub fn run(command: Command) -> Result<u8, CliError> {
     // The process may have blocked signals at its start, and only a relay that serves handles them.
     if !matches!(command, Command::Serve { .. }) {
--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -28,7 +28,7 @@
             stream = next(&listener, "a connection", &hub) => stream,
         };
         spawn_connection(stream, place, hub.clone());
-        // A line that came with its connection is read before more connections are accepted.
+        // A line that arrived with its connection is read before more connections are accepted.
         tokio::task::yield_now().await;
     }
 }
--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -1,7 +1,7 @@
-//! A session whose client waits for its final answer: the task carries out dials until the reducer asks for a
-//! final answer, or a backend accepts the session.
+//! A session whose client waits for its final answer: the task carries out dials until the reducer commands
+//! a final answer, or a backend accepts the session.
 //!
-//! Whatever the order of events, it ends by a line that the reducer asked for or that a backend gave.
+//! Whatever the order of events, it ends by a line that the reducer commanded or that a backend sent.
 //! Commands that were meant for the connection before it was a session are skipped.
 use super::dial::{self, DialOutcome, DialRequest};
 use super::read::ClientState;
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
 
-/// The client's first line, kept until a backend has answered it.
+/// The client's first line, held until a backend has answered it.
 pub struct ClientRequest {
     /// The line without its end.
     pub line: Vec<u8>,
@@ -132,7 +132,7 @@
         close::send_final_answer(self.client, line, &mut self.commands, self.hub).await;
     }
 
-    /// The client does not wait any more. A close alone does not tell whether it has left or reads on: the
+    /// The client does not wait any more. A close alone does not show whether it has left or reads on: the
     /// final answer is written, and nothing is forwarded.
     async fn client_gone(mut self, state: ClientState) {
         if state == ClientState::SentMore {
@@ -143,8 +143,8 @@
     }
 }
 
-/// The next command for a waiting session. Commands for the connection before it was a session end nothing: a
-/// `PONG` is written, the rest is skipped. While a dial is out, only an end can be asked for.
+/// The next command for a waiting session. Commands for the connection before it was a session end nothing:
+/// a `PONG` is written, the rest is skipped. While a dial is out, only an end can be commanded.
 async fn next_command(client: &TcpStream, commands: &mut Receiver<Command>, hub: &Hub) -> Option<Command> {
     loop {
         match commands.recv().await {
@@ -174,8 +174,7 @@
     await_final_answer(client, &mut commands, hub).await;
 }
 
-/// Sends the final answer that the reducer has been asked for; commands that were queued before it are
-/// skipped.
+/// Sends the final answer that the reducer commands next; commands that were queued before it are skipped.
 async fn await_final_answer(client: TcpStream, commands: &mut Receiver<Command>, hub: &Hub) {
     while let Some(command) = commands.recv().await {
         match command {
--- a/relay/src/net/close.rs
+++ b/relay/src/net/close.rs
@@ -23,8 +23,8 @@
     if !write_all(&client, answer, hub.limits().end).await {
         return;
     }
-    // The answer is out: shedding loses only the graceful close. Other commands that were queued before have
-    // no meaning any more; closing on them would cut off a session that was told to migrate as it ended.
+    // The answer is out: shedding loses only the graceful close. Other commands that were queued before
+    // have no meaning any more; closing on them would cut off a session that ended as it was to migrate.
     let shed = async { while !matches!(commands.recv().await, Some(Command::Shed) | None) {} };
     tokio::select! {
         biased;
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch on the endpoint list: one HTTP call that stays open and brings a JSON value for each change.
 //!
-//! Where no version of the list is known, a call for the whole list comes first. A watch that falls silent is
-//! doubted, and the next one is opened beside it: whichever brings something first goes on.
+//! Where no version of the list is known, a call for the complete list comes first. A watch that is silent
+//! for too long is doubted, and the next one is opened beside it: whichever brings something first goes on.
 use super::Hub;
 use crate::clock::span;
 use crate::reducer::Event;
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -127,7 +127,7 @@
         Some(first.remove())
     }
 
-    /// Keeps where an operator's reply goes; the event for the reducer.
+    /// Registers where an operator's reply goes; the event for the reducer.
     pub fn register_call(&mut self, call: OperatorCall) -> Event {
         self.last_number += 1;
         let id = self.last_number as u32;
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of one backend, one at a time, on a connection that is kept for the next one.
+//! Health checks of one backend, one at a time, on a connection that stays open for the next one.
 use super::{close, read, Hub};
 use crate::buffer::Buffer;
 use crate::clock::span;
@@ -85,7 +85,7 @@
     Ok((report, connection))
 }
 
-/// Whether a kept connection is still open and silent.
+/// Whether a connection of an earlier check is still open and silent.
 fn is_idle(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(socket::try_read(stream, &mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
@@ -94,13 +94,13 @@
 async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, CheckFailure> {
     let deadline = Instant::now() + span(hub.limits().connect);
     hub.connect(addr, deadline).await.map_err(|error| match error {
-        // A fault of this machine says nothing of the backend.
+        // A fault of this machine shows nothing of the backend.
         ConnectError::Local(_) => DialEnd::NotSent.into(),
         ConnectError::Remote(_) | ConnectError::TimedOut => DialEnd::Unconnected.into(),
     })
 }
 
-/// Asks for a load report; `None` where the backend is healthy and reports no load.
+/// Requests a load report; `None` where the backend is healthy and reports no load.
 async fn request_report(connection: &mut Connection, hub: &Hub) -> Result<Option<LoadReport>, CheckFailure> {
     let limits = hub.limits();
     let Connection { stream, buffer, .. } = connection;
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -95,7 +95,7 @@
     pub listener: std::net::TcpListener,
 }
 
-/// Asks a running process to hand over; `None` where there is none, or it does not answer.
+/// Requests a running process to hand over; `None` where there is none, or it does not answer.
 pub fn request_takeover(path: &Path, node: &Node) -> Result<Option<Offer>, TakeoverError> {
     // Nobody listens there, or nobody ever did.
     let Ok(stream) = uninterrupted(|| std::os::unix::net::UnixStream::connect(path)) else {
@@ -135,7 +135,7 @@
 #[derive(Default)]
 struct Incoming {
     bytes: Vec<u8>,
-    /// The sockets that came along, in their order.
+    /// The sockets that were received, in their order.
     sockets: VecDeque<OwnedFd>,
 }
 
@@ -209,7 +209,7 @@
     matches!(timeout(span(hub.limits().offer), send).await, Ok(Ok(())))
 }
 
-/// Accepts processes that want to take over, until it is dropped.
+/// Accepts processes that request to take over, until it is dropped.
 pub async fn accept_processes(path: PathBuf, listener: Rc<TcpListener>, hub: Hub) {
     let takeover_listener = match bind(&path) {
         Ok(bound) => bound,
@@ -289,7 +289,7 @@
         loop {
             let goes_on = tokio::select! {
                 biased;
-                // What the other process says may change what is sent to it.
+                // A message of the other process may change what is sent to it.
                 ready = self.stream.readable() => self.read(ready, &mut incoming).await,
                 out = outgoing.recv() => match out {
                     None => false,
@@ -297,7 +297,7 @@
                     Some(ProcessCommand::HandOver(SessionHandover { message, sockets, result })) => {
                         let along = [sockets.client.as_fd(), sockets.backend.as_fd()];
                         let is_sent = send_line(&self.stream, &message, &along, &self.hub).await;
-                        // The task that waits for the result is of this process, and lives.
+                        // The task that waits for the result is of this process, and still runs.
                         _ = result.send(if is_sent { Ok(()) } else { Err(sockets) });
                         is_sent
                     }
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Sends a datagram. One that the socket does not take at once is dropped, as if it were lost on its way.
+    /// Sends a datagram. One that the socket does not take at once is dropped, as if the network had lost
+    /// it.
     pub fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = self.socket.borrow().as_ref() {
             if let Err(e) = socket.try_send_to(bytes, to) {
--- a/relay/src/net/operator/mod.rs
+++ b/relay/src/net/operator/mod.rs
@@ -38,7 +38,7 @@
         let stream = accept::next(&listener, "an operator's connection", &hub).await;
         open.retain(|task| !task.is_finished());
         if open.len() >= hub.limits().callers {
-            // Connections that hold a place and never complete a call must not keep others out.
+            // Connections that take a place and never complete a call must not block others.
             open.pop_front().inspect(JoinHandle::abort);
         }
         open.push_back(tokio::task::spawn_local(serve(stream, calls.clone(), hub.clone())));
--- a/relay/src/net/processes.rs
+++ b/relay/src/net/processes.rs
@@ -13,7 +13,7 @@
     HandOver(SessionHandover),
 }
 
-/// A session on its way to another process.
+/// A session that is being sent to another process.
 pub struct SessionHandover {
     /// The encoded message.
     pub message: Vec<u8>,
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -278,7 +278,7 @@
                 SessionEnd::Closed => return,
                 SessionEnd::Backend(BackendEnd { end, report }) => {
                     hub.notify(Event::SessionEnded { session_id: connection_id, end, report }).await;
-                    // A client that got no last line is asked to come again.
+                    // A client that got no last line is to come again.
                     let last_line: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
                     drop(self.backend);
                     return send_last_line(self.client, &self.from_backend, last_line, &mut commands, hub)
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -24,7 +24,7 @@
 /// Serves until a stop was requested and all sessions are gone.
 ///
 /// # Errors
-/// A start that fails, or an end that the reducer asks for with an error.
+/// A start that fails, or an end that the reducer commands with an error.
 pub async fn run<E: Display + 'static>(
     node: Node,
     read_configuration: impl Fn() -> Result<Node, E> + 'static,
@@ -34,7 +34,7 @@
     signals::unblock();
     let limits = node.limits;
     let (hub, events) = Hub::new(limits, node.site.report, log.clone());
-    // Only with an operators' address: without it nobody could tell when a new process is ready.
+    // Only with an operators' address: without it nobody could see when a new process is ready.
     let no_path = |error: &hot_restart::PathError| {
         slog::warn!(log, "no other process can take over from this one"; "error" => %error);
     };
@@ -161,7 +161,7 @@
 /// How writing to the store goes, as that changes; never completes without a store.
 async fn health_change(health: &mut Option<watch::Receiver<WriterHealth>>) -> Option<WriterHealth> {
     let Some(health) = health else { return pending().await };
-    // The store lives as long as the process.
+    // The store's sender exists as long as the process.
     health.changed().await.ok()?;
     Some(health.borrow_and_update().clone())
 }
--- a/relay/src/net/signals.rs
+++ b/relay/src/net/signals.rs
@@ -66,7 +66,7 @@
     loop {
         tokio::select! {
             biased;
-            // A stop goes before a reload that came with it: reading a file must not delay it.
+            // A stop goes before a reload that is pending too: reading a file must not delay it.
             _ = terminate.recv() => stop(&hub).await,
             _ = interrupt.recv() => stop(&hub).await,
             _ = reload.recv() => reload_configuration(&read_configuration, &hub).await,
--- a/relay/src/net/state_store.rs
+++ b/relay/src/net/state_store.rs
@@ -1,5 +1,5 @@
 //! The relay's state store: opened on a thread of its own, retried where that fails, and closed as another
-//! process takes over. Nothing here makes the relay wait longer than its limits say.
+//! process takes over. Nothing here makes the relay wait longer than its limits allow.
 use hallrelay_recovery::record::VERSION;
 use hallrelay_recovery::{Record, StoredState};
 use hallrelay_store::writer::{Writer, WriterHealth};
@@ -129,7 +129,7 @@
         _ = self.begin_close().recv_timeout(FINAL_WRITE_TIMEOUT);
     }
 
-    /// Closes on a thread of its own; the receiver hears as that is done.
+    /// Closes on a thread of its own, which sends on the receiver's channel as that is done.
     fn begin_close(&mut self) -> std::sync::mpsc::Receiver<()> {
         self.current.is_closed.store(true, Ordering::Relaxed);
         let writer = self.current.lock().close();
--- a/relay/src/reducer/balancer_effects.rs
+++ b/relay/src/reducer/balancer_effects.rs
@@ -12,16 +12,16 @@
         self.balancer_effects = effects;
     }
 
-    /// Turns an effect of the balancer into effects of the relay.
+    /// Applies an effect of the balancer in the relay's terms.
     fn apply_balancer_effect(&mut self, effect: balancer::Effect, out: &mut Vec<Effect>) {
         match effect {
             balancer::Effect::Dial { session: session_id, server, timeout, send_within } => {
-                let Some(s) = self.sessions.get_mut(&session_id) else { return };
-                let dial = s.dials;
-                s.stage = SessionStage::Dialing;
-                s.server = Some(server);
-                s.dials += 1;
-                if let Some(addr) = self.servers.get(&server).map(|v| v.instance.addr) {
+                let Some(session) = self.sessions.get_mut(&session_id) else { return };
+                let dial = session.dials;
+                session.stage = SessionStage::Dialing;
+                session.server = Some(server);
+                session.dials += 1;
+                if let Some(addr) = self.servers.get(&server).map(|server| server.instance.addr) {
                     self.persist_slow_start_slot(server, session_id, out);
                     let start_within = self.node.limits.connect.min(send_within.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial {
@@ -47,9 +47,9 @@
             }
             balancer::Effect::Migrate { session: session_id } => self.migrate_session(session_id, out),
             balancer::Effect::Probe { server } => {
-                let Some(v) = self.servers.get_mut(&server) else { return };
-                v.health_check_pending = true;
-                out.push(Effect::HealthCheck { server, addr: v.instance.addr });
+                let Some(entry) = self.servers.get_mut(&server) else { return };
+                entry.health_check_pending = true;
+                out.push(Effect::HealthCheck { server, addr: entry.instance.addr });
             }
             balancer::Effect::SetTimer { after, label } => {
                 out.push(Effect::StartTimer { after, timer: Timer::Balancer(label) });
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -53,7 +53,7 @@
         let open: Vec<SessId> = self
             .sessions
             .iter()
-            .filter(|(_, s)| s.stage == SessionStage::Proxying)
+            .filter(|(_, session)| session.stage == SessionStage::Proxying)
             .map(|(id, _)| *id)
             .collect();
         let batches_left = end.saturating_sub(elapsed) / BATCH_INTERVAL + 1;
@@ -96,9 +96,9 @@
     /// Answers the sessions that still wait as a drain or a stop ends, whose dial timeout may be of older
     /// settings: a rejection where nothing was sent, else a failure.
     fn answer_waiting(&mut self, out: &mut Vec<Effect>) {
-        let waiting = self.sessions.iter().filter(|(_, s)| s.stage.awaits_answer());
+        let waiting = self.sessions.iter().filter(|(_, session)| session.stage.awaits_answer());
         let answers: Vec<(SessId, Effect)> =
-            waiting.map(|(id, s)| (*id, final_answer(*id, s.dials))).collect();
+            waiting.map(|(id, session)| (*id, final_answer(*id, session.dials))).collect();
         for (session_id, answer) in answers {
             self.answer_waiting_session(session_id, answer, out);
         }
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,5 +1,5 @@
-//! The reducer's interface: the events that it is stepped with, the effects that it asks for, and the
-//! requests and replies of operators. Times are spans in microseconds unless a field says otherwise.
+//! The reducer's interface: the events that it is stepped with, its effects, and the requests and replies
+//! of operators. Times are spans in microseconds unless a field says otherwise.
 //!
 //! `session_id` and `connection_id` number clients' connections in one sequence: a connection keeps its
 //! number when it becomes a session. The `Debug` form of events and effects stands in the log at `-vv`, where
@@ -78,7 +78,7 @@
         /// The client's connection.
         connection_id: SessId,
     },
-    /// A connection asks whether this relay is ready.
+    /// A client sent `PING`: is this relay ready?
     Ping {
         /// The connection.
         connection_id: SessId,
@@ -184,7 +184,7 @@
     ConfigurationRejected,
     /// An operator's request.
     OperatorCall {
-        /// The number that the reply bears.
+        /// The number that the reply carries.
         call: u32,
         /// The request.
         request: OperatorRequest,
@@ -240,7 +240,7 @@
     MigrateBatch(u32),
     /// A process that was offered the listener was not ready in time.
     HandoverOffer(PeerId),
-    /// The successor is told what remains here.
+    /// What remains here is reported to the successor.
     HandoverProgress,
     /// Something of membership is due.
     Membership,
@@ -250,13 +250,13 @@
     LeaderReview,
     /// A pending request of an operator, by its number, is retried.
     PendingRequest(u32),
-    /// The endpoint list is watched again where the balancer does not ask for it.
+    /// The endpoint list is watched again where the balancer does not request it.
     RequestEndpointList,
     /// Other relays are polled for the endpoint list while discovery is unavailable.
     PollPeers,
 }
 
-/// What the reducer asks for; carried out in order.
+/// What the tasks carry out for the reducer, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Answers a ping: this relay is ready.
@@ -298,7 +298,7 @@
         /// Within this time its first line must start to go out.
         start_within: Micros,
     },
-    /// Passes lines both ways from now on.
+    /// Proxies lines both ways from now on.
     StartProxying {
         /// The session.
         session_id: SessId,
@@ -307,7 +307,7 @@
     Reject {
         /// The session.
         session_id: SessId,
-        /// When the client may come again; 0 where it is not told.
+        /// When the client may come again; at 0 the answer names no time.
         retry_after: Micros,
     },
     /// The final answer of a session that failed; it may have run.
@@ -315,7 +315,7 @@
         /// The session.
         session_id: SessId,
     },
-    /// Tells an open session's client to come again, and ends the session.
+    /// Sends `MOVE` to an open session's client, and ends the session.
     Migrate {
         /// The session.
         session_id: SessId,
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -12,7 +12,7 @@
 /// A session at an excluded backend.
 struct SessionToMigrate {
     backend: String,
-    session: SessId,
+    session_id: SessId,
 }
 
 impl Reducer {
@@ -67,16 +67,16 @@
         let coordination =
             self.coordination.as_ref().filter(|coordination| !coordination.excluded.ids.is_empty());
         let Some(coordination) = coordination else { return Vec::new() };
-        let excluded_backend = |s: &super::Session| {
-            let id = &self.servers.get(&s.server?)?.instance.id;
+        let excluded_backend = |session: &super::Session| {
+            let id = &self.servers.get(&session.server?)?.instance.id;
             coordination.excluded.ids.contains(id).then(|| id.clone())
         };
         let open = self
             .sessions
             .iter()
-            .filter(|(_, s)| matches!(s.stage, SessionStage::Proxying | SessionStage::Migrating));
-        let to_migrate = open.filter_map(|(&session, s)| {
-            excluded_backend(s).map(|backend| SessionToMigrate { backend, session })
+            .filter(|(_, session)| matches!(session.stage, SessionStage::Proxying | SessionStage::Migrating));
+        let to_migrate = open.filter_map(|(&session_id, session)| {
+            excluded_backend(session).map(|backend| SessionToMigrate { backend, session_id })
         });
         to_migrate.collect()
     }
@@ -105,6 +105,6 @@
         coordination.pending_moves_milli += u64::from(coordination.moves_per_s) * 1000 / relays;
         let part = (coordination.pending_moves_milli / 1000) as usize;
         coordination.pending_moves_milli %= 1000;
-        sessions.into_iter().take(part).for_each(|one| self.migrate_session(one.session, out));
+        sessions.into_iter().take(part).for_each(|one| self.migrate_session(one.session_id, out));
     }
 }
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -1,8 +1,8 @@
 //! Clients' connections that are no session: their first line is awaited, or their final answer is being
 //! sent.
 //!
-//! Sessions and these share the places that the limits allow. Where there is none left, clients that connect
-//! and stay silent must not keep others out.
+//! Sessions and these share the places that the limits allow. Where there is none left, clients that
+//! connect and stay silent must not block others.
 use super::{Effect, Reducer};
 use hallrelay_balancer::types::SessId;
 
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -25,8 +25,8 @@
         if !self.is_proxying(session_id) {
             return;
         }
-        let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        let last = s.last_load_at.replace(self.now);
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
+        let last = session.last_load_at.replace(self.now);
         let is_periodic = last
             .is_some_and(|last| (self.now - last).abs_diff(DELAY_REPORT_INTERVAL) <= DELAY_REPORT_TOLERANCE);
         let delay = load / 1e3;
@@ -47,16 +47,16 @@
             return;
         }
         let Some(server) = self.sessions[&session_id].server else { return };
-        let Some(v) = self.servers.get_mut(&server) else { return };
+        let Some(entry) = self.servers.get_mut(&server) else { return };
         let objectives = self.node.site.facts.listeners.iter().map(|listener| listener.message_target);
         let smallest = objectives.min().unwrap_or(DEFAULT_MESSAGE_TARGET);
         let above_threshold = time > smallest / LATENCY_OBJECTIVE_DIVISOR;
-        let last = v.latency_report.reported_at;
+        let last = entry.latency_report.reported_at;
         let is_due = last.is_none_or(|last| self.now >= last + LATENCY_REPORT_INTERVAL);
-        if !is_due || (!above_threshold && !v.latency_report.above_threshold) {
+        if !is_due || (!above_threshold && !entry.latency_report.above_threshold) {
             return;
         }
-        v.latency_report = LatencyReport { reported_at: Some(self.now), above_threshold };
+        entry.latency_report = LatencyReport { reported_at: Some(self.now), above_threshold };
         self.step_balancer(Input::MessageDelay { session: session_id, delay: time as f64 / 1e6 }, out);
     }
 }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -115,7 +115,7 @@
             servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
             session_load,
             draining_age: self.draining_since().map(|since| self.now - since),
-            session_ids: self.sessions.values().map(|s| s.id).collect(),
+            session_ids: self.sessions.values().map(|session| session.id).collect(),
             connections: (self.sessions.len() + self.idle_connections.len()) as u32,
             membership: self.membership.as_ref().map(Membership::snapshot),
             exclusions: self.coordination.as_ref().map(|coordination| ExclusionList {
--- a/relay/src/reducer/metrics.rs
+++ b/relay/src/reducer/metrics.rs
@@ -72,11 +72,13 @@
 impl Reducer {
     /// The metrics as they are now.
     pub fn metrics(&self) -> Metrics {
-        let listed =
-            self.servers.iter().filter(|(_, v)| v.instance.phase != hallrelay_balancer::types::Phase::Gone);
+        let listed = self
+            .servers
+            .iter()
+            .filter(|(_, server)| server.instance.phase != hallrelay_balancer::types::Phase::Gone);
         Metrics {
             in_progress: self.sessions.len(),
-            waiting: self.sessions.values().filter(|s| s.stage.awaits_answer()).count(),
+            waiting: self.sessions.values().filter(|session| session.stage.awaits_answer()).count(),
             known_backends: listed.clone().count(),
             avoided_backends: listed.filter(|(&server, _)| self.balancer.avoids(self.now, server)).count(),
             membership: self.membership_metrics(),
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -125,7 +125,7 @@
     discovery_contacted: Option<Micros>,
     /// When it answered the time before.
     discovery_contacted_before: Option<Micros>,
-    /// Lists of other relays that came before discovery answered.
+    /// Lists of other relays that were received before discovery answered.
     peer_lists_received: u32,
     /// Whether discovery had answered one of those relays.
     peer_knew_discovery: bool,
@@ -263,7 +263,7 @@
             Timer::DialResumingSession(session_id) => self.dial_resuming_session(session_id, out),
             Timer::AnswerDeadline(session_id) => {
                 // Dials end and the balancer answers before this; it guards against a task that does neither.
-                if self.sessions.get(&session_id).is_some_and(|s| s.stage.awaits_answer()) {
+                if self.sessions.get(&session_id).is_some_and(|session| session.stage.awaits_answer()) {
                     self.deadline_expired(session_id, out);
                 }
             }
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -48,7 +48,8 @@
 
     /// The whole endpoint list in discovery's form; `None` before any version is known.
     pub(super) fn encoded_list(&self) -> Option<Value> {
-        let listed = self.servers.values().map(|v| &v.instance).filter(|one| one.phase != Phase::Gone);
+        let listed =
+            self.servers.values().map(|server| &server.instance).filter(|one| one.phase != Phase::Gone);
         self.list_version.map(|generation| list::encode(generation, true, listed))
     }
 
@@ -87,7 +88,8 @@
 
     /// What of one server is accepted from a peer; `None` where it changes nothing.
     fn accept_from_peer(&self, offered: Instance) -> Option<Instance> {
-        let known = self.ids.get(&offered.id).and_then(|id| self.servers.get(id)).map(|v| &v.instance);
+        let known =
+            self.ids.get(&offered.id).and_then(|id| self.servers.get(id)).map(|server| &server.instance);
         let removed = self.removed_servers.get(&offered.id).copied();
         let removed = removed.or(known.filter(|one| one.phase == Phase::Gone).map(|one| one.started_at));
         if let Some(started_at) = removed {
@@ -110,7 +112,8 @@
         }
         if list.is_complete {
             let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
-            let left_out = self.servers.values().map(|v| &v.instance).filter(|one| !is_named(&one.id));
+            let left_out =
+                self.servers.values().map(|server| &server.instance).filter(|one| !is_named(&one.id));
             self.removed_servers.extend(left_out.map(|one| (one.id.clone(), one.started_at)));
         }
         for one in &list.instances {
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -67,8 +67,8 @@
     /// How far this relay's recovery is.
     pub(super) fn recovery_phase(&self) -> RecoveryPhase {
         let slow_start = self.node.site.facts.warm_up;
-        let ready = self.servers.values().filter(|v| v.instance.phase == Phase::Ready);
-        let in_slow_start = |v: &&Server| v.in_slow_start(self.now, slow_start);
+        let ready = self.servers.values().filter(|server| server.instance.phase == Phase::Ready);
+        let in_slow_start = |server: &&Server| server.in_slow_start(self.now, slow_start);
         RecoveryPhase::of(&PhaseInput {
             servers: ready.clone().count(),
             servers_in_slow_start: ready.filter(in_slow_start).count(),
@@ -101,19 +101,19 @@
     }
 
     fn known_instance(&self, id: &str) -> Option<&Instance> {
-        self.servers.get(self.ids.get(id)?).map(|v| &v.instance)
+        self.servers.get(self.ids.get(id)?).map(|server| &server.instance)
     }
 
     /// Servers that a complete list no longer names, as removed ones.
     fn left_out_by(&self, list: &List) -> Vec<Instance> {
         let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
-        let known = self.servers.values().map(|v| &v.instance);
+        let known = self.servers.values().map(|server| &server.instance);
         let left_out = known.filter(|one| one.phase != Phase::Gone && !is_named(&one.id));
         left_out.map(|one| Instance { phase: Phase::Gone, ..one.clone() }).collect()
     }
 
     /// Stores a slot at a server in slow start before the dial that uses it goes out, so that a relay that
-    /// crashes again and again keeps its rate.
+    /// crashes again and again stays within its rate.
     pub(super) fn persist_slow_start_slot(
         &mut self,
         server: ServerId,
@@ -123,15 +123,15 @@
         if self.node.state.is_none() {
             return;
         }
-        let Some(v) = self.servers.get(&server) else { return };
-        if !v.in_slow_start(self.now, self.node.site.facts.warm_up) {
+        let Some(entry) = self.servers.get(&server) else { return };
+        if !entry.in_slow_start(self.now, self.node.site.facts.warm_up) {
             return;
         }
         let used_now = SlotSnapshot { age: 0, interval_fraction: 1.0 };
         let known = self.balancer.snapshot(self.now);
         let was_used_now = known.servers.iter().any(|known| known.server == server && known.slot == used_now);
         if was_used_now {
-            let record = Record::slow_start_slot(&v.instance.id, self.now);
+            let record = Record::slow_start_slot(&entry.instance.id, self.now);
             out.push(Effect::Persist { record, before: Some(session_id) });
         }
     }
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -66,12 +66,13 @@
     }
 
     fn count_failed_connect(&mut self, server: ServerId) {
-        if let Some(v) = self.servers.get_mut(&server) {
-            v.consecutive_connect_failures += 1;
+        if let Some(entry) = self.servers.get_mut(&server) {
+            entry.consecutive_connect_failures += 1;
         }
         if self.connect_failures.add(server) {
-            for v in self.servers.values_mut() {
-                v.consecutive_connect_failures = v.consecutive_connect_failures.max(MIN_FAILED_CONNECTS);
+            for server in self.servers.values_mut() {
+                server.consecutive_connect_failures =
+                    server.consecutive_connect_failures.max(MIN_FAILED_CONNECTS);
             }
         }
     }
@@ -79,12 +80,12 @@
     fn server_answered(&mut self, server: ServerId, out: &mut Vec<super::Effect>) {
         // A watch that is open reports restarts itself.
         let is_discovery_unavailable = self.watch.delivering.is_none();
-        let Some(v) = self.servers.get_mut(&server) else { return };
-        let failed_connects = std::mem::take(&mut v.consecutive_connect_failures);
+        let Some(entry) = self.servers.get_mut(&server) else { return };
+        let failed_connects = std::mem::take(&mut entry.consecutive_connect_failures);
         if failed_connects < MIN_FAILED_CONNECTS || !is_discovery_unavailable {
             return;
         }
-        let mut instance = v.instance.clone();
+        let mut instance = entry.instance.clone();
         instance.started_at = self.now;
         let endpoint = self.endpoint(instance, ListUpdate::Delta);
         self.step_balancer(Input::EndpointList { update: ListUpdate::Delta, endpoints: vec![endpoint] }, out);
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -31,17 +31,16 @@
     /// Counts health checks in a row without an answer, and announces where that makes a backend suspect or
     /// clears it.
     fn count_miss(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
-        let Some(v) = self.servers.get_mut(&server) else { return };
-        v.health_check_pending = false;
+        let Some(entry) = self.servers.get_mut(&server) else { return };
+        entry.health_check_pending = false;
         let missed = matches!(end, DialEnd::Timeout | DialEnd::Unconnected);
-        let before = v.consecutive_misses;
-        v.consecutive_misses = if missed { before + 1 } else { 0 };
-        let suspect = v.consecutive_misses >= SUSPECT_AFTER_MISSES;
+        let before = entry.consecutive_misses;
+        entry.consecutive_misses = if missed { before + 1 } else { 0 };
+        let suspect = entry.consecutive_misses >= SUSPECT_AFTER_MISSES;
         if suspect != (before >= SUSPECT_AFTER_MISSES) {
-            let affected = self
-                .sessions
-                .iter()
-                .filter(|(_, s)| s.server == Some(server) && s.stage == SessionStage::Proxying);
+            let affected = self.sessions.iter().filter(|(_, session)| {
+                session.server == Some(server) && session.stage == SessionStage::Proxying
+            });
             out.extend(affected.map(|(&session_id, _)| Effect::SetSuspect { session_id, suspect }));
         }
     }
@@ -49,7 +48,7 @@
     /// Applies a list or changes of one: the tasks first, then the balancer.
     pub(super) fn apply_list(&mut self, list: List, out: &mut Vec<Effect>) {
         if list.is_complete {
-            self.servers.values_mut().for_each(|v| v.instance.phase = Phase::Gone);
+            self.servers.values_mut().for_each(|server| server.instance.phase = Phase::Gone);
         }
         let update = if list.is_complete { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let mut instances = list.instances;
@@ -59,7 +58,7 @@
             // that effect anyway.
             let unreadable =
                 list.unreadable.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
-            let ready = unreadable.map(|v| &v.instance).filter(|known| known.phase == Phase::Ready);
+            let ready = unreadable.map(|server| &server.instance).filter(|known| known.phase == Phase::Ready);
             instances.extend(ready.map(|known| Instance { phase: Phase::Draining, ..known.clone() }));
         }
         let endpoints: Vec<Endpoint> = instances.into_iter().map(|one| self.endpoint(one, update)).collect();
@@ -74,7 +73,8 @@
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
         if update == ListUpdate::Snapshot {
             // Servers that a complete list does not name are removed.
-            named.extend(self.servers.iter().map(|(&server, v)| (server, v.instance.phase != Phase::Ready)));
+            named
+                .extend(self.servers.iter().map(|(&id, server)| (id, server.instance.phase != Phase::Ready)));
         }
         named.extend(endpoints.iter().map(|endpoint| (endpoint.server, !endpoint.ready())));
         for (server, draining) in named {
@@ -106,8 +106,8 @@
             latency_report: LatencyReport::default(),
             session_counts: SessionCounts::default(),
         };
-        let v = self.servers.entry(server).or_insert_with(fresh);
-        (v.instance, v.started_at) = (one.clone(), started);
+        let entry = self.servers.entry(server).or_insert_with(fresh);
+        (entry.instance, entry.started_at) = (one.clone(), started);
         let zone = self.node.site.zones.iter().position(|name| *name == one.zone);
         let zone = zone.and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
         let phase = self.phase(&one);
@@ -125,8 +125,10 @@
             return 0;
         }
         let known = self.servers.get(&server);
-        if let Some(v) = known.filter(|v| v.instance.started_at == listed_start && v.started_at > 0) {
-            return v.started_at;
+        let is_same_start =
+            |known: &&Server| known.instance.started_at == listed_start && known.started_at > 0;
+        if let Some(known) = known.filter(is_same_start) {
+            return known.started_at;
         }
         let is_ahead = listed_start > self.now;
         let before = self.discovery_contacted_before.filter(|_| update == ListUpdate::Delta);
@@ -145,15 +147,15 @@
         let removed: Vec<ServerId> = self
             .servers
             .iter()
-            .filter(|(_, v)| v.instance.phase == Phase::Gone && !v.health_check_pending)
-            .map(|v| *v.0)
+            .filter(|(_, server)| server.instance.phase == Phase::Gone && !server.health_check_pending)
+            .map(|(id, _)| *id)
             .collect();
         for server in removed {
-            if self.sessions.values().any(|s| s.server == Some(server)) {
+            if self.sessions.values().any(|session| session.server == Some(server)) {
                 continue;
             }
-            if let Some(v) = self.servers.remove(&server) {
-                self.ids.remove(&v.instance.id);
+            if let Some(entry) = self.servers.remove(&server) {
+                self.ids.remove(&entry.instance.id);
                 if self.draining.remove(&server) {
                     out.push(Effect::SetDraining { server, draining: false });
                 }
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -10,43 +10,49 @@
         let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
         };
-        let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.stage == SessionStage::Proxying) else {
+        let Some(session) =
+            self.sessions.get_mut(&session_id).filter(|session| session.stage == SessionStage::Proxying)
+        else {
             return;
         };
-        let Some(backend) = s.server.and_then(|id| self.servers.get(&id)).map(|v| &v.instance) else {
+        let Some(backend) =
+            session.server.and_then(|id| self.servers.get(&id)).map(|server| &server.instance)
+        else {
             return;
         };
-        let session = SessionState {
-            id: s.id,
-            listener: s.listener.to_string(),
+        let state = SessionState {
+            id: session.id,
+            listener: session.listener.to_string(),
             server: backend.id.clone(),
-            key: s.request.key,
-            group: s.request.group,
-            returned: s.request.returned,
+            key: session.request.key,
+            group: session.request.group,
+            returned: session.request.returned,
             ..SessionState::default()
         };
-        s.stage = SessionStage::HandingOver;
-        out.push(Effect::HandOverSession { session_id, peer, state: Box::new(session) });
+        session.stage = SessionStage::HandingOver;
+        out.push(Effect::HandOverSession { session_id, peer, state: Box::new(state) });
     }
 
     /// The other process could not take it: it stays here, and moves as this process drains.
     pub(super) fn session_handover_failed(&mut self, session_id: SessId) {
-        if let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.stage == SessionStage::HandingOver) {
-            s.stage = SessionStage::Proxying;
+        if let Some(session) =
+            self.sessions.get_mut(&session_id).filter(|session| session.stage == SessionStage::HandingOver)
+        {
+            session.stage = SessionStage::Proxying;
         }
     }
 
     /// An open session of the predecessor, after its first answer.
-    pub(super) fn adopt_session(&mut self, session_id: SessId, session: SessionState, out: &mut Vec<Effect>) {
+    pub(super) fn adopt_session(&mut self, session_id: SessId, state: SessionState, out: &mut Vec<Effect>) {
         let listeners = &self.node.site.listeners;
         // This process' configuration may no longer have its listener; an open session needs none.
-        let listener = listeners.iter().position(|name| *name == session.listener).unwrap_or(0);
-        let SessionState { key, group, returned, .. } = session;
+        let listener = listeners.iter().position(|name| *name == state.listener).unwrap_or(0);
+        let SessionState { key, group, returned, .. } = state;
         let request = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
-        let server = self.ids.get(&session.server).copied();
+        let server = self.ids.get(&state.server).copied();
         let adopted = Session {
-            id: session.id,
-            listener: session.listener.as_str().into(),
+            id: state.id,
+            listener: state.listener.as_str().into(),
             request,
             stage: SessionStage::Proxying,
             server,
@@ -55,8 +61,8 @@
             last_load_at: None,
             is_resuming: false,
         };
-        self.predecessor_session_ids.remove(&session.id);
-        self.session_ids.insert(session.id);
+        self.predecessor_session_ids.remove(&state.id);
+        self.session_ids.insert(state.id);
         self.sessions.insert(session_id, adopted);
         let remaining = &mut self.predecessor_remaining;
         remaining.connections = remaining.connections.saturating_sub(1);
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -19,12 +19,12 @@
 impl Reducer {
     /// Whether the dial is the one that is out for the session; events of earlier dials are ignored.
     fn is_current_dial(&self, session_id: SessId, dial: u32) -> bool {
-        let is_out = |s: &Session| s.stage == SessionStage::Dialing && s.dials == dial + 1;
+        let is_out = |session: &Session| session.stage == SessionStage::Dialing && session.dials == dial + 1;
         self.sessions.get(&session_id).is_some_and(is_out)
     }
 
     pub(super) fn is_proxying(&self, session_id: SessId) -> bool {
-        self.sessions.get(&session_id).is_some_and(|s| s.stage == SessionStage::Proxying)
+        self.sessions.get(&session_id).is_some_and(|session| session.stage == SessionStage::Proxying)
     }
 
     /// A connection that violates the protocol is never served, even where a dial is out for it.
@@ -37,9 +37,9 @@
     /// A session ends by its client's doing. The balancer is notified, unless the session still waits to be
     /// resumed.
     pub(super) fn abandon_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.remove_session(session_id) else { return };
-        self.metrics.of_listener(&s.listener).abandoned += u64::from(s.stage.awaits_answer());
-        if !s.is_resuming {
+        let Some(session) = self.remove_session(session_id) else { return };
+        self.metrics.of_listener(&session.listener).abandoned += u64::from(session.stage.awaits_answer());
+        if !session.is_resuming {
             self.step_balancer(Input::SessionEnded { session: session_id }, out);
         }
     }
@@ -54,17 +54,17 @@
     /// The client ended its sending before it was answered. It may have left, so nothing is forwarded; it may
     /// still read, so its final answer is sent.
     pub(super) fn client_half_closed(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get(&session_id) else { return };
-        out.push(final_answer(session_id, s.dials));
+        let Some(session) = self.sessions.get(&session_id) else { return };
+        out.push(final_answer(session_id, session.dials));
         self.abandon_session(session_id, out);
     }
 
     /// Ends a session; its connection goes on for as long as its final answer takes.
     pub(super) fn remove_session(&mut self, session_id: SessId) -> Option<Session> {
-        let s = self.sessions.remove(&session_id)?;
-        self.session_ids.remove(&s.id);
+        let session = self.sessions.remove(&session_id)?;
+        self.session_ids.remove(&session.id);
         self.add_idle_connection(session_id);
-        Some(s)
+        Some(session)
     }
 
     /// A client's first line. `time_remaining` is what is left of its timeout.
@@ -141,17 +141,17 @@
         let Some(&server) = self.ids.get(backend) else {
             return self.send_final_answer(session_id, Effect::TearDown { session_id }, out);
         };
-        self.sessions.entry(session_id).and_modify(|s| s.server = Some(server));
+        self.sessions.entry(session_id).and_modify(|session| session.server = Some(server));
         self.dial_resuming_session(session_id, out);
     }
 
     /// Sends the final answer of a session. It is the only place that does so; a client whose time was up
     /// long ago, since this process was not scheduled, gets none.
     pub(super) fn send_final_answer(&mut self, session_id: SessId, answer: Effect, out: &mut Vec<Effect>) {
-        let Some(s) = self.remove_session(session_id) else { return };
-        let outcomes = self.metrics.of_listener(&s.listener);
+        let Some(session) = self.remove_session(session_id) else { return };
+        let outcomes = self.metrics.of_listener(&session.listener);
         // Until then a late answer serves the client better than none.
-        let is_too_late = self.now > s.deadline + self.node.limits.answer_late;
+        let is_too_late = self.now > session.deadline + self.node.limits.answer_late;
         match answer {
             Effect::Reject { .. } if !is_too_late => outcomes.rejected += 1,
             _ => outcomes.failed += 1,
@@ -161,17 +161,19 @@
 
     /// Dials the backend of a session that is to be resumed.
     pub(super) fn dial_resuming_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        if s.stage != SessionStage::AwaitingPlacement {
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
+        if session.stage != SessionStage::AwaitingPlacement {
             return;
         }
-        let Some(addr) = s.server.and_then(|id| self.servers.get(&id)).map(|v| v.instance.addr) else {
+        let Some(addr) =
+            session.server.and_then(|id| self.servers.get(&id)).map(|server| server.instance.addr)
+        else {
             return self.send_final_answer(session_id, Effect::TearDown { session_id }, out);
         };
-        let dial = s.dials;
-        s.stage = SessionStage::Dialing;
-        s.dials += 1;
-        let timeout = s.deadline - self.now;
+        let dial = session.dials;
+        session.stage = SessionStage::Dialing;
+        session.dials += 1;
+        let timeout = session.deadline - self.now;
         let start_within = self.node.limits.connect;
         out.push(Effect::Dial { session_id, dial, server: None, addr, timeout, start_within });
     }
@@ -189,7 +191,7 @@
         answer: Effect,
         out: &mut Vec<Effect>,
     ) {
-        let is_known_to_balancer = self.sessions.get(&session_id).is_some_and(|s| !s.is_resuming);
+        let is_known_to_balancer = self.sessions.get(&session_id).is_some_and(|session| !session.is_resuming);
         self.send_final_answer(session_id, answer, out);
         if is_known_to_balancer {
             self.step_balancer(Input::SessionEnded { session: session_id }, out);
@@ -202,23 +204,25 @@
             return;
         }
         let earliest_deadline = self.now.saturating_sub(self.node.limits.answer_margin);
-        let Some(s) = self.sessions.get_mut(&session_id).filter(|s| s.deadline >= earliest_deadline) else {
+        let Some(session) =
+            self.sessions.get_mut(&session_id).filter(|session| session.deadline >= earliest_deadline)
+        else {
             // The client's time is up, so the backend's answer is not used.
             return self.deadline_expired(session_id, out);
         };
-        s.stage = SessionStage::Proxying;
-        let server = s.server;
+        session.stage = SessionStage::Proxying;
+        let server = session.server;
         self.observe_contact(server, DialEnd::Ok, out);
         self.count_outcome(server, DialEnd::Ok);
-        let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        self.metrics.of_listener(&s.listener).established += 1;
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
+        self.metrics.of_listener(&session.listener).established += 1;
         out.push(Effect::StartProxying { session_id });
-        let was_resuming = std::mem::take(&mut s.is_resuming);
-        match s.server {
+        let was_resuming = std::mem::take(&mut session.is_resuming);
+        match session.server {
             Some(server) if was_resuming => {
                 // The balancer counts a dial that it never requested as the first.
-                s.dials = 1;
-                let request = s.request;
+                session.dials = 1;
+                let request = session.request;
                 self.step_balancer(Input::SessionAdopted { session: session_id, server, request }, out);
             }
             _ => self.step_balancer(Input::SessionEstablished { session: session_id, dial }, out),
@@ -238,12 +242,12 @@
         if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
             return;
         }
-        let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        let server = s.server;
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
+        let server = session.server;
         // `Ok`: the backend served the session to its end at once, and its last line is the final answer.
         let settled = end == DialEnd::Ok;
         if settled {
-            self.metrics.of_listener(&s.listener).established += 1;
+            self.metrics.of_listener(&session.listener).established += 1;
             self.remove_session(session_id);
         }
         self.observe_contact(server, end, out);
@@ -257,21 +261,21 @@
         if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
             return;
         }
-        let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        s.dials -= 1;
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
+        session.dials -= 1;
         self.step_balancer(Input::DialNotStarted { session: session_id, dial }, out);
     }
 
     /// No dial is out any more. A session that is to be resumed is dialled again at its backend, and true is
     /// returned.
     fn retries_resuming(&mut self, session_id: SessId, out: &mut Vec<Effect>) -> bool {
-        let Some(s) = self.sessions.get_mut(&session_id) else { return false };
-        s.stage = SessionStage::AwaitingPlacement;
-        if s.is_resuming {
+        let Some(session) = self.sessions.get_mut(&session_id) else { return false };
+        session.stage = SessionStage::AwaitingPlacement;
+        if session.is_resuming {
             let timer = Timer::DialResumingSession(session_id);
             out.push(Effect::StartTimer { after: RESUME_RETRY_INTERVAL, timer });
         }
-        s.is_resuming
+        session.is_resuming
     }
 
     /// An open session ended at its backend's side.
@@ -282,19 +286,19 @@
         report: Option<LoadReport>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(s) = self.remove_session(session_id) else { return };
-        let dial = s.dials.saturating_sub(1);
+        let Some(session) = self.remove_session(session_id) else { return };
+        let dial = session.dials.saturating_sub(1);
         if end == DialEnd::Reset {
-            self.count_outcome(s.server, end);
+            self.count_outcome(session.server, end);
         }
         self.step_balancer(Input::DialEnded { session: session_id, dial, end, settled: true, report }, out);
     }
 
-    /// The balancer moves an open session away from its backend.
+    /// The balancer migrates an open session from its backend to another.
     pub(super) fn migrate_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
-        let Some(s) = self.sessions.get_mut(&session_id) else { return };
-        if s.stage == SessionStage::Proxying {
-            s.stage = SessionStage::Migrating;
+        let Some(session) = self.sessions.get_mut(&session_id) else { return };
+        if session.stage == SessionStage::Proxying {
+            session.stage = SessionStage::Migrating;
             out.push(Effect::Migrate { session_id });
         }
     }
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -70,7 +70,7 @@
         self.move_discovery(node.discovery, out);
     }
 
-    /// Applies new settings. Sessions keep the rules that they were requested under: the balancer holds their
+    /// Applies new settings. Sessions stay under the rules of their request: the balancer holds their
     /// listener's rules with them, and their deadline is set.
     fn apply_settings(&mut self, node: &Node, out: &mut Vec<Effect>) {
         let zones = node.site.zones != self.node.site.zones;
@@ -90,7 +90,7 @@
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
             // The same servers may have other zone numbers now.
-            let instances = self.servers.values().map(|v| v.instance.clone()).collect();
+            let instances = self.servers.values().map(|server| server.instance.clone()).collect();
             self.apply_list(List { is_complete: true, instances, ..List::default() }, out);
         }
     }
@@ -114,7 +114,8 @@
 
     /// Stops watching in a process that was replaced, once no session waits to be placed.
     pub(super) fn stop_watching(&mut self, out: &mut Vec<Effect>) {
-        if !self.sessions.values().any(|s| s.stage.awaits_answer()) && std::mem::take(&mut self.watch.is_open)
+        if !self.sessions.values().any(|session| session.stage.awaits_answer())
+            && std::mem::take(&mut self.watch.is_open)
         {
             let watches = [Some(self.watch.latest), self.watch.delivering.take()];
             out.extend(watches.into_iter().flatten().map(|watch| Effect::StopWatch { watch }));
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -53,7 +53,7 @@
     },
 }
 
-/// Why a command came to no answer.
+/// Why a command got no answer.
 #[derive(Debug, thiserror::Error)]
 enum ReleaseError {
     #[error(transparent)]
--- a/relay/src/socket.rs
+++ b/relay/src/socket.rs
@@ -43,7 +43,7 @@
 /// Why there is no connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine could not begin one: no descriptor, port, memory or route just now. It says nothing of
+    /// This machine could not begin one: no descriptor, port, memory or route just now. It shows nothing of
     /// the other side.
     #[error("this machine can't connect: {0}")]
     Local(#[source] io::Error),
@@ -58,10 +58,10 @@
 /// How long a start waits for the machine's resources, of the 10 s in which a relay has to be ready.
 const RESOURCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Between two tries to open a socket at a start.
+/// Between two attempts to open a socket at a start.
 const RESOURCE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two tries to connect while this machine can't: seldom enough not to spin, often against the
+/// Between two attempts to connect while this machine can't: seldom enough not to spin, often against the
 /// shortest connect timeout (40 ms).
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -110,8 +110,8 @@
     error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
 }
 
-/// Connects before a deadline. While this machine can't, it retries, unless `is_remote` tells that the error
-/// lies at the other side after all.
+/// Connects before a deadline. While this machine can't, it retries, unless by `is_remote` the error lies
+/// at the other side after all.
 ///
 /// # Errors
 /// See `ConnectError`.
--- a/relay/src/store_command.rs
+++ b/relay/src/store_command.rs
@@ -1,4 +1,4 @@
-//! The command `hallrelay store`: looks at a relay's state directory, and compacts its log.
+//! The command `hallrelay store`: inspects a relay's state directory, and compacts its log.
 use hallrelay_recovery::RecordKind;
 use hallrelay_store::format::{inspect, Inspection};
 use hallrelay_store::log::LOG_FILE;
--- a/relay/src/values.rs
+++ b/relay/src/values.rs
@@ -8,7 +8,7 @@
 pub enum Part {
     /// One whole object or list.
     Value(Vec<u8>),
-    /// A line's end between values: a sign of life of the sender.
+    /// A line's end between values: the sender is alive.
     BlankLine,
 }
 
