--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -53,9 +53,9 @@
             && self.current_load(server, &self.estimate) >= FULL_LOAD
     }
 
-    /// Whether a server sheds sessions for the rest to be served, wherever they go: it is congested, a report
-    /// of now has it above 1.0, and more than half of the fleet's capacity is congested too, so that there is
-    /// no better server.
+    /// Whether a server sheds sessions for the rest to be served, wherever they go: it is unhealthy, its load
+    /// is above 1.0 by a report of this step, and more than half of the fleet's capacity is congested, so
+    /// that there is no better server.
     fn is_shedding(&self, server: &Server, load: f64, fleet: &FleetEstimate) -> bool {
         server.last_report_at == Some(self.now)
             && load > 1.0
--- a/config/src/limits/derived.rs
+++ b/config/src/limits/derived.rs
@@ -37,7 +37,7 @@
 /// The file descriptors that sessions may use, of `sockets` in all.
 ///
 /// # Errors
-/// Too few are left beside the parts of the program that need descriptors of their own.
+/// The rest, beside the parts of the program that need descriptors of their own, is under four.
 pub(super) fn session_sockets(sockets: usize, uses: Uses) -> Result<usize, ConfigError> {
     let operator_sockets = OPERATOR_CONNECTIONS + OPERATOR_LISTENER + TAKEOVER_SOCKETS;
     let fleet_sockets = 2 * FLEET_STREAMS + FLEET_LISTENERS;
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -144,10 +144,12 @@
     check_voter_state(&name, fleet.as_ref(), state.is_some())?;
     let uses = Uses { operator: operator.is_some(), fleet: fleet.is_some(), state: state.is_some() };
     let (site, limits) = derive_limits(site, sockets, uses)?;
+    let listen = addr_of(&top, "listen", &overrides.listen)?;
+    let discovery = addr_of(&top, "discovery", &overrides.discovery)?;
     Ok(Node {
         name,
-        listen: addr_of(&top, "listen", &overrides.listen)?,
-        discovery: addr_of(&top, "discovery", &overrides.discovery)?,
+        listen,
+        discovery,
         operator,
         fleet,
         state,
--- a/config/src/plan.rs
+++ b/config/src/plan.rs
@@ -93,6 +93,9 @@
 }
 
 /// Reads a plan's file.
+///
+/// # Errors
+/// The file can't be read, or `parse` fails.
 pub fn read(path: &Path) -> Result<RolloutPlan, PlanError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -101,16 +104,20 @@
     }
 }
 
-/// Parses and validates a plan; `file` is for its errors.
+/// Parses and validates a plan; `file` names the text in errors.
+///
+/// # Errors
+/// Not TOML, not a plan's keys, a wave that selects nothing, or values beyond the limits.
 pub fn parse(file: &str, text: &str) -> Result<RolloutPlan, PlanError> {
     let text: Text = toml::from_str(text).map_err(|e| PlanError::Syntax {
         file: file.to_string(),
         reason: e.to_string().trim_end().to_string(),
     })?;
     let mut waves = Vec::new();
-    for (i, wave) in text.wave.into_iter().enumerate() {
-        waves.push(decode_wave(file, i + 1, wave)?);
+    for (index, wave) in text.wave.into_iter().enumerate() {
+        waves.push(decode_wave(file, index + 1, wave)?);
     }
+    let margin_ppm = share_ppm(file, "judge.worse", text.judge.worse)?;
     let plan = RolloutPlan {
         build: text.build,
         target_kind: match text.of {
@@ -120,7 +127,7 @@
         waves,
         analysis: AnalysisPolicy {
             min_sessions: text.judge.sessions,
-            margin_ppm: share_ppm(file, "judge.worse", text.judge.worse)?,
+            margin_ppm,
             deadline_s: text.judge.within_s,
         },
         requested_by: text.by,
--- a/config/src/scenario/servers.rs
+++ b/config/src/scenario/servers.rs
@@ -26,7 +26,7 @@
     /// Interval at which a server measures its report, random between two times, more than 0; 0.3 to 1.5 s by
     /// default.
     pub report_every_ms: [Millis; 2],
-    /// Age at which a measured report can be read, random between two times; 90 to 490 ms by default.
+    /// Age of the reports that a server answers with, random between two times; 90 to 490 ms by default.
     pub report_late_ms: [Millis; 2],
     /// Relative standard deviation of reported values; 0.05 by default.
     pub report_noise: Part,
