--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -3,7 +3,7 @@
 use crate::clients::{ClientAction, Clients};
 use crate::links::{Arrival, Links};
 use crate::membership_audit::MembershipAudit;
-use crate::script::{Action, RelayAction};
+use crate::script::{Action, RelayCommand};
 use crate::servers::{ServerEvent, Servers};
 use crate::service::{Outcome, Service};
 use hallrelay_balancer::types::Micros;
@@ -46,8 +46,8 @@
     pub server_events: Vec<ServerEvent>,
     /// What clients do.
     pub client_actions: Vec<ClientAction>,
-    /// What is done to relays, by their numbers.
-    pub relay_actions: Vec<(usize, RelayAction)>,
+    /// What is done to relays.
+    pub relay_commands: Vec<RelayCommand>,
     /// Whether discovery is unavailable from now on; none where that does not change.
     pub discovery_down: Option<bool>,
     /// The endpoint list, or who is cut off from discovery, has changed.
@@ -61,7 +61,7 @@
     pub fn is_empty(&self) -> bool {
         self.server_events.is_empty()
             && self.client_actions.is_empty()
-            && self.relay_actions.is_empty()
+            && self.relay_commands.is_empty()
             && self.arrivals.is_empty()
             && !self.list_changed
             && self.discovery_down.is_none()
@@ -162,7 +162,7 @@
         match action {
             Action::SetArrivalRate { factor } => self.clients.set_arrival_factor(factor),
             Action::Reconnect { fraction, within } => self.clients.reconnect(now, fraction, within),
-            Action::Relay { relay, action } => todo.relay_actions.push((relay, action)),
+            Action::Relay(command) => todo.relay_commands.push(command),
             Action::StartLinkFault { fault_id, links, fault } => {
                 self.links.start_fault(fault_id, links, fault);
                 self.audit_link_cuts(now);
--- a/emulator/src/net/host.rs
+++ b/emulator/src/net/host.rs
@@ -5,7 +5,7 @@
 use crate::day::{Day, DriverActions};
 use crate::links::Arrival;
 use crate::membership_audit::ProcessState;
-use crate::script::RelayAction;
+use crate::script::RelayCommand;
 use crate::servers::{ConnectionId, ServerEvent, ServerLine};
 use crate::service::BadFigures;
 use hallrelay_balancer::types::Micros;
@@ -77,8 +77,8 @@
     /// Datagrams between relays that were held, and go on.
     pub(super) arrivals: RefCell<Vec<Arrival>>,
     pub(super) arrivals_released: Notify,
-    relay_actions: RefCell<Vec<(usize, RelayAction)>>,
-    relay_action_due: Notify,
+    relay_commands: RefCell<Vec<RelayCommand>>,
+    relay_command_due: Notify,
     models_called: Notify,
     /// The longest time after which the models were stepped late, in microseconds.
     pub max_delay: Cell<Micros>,
@@ -116,8 +116,8 @@
             list_addresses: RefCell::new(vec![no_address; relay_count]),
             arrivals: RefCell::default(),
             arrivals_released: Notify::new(),
-            relay_actions: RefCell::default(),
-            relay_action_due: Notify::new(),
+            relay_commands: RefCell::default(),
+            relay_command_due: Notify::new(),
             models_called: Notify::new(),
             max_delay: Cell::new(0),
             malformed_clients: RefCell::default(),
@@ -147,7 +147,7 @@
             self.day.borrow_mut().take_internal_events(now, todo);
             let server_events = std::mem::take(&mut todo.server_events);
             let client_actions = std::mem::take(&mut todo.client_actions);
-            let relay_actions = std::mem::take(&mut todo.relay_actions);
+            let relay_commands = std::mem::take(&mut todo.relay_commands);
             let list_changed = std::mem::take(&mut todo.list_changed);
             let discovery_down = todo.discovery_down.take();
             server_events.into_iter().for_each(|event| self.handle_server_event(now, event));
@@ -163,9 +163,9 @@
                 self.arrivals.borrow_mut().append(&mut todo.arrivals);
                 self.arrivals_released.notify_one();
             }
-            if !relay_actions.is_empty() {
-                self.relay_actions.borrow_mut().extend(relay_actions);
-                self.relay_action_due.notify_one();
+            if !relay_commands.is_empty() {
+                self.relay_commands.borrow_mut().extend(relay_commands);
+                self.relay_command_due.notify_one();
             }
         }
     }
@@ -245,14 +245,14 @@
         }
     }
 
-    /// Waits for what is to be done to relays, by their numbers.
-    pub async fn next_relay_actions(&self) -> Vec<(usize, RelayAction)> {
+    /// Waits for what is to be done to relays.
+    pub async fn next_relay_commands(&self) -> Vec<RelayCommand> {
         loop {
-            let due = std::mem::take(&mut *self.relay_actions.borrow_mut());
+            let due = std::mem::take(&mut *self.relay_commands.borrow_mut());
             if !due.is_empty() {
                 return due;
             }
-            self.relay_action_due.notified().await;
+            self.relay_command_due.notified().await;
         }
     }
 
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -24,9 +24,17 @@
     pub operator: Option<SocketAddr>,
     /// Directory of its store; none where it stores nothing.
     pub state: Option<String>,
-    /// Where it listens for the other relays, and where all relays are reached; none where they do not know
-    /// each other.
-    pub fleet: Option<(SocketAddr, Vec<SocketAddr>)>,
+    /// Its addresses for the other relays; none where they do not know each other.
+    pub membership: Option<MembershipAddresses>,
+}
+
+/// Where relays reach each other.
+#[derive(Clone, Debug)]
+pub struct MembershipAddresses {
+    /// Where this relay listens for the others.
+    pub listen: SocketAddr,
+    /// By relay: where the others reach it.
+    pub advertised: Vec<SocketAddr>,
 }
 
 fn ms(us: u64) -> f64 {
@@ -97,7 +105,7 @@
     if let Some(operator) = placement.operator {
         text["operator"] = json!(operator.to_string());
     }
-    if let Some((listen, advertised)) = &placement.fleet {
+    if let Some(MembershipAddresses { listen, advertised }) = &placement.membership {
         let peers: Vec<String> = advertised.iter().take(relays.seeds).map(ToString::to_string).collect();
         text["fleet"] = json!({"name": scenario.name, "listen": listen.to_string(),
             "advertise": advertised[placement.relay].to_string(), "peers": peers});
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -118,12 +118,7 @@
         delay: Micros,
     },
     /// Something is done to a relay.
-    Relay {
-        /// The relay.
-        relay: usize,
-        /// What is done.
-        action: RelayAction,
-    },
+    Relay(RelayCommand),
     /// A fault of links between relays starts.
     StartLinkFault {
         /// The fault that it comes from.
@@ -170,6 +165,15 @@
     pub fraction: f64,
 }
 
+/// Something that is done to one relay.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RelayCommand {
+    /// The relay.
+    pub relay: usize,
+    /// What is done.
+    pub action: RelayAction,
+}
+
 /// What is done to a relay's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayAction {
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -1,5 +1,5 @@
 //! The actions of one fault of a scenario.
-use super::{kind_text, Action, RelayAction, WireFault};
+use super::{kind_text, Action, RelayAction, RelayCommand, WireFault};
 use crate::event_queue::EventQueue;
 use crate::links::{LinkFault, LinkSet};
 use crate::random::Random;
@@ -140,9 +140,9 @@
     fn on_relays(&mut self, action: RelayAction, action_after: Option<RelayAction>) {
         let end = self.to.max(self.from + 1);
         for relay in self.affected_relays() {
-            self.actions.schedule(self.from, Action::Relay { relay, action });
+            self.actions.schedule(self.from, Action::Relay(RelayCommand { relay, action }));
             if let Some(action) = action_after {
-                self.actions.schedule(end, Action::Relay { relay, action });
+                self.actions.schedule(end, Action::Relay(RelayCommand { relay, action }));
             }
         }
     }
@@ -240,8 +240,9 @@
             let mut at = self.from;
             while at < self.to {
                 let start_at = (at + interval).min(self.to);
-                self.actions.schedule(at, Action::Relay { relay, action: RelayAction::Kill });
-                self.actions.schedule(start_at, Action::Relay { relay, action: RelayAction::Start });
+                self.actions.schedule(at, Action::Relay(RelayCommand { relay, action: RelayAction::Kill }));
+                self.actions
+                    .schedule(start_at, Action::Relay(RelayCommand { relay, action: RelayAction::Start }));
                 at += 2 * interval;
             }
         }
--- a/emulator/src/servers/faults.rs
+++ b/emulator/src/servers/faults.rs
@@ -42,7 +42,7 @@
             Action::Log { text } => out.push(ServerEvent::Log(text)),
             other @ (Action::SetArrivalRate { .. }
             | Action::Reconnect { .. }
-            | Action::Relay { .. }
+            | Action::Relay(_)
             | Action::StartLinkFault { .. }
             | Action::EndLinkFault { .. }
             | Action::SetDiscoveryCut { .. }) => out.push(ServerEvent::Action(other)),
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -5,8 +5,8 @@
 use hallrelay_emulator::day::Day;
 use hallrelay_emulator::net::links::{self, RelayAddresses};
 use hallrelay_emulator::net::{endpoint_addresses, free_port, list, malformed, server, Clock, Host, Shared};
-use hallrelay_emulator::node::{self, RelayPlacement};
-use hallrelay_emulator::script::RelayAction;
+use hallrelay_emulator::node::{self, MembershipAddresses, RelayPlacement};
+use hallrelay_emulator::script::{RelayAction, RelayCommand};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
 use std::cell::Cell;
 use std::future::Future;
@@ -194,13 +194,16 @@
     }
 
     fn place(&self, relay: usize, seed: u64) -> RelayPlacement {
-        let fleet = self.addresses.as_ref().map(|all| (all.listen[relay], all.advertised.clone()));
+        let membership = self
+            .addresses
+            .as_ref()
+            .map(|all| MembershipAddresses { listen: all.listen[relay], advertised: all.advertised.clone() });
         let state = self.options.out.join(format!("relay-{relay}.state")).display().to_string();
         let state = self.s.relays.state.then_some(state);
         RelayPlacement {
             operator: self.relays[relay].operator,
             state,
-            fleet,
+            membership,
             ..place(relay, seed, &self.host)
         }
     }
@@ -283,8 +286,8 @@
             tokio::select! {
                 () = &mut day => return Ok(None),
                 () = &mut interrupted => return Ok(Some("interrupted".to_string())),
-                deeds = host.next_relay_actions() => {
-                    for (relay, deed) in deeds {
+                commands = host.next_relay_commands() => {
+                    for RelayCommand { relay, action: deed } in commands {
                         self.deed(relay, deed).await?;
                     }
                 }
@@ -430,7 +433,7 @@
 /// Where a relay finds what it serves; operators and other relays come beside it.
 pub fn place(relay: usize, seed: u64, host: &Shared) -> RelayPlacement {
     let (listen, discovery) = (host.relays.borrow()[relay], host.list_addresses.borrow()[relay]);
-    RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, fleet: None }
+    RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, membership: None }
 }
 
 /// A relay's configuration as operators would write it.
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -3,6 +3,7 @@
 use super::*;
 use hallrelay_emulator::links::Arrival;
 use hallrelay_emulator::membership_audit::ProcessState;
+use hallrelay_emulator::node::MembershipAddresses;
 use hallrelay_membership::message::{decode, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 use hallrelay_membership::{Effect as MembershipEffect, Event as MembershipEvent};
 use hallrelay_relay::reducer::{OperatorReply, OperatorRequest};
@@ -26,8 +27,8 @@
 }
 
 /// Where a relay listens, and where all relays are advertised.
-pub(super) fn addresses(relay: usize, count: usize) -> (SocketAddr, Vec<SocketAddr>) {
-    (listen(relay), (0..count).map(advertised).collect())
+pub(super) fn addresses(relay: usize, count: usize) -> MembershipAddresses {
+    MembershipAddresses { listen: listen(relay), advertised: (0..count).map(advertised).collect() }
 }
 
 /// What is on its way from one relay to another.
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -16,7 +16,7 @@
 use hallrelay_emulator::event_queue::EventQueue;
 use hallrelay_emulator::membership_audit::ProcessState;
 use hallrelay_emulator::node::{self, RelayPlacement};
-use hallrelay_emulator::script::RelayAction;
+use hallrelay_emulator::script::{RelayAction, RelayCommand};
 use hallrelay_emulator::servers::{ConnectionId, DialRequest, Reachability, ServerEvent, ServerLine};
 use hallrelay_emulator::service::{Outcome, RelayFigures};
 use hallrelay_recovery::record::VERSION;
@@ -282,7 +282,7 @@
             seed: mix(self.day.seed ^ (relay as u64) << 32 ^ u64::from(life) << 48),
             operator: None,
             state: self.day.scenario.relays.state.then(|| "virtual".to_string()),
-            fleet: self
+            membership: self
                 .day
                 .scenario
                 .relays
@@ -492,7 +492,7 @@
             self.day.take_internal_events(self.now, todo);
             let (told, does) =
                 (std::mem::take(&mut todo.server_events), std::mem::take(&mut todo.client_actions));
-            let deeds = std::mem::take(&mut todo.relay_actions);
+            let commands = std::mem::take(&mut todo.relay_commands);
             self.schedule_arrivals(std::mem::take(&mut todo.arrivals));
             let (news, down) = (std::mem::take(&mut todo.list_changed), todo.discovery_down.take());
             told.into_iter().for_each(|one| self.told(one, todo));
@@ -506,7 +506,7 @@
             if news {
                 self.list_news();
             }
-            for (relay, deed) in deeds {
+            for RelayCommand { relay, action: deed } in commands {
                 match deed {
                     RelayAction::Kill => self.ends(relay),
                     RelayAction::Stop => {
