--- a/emulator/src/audit/answers.rs
+++ b/emulator/src/audit/answers.rs
@@ -3,7 +3,7 @@
 use super::{Audit, PendingAnswer};
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
-/// A client's whole first line, on its way to a relay that took the connection.
+/// A client's complete first line, sent to a relay that accepted the connection.
 pub struct RequestSent {
     /// The session's mark.
     pub mark: u64,
--- a/emulator/src/audit/dials.rs
+++ b/emulator/src/audit/dials.rs
@@ -1,5 +1,5 @@
-//! Rules 1 and 2 as backends see them: dials of sessions that have ended, too many dials, and dials again
-//! that are not safe.
+//! Rules 1 and 2 as backends see them: dials of sessions that have ended, dials beyond the maximum, and
+//! retries that are not safe.
 use super::session::{DialOutcome, FirstRun, Session, TraceEvent};
 use super::Audit;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
@@ -13,7 +13,7 @@
     pub relay: usize,
     /// Backend that was dialled.
     pub backend: usize,
-    /// When the first byte of the line came.
+    /// When the first byte of the line was received.
     pub first_byte_at: Micros,
 }
 
@@ -111,7 +111,7 @@
         self.record_breach(1, now, mark, details);
     }
 
-    /// A backend says `UP`, with a receipt.
+    /// A backend sends `UP`, with a receipt.
     pub fn session_established(&mut self, now: Micros, mark: u64, backend: usize, receipt: u64) {
         self.trace(now, mark, TraceEvent::Established { backend });
         if let Some(session) = self.sessions.get_mut(&mark) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A dial has ended, or the open session that came of it.
+    /// A dial has ended, or the open session that it established.
     pub fn dial_ended(&mut self, now: Micros, mark: u64, backend: usize, outcome: DialOutcome) {
         self.trace(now, mark, TraceEvent::DialEnded { backend, outcome });
         let Some(session) = self.sessions.get_mut(&mark) else { return };
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -1,5 +1,5 @@
 //! Audits the four rules: it sees both sides of each session and the endpoint list, and proves or disproves
-//! that relays keep the rules. It shares nothing with relays and balancer, and knows them only by what
+//! that relays obey the rules. It shares nothing with relays and balancer, and knows them only by what
 //! passes.
 //!
 //! Rule 1: a client gets one final answer in time, and nothing after it. Rule 2: a session is dialled again
@@ -20,7 +20,7 @@
 use session::{Session, TraceEvent};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Breaches that are kept with their traces; further ones are counted.
+/// Breaches that are recorded with their traces; further ones are counted.
 const MAX_BREACHES: usize = 50;
 /// A session is forgotten so long after it has ended: nothing can come for it any more.
 const FORGET_AFTER: Micros = 60_000_000;
@@ -87,7 +87,7 @@
     poll_allowance: Micros,
     /// By backend: since when this process has been notified that it drains.
     notified: Vec<Option<Micros>>,
-    /// By backend: since when an earlier process had been notified, where nothing else came since.
+    /// By backend: since when an earlier process had been notified, where nothing else was notified since.
     notified_earlier: Vec<Option<Micros>>,
 }
 
@@ -115,8 +115,8 @@
     pub stale_dials: u64,
     /// The first breaches.
     pub breaches: Vec<Breach>,
-    /// Breaches beyond those that are kept.
-    unkept_breaches: u64,
+    /// Breaches beyond those that are recorded.
+    unrecorded_breaches: u64,
     /// Sessions requested.
     pub sessions_seen: u64,
     /// Dials received by backends.
@@ -163,7 +163,7 @@
             relays_have_stores: scenario.relays.state,
             stale_dials: 0,
             breaches: Vec::new(),
-            unkept_breaches: 0,
+            unrecorded_breaches: 0,
             sessions_seen: 0,
             dials_seen: 0,
             overloads: 0,
@@ -172,12 +172,12 @@
 
     /// Number of all breaches.
     pub fn breach_count(&self) -> u64 {
-        self.breaches.len() as u64 + self.unkept_breaches
+        self.breaches.len() as u64 + self.unrecorded_breaches
     }
 
     fn record_breach(&mut self, rule: u8, now: Micros, mark: u64, details: String) {
         if self.breaches.len() >= MAX_BREACHES {
-            self.unkept_breaches += 1;
+            self.unrecorded_breaches += 1;
             return;
         }
         let mut session = "none".to_string();
--- a/emulator/src/audit/session.rs
+++ b/emulator/src/audit/session.rs
@@ -1,7 +1,7 @@
 //! What the auditor holds of one session, and what passed for it.
 use hallrelay_balancer::types::Micros;
 
-/// Entries that are kept of a session's trace.
+/// Entries that are recorded of a session's trace.
 const MAX_TRACE: usize = 64;
 
 /// What a client was answered.
@@ -65,7 +65,7 @@
     pub relay: usize,
     pub deadline: Micros,
     pub answered_at: Option<Micros>,
-    /// Its deadline came while its relay stalled: no answer is due any more, and none may come.
+    /// Its deadline came while its relay stalled: no answer is due any more, and there may be none.
     pub is_excused: bool,
     /// The client got `UP`.
     pub is_established: bool,
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -110,7 +110,7 @@
     pub arrived: u64,
     /// Dropped.
     pub lost: u64,
-    /// Corrupted on the way.
+    /// Corrupted by a fault.
     pub corrupted: u64,
 }
 
@@ -120,7 +120,7 @@
     fault: LinkFault,
 }
 
-/// A datagram that a `Hold` fault keeps.
+/// A datagram that a `Hold` fault holds back.
 struct HeldDatagram {
     fault_id: usize,
     arrival: Arrival,
@@ -166,7 +166,7 @@
         self.faults.insert(fault_id, ActiveFault { links, fault });
     }
 
-    /// A fault ends; what it held is on its way now.
+    /// A fault ends; what it held is sent now.
     pub fn end_fault(&mut self, now: Micros, fault_id: usize, out: &mut Vec<Arrival>) {
         self.faults.remove(&fault_id);
         let at = now + self.latency;
@@ -236,7 +236,7 @@
         self.held.push(held);
     }
 
-    /// Latency of a stream from one relay to another; none where it cannot stand just now. Streams recover
+    /// Latency of a stream from one relay to another; none where it cannot be open just now. Streams recover
     /// from loss, duplication and corruption, so only delays count.
     pub fn stream_latency(&mut self, from: usize, to: usize) -> Option<Micros> {
         let mut latency = self.latency;
--- a/emulator/src/membership_audit.rs
+++ b/emulator/src/membership_audit.rs
@@ -139,9 +139,9 @@
     pub datagrams: [u64; 4],
 }
 
-/// Findings that are kept; further ones are counted.
+/// Findings that are recorded; further ones are counted.
 const MAX_FINDINGS: usize = 100;
-/// Changes of views that are kept.
+/// Changes of views that are recorded.
 const MAX_VIEW_CHANGES: usize = 20_000;
 /// A stop or a cut excuses a wrong view for so long after it has ended.
 const EXCUSED_FOR: Micros = 20_000_000;
--- a/emulator/src/net/host.rs
+++ b/emulator/src/net/host.rs
@@ -277,7 +277,7 @@
         Some(connection)
     }
 
-    /// The connections of a session, in the order in which they came.
+    /// The connections of a session, in the order in which they were accepted.
     fn connections_of(&self, mark: u64) -> Vec<ConnectionId> {
         self.by_mark.borrow().get(&mark).map(|ids| ids.iter().copied().collect()).unwrap_or_default()
     }
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -49,7 +49,7 @@
     Some(socket)
 }
 
-/// Listens as one server towards one relay, as long as the runtime lives.
+/// Listens as one server towards one relay, as long as the runtime exists.
 pub async fn listen(server: usize, relay: usize, host: Shared) {
     let addr = host.servers[relay][server];
     let mut changes = host.reachability.subscribe();
@@ -166,7 +166,7 @@
     reachability: watch::Receiver<u64>,
     host: Shared,
     session: Option<Session>,
-    /// When a line came first, until a session is started.
+    /// When the first line was received; none once a session has taken it.
     first_byte_at: Option<Micros>,
 }
 
@@ -174,7 +174,7 @@
     async fn run(&mut self, mut commands: mpsc::Receiver<ConnectionCommand>) {
         let mut lines = Lines::default();
         loop {
-            self.wait_until_heard().await;
+            self.wait_until_reachable().await;
             let flow = tokio::select! {
                 biased;
                 command = commands.recv() => self.perform(command).await,
@@ -193,7 +193,7 @@
     }
 
     /// Waits as long as nothing that the server sends reaches the relay.
-    async fn wait_until_heard(&mut self) {
+    async fn wait_until_reachable(&mut self) {
         while !self.host.day.borrow().servers.can_send(self.server, self.relay) {
             if self.reachability.changed().await.is_err() {
                 return;
@@ -221,8 +221,8 @@
         if self.fault == Some(Fault::SlowReader) {
             tokio::time::sleep(SLOW_READER_DELAY).await;
         }
-        // The server may have fallen silent meanwhile.
-        self.wait_until_heard().await;
+        // The server may have gone silent meanwhile.
+        self.wait_until_reachable().await;
         self.write(&format!("{line}\r\n")).await
     }
 
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -67,8 +67,8 @@
     let objectives: Vec<f64> = objectives.collect();
     json!({
         "Listeners": listeners,
-        "Ceilings": {"MayProbe": s.relays.may_probe, "MostDials": s.relays.most_dials, "MaxOpen": MAX_OPEN_SESSIONS,
-            "RetryAfter": retry_after > 0, "MaxRetryAfter": ms(max_retry_after),
+        "Ceilings": {"MayProbe": s.relays.may_probe, "MostDials": s.relays.most_dials,
+            "MaxOpen": MAX_OPEN_SESSIONS, "RetryAfter": retry_after > 0, "MaxRetryAfter": ms(max_retry_after),
             "ConnectTimeout": ms(s.relays.connect_timeout_ms.us())},
         "Rules": {"Cold": ms(s.servers.cold_s.us()), "ColdFrom": s.servers.cold_from.0,
             "FallMultiple": s.rules.fall_multiple.0, "Fall": ms(s.rules.fall_s.us()),
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -13,11 +13,11 @@
 /// One action of a day's script. Servers, relays, zones and faults go by their numbers in the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A server's process dies, or its machine falls silent.
+    /// A server's process dies, or its machine goes silent.
     Crash {
         /// The server.
         server: usize,
-        /// The machine falls silent: nothing is reset.
+        /// The machine goes silent: nothing is reset.
         is_silent: bool,
         /// When it starts again; none where it never does.
         until: Option<Micros>,
@@ -130,7 +130,7 @@
     },
     /// A fault of links between relays ends.
     EndLinkFault {
-        /// The fault that it came from.
+        /// The fault that it comes from.
         fault_id: usize,
     },
     /// A relay and discovery are cut off from each other, or reach each other again.
@@ -179,7 +179,7 @@
 pub enum RelayAction {
     /// It is killed.
     Kill,
-    /// It is told to stop, and drains.
+    /// It is requested to stop, and drains.
     Stop,
     /// It is started; one that runs is killed before.
     Start,
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -7,15 +7,15 @@
 use hallrelay_config::scenario::{Drains, Scenario, Trouble as FaultSettings, TroubleKind as FaultKind};
 use std::rc::Rc;
 
-/// How long an operator keeps a relay out where the scenario does not say.
+/// How long an operator takes a relay out where the scenario sets no time.
 const DEFAULT_LEASE: Micros = 3_000_000;
-/// In which clients are back after a reconnect storm where the scenario does not say.
+/// In which clients are back after a reconnect storm where the scenario sets no time.
 const DEFAULT_RECONNECT_WITHIN: Micros = 1_000_000;
 /// The shortest time that a server is out between drain and start.
 const MIN_RELEASE_OUTAGE: Micros = 1_000_000;
 /// How long a server is out in a deployment.
 const DEPLOY_OUTAGE: Micros = 2_000_000;
-/// Fraction of the servers that a deployment takes at a time where the scenario does not say.
+/// Fraction of the servers that a deployment takes at a time where the scenario sets none.
 const DEFAULT_DEPLOY_FRACTION: f64 = 0.2;
 /// How long the clients of a server that drains at once need to leave it.
 const IMMEDIATE_DRAIN: Micros = 500_000;
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -42,7 +42,7 @@
     Overloaded,
 }
 
-/// Work that came in a window of time, in buckets that are used again in a ring.
+/// Work received in a window of time, as a ring of buckets.
 #[derive(Clone, Debug)]
 struct WorkWindow {
     bucket_width: Micros,
@@ -91,13 +91,13 @@
     pub slowdown: u64,
     /// Since when it does no work at all; none where it works.
     pub stalled_since: Option<Micros>,
-    /// All work that ever came.
+    /// All work received since it was created.
     pub total_work: Work,
     demand: Cores,
     queued_work: Work,
     advanced_to: Micros,
     recent_work: WorkWindow,
-    /// The part of it that came through relays that were notified of the start.
+    /// The part of it received through relays that were notified of the start.
     recent_notified_work: WorkWindow,
     /// The part of the demand that comes through such relays.
     notified_demand: Cores,
@@ -226,8 +226,8 @@
         is_overloaded
     }
 
-    /// Whether relays that were notified of the start caused an overload: two thirds of the work came
-    /// through them.
+    /// Whether relays that were notified of the start caused an overload: two thirds of the work was
+    /// received through them.
     pub fn is_overload_by_notified(&self) -> bool {
         self.recent_notified_work.sum() * 3 >= self.recent_work.sum() * 2
     }
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -398,7 +398,7 @@
         (delay, &node.open_by_listener)
     }
 
-    /// All work that came to the servers so far, of set-ups and sessions.
+    /// All work that the servers received so far, of set-ups and sessions.
     pub fn total_work(&self) -> Work {
         self.nodes.iter().map(|node| node.server.total_work).sum()
     }
--- a/emulator/src/servers/sessions.rs
+++ b/emulator/src/servers/sessions.rs
@@ -5,7 +5,7 @@
 const MAX_STORE_DELAY: Micros = 2_000_000;
 /// Rejecting a session is a tenth of the work of setting it up.
 const REJECTION_COST_DIVISOR: Work = 10;
-/// Interval at which a session is looked at again that is set up while its server stalls.
+/// Interval at which a set-up is retried whose server stalls.
 const STALL_RETRY_INTERVAL: Micros = 10_000;
 /// The shortest interval between changes of a session's load.
 const MIN_LOAD_CHANGE_INTERVAL: Micros = 50_000;
@@ -13,7 +13,7 @@
 const CLIENT_RANDOM_STREAM: u64 = 3;
 
 impl Servers {
-    /// The last byte of a session's first line has come.
+    /// The last byte of a session's first line was received.
     pub fn dial_received(
         &mut self,
         now: Micros,
--- a/emulator/src/service/mod.rs
+++ b/emulator/src/service/mod.rs
@@ -16,7 +16,7 @@
 pub const TICK: Micros = 100_000;
 /// Samples of a day, whatever its length.
 const SAMPLE_COUNT: Micros = 300;
-/// Lines of the log that are kept.
+/// Lines of the log that are recorded.
 const MAX_LOG_LINES: usize = 20_000;
 /// Length of the window of which the worst is found; a shorter day is one window.
 const WINDOW_S: usize = 10;
