--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -11,6 +11,7 @@
 use hallrelay_emulator::net::links::{self, RelayAddresses};
 use hallrelay_emulator::net::{endpoint_addresses, free_port, list, malformed, server, Clock, Host, Shared};
 use hallrelay_emulator::node::{self, RelayPlacement};
+use hallrelay_emulator::script::RelayCommand;
 use hallrelay_emulator::service::Outcome;
 use relays::Relay;
 use std::future::Future;
@@ -137,9 +138,9 @@
             tokio::select! {
                 () = &mut day => return Ok(None),
                 () = &mut interrupted => return Ok(Some("interrupted".to_string())),
-                deeds = host.next_relay_actions() => {
-                    for (relay, deed) in deeds {
-                        self.apply_deed(relay, deed).await?;
+                commands = host.next_relay_commands() => {
+                    for RelayCommand { relay, action } in commands {
+                        self.apply_action(relay, action).await?;
                     }
                 }
                 _ = check.tick() => {
@@ -209,7 +210,7 @@
 /// Addresses in a relay's configuration; without an operator port, a store and other relays.
 pub fn relay_placement(relay: usize, seed: u64, host: &Shared) -> RelayPlacement {
     let (listen, discovery) = (host.relays.borrow()[relay], host.list_addresses.borrow()[relay]);
-    RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, fleet: None }
+    RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, membership: None }
 }
 
 /// Writes a relay's configuration as operators would write it.
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -5,7 +5,7 @@
 use hallrelay_config::scenario::TroubleKind;
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::net::free_port;
-use hallrelay_emulator::node::RelayPlacement;
+use hallrelay_emulator::node::{MembershipAddresses, RelayPlacement};
 use hallrelay_emulator::script::RelayAction;
 use hallrelay_emulator::service::RelayFigures;
 use hallrelay_relay::operator_client;
@@ -109,11 +109,14 @@
     }
 
     fn place(&self, relay: usize, seed: u64) -> RelayPlacement {
-        let fleet = self.addresses.as_ref().map(|all| (all.listen[relay], all.advertised.clone()));
+        let membership = self
+            .addresses
+            .as_ref()
+            .map(|all| MembershipAddresses { listen: all.listen[relay], advertised: all.advertised.clone() });
         let state = self.options.out.join(format!("relay-{relay}.state")).display().to_string();
         let state = self.scenario.relays.state.then_some(state);
         let operator = self.relays[relay].operator;
-        RelayPlacement { operator, state, fleet, ..relay_placement(relay, seed, &self.host) }
+        RelayPlacement { operator, state, membership, ..relay_placement(relay, seed, &self.host) }
     }
 
     /// Polls all relays that run for their views of each other.
@@ -159,8 +162,8 @@
     }
 
     /// Applies a fault or an operation of the scenario to a relay's process.
-    pub(super) async fn apply_deed(&mut self, relay: usize, deed: RelayAction) -> Result<(), LabError> {
-        match deed {
+    pub(super) async fn apply_action(&mut self, relay: usize, action: RelayAction) -> Result<(), LabError> {
+        match action {
             RelayAction::Kill => self.kill(relay).await,
             RelayAction::Stop => self.request_stop(relay),
             RelayAction::Start => self.restart(relay).await?,
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -5,6 +5,7 @@
 use hallrelay_balancer::types::Micros;
 use hallrelay_emulator::links::Arrival;
 use hallrelay_emulator::membership_audit::ProcessState;
+use hallrelay_emulator::node::MembershipAddresses;
 use hallrelay_membership::message::{decode, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 use hallrelay_membership::{Effect as MembershipEffect, Event as MembershipEvent};
 use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest};
@@ -29,8 +30,8 @@
 }
 
 /// Where a relay listens, and where all relays are advertised.
-pub(super) fn addresses(relay: usize, count: usize) -> (SocketAddr, Vec<SocketAddr>) {
-    (listen(relay), (0..count).map(advertised).collect())
+pub(super) fn addresses(relay: usize, count: usize) -> MembershipAddresses {
+    MembershipAddresses { listen: listen(relay), advertised: (0..count).map(advertised).collect() }
 }
 
 /// Time between polls of all views: a tenth of a second where that costs little.
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -19,7 +19,7 @@
 use hallrelay_emulator::clients::ClientRequest;
 use hallrelay_emulator::day::{Day, DriverActions};
 use hallrelay_emulator::event_queue::EventQueue;
-use hallrelay_emulator::script::RelayAction;
+use hallrelay_emulator::script::{RelayAction, RelayCommand};
 use hallrelay_emulator::servers::ConnectionId;
 use hallrelay_emulator::service::{Outcome, RelayFigures};
 use hallrelay_recovery::StoredState;
@@ -195,7 +195,7 @@
             if outputs.list_changed {
                 self.send_watch_events();
             }
-            for (relay, action) in outputs.relay_actions {
+            for RelayCommand { relay, action } in outputs.relay_commands {
                 self.apply_action(relay, action)?;
             }
         }
--- a/lab/src/virt/processes.rs
+++ b/lab/src/virt/processes.rs
@@ -25,7 +25,7 @@
             seed: mix(self.day.seed ^ (relay as u64) << 32 ^ u64::from(incarnation) << 48),
             operator: None,
             state: relays.state.then(|| "virtual".to_string()),
-            fleet: relays.fleet.then(|| membership::addresses(relay, relays.count)),
+            membership: relays.fleet.then(|| membership::addresses(relay, relays.count)),
         };
         let address = |server| address_of(server).to_string();
         let text = node::text(&self.day.scenario, &place, &self.day.servers.endpoints, address);
