--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -1,5 +1,5 @@
 //! The Unix socket over which a process hands over to the next one. It lies in `$TMPDIR` and is open to its
-//! owner alone. A message is a line of JSON; the listening socket goes along with the offer, and a session's
+//! owner alone. A message is a line of JSON; the listening socket is attached to the offer, and a session's
 //! sockets with the session.
 use super::processes::{ProcessCommand, SessionHandover, SessionSockets};
 use super::{accept, proxy, Hub};
@@ -32,7 +32,7 @@
 
 /// The predecessor, as the reducer knows it; processes that connect later are counted from here.
 const PREDECESSOR: PeerId = 0;
-/// The most sockets that go along with one message: a session's client and its backend.
+/// The most sockets that are attached to one message: a session's client and its backend.
 const MAX_SOCKETS: usize = 2;
 /// What the system allows for the path of a Unix socket, without its terminating zero.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
@@ -179,7 +179,7 @@
     }
 }
 
-/// Writes once; the sockets go along with the first byte.
+/// Writes once; the sockets are attached to the first byte.
 fn send_with_sockets(to: BorrowedFd, bytes: &[u8], sockets: &[BorrowedFd]) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -193,10 +193,10 @@
         let mut sent = 0;
         while sent < line.len() {
             stream.writable().await?;
-            let along = if sent == 0 { sockets } else { &[] };
-            let result = stream.try_io(Interest::WRITABLE, || match along {
+            let attached = if sent == 0 { sockets } else { &[] };
+            let result = stream.try_io(Interest::WRITABLE, || match attached {
                 [] => uninterrupted(|| Ok(rustix::io::write(stream, &line[sent..])?)),
-                _ => send_with_sockets(stream.as_fd(), line, along),
+                _ => send_with_sockets(stream.as_fd(), line, attached),
             });
             match result {
                 Ok(count) => sent += count,
@@ -278,7 +278,7 @@
 struct Exchange {
     peer: PeerId,
     stream: UnixStream,
-    /// Goes along with an offer.
+    /// Attached to an offer.
     listener: Option<Rc<TcpListener>>,
     hub: Hub,
 }
@@ -287,7 +287,7 @@
     async fn run(self, mut outgoing: mpsc::Receiver<ProcessCommand>) {
         let mut incoming = Incoming::default();
         loop {
-            let goes_on = tokio::select! {
+            let continues = tokio::select! {
                 biased;
                 // A message of the other process may change what is sent to it.
                 ready = self.stream.readable() => self.read(ready, &mut incoming).await,
@@ -295,15 +295,15 @@
                     None => false,
                     Some(ProcessCommand::Send(message)) => self.send(&message).await,
                     Some(ProcessCommand::HandOver(SessionHandover { message, sockets, result })) => {
-                        let along = [sockets.client.as_fd(), sockets.backend.as_fd()];
-                        let is_sent = send_line(&self.stream, &message, &along, &self.hub).await;
+                        let attached = [sockets.client.as_fd(), sockets.backend.as_fd()];
+                        let is_sent = send_line(&self.stream, &message, &attached, &self.hub).await;
                         // The task that waits for the result is of this process, and still runs.
                         _ = result.send(if is_sent { Ok(()) } else { Err(sockets) });
                         is_sent
                     }
                 }
             };
-            if !goes_on {
+            if !continues {
                 break;
             }
         }
@@ -350,8 +350,8 @@
         let Ok(line) = encode(message) else { return false };
         let is_offer = matches!(message, Message::Offer { .. });
         let offered = self.listener.as_ref().filter(|_| is_offer);
-        let along: Vec<BorrowedFd> = offered.iter().map(|listener| listener.as_fd()).collect();
-        send_line(&self.stream, &line, &along, &self.hub).await
+        let attached: Vec<BorrowedFd> = offered.iter().map(|listener| listener.as_fd()).collect();
+        send_line(&self.stream, &line, &attached, &self.hub).await
     }
 }
 
--- a/relay/src/net/operator/response.rs
+++ b/relay/src/net/operator/response.rs
@@ -50,7 +50,7 @@
         OperatorReply::Unavailable(status) => unavailable(status.label()),
         OperatorReply::Conflict(status) => text(StatusCode::CONFLICT, status.label()),
         OperatorReply::Blocked(reason) => text(StatusCode::CONFLICT, reason),
-        OperatorReply::Committed(words) => text(StatusCode::OK, words),
+        OperatorReply::Committed(confirmation) => text(StatusCode::OK, confirmation),
         OperatorReply::Leases(None) => text(StatusCode::NOT_FOUND, "nothing of it is agreed here"),
         OperatorReply::Leases(Some(leases)) => json(leases),
         OperatorReply::Membership(None) => text(StatusCode::NOT_FOUND, "fleet is not configured here"),
--- a/relay/src/reducer/coordination.rs
+++ b/relay/src/reducer/coordination.rs
@@ -21,9 +21,9 @@
     pub remaining_sessions: Vec<RemainingSessions>,
 }
 
-/// A grant, and when this process first saw it.
+/// A lease, and when this process first saw it granted.
 #[derive(Clone, Copy)]
-pub(super) struct GrantSeen {
+pub(super) struct LeaseSeen {
     pub lease_id: u64,
     pub since: Micros,
 }
@@ -58,7 +58,7 @@
     pub pending_moves_milli: u64,
     pub reports: BTreeMap<Rc<str>, PeerReport>,
     pub outcome_counts: OutcomeCounts,
-    pub grants_seen: BTreeMap<Target, GrantSeen>,
+    pub leases_seen: BTreeMap<Target, LeaseSeen>,
 }
 
 impl Coordination {
@@ -81,7 +81,7 @@
             pending_moves_milli: 0,
             reports: BTreeMap::new(),
             outcome_counts: OutcomeCounts::default(),
-            grants_seen: BTreeMap::new(),
+            leases_seen: BTreeMap::new(),
         }
     }
 
@@ -122,23 +122,23 @@
         self.leader.clone().filter(|leader| *leader != self.own_name)
     }
 
-    /// Notes new grants with the present time, and forgets those that are over.
-    pub fn note_grants(&mut self, now: Micros) {
+    /// Notes newly granted leases with the present time, and forgets those that are over.
+    pub fn note_leases(&mut self, now: Micros) {
         let granted: BTreeMap<Target, u64> = self
             .state
             .leases()
             .filter(|(_, lease)| lease.lease_id != 0)
             .map(|(target, lease)| (target.clone(), lease.lease_id))
             .collect();
-        self.grants_seen.retain(|target, seen| granted.get(target) == Some(&seen.lease_id));
+        self.leases_seen.retain(|target, seen| granted.get(target) == Some(&seen.lease_id));
         for (target, lease_id) in granted {
-            self.grants_seen.entry(target).or_insert(GrantSeen { lease_id, since: now });
+            self.leases_seen.entry(target).or_insert(LeaseSeen { lease_id, since: now });
         }
     }
 
-    /// Since when this process has seen the present grant; now where it has not.
+    /// Since when this process has seen the present lease; now where it has not.
     pub fn granted_since(&self, target: &Target, now: Micros) -> Micros {
-        self.grants_seen.get(target).map_or(now, |seen| seen.since)
+        self.leases_seen.get(target).map_or(now, |seen| seen.since)
     }
 
     /// Backends out of service by this voter's own state.
--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -1,5 +1,6 @@
-//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in them,
-//! and the rollout with what is due to whoever deploys. Fields are named as the JSON keys.
+//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in
+//! them, and the rollout with what is due to whoever deploys. JSON keys that are older terms are renamed
+//! here.
 use super::coordination::Coordination;
 use super::leader_review::EXCLUSION_DELAY;
 use super::Reducer;
@@ -10,57 +11,80 @@
 use serde::Serialize;
 
 #[derive(Serialize)]
-struct GrantsAnswer<'a> {
+struct LeasesAnswer<'a> {
     leader: Option<&'a str>,
-    leads: bool,
+    #[serde(rename = "leads")]
+    is_leader: bool,
     role: &'a str,
     term: u64,
-    index: u64,
+    #[serde(rename = "index")]
+    applied_index: u64,
     voters: usize,
     budgets: Vec<String>,
-    things: Vec<GrantRow<'a>>,
-    known: usize,
+    /// Targets that are out, wait, or are not up.
+    #[serde(rename = "things")]
+    targets: Vec<LeaseRow<'a>>,
+    /// All targets of the log, those in service among them.
+    #[serde(rename = "known")]
+    known_targets: usize,
 }
 
 #[derive(Serialize)]
-struct GrantRow<'a> {
-    what: String,
-    stage: &'static str,
-    condition: &'static str,
-    grant: u64,
-    by: &'a str,
-    why: &'a str,
+struct LeaseRow<'a> {
+    #[serde(rename = "what")]
+    target: String,
+    #[serde(rename = "stage")]
+    lease_state: &'static str,
+    #[serde(rename = "condition")]
+    health: &'static str,
+    #[serde(rename = "grant")]
+    lease_id: u64,
+    #[serde(rename = "by")]
+    requested_by: &'a str,
+    #[serde(rename = "why")]
+    reason: &'a str,
     forced: bool,
     /// Sessions that relays reported there; for backends that are out.
-    left: Option<u32>,
-    held_by: Option<String>,
+    #[serde(rename = "left")]
+    remaining_sessions: Option<u32>,
+    #[serde(rename = "held_by")]
+    blocked_by: Option<String>,
 }
 
 #[derive(Serialize)]
-struct ReleaseAnswer<'a> {
+struct RolloutAnswer<'a> {
     build: &'a str,
-    of: &'static str,
-    by: &'a str,
+    #[serde(rename = "of")]
+    target_kind: &'static str,
+    #[serde(rename = "by")]
+    requested_by: &'a str,
     phase: &'static str,
-    why: &'a str,
+    #[serde(rename = "why")]
+    reason: &'a str,
+    /// From 1.
     wave: usize,
     waves: usize,
     /// Sessions and failed ones of the wave so far, at the new build and at the old.
     new: [u64; 2],
     old: [u64; 2],
-    items: Vec<ReleaseRow>,
+    items: Vec<ItemRow>,
     /// Out, without sessions, and to be changed now.
     due: Vec<DueRow<'a>>,
 }
 
 #[derive(Serialize)]
-struct ReleaseRow {
-    what: String,
+struct ItemRow {
+    #[serde(rename = "what")]
+    target: String,
+    /// From 1.
     wave: usize,
-    step: &'static str,
-    stage: &'static str,
+    #[serde(rename = "step")]
+    item_state: &'static str,
+    #[serde(rename = "stage")]
+    lease_state: &'static str,
     /// Why it is not granted yet.
-    held_by: Option<String>,
+    #[serde(rename = "held_by")]
+    blocked_by: Option<String>,
 }
 
 #[derive(Serialize)]
@@ -69,48 +93,49 @@
     name: &'a str,
     /// None is the build that it had before.
     build: Option<&'a str>,
-    grant: u64,
+    #[serde(rename = "grant")]
+    lease_id: u64,
 }
 
 impl Reducer {
     /// Leases and budgets as JSON; none where nothing is coordinated.
-    pub(super) fn grants_answer(&self) -> Option<String> {
+    pub(super) fn leases_answer(&self) -> Option<String> {
         let coordination = self.coordination.as_ref()?;
         let node = coordination.voter.node();
         let is_listed =
             |lease: &Lease| lease.state != LeaseState::InService || lease.health != HealthState::Up;
         let listed = coordination.state.leases().filter(|(_, lease)| is_listed(lease));
-        let answer = GrantsAnswer {
+        let answer = LeasesAnswer {
             leader: coordination.leader.as_deref(),
-            leads: coordination.is_leader(),
+            is_leader: coordination.is_leader(),
             role: node.map_or("no voter", |node| node.role().as_str()),
             term: node.map_or(0, |node| node.term()),
-            index: coordination.applied_index,
+            applied_index: coordination.applied_index,
             voters: node.map_or(0, |node| node.voters().len()),
             budgets: coordination.state.budgets().iter().map(budget_text).collect(),
-            things: listed.map(|(target, lease)| grant_row(coordination, target, lease)).collect(),
-            known: coordination.state.leases().count(),
+            targets: listed.map(|(target, lease)| lease_row(coordination, target, lease)).collect(),
+            known_targets: coordination.state.leases().count(),
         };
         serde_json::to_string(&answer).ok()
     }
 
     /// The rollout as JSON; none where there is none, or nothing is coordinated.
-    pub(super) fn release_answer(&self) -> Option<String> {
+    pub(super) fn rollout_answer(&self) -> Option<String> {
         let coordination = self.coordination.as_ref()?;
         let rollout = coordination.state.rollout()?;
         let counts = coordination.outcome_counts.of_wave(rollout);
         let due = rollout.items.iter().filter_map(|item| due_row(coordination, rollout, item, self.now));
-        let answer = ReleaseAnswer {
+        let answer = RolloutAnswer {
             build: &rollout.plan.build,
-            of: rollout.plan.target_kind.word(),
-            by: &rollout.plan.requested_by,
+            target_kind: rollout.plan.target_kind.word(),
+            requested_by: &rollout.plan.requested_by,
             phase: rollout.phase.word(),
-            why: &rollout.reason,
+            reason: &rollout.reason,
             wave: rollout.wave + 1,
             waves: rollout.plan.waves.len(),
             new: [counts.new.sessions, counts.new.failed],
             old: [counts.old.sessions, counts.old.failed],
-            items: rollout.items.iter().map(|item| release_row(coordination, item)).collect(),
+            items: rollout.items.iter().map(|item| item_row(coordination, item)).collect(),
             due: due.collect(),
         };
         serde_json::to_string(&answer).ok()
@@ -125,18 +150,18 @@
     format!("{} {}:{count}{share}", budget.target_kind.word(), budget.scope.word())
 }
 
-fn grant_row<'a>(coordination: &Coordination, target: &Target, lease: &'a Lease) -> GrantRow<'a> {
+fn lease_row<'a>(coordination: &Coordination, target: &Target, lease: &'a Lease) -> LeaseRow<'a> {
     let is_backend_out = target.kind() == TargetKind::Backend && lease.state == LeaseState::Out;
-    GrantRow {
-        what: target.to_string(),
-        stage: lease.state.word(),
-        condition: lease.health.word(),
-        grant: lease.lease_id,
-        by: &lease.requested_by,
-        why: &lease.reason,
+    LeaseRow {
+        target: target.to_string(),
+        lease_state: lease.state.word(),
+        health: lease.health.word(),
+        lease_id: lease.lease_id,
+        requested_by: &lease.requested_by,
+        reason: &lease.reason,
         forced: lease.forced,
-        left: is_backend_out.then(|| coordination.remaining_sessions(target.name())),
-        held_by: blocking_budget(coordination, target, lease),
+        remaining_sessions: is_backend_out.then(|| coordination.remaining_sessions(target.name())),
+        blocked_by: blocking_budget(coordination, target, lease),
     }
 }
 
@@ -147,14 +172,14 @@
     blocked_by.flatten().map(|blocked_by| blocked_by.limit)
 }
 
-fn release_row(coordination: &Coordination, item: &RolloutItem) -> ReleaseRow {
+fn item_row(coordination: &Coordination, item: &RolloutItem) -> ItemRow {
     let lease = coordination.state.lease(&item.target);
-    ReleaseRow {
-        what: item.target.to_string(),
+    ItemRow {
+        target: item.target.to_string(),
         wave: item.wave + 1,
-        step: item.state.word(),
-        stage: lease.map_or("unknown", |lease| lease.state.word()),
-        held_by: lease.and_then(|lease| blocking_budget(coordination, &item.target, lease)),
+        item_state: item.state.word(),
+        lease_state: lease.map_or("unknown", |lease| lease.state.word()),
+        blocked_by: lease.and_then(|lease| blocking_budget(coordination, &item.target, lease)),
     }
 }
 
@@ -174,5 +199,5 @@
     let (kind, name) = (item.target.kind(), item.target.name());
     let is_reported = now >= coordination.granted_since(&item.target, now) + EXCLUSION_DELAY;
     let is_empty = kind == TargetKind::Relay || (is_reported && coordination.remaining_sessions(name) == 0);
-    is_empty.then_some(DueRow { kind: kind.word(), name, build, grant: lease.lease_id })
+    is_empty.then_some(DueRow { kind: kind.word(), name, build, lease_id: lease.lease_id })
 }
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -28,8 +28,8 @@
 /// What a pending request waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum RequestStep {
-    /// A grant for this target.
-    Grant(Target),
+    /// A lease of this target.
+    Lease(Target),
     /// The commit of its beginning.
     Begin(Target),
     /// The commit of a command that is complete by itself.
@@ -82,7 +82,7 @@
             force: request.force,
         };
         let description = target.to_string();
-        let step = RequestStep::Grant(target);
+        let step = RequestStep::Lease(target);
         let request = PendingRequest::new(request_id, step, command, description, self.now);
         self.add_request(call, request, out);
     }
@@ -137,7 +137,7 @@
 
     /// Nobody waits for it any more: it is withdrawn, and expires where the withdrawal is lost.
     fn give_up_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
-        if let RequestStep::Grant(target) = request.step {
+        if let RequestStep::Lease(target) = request.step {
             let withdrawal = Command::Withdraw { target, request_id: request.request_id }.encode();
             let Some(coordination) = &mut self.coordination else { return };
             let request_id = coordination.next_request_id();
@@ -176,7 +176,7 @@
         let reply = match (outcome, &request.step) {
             (
                 Outcome::Granted { lease_id } | Outcome::AlreadyOut { lease_id },
-                RequestStep::Grant(target),
+                RequestStep::Lease(target),
             ) => {
                 let target = target.clone();
                 return self.begin_granted(call, target, lease_id, out);
@@ -188,7 +188,7 @@
                 };
                 return;
             }
-            (Outcome::Rejected(CommandError::UnknownTarget), RequestStep::Grant(_)) => {
+            (Outcome::Rejected(CommandError::UnknownTarget), RequestStep::Lease(_)) => {
                 // The leader reviews the fleet once a second.
                 request.blocked_by = "no leader has seen it yet".to_string();
                 return;
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -24,8 +24,8 @@
         self.idle_connections.retain(|idle| idle.id != id);
     }
 
-    /// A client connected. Where that is one too many, the longest silent connection is shed, or else the one
-    /// whose first line has paused longest.
+    /// A client connected. Where that is one over the limit, the longest silent connection is shed, or else
+    /// the one whose first line has paused longest.
     pub(super) fn client_connected(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
         self.add_idle_connection(connection_id);
         let remaining = self.predecessor_remaining.connections as usize;
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -1,5 +1,5 @@
 //! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what
-//! it observes of relays and backends, expires grants that nobody began, notes who serves again, and
+//! it observes of relays and backends, expires leases that nobody began, notes who serves again, and
 //! notifies all relays which backends are excluded. Times in microseconds.
 use super::{Effect, Reducer, Server, Timer};
 use crate::control_message::{ControlMessage, RelayStatus};
@@ -13,8 +13,8 @@
 const MAX_COMMANDS: usize = 64;
 /// A relay that began to drain has reported it by then.
 const SERVING_AGAIN_DELAY: Micros = 3 * REVIEW_INTERVAL;
-/// Reports received this long after a grant were sent after the relay was notified that the backend is
-/// excluded.
+/// Reports received this long after a lease was granted were sent after the relay was notified that the
+/// backend is excluded.
 pub(super) const EXCLUSION_DELAY: Micros = 3 * REVIEW_INTERVAL;
 /// Probes or connections in a row without an answer, from which a backend is down.
 const MAX_MISSES: u32 = 2;
@@ -115,7 +115,7 @@
         is_new.then_some(Command::Observe { target, domain, health })
     }
 
-    /// A grant that was not begun in time.
+    /// Expires a granted lease that was not begun in time.
     fn expiry(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let coordination = self.coordination.as_ref()?;
         let is_late = self.now
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -22,8 +22,8 @@
                 OperatorReply::Blocked(NO_VOTERS.to_string())
             }
             OperatorRequest::Propose { .. } => OperatorReply::Blocked(NO_VOTERS.to_string()),
-            OperatorRequest::Leases => OperatorReply::Leases(self.grants_answer()),
-            OperatorRequest::Rollout => OperatorReply::Leases(self.release_answer()),
+            OperatorRequest::Leases => OperatorReply::Leases(self.leases_answer()),
+            OperatorRequest::Rollout => OperatorReply::Leases(self.rollout_answer()),
             OperatorRequest::Membership => OperatorReply::Membership(self.fleet_status()),
             OperatorRequest::Metrics => OperatorReply::Metrics(Box::new(self.metrics())),
             OperatorRequest::Readiness => self.readiness(),
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -127,12 +127,12 @@
 
     fn leadership_changed(&mut self, is_leader: bool, term: u64, out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
-        coordination.grants_seen.clear();
+        coordination.leases_seen.clear();
         if is_leader {
             coordination.leader = Some(coordination.own_name.clone());
         }
-        let word = if is_leader { "leads" } else { "leads no more" };
-        log(format!("this relay {word} what is agreed, term {term}"), out);
+        let verb = if is_leader { "leads" } else { "leads no more" };
+        log(format!("this relay {verb} what is agreed, term {term}"), out);
     }
 
     /// A voter of an older build would apply otherwise than the others: it votes no more.
@@ -160,7 +160,7 @@
             Err(CommandError::UnsupportedVersion) => return self.stop_outdated_voter("a command", out),
             Err(error) => Outcome::Rejected(error),
         };
-        coordination.note_grants(now);
+        coordination.note_leases(now);
         let is_long = coordination.voter.has_long_log();
         self.answer_proposal(proposal, ProposalResult::Applied(outcome), out);
         self.exclude_by_own_state(out);
