--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -9,7 +9,7 @@
 //! rejected only where no earlier dial can have run. 3. Nothing new goes to a server later than the drain
 //! grace after this relay was notified that it drains or was removed. 4. All relays together do not overload
 //! a server in slow start.
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 mod admission;
 mod dialing;
