--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -165,7 +165,7 @@
     },
     /// An endpoint list, or its changes, received.
     EndpointList(List),
-    /// So many lines of the log were dropped, since they came faster than they could be written.
+    /// So many lines of the log were dropped, since they were logged faster than they could be written.
     Dropped(u64),
     /// An event or effect that the accounting does not need.
     OtherEvent,
--- a/lab/src/report/page.rs
+++ b/lab/src/report/page.rs
@@ -36,7 +36,7 @@
 }
 
 fn head(outcome: &Outcome) -> String {
-    let is_kept = outcome.breaches_in_all == 0;
+    let has_no_breach = outcome.breaches_in_all == 0;
     format!(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>{name}</title><style>\
         body{{font:15px/1.5 sans-serif;max-width:1000px;margin:2em auto;padding:0 1em;color:#222}}\
@@ -47,8 +47,8 @@
         name = escape(&outcome.name),
         played = played(outcome),
         seed = outcome.seed,
-        class = if is_kept { "" } else { " class=\"bad\"" },
-        verdict = if is_kept { "all four rules kept" } else { "RULES BROKEN" },
+        class = if has_no_breach { "" } else { " class=\"bad\"" },
+        verdict = if has_no_breach { "all four rules kept" } else { "RULES BROKEN" },
         text = escape(&text(outcome))
     )
 }
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -23,7 +23,7 @@
 /// A relay with its running process.
 pub(super) struct Relay {
     pub(super) process: Option<Process>,
-    /// Its process was told to stop, so that its end is no crash.
+    /// Its process was requested to stop, so that its end is no crash.
     is_stopping: bool,
     pub(super) figures: RelayFigures,
     /// CPU seconds of the processes before this one.
@@ -204,7 +204,7 @@
         }
     }
 
-    /// A new process takes over from the running one, which is told to stop once the new one is ready.
+    /// A new process takes over from the running one, which is requested to stop once the new one is ready.
     fn hot_restart(&mut self, relay: usize) -> Result<(), LabError> {
         if self.relays[relay].process.is_none() {
             return Ok(());
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -59,7 +59,7 @@
             fault,
         };
         self.dials.insert(connection, in_flight);
-        // One round trip to connect, and the first line's way.
+        // A round trip to connect, and the first line.
         self.schedule_after(3 * latency, QueuedEvent::DialReceived { connection });
         self.schedule_after(timeout, QueuedEvent::DialTimeout { process, session_id, dial });
     }
