--- a/relay/tests/common/load.rs
+++ b/relay/tests/common/load.rs
@@ -1,39 +1,41 @@
-//! Clients that go on coming.
+//! A steady load of client sessions.
 use super::Client;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Clients that come to all relays, one after another, till it is dropped.
+/// Opens sessions at all relays in turn, one every 10 ms or so, until it is dropped.
 pub struct Load {
     stop: Arc<AtomicBool>,
+    /// Sessions that were established.
     pub opened: Arc<AtomicU64>,
-    missed: Arc<AtomicU64>,
+    failed: Arc<AtomicU64>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Load {
-    pub fn begin(places: Vec<SocketAddr>) -> Load {
-        let (stop, opened, missed) = (Arc::<AtomicBool>::default(), Arc::default(), Arc::default());
-        let mut load = Load { stop, opened, missed, thread: None };
-        let (stop, opened, missed) = (load.stop.clone(), load.opened.clone(), load.missed.clone());
+    /// Starts the load in a thread of its own.
+    pub fn start(addresses: Vec<SocketAddr>) -> Load {
+        let (stop, opened, failed) = (Arc::<AtomicBool>::default(), Arc::default(), Arc::default());
+        let mut load = Load { stop, opened, failed, thread: None };
+        let (stop, opened, failed) = (load.stop.clone(), load.opened.clone(), load.failed.clone());
         load.thread = Some(std::thread::spawn(move || {
-            let mut held: Vec<Client> = Vec::new();
+            let mut open_sessions: Vec<Client> = Vec::new();
             for i in 0.. {
                 if stop.load(Ordering::SeqCst) {
                     return;
                 }
-                match Client::open(places[i % places.len()], "low") {
+                match Client::open(addresses[i % addresses.len()], "low") {
                     Ok(client) => {
                         opened.fetch_add(1, Ordering::SeqCst);
-                        held.push(client);
+                        open_sessions.push(client);
                     }
-                    Err(_) => _ = missed.fetch_add(1, Ordering::SeqCst),
+                    Err(_) => _ = failed.fetch_add(1, Ordering::SeqCst),
                 }
-                // Some stay open for a while.
-                if held.len() > 20 {
-                    held.remove(0);
+                // Keep the last sessions open for a while.
+                if open_sessions.len() > 20 {
+                    open_sessions.remove(0);
                 }
                 std::thread::sleep(Duration::from_millis(10));
             }
@@ -41,8 +43,9 @@
         load
     }
 
-    pub fn missed(&self) -> u64 {
-        self.missed.load(Ordering::SeqCst)
+    /// Attempts that established no session.
+    pub fn failed(&self) -> u64 {
+        self.failed.load(Ordering::SeqCst)
     }
 }
 
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -1,6 +1,6 @@
-#![allow(dead_code)] // each test takes of it what it uses
-//! A relay's process on free ports of 127.0.0.1, with backends that take every session and echo its lines.
-//! Nothing outlives the test: processes are killed as they are dropped, and every wait is bounded.
+#![allow(dead_code)] // Each test binary uses only a part of it.
+//! Shared helpers: relay processes on free loopback ports, backends that accept every session and echo its
+//! lines, and clients. Processes are killed when their handle is dropped, and every wait is bounded.
 pub mod coordination;
 pub mod discovery;
 pub mod load;
@@ -14,127 +14,140 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long is waited for what must come.
-pub const SOON: Duration = Duration::from_secs(10);
+/// The default bound of a wait.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 static LAST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A number that no other session of this process has.
-pub fn number() -> u64 {
+/// A number that is unique within this test process, such as a session's identifier.
+pub fn unique_id() -> u64 {
     LAST_ID.fetch_add(1, Ordering::Relaxed)
 }
 
-pub struct Site {
-    pub folder: PathBuf,
-    pub listen: SocketAddr,
-    pub text: Value,
+/// A relay's configuration in a temporary directory, from which any number of processes can be started. The
+/// directory is removed on drop.
+pub struct RelayConfig {
+    /// Holds the configuration files, the logs and, where one is configured, the store.
+    pub directory: PathBuf,
+    pub listen_address: SocketAddr,
+    /// The configuration that the next process gets.
+    pub json: Value,
 }
 
-impl Site {
-    pub fn new(name: &str) -> Site {
-        let folder = std::env::temp_dir().join(format!("hallrelay-{}-{name}", std::process::id()));
-        _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let listen = free();
+impl RelayConfig {
+    pub fn new(name: &str) -> RelayConfig {
+        let directory = std::env::temp_dir().join(format!("hallrelay-{}-{name}", std::process::id()));
+        _ = std::fs::remove_dir_all(&directory);
+        std::fs::create_dir_all(&directory).expect("a folder");
+        let listen_address = free_address();
         let server = |i: i32| {
-            let place = backend().to_string();
-            json!({"instanceId": format!("s-{i}"), "hostPort": place, "lifecycle": "up"})
+            let address = start_echo_backend().to_string();
+            json!({"instanceId": format!("s-{i}"), "hostPort": address, "lifecycle": "up"})
         };
-        // The project's own example, with what differs here.
-        let text = include_str!("../../../deploy/example/relay.json");
-        let mut text: Value = serde_json::from_str(text).expect("the example is JSON");
-        text["listen"] = json!(listen.to_string());
-        text["discovery"] = json!(free().to_string());
-        text["limits"]["sockets"] = json!(256);
-        text["known"]["instances"] = json!([server(0), server(1)]);
-        text["settings"]["Listeners"] =
-            json!([listener("low", 1.0, "retryable"), listener("once", 5.0, "fragile")]);
-        // Backends here answer no probes.
-        text["settings"]["Ceilings"]["MayProbe"] = json!(false);
-        Site { folder, listen, text }
+        // The project's own example, adapted to the test.
+        let example = include_str!("../../../deploy/example/relay.json");
+        let mut json: Value = serde_json::from_str(example).expect("the example is JSON");
+        json["listen"] = json!(listen_address.to_string());
+        json["discovery"] = json!(free_address().to_string());
+        json["limits"]["sockets"] = json!(256);
+        json["known"]["instances"] = json!([server(0), server(1)]);
+        json["settings"]["Listeners"] =
+            json!([listener_settings("low", 1.0, "retryable"), listener_settings("once", 5.0, "fragile")]);
+        // These backends answer no health checks.
+        json["settings"]["Ceilings"]["MayProbe"] = json!(false);
+        RelayConfig { directory, listen_address, json }
     }
 
-    /// A relay that is ready, and the site that it serves.
-    pub fn served(name: &str) -> (Site, Relay) {
-        let mut site = Site::new(name);
-        let relay = site.start();
-        relay.until_ready();
-        (site, relay)
+    /// Starts a relay with the default configuration and waits until it is ready.
+    pub fn start_ready(name: &str) -> (RelayConfig, Relay) {
+        let mut config = RelayConfig::new(name);
+        let relay = config.start();
+        relay.wait_until_ready();
+        (config, relay)
     }
 
-    /// Starts a process with a second address of its own, beside those that run; it reads the same file again
-    /// at SIGHUP.
+    /// Starts a process with its own operator address beside those that run already. It reads its own
+    /// configuration file again at SIGHUP.
     pub fn start(&mut self) -> Relay {
-        let operator = free();
-        self.text["operator"] = json!(operator.to_string());
-        let path = self.folder.join(format!("{}.json", LAST_ID.fetch_add(1, Ordering::Relaxed)));
-        std::fs::write(&path, self.text.to_string()).expect("a configuration");
+        let operator_address = free_address();
+        self.json["operator"] = json!(operator_address.to_string());
+        let config_path = self.directory.join(format!("{}.json", LAST_ID.fetch_add(1, Ordering::Relaxed)));
+        std::fs::write(&config_path, self.json.to_string()).expect("a configuration");
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
-        command.arg("serve").arg("--config").arg(&path).env("TMPDIR", &self.folder);
-        let log = std::fs::File::create(path.with_extension("log")).expect("a log");
+        command.arg("serve").arg("--config").arg(&config_path).env("TMPDIR", &self.directory);
+        let log = std::fs::File::create(config_path.with_extension("log")).expect("a log");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         for name in ["NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"] {
             command.env_remove(name);
         }
-        let child = spawned(&mut command);
-        Relay { child, path, operator }
+        let child = spawn_process(&mut command);
+        Relay { child, config_path, operator_address }
     }
 }
 
-impl Drop for Site {
+impl Drop for RelayConfig {
     fn drop(&mut self) {
-        _ = std::fs::remove_dir_all(&self.folder);
+        _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-pub fn listener(name: &str, utility: f64, kind: &str) -> Value {
+/// The settings of one listener; `kind` is its effect: `retryable`, `dedup` or `fragile`.
+pub fn listener_settings(name: &str, utility: f64, kind: &str) -> Value {
     json!({"Name": name, "Utility": utility, "Effect": kind, "Group": "all", "Window": 1000,
         "HandshakeTarget": 300, "DialTimeout": 2000})
 }
 
+/// A running relay process, killed on drop.
 pub struct Relay {
     pub child: Child,
-    pub path: PathBuf,
-    pub operator: SocketAddr,
+    pub config_path: PathBuf,
+    /// The address of its HTTP interface for operators.
+    pub operator_address: SocketAddr,
 }
 
 impl Relay {
+    /// Sends a signal by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(output(Command::new("sh").args(["-c", &kill])).status.success());
+        assert!(run_to_end(Command::new("sh").args(["-c", &kill])).status.success());
     }
 
-    /// A call's status and body; the bytes are sent as they are.
-    pub fn say(&self, text: &[u8]) -> (u16, String) {
-        say(self.operator, text)
+    /// Sends raw bytes to the operator address; returns the status code and the whole response.
+    pub fn send_request(&self, text: &[u8]) -> (u16, String) {
+        send_request(self.operator_address, text)
     }
 
-    pub fn call(&self, method: &str, path: &str) -> (u16, String) {
-        self.say(format!("{method} {path} HTTP/1.1\r\nhost: relay\r\n\r\n").as_bytes())
+    /// Sends a request without a body; returns the status code and the whole response.
+    pub fn request(&self, method: &str, path: &str) -> (u16, String) {
+        self.send_request(format!("{method} {path} HTTP/1.1\r\nhost: relay\r\n\r\n").as_bytes())
     }
 
-    pub fn ready(&self) -> bool {
-        TcpStream::connect(self.operator).is_ok() && self.call("GET", "/v1/readyz").0 == 200
+    pub fn is_ready(&self) -> bool {
+        TcpStream::connect(self.operator_address).is_ok() && self.request("GET", "/v1/readyz").0 == 200
     }
 
-    pub fn until_ready(&self) {
+    pub fn wait_until_ready(&self) {
         let started = Instant::now();
-        while !self.ready() {
-            let log = || std::fs::read_to_string(self.path.with_extension("log")).unwrap_or_default();
-            assert!(started.elapsed() < SOON, "waited in vain: the relay is ready; it says: {}", log());
+        while !self.is_ready() {
+            let log = || std::fs::read_to_string(self.config_path.with_extension("log")).unwrap_or_default();
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "waited in vain: the relay is ready; it says: {}",
+                log()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// One figure, by its whole name; none where it is not told.
-    pub fn figure(&self, name: &str) -> Option<u64> {
-        let (_, text) = self.call("GET", "/v1/metrics");
+    /// The value of a metric, by its name without the `node.` prefix; none where it is not reported.
+    pub fn metric(&self, name: &str) -> Option<u64> {
+        let (_, text) = self.request("GET", "/v1/metrics");
         let start = format!("node.{name}:");
         let line = text.lines().find(|line| line.starts_with(&start))?;
         line[start.len()..].split('|').next()?.parse().ok()
     }
 
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 }
@@ -146,202 +159,210 @@
     }
 }
 
-/// A call at a relay's second address.
-pub fn say(operator: SocketAddr, text: &[u8]) -> (u16, String) {
-    let mut stream = TcpStream::connect(operator).expect("the second address listens");
-    stream.set_read_timeout(Some(SOON)).expect("a timeout");
+/// Sends raw bytes to a relay's operator address; returns the status code (0 where there is none) and the
+/// whole response.
+pub fn send_request(operator_address: SocketAddr, text: &[u8]) -> (u16, String) {
+    let mut stream = TcpStream::connect(operator_address).expect("the second address listens");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
     _ = stream.write_all(text);
     let mut bytes = Vec::new();
     _ = stream.read_to_end(&mut bytes);
-    let answer = String::from_utf8_lossy(&bytes);
-    let status = answer.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
-    (status, answer.to_string())
+    let reply = String::from_utf8_lossy(&bytes);
+    let status = reply.split(' ').nth(1).and_then(|field| field.parse().ok()).unwrap_or(0);
+    (status, reply.to_string())
 }
 
-pub fn until(what: &str, holds: impl FnMut() -> bool) {
-    within(SOON, what, holds);
+/// Polls a condition for at most `WAIT_TIMEOUT`, and panics with its name after that.
+pub fn wait_until(condition_name: &str, condition: impl FnMut() -> bool) {
+    wait_until_within(WAIT_TIMEOUT, condition_name, condition);
 }
 
-pub fn within(time: Duration, what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls a condition for at most `time`, and panics with its name after that.
+pub fn wait_until_within(time: Duration, condition_name: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !holds() {
-        assert!(started.elapsed() < time, "waited in vain: {what}");
+    while !condition() {
+        assert!(started.elapsed() < time, "waited in vain: {condition_name}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Held while a program is begun, and while a port is found. Guards a port that was let go: a child that
-/// another thread begins just then holds the socket too, till it runs its own program, and the address is in
-/// use still.
-static FORK: Mutex<()> = Mutex::new(());
+/// Held while a process is spawned and while a free port is chosen. A child that another thread forks at that
+/// moment inherits the socket until it calls `exec`, so the released port would still be in use.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// Begins a program.
-pub fn spawned(command: &mut Command) -> Child {
-    let _held = FORK.lock().unwrap_or_else(PoisonError::into_inner);
+/// Spawns a process under `SPAWN_LOCK`.
+pub fn spawn_process(command: &mut Command) -> Child {
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     command.spawn().expect("the program starts")
 }
 
-/// What a program says, and how it ends.
-pub fn output(command: &mut Command) -> Output {
-    let child = spawned(command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()));
+/// Runs a command to its end; returns its exit status and output.
+pub fn run_to_end(command: &mut Command) -> Output {
+    let child = spawn_process(command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()));
     child.wait_with_output().expect("it ends")
 }
 
-/// At an address of its own, so that no connection of another test's takes the port meanwhile.
-pub fn free() -> SocketAddr {
-    let _held = FORK.lock().unwrap_or_else(PoisonError::into_inner);
-    bound().local_addr().expect("its address")
+/// An unused loopback address. Its IP is unique, so that no connection of another test takes the port.
+pub fn free_address() -> SocketAddr {
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    bind_listener().local_addr().expect("its address")
 }
 
-/// The same, held.
-pub fn bound() -> TcpListener {
+/// A listening socket at such an address.
+pub fn bind_listener() -> TcpListener {
     let (pid, n) = (std::process::id(), LAST_ID.fetch_add(1, Ordering::Relaxed));
     let ip = Ipv4Addr::new(127, 20 + (pid % 200) as u8, (n >> 8) as u8, n as u8);
     TcpListener::bind((ip, 0)).expect("a port")
 }
 
-/// A backend of its own thread.
-fn backend() -> SocketAddr {
+/// Starts a backend that accepts every session and echoes its lines.
+fn start_echo_backend() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let place = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("its address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || serve(stream));
         }
     });
-    place
+    address
 }
 
-/// A backend that counts the sessions that come to it.
-pub struct Counted {
-    pub place: SocketAddr,
+/// A backend that echoes, and counts the sessions that are opened at it.
+pub struct CountingBackend {
+    pub address: SocketAddr,
     opened: Arc<AtomicU64>,
-    /// Ends each session that comes, without a word.
-    pub bad: Arc<AtomicBool>,
+    /// While set, each new session's connection is closed without a reply.
+    pub failing: Arc<AtomicBool>,
 }
 
-impl Counted {
-    pub fn begin() -> Counted {
-        let listener = bound();
-        let place = listener.local_addr().expect("its address");
+impl CountingBackend {
+    pub fn start() -> CountingBackend {
+        let listener = bind_listener();
+        let address = listener.local_addr().expect("its address");
         let opened = Arc::new(AtomicU64::new(0));
-        let bad = Arc::new(AtomicBool::new(false));
-        let (count, drops) = (opened.clone(), bad.clone());
+        let failing = Arc::new(AtomicBool::new(false));
+        let (count, drops) = (opened.clone(), failing.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (count, drops) = (count.clone(), drops.clone());
-                std::thread::spawn(move || serve_counted(stream, &count, &drops));
+                std::thread::spawn(move || serve_counting(stream, &count, &drops));
             }
         });
-        Counted { place, opened, bad }
+        CountingBackend { address, opened, failing }
     }
 
+    /// The number of sessions requested so far.
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::SeqCst)
     }
 }
 
 fn serve(stream: TcpStream) {
-    serve_counted(stream, &AtomicU64::new(0), &AtomicBool::new(false));
+    serve_counting(stream, &AtomicU64::new(0), &AtomicBool::new(false));
 }
 
-fn serve_counted(mut stream: TcpStream, opened: &AtomicU64, bad: &AtomicBool) {
+fn serve_counting(mut stream: TcpStream, opened: &AtomicU64, failing: &AtomicBool) {
     let mut lines = BufReader::new(stream.try_clone().expect("a handle"));
     let mut line = String::new();
     while matches!(lines.read_line(&mut line), Ok(1..)) {
-        let answer = match line.split(' ').next() {
+        let reply = match line.split(' ').next() {
             Some("OPEN") => {
                 opened.fetch_add(1, Ordering::SeqCst);
-                if bad.load(Ordering::SeqCst) {
+                if failing.load(Ordering::SeqCst) {
                     return;
                 }
                 "UP r1\r\n".to_string()
             }
             _ => line.clone(),
         };
-        if stream.write_all(answer.as_bytes()).is_err() {
+        if stream.write_all(reply.as_bytes()).is_err() {
             return;
         }
         line.clear();
     }
 }
 
-/// A client's connection, line by line.
+/// A client connection that sends and receives lines.
 pub struct Client(BufReader<TcpStream>);
 
-/// What a client saw of a connection that brought it no session.
+/// How a connection ended, or what came in place of the expected reply.
 #[derive(Debug, PartialEq)]
-pub enum Miss {
+pub enum SessionError {
     Refused,
     Reset,
-    Ended,
-    Said(String),
+    Closed,
+    /// Another reply, or another error of the socket.
+    Unexpected(String),
 }
 
 impl Client {
-    pub fn connect(place: SocketAddr) -> Result<Client, Miss> {
-        let stream = TcpStream::connect(place).map_err(|_| Miss::Refused)?;
-        stream.set_read_timeout(Some(SOON)).expect("a timeout");
+    pub fn connect(address: SocketAddr) -> Result<Client, SessionError> {
+        let stream = TcpStream::connect(address).map_err(|_| SessionError::Refused)?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
         stream.set_nodelay(true).expect("an option");
         Ok(Client(BufReader::new(stream)))
     }
 
-    pub fn say_part(&mut self, text: &str) {
+    /// Sends text without a line end.
+    pub fn send_partial(&mut self, text: &str) {
         _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
-    pub fn say(&mut self, line: &str) {
+    /// Sends text and a line end.
+    pub fn send_line(&mut self, line: &str) {
         _ = self.0.get_mut().write_all(format!("{line}\r\n").as_bytes());
     }
 
-    /// Leaves by a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         _ = socket2::SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO));
     }
 
-    /// Ends its sending, and reads on.
-    pub fn shut(&self) {
+    /// Closes the sending direction only.
+    pub fn shutdown_write(&self) {
         _ = self.0.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    /// What is there already, or comes at once.
-    pub fn hears_now(&mut self) -> Option<String> {
+    /// A line that is there already or arrives within 20 ms.
+    pub fn receive_now(&mut self) -> Option<String> {
         self.0.get_ref().set_read_timeout(Some(Duration::from_millis(20))).expect("a timeout");
-        let heard = self.hear().ok();
-        self.0.get_ref().set_read_timeout(Some(SOON)).expect("a timeout");
-        heard
+        let received = self.receive().ok();
+        self.0.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+        received
     }
 
-    pub fn hear(&mut self) -> Result<String, Miss> {
+    /// The next line, without its line end.
+    pub fn receive(&mut self) -> Result<String, SessionError> {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
-            Ok(0) => Err(Miss::Ended),
+            Ok(0) => Err(SessionError::Closed),
             Ok(_) => Ok(line.trim_end().to_string()),
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => Err(Miss::Reset),
-            Err(e) => Err(Miss::Said(e.to_string())),
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => Err(SessionError::Reset),
+            Err(e) => Err(SessionError::Unexpected(e.to_string())),
         }
     }
 
-    pub fn ping(place: SocketAddr) -> Result<String, Miss> {
-        let mut client = Client::connect(place)?;
-        client.say("PING");
-        client.hear()
+    /// Connects, sends `PING` and returns the reply.
+    pub fn ping(address: SocketAddr) -> Result<String, SessionError> {
+        let mut client = Client::connect(address)?;
+        client.send_line("PING");
+        client.receive()
     }
 
-    /// A session that is up.
-    pub fn open(place: SocketAddr, listener: &str) -> Result<Client, Miss> {
-        let mut client = Client::connect(place)?;
+    /// Connects and opens a session of a listener.
+    pub fn open(address: SocketAddr, listener: &str) -> Result<Client, SessionError> {
+        let mut client = Client::connect(address)?;
         let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
-        client.say(&format!("OPEN {id:016x} {id:016x} c={listener},d=1900"));
-        match client.hear()?.as_str() {
+        client.send_line(&format!("OPEN {id:016x} {id:016x} c={listener},d=1900"));
+        match client.receive()?.as_str() {
             "UP r1" => Ok(client),
-            other => Err(Miss::Said(other.to_string())),
+            other => Err(SessionError::Unexpected(other.to_string())),
         }
     }
 
-    /// Whether a line comes back from the backend.
+    /// Whether the backend echoes a line.
     pub fn echoes(&mut self) -> bool {
-        self.say("M 1");
-        self.hear() == Ok("M 1".to_string())
+        self.send_line("M 1");
+        self.receive() == Ok("M 1".to_string())
     }
 }
--- a/relay/tests/cuts.rs
+++ b/relay/tests/cuts.rs
@@ -1,5 +1,5 @@
-//! Messages cut at any byte: whatever the cuts, what is read is what was sent, also by a process that goes on
-//! with what another one had read.
+//! Streams of lines that are split at any byte: the lines read are the lines sent, also where a second
+//! process continues from what the first one had read.
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_relay::buffer::Buffer;
 use hallrelay_relay::lines::{self, FirstLine};
@@ -9,7 +9,7 @@
 const TEXT: &[u8] = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000,g=5c0f6e1a2b3d4c59\r\n\
     M 1\rnot an end\nneither\r\n\r\nBYE busy_reqs=7,x0=0.61\r\nhalf";
 
-async fn pair() -> (std::net::TcpStream, TcpStream) {
+async fn connected_pair() -> (std::net::TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let writer =
         std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("it listens");
@@ -17,7 +17,7 @@
     (writer, listener.accept().await.expect("it came").0)
 }
 
-fn wanted() -> Vec<Vec<u8>> {
+fn expected_lines() -> Vec<Vec<u8>> {
     lines::complete_lines(TEXT).map(<[u8]>::to_vec).collect()
 }
 
@@ -28,31 +28,31 @@
 }
 
 async fn fill(buffer: &mut Buffer, stream: &TcpStream, count: usize) {
-    let mut got = 0;
-    while got < count {
-        got += buffer.fill(stream).await.expect("bytes");
+    let mut filled = 0;
+    while filled < count {
+        filled += buffer.fill(stream).await.expect("bytes");
     }
 }
 
 #[tokio::test]
 async fn every_cut_gives_what_the_whole_gives() {
     for cut in 1..TEXT.len() {
-        let (mut writer, stream) = pair().await;
-        let (mut buffer, mut got, mut fresh) = (Buffer::new(8, 8192), Vec::new(), Vec::new());
+        let (mut writer, stream) = connected_pair().await;
+        let (mut buffer, mut received, mut fresh) = (Buffer::new(8, 8192), Vec::new(), Vec::new());
         for part in [&TEXT[..cut], &TEXT[cut..]] {
             writer.write_all(part).expect("it goes");
-            let mut left = part.len();
-            while left > 0 {
-                left -= buffer.fill(&stream).await.expect("bytes");
+            let mut remaining = part.len();
+            while remaining > 0 {
+                remaining -= buffer.fill(&stream).await.expect("bytes");
                 fresh.extend_from_slice(buffer.fresh());
             }
-            take_all(&mut buffer, &mut got);
+            take_all(&mut buffer, &mut received);
         }
-        assert_eq!(got, wanted(), "cut at {cut}");
-        // What was told to be new is every whole line once.
+        assert_eq!(received, expected_lines(), "cut at {cut}");
+        // The bytes reported as new contain each complete line once.
         assert_eq!(
             lines::complete_lines(&fresh).map(<[u8]>::to_vec).collect::<Vec<_>>(),
-            wanted(),
+            expected_lines(),
             "cut at {cut}"
         );
         assert_eq!(buffer.rest(), b"half");
@@ -62,20 +62,20 @@
 #[tokio::test]
 async fn another_process_goes_on_at_any_byte() {
     for cut in 0..TEXT.len() {
-        let (mut writer, stream) = pair().await;
-        let (mut first, mut got) = (Buffer::new(8, 8192), Vec::new());
+        let (mut writer, stream) = connected_pair().await;
+        let (mut first, mut received) = (Buffer::new(8, 8192), Vec::new());
         writer.write_all(&TEXT[..cut]).expect("it goes");
         fill(&mut first, &stream, cut).await;
         let mut second = Buffer::holding(first.rest(), 8, 8192);
         writer.write_all(&TEXT[cut..]).expect("it goes");
         fill(&mut second, &stream, TEXT.len() - cut).await;
-        take_all(&mut second, &mut got);
-        assert_eq!(got, wanted(), "cut at {cut}");
+        take_all(&mut second, &mut received);
+        assert_eq!(received, expected_lines(), "cut at {cut}");
         assert_eq!(second.rest(), b"half");
     }
 }
 
-/// A part of a line is no line of its own: it is never taken for a session, an end or a figure.
+/// A part of a line is never parsed as a session request, an end or a load report.
 #[test]
 fn a_part_of_a_line_is_never_read_as_another_one() {
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000";
@@ -84,7 +84,7 @@
     for cut in 0..line.len() {
         let whole: Vec<_> = lines::complete_lines(&line[..cut]).collect();
         assert!(whole.is_empty(), "cut at {cut}: {whole:?}");
-        // What follows the cut is not of the form of a first line.
+        // The rest after the cut does not parse as a first line.
         assert!(cut == 0 || lines::parse_first_line(&line[cut..]).is_none(), "cut at {cut}");
         _ = lines::parse_backend_reply(&line[..cut], order);
     }
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -1,25 +1,26 @@
-//! Drains that several processes coordinate: voters killed, stalled, without their disk, reduced to a
-//! minority, all without power at once. Checked by which relays drain, and by the sessions that reach each
+//! Drains that several processes coordinate while voters are killed, stalled, without their disk, reduced to
+//! a minority or all without power. Checked by which relays drain and by the sessions that reach each
 //! backend.
 mod common;
 
 use common::coordination::{lease_row, leases, post, run_command, Fleet};
-use common::{until, Client, Relay};
+use common::{wait_until, Client, Relay};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-fn drain_command(relay: &Relay, arguments: &[&str]) -> (Option<i32>, String) {
+fn run_drain_command(relay: &Relay, arguments: &[&str]) -> (Option<i32>, String) {
     run_command(relay, "drain", arguments)
 }
 
-fn drain(relay: &Relay) -> (u16, String) {
+fn request_drain(relay: &Relay) -> (u16, String) {
     post(relay, "/v1/relay/drain", &json!({"by": "ann", "why": "new disks"}))
 }
 
-fn drains(relay: &Relay) -> bool {
-    relay.call("GET", "/v1/readyz").1.contains("draining")
+fn is_draining(relay: &Relay) -> bool {
+    relay.request("GET", "/v1/readyz").1.contains("draining")
 }
 
+/// Budgets of one relay and one backend out of service at a time.
 fn one_of_each_kind() -> Value {
     json!([{"of": "relay", "scope": "fleet", "count": 1}, {"of": "backend", "scope": "fleet", "count": 1}])
 }
@@ -27,191 +28,195 @@
 #[test]
 fn one_relay_drains_at_a_time_whichever_is_asked() {
     let fleet = Fleet::start_in_service("one", 4, 3, &one_of_each_kind());
-    // All four are asked at the same moment.
+    // All four are requested at the same moment.
     let codes: Vec<u16> = std::thread::scope(|scope| {
-        let asked: Vec<_> = fleet.running().map(|relay| scope.spawn(|| drain(relay).0)).collect();
-        asked.into_iter().map(|one| one.join().expect("it ends")).collect()
+        let requests: Vec<_> = fleet.running().map(|relay| scope.spawn(|| request_drain(relay).0)).collect();
+        requests.into_iter().map(|request| request.join().expect("it ends")).collect()
     });
     assert_eq!(
         (codes.iter().filter(|c| **c == 200).count(), codes.iter().filter(|c| **c == 409).count()),
         (1, 3)
     );
     let out = codes.iter().position(|code| *code == 200).expect("one");
-    let drained: Vec<usize> = (0..4).filter(|i| drains(fleet.relay(*i))).collect();
+    let drained: Vec<usize> = (0..4).filter(|i| is_draining(fleet.relay(*i))).collect();
     assert_eq!(drained, [out]);
     let next = (out + 1) % 4;
-    let (code, why) = drain(fleet.relay(next));
+    let (code, why) = request_drain(fleet.relay(next));
     assert!(
         code == 409 && why.contains("at most 1 relay of the fleet") && why.contains(&format!("relay r{out}"))
     );
-    // Past the budgets, and said so.
+    // A forced drain exceeds the budgets, and is reported as forced.
     let (code, text) =
-        drain_command(fleet.relay(next), &["relay", "--force", "--by", "bo", "--why", "it burns"]);
+        run_drain_command(fleet.relay(next), &["relay", "--force", "--by", "bo", "--why", "it burns"]);
     assert_eq!(code, Some(0), "{text}");
-    fleet.until_lease_state(&format!("relay r{next}"), "out");
-    let leader = fleet.until_leader();
+    fleet.wait_for_lease_state(&format!("relay r{next}"), "out");
+    let leader = fleet.wait_for_leader();
     let forced = lease_row(fleet.relay(leader), &format!("relay r{next}")).expect("it is out");
     assert!(forced["forced"] == true && forced["by"] == "bo" && forced["why"] == "it burns");
     for i in [out, next] {
-        assert_eq!(fleet.relay(i).call("POST", "/v1/relay/activate").0, 200);
+        assert_eq!(fleet.relay(i).request("POST", "/v1/relay/activate").0, 200);
     }
-    fleet.until_all_in_service(4);
+    fleet.wait_until_all_in_service(4);
     let third = (out + 2) % 4;
-    assert_eq!(drain(fleet.relay(third)).0, 200);
+    assert_eq!(request_drain(fleet.relay(third)).0, 200);
 }
 
-/// The leader dies while a relay is out: it uses up the budget, and leases hold, after a power loss too.
+/// The leader dies while a relay is out: that uses up the budget, and leases outlive it and a power loss.
 #[test]
 fn leases_survive_a_dead_leader_and_a_power_loss() {
     let mut fleet = Fleet::start_in_service("dead", 4, 3, &one_of_each_kind());
-    assert_eq!(drain(fleet.relay(3)).0, 200);
-    let leader = fleet.until_leader();
+    assert_eq!(request_drain(fleet.relay(3)).0, 200);
+    let leader = fleet.wait_for_leader();
     fleet.kill(leader);
-    let other = fleet.until_leader();
+    let other = fleet.wait_for_leader();
     assert_ne!(other, leader);
-    fleet.until_lease_state("relay r3", "out");
+    fleet.wait_for_lease_state("relay r3", "out");
     let next = (0..3).find(|i| *i != leader && *i != other).expect("a third voter");
-    assert_eq!(drain(fleet.relay(next)).0, 409);
+    assert_eq!(request_drain(fleet.relay(next)).0, 409);
     fleet.start_relay(leader);
     // All of them lose power.
     (0..4).for_each(|i| fleet.kill(i));
     (0..4).for_each(|i| fleet.start_relay(i));
-    fleet.until_leader();
-    // It has started anew and serves: the committed drain is over.
-    fleet.until_all_in_service(4);
-    assert_eq!(drain(fleet.relay(next)).0, 200);
-    assert_eq!(drain(fleet.relay(leader)).0, 409);
+    fleet.wait_for_leader();
+    // The drained relay has restarted and serves, so its drain is over.
+    fleet.wait_until_all_in_service(4);
+    assert_eq!(request_drain(fleet.relay(next)).0, 200);
+    assert_eq!(request_drain(fleet.relay(leader)).0, 409);
 }
 
-/// A minority grants no lease, and serves; a stalled leader wakes and leads no more.
+/// A minority grants no lease and serves; a stalled leader steps down when it resumes.
 #[test]
 fn a_minority_serves_and_grants_no_lease() {
     let mut fleet = Fleet::start_in_service("minority", 4, 3, &one_of_each_kind());
-    let leader = fleet.until_leader();
+    let leader = fleet.wait_for_leader();
     fleet.relay(leader).signal("STOP");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
     let leads = |i: &usize| leases(fleet.relay(*i)).is_some_and(|t| t["leads"] == true);
-    until("another leads", || others.iter().any(leads));
-    let (code, why) = drain(fleet.relay(3));
+    wait_until("another leads", || others.iter().any(leads));
+    let (code, why) = request_drain(fleet.relay(3));
     assert!(
         code == 409 && why.contains(&format!("relay r{leader} (not up)")),
         "the stalled one counts: {why}"
     );
     fleet.relay(leader).signal("CONT");
-    until("the old one follows", || {
+    wait_until("the old one follows", || {
         leases(fleet.relay(leader)).is_some_and(|t| t["leads"] == false && t["role"] == "following")
     });
-    fleet.until_all_in_service(4);
+    fleet.wait_until_all_in_service(4);
     others.iter().for_each(|i| fleet.kill(*i));
-    let (code, why) = drain(fleet.relay(3));
+    let (code, why) = request_drain(fleet.relay(3));
     assert_eq!(code, 409, "{why}");
-    assert!(!drains(fleet.relay(3)));
+    assert!(!is_draining(fleet.relay(3)));
     for i in [leader, 3] {
-        let mut client = Client::open(fleet.sites[i].listen, "low").expect("it serves");
+        let mut client = Client::open(fleet.configs[i].listen_address, "low").expect("it serves");
         assert!(client.echoes());
     }
     fleet.start_relay(others[0]);
-    fleet.until_leader();
+    fleet.wait_for_leader();
 }
 
-/// A voter whose disk is lost votes no more until the others have added it, as another voter.
+/// A voter that lost its disk does not vote until the others have added its new incarnation.
 #[test]
 fn a_voter_without_its_disk_is_added_anew() {
     let mut fleet =
         Fleet::start_in_service("disk", 3, 3, &json!([{"of": "relay", "scope": "fleet", "count": 2}]));
-    assert_eq!(drain(fleet.relay(2)).0, 200);
-    let leader = fleet.until_leader();
+    assert_eq!(request_drain(fleet.relay(2)).0, 200);
+    let leader = fleet.wait_for_leader();
     let lost = (0..3).find(|i| *i != leader && *i != 2).unwrap_or((leader + 1) % 3);
     fleet.kill(lost);
-    std::fs::remove_dir_all(fleet.sites[lost].folder.join("state")).expect("a state");
+    std::fs::remove_dir_all(fleet.configs[lost].directory.join("state")).expect("a state");
     fleet.start_relay(lost);
-    until("it is added", || {
+    wait_until("it is added", || {
         leases(fleet.relay(lost))
             .is_some_and(|t| t["role"] == "following" && t["voters"] == 3 && t["index"] != 0)
     });
-    // It counts: with another dead the two still agree.
+    // It counts: it and one more voter form a quorum.
     let dead = (0..3).find(|i| *i != lost && *i != 2).expect("another");
     fleet.kill(dead);
-    fleet.until_leader();
-    fleet.until_lease_state("relay r2", if lost == 2 { "in" } else { "out" });
+    fleet.wait_for_leader();
+    fleet.wait_for_lease_state("relay r2", if lost == 2 { "in" } else { "out" });
 }
 
-/// One backend for the whole fleet: nothing new goes there, its sessions are migrated, a second one waits.
+/// A backend drains for the whole fleet: it gets no new sessions, its sessions are migrated, and a second
+/// backend's drain is denied.
 #[test]
 fn a_backend_drains_for_the_whole_fleet() {
     let fleet = Fleet::start_in_service("backend", 3, 3, &one_of_each_kind());
-    let mut clients: Vec<Client> =
-        (0..30).map(|i| Client::open(fleet.sites[i % 3].listen, "low").expect("it serves")).collect();
+    let mut clients: Vec<Client> = (0..30)
+        .map(|i| Client::open(fleet.configs[i % 3].listen_address, "low").expect("it serves"))
+        .collect();
     assert!(clients.iter_mut().all(Client::echoes));
     let there = fleet.backends[1].opened();
     assert!(there > 0);
     let (code, text) =
-        drain_command(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
+        run_drain_command(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
     assert_eq!((code, text.trim()), (Some(0), "backend b-1 drains"));
-    let (code, text) = drain_command(fleet.relay(1), &["backend", "b-0"]);
+    let (code, text) = run_drain_command(fleet.relay(1), &["backend", "b-0"]);
     assert!(
         code == Some(1) && text.contains("at most 1 backend of the fleet; out: backend b-1 (out)"),
         "{text}"
     );
-    // All hear it within a second or two, those that do not lead too.
+    // All relays, followers included, apply it within 2.5 s.
     std::thread::sleep(Duration::from_millis(2_500));
     let before = fleet.backends[1].opened();
     for i in 0..60 {
-        Client::open(fleet.sites[i % 3].listen, "low").expect("it serves");
+        Client::open(fleet.configs[i % 3].listen_address, "low").expect("it serves");
     }
     assert_eq!(fleet.backends[1].opened(), before, "nothing new goes there");
-    let leader = fleet.until_leader();
-    until("it is empty", || lease_row(fleet.relay(leader), "backend b-1").is_some_and(|r| r["left"] == 0));
-    let moved = clients.iter_mut().filter_map(Client::hears_now).filter(|line| line == "MOVE").count();
+    let leader = fleet.wait_for_leader();
+    wait_until("it is empty", || {
+        lease_row(fleet.relay(leader), "backend b-1").is_some_and(|r| r["left"] == 0)
+    });
+    let moved = clients.iter_mut().filter_map(Client::receive_now).filter(|line| line == "MOVE").count();
     assert_eq!(moved as u64, there, "each of them is moved, and no other");
-    assert_eq!(drain_command(fleet.relay(2), &["back", "b-1"]).0, Some(0));
-    until("it serves again", || {
-        Client::open(fleet.sites[0].listen, "low").expect("it serves");
+    assert_eq!(run_drain_command(fleet.relay(2), &["back", "b-1"]).0, Some(0));
+    wait_until("it serves again", || {
+        Client::open(fleet.configs[0].listen_address, "low").expect("it serves");
         fleet.backends[1].opened() > before
     });
-    fleet.until_all_in_service(3);
-    let (code, text) = drain_command(fleet.relay(2), &["backend", "b-9"]);
+    fleet.wait_until_all_in_service(3);
+    let (code, text) = run_drain_command(fleet.relay(2), &["backend", "b-9"]);
     assert!(code == Some(1) && text.contains("no leader has seen it yet"), "{text}");
 }
 
-/// A relay that dies while it is out counts as out until it is reclaimed, and as down until it is up.
+/// A relay that dies while it is out counts as out until its lease is reclaimed, and as down until it is up.
 #[test]
 fn a_relay_that_died_while_out_is_reclaimed_by_a_person() {
     let mut fleet = Fleet::start_in_service("freed", 4, 3, &one_of_each_kind());
-    assert_eq!(drain(fleet.relay(3)).0, 200);
+    assert_eq!(request_drain(fleet.relay(3)).0, 200);
     fleet.kill(3);
-    let leader = fleet.until_leader();
-    until("it is down", || {
+    let leader = fleet.wait_for_leader();
+    wait_until("it is down", || {
         lease_row(fleet.relay(leader), "relay r3").is_some_and(|r| r["condition"] == "down")
     });
     let row3 = lease_row(fleet.relay(leader), "relay r3").expect("it is out");
     assert_eq!(row3["stage"], "out");
-    let begun = Instant::now();
-    assert_eq!(drain_command(fleet.relay(0), &["free", "relay", "r3", "--by", "bo"]).0, Some(0));
+    let started_at = Instant::now();
+    assert_eq!(run_drain_command(fleet.relay(0), &["free", "relay", "r3", "--by", "bo"]).0, Some(0));
     assert_eq!(lease_row(fleet.relay(leader), "relay r3").expect("it is down")["stage"], "in");
-    assert_eq!(drain(fleet.relay(1)).0, 409, "freed, and still not up");
+    assert_eq!(request_drain(fleet.relay(1)).0, 409, "freed, and still not up");
     fleet.start_relay(3);
-    fleet.until_all_in_service(4);
-    assert_eq!(drain(fleet.relay(1)).0, 200);
-    assert!(begun.elapsed() < Duration::from_secs(20));
+    fleet.wait_until_all_in_service(4);
+    assert_eq!(request_drain(fleet.relay(1)).0, 200);
+    assert!(started_at.elapsed() < Duration::from_secs(20));
 }
 
-/// A voter hands over to a process that dies at once: it takes over again, and applies the log once.
+/// A hot restart whose new process dies at once: the old one votes again, and applies the log once.
 #[test]
 fn a_voter_after_a_failed_hot_restart_has_the_state_of_the_others() {
     let mut fleet = Fleet::start_in_service("back", 3, 3, &one_of_each_kind());
-    assert_eq!(drain(fleet.relay(2)).0, 200);
-    assert_eq!(fleet.relay(2).call("POST", "/v1/relay/activate").0, 200);
-    fleet.until_all_in_service(3);
-    let mut new = fleet.sites[1].start();
-    new.until_ready();
+    assert_eq!(request_drain(fleet.relay(2)).0, 200);
+    assert_eq!(fleet.relay(2).request("POST", "/v1/relay/activate").0, 200);
+    fleet.wait_until_all_in_service(3);
+    let mut new = fleet.configs[1].start();
+    new.wait_until_ready();
     new.child.kill().expect("it lives");
-    until("the old one votes again", || {
+    wait_until("the old one votes again", || {
         leases(fleet.relay(1)).is_some_and(|t| t["role"] != "no voter" && t["index"] != 0)
     });
-    fleet.until_all_in_service(3);
-    assert_eq!(drain(fleet.relay(2)).0, 200);
+    fleet.wait_until_all_in_service(3);
+    assert_eq!(request_drain(fleet.relay(2)).0, 200);
     let grant = |i: usize| lease_row(fleet.relay(i), "relay r2").map(|r| r["grant"].clone());
-    until("both have heard", || grant(0).is_some() && grant(1).is_some());
+    wait_until("both have heard", || grant(0).is_some() && grant(1).is_some());
     assert_eq!(grant(0), grant(1), "the same log, the same numbers");
 }
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -2,7 +2,7 @@
 //! one relay gives another, and the frames of their streams.
 mod common;
 
-use common::{free, Site};
+use common::{free_address, RelayConfig};
 use hallrelay_config::node::{self, Overrides};
 use hallrelay_membership::message::{
     decode, encode, encode_update, DropReason, MessageBody, Packet, MAX_FRAME_BYTES,
@@ -213,13 +213,13 @@
     assert_eq!(bytes(&visit), rest);
     assert_eq!(decode(FLEET, rest, MAX_FRAME_BYTES), Ok(*visit));
 
-    let place = free();
-    let mut site = Site::new("fixtures-frame");
-    site.text["name"] = json!("relay-1");
-    site.text["fleet"] = json!({"name": FLEET, "listen": place.to_string(), "peers": []});
-    let relay = site.start();
-    relay.until_ready();
-    let mut stream = TcpStream::connect(place).expect("a stream");
+    let address = free_address();
+    let mut config = RelayConfig::new("fixtures-frame");
+    config.json["name"] = json!("relay-1");
+    config.json["fleet"] = json!({"name": FLEET, "listen": address.to_string(), "peers": []});
+    let relay = config.start();
+    relay.wait_until_ready();
+    let mut stream = TcpStream::connect(address).expect("a stream");
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
     stream.write_all(&stored).expect("it is sent");
     let mut answer = Vec::new();
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -1,255 +1,270 @@
-//! Several processes of the program that know each other, killed, stalled, replaced, restarted, and what is
-//! at their port that should not be. Verdicts are by what each believes in the end, and by counts.
+//! Membership of several relay processes that are killed, stalled, replaced and restarted, and unexpected
+//! traffic at their port. Checked by each relay's final view and by metrics.
 mod common;
 
-use common::{free, until, Client, Relay, Site};
+use common::{free_address, wait_until, Client, Relay, RelayConfig};
 use hallrelay_membership::status::{MemberStatus, Status};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
 
-/// Relays of one fleet, each with a site of its own; the first `seeds` of them are in everybody's list.
+/// Relays of one fleet, each with its own configuration and membership address.
 struct Fleet {
-    sites: Vec<Site>,
-    places: Vec<SocketAddr>,
+    configs: Vec<RelayConfig>,
+    addresses: Vec<SocketAddr>,
     relays: Vec<Relay>,
 }
 
 impl Fleet {
-    fn started(name: &str, count: usize) -> Fleet {
-        let places: Vec<SocketAddr> = (0..count).map(|_| free()).collect();
-        let peers = json!(places.iter().map(ToString::to_string).collect::<Vec<_>>());
-        Fleet::with_peers(name, places, &peers)
+    /// Starts a fleet in which everybody's address is in everybody's peer list.
+    fn start(name: &str, count: usize) -> Fleet {
+        let addresses: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
+        let peers = json!(addresses.iter().map(ToString::to_string).collect::<Vec<_>>());
+        Fleet::with_peers(name, addresses, &peers)
     }
 
-    fn with_peers(name: &str, places: Vec<SocketAddr>, peers: &Value) -> Fleet {
-        let site = |(i, place): (usize, &SocketAddr)| {
-            let mut site = Site::new(&format!("fleet-{name}-{i}"));
-            site.text["name"] = json!(format!("r{i}"));
-            site.text["settings"]["Instances"] = json!(places.len());
-            site.text["settings"]["SlotNo"] = json!(i);
-            site.text["fleet"] = json!({"name": name, "listen": place.to_string(), "peers": peers});
-            site
+    fn with_peers(name: &str, addresses: Vec<SocketAddr>, peers: &Value) -> Fleet {
+        let config = |(i, address): (usize, &SocketAddr)| {
+            let mut config = RelayConfig::new(&format!("fleet-{name}-{i}"));
+            config.json["name"] = json!(format!("r{i}"));
+            config.json["settings"]["Instances"] = json!(addresses.len());
+            config.json["settings"]["SlotNo"] = json!(i);
+            config.json["fleet"] = json!({"name": name, "listen": address.to_string(), "peers": peers});
+            config
         };
-        let mut sites: Vec<Site> = places.iter().enumerate().map(site).collect();
-        let relays = sites.iter_mut().map(Site::start).collect();
-        Fleet { sites, places, relays }
+        let mut configs: Vec<RelayConfig> = addresses.iter().enumerate().map(config).collect();
+        let relays = configs.iter_mut().map(RelayConfig::start).collect();
+        Fleet { configs, addresses, relays }
     }
 
-    /// The relays that still run all believe that the fleet is whole.
-    fn until_whole(&self) {
+    /// Waits until each running relay sees the whole fleet.
+    fn wait_until_whole(&self) {
         for relay in &self.relays {
-            until("all see all", || status(relay).is_some_and(|s| s.is_whole()));
+            wait_until("all see all", || status(relay).is_some_and(|s| s.is_whole()));
         }
     }
 }
 
+/// The response to `GET /v1/fleet`; none while the relay does not answer with status 200.
 fn status(relay: &Relay) -> Option<Status> {
-    std::net::TcpStream::connect(relay.operator).ok()?;
-    let (code, text) = relay.call("GET", "/v1/fleet");
+    std::net::TcpStream::connect(relay.operator_address).ok()?;
+    let (code, text) = relay.request("GET", "/v1/fleet");
     (code == 200).then(|| serde_json::from_str(text.split("\r\n\r\n").nth(1)?).ok())?
 }
 
-fn of(relay: &Relay, name: &str) -> Option<MemberStatus> {
+/// A relay's view of a member.
+fn member(relay: &Relay, name: &str) -> Option<MemberStatus> {
     status(relay)?.members.into_iter().find(|m| m.name == name)
 }
 
-fn state(relay: &Relay, name: &str) -> String {
-    of(relay, name).map_or("unknown".to_string(), |m| m.state)
+fn member_state(relay: &Relay, name: &str) -> String {
+    member(relay, name).map_or("unknown".to_string(), |m| m.state)
 }
 
-/// The command's exit status and what it prints.
-fn said(at: SocketAddr, more: &[&str]) -> (Option<i32>, String) {
+/// Runs `hallrelay fleet status`; returns its exit status and stdout.
+fn run_status_command(operator_address: SocketAddr, arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
-    let output = common::output(command.args(["fleet", "status", "--at", &at.to_string()]).args(more));
+    let output = common::run_to_end(
+        command.args(["fleet", "status", "--at", &operator_address.to_string()]).args(arguments),
+    );
     (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
 #[test]
 fn one_is_killed_and_told_and_returns_under_a_later_start() {
-    let mut fleet = Fleet::started("killed", 3);
-    fleet.until_whole();
-    let (code, text) = said(fleet.relays[0].operator, &[]);
+    let mut fleet = Fleet::start("killed", 3);
+    fleet.wait_until_whole();
+    let (code, text) = run_status_command(fleet.relays[0].operator_address, &[]);
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("as r0 believes: whole; it hears 3 of 3") && text.contains("r2 "), "{text}");
-    let first = of(&fleet.relays[0], "r2").expect("a member");
+    let first = member(&fleet.relays[0], "r2").expect("a member");
     assert_eq!((first.lifecycle.as_str(), first.version.as_str()), ("serving", env!("CARGO_PKG_VERSION")));
     assert_eq!(first.settings_digest, status(&fleet.relays[0]).expect("a status").members[0].settings_digest);
 
     fleet.relays.pop().expect("three");
     for relay in &fleet.relays {
-        until("the dead one is gone", || state(relay, "r2") == "gone");
+        wait_until("the dead one is gone", || member_state(relay, "r2") == "gone");
     }
-    let (code, text) = said(fleet.relays[0].operator, &["--json"]);
-    let told: Status = serde_json::from_str(&text).expect("a status");
-    assert_eq!((code, told.view.as_str(), told.reachable_relays), (Some(1), "parts missing", 2));
+    let (code, text) = run_status_command(fleet.relays[0].operator_address, &["--json"]);
+    let reported: Status = serde_json::from_str(&text).expect("a status");
+    assert_eq!((code, reported.view.as_str(), reported.reachable_relays), (Some(1), "parts missing", 2));
 
-    let again = fleet.sites[2].start();
+    let again = fleet.configs[2].start();
     fleet.relays.push(again);
-    fleet.until_whole();
-    assert!(of(&fleet.relays[0], "r2").expect("a member").start > first.start);
-    let gone = said(free(), &[]);
+    fleet.wait_until_whole();
+    assert!(member(&fleet.relays[0], "r2").expect("a member").start > first.start);
+    let gone = run_status_command(free_address(), &[]);
     assert_eq!(gone, (Some(2), String::new()), "nobody answers there");
 }
 
 #[test]
 fn who_leaves_on_purpose_is_accused_by_nobody_and_a_drain_is_told() {
-    let mut fleet = Fleet::started("leaves", 3);
-    fleet.until_whole();
-    assert_eq!(fleet.relays[1].call("POST", "/v1/relay/drain").0, 200);
+    let mut fleet = Fleet::start("leaves", 3);
+    fleet.wait_until_whole();
+    assert_eq!(fleet.relays[1].request("POST", "/v1/relay/drain").0, 200);
     for relay in &fleet.relays {
-        until("the drain is told", || of(relay, "r1").is_some_and(|m| m.lifecycle == "draining"));
+        wait_until("the drain is told", || member(relay, "r1").is_some_and(|m| m.lifecycle == "draining"));
     }
     fleet.relays[2].signal("TERM");
     let mut leaving = fleet.relays.pop().expect("three");
-    until("it ends", || leaving.has_ended());
+    wait_until("it ends", || leaving.has_exited());
     for relay in &fleet.relays {
-        until("its word is out", || state(relay, "r2") == "left");
-        assert_eq!(relay.figure("fleet_buried"), Some(0));
+        wait_until("its word is out", || member_state(relay, "r2") == "left");
+        assert_eq!(relay.metric("fleet_buried"), Some(0));
     }
 }
 
-/// A stalled process wakes with all its answers missed: it accuses nobody of that, and says that it is back.
+/// A stalled relay resumes after all its probe replies are overdue: it suspects nobody for that, and refutes
+/// its own death.
 #[test]
 fn a_stalled_relay_wakes_and_accuses_nobody() {
-    let fleet = Fleet::started("stalls", 4);
-    fleet.until_whole();
+    let fleet = Fleet::start("stalls", 4);
+    fleet.wait_until_whole();
     fleet.relays[3].signal("STOP");
     for relay in &fleet.relays[..3] {
-        until("it is gone", || state(relay, "r3") == "gone");
+        wait_until("it is gone", || member_state(relay, "r3") == "gone");
     }
-    let before = fleet.relays[3].figure("fleet_accused");
+    let before = fleet.relays[3].metric("fleet_accused");
     assert_eq!(before, None, "a stalled process answers nobody");
     fleet.relays[3].signal("CONT");
-    fleet.until_whole();
+    fleet.wait_until_whole();
     let woken = &fleet.relays[3];
-    assert_eq!(woken.figure("fleet_buried"), Some(0));
-    assert!(woken.figure("fleet_late").is_some_and(|n| n > 0) && woken.figure("fleet_refuted") > Some(0));
+    assert_eq!(woken.metric("fleet_buried"), Some(0));
+    assert!(woken.metric("fleet_late").is_some_and(|n| n > 0) && woken.metric("fleet_refuted") > Some(0));
 }
 
 #[test]
 fn a_replaced_process_is_the_same_member() {
-    let mut fleet = Fleet::started("replaced", 3);
-    fleet.until_whole();
-    let first = of(&fleet.relays[0], "r1").expect("a member");
+    let mut fleet = Fleet::start("replaced", 3);
+    fleet.wait_until_whole();
+    let first = member(&fleet.relays[0], "r1").expect("a member");
     for _ in 0..3 {
-        let new = fleet.sites[1].start();
-        new.until_ready();
+        let new = fleet.configs[1].start();
+        new.wait_until_ready();
         let mut old = std::mem::replace(&mut fleet.relays[1], new);
-        until("the old one is silent", || status(&old).is_some_and(|s| s.view == "silent"));
-        fleet.until_whole();
+        wait_until("the old one is silent", || status(&old).is_some_and(|s| s.view == "silent"));
+        fleet.wait_until_whole();
         old.signal("TERM");
-        until("the old one leaves", || old.has_ended());
+        wait_until("the old one leaves", || old.has_exited());
     }
-    // A new process that dies: the old one speaks again.
-    let mut new = fleet.sites[1].start();
-    new.until_ready();
+    // A new process that dies: the old one takes part again.
+    let mut new = fleet.configs[1].start();
+    new.wait_until_ready();
     new.child.kill().expect("it lives");
-    until("the old one speaks", || status(&fleet.relays[1]).is_some_and(|s| s.is_whole()));
-    let last = of(&fleet.relays[0], "r1").expect("a member");
+    wait_until("the old one speaks", || status(&fleet.relays[1]).is_some_and(|s| s.is_whole()));
+    let last = member(&fleet.relays[0], "r1").expect("a member");
     assert_eq!((last.start, last.state.as_str()), (first.start, "alive"));
     assert!(last.since_ms >= first.since_ms, "it was never anything else meanwhile");
     for other in [0, 2] {
-        assert_eq!(fleet.relays[other].figure("fleet_buried"), Some(0));
+        assert_eq!(fleet.relays[other].metric("fleet_buried"), Some(0));
     }
 }
 
-/// Seeds that do not help: its own address, a port at which nobody is, another fleet's relay, a dead one.
+/// Useless seeds: a relay's own address, an unused port, another fleet's relay, a dead relay.
 #[test]
 fn faulty_seeds_and_another_fleet_do_no_harm() {
-    let places: Vec<SocketAddr> = (0..3).map(|_| free()).collect();
-    let other = Fleet::started("other", 1);
-    // The only one who is everybody's seed starts last.
-    let peers = json!([places[2].to_string(), free().to_string(), other.places[0].to_string()]);
-    let mut fleet = Fleet::with_peers("seeds", places, &peers);
-    fleet.until_whole();
+    let addresses: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+    let other = Fleet::start("other", 1);
+    // The only useful seed starts last.
+    let peers = json!([addresses[2].to_string(), free_address().to_string(), other.addresses[0].to_string()]);
+    let mut fleet = Fleet::with_peers("seeds", addresses, &peers);
+    fleet.wait_until_whole();
     assert!(status(&other.relays[0]).is_some_and(|s| s.is_whole() && s.members.len() == 1));
-    until("it is counted", || other.relays[0].figure("fleet_dropped.other_fleet") > Some(0));
-    // Once met, the others need no seed.
+    wait_until("it is counted", || other.relays[0].metric("fleet_dropped.other_fleet") > Some(0));
+    // Members that know each other need no seed.
     drop(fleet.relays.pop());
     for relay in &fleet.relays {
-        until("the seed is gone", || state(relay, "r2") == "gone");
+        wait_until("the seed is gone", || member_state(relay, "r2") == "gone");
         assert_eq!(
-            state(relay, if relay.operator == fleet.relays[0].operator { "r1" } else { "r0" }),
+            member_state(
+                relay,
+                if relay.operator_address == fleet.relays[0].operator_address { "r1" } else { "r0" }
+            ),
             "alive"
         );
     }
-    // A new list of peers holds at SIGHUP; the fleet's name does not.
+    // A reload applies a new peer list, but not a new fleet name.
     let relay = &fleet.relays[0];
-    let mut text: Value = serde_json::from_slice(&std::fs::read(&relay.path).expect("a file")).expect("JSON");
+    let mut text: Value =
+        serde_json::from_slice(&std::fs::read(&relay.config_path).expect("a file")).expect("JSON");
     text["fleet"]["peers"] = json!([]);
     text["fleet"]["name"] = json!("renamed");
-    std::fs::write(&relay.path, text.to_string()).expect("a file");
+    std::fs::write(&relay.config_path, text.to_string()).expect("a file");
     relay.signal("HUP");
-    until("it is read", || relay.figure("loads") == Some(1));
+    wait_until("it is read", || relay.metric("loads") == Some(1));
     assert_eq!(status(relay).expect("a status").fleet, "seeds");
 }
 
-/// Two processes with one name at two addresses: both are told, neither ends, the later start holds.
+/// Two processes with one name at two addresses: both report the conflict, neither ends, and the later start
+/// holds the name.
 #[test]
 fn two_of_one_name() {
-    let mut fleet = Fleet::started("twins", 2);
-    fleet.until_whole();
-    let mut site = Site::new("fleet-twins-again");
-    site.text = fleet.sites[1].text.clone();
-    site.text["listen"] = json!(free().to_string());
-    let place = free();
-    site.text["fleet"]["listen"] = json!(place.to_string());
-    let mut later = site.start();
-    until("it serves", || later.ready());
-    until("the later one holds", || of(&fleet.relays[0], "r1").is_some_and(|m| m.addr == place.to_string()));
-    until("the first is told", || {
+    let mut fleet = Fleet::start("twins", 2);
+    fleet.wait_until_whole();
+    let mut config = RelayConfig::new("fleet-twins-again");
+    config.json = fleet.configs[1].json.clone();
+    config.json["listen"] = json!(free_address().to_string());
+    let address = free_address();
+    config.json["fleet"]["listen"] = json!(address.to_string());
+    let mut later = config.start();
+    wait_until("it serves", || later.is_ready());
+    wait_until("the later one holds", || {
+        member(&fleet.relays[0], "r1").is_some_and(|m| m.addr == address.to_string())
+    });
+    wait_until("the first is told", || {
         status(&fleet.relays[1])
             .and_then(|s| s.name_conflict)
-            .is_some_and(|t| t.holds_name && t.addr == place.to_string())
+            .is_some_and(|t| t.holds_name && t.addr == address.to_string())
     });
-    until("the later is told", || {
+    wait_until("the later is told", || {
         status(&later)
             .and_then(|s| s.name_conflict)
-            .is_some_and(|t| !t.holds_name && t.addr == fleet.places[1].to_string())
+            .is_some_and(|t| !t.holds_name && t.addr == fleet.addresses[1].to_string())
     });
-    assert!(!later.has_ended() && !fleet.relays[1].has_ended());
-    assert!(said(fleet.relays[1].operator, &[]).1.contains("has this one's name; that one holds the name"));
+    assert!(!later.has_exited() && !fleet.relays[1].has_exited());
+    assert!(run_status_command(fleet.relays[1].operator_address, &[])
+        .1
+        .contains("has this one's name; that one holds the name"));
 }
 
-/// A flood of garbage at the fleet's port, while clients are there.
+/// A flood of malformed datagrams at the membership port while clients are served.
 #[test]
 fn garbage_is_dropped_and_counted_and_clients_are_served() {
-    let fleet = Fleet::started("garbage", 2);
-    fleet.until_whole();
+    let fleet = Fleet::start("garbage", 2);
+    fleet.wait_until_whole();
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let mut sound = vec![1, 0, 0, 0, 0];
     sound.extend([7; 300]);
     let others = [vec![9; 40], vec![], vec![1; 1400], sound];
-    let listen = fleet.sites[0].listen;
-    let mut client = Client::open(listen, "low").expect("a session");
+    let listen_address = fleet.configs[0].listen_address;
+    let mut client = Client::open(listen_address, "low").expect("a session");
     for round in 0..40 {
         for _ in 0..250 {
-            others.iter().for_each(|bytes| _ = socket.send_to(bytes, fleet.places[0]));
+            others.iter().for_each(|bytes| _ = socket.send_to(bytes, fleet.addresses[0]));
         }
         assert!(client.echoes(), "round {round}");
-        assert!(Client::open(listen, "low").expect("a session").echoes(), "round {round}");
+        assert!(Client::open(listen_address, "low").expect("a session").echoes(), "round {round}");
     }
-    // A stream that says nothing of use ends, and a huge frame is not waited for.
+    // A malformed stream is closed, and a frame that claims to be huge is not awaited.
     for bytes in [&[0xff_u8; 64][..], &[0, 0, 0, 4, 1, 2, 3, 4], b"GET / HTTP/1.1\r\n\r\n"] {
         use std::io::{Read, Write};
-        let mut stream = std::net::TcpStream::connect(fleet.places[0]).expect("it listens");
+        let mut stream = std::net::TcpStream::connect(fleet.addresses[0]).expect("it listens");
         _ = stream.write_all(bytes);
         assert!(matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)));
     }
-    until("it is counted", || {
-        let n = |what: &str| fleet.relays[0].figure(&format!("fleet_dropped.{what}")).unwrap_or(0);
+    wait_until("it is counted", || {
+        let n = |what: &str| fleet.relays[0].metric(&format!("fleet_dropped.{what}")).unwrap_or(0);
         n("damaged") > 100 && n("version") > 100
     });
-    fleet.until_whole();
+    fleet.wait_until_whole();
 }
 
 #[test]
 fn a_relay_without_a_fleet_says_so_and_faulty_keys_are_named() {
-    let (mut site, relay) = Site::served("fleet-off");
-    assert_eq!(relay.call("GET", "/v1/fleet").0, 404);
-    assert_eq!(relay.figure("fleet_alive"), None);
-    let (code, text) = said(relay.operator, &[]);
+    let (mut config, relay) = RelayConfig::start_ready("fleet-off");
+    assert_eq!(relay.request("GET", "/v1/fleet").0, 404);
+    assert_eq!(relay.metric("fleet_alive"), None);
+    let (code, text) = run_status_command(relay.operator_address, &[]);
     assert_eq!((code, text.as_str()), (Some(2), ""));
     let sound = json!({"name": "f", "listen": "127.0.0.1:9", "peers": []});
     let with = |key: &str, value: Value| {
@@ -267,21 +282,21 @@
         (json!({"name": "f", "listen": "127.0.0.1:9"}), "fleet.peers is missing"),
     ];
     let check = |text: &Value| {
-        let path = site.folder.join("faulty.json");
+        let path = config.directory.join("faulty.json");
         std::fs::write(&path, text.to_string()).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
-        let output = common::output(command.arg("check").arg("--config").arg(&path));
+        let output = common::run_to_end(command.arg("check").arg("--config").arg(&path));
         (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     for (fleet, wanted) in cases {
-        let mut text = site.text.clone();
+        let mut text = config.json.clone();
         text["fleet"] = fleet;
         let (well, why) = check(&text);
         assert!(!well && why.contains(wanted), "{wanted}: {why}");
     }
-    site.text["fleet"] = sound;
-    assert!(check(&site.text).0);
-    site.text["settings"]["Ceilings"]["PeerMessages"] = json!(false);
-    let (well, why) = check(&site.text);
+    config.json["fleet"] = sound;
+    assert!(check(&config.json).0);
+    config.json["settings"]["Ceilings"]["PeerMessages"] = json!(false);
+    let (well, why) = check(&config.json);
     assert!(!well && why.contains("fleet is given, and settings.Ceilings.PeerMessages is false"), "{why}");
 }
--- a/relay/tests/short_days/answers.rs
+++ b/relay/tests/short_days/answers.rs
@@ -1,8 +1,8 @@
-//! Backends that hang, backends whose connections come up late, and backends that reset, all at once: each
-//! session has an answer when its time is up.
-use crate::backend::{fill, narrow, Backend, Behaviour};
-use crate::common::{listener, number, until, Client, Miss, Site};
-use crate::list_service::{entry, whole};
+//! Backends that hang, that accept connections late and that reset them, all at once: each session gets its
+//! final answer by its deadline.
+use crate::backend::{bind_small_backlog, fill_backlog, Backend, Behaviour};
+use crate::common::{listener_settings, unique_id, wait_until, Client, RelayConfig, SessionError};
+use crate::scripted_discovery::{endpoint, full_list};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -10,121 +10,127 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What a client allows. The system tries a dropped connect again after 1 s: it comes up late within this.
-const TIME: Duration = Duration::from_millis(1_900);
-/// An answer that is later than this behind that is none.
-const LATE: Duration = Duration::from_millis(500);
+/// A session's deadline. The kernel retries a dropped SYN after 1 s, so a late connection still fits in.
+const CLIENT_DEADLINE: Duration = Duration::from_millis(1_900);
+/// An answer later than this after the deadline counts as missing.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(500);
 const CLIENTS: u32 = 300;
-/// One comes after the other so fast.
-const EVERY: Duration = Duration::from_millis(10);
-/// The backend with no room takes up one connection so often: others come up late, or not at all.
-const ROOM_EVERY: Duration = Duration::from_millis(150);
+/// Time between the starts of two clients.
+const CLIENT_INTERVAL: Duration = Duration::from_millis(10);
+/// How often the slow backend accepts one connection: others are established late, or not at all.
+const ACCEPT_INTERVAL: Duration = Duration::from_millis(150);
 const LISTENERS: [&str; 3] = ["low", "once", "referenced"];
 
-/// What became of a session, and when, counted from its line.
-type Outcome = (Result<String, Miss>, Duration);
+/// The reply to a session, and the time from its first line to that reply.
+struct Outcome {
+    reply: Result<String, SessionError>,
+    after: Duration,
+}
 
-fn session(listen: SocketAddr, name: &str) -> Outcome {
-    let mark = number();
-    let mut client = Client::connect(listen).expect("it listens");
+fn open_session(listen_address: SocketAddr, name: &str) -> Outcome {
+    let id = unique_id();
+    let mut client = Client::connect(listen_address).expect("it listens");
     let sent = Instant::now();
-    client.say(&format!("OPEN {mark:016x} {mark:016x} c={name},d={}", TIME.as_millis()));
-    let heard = client.hear();
-    (heard, sent.elapsed())
+    client.send_line(&format!("OPEN {id:016x} {id:016x} c={name},d={}", CLIENT_DEADLINE.as_millis()));
+    let received = client.receive();
+    Outcome { reply: received, after: sent.elapsed() }
 }
 
-fn site(name: &str, backends: &[SocketAddr]) -> Site {
-    let mut site = Site::new(&format!("short-answers-{name}"));
+fn relay_config(name: &str, backends: &[SocketAddr]) -> RelayConfig {
+    let mut config = RelayConfig::new(&format!("short-answers-{name}"));
     let entries: Vec<_> =
-        backends.iter().enumerate().map(|(i, at)| entry(&format!("s-{i}"), *at, "up")).collect();
-    site.text["known"] = whole(1, &entries);
-    site.text["limits"]["sockets"] = json!(4096);
-    let settings = &mut site.text["settings"];
+        backends.iter().enumerate().map(|(i, at)| endpoint(&format!("s-{i}"), *at, "up")).collect();
+    config.json["known"] = full_list(1, &entries);
+    config.json["limits"]["sockets"] = json!(4096);
+    let settings = &mut config.json["settings"];
     settings["Listeners"] = json!([
-        listener("low", 1.0, "retryable"),
-        listener("once", 5.0, "fragile"),
-        listener("referenced", 5.0, "dedup")
+        listener_settings("low", 1.0, "retryable"),
+        listener_settings("once", 5.0, "fragile"),
+        listener_settings("referenced", 5.0, "dedup")
     ]);
     settings["FamilyInfo"]["MessageAim"] = json!([60, 60, 60]);
-    for one in settings["Listeners"].as_array_mut().expect("listeners") {
-        one["DialTimeout"] = json!(TIME.as_millis() as u64);
-        one["Window"] = json!(1_500);
+    for listener in settings["Listeners"].as_array_mut().expect("listeners") {
+        listener["DialTimeout"] = json!(CLIENT_DEADLINE.as_millis() as u64);
+        listener["Window"] = json!(1_500);
     }
-    // Connects are waited for nearly as long as clients wait.
+    // Connects may take nearly as long as clients wait.
     settings["Ceilings"]["ConnectTimeout"] = json!(1_800);
     settings["Rules"]["DrainGrace"] = json!(3_000);
-    site
+    config
 }
 
-/// A backend whose connections come up late: it takes up one now and then, and hangs.
-struct Late {
-    place: SocketAddr,
-    ended: Arc<AtomicBool>,
-    taken: Arc<AtomicUsize>,
+/// A backend with a full backlog, which accepts one connection from time to time and never answers.
+struct SlowAcceptBackend {
+    address: SocketAddr,
+    stopped: Arc<AtomicBool>,
+    accepted: Arc<AtomicUsize>,
 }
 
-impl Late {
-    fn begin() -> Late {
-        let listener = narrow();
-        let place = listener.local_addr().expect("its address");
-        let filling = fill(place);
-        let (ended, taken) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
-        let (done, count) = (ended.clone(), taken.clone());
+impl SlowAcceptBackend {
+    fn start() -> SlowAcceptBackend {
+        let listener = bind_small_backlog();
+        let address = listener.local_addr().expect("its address");
+        let filling = fill_backlog(address);
+        let (stopped, accepted) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
+        let (stop_requested, count) = (stopped.clone(), accepted.clone());
         std::thread::spawn(move || {
-            let mut held: Vec<TcpStream> = Vec::new();
-            while !done.load(Ordering::SeqCst) {
-                std::thread::sleep(ROOM_EVERY);
-                held.extend(listener.accept().map(|(stream, _)| stream));
-                // Those that filled it are no dials.
-                count.store(held.len().saturating_sub(filling.len()), Ordering::SeqCst);
+            let mut streams: Vec<TcpStream> = Vec::new();
+            while !stop_requested.load(Ordering::SeqCst) {
+                std::thread::sleep(ACCEPT_INTERVAL);
+                streams.extend(listener.accept().map(|(stream, _)| stream));
+                // The connections that filled the backlog are not dials of the relay.
+                count.store(streams.len().saturating_sub(filling.len()), Ordering::SeqCst);
             }
         });
-        Late { place, ended, taken }
+        SlowAcceptBackend { address, stopped, accepted }
     }
 }
 
-impl Drop for Late {
+impl Drop for SlowAcceptBackend {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
     }
 }
 
 fn every_session_is_answered(name: &str, one_serves: bool) {
-    let (hanging, resetting) = (Backend::begin(Behaviour::Hangs), Backend::begin(Behaviour::Resets));
-    let (late, serving) = (Late::begin(), Backend::begin(Behaviour::Serves));
-    let mut places = vec![hanging.place, resetting.place, late.place];
-    places.extend(one_serves.then_some(serving.place));
-    let mut site = site(name, &places);
-    let relay = site.start();
-    relay.until_ready();
-    let listen = site.listen;
+    let (hanging, resetting) = (Backend::start(Behaviour::Hang), Backend::start(Behaviour::Reset));
+    let (slow, serving) = (SlowAcceptBackend::start(), Backend::start(Behaviour::Serve));
+    let mut addresses = vec![hanging.address, resetting.address, slow.address];
+    addresses.extend(one_serves.then_some(serving.address));
+    let mut config = relay_config(name, &addresses);
+    let relay = config.start();
+    relay.wait_until_ready();
+    let listen_address = config.listen_address;
     let clients: Vec<_> = (0..CLIENTS)
         .map(|i| {
-            std::thread::sleep(EVERY);
-            std::thread::spawn(move || session(listen, LISTENERS[i as usize % LISTENERS.len()]))
+            std::thread::sleep(CLIENT_INTERVAL);
+            std::thread::spawn(move || open_session(listen_address, LISTENERS[i as usize % LISTENERS.len()]))
         })
         .collect();
-    let outcomes: Vec<Outcome> = clients.into_iter().map(|one| one.join().expect("it ends")).collect();
-    let (mut words, mut without, mut latest) = (BTreeMap::new(), Vec::new(), Duration::ZERO);
-    for (heard, after) in outcomes {
-        latest = latest.max(after);
-        match heard {
-            Ok(line) if after <= TIME + LATE => *words.entry(line).or_insert(0) += 1,
-            other => without.push((other, after)),
+    let outcomes: Vec<Outcome> = clients.into_iter().map(|client| client.join().expect("it ends")).collect();
+    let (mut replies, mut unanswered, mut slowest) = (BTreeMap::new(), Vec::new(), Duration::ZERO);
+    for Outcome { reply, after } in outcomes {
+        slowest = slowest.max(after);
+        match reply {
+            Ok(line) if after <= CLIENT_DEADLINE + DEADLINE_TOLERANCE => {
+                *replies.entry(line).or_insert(0) += 1
+            }
+            other => unanswered.push((other, after)),
         }
     }
-    let dialled = [hanging.lines().len(), resetting.lines().len(), late.taken.load(Ordering::SeqCst)];
-    println!("{name}: {words:?}, the latest after {latest:?}; {} without an answer", without.len());
+    let dialled =
+        [hanging.first_lines().len(), resetting.first_lines().len(), slow.accepted.load(Ordering::SeqCst)];
+    println!("{name}: {replies:?}, the latest after {slowest:?}; {} without an answer", unanswered.len());
     println!("{name}: dials that hung, were reset, came up late: {dialled:?}");
-    assert!(without.is_empty(), "of {CLIENTS}: {without:?}");
-    assert!(words.keys().all(|word| ["UP r1", "BUSY", "FAIL"].contains(&word.as_str())), "{words:?}");
-    assert_eq!(words.contains_key("UP r1"), one_serves, "{words:?}");
+    assert!(unanswered.is_empty(), "of {CLIENTS}: {unanswered:?}");
+    assert!(replies.keys().all(|reply| ["UP r1", "BUSY", "FAIL"].contains(&reply.as_str())), "{replies:?}");
+    assert_eq!(replies.contains_key("UP r1"), one_serves, "{replies:?}");
     assert!(dialled.iter().all(|count| *count > 0), "each of them was dialled, or this tests nothing");
-    // The relay's own count: each that was taken has one outcome.
+    // By the relay's own metrics each accepted session has exactly one outcome.
     let count = |outcome: &str| -> u64 {
-        LISTENERS.iter().filter_map(|name| relay.figure(&format!("{outcome}.{name}"))).sum()
+        LISTENERS.iter().filter_map(|name| relay.metric(&format!("{outcome}.{name}"))).sum()
     };
-    until("none waits", || {
+    wait_until("none waits", || {
         ["passed", "dropped", "bad_gateway"].map(count).iter().sum::<u64>() == u64::from(CLIENTS)
     });
 }
--- a/relay/tests/short_days/backend.rs
+++ b/relay/tests/short_days/backend.rs
@@ -1,75 +1,79 @@
-//! Backends that keep every first line that comes to them, and do with its session as the test says.
-use crate::common::{bound, free};
+//! Backends that record the first line of each connection, and treat its session as the test sets.
+use crate::common::{bind_listener, free_address};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// What a backend does with a new session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// Takes the session, and echoes its lines.
-    Serves,
-    /// Reads, and says nothing.
-    Hangs,
-    /// Resets the connection as the line has come.
-    Resets,
+    /// Accepts the session and echoes its lines.
+    Serve,
+    /// Reads without ever replying.
+    Hang,
+    /// Resets the connection once its first line is received.
+    Reset,
 }
 
+/// A backend with a recorded list of first lines.
 pub struct Backend {
-    pub place: SocketAddr,
-    lines: Arc<Mutex<Vec<String>>>,
+    pub address: SocketAddr,
+    first_lines: Arc<Mutex<Vec<String>>>,
     behaviour: Arc<Mutex<Behaviour>>,
 }
 
 impl Backend {
-    pub fn begin(behaviour: Behaviour) -> Backend {
-        Backend::at(bound(), behaviour)
+    /// Starts a backend at a free address.
+    pub fn start(behaviour: Behaviour) -> Backend {
+        Backend::start_on(bind_listener(), behaviour)
     }
 
-    /// One that takes up its connections from a listening socket of the test's.
-    pub fn at(listener: TcpListener, behaviour: Behaviour) -> Backend {
-        let place = listener.local_addr().expect("its address");
-        let lines = Arc::<Mutex<Vec<String>>>::default();
+    /// Starts a backend that accepts from the given listening socket.
+    pub fn start_on(listener: TcpListener, behaviour: Behaviour) -> Backend {
+        let address = listener.local_addr().expect("its address");
+        let first_lines = Arc::<Mutex<Vec<String>>>::default();
         let behaviour = Arc::new(Mutex::new(behaviour));
-        let (kept, does) = (lines.clone(), behaviour.clone());
+        let (received, current) = (first_lines.clone(), behaviour.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (kept, does) = (kept.clone(), does.clone());
-                std::thread::spawn(move || serve(stream, &kept, &does));
+                let (received, current) = (received.clone(), current.clone());
+                std::thread::spawn(move || serve(stream, &received, &current));
             }
         });
-        Backend { place, lines, behaviour }
+        Backend { address, first_lines, behaviour }
     }
 
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Applies to connections whose first line is received from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.behaviour.lock().expect("nobody panics with it") = behaviour;
     }
 
-    /// All first lines that came, in order.
-    pub fn lines(&self) -> Vec<String> {
-        self.lines.lock().expect("nobody panics with it").clone()
+    /// All first lines received, in order.
+    pub fn first_lines(&self) -> Vec<String> {
+        self.first_lines.lock().expect("nobody panics with it").clone()
     }
 
-    /// How often a session's line came, by its mark.
-    pub fn came(&self, mark: u64) -> usize {
-        let start = format!("OPEN {mark:016x} ");
-        self.lines().iter().filter(|line| line.starts_with(&start)).count()
+    /// How often the first line of the session with this identifier was received.
+    pub fn attempts_of(&self, id: u64) -> usize {
+        let start = format!("OPEN {id:016x} ");
+        self.first_lines().iter().filter(|line| line.starts_with(&start)).count()
     }
 }
 
-fn serve(mut stream: TcpStream, kept: &Mutex<Vec<String>>, does: &Mutex<Behaviour>) {
+fn serve(mut stream: TcpStream, first_lines: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
     let mut line = String::new();
     if !matches!(reader.read_line(&mut line), Ok(1..)) {
         return;
     }
-    kept.lock().expect("nobody panics with it").push(line.clone());
-    let behaviour = *does.lock().expect("nobody panics with it");
-    let mut answer = match behaviour {
-        Behaviour::Serves => "UP r1\r\n".to_string(),
-        Behaviour::Hangs => String::new(),
-        Behaviour::Resets => {
+    first_lines.lock().expect("nobody panics with it").push(line.clone());
+    let current = *behaviour.lock().expect("nobody panics with it");
+    let mut answer = match current {
+        Behaviour::Serve => "UP r1\r\n".to_string(),
+        Behaviour::Hang => String::new(),
+        Behaviour::Reset => {
             _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
@@ -79,23 +83,23 @@
         if !matches!(reader.read_line(&mut line), Ok(1..)) {
             return;
         }
-        answer = if behaviour == Behaviour::Serves { line.clone() } else { String::new() };
+        answer = if current == Behaviour::Serve { line.clone() } else { String::new() };
     }
 }
 
-/// A listening socket with room for hardly anybody, so that connects to it stay out till it is emptied.
-pub fn narrow() -> TcpListener {
+/// A listening socket with a minimal backlog, so that connects stay pending until the test accepts some.
+pub fn bind_small_backlog() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&free().into()).expect("a port");
+    socket.bind(&free_address().into()).expect("a port");
     socket.listen(0).expect("it listens");
     socket.into()
 }
 
-/// Connects till no more come up: from then on the system drops what asks for a connection there.
-pub fn fill(place: SocketAddr) -> Vec<TcpStream> {
+/// Connects until the backlog is full; the kernel drops further SYNs while the returned streams exist.
+pub fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut filling = Vec::new();
-    while let Ok(one) = TcpStream::connect_timeout(&place, Duration::from_millis(100)) {
-        filling.push(one);
+    while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
+        filling.push(stream);
     }
     filling
 }
--- a/relay/tests/short_days/killed.rs
+++ b/relay/tests/short_days/killed.rs
@@ -1,20 +1,20 @@
-//! A relay is killed right after it took a connection, and starts again: it begins from nothing, dials
-//! nothing of the life before, and serves.
+//! A relay is killed right after it accepted a connection, and restarted: it dials for no session of the
+//! previous process, and serves new ones.
 use crate::backend::{Backend, Behaviour};
-use crate::common::{number, until, Client, Miss, Relay, Site};
-use crate::list_service::{entry, whole};
-use crate::sockets::all_is_read_by;
+use crate::common::{unique_id, wait_until, Client, Relay, RelayConfig, SessionError};
+use crate::scripted_discovery::{endpoint, full_list};
+use crate::sockets::all_bytes_read_by;
 use serde_json::json;
 use std::time::Duration;
 
-/// How far a connection had come.
+/// How far a connection had progressed when the relay was killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Reached {
-    /// It is taken, and half of its first line is read.
-    HalfALine,
-    /// Its line has come to a backend, which has not answered.
+enum ConnectionStage {
+    /// It is accepted, and half of its first line is read.
+    PartialLine,
+    /// Its first line was received by a backend that has not answered.
     Dialled,
-    /// It is open.
+    /// Its session is established.
     Open,
 }
 
@@ -23,63 +23,65 @@
     relay.child.wait().expect("it ends");
 }
 
-fn killed_and_started_again(reached: Reached, keeps_a_store: bool) {
-    let first = if reached == Reached::Open { Behaviour::Serves } else { Behaviour::Hangs };
-    let backend = Backend::begin(first);
-    let mut site = Site::new(&format!("short-killed-{reached:?}-{keeps_a_store}"));
-    site.text["known"] = whole(1, &[entry("s-0", backend.place, "up")]);
-    if keeps_a_store {
-        site.text["state"] = json!(site.folder.join("state"));
+fn kill_and_restart(stage: ConnectionStage, with_store: bool) {
+    let first = if stage == ConnectionStage::Open { Behaviour::Serve } else { Behaviour::Hang };
+    let backend = Backend::start(first);
+    let mut config = RelayConfig::new(&format!("short-killed-{stage:?}-{with_store}"));
+    config.json["known"] = full_list(1, &[endpoint("s-0", backend.address, "up")]);
+    if with_store {
+        config.json["state"] = json!(config.directory.join("state"));
     }
-    let relay = site.start();
-    relay.until_ready();
-    let mark = number();
-    let line = format!("OPEN {mark:016x} {mark:016x} c=once,d=1900");
-    let mut client = Client::connect(site.listen).expect("it listens");
-    match reached {
-        Reached::HalfALine => {
-            client.say_part(&line[..line.len() / 2]);
-            until("the half line is read", || all_is_read_by(site.listen));
+    let relay = config.start();
+    relay.wait_until_ready();
+    let id = unique_id();
+    let line = format!("OPEN {id:016x} {id:016x} c=once,d=1900");
+    let mut client = Client::connect(config.listen_address).expect("it listens");
+    match stage {
+        ConnectionStage::PartialLine => {
+            client.send_partial(&line[..line.len() / 2]);
+            wait_until("the half line is read", || all_bytes_read_by(config.listen_address));
         }
-        Reached::Dialled => {
-            client.say(&line);
-            until("its line is at the backend", || backend.came(mark) == 1);
+        ConnectionStage::Dialled => {
+            client.send_line(&line);
+            wait_until("its line is at the backend", || backend.attempts_of(id) == 1);
         }
-        Reached::Open => {
-            client.say(&line);
-            assert_eq!(client.hear(), Ok("UP r1".to_string()));
+        ConnectionStage::Open => {
+            client.send_line(&line);
+            assert_eq!(client.receive(), Ok("UP r1".to_string()));
         }
     }
-    let came = backend.came(mark);
+    let attempts = backend.attempts_of(id);
     kill(relay);
-    assert!(matches!(client.hear(), Err(Miss::Ended | Miss::Reset)));
-    backend.behave(Behaviour::Serves);
-    let relay = site.start();
-    relay.until_ready();
-    let mut next = Client::open(site.listen, "once").expect("it serves");
+    assert!(matches!(client.receive(), Err(SessionError::Closed | SessionError::Reset)));
+    backend.set_behaviour(Behaviour::Serve);
+    let relay = config.start();
+    relay.wait_until_ready();
+    let mut next = Client::open(config.listen_address, "once").expect("it serves");
     assert!(next.echoes());
-    // Whatever it would dial by itself it has dialled long before.
+    // Any dial of its own accord would have been made by now.
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(backend.came(mark), came, "a line of the life before is dialled again");
-    assert_eq!(backend.lines().len(), came + 1, "{:?}", backend.lines());
-    // Nothing of that life stands in its client's way.
-    let mut again = Client::connect(site.listen).expect("it listens");
-    again.say(&line);
-    assert_eq!(again.hear(), Ok("UP r1".to_string()));
-    assert_eq!(backend.came(mark), came + 1);
+    assert_eq!(backend.attempts_of(id), attempts, "a line of the life before is dialled again");
+    assert_eq!(backend.first_lines().len(), attempts + 1, "{:?}", backend.first_lines());
+    // The same session can be requested again.
+    let mut again = Client::connect(config.listen_address).expect("it listens");
+    again.send_line(&line);
+    assert_eq!(again.receive(), Ok("UP r1".to_string()));
+    assert_eq!(backend.attempts_of(id), attempts + 1);
 }
 
 #[test]
 fn who_was_half_way_through_a_line_as_the_relay_was_killed_is_not_dialled() {
-    [false, true].into_iter().for_each(|keeps| killed_and_started_again(Reached::HalfALine, keeps));
+    [false, true]
+        .into_iter()
+        .for_each(|with_store| kill_and_restart(ConnectionStage::PartialLine, with_store));
 }
 
 #[test]
 fn who_was_dialled_as_the_relay_was_killed_is_not_dialled_twice() {
-    [false, true].into_iter().for_each(|keeps| killed_and_started_again(Reached::Dialled, keeps));
+    [false, true].into_iter().for_each(|with_store| kill_and_restart(ConnectionStage::Dialled, with_store));
 }
 
 #[test]
 fn who_was_served_as_the_relay_was_killed_is_not_dialled_twice() {
-    [false, true].into_iter().for_each(|keeps| killed_and_started_again(Reached::Open, keeps));
+    [false, true].into_iter().for_each(|with_store| kill_and_restart(ConnectionStage::Open, with_store));
 }
--- a/relay/tests/short_days/main.rs
+++ b/relay/tests/short_days/main.rs
@@ -1,13 +1,13 @@
-//! Narrow moments of the operators' short days, forced on the program with real connections: the test plays
-//! clients, backends and the list service, and says in which order things happen.
+//! Races that are forced on a relay process with real connections: the test plays the clients, the backends
+//! and the discovery service, and controls the order of events.
 #[path = "../common/mod.rs"]
 mod common;
 
 mod answers;
 mod backend;
 mod killed;
-mod list_service;
 mod pieces;
 mod reload;
+mod scripted_discovery;
 mod silence;
 mod sockets;
--- /dev/null
+++ b/relay/tests/short_days/scripted_discovery.rs
@@ -0,0 +1,114 @@
+//! A discovery service whose requests the test answers itself, one by one.
+use crate::common::{bind_listener, WAIT_TIMEOUT};
+use serde_json::{json, Value};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// The listening socket of the service; nothing is accepted until the test asks for a request.
+pub struct ScriptedDiscovery {
+    listener: TcpListener,
+}
+
+/// What a request asks for.
+#[derive(Debug, PartialEq)]
+pub enum RequestKind {
+    WholeList,
+    /// A watch: all changes after a generation.
+    ChangesSince(u64),
+}
+
+/// A request whose response is pending or still open.
+pub struct ListRequest {
+    stream: TcpStream,
+    pub kind: RequestKind,
+}
+
+impl ScriptedDiscovery {
+    pub fn start() -> ScriptedDiscovery {
+        let listener = bind_listener();
+        listener.set_nonblocking(true).expect("an option");
+        ScriptedDiscovery { listener }
+    }
+
+    pub fn address(&self) -> SocketAddr {
+        self.listener.local_addr().expect("its address")
+    }
+
+    /// The next request, which must arrive within `WAIT_TIMEOUT`.
+    pub fn next_request(&self) -> ListRequest {
+        self.request_within(WAIT_TIMEOUT).expect("waited in vain: a call for the list")
+    }
+
+    /// The next request; none where there is none in time.
+    pub fn request_within(&self, time: Duration) -> Option<ListRequest> {
+        let started = Instant::now();
+        loop {
+            if let Ok((stream, _)) = self.listener.accept() {
+                return Some(ListRequest::read(stream));
+            }
+            if started.elapsed() >= time {
+                return None;
+            }
+            std::thread::sleep(POLL_INTERVAL);
+        }
+    }
+}
+
+impl ListRequest {
+    fn read(mut stream: TcpStream) -> ListRequest {
+        stream.set_nonblocking(false).expect("an option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+        stream.set_nodelay(true).expect("an option");
+        let mut head = Vec::new();
+        let mut byte = [0; 1];
+        while !head.ends_with(b"\r\n\r\n") {
+            stream.read_exact(&mut byte).expect("a whole head");
+            head.push(byte[0]);
+        }
+        let head = String::from_utf8(head).expect("text");
+        let path = head.split(' ').nth(1).expect("a path");
+        let since = path.split_once("since=").map(|(_, tail)| tail.split('&').next().unwrap_or(tail));
+        let kind = match since {
+            None => RequestKind::WholeList,
+            Some(version) => RequestKind::ChangesSince(version.parse().expect("a version")),
+        };
+        ListRequest { stream, kind }
+    }
+
+    /// Sends the head of a response whose body ends with the connection.
+    pub fn begin_answer(&mut self) {
+        self.send("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n");
+    }
+
+    pub fn send(&mut self, text: &str) {
+        self.stream.write_all(text.as_bytes()).expect("it goes");
+    }
+
+    /// Sends the keep-alive of an idle watch.
+    pub fn send_empty_line(&mut self) {
+        self.send("\n");
+    }
+
+    /// Sends one line with a list or with changes.
+    pub fn send_list(&mut self, list: &Value) {
+        self.send(&format!("{list}\n"));
+    }
+}
+
+/// A backend's entry in the endpoint list.
+pub fn endpoint(id: &str, address: SocketAddr, lifecycle: &str) -> Value {
+    json!({"instanceId": id, "hostPort": address.to_string(), "lifecycle": lifecycle})
+}
+
+/// Changes of some entries, as a watch event.
+pub fn list_changes(generation: u64, entries: &[Value]) -> Value {
+    json!({"generation": generation, "reset": false, "instances": entries})
+}
+
+/// A complete list, which replaces all that was known.
+pub fn full_list(generation: u64, entries: &[Value]) -> Value {
+    json!({"generation": generation, "reset": true, "instances": entries})
+}
--- a/relay/tests/short_days/sockets.rs
+++ b/relay/tests/short_days/sockets.rs
@@ -1,17 +1,18 @@
-//! What the system's own table tells of connections, to see what the program has not read yet, and which of
-//! its connects are still out.
+//! The kernel's table of TCP sockets (`/proc/net/tcp`): whether a relay has read all that was sent to it, and
+//! which of its connects are still pending.
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// States of the table that matter here.
+/// The state of a pending connect in the table.
 const SYN_SENT: u8 = 2;
 
+/// One socket of the table.
 pub struct Row {
     local: SocketAddr,
     remote: SocketAddr,
     state: u8,
-    /// Bytes that the other side has not acknowledged.
+    /// Bytes sent that the peer has not acknowledged.
     unacknowledged: u64,
-    /// Bytes that this side has not read, or connections that it has not accepted.
+    /// Bytes received but not read; of a listening socket, connections not yet accepted.
     unread: u64,
 }
 
@@ -35,14 +36,14 @@
     table.lines().skip(1).filter_map(row).collect()
 }
 
-/// Whether all that was sent to a listening program is read by it, and nobody waits to be accepted.
-pub fn all_is_read_by(program: SocketAddr) -> bool {
+/// Whether a listening process has read all bytes that were sent to it and accepted all connections.
+pub fn all_bytes_read_by(program: SocketAddr) -> bool {
     rows().iter().all(|row| {
         (row.remote != program || row.unacknowledged == 0) && (row.local != program || row.unread == 0)
     })
 }
 
-/// Whether somebody's connect to an address is out.
-pub fn is_connecting_to(remote: SocketAddr) -> bool {
+/// Whether a connect to this address is pending on this machine.
+pub fn has_pending_connect_to(remote: SocketAddr) -> bool {
     rows().iter().any(|row| row.remote == remote && row.state == SYN_SENT)
 }
