--- a/relay/tests/cuts.rs
+++ b/relay/tests/cuts.rs
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn every_cut_gives_what_the_whole_gives() {
+async fn every_split_gives_the_same_lines() {
     for cut in 1..TEXT.len() {
         let (mut writer, stream) = connected_pair().await;
         let (mut buffer, mut received, mut fresh) = (Buffer::new(8, 8192), Vec::new(), Vec::new());
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn another_process_goes_on_at_any_byte() {
+async fn another_process_continues_at_any_byte() {
     for cut in 0..TEXT.len() {
         let (mut writer, stream) = connected_pair().await;
         let (mut first, mut received) = (Buffer::new(8, 8192), Vec::new());
@@ -77,7 +77,7 @@
 
 /// A part of a line is never parsed as a session request, an end or a load report.
 #[test]
-fn a_part_of_a_line_is_never_read_as_another_one() {
+fn a_part_of_a_line_is_never_parsed_as_another_one() {
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000";
     assert!(matches!(lines::parse_first_line(line), Some(FirstLine::Open(_))));
     let order = ReportOrder { load: Some(1), queue_delay: None, sessions: Some(0), by_cores: false };
--- a/relay/tests/dials.rs
+++ b/relay/tests/dials.rs
@@ -51,7 +51,7 @@
 /// A session with an idempotency key may have run at one backend, and its retry's connect succeeds only after
 /// its window: it is not forwarded there, and its client gets a final answer.
 #[test]
-fn a_referenced_session_is_not_sent_on_after_its_window() {
+fn a_session_with_an_idempotency_key_is_not_forwarded_after_its_window() {
     let (sound, slow) = (bind_listener(), bind_small_backlog());
     let address_of = |listener: &TcpListener| listener.local_addr().expect("its address").to_string();
     let mut config = RelayConfig::new("window");
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_relay_drains_at_a_time_whichever_is_asked() {
+fn one_relay_drains_at_a_time_whichever_is_requested() {
     let fleet = Fleet::start_in_service("one", 4, 3, &one_of_each_kind());
     // All four are requested at the same moment.
     let codes: Vec<u16> = std::thread::scope(|scope| {
@@ -181,7 +181,7 @@
 
 /// A relay that dies while it is out counts as out until its lease is reclaimed, and as down until it is up.
 #[test]
-fn a_relay_that_died_while_out_is_reclaimed_by_a_person() {
+fn a_relay_that_died_while_out_is_reclaimed_by_an_operator() {
     let mut fleet = Fleet::start_in_service("freed", 4, 3, &one_of_each_kind());
     assert_eq!(request_drain(fleet.relay(3)).0, 200);
     fleet.kill(3);
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -1,7 +1,7 @@
-//! What relays said to each other and to operators, as earlier builds wrote it: messages are read and written
-//! again as the same bytes, a plan and answers as the same text. Messages stand one a line, in hexadecimal.
+//! Encodings of earlier builds: messages between relays are decoded and encoded again as the same bytes, a
+//! rollout plan and responses to operators as the same text. `messages.hex` has one message per line.
 use hallrelay_balancer::types::{DialEnd, Micros};
-use hallrelay_config::node::{self, Node, Overrides as Given};
+use hallrelay_config::node::{self, Node, Overrides};
 use hallrelay_disruption::{
     AnalysisPolicy, Command, CommandError, FailureDomain, Outcome, RolloutPlan, SessionCounts, Target,
     TargetKind, Wave,
@@ -44,7 +44,7 @@
     ControlMessage::Raft(Message { from, to, term: 3, body })
 }
 
-fn answer(outcome: Outcome) -> ControlMessage {
+fn applied(outcome: Outcome) -> ControlMessage {
     ControlMessage::Proposed { request_id: 300, result: ProposalResult::Applied(outcome) }
 }
 
@@ -56,7 +56,7 @@
     TargetCounts { target, counts: SessionCounts { sessions, failed } }
 }
 
-/// Each kind of message, with each kind of what it holds.
+/// Each kind of message, with each variant of its contents.
 fn messages() -> Vec<ControlMessage> {
     let voters = vec![Voter { id: 1, incarnation: 7 }, Voter { id: 2, incarnation: 9 }];
     let command = Command::Return { target: backend("s1") }.encode();
@@ -83,15 +83,15 @@
         raft(MessageBody::AppendResponse { success: true, index: 7 }),
         raft(MessageBody::InstallSnapshot { snapshot }),
         ControlMessage::Propose { request_id: 300, command },
-        answer(Outcome::Done),
-        answer(Outcome::Granted { lease_id: 2 }),
-        answer(Outcome::AlreadyOut { lease_id: 2 }),
-        answer(Outcome::RequestedByAnother { requested_by: text("ann"), reason: text("new disks") }),
-        answer(Outcome::Waiting {
+        applied(Outcome::Done),
+        applied(Outcome::Granted { lease_id: 2 }),
+        applied(Outcome::AlreadyOut { lease_id: 2 }),
+        applied(Outcome::RequestedByAnother { requested_by: text("ann"), reason: text("new disks") }),
+        applied(Outcome::Waiting {
             blocked_by: text("at most 1 relay of the fleet"),
             unavailable: vec![text("relay a (out)")],
         }),
-        answer(Outcome::Rejected(CommandError::Stale)),
+        applied(Outcome::Rejected(CommandError::Stale)),
         ControlMessage::Proposed { request_id: 1, result: ProposalResult::NotLeader(None) },
         ControlMessage::Proposed { request_id: 1, result: ProposalResult::NotLeader(Some(text("r1"))) },
         ControlMessage::Proposed { request_id: 1, result: ProposalResult::Unknown },
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn messages_are_read_and_written_as_they_were() {
+fn messages_are_read_and_written_unchanged() {
     let stored: Vec<String> = fixture("messages.hex").lines().map(text).collect();
     let written: Vec<String> = messages().iter().map(|message| hex(&message.encode())).collect();
     assert_eq!(stored, written);
@@ -126,18 +126,18 @@
     }
 }
 
-fn named(name: &str) -> Wave {
+fn wave_of(name: &str) -> Wave {
     Wave { names: vec![text(name)], count: 0, share_ppm: 0 }
 }
 
 #[test]
-fn a_plan_is_read_and_written_as_it_was() {
-    let plan = plan(vec![named("s-1"), Wave { names: vec![], count: 1, share_ppm: 300_000 }]);
+fn a_plan_is_read_and_written_unchanged() {
+    let plan = plan(vec![wave_of("s-1"), Wave { names: vec![], count: 1, share_ppm: 300_000 }]);
     assert_eq!(fixture("plan.json").trim_end(), serde_json::to_string(&plan).expect("a plan"));
     assert_eq!(serde_json::from_str::<RolloutPlan>(&fixture("plan.json")).expect("a plan"), plan);
 }
 
-/// A relay alone that votes, before three backends.
+/// The configuration of a fleet of one voting relay with three backends.
 fn settings() -> Node {
     let instance = |i: u16| {
         json!({"instanceId": format!("s-{i}"), "hostPort": format!("127.0.0.1:{}", 1000 + i),
@@ -163,50 +163,59 @@
             "FamilyInfo": {"Mode": "proxy", "Groups": true, "TellsDelay": true, "MessageAim": [60, 60, 60]},
             "Report": {"How": "on_probe", "Fields": ["inflight", "x0", "x1"]},
             "Discovery": "subscribe", "FailureDomains": ["here"], "Zone": 0, "Instances": 1, "SlotNo": 0}});
-    node::parse(text.to_string().as_bytes(), &Given::default()).expect("a configuration")
+    node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("a configuration")
 }
 
 const SECOND: Micros = 1_000_000;
 
-/// The reducer with its alarms and its disk, and all that operators were told.
-struct Host {
+/// Runs a reducer with virtual time, timers and a disk that syncs at once, and records all requests of
+/// operators and their responses.
+struct TestHost {
     reducer: Reducer,
     now: Micros,
-    alarms: BTreeMap<(Micros, usize), Timer>,
-    asked: usize,
-    calls: u32,
-    sessions: u32,
-    told: String,
+    timers: BTreeMap<(Micros, usize), Timer>,
+    timers_started: usize,
+    request_count: u32,
+    session_count: u32,
+    transcript: String,
 }
 
-impl Host {
-    fn begin() -> Host {
+impl TestHost {
+    fn start() -> TestHost {
         let now = 1_800_000_000 * SECOND;
         let reducer = Reducer::new(settings(), None);
-        let (alarms, told) = (BTreeMap::new(), String::new());
-        let mut host = Host { reducer, now, alarms, asked: 0, calls: 0, sessions: 0, told };
+        let (timers, transcript) = (BTreeMap::new(), String::new());
+        let mut host = TestHost {
+            reducer,
+            now,
+            timers,
+            timers_started: 0,
+            request_count: 0,
+            session_count: 0,
+            transcript,
+        };
         let mut out = Vec::new();
         host.reducer.load_state(StoredState::default());
         host.reducer.start(now, &mut out);
-        host.carry(out);
+        host.execute(out);
         host
     }
 
     fn step(&mut self, event: Event) {
         let mut out = Vec::new();
         self.reducer.step(self.now, event, &mut out);
-        self.carry(out);
+        self.execute(out);
     }
 
-    fn carry(&mut self, out: Vec<Effect>) {
+    fn execute(&mut self, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::StartTimer { after, timer: alarm } => {
-                    self.asked += 1;
-                    self.alarms.insert((self.now + after, self.asked), alarm);
+                Effect::StartTimer { after, timer } => {
+                    self.timers_started += 1;
+                    self.timers.insert((self.now + after, self.timers_started), timer);
                 }
-                Effect::PersistVoterWrites { voter_start: life, number, .. } => {
-                    self.step(Event::VoterWritesDurable { voter_start: life, number })
+                Effect::PersistVoterWrites { voter_start, number, .. } => {
+                    self.step(Event::VoterWritesDurable { voter_start, number })
                 }
                 Effect::Dial { session_id, dial, .. } => {
                     self.step(Event::SessionEstablished { session_id, dial })
@@ -220,54 +229,56 @@
 
     fn reply(&mut self, call: u32, reply: &OperatorReply) {
         let line = match reply {
-            OperatorReply::Accepted(word) => format!("yes {word}"),
+            OperatorReply::Accepted(state) => format!("yes {state}"),
             OperatorReply::Blocked(why) => format!("held {why}"),
             OperatorReply::Committed(what) => format!("said {what}"),
             OperatorReply::Leases(json) => json.clone().unwrap_or_else(|| text("nothing")),
             other => format!("{other:?}"),
         };
-        self.told += &format!("call {call}: {line}\n");
+        self.transcript += &format!("call {call}: {line}\n");
     }
 
-    fn pass(&mut self, span: Micros) {
-        let until = self.now + span;
-        while let Some((&(at, number), _)) = self.alarms.first_key_value().filter(|((at, _), _)| *at <= until)
-        {
-            let alarm = self.alarms.remove(&(at, number)).expect("it is there");
+    fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some((&(at, number), _)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= end) {
+            let timer = self.timers.remove(&(at, number)).expect("it is there");
             self.now = self.now.max(at);
-            self.step(Event::Timer(alarm));
+            self.step(Event::Timer(timer));
         }
-        self.now = until;
+        self.now = end;
     }
 
-    /// An operator's call, and the answer's time.
-    fn call(&mut self, words: &str, what: OperatorRequest) {
-        self.calls += 1;
-        self.told += &format!("call {}: {words}\n", self.calls);
-        self.step(Event::OperatorCall { call: self.calls, request: what });
-        self.pass(2 * SECOND);
+    /// Sends an operator's request, and advances the time by 2 s for its response.
+    fn request(&mut self, description: &str, request: OperatorRequest) {
+        self.request_count += 1;
+        self.transcript += &format!("call {}: {description}\n", self.request_count);
+        self.step(Event::OperatorCall { call: self.request_count, request });
+        self.advance(2 * SECOND);
     }
 
-    fn agree(&mut self, words: &str, command: Command) {
-        self.call(words, OperatorRequest::Propose { command: Box::new(command), confirmation: text(words) });
+    fn propose(&mut self, description: &str, command: Command) {
+        self.request(
+            description,
+            OperatorRequest::Propose { command: Box::new(command), confirmation: text(description) },
+        );
     }
 
     fn drain(&mut self, backend: Option<&str>, force: bool) {
         let (requested_by, reason) = (text("ann"), text("new disks"));
         let drain = DrainRequest { backend: backend.map(text), requested_by, reason, force };
-        self.call(&format!("drain {backend:?}, force {force}"), OperatorRequest::Drain(Box::new(drain)));
+        self.request(&format!("drain {backend:?}, force {force}"), OperatorRequest::Drain(Box::new(drain)));
     }
 
-    fn status(&mut self) {
-        self.call("grants", OperatorRequest::Leases);
-        self.call("release", OperatorRequest::Rollout);
+    fn request_status(&mut self) {
+        self.request("grants", OperatorRequest::Leases);
+        self.request("release", OperatorRequest::Rollout);
     }
 
-    /// Sessions at a backend, the last of which are cut off, and the others stay or leave.
-    fn sessions(&mut self, name: &str, count: u32, cut: u32, leave: bool) {
+    /// Opens sessions at a backend; the last `reset` of them are reset, and the others stay open or leave.
+    fn run_sessions(&mut self, name: &str, count: u32, reset: u32, leave: bool) {
         for i in 0..count {
-            self.sessions += 1;
-            let session_id = self.sessions;
+            self.session_count += 1;
+            let session_id = self.session_count;
             let at = Some(text(name));
             let open = SessionRequest {
                 id: session_id.into(),
@@ -278,7 +289,7 @@
             };
             self.step(Event::ClientConnected { connection_id: session_id });
             self.step(Event::SessionRequested { session_id, open, time_remaining: SECOND });
-            if i + cut >= count {
+            if i + reset >= count {
                 self.step(Event::SessionEnded { session_id, end: DialEnd::Reset, report: None });
             } else if leave {
                 self.step(Event::ClientDisconnected { session_id });
@@ -287,69 +298,75 @@
     }
 }
 
-/// Drains that are granted, wait and are forced; a release that goes out, is judged bad, is halted and goes
-/// back.
-fn answers() -> String {
-    let mut host = Host::begin();
-    host.call("grants before a leader", OperatorRequest::Leases);
-    host.pass(8 * SECOND);
-    host.status();
-    host.sessions("s-1", 5, 0, false);
-    host.sessions("s-2", 3, 0, false);
-    host.pass(2 * SECOND);
+/// A transcript of drains that are granted, wait and are forced, and of a rollout that starts, is found bad
+/// by the analysis, halts and is rolled back.
+fn operator_transcript() -> String {
+    let mut host = TestHost::start();
+    host.request("grants before a leader", OperatorRequest::Leases);
+    host.advance(8 * SECOND);
+    host.request_status();
+    host.run_sessions("s-1", 5, 0, false);
+    host.run_sessions("s-2", 3, 0, false);
+    host.advance(2 * SECOND);
     host.drain(Some("s-3"), false);
     host.drain(Some("s-9"), false);
-    host.agree("release begins", Command::StartRollout { plan: plan(vec![named("s-1"), named("s-2")]) });
-    host.agree("release begins", Command::StartRollout { plan: plan(vec![named("s-1"), named("s-2")]) });
-    host.status();
+    host.propose(
+        "release begins",
+        Command::StartRollout { plan: plan(vec![wave_of("s-1"), wave_of("s-2")]) },
+    );
+    host.propose(
+        "release begins",
+        Command::StartRollout { plan: plan(vec![wave_of("s-1"), wave_of("s-2")]) },
+    );
+    host.request_status();
     host.drain(Some("s-2"), false);
     let (requested_by, reason) = (text("cy"), text("its turn"));
-    host.agree(
+    host.propose(
         "wanted",
         Command::Request { target: backend("s-2"), request_id: 9, requested_by, reason, force: false },
     );
-    host.status();
+    host.request_status();
     host.drain(None, false);
-    host.pass(5 * SECOND);
-    host.status();
+    host.advance(5 * SECOND);
+    host.request_status();
     let mark_done = |succeeded: bool, lease_id| {
         let reason = if succeeded { String::new() } else { text("the disk is full") };
         Command::MarkDone { target: backend("s-1"), lease_id, succeeded, reason }
     };
-    host.agree("s-1 is changed", mark_done(true, 1));
-    host.agree("s-1 is changed", mark_done(true, 2));
-    host.status();
-    host.agree("s-2 is dropped", Command::Withdraw { target: backend("s-2"), request_id: 9 });
-    host.sessions("s-2", 9, 1, true);
-    host.sessions("s-1", 4, 0, true);
-    host.pass(2 * SECOND);
-    host.status();
-    host.sessions("s-1", 8, 6, true);
-    host.pass(2 * SECOND);
-    host.status();
-    host.sessions("s-1", 4, 4, true);
-    host.pass(2 * SECOND);
-    host.status();
-    host.agree("goes back", Command::RollBack { requested_by: text("ann") });
-    host.pass(5 * SECOND);
-    host.status();
-    host.agree("s-1 is changed", mark_done(false, 4));
-    host.status();
-    host.agree("goes on", Command::Resume { requested_by: text("ann") });
+    host.propose("s-1 is changed", mark_done(true, 1));
+    host.propose("s-1 is changed", mark_done(true, 2));
+    host.request_status();
+    host.propose("s-2 is dropped", Command::Withdraw { target: backend("s-2"), request_id: 9 });
+    host.run_sessions("s-2", 9, 1, true);
+    host.run_sessions("s-1", 4, 0, true);
+    host.advance(2 * SECOND);
+    host.request_status();
+    host.run_sessions("s-1", 8, 6, true);
+    host.advance(2 * SECOND);
+    host.request_status();
+    host.run_sessions("s-1", 4, 4, true);
+    host.advance(2 * SECOND);
+    host.request_status();
+    host.propose("goes back", Command::RollBack { requested_by: text("ann") });
+    host.advance(5 * SECOND);
+    host.request_status();
+    host.propose("s-1 is changed", mark_done(false, 4));
+    host.request_status();
+    host.propose("goes on", Command::Resume { requested_by: text("ann") });
     host.drain(None, true);
-    host.agree("s-1 is changed", mark_done(true, 4));
-    host.status();
-    host.agree("s-3 serves again", Command::Return { target: backend("s-3") });
-    host.agree("s-9 is freed", Command::Reclaim { target: backend("s-9"), requested_by: text("ann") });
-    host.status();
-    host.told
+    host.propose("s-1 is changed", mark_done(true, 4));
+    host.request_status();
+    host.propose("s-3 serves again", Command::Return { target: backend("s-3") });
+    host.propose("s-9 is freed", Command::Reclaim { target: backend("s-9"), requested_by: text("ann") });
+    host.request_status();
+    host.transcript
 }
 
 #[test]
-fn answers_to_operators_are_the_same_texts() {
-    let (stored, now) = (fixture("answers.txt"), answers());
-    for (i, (stored, now)) in stored.lines().zip(now.lines()).enumerate() {
-        assert_eq!(stored, now, "line {}", i + 1);
+fn responses_to_operators_are_unchanged() {
+    let (stored, current) = (fixture("answers.txt"), operator_transcript());
+    for (i, (stored, current)) in stored.lines().zip(current.lines()).enumerate() {
+        assert_eq!(stored, current, "line {}", i + 1);
     }
-    assert_eq!(stored, now);
+    assert_eq!(stored, current);
 }
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -1,5 +1,5 @@
-//! What relays of one fleet write, as released builds do: the JSON of `GET /v1/fleet`, the backend list that
-//! one relay gives another, and the frames of their streams.
+//! Encodings of released builds between relays of one fleet: the JSON of `GET /v1/fleet`, the endpoint list
+//! that one relay sends to another, and the frames of their streams.
 mod common;
 
 use common::{free_address, RelayConfig};
@@ -76,9 +76,8 @@
     }
 }
 
-/// A relay that holds a member in each state, met another of its own name, and dropped something of each
-/// kind.
-fn in_each_state() -> Membership {
+/// A membership with a member in each state, a name conflict, and packets dropped for each reason.
+fn membership_in_each_state() -> Membership {
     let mut membership = Membership::new(local());
     let out = &mut Vec::new();
     let alive = |name, last| update(name, last, MemberState::Alive, None);
@@ -101,8 +100,8 @@
 }
 
 #[test]
-fn the_status_of_members_in_each_state_is_written_the_same() {
-    let mut membership = in_each_state();
+fn the_status_of_members_in_each_state_is_unchanged() {
+    let mut membership = membership_in_each_state();
     let mut status = membership.status(START + 60_000);
     status.recovery_stage = "open".to_string();
     let state = |name: &str| status.members.iter().find(|m| m.name == name).map(|m| m.state.clone());
@@ -116,7 +115,7 @@
     let read: Status = serde_json::from_str(&text("status.json")).expect("a status");
     assert_eq!(read, status);
 
-    // A process that another one has replaced, and one that knows nobody.
+    // After a hot restart to another process; and with no other member.
     membership.step(START + 60_000, MembershipEvent::Deactivate, &mut Vec::new());
     let silent = serde_json::to_string(&membership.status(START + 60_000)).expect("JSON");
     assert_eq!(silent, text("status_silent.json").trim_end());
@@ -124,7 +123,7 @@
     assert_eq!(alone, text("status_alone.json").trim_end());
 }
 
-/// An answer of a build from before `returning`.
+/// A response of a build that has no `returning` yet.
 #[test]
 fn a_status_without_the_later_key_is_read() {
     let mut old: Value = serde_json::from_str(&text("status.json")).expect("JSON");
@@ -133,7 +132,7 @@
     assert_eq!(read.recovery_stage, "");
 }
 
-/// A relay that was given its list by its configuration alone.
+/// A reducer whose endpoint list comes from its configuration only.
 fn reducer(instances: Value) -> Reducer {
     let mut text: Value =
         serde_json::from_str(include_str!("../../deploy/example/relay.json")).expect("the example is JSON");
@@ -147,21 +146,21 @@
     reducer
 }
 
-/// The list that a relay gives the member that asks for it.
-fn list_of(reducer: &mut Reducer, now: u64) -> String {
-    let asker = update("relay-2", 2, MemberState::Alive, None);
+/// The endpoint list that a relay sends to a member that requests it.
+fn request_endpoint_list(reducer: &mut Reducer, now: u64) -> String {
+    let requester = update("relay-2", 2, MemberState::Alive, None);
     let mut out = Vec::new();
-    let first = packet(asker.clone(), MessageBody::PushPullRequest, vec![]);
+    let first = packet(requester.clone(), MessageBody::PushPullRequest, vec![]);
     reducer.step(
         now,
         Event::Membership(MembershipEvent::StreamRequest { stream: 1, from: addr(2), packet: first }),
         &mut out,
     );
     out.clear();
-    let asks = packet(asker, MessageBody::EndpointListRequest, vec![]);
+    let request = packet(requester, MessageBody::EndpointListRequest, vec![]);
     reducer.step(
         now,
-        Event::Membership(MembershipEvent::StreamRequest { stream: 2, from: addr(2), packet: asks }),
+        Event::Membership(MembershipEvent::StreamRequest { stream: 2, from: addr(2), packet: request }),
         &mut out,
     );
     let answer = out.into_iter().find_map(|effect| match effect {
@@ -176,42 +175,42 @@
 }
 
 #[test]
-fn the_list_that_one_relay_gives_another_is_read_and_written_the_same() {
+fn the_endpoint_list_between_relays_is_read_and_written_unchanged() {
     let known = json!([
         {"instanceId": "s-0", "hostPort": "10.0.1.1:7000", "lifecycle": "up"},
         {"instanceId": "s-1", "hostPort": "10.0.1.2:7000", "lifecycle": "draining"},
     ]);
-    assert_eq!(list_of(&mut reducer(known), START + 1_000), text("list.json").trim_end());
+    assert_eq!(request_endpoint_list(&mut reducer(known), START + 1_000), text("list.json").trim_end());
 
-    // One that knows none of them takes them, and gives them on.
+    // A relay that knows none of these backends adds them, and passes them on.
     let mut other = reducer(json!([{"instanceId": "s-9", "hostPort": "10.0.1.9:7000", "lifecycle": "up"}]));
-    assert_eq!(list_of(&mut other, START + 1_000), text("list_before.json").trim_end());
-    let told = MessageBody::EndpointListResponse { bytes: text("list.json").trim_end().as_bytes().to_vec() };
-    let returned = packet(update("relay-2", 2, MemberState::Alive, None), told, vec![]);
+    assert_eq!(request_endpoint_list(&mut other, START + 1_000), text("list_before.json").trim_end());
+    let response =
+        MessageBody::EndpointListResponse { bytes: text("list.json").trim_end().as_bytes().to_vec() };
+    let returned = packet(update("relay-2", 2, MemberState::Alive, None), response, vec![]);
     other.step(
         START + 2_000,
         Event::Membership(MembershipEvent::StreamResponse { packet: returned }),
         &mut Vec::new(),
     );
-    assert_eq!(list_of(&mut other, START + 2_000), text("list_after.json").trim_end());
+    assert_eq!(request_endpoint_list(&mut other, START + 2_000), text("list_after.json").trim_end());
 }
 
-/// The frames of a stream, as they stand on the wire: the stored one is sent to a running relay, and its
-/// answer has the same form.
+/// Stream frames on the wire: the stored one is sent to a running relay, whose response has the same format.
 #[test]
-fn a_frame_on_a_stream_has_its_length_before_it() {
+fn a_frame_on_a_stream_is_preceded_by_its_length() {
     let stored = file("frame.bin");
     let (length, rest) = stored.split_at(4);
     assert_eq!(u32::from_be_bytes(length.try_into().expect("four bytes")) as usize, rest.len());
     let own =
         Update { addr: ([127, 0, 0, 1], 7946).into(), ..update("relay-2", 2, MemberState::Alive, None) };
-    let visit = packet(
+    let request = packet(
         own,
         MessageBody::PushPullRequest,
         vec![update("relay-4", 4, MemberState::Dead, Some("relay-2"))],
     );
-    assert_eq!(bytes(&visit), rest);
-    assert_eq!(decode(FLEET, rest, MAX_FRAME_BYTES), Ok(*visit));
+    assert_eq!(encoded(&request), rest);
+    assert_eq!(decode(FLEET, rest, MAX_FRAME_BYTES), Ok(*request));
 
     let address = free_address();
     let mut config = RelayConfig::new("fixtures-frame");
@@ -228,12 +227,12 @@
     assert_eq!(u32::from_be_bytes(length.try_into().expect("four bytes")) as usize, rest.len());
     let answer = decode(FLEET, rest, MAX_FRAME_BYTES).expect("a packet");
     assert_eq!((&*answer.sender.name, &answer.body), ("relay-1", &MessageBody::PushPullResponse));
-    assert_eq!(bytes(&answer), rest);
+    assert_eq!(encoded(&answer), rest);
     let names: Vec<&str> = answer.updates.iter().map(|update| &*update.name).collect();
     assert_eq!(names, ["relay-2"], "nobody takes one that is gone for a member");
 }
 
-fn bytes(packet: &Packet) -> Vec<u8> {
+fn encoded(packet: &Packet) -> Vec<u8> {
     let updates: Vec<Vec<u8>> = packet.updates.iter().map(encode_update).collect();
     let updates = updates.iter().map(Vec::as_slice);
     encode(&packet.fleet, &packet.sender, packet.body.clone(), updates, MAX_FRAME_BYTES).bytes
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -1,5 +1,5 @@
-//! The whole answer of `/v1/metrics`, compared as text with `fixtures/metrics.txt`. Each field has a value of
-//! its own, so that two that change places are found.
+//! The complete response to `GET /v1/metrics`, compared with `fixtures/metrics.txt`. Each field has a
+//! distinct value, so that swapped fields are found.
 use hallrelay_membership::message::DropReason;
 use hallrelay_membership::Counters;
 use hallrelay_relay::metrics::text;
@@ -8,12 +8,12 @@
 use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 
-fn figures() -> Metrics {
+fn sample_metrics() -> Metrics {
     let first = Outcomes { requested: 101, established: 102, rejected: 103, failed: 104, abandoned: 105 };
     let second = Outcomes { requested: 201, established: 202, rejected: 203, failed: 204, abandoned: 205 };
-    // A name that no line may carry as it is.
-    let odd = Outcomes { requested: 301, established: 302, rejected: 303, failed: 304, abandoned: 305 };
-    let listeners = [("alpha", first), ("beta-2", second), ("g:h|i j\nk\u{e9}", odd)];
+    // A name with characters that a metric's name may not have.
+    let unusual = Outcomes { requested: 301, established: 302, rejected: 303, failed: 304, abandoned: 305 };
+    let listeners = [("alpha", first), ("beta-2", second), ("g:h|i j\nk\u{e9}", unusual)];
     let dropped = DropReason::ALL.into_iter().zip(801..).collect();
     let counters = Counters {
         datagrams_sent: 701,
@@ -56,22 +56,22 @@
 }
 
 #[test]
-fn the_answer_of_metrics_is_unchanged() {
-    assert_eq!(text(&figures()), include_str!("fixtures/metrics.txt"));
+fn the_metrics_response_is_unchanged() {
+    assert_eq!(text(&sample_metrics()), include_str!("fixtures/metrics.txt"));
 }
 
 #[test]
 fn without_fleet_and_store_their_lines_are_absent() {
-    let bare = Metrics { membership: None, store: None, ..figures() };
+    let bare = Metrics { membership: None, store: None, ..sample_metrics() };
     let all = include_str!("fixtures/metrics.txt").lines();
-    let wanted: Vec<&str> =
+    let expected: Vec<&str> =
         all.filter(|line| !line.starts_with("node.store_") && !line.starts_with("node.fleet_")).collect();
-    assert_eq!(text(&bare).lines().collect::<Vec<_>>(), wanted);
+    assert_eq!(text(&bare).lines().collect::<Vec<_>>(), expected);
 }
 
 #[test]
 fn a_store_that_writes_is_not_failing() {
     let store = WriterHealth { last_error: None, ..WriterHealth::default() };
-    let text = text(&Metrics { store: Some(Box::new(store)), ..figures() });
+    let text = text(&Metrics { store: Some(Box::new(store)), ..sample_metrics() });
     assert!(text.contains("node.store_failing:0|g\n"), "{text}");
 }
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn one_is_killed_and_told_and_returns_under_a_later_start() {
+fn a_killed_relay_is_reported_and_returns_with_a_later_start() {
     let mut fleet = Fleet::start("killed", 3);
     fleet.wait_until_whole();
     let (code, text) = run_status_command(fleet.relays[0].operator_address, &[]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn who_leaves_on_purpose_is_accused_by_nobody_and_a_drain_is_told() {
+fn a_relay_that_leaves_is_suspected_by_nobody_and_a_drain_is_gossiped() {
     let mut fleet = Fleet::start("leaves", 3);
     fleet.wait_until_whole();
     assert_eq!(fleet.relays[1].request("POST", "/v1/relay/drain").0, 200);
@@ -117,7 +117,7 @@
 /// A stalled relay resumes after all its probe replies are overdue: it suspects nobody for that, and refutes
 /// its own death.
 #[test]
-fn a_stalled_relay_wakes_and_accuses_nobody() {
+fn a_stalled_relay_resumes_and_suspects_nobody() {
     let fleet = Fleet::start("stalls", 4);
     fleet.wait_until_whole();
     fleet.relays[3].signal("STOP");
@@ -198,7 +198,7 @@
 /// Two processes with one name at two addresses: both report the conflict, neither ends, and the later start
 /// holds the name.
 #[test]
-fn two_of_one_name() {
+fn two_relays_with_one_name_report_the_conflict() {
     let mut fleet = Fleet::start("twins", 2);
     fleet.wait_until_whole();
     let mut config = RelayConfig::new("fleet-twins-again");
@@ -229,7 +229,7 @@
 
 /// A flood of malformed datagrams at the membership port while clients are served.
 #[test]
-fn garbage_is_dropped_and_counted_and_clients_are_served() {
+fn malformed_packets_are_dropped_and_counted_while_clients_are_served() {
     let fleet = Fleet::start("garbage", 2);
     fleet.wait_until_whole();
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_relay_without_a_fleet_says_so_and_faulty_keys_are_named() {
+fn a_relay_without_a_fleet_reports_it_and_invalid_keys_are_named() {
     let (mut config, relay) = RelayConfig::start_ready("fleet-off");
     assert_eq!(relay.request("GET", "/v1/fleet").0, 404);
     assert_eq!(relay.metric("fleet_alive"), None);
--- a/relay/tests/left.rs
+++ b/relay/tests/left.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn nobody_who_left_is_sent_on_late() {
+fn no_session_is_forwarded_long_after_its_client_left() {
     let arrivals = Arrivals::default();
     let backends = [bind_listener(), bind_listener()];
     let addresses: Vec<String> =
--- a/relay/tests/operations.rs
+++ b/relay/tests/operations.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn the_second_address_answers_what_is_a_call_and_survives_what_is_none() {
+fn the_operator_address_answers_requests_and_survives_anything_else() {
     let (_config, mut relay) = RelayConfig::start_ready("calls");
     assert_eq!(relay.request("GET", "/v1/nothing").0, 404);
     let (status, answer) = relay.request("GET", "/v1/relay/drain");
@@ -35,7 +35,7 @@
 
 /// Connections without a complete request do not delay other requests.
 #[test]
-fn callers_that_say_nothing_whole_delay_nobody() {
+fn incomplete_requests_do_not_delay_others() {
     let (config, relay) = RelayConfig::start_ready("slow-callers");
     let half = |i: usize| {
         let mut stream = TcpStream::connect(relay.operator_address).expect("it listens");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_drain_moves_everybody_and_a_second_call_ends_it() {
+fn a_drain_migrates_all_sessions_and_a_second_request_ends_it() {
     let (config, relay) = RelayConfig::start_ready("drain");
     let mut clients: Vec<Client> =
         (0..5).map(|_| Client::open(config.listen_address, "low").expect("a session")).collect();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn files_read_at_sighup_are_counted_as_used_or_not() {
+fn reloads_are_counted_as_applied_or_rejected() {
     let (config, relay) = RelayConfig::start_ready("loads");
     relay.signal("HUP");
     common::wait_until("a sound file is a load", || relay.metric("loads") == Some(1));
@@ -120,7 +120,7 @@
 /// Consecutive hot restarts under load, one with a broken build: no connection is refused, reset or left
 /// unread, and a session that is open throughout is not disturbed, even in the middle of a line.
 #[test]
-fn processes_follow_each_other_and_no_connection_is_lost() {
+fn hot_restarts_lose_no_connection() {
     let (mut config, mut old) = RelayConfig::start_ready("upgrades");
     let coming: Vec<_> = (0..3).map(|_| open_sessions_until_stopped(config.listen_address)).collect();
     let mut open = Client::open(config.listen_address, "low").expect("a session");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_new_process_that_dies_gives_the_place_back_and_a_third_is_refused() {
+fn a_new_process_that_dies_returns_the_listener_and_a_third_is_rejected() {
     let (mut config, mut old) = RelayConfig::start_ready("dies");
     let mut new = config.start();
     new.wait_until_ready();
@@ -192,7 +192,7 @@
 
 /// A reload changes settings under open sessions; a file with any error is rejected as a whole.
 #[test]
-fn settings_are_retuned_whole_or_not_at_all() {
+fn settings_are_applied_completely_or_not_at_all() {
     let (config, relay) = RelayConfig::start_ready("retune");
     let mut old = Client::open(config.listen_address, "low").expect("a session");
     let mut text = config.json.clone();
@@ -235,7 +235,7 @@
 
 /// A slow client is served among many that send nothing or stop halfway, and those get an answer or an end.
 #[test]
-fn a_line_that_comes_bit_by_bit_is_served_and_silence_is_not() {
+fn a_slow_first_line_is_served_and_a_silent_client_is_not() {
     let (config, _relay) = RelayConfig::start_ready("slow-lines");
     let started_at = Instant::now();
     let mut silent = Client::connect(config.listen_address).expect("it listens");
--- a/relay/tests/power.rs
+++ b/relay/tests/power.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_drain_outlives_two_power_losses_a_damaged_store_and_a_cut() {
+fn a_drain_outlives_two_power_losses_a_damaged_store_and_a_partition() {
     let mut fleet = prepare_fleet();
     (0..RELAYS).for_each(|i| fleet.start(i));
     (0..RELAYS).for_each(|i| fleet.relay(i).wait_until_ready());
--- a/relay/tests/recovery.rs
+++ b/relay/tests/recovery.rs
@@ -69,7 +69,7 @@
 
 /// Rule 3: the configuration's endpoint list is older than the drain, and discovery is unavailable.
 #[test]
-fn a_drain_told_before_a_kill_holds_with_the_list_service_dark() {
+fn a_drain_before_a_kill_holds_while_discovery_is_unavailable() {
     let mut fixture = start_fixture("drain");
     store_drain_and_kill(&mut fixture);
     let before = fixture.servers.each_ref().map(CountingBackend::opened);
@@ -90,7 +90,7 @@
 
 /// Rule 4: a relay in a crash loop does not use another slow-start slot of a backend after each start.
 #[test]
-fn a_crash_loop_spends_no_turn_twice() {
+fn a_crash_loop_uses_no_slow_start_slot_twice() {
     let sessions_by_start = |name: &str, with_store: bool| {
         let mut fixture = start_fixture(name);
         // A slot every 2.1 s of slow start, the first one after half of that; each process lives a little
@@ -129,7 +129,7 @@
 /// A relay that starts while discovery is unavailable asks a peer for its list: it avoids backends that drain
 /// there and uses backends that it did not know. A removal that it was notified of itself is not overridden.
 #[test]
-fn another_relay_tells_the_list_while_its_service_is_dark() {
+fn a_peer_provides_the_list_while_discovery_is_unavailable() {
     let (mut fixture, mut second) = (start_fixture("hearsay"), start_fixture("hearsay-second"));
     let third = CountingBackend::start();
     let addresses = [free_address(), free_address()];
@@ -189,7 +189,7 @@
 
 /// A faulty store does not interrupt service, is reported by a metric, and recovers.
 #[test]
-fn a_store_that_is_of_no_use_stops_nobody() {
+fn a_faulty_store_does_not_interrupt_service() {
     let mut fixture = start_fixture("useless");
     // A file where the store's directory should be.
     std::fs::write(&fixture.state, "in the way").expect("a file");
@@ -242,7 +242,7 @@
 
 /// A hot restart: the store is handed over with the listening socket, and returned with it.
 #[test]
-fn the_store_goes_with_the_place() {
+fn the_store_is_handed_over_with_the_listener() {
     let mut fixture = start_fixture("place");
     let old = fixture.config.start();
     old.wait_until_ready();
@@ -267,7 +267,7 @@
 /// A store that has grown to a gigabyte, and a disk that blocks: neither delays a start beyond its limit, and
 /// the records before the growth are used.
 #[test]
-fn a_huge_store_and_a_disk_that_stands_still_hold_up_nobody() {
+fn a_huge_store_and_a_blocked_disk_do_not_delay_a_start() {
     const GIGABYTE: u64 = 1 << 30;
     /// A start's limit for opening the store, with a margin for a busy machine.
     const WAIT: Duration = Duration::from_millis(2_000 + 1_500);
--- a/relay/tests/short_days/answers.rs
+++ b/relay/tests/short_days/answers.rs
@@ -136,11 +136,11 @@
 }
 
 #[test]
-fn every_session_has_an_answer_in_time_beside_backends_that_hang_come_late_and_reset() {
+fn every_session_is_answered_in_time_beside_backends_that_hang_accept_late_or_reset() {
     every_session_is_answered("beside", true);
 }
 
 #[test]
-fn every_session_has_an_answer_in_time_where_all_backends_hang_come_late_or_reset() {
+fn every_session_is_answered_in_time_where_all_backends_hang_accept_late_or_reset() {
     every_session_is_answered("alone", false);
 }
--- a/relay/tests/short_days/killed.rs
+++ b/relay/tests/short_days/killed.rs
@@ -70,18 +70,18 @@
 }
 
 #[test]
-fn who_was_half_way_through_a_line_as_the_relay_was_killed_is_not_dialled() {
+fn a_session_with_half_a_first_line_before_a_kill_is_not_dialled() {
     [false, true]
         .into_iter()
         .for_each(|with_store| kill_and_restart(ConnectionStage::PartialLine, with_store));
 }
 
 #[test]
-fn who_was_dialled_as_the_relay_was_killed_is_not_dialled_twice() {
+fn a_session_dialled_before_a_kill_is_not_dialled_again() {
     [false, true].into_iter().for_each(|with_store| kill_and_restart(ConnectionStage::Dialled, with_store));
 }
 
 #[test]
-fn who_was_served_as_the_relay_was_killed_is_not_dialled_twice() {
+fn a_session_open_before_a_kill_is_not_dialled_again() {
     [false, true].into_iter().for_each(|with_store| kill_and_restart(ConnectionStage::Open, with_store));
 }
--- a/relay/tests/short_days/pieces.rs
+++ b/relay/tests/short_days/pieces.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_first_line_cut_at_any_byte_is_taken_once_and_whole() {
+fn a_first_line_split_at_any_byte_is_forwarded_once_and_complete() {
     let fixture = start_fixture("cut");
     let cuts = line(0).len();
     for cut in 1..cuts {
@@ -73,7 +73,7 @@
 const SINGLE_BYTES: usize = 8;
 
 #[test]
-fn a_first_line_of_single_bytes_is_taken_once_and_whole() {
+fn a_first_line_of_single_bytes_is_forwarded_once_and_complete() {
     let fixture = start_fixture("bytes");
     for first in (0..line(0).len()).step_by(SINGLE_BYTES - 1) {
         let id = unique_id();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_ping_cut_at_any_byte_is_answered_once() {
+fn a_ping_split_at_any_byte_is_answered_once() {
     let fixture = start_fixture("ping");
     let text = "PING\r\n";
     for cut in 1..text.len() {
--- a/relay/tests/short_days/reload.rs
+++ b/relay/tests/short_days/reload.rs
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_drain_that_the_old_place_tells_behind_a_reload_holds() {
+fn a_drain_from_the_old_service_after_a_reload_holds() {
     check_drain_right_after_reload("old", DrainSource::OldService);
 }
 
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_drain_that_the_new_place_tells_first_of_all_changes_holds() {
+fn a_drain_as_the_new_services_first_change_holds() {
     check_drain_right_after_reload("new-change", DrainSource::NewServiceFirstChange);
 }
 
@@ -184,7 +184,7 @@
 /// A connect that is pending when the drain is announced, and succeeds only after the grace period, carries
 /// no first line.
 #[test]
-fn a_connect_that_is_out_as_the_drain_is_told_brings_no_session_after_the_grace() {
+fn a_connect_pending_when_a_drain_is_announced_carries_no_session_after_the_grace() {
     const SHORT_GRACE: Duration = Duration::from_millis(500);
     let (draining, sound) = (bind_small_backlog(), Backend::start(Behaviour::Serve));
     let address: SocketAddr = draining.local_addr().expect("its address");
--- a/relay/tests/short_days/silence.rs
+++ b/relay/tests/short_days/silence.rs
@@ -113,18 +113,18 @@
 }
 
 #[test]
-fn what_a_watch_missed_that_fell_silent_late_is_taken_in_within_its_time() {
+fn changes_that_a_late_silent_watch_missed_are_applied_in_time() {
     check_late_silent_watch("late", Backends::first_draining);
 }
 
 #[test]
-fn a_whole_list_in_place_of_what_a_late_silent_watch_missed_leaves_nobody_behind() {
+fn a_full_list_after_a_late_silent_watch_removes_omitted_backends() {
     check_late_silent_watch("late-whole", Backends::first_omitted);
 }
 
 /// The same with the relay's real timeouts, for a watch that is silent from the start.
 #[test]
-fn what_a_silent_watch_missed_is_taken_in_within_its_time_by_the_programs_own_clock() {
+fn changes_that_a_silent_watch_missed_are_applied_in_time_with_real_timeouts() {
     let (service, backends) = (ScriptedDiscovery::start(), Backends::start());
     let mut config = backends.relay_config("silent", &service);
     let relay = config.start();
@@ -143,7 +143,7 @@
 
 /// A healthy watch sends a complete list in place of a change.
 #[test]
-fn a_whole_list_in_place_of_changes_on_a_sound_watch_leaves_nobody_behind() {
+fn a_full_list_in_place_of_changes_on_a_healthy_watch_removes_omitted_backends() {
     let (service, backends) = (ScriptedDiscovery::start(), Backends::start());
     let mut config = backends.relay_config("reset", &service);
     let relay = config.start();
--- a/relay/tests/stops.rs
+++ b/relay/tests/stops.rs
@@ -56,7 +56,7 @@
 /// The client's deadline passes while the relay is stopped with its backend's answer unread: the client still
 /// gets one final answer, and the backend's session is closed.
 #[test]
-fn an_answer_is_owed_after_a_standstill() {
+fn a_client_gets_a_final_answer_after_a_stall() {
     let backend = bind_listener();
     let (config, relay) = start_with_backend("standstill", &backend, 300);
     let mut client = Client::connect(config.listen_address).expect("it listens");
@@ -77,7 +77,7 @@
 /// Sessions whose clients have closed their sending direction while the relay was stopped are not forwarded;
 /// one of a client that waits is.
 #[test]
-fn who_left_during_a_standstill_is_not_sent_on() {
+fn a_client_that_left_during_a_stall_is_not_forwarded() {
     let backend = CountingBackend::start();
     let mut config = RelayConfig::new("left");
     config.json["known"]["instances"] =
@@ -162,17 +162,17 @@
 }
 
 #[test]
-fn a_stop_is_over_in_time_with_long_dial_timeouts() {
+fn a_stop_ends_in_time_with_long_dial_timeouts() {
     stop_with_signals("long", 4800, &["TERM"]);
 }
 
 #[test]
-fn a_stop_is_over_in_time_with_short_dial_timeouts() {
+fn a_stop_ends_in_time_with_short_dial_timeouts() {
     stop_with_signals("short", 150, &["TERM"]);
 }
 
 #[test]
-fn a_stop_beside_a_reload_and_another_stop_is_over_in_time() {
+fn a_stop_with_a_reload_and_another_stop_ends_in_time() {
     stop_with_signals("reloaded", 900, &["HUP", "TERM", "TERM", "INT"]);
 }
 
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_stop_in_the_first_milliseconds_is_an_ordered_one() {
+fn a_stop_in_the_first_milliseconds_is_graceful() {
     let (_config, mut relay) = start_from_pipe("early-stop", "TERM");
     wait_until("it ends", || relay.has_exited());
     assert!(relay.child.wait().expect("a child").success());
