--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -2,22 +2,23 @@
 //! of HEU, section 7 of Bartolini's "Session based access control in geographically replicated Internet
 //! services".
 
+use crate::balancer::{Balancer, REPORT_LAG};
 use crate::estimate::FleetEstimate;
 use crate::placement::Candidates;
-use crate::relay::{Relay, REPORT_LAG};
 use crate::server::Server;
 use crate::session::{Event, Session};
 use crate::types::{Micros, ServerId, SessId};
 
 /// The fraction of the thresholds that only sessions of high priority may use (the paper's k_reserved).
 pub(crate) const HIGH_PRIORITY_RESERVE: f64 = 0.15;
-/// The mean age of the reports above which no session is rejected by them if newer ones may come in time.
+/// The mean age of the reports beyond which admission waits for newer ones, as time allows, before it
+/// rejects.
 const MAX_REPORT_AGE: Micros = 2 * REPORT_LAG;
 /// The interval at which a relay that may not probe dials whatever was reported: only a dial brings it a new
 /// report.
 const BLIND_DIAL_INTERVAL: Micros = 3 * REPORT_LAG;
 
-impl Relay {
+impl Balancer {
     /// The admission decision of a session: a dial at a server, a wait for reports until its report deadline,
     /// or its final answer at once.
     ///
@@ -60,9 +61,10 @@
         session.dials == 0 && !is_blind_dial && !self.admits(session, fleet)
     }
 
-    /// The thresholds of HEU: all sessions enter while the relay's own sessions are below t_id = c_id -
-    /// k_reserved and the fleet's load below t_servers - x_cong, where t_servers = c - k_reserved; past that
-    /// only those of high priority, while below c_id and c - x_cong. Loads and capacities are in servers.
+    /// The thresholds of HEU: all sessions enter while the relay's own sessions are below t_id and the
+    /// fleet's load below t_servers - x_cong, where t_id and t_servers are c_id and c less
+    /// `HIGH_PRIORITY_RESERVE` of each; past that only those of high priority, while below c_id and
+    /// c - x_cong. Loads and capacities are in servers.
     /// With no report there is nothing to test, and all enter.
     fn admits(&self, session: &Session, fleet: &FleetEstimate) -> bool {
         let own_sessions = f64::from(self.own_sessions);
--- a/balancer/src/relay.rs
+++ b/balancer/src/balancer.rs
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The load from which a server counts as full. Below it all its sessions are served in time, and a migration
-/// gains nothing.
+/// The load from which a server counts as full, as a fraction of what saturates it. Below it all its sessions
+/// are served in time, and a migration gains nothing.
 pub(crate) const FULL_LOAD: f64 = 0.75;
-/// Own sessions below which chance is more than a quarter of what they show of the fleet.
+/// With fewer own sessions, the sampling error of what they show of the fleet is above a quarter.
 pub(crate) const MIN_SAMPLE_SESSIONS: u32 = 16;
 /// The time that reports take, from the measurement of a load to the answer that brings it.
 pub(crate) const REPORT_LAG: Micros = SECOND;
@@ -34,9 +34,9 @@
     pub(crate) group: u64,
 }
 
-/// The decisions of one relay, and the state that they depend on.
+/// The decisions of one relay, and the state that they depend on. Relays share nothing, so each has its own.
 #[derive(Default)]
-pub struct Relay {
+pub struct Balancer {
     pub(crate) site: SiteConfig,
     /// One for each listener, shared by its sessions.
     pub(crate) policies: Vec<Rc<SessionPolicy>>,
@@ -78,10 +78,10 @@
     pub(crate) last_watch_at: Micros,
 }
 
-impl Relay {
+impl Balancer {
     /// A relay without servers and sessions. `seed` is that of all its random numbers; `site` has one
     /// listener at least.
-    pub fn new(site: SiteConfig, seed: u64) -> Relay {
+    pub fn new(site: SiteConfig, seed: u64) -> Balancer {
         /// One session's load on a server before the first reports.
         const INITIAL_SESSION_LOAD: f64 = 0.02;
         let estimate = FleetEstimate {
@@ -89,11 +89,11 @@
             slot_session_load: INITIAL_SESSION_LOAD,
             ..FleetEstimate::default()
         };
-        let mut relay = Relay {
+        let mut relay = Balancer {
             random: Random::new(seed),
             slot_selection_key: hash(hash(seed) ^ u64::from(site.relay_index)),
             estimate,
-            ..Relay::default()
+            ..Balancer::default()
         };
         relay.configure(site);
         relay
--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -1,13 +1,13 @@
 //! Dials: how a session is dialled or waits for reports, what a dial's end reveals of its server, and where
 //! sessions are counted.
 
-use crate::relay::{GroupKey, Relay, REPORTS_TIMER, SECOND};
+use crate::balancer::{Balancer, GroupKey, REPORTS_TIMER, SECOND};
 use crate::retry::PossibleRun;
 use crate::session::{Event, State};
 use crate::slow_start::SlotWait;
 use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId, SessId};
 
-impl Relay {
+impl Balancer {
     /// Dials the server that a session was placed on. A session has one dial in flight at most.
     pub(crate) fn dial(&mut self, id: SessId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -59,17 +59,18 @@
     /// Records the end of a session's last dial: its server's report and faults, and whether the session may
     /// have run.
     pub(crate) fn record_dial_end(&mut self, id: SessId, end: DialEnd, report: Option<LoadReport>) {
-        let was_taken_up = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
-        if was_taken_up {
+        let may_have_run = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
+        if may_have_run {
             self.count_dial(id, end == DialEnd::Ok);
         }
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(server) = self.servers.get_mut(&session.server) else { return };
         let is_fault = matches!(end, DialEnd::Error | DialEnd::Reset | DialEnd::Timeout);
         if is_fault {
-            session.weight = 0.0; // its client returns at once: its load remains
+            // Its client retries at once, which brings the same load again.
+            session.weight = 0.0;
         }
-        if was_taken_up {
+        if may_have_run {
             let endpoint = &server.endpoint;
             let run = PossibleRun { since: session.dialled_at, zone: endpoint.zone, cell: endpoint.cell };
             session.may_have_run.get_or_insert(run);
@@ -107,7 +108,7 @@
     /// session has only changed relays, and its load is reported already.
     fn has_missing_sessions(&self) -> bool {
         const WINDOW: Micros = 8 * SECOND;
-        /// Of the own sessions: by so many the returned may exceed the ended ones by chance.
+        /// The fraction of the own sessions by which the returned may exceed the ended ones by chance.
         const CHANCE_RATIO: f64 = 0.2;
         self.disconnects.sum(self.now, WINDOW) >= -CHANCE_RATIO * f64::from(self.own_sessions)
     }
--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -1,8 +1,8 @@
 //! The estimate of the whole fleet, from the load reports that one relay has and the sessions that it placed
 //! since. Loads and capacities are in servers.
 
+use crate::balancer::{Balancer, MIN_SAMPLE_SESSIONS, REPORT_LAG, SECOND};
 use crate::outlier::HealthTier;
-use crate::relay::{Relay, MIN_SAMPLE_SESSIONS, REPORT_LAG, SECOND};
 use crate::server::Server;
 use crate::types::Micros;
 use std::ops::RangeInclusive;
@@ -61,7 +61,7 @@
     sessions: f64,
 }
 
-impl Relay {
+impl Balancer {
     /// The estimate as of now, reused for 0.25 s: sessions that are placed meanwhile are added at once
     /// (`count_session`).
     pub(crate) fn fleet_estimate(&mut self) -> FleetEstimate {
@@ -163,7 +163,7 @@
     }
 
     /// A server's load now, as a fraction of the server: the reported one, or the mean of the fleet, with its
-    /// queue delay and the sessions placed there since. A congested server counts as full at least.
+    /// queue delay and the sessions placed there since. A congested server counts as saturated at least.
     pub(crate) fn current_load(&self, server: &Server, fleet: &FleetEstimate) -> f64 {
         /// The most sessions of all relays that one own session stands for: more is mostly chance.
         const MAX_FLEET_FACTOR: f64 = 4.0;
@@ -195,7 +195,7 @@
     }
 }
 
-/// The value, or the bound that it exceeds.
+/// The value, limited to the range.
 pub(crate) fn clamp(value: f64, range: &RangeInclusive<f64>) -> f64 {
     value.clamp(*range.start(), *range.end())
 }
--- a/balancer/src/outlier.rs
+++ b/balancer/src/outlier.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection, and the order in which servers are preferred by their health.
 
-use crate::relay::Relay;
+use crate::balancer::Balancer;
 use crate::server::Server;
 use crate::types::{Micros, ServerId};
 
@@ -33,7 +33,7 @@
     }
 }
 
-impl Relay {
+impl Balancer {
     /// Whether sessions go to a server only where there is no other: it is not ready or not in the list, does
     /// not answer, or is ejected.
     pub fn avoids(&self, now: Micros, server: ServerId) -> bool {
--- a/balancer/src/placement.rs
+++ b/balancer/src/placement.rs
@@ -1,9 +1,9 @@
 //! Placement: the pool of servers that a session may go to, and what it costs on each.
 
+use crate::balancer::{Balancer, GroupKey, FULL_LOAD, MIN_SAMPLE_SESSIONS};
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
 use crate::random::hash;
-use crate::relay::{GroupKey, Relay, FULL_LOAD, MIN_SAMPLE_SESSIONS};
 use crate::server::Server;
 use crate::session::Session;
 use crate::smallest::Smallest;
@@ -45,7 +45,7 @@
     pub(crate) own_members: u32,
 }
 
-impl Relay {
+impl Balancer {
     /// The servers that a session may go to, `POOL_SIZE` at most, best first: by health, then those that are
     /// not full, then those in this relay's zone where others have a cost, then by rank. Groups are ranked
     /// alike in all zones, so that the relays of all zones meet on the same servers.
@@ -79,7 +79,8 @@
     }
 
     /// The load from which a server counts as full. It is higher by a group's cost for a grouped session in a
-    /// relay that has too few sessions to know where the group is: a new server would have that cost.
+    /// relay that has too few sessions to know where the group is: to open the group on a new server would
+    /// cost as much.
     fn full_load_threshold(&self, is_grouped: bool, fleet: &FleetEstimate) -> f64 {
         let favors_group = is_grouped && self.own_sessions < MIN_SAMPLE_SESSIONS;
         FULL_LOAD + f64::from(favors_group) * GROUP_COST * fleet.session_load
--- a/balancer/src/probes.rs
+++ b/balancer/src/probes.rs
@@ -4,15 +4,15 @@
 //! credit is spent first on the pools of sessions that wait for reports, and the rest on the server that was
 //! probed longest ago.
 
+use crate::balancer::{Balancer, PROBE_TIMER, SECOND};
 use crate::placement::POOL_SIZE;
-use crate::relay::{Relay, PROBE_TIMER, SECOND};
 use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId};
 
 /// The fraction of a session's value that its probes may cost.
 const PROBE_SPENDING: f64 = 0.008;
 /// The most credit that one session adds, in probes of a whole pool.
 const MAX_POOLS_PER_SESSION: f64 = 4.0;
-/// The fraction of that which a returned session adds.
+/// The fraction of a new session's credit that a returned session adds.
 const RETURNED_SHARE: f64 = 0.5;
 /// The most credit, in probes of each server.
 const MAX_CREDIT_ROUNDS: f64 = 8.0;
@@ -20,12 +20,12 @@
 const RESERVED_SESSIONS: f64 = 6.0;
 /// The time over which the credit beyond that is spent.
 const SPENDING_TIME: Micros = 8 * SECOND;
-/// The probe interval is no longer than with so much spare credit.
+/// Spare credit counts as at least so many probes when they are paced.
 const MIN_PACED_PROBES: f64 = 4.0;
 /// The shortest mean interval between two probes of one server.
 const MIN_PROBE_INTERVAL: Micros = SECOND / 2;
 
-impl Relay {
+impl Balancer {
     /// Adds the credit of a new session: `PROBE_SPENDING` over a probe's cost, in probes.
     pub(crate) fn add_probe_credit(&mut self, returned: bool) {
         let affordable_probes = PROBE_SPENDING / self.site.probe_cost.max(1e-6);
@@ -35,7 +35,7 @@
         self.probe_credit = (self.probe_credit + credit).min(limit);
     }
 
-    /// Probes a server for one of the credit, unless a probe is in flight there.
+    /// Probes a server and spends one probe of the credit, unless a probe is in flight there.
     pub(crate) fn probe(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.get_mut(&server_id).filter(|server| !server.probe_pending) else {
             return;
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -1,9 +1,9 @@
 //! Rebalancing: which established sessions are migrated off a server that fills up.
 
+use crate::balancer::{Balancer, GroupKey, FULL_LOAD, REPORT_LAG};
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
 use crate::placement::{Candidates, PoolPosition, GROUP_COST, POOL_SIZE};
-use crate::relay::{GroupKey, Relay, FULL_LOAD, REPORT_LAG};
 use crate::server::Server;
 use crate::session::{Event, Session, State};
 use crate::types::{Effect, ServerId, SessId};
@@ -17,9 +17,10 @@
     id: SessId,
 }
 
-impl Relay {
-    /// Migrates sessions off a server that fills up, to where they lose less service; those first that free
-    /// most load. Called when a probe's end or a message delay brings news of the server.
+impl Balancer {
+    /// Migrates sessions off a server that fills up, to where they lose less service. Those that free most
+    /// load go first; where load is shed, sessions of high priority go last. Called when a probe's end or a
+    /// message delay brings news of the server.
     pub(crate) fn rebalance(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
         if !self.is_rebalance_due(server_id) {
             return;
@@ -99,8 +100,8 @@
 
     /// Whether the gain of a session's migration exceeds its cost.
     fn is_migration_beneficial(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> bool {
-        /// Beyond the site's cost: for the gap, the new handshake, and the age of the reports. A fraction of
-        /// a session's value, as that is.
+        /// Beyond the site's cost: for the interruption, the new handshake, and the age of the reports. A
+        /// fraction of a session's value.
         const MARGIN: f64 = 0.15;
         self.migration_gain(id, load, fleet) > self.site.migration_cost + MARGIN
     }
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -19,8 +19,9 @@
         now >= self.deadline || self.dials >= self.policy.max_dials
     }
 
-    /// Whether the session may be dialled at a server (rule 2). Once a dial may have run, only an idempotent
-    /// session may be dialled again, or one with an idempotency key within the key's window and scope.
+    /// Whether the session may be dialled at a server without running twice. Once a dial may have run, only
+    /// an idempotent session may be dialled again, or one with an idempotency key within the key's window and
+    /// scope.
     pub(crate) fn may_be_dialled_at(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let Some(run) = self.may_have_run else { return true };
         match self.policy.listener.idempotency {
@@ -48,13 +49,14 @@
     }
 
     /// How long the dial that starts now may take, in microseconds. `dials` includes it. An idempotent
-    /// session gets the handshake objective times two for each dial, to leave time for a retry; the last
-    /// dial, and any of another session, gets all the time until the client's deadline.
+    /// session gets the handshake objective, doubled with each dial up to 256 times it, to leave time for a
+    /// retry; the last dial, and any of another session, gets all the time until the client's deadline.
     pub(crate) fn dial_timeout(&self, now: Micros) -> Micros {
         let remaining = self.deadline - now;
         let listener = &self.policy.listener;
-        let is_last = self.dials >= self.policy.max_dials || listener.idempotency != Idempotency::Idempotent;
-        if is_last {
+        let gets_all_remaining_time =
+            self.dials >= self.policy.max_dials || listener.idempotency != Idempotency::Idempotent;
+        if gets_all_remaining_time {
             remaining
         } else {
             remaining.min(listener.handshake_target << self.dials.min(8))
--- a/balancer/src/server_list.rs
+++ b/balancer/src/server_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: how its changes are applied, and when it is watched again after a failure.
 
-use crate::relay::{Relay, SECOND, WATCH_TIMER};
+use crate::balancer::{Balancer, SECOND, WATCH_TIMER};
 use crate::server::Server;
 use crate::types::{Effect, Endpoint, ListUpdate, Micros, Phase, ServerId};
 
@@ -9,7 +9,7 @@
 /// A random time up to this is added to each backoff, so that relays do not call all at once.
 const WATCH_JITTER: Micros = SECOND;
 
-impl Relay {
+impl Balancer {
     /// Applies the list or its changes, or schedules the next watch where one failed. The list's states hold
     /// from this input on (rule 3).
     pub(crate) fn update_list(
--- a/balancer/src/session.rs
+++ b/balancer/src/session.rs
@@ -1,6 +1,6 @@
 //! A session and its state machine: the states, the events, and the transitions between them.
 
-use crate::relay::{Relay, SECOND};
+use crate::balancer::{Balancer, SECOND};
 use crate::retry::PossibleRun;
 use crate::types::{AdmissionRequest, Effect, Listener, Micros, ServerId, SessId};
 use std::rc::Rc;
@@ -119,7 +119,7 @@
     pub(crate) weight: f64,
 }
 
-impl Relay {
+impl Balancer {
     /// Adds a session under its listener's current rules, and counts its arrival.
     pub(crate) fn register(&mut self, id: SessId, mut session: Session) {
         let last_listener = self.policies.len() - 1;
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -11,15 +11,15 @@
 //!
 //! **Unused slots.** A slot that is not used stays open, and in a reconnect storm all relays have a session
 //! in the same moment. Two rules hold the budget then: no more relays than the budget sustains may use their
-//! unused slots, selected by a hash (`may_use_unused_slots`); and returning sessions beyond the budgets of
+//! unused slots, selected by a hash (`is_selected_for_slots`); and returning sessions beyond the budgets of
 //! all warming servers together are not sent there (`is_in_reconnect_storm`). Neither applies where relays
 //! are so few that all their slots at once exceed a budget by no more than chance does (`is_small_fleet`).
 
+use crate::balancer::{Balancer, FULL_LOAD, REPORT_LAG, SECOND};
 use crate::estimate::FleetEstimate;
 use crate::outlier::HealthTier;
 use crate::placement::POOL_SIZE;
 use crate::random::hash;
-use crate::relay::{Relay, FULL_LOAD, REPORT_LAG, SECOND};
 use crate::server::Server;
 use crate::session::Session;
 use crate::types::{Endpoint, Micros};
@@ -41,7 +41,7 @@
     per_window: f64,
 }
 
-impl Relay {
+impl Balancer {
     /// The fraction of its capacity that a server surely has at its age: it rises linearly from the initial
     /// capacity to 1 over the warm-up. 1 where the start is long ago or not known.
     pub(crate) fn warm_up_fraction(&self, server: &Server) -> f64 {
@@ -81,7 +81,7 @@
         }
         !session.in_reconnect_storm
             && self.is_slot_open(server, fleet)
-            && self.may_use_unused_slots(server, fleet)
+            && self.is_selected_for_slots(server, fleet)
     }
 
     fn is_slot_open(&self, server: &Server, fleet: &FleetEstimate) -> bool {
@@ -139,7 +139,7 @@
     /// fraction of them whose slot is unused, times the probability that a session's pool has the server. The
     /// selection is a hash of the relay and the server's start, constant for the whole warm-up, so that no
     /// overload window sees two sets of relays.
-    fn may_use_unused_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
+    fn is_selected_for_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
         /// Sessions of one relay that are placed before it detects a storm.
         const SESSIONS_AT_ONCE: f64 = 1.3;
         let budget = self.budget(server, fleet.slot_session_load).per_window;
--- a/balancer/src/snapshot.rs
+++ b/balancer/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! The state that a hot restart hands from a process to its successor: the two are one relay, with one share
 //! of each slow-start budget.
 
+use crate::balancer::Balancer;
 use crate::estimate::{clamp, SESSION_LOAD, SLOT_SESSION_LOAD};
-use crate::relay::Relay;
 use crate::server::Server;
 use crate::slow_start::SlotWait;
 use crate::types::{LoadReport, Micros, PastReport, ServerId, ServerSnapshot, SlotSnapshot, Snapshot};
@@ -10,7 +10,7 @@
 /// The time over which placed sessions are handed over, in microseconds: all that a rolling sum has.
 const RECENT_SESSIONS_WINDOW: Micros = 8_000_000;
 
-impl Relay {
+impl Balancer {
     /// The state to hand to the successor of this process.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         let servers = self.servers.iter().map(|(&id, server)| server.snapshot(id, now)).collect();
--- a/balancer/src/throttle.rs
+++ b/balancer/src/throttle.rs
@@ -3,7 +3,7 @@
 //! excess. This protects dependencies that all servers share and that no load report shows.
 
 use crate::admission::HIGH_PRIORITY_RESERVE;
-use crate::relay::{Relay, SECOND};
+use crate::balancer::{Balancer, SECOND};
 use crate::rolling_sum::RollingSum;
 use crate::session::State;
 use crate::types::{Micros, SessId};
@@ -18,7 +18,7 @@
 /// Servers with faults in the window from which a shared fault is assumed: a single one may be an outlier.
 const MIN_FAULTY_SERVERS: usize = 2;
 
-impl Relay {
+impl Balancer {
     /// Counts the last dial of a session that is being dialled, and whether it was accepted within the
     /// handshake objective.
     pub(crate) fn count_dial(&mut self, id: SessId, is_accepted: bool) {
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -1,7 +1,7 @@
 //! The balancer's interface: the settings of its site, its inputs, and its effects.
 //!
 //! Times are whole microseconds on the caller's clock, ages and durations too unless a unit is named. Loads
-//! and capacities are fractions of one server, 1.0 being a full one.
+//! and capacities are fractions of one server, 1.0 being a saturated one.
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
@@ -79,7 +79,7 @@
     pub warm_up: Micros,
     /// The fraction of its capacity that a server has at its start.
     pub initial_capacity: f64,
-    /// How many times a full server's sessions a warming server accepts within one warm-up.
+    /// How many times the sessions that saturate it a warming server accepts within one warm-up.
     pub overload_multiple: f64,
     /// How long a warming server sustains more than that before it fails.
     pub overload_window: Micros,
--- a/balancer/tests/decisions_trace/site.rs
+++ b/balancer/tests/decisions_trace/site.rs
@@ -2,7 +2,7 @@
 use super::config::config;
 use super::{numbers, Chain, INPUTS_PER_LINE, INPUTS_PER_SITE, MILLISECOND, SECOND};
 use hallrelay_balancer::types::*;
-use hallrelay_balancer::Relay;
+use hallrelay_balancer::Balancer;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -50,7 +50,7 @@
 
 pub struct Site {
     config: SiteConfig,
-    relay: Relay,
+    relay: Balancer,
     chance: oorandom::Rand64,
     now: Micros,
     backends: BTreeMap<ServerId, Backend>,
@@ -72,7 +72,7 @@
     pub fn new(number: u32) -> Site {
         let config = config(number);
         Site {
-            relay: Relay::new(config.clone(), 1_000 + u64::from(number)),
+            relay: Balancer::new(config.clone(), 1_000 + u64::from(number)),
             config,
             chance: oorandom::Rand64::new(77 + u128::from(number)),
             now: u64::from(number) * 5 * SECOND,
--- a/config/src/limits/constants.rs
+++ b/config/src/limits/constants.rs
@@ -36,15 +36,15 @@
 pub(super) const PROBE_CONNECT_FACTOR: Micros = 2;
 /// A backend that closes an idle connection sooner is not at fault.
 pub(super) const PROBE_IDLE: Micros = 30 * SECOND;
-/// Answers come at once and clients send every 2 s: two messages are lost by then. Clients must be informed
-/// within 7 s.
+/// Answers come at once and clients send every 2 s, so by then at most two messages are lost, well within the
+/// 7 s in which clients must be informed.
 pub(super) const SILENCE: Micros = 2 * SECOND;
 pub(super) const STALLED_CLIENT: Micros = 30 * SECOND;
 pub(super) const CLOSE_TIMEOUT: Micros = 500 * MILLISECOND;
 pub(super) const RESUMED_SESSION_WAIT: Micros = 40 * SECOND;
 
-/// An idle watch sends an empty line every 2 s, and a quarter more is for a late one. The changes that a
-/// silent watch misses count as notified 6 s after its last line: the rest is for the next one's answer.
+/// An idle watch sends an empty line every 2 s; this allows for a late one. Changes that a silent watch
+/// misses count as notified 6 s after its last line: 3.5 s remain for the answer to the next one.
 pub(super) const DISCOVERY_DOUBT: Micros = 2_500 * MILLISECOND;
 
 /// Operators' connections: some who call every second, beside some who hold one and send nothing.
--- a/config/src/limits/derived.rs
+++ b/config/src/limits/derived.rs
@@ -68,7 +68,7 @@
 }
 
 /// A first line must be sent before the drain grace has passed, counted from the decision to dial. On sockets
-/// every time limit is 50 ms longer: with a grace of nothing a connect still has most of that.
+/// every time limit is 50 ms longer: with a grace of 0 a connect still has 40 ms of these.
 pub(super) fn connect_timeout(site: &Site) -> Micros {
     site.connect.min((site.drain_grace * 4 / 5).max(40 * MILLISECOND))
 }
@@ -78,8 +78,8 @@
     (site.ask_within.unwrap_or(DEFAULT_ASK_WITHIN) / 2).clamp(500 * MILLISECOND, 4 * SECOND)
 }
 
-/// Where lists are pushed, changes hold by the drain grace whether or not a watch is open: two watches fit
-/// into it.
+/// Where lists are pushed, a change must be obeyed within the drain grace whether or not a watch is open: two
+/// watches fit into it.
 pub(super) fn discovery_retry_interval(site: &Site) -> Option<Micros> {
     match site.ask_within {
         None => Some((site.drain_grace / 2).clamp(50 * MILLISECOND, 500 * MILLISECOND)),
@@ -87,12 +87,17 @@
     }
 }
 
-/// The times of a stop, from SIGTERM on.
+/// The times of a stop, in microseconds from SIGTERM on.
 pub(super) struct StopSchedule {
+    /// The first migration of a session.
     pub(super) from: Micros,
+    /// The last one.
     pub(super) by: Micros,
+    /// The end of the wait for last lines.
     pub(super) end: Micros,
+    /// The earliest exit of a process that has no successor.
     pub(super) least: Micros,
+    /// The last migration in a process that has handed its listener over.
     pub(super) leave_by: Micros,
 }
 
--- a/emulator/src/audit/dials.rs
+++ b/emulator/src/audit/dials.rs
@@ -127,7 +127,7 @@
         if session.dialling == Some(backend) {
             session.dialling = None;
         }
-        if outcome == DialOutcome::MayHaveRan {
+        if outcome == DialOutcome::MayHaveRun {
             session.may_have_run(now, backend);
         }
     }
--- a/emulator/src/audit/drains.rs
+++ b/emulator/src/audit/drains.rs
@@ -4,9 +4,9 @@
 use super::Audit;
 use hallrelay_balancer::types::{Micros, Phase};
 
-/// What a process was notified of within this before its end may not have come to its store.
+/// Notifications so shortly before a process ended may be missing from its store.
 const STORE_DELAY: Micros = 1_000_000;
-/// How many times the poll interval a relay has whose call of the list service failed.
+/// Poll intervals that a relay has after a failed call of discovery.
 const FAILED_CALL_ALLOWANCE: Micros = 4;
 
 impl Audit {
@@ -14,13 +14,14 @@
         let relay = &self.relays[dial.relay];
         let backend = &self.backends[dial.backend];
         let allowed = self.rules.drain_grace + self.rules.slack;
-        // A relay that does not poll counts as notified.
-        let deemed = backend
+        // A relay that has not polled within its allowance counts as notified.
+        let deemed_notified_at = backend
             .draining_since
             .map(|since| since.max(relay.started_at) + self.rules.poll_within * relay.poll_allowance);
         let earlier = relay.notified_earlier[dial.backend];
         let remembered = earlier.filter(|_| self.relays_have_stores);
-        let notified = [relay.notified[dial.backend], deemed, remembered].into_iter().flatten().min();
+        let notified =
+            [relay.notified[dial.backend], deemed_notified_at, remembered].into_iter().flatten().min();
         if is_pre_existing {
             return;
         }
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -121,7 +121,7 @@
     pub sessions_seen: u64,
     /// Dials received by backends.
     pub dials_seen: u64,
-    /// Overloads of backends that warmed up, whoever caused them.
+    /// Overloads of backends that were warming up, whoever caused them.
     pub overloads: u32,
 }
 
@@ -196,7 +196,7 @@
         }
     }
 
-    /// A relay's process has ended: what it held is its clients' to request again.
+    /// A relay's process has ended: clients must request its sessions again.
     pub fn relay_ended(&mut self, now: Micros, relay: usize) {
         self.relays[relay].is_up = false;
         self.relays[relay].ended_at = now;
@@ -211,7 +211,7 @@
         self.relays[relay].is_stalled = true;
     }
 
-    /// Rule 4: a backend that warmed up was overloaded; `blamed` where relays caused it that knew it.
+    /// Rule 4: a backend that was warming up was overloaded; `blamed` where relays caused it that knew it.
     pub fn backend_overloaded(&mut self, now: Micros, backend: usize, blamed: bool) {
         self.overloads += 1;
         if blamed {
--- a/emulator/src/audit/session.rs
+++ b/emulator/src/audit/session.rs
@@ -34,7 +34,7 @@
     /// Rejected: the session never ran.
     NeverRan,
     /// The session ran, or may have.
-    MayHaveRan,
+    MayHaveRun,
 }
 
 /// What passed for a session.
@@ -121,7 +121,7 @@
                 TraceEvent::DialEnded { backend, outcome: DialOutcome::NeverRan } => {
                     format!("dial at {} is over: never ran", name(backend))
                 }
-                TraceEvent::DialEnded { backend, outcome: DialOutcome::MayHaveRan } => {
+                TraceEvent::DialEnded { backend, outcome: DialOutcome::MayHaveRun } => {
                     format!("dial at {} is over: ran or may have", name(backend))
                 }
                 TraceEvent::Established { backend } => format!("{} says UP", name(backend)),
--- a/emulator/src/clients/arrivals.rs
+++ b/emulator/src/clients/arrivals.rs
@@ -18,7 +18,7 @@
         let relay_count = self.scenario.relays.count;
         for index in 0..self.scenario.load.standing {
             let id = self.add_client(self.begin);
-            // The front knows the relay before it has learned of it.
+            // Marks the relay as serving at once, without waiting for its answer to `PING`.
             let relay = index % relay_count;
             self.front.set_serving(relay);
             let client = self.clients.get_mut(&id).expect("was added just now");
--- a/emulator/src/net/host.rs
+++ b/emulator/src/net/host.rs
@@ -64,13 +64,13 @@
     pub servers: Vec<Vec<SocketAddr>>,
     /// Where relays listen.
     pub relays: RefCell<Vec<SocketAddr>>,
-    /// Counted up as what connecting meets may have changed.
+    /// Incremented whenever the reachability of a server may have changed.
     pub(super) reachability: watch::Sender<u64>,
-    /// Counted up as the endpoint list changes, and as discovery becomes unavailable or is back.
+    /// Incremented whenever the endpoint list changes, and discovery becomes unavailable or available again.
     pub(super) list_changes: watch::Sender<u64>,
     /// Whether discovery is unavailable.
     pub list_down: Cell<bool>,
-    /// By relay: counted up as its discovery moves to another address.
+    /// By relay: incremented whenever its discovery moves to another address.
     pub list_moves: RefCell<Vec<watch::Sender<u64>>>,
     /// By relay: where its discovery listens.
     pub list_addresses: RefCell<Vec<SocketAddr>>,
@@ -80,7 +80,7 @@
     relay_commands: RefCell<Vec<RelayCommand>>,
     relay_command_due: Notify,
     models_called: Notify,
-    /// The longest time after which the models were stepped late, in microseconds.
+    /// How late the models were stepped at most, in microseconds.
     pub max_delay: Cell<Micros>,
     /// Counts of clients that speak no protocol.
     pub malformed_clients: RefCell<BadFigures>,
@@ -175,7 +175,7 @@
             ServerEvent::Line { connection, line } => self.send_line(now, connection, line),
             ServerEvent::Reset { connection } => {
                 if let Some(found) = self.remove_connection(connection) {
-                    let outcome = DialOutcome::MayHaveRan;
+                    let outcome = DialOutcome::MayHaveRun;
                     self.day.borrow_mut().audit.dial_ended(now, found.mark, found.server, outcome);
                     _ = found.commands.try_send(ConnectionCommand::Reset);
                 }
@@ -189,7 +189,7 @@
         let outcome = match line {
             ServerLine::Up | ServerLine::Load(_) => None,
             ServerLine::Busy => Some(DialOutcome::NeverRan),
-            ServerLine::Err | ServerLine::Bye | ServerLine::Move => Some(DialOutcome::MayHaveRan),
+            ServerLine::Err | ServerLine::Bye | ServerLine::Move => Some(DialOutcome::MayHaveRun),
         };
         let connections = self.connections.borrow();
         let Some(found) = connections.get(&connection) else { return };
@@ -297,7 +297,7 @@
     pub(super) fn connection_closed(self: &Rc<Host>, id: ConnectionId) {
         let Some(connection) = self.remove_connection(id) else { return };
         self.with(|day, now, todo| {
-            let outcome = DialOutcome::MayHaveRan;
+            let outcome = DialOutcome::MayHaveRun;
             day.audit.dial_ended(now, connection.mark, connection.server, outcome);
             day.servers.connection_closed(now, id, &mut todo.server_events);
         });
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Whether it warms up after a start.
+    /// Whether it is warming up.
     pub fn is_warming_up(&self, now: Micros) -> bool {
         self.started_at > 0 && now < self.started_at + self.machine.warm_up
     }
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -83,7 +83,7 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// What connecting to a server meets has changed.
+    /// The reachability of a server has changed.
     ReachabilityChanged {
         /// The server.
         server: usize,
@@ -95,7 +95,7 @@
         /// Whether it is unavailable.
         down: bool,
     },
-    /// A server that warmed up was overloaded.
+    /// A server that was warming up was overloaded.
     Overloaded {
         /// The server.
         server: usize,
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -73,8 +73,8 @@
     /// The limit of open files is lower than what a day needs.
     #[error(
         "this day wants about {needed} descriptors in this process ({sessions:.0} sessions at once, two \
-         each, and {listeners} listening sockets), and the limit of open files (RLIMIT_NOFILE) is {soft_limit}, \
-         {hard_limit} at most: lower load.rate, load.standing or relays.count, raise the limit with \
+         each, and {listeners} listening sockets), and the limit of open files (RLIMIT_NOFILE) is \
+         {soft_limit}, {hard_limit} at most: lower load.rate, load.standing or relays.count, raise the limit with \
          `ulimit -n`, or play it with --virtual"
     )]
     DescriptorLimit {
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -85,7 +85,7 @@
         if !is_reachable || matches!(dial.fault, Some(Fault::ResetBefore | Fault::ResetAfter)) {
             if is_reachable && dial.fault == Some(Fault::ResetAfter) {
                 self.day.audit.dial_received(self.now, &received);
-                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
+                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRun);
             }
             return self.dial_failed(connection, DialEnd::Reset);
         }
@@ -119,7 +119,7 @@
         let Some(dial) = self.dials.remove(&connection) else { return };
         if dial.is_received {
             self.day.servers.connection_closed(self.now, connection, &mut todo.server_events);
-            self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRan);
+            self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRun);
         }
     }
 
@@ -168,7 +168,7 @@
     /// A server resets a connection.
     fn connection_reset(&mut self, connection: ConnectionId) {
         let Some(dial) = self.dials.get(&connection) else { return };
-        self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRan);
+        self.day.audit.dial_ended(self.now, dial.mark, dial.server, DialOutcome::MayHaveRun);
         if dial.is_established {
             self.session_ended(connection, DialEnd::Reset);
         } else {
@@ -207,7 +207,7 @@
         match line {
             ServerLine::Busy => self.day.audit.dial_ended(self.now, mark, server, DialOutcome::NeverRan),
             ServerLine::Err | ServerLine::Bye | ServerLine::Move => {
-                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRan);
+                self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRun);
             }
             ServerLine::Up => self.day.audit.session_established(self.now, mark, server, connection),
             ServerLine::Load(_) => {}
--- a/lab/src/virt/effects.rs
+++ b/lab/src/virt/effects.rs
@@ -64,7 +64,7 @@
             Effect::Pong { .. }
             | Effect::RejectPing { .. }
             | Effect::ForgetServer { .. }
-            | Effect::KeyUnchanged { .. }
+            | Effect::RestartRequired { .. }
             | Effect::ApplyTuning { .. }
             | Effect::SetAccepting { .. }
             | Effect::SetDraining { .. }
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -209,7 +209,7 @@
             Effect::WatchEndpoints { watch, addr, since } => self.watch_endpoints(watch, addr, since),
             Effect::StopWatch { watch } => _ = self.watches.remove(&watch).inspect(AbortHandle::abort),
             Effect::ApplyTuning { limits, order } => self.apply_tuning(*limits, order),
-            Effect::KeyUnchanged { key } => {
+            Effect::RestartRequired { key } => {
                 slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
             }
             Effect::StartTimer { after, timer } => self.start_timer(after, timer),
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The same of a read from the backend. Lines that end the session so are not forwarded.
+    /// The same of a read from the backend. Lines that end the session are not forwarded.
     async fn backend_read(
         &mut self,
         count: io::Result<usize>,
@@ -143,8 +143,8 @@
         Some(SessionEnd::Backend(BackendEnd::RESET))
     }
 
-    /// The time is up that the client has to take lines, or else the backend to answer; how the session
-    /// ends by it, where it does.
+    /// The deadline of a stalled client or of the backend's answer has passed. Returns how that ends the
+    /// session, where it does.
     fn time_expired(&mut self, client_is_stalled: bool) -> Option<SessionEnd> {
         if client_is_stalled {
             return Some(SessionEnd::ClientBroken);
@@ -183,7 +183,7 @@
             Some(Command::HandOver(peer, session)) => Some(SessionEnd::HandedOver(peer, session)),
             Some(Command::SetSuspect(suspect)) => {
                 let limits = self.hub.limits();
-                // Where the backend fails its health checks, a message gets no more time than these.
+                // Where the backend fails its health checks, a message gets no more time than a health check.
                 self.answer_timeout = if suspect { limits.probe } else { limits.silence };
                 None
             }
@@ -236,7 +236,7 @@
     let now = hub.clock.now();
     observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
     hub.notify(Event::SessionAdopted { session_id: connection_id, state: session }).await;
-    // No other command can be queued: the session had no place before.
+    // No other command can come first: the reducer did not know this session before.
     if let Some(Command::StartProxying) = commands.recv().await {
         OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
     }
@@ -347,9 +347,9 @@
             let wake_at = clock.at(wake.unwrap_or_default());
             tokio::select! {
                 biased;
-                // Commands are few, and a busy session would delay them. Then what has come, the backend's
-                // first, since its end is known by it; then what is to go; last the time, so that all that
-                // lay unread was read before it counts.
+                // Commands first: they are few, and a busy session would delay them. Then reads, the
+                // backend's first, since they tell of its end; then writes. Deadlines last, so that unread
+                // lines count.
                 command = commands.recv() => {
                     if let Some(end) = observer.command(command) {
                         return end;
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -440,8 +440,8 @@
         /// How the fields of load reports are read.
         order: ReportOrder,
     },
-    /// A changed key of a new configuration that holds from the next start on.
-    KeyUnchanged {
+    /// A key changed in the reloaded configuration, and takes effect at the next start only.
+    RestartRequired {
         /// The key's path.
         key: &'static str,
     },
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -198,7 +198,8 @@
     /// Backends of the log that discovery does not have. None from a leader that discovery never answered:
     /// its list may be old.
     fn removed_backends(&self) -> Vec<Observation> {
-        let Some(coordination) = self.coordination.as_ref().filter(|_| self.discovery_contacted.is_some())
+        let Some(coordination) =
+            self.coordination.as_ref().filter(|_| self.last_discovery_answer_at.is_some())
         else {
             return Vec::new();
         };
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -25,11 +25,11 @@
 /// What changes the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LifecycleEvent {
-    /// An operator's command.
+    /// An operator's command: migrate the sessions and accept none.
     Drain,
-    /// An operator's command.
+    /// An operator's command: end the drain.
     Activate,
-    /// A signal.
+    /// SIGTERM.
     Stop,
     /// This process takes over from its predecessor.
     TakeOver,
@@ -50,7 +50,7 @@
     StartDraining,
     /// Both.
     StartAcceptingAndDraining,
-    /// Sessions that were not moved stay, and `PING` is answered again.
+    /// Sessions that were not migrated stay, and `PING` is answered again.
     StopDraining,
     /// No connection is accepted any more.
     StopAccepting,
@@ -82,6 +82,7 @@
         row(AwaitingTakeover, TakeOverDraining, Draining, StartAcceptingAndDraining),
         row(AwaitingTakeover, Drain, AwaitingTakeover, Reject),
         row(AwaitingTakeover, Activate, AwaitingTakeover, Reject),
+        // The predecessor keeps the listening socket, so this process stops as one that gave it away.
         row(AwaitingTakeover, Stop, HandedOverStopping, StartDraining),
         row(Serving, Drain, Draining, StartDraining),
         row(Serving, Stop, Stopping, StartDraining),
@@ -256,8 +257,8 @@
         self.answer_pings(out);
     }
 
-    /// Answers the connections that sent `PING`: not while the process starts or stops, with a rejection
-    /// while it drains.
+    /// Answers the connections that sent `PING`: `PONG` while this process or its successor serves, a
+    /// rejection while it drains. They wait while it starts, knows no server, or stops without a successor.
     pub(super) fn answer_pings(&mut self, out: &mut Vec<Effect>) {
         let accepts = match self.lifecycle {
             Lifecycle::Serving if self.has_servers() => true,
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -206,7 +206,7 @@
         if self.list_version.is_some_and(|own| own >= list.generation) {
             return;
         }
-        if self.discovery_contacted.is_some() {
+        if self.last_discovery_answer_at.is_some() {
             list.instances.retain(|one| one.phase != Phase::Ready);
             list.is_complete = false;
         }
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,16 +1,16 @@
 //! The reducer owns all state of a relay: [`Reducer::step`] takes an event and appends effects, which the
 //! tasks of `net` carry out.
 //!
-//! It reads no clock, no socket and no unseeded chance, so the same events give the same effects.
+//! It reads no clock, no socket and no unseeded randomness, so the same events give the same effects.
 //! Load-balancing decisions are the balancer's; the reducer maps events to its inputs and its effects into
 //! dials, answers and timers.
 //!
 //! Four rules hold at all times: 1. Each session gets exactly one final answer in its time, and nothing after
-//! it. 2. No effect happens twice: what may run once only is retried or rejected only where no earlier
+//! it. 2. No session runs twice: one that may run only once is retried or rejected only where no earlier
 //! attempt can have run. 3. Nothing new goes to a backend later than the drain grace after this relay was
 //! notified that it drains or is gone. 4. All relays together do not overload a backend in slow start.
 //!
-//! A relay that receives nothing from others never admits or dials more for it.
+//! Silence from other relays never makes a relay admit or dial more.
 mod balancer_effects;
 mod control;
 mod coordination;
@@ -48,7 +48,7 @@
 pub use metrics::{Metrics, Outcomes};
 
 use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessId};
-use hallrelay_balancer::Relay;
+use hallrelay_balancer::Balancer;
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::SessionCounts;
@@ -84,7 +84,7 @@
 pub struct Reducer {
     /// The configuration in force.
     node: Node,
-    balancer: Relay,
+    balancer: Balancer,
     /// The time of the event that is being handled, in microseconds.
     now: Micros,
     sessions: BTreeMap<SessId, Session>,
@@ -122,9 +122,9 @@
     /// This relay's own sessions as of its last report.
     reported_counts: SessionCounts,
     /// When discovery answered last since the start; `None` where it has not.
-    discovery_contacted: Option<Micros>,
+    last_discovery_answer_at: Option<Micros>,
     /// When it answered the time before.
-    discovery_contacted_before: Option<Micros>,
+    previous_discovery_answer_at: Option<Micros>,
     /// Lists of other relays that were received before discovery answered.
     peer_lists_received: u32,
     /// Whether discovery had answered one of those relays.
@@ -150,15 +150,15 @@
             predecessor_remaining: Remaining::default(),
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
-            balancer: Relay::new(node.site.facts.clone(), node.seed),
+            balancer: Balancer::new(node.site.facts.clone(), node.seed),
             metrics: Metrics::with_listeners(&node.site.listeners),
             membership: None,
             stored: None,
             store_health: None,
             coordination: None,
             reported_counts: SessionCounts::default(),
-            discovery_contacted: None,
-            discovery_contacted_before: None,
+            last_discovery_answer_at: None,
+            previous_discovery_answer_at: None,
             peer_lists_received: 0,
             peer_knew_discovery: false,
             removed_servers: BTreeMap::new(),
@@ -193,15 +193,16 @@
         self.start_voter(stored.as_deref(), out);
         self.start_review(out);
         let recovered = stored.map(|stored| self.recover_state(now, &stored, out)).unwrap_or_default();
-        let stored = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
-        let known = stored.unwrap_or(List { is_complete: true, ..self.node.known.clone() });
-        self.list_version = Some(known.generation);
-        let start = now.max(recovered.min_start_number);
-        self.membership = membership::new_membership(&self.node, start);
-        self.apply_list(known, out);
+        let stored_list = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
+        let initial_list = stored_list.unwrap_or(List { is_complete: true, ..self.node.known.clone() });
+        self.list_version = Some(initial_list.generation);
+        // The Unix time, but above every start number that the store knows.
+        let start_number = now.max(recovered.min_start_number);
+        self.membership = membership::new_membership(&self.node, start_number);
+        self.apply_list(initial_list, out);
         self.restore_slow_start_slots(&recovered, out);
         if self.ownership.awaited_predecessor().is_none() {
-            self.persist_identity(start, out);
+            self.persist_identity(start_number, out);
             self.start_polling_peers(out);
         }
         // Otherwise the balancer requests the watch.
@@ -278,7 +279,7 @@
             Timer::PollPeers => self.poll_peers(out),
             Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
             Timer::LeaderReview => self.review(out),
-            Timer::PendingRequest(ops) => self.retry_request(ops, out),
+            Timer::PendingRequest(request_number) => self.retry_request(request_number, out),
         }
     }
 }
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -38,7 +38,7 @@
     }
 
     pub(super) fn poll_peers(&mut self, out: &mut Vec<Effect>) {
-        if self.discovery_contacted.is_some() || !self.ownership.is_owner() {
+        if self.last_discovery_answer_at.is_some() || !self.ownership.is_owner() {
             return;
         }
         let after = if self.peer_knew_discovery { SLOW_POLL_INTERVAL } else { POLL_INTERVAL };
@@ -57,7 +57,7 @@
     pub(super) fn send_list_to_peer(&mut self, stream: u64, out: &mut Vec<Effect>) {
         let answer = self.encoded_list().map(|list| PeerList {
             source: self.node.discovery.to_string(),
-            age_ms: self.discovery_contacted.map(|at| self.now.saturating_sub(at) / 1000),
+            age_ms: self.last_discovery_answer_at.map(|at| self.now.saturating_sub(at) / 1000),
             list,
         });
         let bytes = answer.and_then(|answer| serde_json::to_vec(&answer).ok());
@@ -66,7 +66,7 @@
 
     /// Another relay's list. It is not used once discovery has answered.
     pub(super) fn receive_peer_list(&mut self, name: &str, bytes: &[u8], out: &mut Vec<Effect>) {
-        if self.discovery_contacted.is_some() {
+        if self.last_discovery_answer_at.is_some() {
             return;
         }
         let Ok(answer) = serde_json::from_slice::<PeerList>(bytes) else { return };
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -72,7 +72,7 @@
         RecoveryPhase::of(&PhaseInput {
             servers: ready.clone().count(),
             servers_in_slow_start: ready.filter(in_slow_start).count(),
-            discovery_contacted: self.discovery_contacted.is_some(),
+            discovery_contacted: self.last_discovery_answer_at.is_some(),
             list_from_peer: self.peer_lists_received > 0,
         })
     }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -131,7 +131,7 @@
             return known.started_at;
         }
         let is_ahead = listed_start > self.now;
-        let before = self.discovery_contacted_before.filter(|_| update == ListUpdate::Delta);
+        let before = self.previous_discovery_answer_at.filter(|_| update == ListUpdate::Delta);
         let is_long_before_last_list =
             before.is_some_and(|then| listed_start.saturating_add(MAX_START_REPORT_DELAY) < then);
         if is_ahead || is_long_before_last_list {
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -34,8 +34,8 @@
         self.abandon_session(connection_id, out);
     }
 
-    /// A session ends by its client's doing. The balancer is notified, unless the session still waits to be
-    /// resumed.
+    /// Removes a session without an answer: its client left or violated the protocol, or another process has
+    /// taken it over. The balancer is notified, unless the session still waits to be resumed.
     pub(super) fn abandon_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         self.metrics.of_listener(&session.listener).abandoned += u64::from(session.stage.awaits_answer());
@@ -145,8 +145,9 @@
         self.dial_resuming_session(session_id, out);
     }
 
-    /// Sends the final answer of a session. It is the only place that does so; a client whose time was up
-    /// long ago, since this process was not scheduled, gets none.
+    /// Removes a session, counts its outcome and sends its final answer. A client whose time was up long ago,
+    /// since this process was not scheduled, gets none. Only `client_half_closed` sends one elsewhere: that
+    /// counts as abandoned.
     pub(super) fn send_final_answer(&mut self, session_id: SessId, answer: Effect, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&session.listener);
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -31,7 +31,7 @@
         } else if w.delivering != Some(watch) {
             return;
         }
-        self.discovery_contacted_before = self.discovery_contacted.replace(self.now);
+        self.previous_discovery_answer_at = self.last_discovery_answer_at.replace(self.now);
         self.remember_removed_servers(&list);
         self.persist_list(&list, out);
         self.send_list_to_successor(&list, out);
@@ -58,7 +58,7 @@
     /// Takes over a new, valid configuration. Keys that hold from the next start on only are logged.
     pub(super) fn configuration_reloaded(&mut self, node: Node, out: &mut Vec<Effect>) {
         self.metrics.reloads += 1;
-        out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::KeyUnchanged { key }));
+        out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::RestartRequired { key }));
         self.apply_settings(&node, out);
         if let (Some(own), Some(new)) = (&mut self.node.fleet, &node.fleet) {
             if own.peers != new.peers {
--- a/sim_adapter/src/main.rs
+++ b/sim_adapter/src/main.rs
@@ -11,7 +11,7 @@
 use error::WireError;
 use frame::Batch;
 use hallrelay_balancer::types::{Effect, Micros};
-use hallrelay_balancer::Relay;
+use hallrelay_balancer::Balancer;
 use hallrelay_config::facts::ReportOrder;
 use record::Event;
 use reply::Reply;
@@ -21,7 +21,7 @@
 
 /// One relay of the simulated fleet.
 struct Instance {
-    relay: Relay,
+    relay: Balancer,
     report_order: ReportOrder,
 }
 
@@ -68,7 +68,7 @@
     fn start(&mut self, number: u16, seed: u64, settings: &[u8], reply: &mut Reply) {
         match hallrelay_config::settings(settings) {
             Ok(site) => {
-                let relay = Relay::new(site.facts, seed);
+                let relay = Balancer::new(site.facts, seed);
                 self.instances.insert(number, Instance { relay, report_order: site.report });
             }
             Err(error) => {
--- a/soak/tests/single_faults.rs
+++ b/soak/tests/single_faults.rs
@@ -62,6 +62,8 @@
     ScheduledFault { kind, from: Duration::from_millis(from_ms), until: Duration::from_millis(until_ms) }
 }
 
+/// `value` is a part of all calls in thousandths, or for slow calls the time that each takes, in
+/// milliseconds.
 fn calls(fault: SystemFault, value: i64) -> FaultKind {
     FaultKind::SystemCalls { relay: 0, fault, value }
 }
@@ -232,11 +234,11 @@
     breaks_nothing(&alone(1_014, faults));
 }
 
-/// There is no route to one backend, which the system reports at once: it ranks as silent, and sessions do
-/// not try it one after the other.
+/// There is no route to one backend, which the system reports at once: it is ranked unhealthy, and
+/// sessions do not try it one after the other.
 #[test]
 fn a_backend_without_a_route_delays_few_sessions() {
-    /// Beyond what a session takes whose first dial comes up.
+    /// Longer than a session takes whose first dial succeeds.
     const DELAYED: Duration = Duration::from_millis(150);
     let report = alone(1_015, vec![span(FaultKind::NoRoute { backend: 0 }, 1_000, 7_500)]);
     breaks_nothing(&report);
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -417,7 +417,7 @@
             }
             Effect::StopWatch { watch } => format!("unwatch {watch}"),
             Effect::ApplyTuning { .. } => "tuned".to_string(),
-            Effect::KeyUnchanged { key } => format!("kept {key}"),
+            Effect::RestartRequired { key } => format!("kept {key}"),
             Effect::StartTimer { .. } => "alarm".to_string(),
             Effect::SetAccepting { accepting: on } => {
                 if *on { "accept" } else { "leave the door" }.to_string()
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -9,7 +9,7 @@
 mod helpers;
 
 use hallrelay_balancer::types::*;
-use hallrelay_balancer::Relay;
+use hallrelay_balancer::Balancer;
 use helpers::{Loopback, MembershipSubject, Program};
 use std::collections::BTreeMap;
 
@@ -206,7 +206,7 @@
 #[derive(Default)]
 struct Module {
     site: Option<SiteConfig>,
-    relay: Option<Relay>,
+    relay: Option<Balancer>,
     alarms: BTreeMap<(Micros, usize), u32>,
     effects: Vec<Effect>,
 }
@@ -215,7 +215,7 @@
     fn step(&mut self, now: Micros, input: Input) {
         let mut out = Vec::new();
         let facts = self.site.get_or_insert_with(site);
-        self.relay.get_or_insert_with(|| Relay::new(facts.clone(), 7)).step(now, input, &mut out);
+        self.relay.get_or_insert_with(|| Balancer::new(facts.clone(), 7)).step(now, input, &mut out);
         for effect in &out {
             if let Effect::SetTimer { after, label } = *effect {
                 self.alarms.insert((now + after, self.alarms.len()), label);
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: instances of the decision module before modelled backends. Everything that is
 //! drawn comes from one seed, so a play gives the same result every time.
 use hallrelay_balancer::types::*;
-use hallrelay_balancer::Relay;
+use hallrelay_balancer::Balancer;
 use std::collections::{BTreeMap, HashMap};
 
 pub const MILLISECOND: Micros = 1_000;
@@ -106,7 +106,7 @@
     pub deeds: Vec<Vec<(Micros, Deed)>>,
     /// The mean life of a session.
     pub session_life: Micros,
-    relays: Vec<Relay>,
+    relays: Vec<Balancer>,
     standing: Vec<HashMap<SessId, Standing>>,
     due: BTreeMap<(Micros, u64), Happening>,
     scheduled: u64,
@@ -119,7 +119,7 @@
     pub fn new(site: SiteConfig, seed: u64) -> Fleet {
         let relay = |slot: u32| {
             let facts = SiteConfig { relay_index: slot, ..site.clone() };
-            Relay::new(facts, seed.wrapping_mul(1_000).wrapping_add(u64::from(slot)))
+            Balancer::new(facts, seed.wrapping_mul(1_000).wrapping_add(u64::from(slot)))
         };
         let count = site.relay_count as usize;
         Fleet {
--- a/tests/short_days/unheard.rs
+++ b/tests/short_days/unheard.rs
@@ -2,7 +2,7 @@
 //! it must find out that they have room again.
 use crate::fleet::{two_listeners, MILLISECOND, SECOND};
 use hallrelay_balancer::types::*;
-use hallrelay_balancer::Relay;
+use hallrelay_balancer::Balancer;
 
 const BACKENDS: u32 = 6;
 /// Clients come so often.
@@ -13,12 +13,12 @@
 /// A relay may not turn away all sessions for so long.
 const LONGEST: Micros = 4 * SECOND;
 
-fn relay() -> Relay {
-    Relay::new(SiteConfig { may_probe: false, ..two_listeners(6) }, 7)
+fn relay() -> Balancer {
+    Balancer::new(SiteConfig { may_probe: false, ..two_listeners(6) }, 7)
 }
 
 /// Gives an input and answers each dial at once; whether there was any.
-fn dials(relay: &mut Relay, now: Micros, input: Input) -> bool {
+fn dials(relay: &mut Balancer, now: Micros, input: Input) -> bool {
     let (mut inputs, mut dialled, mut dials_of_session) = (vec![input], false, 0);
     while let Some(input) = inputs.pop() {
         let mut effects = Vec::new();
