--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -74,8 +74,8 @@
     #[error(
         "this day wants about {needed} descriptors in this process ({sessions:.0} sessions at once, two \
          each, and {listeners} listening sockets), and the limit of open files (RLIMIT_NOFILE) is \
-         {soft_limit}, {hard_limit} at most: lower load.rate, load.standing or relays.count, raise the limit with \
-         `ulimit -n`, or play it with --virtual"
+         {soft_limit}, {hard_limit} at most: lower load.rate, load.standing or relays.count, raise the limit \
+         with `ulimit -n`, or play it with --virtual"
     )]
     DescriptorLimit {
         /// Descriptors that the day needs.
