--- a/config/src/limits/derived.rs
+++ b/config/src/limits/derived.rs
@@ -1,5 +1,7 @@
 //! The limits that follow from the site's settings and the number of file descriptors.
-use super::constants::{FLEET_STREAMS, MILLISECOND, OPERATOR_CONNECTIONS, SECOND, TAKEOVER_CONNECTIONS};
+use super::constants::{
+    MAX_FLEET_STREAMS, MAX_OPERATOR_CONNECTIONS, MAX_TAKEOVER_CONNECTIONS, MILLISECOND, SECOND,
+};
 use super::Uses;
 use crate::error::ConfigError;
 use crate::facts::Site;
@@ -10,7 +12,7 @@
 /// The socket of the operators' HTTP interface.
 const OPERATOR_LISTENER: usize = 1;
 /// The socket for a hot restart and the connections there, with one in reserve.
-const TAKEOVER_SOCKETS: usize = TAKEOVER_CONNECTIONS + 2;
+const TAKEOVER_SOCKETS: usize = MAX_TAKEOVER_CONNECTIONS + 2;
 /// The lock, the log, the file that is to replace the log, and the directory.
 const STATE_FILES: usize = 4;
 /// The datagram socket and the listening socket of the membership.
@@ -39,8 +41,8 @@
 /// # Errors
 /// The rest, beside the parts of the program that need descriptors of their own, is under four.
 pub(super) fn session_sockets(sockets: usize, uses: Uses) -> Result<usize, ConfigError> {
-    let operator_sockets = OPERATOR_CONNECTIONS + OPERATOR_LISTENER + TAKEOVER_SOCKETS;
-    let fleet_sockets = 2 * FLEET_STREAMS + FLEET_LISTENERS;
+    let operator_sockets = MAX_OPERATOR_CONNECTIONS + OPERATOR_LISTENER + TAKEOVER_SOCKETS;
+    let fleet_sockets = 2 * MAX_FLEET_STREAMS + FLEET_LISTENERS;
     let own_sockets = BASE_SOCKETS
         + usize::from(uses.operator) * operator_sockets
         + usize::from(uses.state) * STATE_FILES
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -102,7 +102,7 @@
 fn derive_limits(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), ConfigError> {
     let limits = Limits::new(&site, sockets, uses)?;
     // No more sessions than this machine has descriptors for.
-    site.facts.max_sessions = site.facts.max_sessions.min(limits.sessions);
+    site.facts.max_sessions = site.facts.max_sessions.min(limits.max_sessions);
     Ok((site, limits))
 }
 
--- a/config/tests/limits.rs
+++ b/config/tests/limits.rs
@@ -27,10 +27,22 @@
         for (l, kill) in [(l, kill), (short, timeout.min(3_000) * MS + 700 * MS)] {
             // Clients come for 0.4 s; moves are spread over some ticks of 50 ms, and the last ones have time
             // to go.
-            assert!(l.stop_from >= 250 * MS && l.stop_from + 100 * MS <= l.stop_by, "{timeout}: {l:?}");
-            assert!(l.stop_by + 200 * MS <= l.stop_end && l.stop_end + 100 * MS <= kill, "{timeout}: {l:?}");
-            assert!(l.stop_least >= 400 * MS && l.stop_least <= l.stop_end, "{timeout}: {l:?}");
-            assert!(l.leave_from < l.leave_by && l.leave_by + 300 * MS <= kill, "{timeout}: {l:?}");
+            assert!(
+                l.stop_first_migration_delay >= 250 * MS
+                    && l.stop_first_migration_delay + 100 * MS <= l.stop_last_migration_delay,
+                "{timeout}: {l:?}"
+            );
+            assert!(
+                l.stop_last_migration_delay + 200 * MS <= l.stop_end_delay
+                    && l.stop_end_delay + 100 * MS <= kill,
+                "{timeout}: {l:?}"
+            );
+            assert!(l.min_stop_delay >= 400 * MS && l.min_stop_delay <= l.stop_end_delay, "{timeout}: {l:?}");
+            assert!(
+                l.leave_first_migration_delay < l.leave_last_migration_delay
+                    && l.leave_last_migration_delay + 300 * MS <= kill,
+                "{timeout}: {l:?}"
+            );
         }
     }
 }
@@ -42,7 +54,11 @@
     let of = |relays: u32| limits(|settings| settings["Instances"] = json!(relays));
     for (relays, wanted) in [(1, 3_000), (2, 3_000), (3, 400), (300, 400)] {
         let l = of(relays);
-        assert_eq!((l.stop_from, l.stop_by), (wanted * MS, 3_350 * MS), "{relays} relays");
+        assert_eq!(
+            (l.stop_first_migration_delay, l.stop_last_migration_delay),
+            (wanted * MS, 3_350 * MS),
+            "{relays} relays"
+        );
     }
 }
 
@@ -52,8 +68,8 @@
 fn a_watch_outlives_any_time_for_asking() {
     for within in [0, 10, 1_000, 3_000, 10_000, 600_000] {
         let l = limits(|settings| settings["Rules"]["AskWithin"] = json!(within));
-        assert!(l.discovery_doubt > 2_000 * MS, "{within}: {l:?}");
-        assert!((500 * MS..=4_000 * MS).contains(&l.discovery_first), "{within}: {l:?}");
+        assert!(l.discovery_watch_timeout > 2_000 * MS, "{within}: {l:?}");
+        assert!((500 * MS..=4_000 * MS).contains(&l.discovery_answer_timeout), "{within}: {l:?}");
     }
 }
 
@@ -68,7 +84,7 @@
             settings["Rules"]["DrainGrace"] = json!(grace);
             settings["Ceilings"]["ConnectTimeout"] = json!(connect);
         });
-        assert_eq!(l.connect, wanted * MS, "a grace of {grace} ms");
-        assert!(l.connect <= grace * MS + 50 * MS);
+        assert_eq!(l.connect_timeout, wanted * MS, "a grace of {grace} ms");
+        assert!(l.connect_timeout <= grace * MS + 50 * MS);
     }
 }
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -25,7 +25,7 @@
         let reach = self.day.servers.reachability(server, relay);
         let fault = if reach == Reachability::Open { self.day.servers.draw_wire_fault(server) } else { None };
         let r = &mut self.relays[relay];
-        let connect_timeout = r.limits.connect;
+        let connect_timeout = r.limits.connect_timeout;
         let session = r.sessions.get_mut(&session_id);
         if let Some(session) = session {
             session.dials = dial + 1;
--- a/lab/src/virt/discovery.rs
+++ b/lab/src/virt/discovery.rs
@@ -13,7 +13,7 @@
         let relay = process.relay;
         let round_trip = 2 * self.server_latency();
         if self.day.list_cut[relay] {
-            let timeout = self.relays[relay].limits.discovery_first;
+            let timeout = self.relays[relay].limits.discovery_answer_timeout;
             self.day.audit.list_call_failed(relay);
             self.notify_after(timeout, relay, Event::EndpointWatchFailed { watch });
         } else if self.is_discovery_down {
@@ -91,7 +91,7 @@
     /// not answered either.
     fn fail_silent_watches(&mut self, relay: usize) {
         let limits = &self.relays[relay].limits;
-        let noticed_after = limits.discovery_doubt + limits.discovery_first;
+        let noticed_after = limits.discovery_watch_timeout + limits.discovery_answer_timeout;
         for watch in std::mem::take(&mut self.relays[relay].watches) {
             self.notify_after(noticed_after, relay, Event::EndpointWatchFailed { watch: watch.id });
         }
--- a/lab/src/virt/effects.rs
+++ b/lab/src/virt/effects.rs
@@ -96,7 +96,7 @@
         todo: &mut DriverActions,
     ) {
         let latency = self.server_latency();
-        let deadline = sent_at + self.relays[relay].limits.probe;
+        let deadline = sent_at + self.relays[relay].limits.probe_timeout;
         let (after, end, report) = match self.day.servers.reachability(index, relay) {
             Reachability::Refused => (latency, DialEnd::Unconnected, None),
             Reachability::Unresponsive => (deadline.saturating_sub(self.now), DialEnd::Timeout, None),
--- a/lab/src/virt/silence.rs
+++ b/lab/src/virt/silence.rs
@@ -25,7 +25,7 @@
         if self.day.servers.can_send(dial.server, relay) {
             return;
         }
-        let timeout = if session.is_suspect { r.limits.probe } else { r.limits.silence };
+        let timeout = if session.is_suspect { r.limits.probe_timeout } else { r.limits.silence_timeout };
         let period = self.day.scenario.clients.message_s.us();
         // Each client sends a message every period, with an offset of its own.
         let offset = mix(session.mark) % period;
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -188,7 +188,7 @@
 fn serve(run_args: RunArgs, verbose: u8) -> Result<u8, CliError> {
     signals::block();
     let node = run_args.read(&run_args.overrides())?;
-    let log = logger(verbose, node.limits.log_lines);
+    let log = logger(verbose, node.limits.max_queued_log_lines);
     let at_reload = run_args.overrides().for_reload();
     let read_configuration = move || run_args.read(&at_reload);
     let serving = serve::run(node, read_configuration, log);
--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -16,7 +16,8 @@
 /// leaves its connections to another process.
 pub async fn run(listener: Rc<TcpListener>, mut accepting: watch::Receiver<bool>, hub: Hub) {
     // A connection over the limit waits no longer than it takes to shed one before it.
-    let places = Arc::new(Semaphore::new(hub.limits().clients + hub.limits().shedding));
+    let places =
+        Arc::new(Semaphore::new(hub.limits().max_client_connections + hub.limits().max_shedding_connections));
     loop {
         if accepting.wait_for(|accepting| *accepting).await.is_err() {
             return;
--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -148,7 +148,7 @@
 async fn next_command(client: &TcpStream, commands: &mut Receiver<Command>, hub: &Hub) -> Option<Command> {
     loop {
         match commands.recv().await {
-            Some(Command::Pong(line)) => _ = close::write_all(client, line, hub.limits().end).await,
+            Some(Command::Pong(line)) => _ = close::write_all(client, line, hub.limits().close_timeout).await,
             Some(Command::Shed | Command::SetSuspect(_)) => {}
             command => return command,
         }
--- a/relay/src/net/close.rs
+++ b/relay/src/net/close.rs
@@ -20,7 +20,7 @@
     commands: &mut Receiver<Command>,
     hub: &Hub,
 ) {
-    if !write_all(&client, answer, hub.limits().end).await {
+    if !write_all(&client, answer, hub.limits().close_timeout).await {
         return;
     }
     // The answer is out: shedding loses only the graceful close. Other commands that were queued before
@@ -69,7 +69,7 @@
             }
         }
     };
-    _ = timeout(span(hub.limits().end), drain).await;
+    _ = timeout(span(hub.limits().close_timeout), drain).await;
 }
 
 /// Ends a connection by a reset.
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -105,8 +105,8 @@
 }
 
 async fn receive_answer(stream: TcpStream, deadline: Instant, limits: &Limits, hub: &Hub) -> DialOutcome {
-    let mut buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
-    let answer = read::read_line(&stream, &mut buffer, limits.line);
+    let mut buffer = Buffer::new(limits.initial_buffer_bytes, limits.max_buffer_bytes);
+    let answer = read::read_line(&stream, &mut buffer, limits.max_line_bytes);
     let Ok(answer) = timeout_at(deadline, answer).await else {
         return DialOutcome::Failed(DialEnd::Timeout, None);
     };
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -132,10 +132,10 @@
     let path = format!("{LIST_PATH}?follow=1&since={since}");
     let first = async {
         let mut call = OpenCall { body: call(addr, &path).await?, values: Values::default() };
-        let list = call.next(limits.list).await?;
+        let list = call.next(limits.max_list_line_bytes).await?;
         Ok(Opened { call, list })
     };
-    timeout(span(limits.discovery_first), first).await.unwrap_or(Err(WatchError::NoAnswer))
+    timeout(span(limits.discovery_answer_timeout), first).await.unwrap_or(Err(WatchError::NoAnswer))
 }
 
 type Opening = Pin<Box<dyn Future<Output = Result<Opened, WatchError>>>>;
@@ -162,7 +162,7 @@
             let (call, list) = tokio::select! {
                 biased;
                 // What the open call brings settles any doubt about it.
-                next = next_list(&mut current, limits.list), if current.is_some() => {
+                next = next_list(&mut current, limits.max_list_line_bytes), if current.is_some() => {
                     match next {
                         Ok(list) => (current.take(), list),
                         // Another one is being opened already.
@@ -179,7 +179,7 @@
                 }
                 // One that is silent for too long is doubted: it may miss changes. The next is opened beside
                 // it, from the version that was received last.
-                () = sleep_until(last_received_at + span(limits.discovery_doubt)), if opening.is_none() => {
+                () = sleep_until(last_received_at + span(limits.discovery_watch_timeout)), if opening.is_none() => {
                     slog::debug!(self.hub.log, "the watch of the list is doubted"; "at" => %self.addr);
                     opening = Some(self.open(since));
                     continue;
@@ -202,7 +202,9 @@
     /// Fetches and reports the whole list; returns its version.
     async fn whole_list(&self) -> Result<u64, WatchError> {
         let limits = self.hub.limits();
-        let fetched = timeout(span(limits.discovery_first), fetch_list(self.addr, limits.list)).await;
+        let fetched =
+            timeout(span(limits.discovery_answer_timeout), fetch_list(self.addr, limits.max_list_line_bytes))
+                .await;
         let list = fetched.unwrap_or(Err(WatchError::NoList))?;
         let since = list.generation;
         let list = List { is_complete: true, ..list };
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -255,7 +255,7 @@
         let is_pending = |ticket: &u64| self.state_store.as_ref().is_some_and(|s| !s.is_settled(*ticket));
         match ticket.filter(is_pending) {
             Some(ticket) => {
-                let until = self.hub.clock.now() + self.hub.limits().state_wait;
+                let until = self.hub.clock.now() + self.hub.limits().state_write_timeout;
                 self.waiting_dials.push_back(WaitingDial { ticket, until, session_id, command });
             }
             None => self.hub.command(session_id, command),
@@ -279,7 +279,7 @@
     }
 
     fn check_health(&mut self, server: ServerId, addr: SocketAddr) {
-        let keep_connection = self.health_checks.len() < self.hub.limits().probes;
+        let keep_connection = self.health_checks.len() < self.hub.limits().max_probe_connections;
         let requests = self.health_checks.entry(server).or_insert_with(|| {
             // The balancer requests one check of a server at a time.
             let (to, requests) = mpsc::channel(1);
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -59,8 +59,8 @@
     // One time for all that comes before the session: a client that sends a little now and then would stay
     // for ever.
     let connected_at = Instant::now();
-    let deadline = connected_at + span(limits.first_line);
-    let buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
+    let deadline = connected_at + span(limits.first_line_timeout);
+    let buffer = Buffer::new(limits.initial_buffer_bytes, limits.max_buffer_bytes);
     hub.notify(Event::ClientConnected { connection_id }).await;
     let pending_pongs = 0;
     NewConnection { connection_id, client, buffer, hub, limits, connected_at, deadline, pending_pongs }
@@ -101,12 +101,12 @@
     }
 
     async fn next_input(&mut self, commands: &mut Receiver<Command>) -> Input {
-        let may_read = self.pending_pongs < self.limits.commands / 2;
+        let may_read = self.pending_pongs < self.limits.max_queued_commands / 2;
         tokio::select! {
             biased;
             // A line that is there goes before a command to shed the connection, and before its deadline: the
             // process may not have been scheduled while the line lay there.
-            read = read::read_some(&self.client, &mut self.buffer, self.limits.line), if may_read => {
+            read = read::read_some(&self.client, &mut self.buffer, self.limits.max_line_bytes), if may_read => {
                 match read {
                     Ok(Some(line)) => Input::Line(line),
                     Ok(None) => Input::Part,
@@ -138,7 +138,7 @@
             }
             Input::Command(Some(Command::Pong(line))) => {
                 self.pending_pongs = self.pending_pongs.saturating_sub(1);
-                let written = close::write_all(&self.client, line, self.limits.end).await;
+                let written = close::write_all(&self.client, line, self.limits.close_timeout).await;
                 if written {
                     Step::Continue
                 } else {
@@ -153,8 +153,8 @@
 
     /// A slow client has a little more time for as long as its line grows.
     fn extend_deadline(&mut self) {
-        let pause_ends = Instant::now() + span(self.limits.first_line_pause);
-        let latest = self.connected_at + span(self.limits.first_line_most);
+        let pause_ends = Instant::now() + span(self.limits.first_line_pause_timeout);
+        let latest = self.connected_at + span(self.limits.max_first_line_timeout);
         self.deadline = self.deadline.max(pause_ends.min(latest));
     }
 
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -38,7 +38,7 @@
     let mut idle: Option<Connection> = None;
     loop {
         let request = if idle.is_some() {
-            match timeout(span(hub.limits().probe_idle), requests.recv()).await {
+            match timeout(span(hub.limits().probe_idle_timeout), requests.recv()).await {
                 Ok(request) => request,
                 Err(_) => {
                     idle = None;
@@ -50,7 +50,7 @@
         };
         let Some(addr) = request else { return };
         let usable = idle.take().filter(|connection| connection.addr == addr && is_idle(&connection.stream));
-        let (end, report) = match timeout(span(hub.limits().probe), check(addr, usable, &hub)).await {
+        let (end, report) = match timeout(span(hub.limits().probe_timeout), check(addr, usable, &hub)).await {
             Ok(Ok((report, connection))) => {
                 idle = Some(connection).filter(|_| keep_connection);
                 (DialEnd::Ok, report)
@@ -73,13 +73,13 @@
 ) -> Result<(Option<LoadReport>, Connection), CheckFailure> {
     let limits = hub.limits();
     if let Some(mut connection) = idle {
-        match timeout(span(limits.probe / 2), request_report(&mut connection, hub)).await {
+        match timeout(span(limits.probe_timeout / 2), request_report(&mut connection, hub)).await {
             Err(_) | Ok(Err(CheckFailure { end: DialEnd::Reset, .. })) => {}
             Ok(result) => return result.map(|report| (report, connection)),
         }
     }
     let stream = connect(addr, hub).await?;
-    let buffer = Buffer::new(limits.buffer_first, limits.buffer_most);
+    let buffer = Buffer::new(limits.initial_buffer_bytes, limits.max_buffer_bytes);
     let mut connection = Connection { addr, stream, buffer };
     let report = request_report(&mut connection, hub).await?;
     Ok((report, connection))
@@ -92,7 +92,7 @@
 }
 
 async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, CheckFailure> {
-    let deadline = Instant::now() + span(hub.limits().connect);
+    let deadline = Instant::now() + span(hub.limits().connect_timeout);
     hub.connect(addr, deadline).await.map_err(|error| match error {
         // A fault of this machine shows nothing of the backend.
         ConnectError::Local(_) => DialEnd::NotSent.into(),
@@ -104,10 +104,10 @@
 async fn request_report(connection: &mut Connection, hub: &Hub) -> Result<Option<LoadReport>, CheckFailure> {
     let limits = hub.limits();
     let Connection { stream, buffer, .. } = connection;
-    if !close::write_all(stream, lines::STATS, limits.probe).await {
+    if !close::write_all(stream, lines::STATS, limits.probe_timeout).await {
         return Err(DialEnd::Reset.into());
     }
-    let reply = read::read_line(stream, buffer, limits.line).await.map_err(|_| DialEnd::Reset)?;
+    let reply = read::read_line(stream, buffer, limits.max_line_bytes).await.map_err(|_| DialEnd::Reset)?;
     match lines::parse_backend_reply(&reply, hub.report_order()) {
         BackendReply::Pong(report) => Ok(report),
         BackendReply::Busy(report) => Err(CheckFailure { end: DialEnd::Full, report }),
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -102,7 +102,7 @@
         return Ok(None);
     };
     stream
-        .set_read_timeout(Some(span(node.limits.offer)))
+        .set_read_timeout(Some(span(node.limits.listener_offer_timeout)))
         .map_err(|source| TakeoverError::Socket { path: path.to_path_buf(), source })?;
     let hello = Message::Hello { version: VERSION, name: node.name.clone(), listen: node.listen.to_string() };
     if io::Write::write_all(&mut &stream, &encode(&hello)?).is_err() {
@@ -206,7 +206,7 @@
         }
         Ok(())
     };
-    matches!(timeout(span(hub.limits().offer), send).await, Ok(Ok(())))
+    matches!(timeout(span(hub.limits().listener_offer_timeout), send).await, Ok(Ok(())))
 }
 
 /// Accepts processes that request to take over, until it is dropped.
@@ -218,7 +218,7 @@
             return;
         }
     };
-    let connections = Arc::new(Semaphore::new(hub.limits().visitors));
+    let connections = Arc::new(Semaphore::new(hub.limits().max_takeover_connections));
     let mut last_peer = PREDECESSOR;
     loop {
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
@@ -270,7 +270,7 @@
     listener: Option<Rc<TcpListener>>,
     hub: Hub,
 ) -> impl Future<Output = ()> {
-    let (to_peer, outgoing) = mpsc::channel(hub.limits().passing);
+    let (to_peer, outgoing) = mpsc::channel(hub.limits().max_queued_handover_messages);
     hub.processes.borrow_mut().insert(peer, to_peer);
     Exchange { peer, stream, listener, hub }.run(outgoing)
 }
--- a/relay/src/net/interleaving_tests/lists.rs
+++ b/relay/src/net/interleaving_tests/lists.rs
@@ -21,7 +21,8 @@
 
 /// A watch that has begun at version 3, and its call.
 async fn watch(service: &TcpListener) -> (mpsc::Receiver<Event>, Peer) {
-    let (hub, events) = hub(|limits| (limits.discovery_doubt, limits.discovery_first) = (DOUBT, 4_000_000));
+    let (hub, events) =
+        hub(|limits| (limits.discovery_watch_timeout, limits.discovery_answer_timeout) = (DOUBT, 4_000_000));
     let addr = service.local_addr().expect("its address");
     tokio::task::spawn_local(discovery::run(1, addr, Some(3), hub));
     let mut call = called(service, 3).await;
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -99,7 +99,9 @@
             server.says("M 1\r\nBYE\r\n").await;
             drop(server);
             // Twice what a connect may take, while nothing of the program runs.
-            std::thread::sleep(std::time::Duration::from_micros(play.hub.limits().probe.min(100_000)));
+            std::thread::sleep(std::time::Duration::from_micros(
+                play.hub.limits().probe_timeout.min(100_000),
+            ));
             loop {
                 match play.event().await {
                     Event::SessionEnded { end, .. } => break assert_eq!(end, DialEnd::Ok),
--- a/relay/src/net/interleaving_tests/probes.rs
+++ b/relay/src/net/interleaving_tests/probes.rs
@@ -72,7 +72,7 @@
 #[test]
 fn a_kept_connection_is_closed_in_the_end() {
     play(|_| async {
-        let (hub, mut events) = hub(|limits| limits.probe_idle = 20_000);
+        let (hub, mut events) = hub(|limits| limits.probe_idle_timeout = 20_000);
         let backend = bound().await;
         let (ask, asked) = mpsc::channel(1);
         tokio::task::spawn_local(health_check::run(7, true, asked, hub));
--- a/relay/src/net/interleaving_tests/waiting.rs
+++ b/relay/src/net/interleaving_tests/waiting.rs
@@ -82,7 +82,7 @@
                 // As a reducer that has much else to do: it answers some at a time.
                 Event::Ping { connection_id } => {
                     waiting += 1;
-                    if waiting == play.hub.limits().commands / 2 {
+                    if waiting == play.hub.limits().max_queued_commands / 2 {
                         (0..std::mem::take(&mut waiting))
                             .for_each(|_| play.says(connection_id, Command::Pong(b"PONG\r\n")));
                     }
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -74,7 +74,7 @@
 impl MembershipSockets {
     /// Closed until [`MembershipSockets::set_listening`]; `bound` are sockets that are bound already.
     pub fn new(config: FleetConfig, bound: Option<BoundSockets>, hub: Hub) -> MembershipSockets {
-        let outbound_streams = Arc::new(Semaphore::new(hub.limits().fleet_streams));
+        let outbound_streams = Arc::new(Semaphore::new(hub.limits().max_fleet_streams));
         MembershipSockets {
             config: Rc::new(config),
             hub,
@@ -118,7 +118,7 @@
         let config = self.config.clone();
         let hub = self.hub.clone();
         tokio::task::spawn_local(async move {
-            let limit = span(hub.limits().fleet_stream);
+            let limit = span(hub.limits().fleet_stream_timeout);
             match timeout(limit, exchange_frames(&config, to, bytes)).await {
                 Ok(Ok(Ok(packet))) => {
                     let packet = Box::new(packet);
@@ -191,7 +191,7 @@
         tokio::select! {
             biased;
             _ = slot.tick() => {
-                left_in_slot = hub.limits().fleet_datagrams / SLOTS_PER_SECOND;
+                left_in_slot = hub.limits().max_fleet_datagrams_per_s / SLOTS_PER_SECOND;
                 slots += 1;
                 if slots.is_multiple_of(SLOTS_PER_SECOND) {
                     for (reason, count) in std::mem::take(&mut dropped) {
@@ -221,7 +221,7 @@
 
 /// Accepts other relays' streams; each is served by a task of its own.
 async fn accept_streams(listener: TcpListener, config: &FleetConfig, replies: PendingReplies, hub: &Hub) {
-    let inbound_streams = Arc::new(Semaphore::new(hub.limits().fleet_streams));
+    let inbound_streams = Arc::new(Semaphore::new(hub.limits().max_fleet_streams));
     let mut last_number = 0;
     loop {
         let stream = accept::next(&listener, "another relay's stream", hub).await;
@@ -233,7 +233,7 @@
         let replies = replies.clone();
         let hub = hub.clone();
         tokio::task::spawn_local(async move {
-            let limit = span(hub.limits().fleet_stream);
+            let limit = span(hub.limits().fleet_stream_timeout);
             if timeout(limit, serve_stream(number, stream, &fleet, &replies, &hub)).await.is_err() {
                 slog::debug!(hub.log, "another relay's stream was not whole in time");
             }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -101,7 +101,7 @@
 impl Hub {
     /// A hub, and the channel on which its tasks' events arrive.
     fn new(limits: Limits, order: ReportOrder, log: slog::Logger) -> (Hub, mpsc::Receiver<Event>) {
-        let (events, arriving) = mpsc::channel(limits.events);
+        let (events, arriving) = mpsc::channel(limits.max_queued_events);
         let hub = Hub {
             events,
             connections: Rc::new(RefCell::new(BTreeMap::new())),
@@ -140,7 +140,7 @@
             id = id.wrapping_add(1);
         }
         self.last_id.set(id);
-        let (to, commands) = mpsc::channel(self.limits().commands);
+        let (to, commands) = mpsc::channel(self.limits().max_queued_commands);
         connections.insert(id, to);
         (id, commands)
     }
--- a/relay/src/net/operator/mod.rs
+++ b/relay/src/net/operator/mod.rs
@@ -37,7 +37,7 @@
     loop {
         let stream = accept::next(&listener, "an operator's connection", &hub).await;
         open.retain(|task| !task.is_finished());
-        if open.len() >= hub.limits().callers {
+        if open.len() >= hub.limits().max_operator_connections {
             // Connections that take a place and never complete a call must not block others.
             open.pop_front().inspect(JoinHandle::abort);
         }
@@ -48,17 +48,17 @@
 async fn serve(stream: TcpStream, calls: Calls, hub: Hub) {
     let limits = hub.limits();
     let service = service_fn(|request| async {
-        let response = respond(request, &calls, limits.call_body).await;
+        let response = respond(request, &calls, limits.max_operator_body_bytes).await;
         Ok::<_, Infallible>(response)
     });
     let served = http1::Builder::new()
         .keep_alive(false)
         .timer(TokioTimer::new())
-        .header_read_timeout(span(limits.call))
-        .max_buf_size(limits.call_head)
+        .header_read_timeout(span(limits.operator_request_timeout))
+        .max_buf_size(limits.max_operator_head_bytes)
         .serve_connection(TokioIo::new(RetryingStream(stream)), service);
     // One time for the whole call, so that a body that never ends is cut off as well.
-    match timeout(span(limits.call), served).await {
+    match timeout(span(limits.operator_request_timeout), served).await {
         Ok(Ok(())) => {}
         Ok(Err(e)) => slog::debug!(hub.log, "an operator's call is broken"; "error" => %e),
         Err(_) => slog::debug!(hub.log, "an operator's call was not whole in time"),
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -68,7 +68,7 @@
 
 impl<'a> LineObserver<'a> {
     fn new(connection_id: SessId, hub: &'a Hub) -> LineObserver<'a> {
-        let answer_timeout = hub.limits().silence;
+        let answer_timeout = hub.limits().silence_timeout;
         let unanswered = VecDeque::new();
         LineObserver { connection_id, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
     }
@@ -78,16 +78,16 @@
         let now = self.hub.clock.now();
         let limits = self.hub.limits();
         lines::complete_lines(lines).all(|line| {
-            if self.unanswered.len() < limits.unanswered {
+            if self.unanswered.len() < limits.max_timed_messages {
                 self.unanswered.push_back(now);
             }
-            line.len() <= limits.line
+            line.len() <= limits.max_line_bytes
         })
     }
 
     /// Takes complete lines from the backend; false where one is too long.
     async fn backend_lines(&mut self, lines: &[u8]) -> bool {
-        let max_bytes = self.hub.limits().line;
+        let max_bytes = self.hub.limits().max_line_bytes;
         let report_order = self.hub.report_order();
         for line in lines::complete_lines(lines) {
             if line.len() > max_bytes {
@@ -184,7 +184,7 @@
             Some(Command::SetSuspect(suspect)) => {
                 let limits = self.hub.limits();
                 // Where the backend fails its health checks, a message gets no more time than a health check.
-                self.answer_timeout = if suspect { limits.probe } else { limits.silence };
+                self.answer_timeout = if suspect { limits.probe_timeout } else { limits.silence_timeout };
                 None
             }
             // Meant for the connection before it was a session.
@@ -210,7 +210,7 @@
 ) {
     let Backend { stream: backend, buffer: from_backend, acceptance } = backend;
     let mut observer = LineObserver::new(connection_id, hub);
-    if !close::write_all(&client, &acceptance, hub.limits().stuck).await {
+    if !close::write_all(&client, &acceptance, hub.limits().stalled_client_timeout).await {
         return close::reset(backend);
     }
     drop(acceptance);
@@ -230,8 +230,10 @@
 ) {
     let SessionSockets { client, backend } = sockets;
     let limits = hub.limits();
-    let from_client = Buffer::holding(&session.to_backend, limits.buffer_first, limits.buffer_most);
-    let from_backend = Buffer::holding(&session.to_client, limits.buffer_first, limits.buffer_most);
+    let from_client =
+        Buffer::holding(&session.to_backend, limits.initial_buffer_bytes, limits.max_buffer_bytes);
+    let from_backend =
+        Buffer::holding(&session.to_client, limits.initial_buffer_bytes, limits.max_buffer_bytes);
     let mut observer = LineObserver::new(connection_id, hub);
     let now = hub.clock.now();
     observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
@@ -324,7 +326,7 @@
     async fn client_closed(self) {
         let hub = self.observer.hub;
         hub.notify(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
-        if close::write_all(&self.backend, self.from_client.lines(), hub.limits().end).await {
+        if close::write_all(&self.backend, self.from_client.lines(), hub.limits().close_timeout).await {
             close::close_gracefully(self.backend, hub).await;
         }
     }
@@ -334,14 +336,14 @@
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let limits = observer.hub.limits();
         let clock = observer.hub.clock;
-        let max_partial = limits.line + lines::END.len();
+        let max_partial = limits.max_line_bytes + lines::END.len();
         // Since when the client has taken nothing of what waits for it.
         let mut stalled_since: Option<Micros> = None;
         loop {
             let to_client = !from_backend.lines().is_empty();
             let to_backend = !from_client.lines().is_empty();
             stalled_since = if to_client { stalled_since.or(Some(clock.now())) } else { None };
-            let stalled_until = stalled_since.map(|since| since + limits.stuck);
+            let stalled_until = stalled_since.map(|since| since + limits.stalled_client_timeout);
             // While the client takes nothing, the backend's silence is the client's doing.
             let wake = stalled_until.or(observer.answer_deadline());
             let wake_at = clock.at(wake.unwrap_or_default());
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -45,13 +45,13 @@
         None => (None, listener::bind(node.listen, BACKLOG).await?),
     };
     let listener = Rc::new(listener);
-    let (to_calls, calls) = mpsc::channel(limits.callers);
+    let (to_calls, calls) = mpsc::channel(limits.max_operator_connections);
     if let Some(addr) = node.operator {
         let listener = listener::bind(addr, BACKLOG).await?;
         tokio::task::spawn_local(operator::run(listener, to_calls, hub.clone()));
     }
     let membership_sockets = membership_sockets(&node, predecessor.is_some(), &hub).await?;
-    let mut state_store = node.state.as_deref().map(|path| StateStore::new(path, limits.state_bytes));
+    let mut state_store = node.state.as_deref().map(|path| StateStore::new(path, limits.max_state_bytes));
     let health = state_store.as_ref().map(StateStore::watch_health);
     let stored = match state_store.as_mut().filter(|_| predecessor.is_none()) {
         Some(store) => open_in_time(store, &hub).await,
@@ -89,7 +89,7 @@
 
 /// What the store holds; `None` where it was not opened within the limit.
 async fn open_in_time(store: &mut StateStore, hub: &Hub) -> Option<StoredState> {
-    let stored = timeout(span(hub.limits().state_open), store.open()).await.ok().and_then(Result::ok);
+    let stored = timeout(span(hub.limits().state_open_timeout), store.open()).await.ok().and_then(Result::ok);
     if stored.is_none() {
         slog::warn!(hub.log, "the state store was not opened in time: this relay starts without its state");
     }
--- a/relay/src/reducer/balancer_effects.rs
+++ b/relay/src/reducer/balancer_effects.rs
@@ -23,7 +23,8 @@
                 session.dials += 1;
                 if let Some(addr) = self.servers.get(&server).map(|server| server.instance.addr) {
                     self.persist_slow_start_slot(server, session_id, out);
-                    let start_within = self.node.limits.connect.min(send_within.unwrap_or(Micros::MAX));
+                    let start_within =
+                        self.node.limits.connect_timeout.min(send_within.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial {
                         session_id,
                         dial,
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -27,7 +27,7 @@
     /// Whether a drain has not yet had its time. Clients that still come past the front afterwards are
     /// rejected.
     pub(super) fn accepts_sessions(&self) -> bool {
-        self.draining_since().is_none_or(|since| self.now < since + self.node.limits.drain_takes)
+        self.draining_since().is_none_or(|since| self.now < since + self.node.limits.drain_admission_time)
     }
 
     /// Whether the time of a stop is over: who still comes is rejected at once, and delays the stop no
@@ -77,15 +77,15 @@
         // Connections without a session, clients in the middle of their first line among them, are not
         // waited for: they are rejected, and have a moment to read that.
         let idle_connections_are_done =
-            self.idle_connections.is_empty() || elapsed >= limits.stop_end + BATCH_INTERVAL;
-        if elapsed >= limits.stop_end {
+            self.idle_connections.is_empty() || elapsed >= limits.stop_end_delay + BATCH_INTERVAL;
+        if elapsed >= limits.stop_end_delay {
             let idle = self.idle_connections.drain(..);
             out.extend(idle.map(|idle| Effect::ShedConnection { connection_id: idle.id }));
         }
         let is_empty = self.sessions.is_empty() && idle_connections_are_done;
         // Shortly before the process may be killed: every client got an answer or `MOVE` by then.
-        let is_out_of_time = elapsed >= limits.stop_end + 2 * BATCH_INTERVAL;
-        if is_out_of_time || is_empty && (elapsed >= limits.stop_least || is_replaced) {
+        let is_out_of_time = elapsed >= limits.stop_end_delay + 2 * BATCH_INTERVAL;
+        if is_out_of_time || is_empty && (elapsed >= limits.min_stop_delay || is_replaced) {
             self.leave_fleet(out);
             out.push(Effect::Exit);
             return true;
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -30,7 +30,7 @@
         self.add_idle_connection(connection_id);
         let remaining = self.predecessor_remaining.connections as usize;
         let connections = remaining + self.sessions.len() + self.idle_connections.len();
-        if connections <= self.node.limits.clients {
+        if connections <= self.node.limits.max_client_connections {
             return;
         }
         let is_silent = |idle: &IdleConnection| !idle.line_started && idle.id != connection_id;
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -31,7 +31,7 @@
             .is_some_and(|last| (self.now - last).abs_diff(DELAY_REPORT_INTERVAL) <= DELAY_REPORT_TOLERANCE);
         let delay = load / 1e3;
         // A message that takes longer than this counts as lost, not as late.
-        let max_delay = self.node.limits.silence as f64 / 1e6;
+        let max_delay = self.node.limits.silence_timeout as f64 / 1e6;
         let input = if self.node.site.tells_delay && is_periodic && delay <= max_delay {
             Input::MessageDelay { session: session_id, delay }
         } else {
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -162,16 +162,21 @@
 
     pub(super) fn migration_schedule(self, limits: &Limits) -> MigrationSchedule {
         match self {
-            Lifecycle::Draining | Lifecycle::HandedOverDraining => {
-                MigrationSchedule { start: limits.drain_from, end: limits.drain_by }
-            }
-            Lifecycle::HandedOverStopping => {
-                MigrationSchedule { start: limits.leave_from, end: limits.leave_by }
-            }
+            Lifecycle::Draining | Lifecycle::HandedOverDraining => MigrationSchedule {
+                start: limits.drain_first_migration_delay,
+                end: limits.drain_last_migration_delay,
+            },
+            Lifecycle::HandedOverStopping => MigrationSchedule {
+                start: limits.leave_first_migration_delay,
+                end: limits.leave_last_migration_delay,
+            },
             Lifecycle::AwaitingTakeover
             | Lifecycle::Serving
             | Lifecycle::Stopping
-            | Lifecycle::HandedOver => MigrationSchedule { start: limits.stop_from, end: limits.stop_by },
+            | Lifecycle::HandedOver => MigrationSchedule {
+                start: limits.stop_first_migration_delay,
+                end: limits.stop_last_migration_delay,
+            },
         }
     }
 
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -90,7 +90,7 @@
         };
         let is_resuming = open.at.is_some();
         let timeout = match is_resuming {
-            true => time_remaining.min(self.node.limits.standing),
+            true => time_remaining.min(self.node.limits.resumed_session_timeout),
             false => request.time_remaining,
         };
         let session = Session {
@@ -123,7 +123,7 @@
     fn valid_listener(&self, open: &SessionRequest, time_remaining: Micros) -> Option<usize> {
         let is_in_use =
             self.session_ids.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
-        let is_timely = open.at.is_some() || time_remaining <= self.node.limits.wait;
+        let is_timely = open.at.is_some() || time_remaining <= self.node.limits.max_client_timeout;
         if is_in_use || !is_timely {
             return None;
         }
@@ -133,7 +133,7 @@
     /// Whether the sessions of this process and its predecessor together are over the limit.
     fn is_full(&self) -> bool {
         let remaining = self.predecessor_remaining.sessions;
-        remaining > 0 && self.sessions.len() as u32 + remaining > self.node.limits.sessions
+        remaining > 0 && self.sessions.len() as u32 + remaining > self.node.limits.max_sessions
     }
 
     /// Returns a session to the backend at which it was open before this process started.
@@ -152,7 +152,7 @@
         let Some(session) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&session.listener);
         // Until then a late answer serves the client better than none.
-        let is_too_late = self.now > session.deadline + self.node.limits.answer_late;
+        let is_too_late = self.now > session.deadline + self.node.limits.late_answer_timeout;
         match answer {
             Effect::Reject { .. } if !is_too_late => outcomes.rejected += 1,
             _ => outcomes.failed += 1,
@@ -175,7 +175,7 @@
         session.stage = SessionStage::Dialing;
         session.dials += 1;
         let timeout = session.deadline - self.now;
-        let start_within = self.node.limits.connect;
+        let start_within = self.node.limits.connect_timeout;
         out.push(Effect::Dial { session_id, dial, server: None, addr, timeout, start_within });
     }
 
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -44,7 +44,7 @@
         if watch != self.watch.latest || !std::mem::take(&mut self.watch.is_open) {
             return;
         }
-        match self.node.limits.discovery_again {
+        match self.node.limits.discovery_retry_delay {
             // Where lists are pushed, this relay counts as notified of changes whether or not a watch is
             // open.
             Some(after) => out.push(Effect::StartTimer { after, timer: Timer::RequestEndpointList }),
--- a/relay/tests/short_days/silence.rs
+++ b/relay/tests/short_days/silence.rs
@@ -66,8 +66,8 @@
     let mut node: Node =
         node::parse(config.json.to_string().as_bytes(), &Overrides::default()).expect("it is sound");
     node.operator = None;
-    node.limits.discovery_doubt /= u64::from(TIME_SCALE);
-    node.limits.discovery_first /= u64::from(TIME_SCALE);
+    node.limits.discovery_watch_timeout /= u64::from(TIME_SCALE);
+    node.limits.discovery_answer_timeout /= u64::from(TIME_SCALE);
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let log = slog::Logger::root(slog::Discard, slog::o!());
