--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -7,7 +7,7 @@
 use crate::placement::Candidates;
 use crate::server::Server;
 use crate::session::{Event, Session};
-use crate::types::{Micros, ServerId, SessId};
+use crate::types::{Micros, ServerId, SessionId};
 
 /// The fraction of the thresholds that only sessions of high priority may use (the paper's k_reserved).
 pub(crate) const HIGH_PRIORITY_RESERVE: f64 = 0.15;
@@ -25,7 +25,7 @@
     /// In this order: a session that is exhausted is given up; one whose pool has old reports waits for new
     /// ones; one over the thresholds gets a spare slow-start slot or is given up; one that throttling draws
     /// is rejected; any other goes to the server of its pool that costs least.
-    pub(crate) fn evaluate(&mut self, id: SessId) -> Event {
+    pub(crate) fn evaluate(&mut self, id: SessionId) -> Event {
         let fleet = self.fleet_estimate();
         let session = &self.sessions[&id];
         let give_up = session.give_up_event();
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -6,7 +6,7 @@
 use crate::rolling_sum::RollingSum;
 use crate::server::{MessageDelay, Server};
 use crate::session::{Event, Session, SessionPolicy, State};
-use crate::types::{Effect, Input, Listener, Micros, ServerId, SessId, SiteConfig};
+use crate::types::{Effect, Input, Listener, Micros, ServerId, SessionId, SiteConfig};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -46,9 +46,9 @@
     pub(crate) now: Micros,
     started: bool,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    pub(crate) sessions: BTreeMap<SessId, Session>,
+    pub(crate) sessions: BTreeMap<SessionId, Session>,
     /// Sessions that wait for reports, in the order of their requests.
-    pub(crate) awaiting_reports: Vec<SessId>,
+    pub(crate) awaiting_reports: Vec<SessionId>,
     /// Own sessions of a group at a server, dialled and established.
     pub(crate) group_sessions: BTreeMap<GroupKey, u32>,
     /// Running mean of the sessions' loads, in their unit; 0 before the first one.
@@ -192,7 +192,7 @@
     }
 
     /// Weights a session by its load over the running mean of some fifty such inputs.
-    fn record_session_load(&mut self, id: SessId, load: f64) {
+    fn record_session_load(&mut self, id: SessionId, load: f64) {
         const GAIN: f64 = 0.02;
         /// Bounds of a weight: the mean load is 1.0.
         const MIN_WEIGHT: f64 = 0.3;
@@ -203,7 +203,7 @@
         self.sessions.entry(id).and_modify(|session| session.weight = weight);
     }
 
-    fn record_message_delay(&mut self, id: SessId, seconds: f64, effects: &mut Vec<Effect>) {
+    fn record_message_delay(&mut self, id: SessionId, seconds: f64, effects: &mut Vec<Effect>) {
         let Some(server_id) = self.sessions.get(&id).map(|session| session.server) else { return };
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.message_delay = MessageDelay { seconds, measured_at: self.now };
--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -5,11 +5,11 @@
 use crate::retry::PossibleRun;
 use crate::session::{Event, State};
 use crate::slow_start::SlotWait;
-use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId, SessId};
+use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId, SessionId};
 
 impl Balancer {
     /// Dials the server that a session was placed on. A session has one dial in flight at most.
-    pub(crate) fn dial(&mut self, id: SessId, effects: &mut Vec<Effect>) {
+    pub(crate) fn dial(&mut self, id: SessionId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let server_id = session.server;
         session.dials += 1;
@@ -27,7 +27,7 @@
     }
 
     /// Lets a session wait for the reports of its pool, and probes for them.
-    pub(crate) fn await_reports(&mut self, id: SessId, effects: &mut Vec<Effect>) {
+    pub(crate) fn await_reports(&mut self, id: SessionId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let after = session.report_deadline - self.now;
         let awaited = session.awaited_reports.clone();
@@ -58,7 +58,7 @@
 
     /// Records the end of a session's last dial: its server's report and faults, and whether the session may
     /// have run.
-    pub(crate) fn record_dial_end(&mut self, id: SessId, end: DialEnd, report: Option<LoadReport>) {
+    pub(crate) fn record_dial_end(&mut self, id: SessionId, end: DialEnd, report: Option<LoadReport>) {
         let may_have_run = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
         if may_have_run {
             self.count_dial(id, end == DialEnd::Ok);
@@ -83,7 +83,7 @@
 
     /// Counts a session as placed on its server (`change` 1) or as ended there (-1), in all sums that correct
     /// the reports until the next ones.
-    pub(crate) fn count_session(&mut self, id: SessId, change: i32) {
+    pub(crate) fn count_session(&mut self, id: SessionId, change: i32) {
         let session = &self.sessions[&id];
         let group_key = GroupKey { server: session.server, group: session.request.group };
         let returned = change > 0 && session.request.returned;
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -6,7 +6,7 @@
 use crate::placement::{Candidates, PoolPosition, GROUP_COST, POOL_SIZE};
 use crate::server::Server;
 use crate::session::{Event, Session, State};
-use crate::types::{Effect, ServerId, SessId};
+use crate::types::{Effect, ServerId, SessionId};
 
 /// An established session that may be migrated.
 struct Candidate {
@@ -14,7 +14,7 @@
     is_protected: bool,
     /// Load that its migration frees, in sessions.
     freed: f64,
-    id: SessId,
+    id: SessionId,
 }
 
 impl Balancer {
@@ -99,7 +99,7 @@
     }
 
     /// Whether the gain of a session's migration exceeds its cost.
-    fn is_migration_beneficial(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> bool {
+    fn is_migration_beneficial(&self, id: SessionId, load: f64, fleet: &FleetEstimate) -> bool {
         /// Beyond the site's cost: for the interruption, the new handshake, and the age of the reports. A
         /// fraction of a session's value.
         const MARGIN: f64 = 0.15;
@@ -108,7 +108,7 @@
 
     /// The cost of a session where it is, less that on the cheapest other server of its pool that is healthy
     /// and not full with it: a fraction of a session's value. Negative infinity where there is none.
-    fn migration_gain(&self, id: SessId, load: f64, fleet: &FleetEstimate) -> f64 {
+    fn migration_gain(&self, id: SessionId, load: f64, fleet: &FleetEstimate) -> f64 {
         /// The load from which further load costs nothing more: service is lost anyway.
         const MAX_COUNTED_LOAD: f64 = 1.2;
         let session = &self.sessions[&id];
--- a/balancer/src/session.rs
+++ b/balancer/src/session.rs
@@ -2,7 +2,7 @@
 
 use crate::balancer::{Balancer, SECOND};
 use crate::retry::PossibleRun;
-use crate::types::{AdmissionRequest, Effect, Listener, Micros, ServerId, SessId};
+use crate::types::{AdmissionRequest, Effect, Listener, Micros, ServerId, SessionId};
 use std::rc::Rc;
 
 /// The states of a session.
@@ -121,7 +121,7 @@
 
 impl Balancer {
     /// Adds a session under its listener's current rules, and counts its arrival.
-    pub(crate) fn register(&mut self, id: SessId, mut session: Session) {
+    pub(crate) fn register(&mut self, id: SessionId, mut session: Session) {
         let last_listener = self.policies.len() - 1;
         session.policy = self.policies[session.request.listener.min(last_listener)].clone();
         session.request.group *= u64::from(self.site.groups_enabled);
@@ -143,12 +143,12 @@
     }
 
     /// Whether a dial is the last one of its session.
-    pub(crate) fn is_last_dial(&self, id: SessId, dial: u32) -> bool {
+    pub(crate) fn is_last_dial(&self, id: SessionId, dial: u32) -> bool {
         self.sessions.get(&id).is_some_and(|session| session.dials == dial + 1)
     }
 
     /// Applies an event to a session: each transition's action may result in the next event.
-    pub(crate) fn advance(&mut self, id: SessId, event: Event, effects: &mut Vec<Effect>) {
+    pub(crate) fn advance(&mut self, id: SessionId, event: Event, effects: &mut Vec<Effect>) {
         let mut next_event = Some(event);
         while let Some(event) = next_event.take() {
             let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -166,7 +166,7 @@
     }
 
     /// Performs a transition's action; an evaluation results in the next event.
-    fn perform(&mut self, action: Action, id: SessId, effects: &mut Vec<Effect>) -> Option<Event> {
+    fn perform(&mut self, action: Action, id: SessionId, effects: &mut Vec<Effect>) -> Option<Event> {
         match action {
             Action::Evaluate => return Some(self.evaluate(id)),
             Action::Dial => self.dial(id, effects),
--- a/balancer/src/throttle.rs
+++ b/balancer/src/throttle.rs
@@ -6,7 +6,7 @@
 use crate::balancer::{Balancer, SECOND};
 use crate::rolling_sum::RollingSum;
 use crate::session::State;
-use crate::types::{Micros, SessId};
+use crate::types::{Micros, SessionId};
 
 /// The window over which dials count.
 const WINDOW: Micros = 4 * SECOND;
@@ -21,7 +21,7 @@
 impl Balancer {
     /// Counts the last dial of a session that is being dialled, and whether it was accepted within the
     /// handshake objective.
-    pub(crate) fn count_dial(&mut self, id: SessId, is_accepted: bool) {
+    pub(crate) fn count_dial(&mut self, id: SessionId, is_accepted: bool) {
         let Some(session) = self.sessions.get(&id).filter(|session| session.state == State::Dialling) else {
             return;
         };
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -6,7 +6,7 @@
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 /// A session, as the caller numbers it.
-pub type SessId = u32;
+pub type SessionId = u32;
 /// A server, as the caller numbers it. All relays of a fleet must use the same number for the same server.
 pub type ServerId = u32;
 
@@ -242,14 +242,14 @@
     /// A session requests a server.
     SessionRequested {
         /// The session, not known before.
-        session: SessId,
+        session: SessionId,
         /// Its request.
         request: AdmissionRequest,
     },
     /// A session was already established before this relay decided anything.
     SessionAdopted {
         /// The session, not known before.
-        session: SessId,
+        session: SessionId,
         /// Where it is.
         server: ServerId,
         /// Its request.
@@ -258,28 +258,28 @@
     /// A dialled session was established at its server.
     SessionEstablished {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// Which of its dials, from 0.
         dial: u32,
     },
     /// A session's load, in any unit that is the same for all sessions.
     SessionLoad {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// Its load now.
         load: f64,
     },
     /// How long messages take on an established session.
     MessageDelay {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// The time from a message to its answer, in seconds.
         delay: f64,
     },
     /// A dial ended without an established session, or an established session ended at its server.
     DialEnded {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// Which of its dials, from 0; others than the last are ignored.
         dial: u32,
         /// How.
@@ -292,14 +292,14 @@
     /// This machine could not start the last dial: it does not count.
     DialNotStarted {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// Which of its dials, from 0; others than the last are ignored.
         dial: u32,
     },
     /// The client ended the session.
     SessionEnded {
         /// The session.
-        session: SessId,
+        session: SessionId,
     },
     /// A probe ended.
     ProbeEnded {
@@ -323,7 +323,7 @@
     /// Dial a server for a session.
     Dial {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// Where.
         server: ServerId,
         /// How long the dial may take.
@@ -334,19 +334,19 @@
     /// Reject a session. Its client may retry.
     Reject {
         /// The session.
-        session: SessId,
+        session: SessionId,
         /// Retry-After; 0 where that is not conveyed.
         retry_after: Micros,
     },
     /// Close a session that may have run: its client must not see a rejection.
     TearDown {
         /// The session.
-        session: SessId,
+        session: SessionId,
     },
     /// Request an established session's client to reconnect, to be placed elsewhere.
     Migrate {
         /// The session.
-        session: SessId,
+        session: SessionId,
     },
     /// Probe a server for a load report.
     Probe {
--- a/balancer/tests/decisions_trace/site.rs
+++ b/balancer/tests/decisions_trace/site.rs
@@ -43,9 +43,9 @@
 /// What comes at its time.
 enum Due {
     Input(Input),
-    DialOutcome { sess: SessId, dial: u32 },
+    DialOutcome { sess: SessionId, dial: u32 },
     ProbeAnswer { server: ServerId },
-    End { sess: SessId },
+    End { sess: SessionId },
 }
 
 pub struct Site {
@@ -54,10 +54,10 @@
     chance: oorandom::Rand64,
     now: Micros,
     backends: BTreeMap<ServerId, Backend>,
-    sessions: BTreeMap<SessId, Held>,
+    sessions: BTreeMap<SessionId, Held>,
     due: BTreeMap<(Micros, u64), Due>,
     scheduled: u64,
-    last_session: SessId,
+    last_session: SessionId,
     last_server: ServerId,
     weather: Weather,
     weather_ends: Micros,
@@ -271,7 +271,7 @@
         }
     }
 
-    fn dial_outcome(&mut self, sess: SessId, dial: u32) {
+    fn dial_outcome(&mut self, sess: SessionId, dial: u32) {
         let Some(held) = self.sessions.get(&sess).filter(|held| held.dial == dial && !held.up) else {
             return;
         };
@@ -324,9 +324,9 @@
     }
 
     /// One of the open sessions.
-    fn open_session(&mut self) -> Option<(SessId, ServerId)> {
+    fn open_session(&mut self) -> Option<(SessionId, ServerId)> {
         let open = self.sessions.iter().filter(|(_, held)| held.up);
-        let open: Vec<(SessId, ServerId)> = open.map(|(sess, held)| (*sess, held.server)).collect();
+        let open: Vec<(SessionId, ServerId)> = open.map(|(sess, held)| (*sess, held.server)).collect();
         let at = self.below(open.len().max(1) as u64) as usize;
         open.get(at).copied()
     }
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -1,6 +1,6 @@
 //! One line of a relay's log, parsed into the entries that the accounting needs.
 use super::fields;
-use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, Phase, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, Phase, SessionId};
 use hallrelay_config::list::{self, Instance, List};
 use std::net::SocketAddr;
 
@@ -58,19 +58,19 @@
     /// A client has connected.
     ClientConnected {
         /// Number of the connection, and of its session.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// A client's first line was read.
     SessionRequested {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
         /// Its first line.
         opening: Opening,
     },
     /// A session that the process before this one had open, at a backend of this name.
     SessionAdopted {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
         /// Its first line.
         opening: Opening,
         /// Name of the backend.
@@ -79,14 +79,14 @@
     /// The relay dials a backend.
     Dial {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
         /// Address of the backend.
         addr: SocketAddr,
     },
     /// A dial ended before its session was established.
     DialEnded {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
         /// Number of the dial, from 0.
         dial: u32,
         /// How it ended.
@@ -95,54 +95,54 @@
     /// The session is established: lines are proxied.
     StartProxying {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// An open session ended at its backend.
     SessionEnded {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
         /// How it ended.
         end: DialEnd,
     },
     /// A client has closed its side.
     ClientHalfClosed {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// A client's connection has ended.
     ClientDisconnected {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// Another process has adopted the session.
     SessionHandedOver {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The relay answers `BUSY`.
     Reject {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The relay answers `FAIL`.
     TearDown {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The relay answers `ERR`.
     ReportProtocolError {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The relay closes the connection without an answer.
     CloseClient {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The relay answers `MOVE`.
     Migrate {
         /// Number of the session in its process.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The relay's lifecycle changes.
     Lifecycle {
@@ -358,7 +358,7 @@
 }
 
 /// The id of a session or connection, under its name of today or of earlier versions.
-fn id(what: &str, field: &str, earlier: &str) -> Option<SessId> {
+fn id(what: &str, field: &str, earlier: &str) -> Option<SessionId> {
     fields::parsed(what, field).or_else(|| fields::parsed(what, earlier))
 }
 
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -1,7 +1,7 @@
 //! Follows the sessions of one relay's log, through all processes of that relay.
 use super::attempt::{Attempt, Dial, End, Fate, Gap, LastDial, Moment, Origin};
 use super::parse::{Entry, Opening};
-use hallrelay_balancer::types::{DialEnd, Micros, SessId};
+use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
 use std::collections::{BTreeMap, HashSet};
 
 /// Where the last line of a log is older than this at the end of the day, it is unknown what became of that
@@ -12,13 +12,13 @@
 pub struct Relay {
     name: String,
     /// Attempts that are undecided, and sessions that are open.
-    active: BTreeMap<SessId, Attempt>,
+    active: BTreeMap<SessionId, Attempt>,
     /// Sessions that are over, and whose connections are not: what is still logged of them counts no more.
-    closing: HashSet<SessId>,
+    closing: HashSet<SessionId>,
     /// The relay migrates its open sessions: it drains, stops or is replaced.
     migrates_sessions: bool,
     /// The highest number of a connection in this process; a lower one is of the next process.
-    newest: SessId,
+    newest_connection_id: SessionId,
     last: Moment,
     /// How many processes the log has shown.
     pub processes: u64,
@@ -35,7 +35,7 @@
             active: BTreeMap::new(),
             closing: HashSet::new(),
             migrates_sessions: false,
-            newest: 0,
+            newest_connection_id: 0,
             last: Moment::default(),
             done: Vec::new(),
             processes: 0,
@@ -47,7 +47,7 @@
     pub fn process_started(&mut self) {
         self.process_ended();
         self.closing.clear();
-        (self.migrates_sessions, self.newest) = (false, 0);
+        (self.migrates_sessions, self.newest_connection_id) = (false, 0);
     }
 
     /// The next entry of the log.
@@ -55,7 +55,8 @@
         if let Entry::Serving = entry {
             self.process_started();
         }
-        if matches!(entry, Entry::ClientConnected { connection_id } if *connection_id <= self.newest) {
+        if matches!(entry, Entry::ClientConnected { connection_id } if *connection_id <= self.newest_connection_id)
+        {
             self.process_started();
         }
         if !matches!(entry, Entry::Other | Entry::Dropped(_)) && !self.running {
@@ -64,7 +65,7 @@
         }
         self.last = at;
         match entry {
-            Entry::ClientConnected { connection_id } => self.newest = *connection_id,
+            Entry::ClientConnected { connection_id } => self.newest_connection_id = *connection_id,
             Entry::SessionRequested { session_id, opening } => {
                 self.begin(at, *session_id, opening, Origin::Client)
             }
@@ -110,7 +111,7 @@
         self.done.drain(..)
     }
 
-    fn begin(&mut self, at: Moment, session_id: SessId, opening: &Opening, origin: Origin) {
+    fn begin(&mut self, at: Moment, session_id: SessionId, opening: &Opening, origin: Origin) {
         if let Some(before) = self.active.remove(&session_id) {
             let gap = Gap::NumberReused;
             self.finish_attempt(before, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
@@ -119,14 +120,14 @@
         self.active.insert(session_id, Attempt::new(&self.name, at, opening.clone(), origin));
     }
 
-    fn dialled(&mut self, at: Moment, session_id: SessId, backend: String) {
+    fn dialled(&mut self, at: Moment, session_id: SessionId, backend: String) {
         self.require_opening(at, session_id);
         if let Some(attempt) = self.active.get_mut(&session_id) {
             attempt.dials.push(Dial { at, backend, end: None });
         }
     }
 
-    fn dial_ended(&mut self, at: Moment, session_id: SessId, number: u32, end: DialEnd) {
+    fn dial_ended(&mut self, at: Moment, session_id: SessionId, number: u32, end: DialEnd) {
         let Some(attempt) = self.active.get_mut(&session_id).filter(|one| one.placed.is_none()) else {
             return;
         };
@@ -142,14 +143,14 @@
         }
     }
 
-    fn placed(&mut self, at: Moment, session_id: SessId) {
+    fn placed(&mut self, at: Moment, session_id: SessionId) {
         self.require_opening(at, session_id);
         if let Some(attempt) = self.active.get_mut(&session_id) {
             attempt.placed.get_or_insert(at);
         }
     }
 
-    fn backend_ended(&mut self, at: Moment, session_id: SessId, end: DialEnd) {
+    fn backend_ended(&mut self, at: Moment, session_id: SessionId, end: DialEnd) {
         let end = match end {
             DialEnd::Ok => End::Complete,
             DialEnd::Cancelled => End::MigratedByBackend,
@@ -159,22 +160,22 @@
         self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
-    fn client_ended(&mut self, at: Moment, session_id: SessId) {
+    fn client_ended(&mut self, at: Moment, session_id: SessionId) {
         self.end(at, session_id, Fate::ClientLeft, End::Client);
     }
 
-    fn protocol_violated(&mut self, at: Moment, session_id: SessId) {
+    fn protocol_violated(&mut self, at: Moment, session_id: SessionId) {
         // Connections that never became a session are answered so as well.
         self.end(at, session_id, Fate::NotProtocol, End::Other);
     }
 
-    fn migrated(&mut self, at: Moment, session_id: SessId) {
+    fn migrated(&mut self, at: Moment, session_id: SessionId) {
         let end = if self.migrates_sessions { End::RelayStop } else { End::Migrated };
         self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
     /// A final answer of the relay's own; what it is called depends on the dials before it.
-    fn answered(&mut self, at: Moment, session_id: SessId, fate: fn(LastDial) -> Fate) {
+    fn answered(&mut self, at: Moment, session_id: SessionId, fate: fn(LastDial) -> Fate) {
         self.require_opening(at, session_id);
         let Some(attempt) = self.active.get(&session_id) else { return };
         let fate = fate(attempt.last_dial());
@@ -201,7 +202,7 @@
     }
 
     /// Where this is the first entry of an attempt, its opening is not in the log.
-    fn require_opening(&mut self, at: Moment, session_id: SessId) {
+    fn require_opening(&mut self, at: Moment, session_id: SessionId) {
         if self.active.contains_key(&session_id) || !self.closing.insert(session_id) {
             return;
         }
@@ -212,7 +213,7 @@
     }
 
     /// The attempt is over: by `fate` where it was not placed, else by `end`.
-    fn end(&mut self, at: Moment, session_id: SessId, fate: Fate, end: End) {
+    fn end(&mut self, at: Moment, session_id: SessionId, fate: Fate, end: End) {
         let Some(attempt) = self.active.remove(&session_id) else { return };
         self.closing.insert(session_id);
         self.finish_attempt(attempt, at, &fate, end);
--- a/lab/src/virt/clients.rs
+++ b/lab/src/virt/clients.rs
@@ -2,7 +2,7 @@
 use super::events::QueuedEvent;
 use super::state::ClientSession;
 use super::VirtualDay;
-use hallrelay_balancer::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessionId};
 use hallrelay_emulator::audit::{Answer, RequestSent};
 use hallrelay_emulator::clients::{ClientAction, ClientEvent, ClientRequest};
 use hallrelay_relay::lines::SessionRequest;
@@ -25,7 +25,7 @@
         self.day.audit.client_left(self.now, mark);
         let Some(request) = self.requests.remove(&mark) else { return };
         let process = self.process_id(request.relay);
-        if let Some(&session_id) = self.relays[request.relay].session_ids.get(&mark) {
+        if let Some(&session_id) = self.relays[request.relay].session_ids_by_mark.get(&mark) {
             let disconnected = QueuedEvent::ClientDisconnected { process, session_id };
             self.schedule_after(self.client_latency(), disconnected);
         }
@@ -51,7 +51,7 @@
         let r = &mut self.relays[relay];
         r.last_session_id = r.last_session_id.wrapping_add(1);
         let session_id = r.last_session_id;
-        r.session_ids.insert(mark, session_id);
+        r.session_ids_by_mark.insert(mark, session_id);
         r.sessions.insert(session_id, ClientSession::new(mark));
         let margin = r.limits.answer_margin;
         let time_remaining = request.dial_timeout.saturating_sub(margin + self.client_latency());
@@ -97,10 +97,10 @@
     }
 
     /// A client's disconnection arrives at its relay.
-    pub(super) fn client_disconnected(&mut self, relay: usize, session_id: SessId) {
+    pub(super) fn client_disconnected(&mut self, relay: usize, session_id: SessionId) {
         let r = &mut self.relays[relay];
         let Some(session) = r.sessions.remove(&session_id) else { return };
-        r.session_ids.remove(&session.mark);
+        r.session_ids_by_mark.remove(&session.mark);
         r.disconnected.insert(session_id, session.mark);
         if let Some(connection) = session.connection {
             self.schedule_after(self.server_latency(), QueuedEvent::ConnectionClosed { connection });
@@ -109,7 +109,7 @@
     }
 
     /// Sends a client its final answer; a dial that is in flight for it is abandoned.
-    pub(super) fn send_final_answer(&mut self, relay: usize, session_id: SessId, answer: ClientEvent) {
+    pub(super) fn send_final_answer(&mut self, relay: usize, session_id: SessionId, answer: ClientEvent) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         session.is_over = true;
         let (mark, connection) = (session.mark, session.connection.take());
@@ -120,7 +120,7 @@
     }
 
     /// Tells a client that its session is established.
-    pub(super) fn start_proxying(&mut self, relay: usize, session_id: SessId) {
+    pub(super) fn start_proxying(&mut self, relay: usize, session_id: SessionId) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         session.is_open = true;
         let (mark, receipt) = (session.mark, session.connection.unwrap_or(0));
@@ -135,7 +135,7 @@
     }
 
     /// Sends a client to another relay.
-    pub(super) fn migrate(&mut self, relay: usize, session_id: SessId) {
+    pub(super) fn migrate(&mut self, relay: usize, session_id: SessionId) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         (session.is_open, session.is_over) = (false, true);
         let (mark, connection) = (session.mark, session.connection.take());
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -2,7 +2,7 @@
 use super::events::QueuedEvent;
 use super::state::{server_at, BackendConnection};
 use super::VirtualDay;
-use hallrelay_balancer::types::{DialEnd, Micros, SessId};
+use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
 use hallrelay_config::scenario::Fault;
 use hallrelay_emulator::audit::{DialOutcome, DialReceived};
 use hallrelay_emulator::clients::ClientEvent;
@@ -16,7 +16,7 @@
     pub(super) fn dial(
         &mut self,
         relay: usize,
-        session_id: SessId,
+        session_id: SessionId,
         dial: u32,
         addr: SocketAddr,
         timeout: Micros,
@@ -101,7 +101,7 @@
     pub(super) fn dial_timeout(
         &mut self,
         relay: usize,
-        session_id: SessId,
+        session_id: SessionId,
         dial: u32,
         todo: &mut DriverActions,
     ) {
@@ -188,7 +188,7 @@
             };
             let sessions = self.relays[relay].sessions.iter();
             let open = sessions.filter(|(_, session)| session.is_open && is_there(session.connection));
-            let open: Vec<SessId> = open.map(|(session_id, _)| *session_id).collect();
+            let open: Vec<SessionId> = open.map(|(session_id, _)| *session_id).collect();
             for session_id in open {
                 self.schedule_silence_timeout(relay, session_id);
             }
--- a/lab/src/virt/events.rs
+++ b/lab/src/virt/events.rs
@@ -2,7 +2,7 @@
 use super::membership::Transmission;
 use super::state::ProcessId;
 use super::VirtualDay;
-use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_emulator::clients::{ClientEvent, ClientRequest};
 use hallrelay_emulator::day::DriverActions;
 use hallrelay_emulator::servers::ConnectionId;
@@ -23,7 +23,7 @@
     FirstLine(Box<ClientRequest>),
     ClientDisconnected {
         process: ProcessId,
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// An answer arrives at a client.
     Answer {
@@ -37,7 +37,7 @@
     },
     DialTimeout {
         process: ProcessId,
-        session_id: SessId,
+        session_id: SessionId,
         dial: u32,
     },
     /// The end of a connection arrives at its server.
@@ -76,7 +76,7 @@
     /// The time for an answer to a client's message is over.
     SilenceTimeout {
         process: ProcessId,
-        session_id: SessId,
+        session_id: SessionId,
         connection: ConnectionId,
     },
 }
--- a/lab/src/virt/processes.rs
+++ b/lab/src/virt/processes.rs
@@ -47,7 +47,7 @@
         r.incarnation = incarnation;
         r.starts += 1;
         r.sessions.clear();
-        r.session_ids.clear();
+        r.session_ids_by_mark.clear();
         r.watches.clear();
         self.day.audit.relay_started(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
@@ -73,7 +73,7 @@
         r.incarnation += 1;
         r.stalled = None;
         r.watches.clear();
-        r.session_ids.clear();
+        r.session_ids_by_mark.clear();
         r.disconnected.clear();
         let sessions = std::mem::take(&mut r.sessions);
         self.day.audit.relay_ended(self.now, relay);
--- a/lab/src/virt/silence.rs
+++ b/lab/src/virt/silence.rs
@@ -2,14 +2,14 @@
 //! answered in time.
 use super::events::QueuedEvent;
 use super::VirtualDay;
-use hallrelay_balancer::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessionId};
 use hallrelay_emulator::clients::{mix, ClientEvent};
 use hallrelay_emulator::servers::ConnectionId;
 use hallrelay_relay::reducer::Event;
 
 impl VirtualDay<'_> {
     /// The relay suspects the server of a session, or no longer.
-    pub(super) fn set_suspect(&mut self, relay: usize, session_id: SessId, is_suspect: bool) {
+    pub(super) fn set_suspect(&mut self, relay: usize, session_id: SessionId, is_suspect: bool) {
         if let Some(session) = self.relays[relay].sessions.get_mut(&session_id) {
             session.is_suspect = is_suspect;
         }
@@ -17,7 +17,7 @@
     }
 
     /// Schedules the end of an open session, if its server is silent now.
-    pub(super) fn schedule_silence_timeout(&mut self, relay: usize, session_id: SessId) {
+    pub(super) fn schedule_silence_timeout(&mut self, relay: usize, session_id: SessionId) {
         let r = &self.relays[relay];
         let Some(session) = r.sessions.get(&session_id).filter(|session| session.is_open) else { return };
         let Some(connection) = session.connection else { return };
@@ -39,7 +39,7 @@
     }
 
     /// A message was not answered in time: unless the server speaks again, the relay ends the session.
-    pub(super) fn silence_timeout(&mut self, relay: usize, session_id: SessId, connection: ConnectionId) {
+    pub(super) fn silence_timeout(&mut self, relay: usize, session_id: SessionId, connection: ConnectionId) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         let Some(server) = self.dials.get(&connection).map(|dial| dial.server) else { return };
         let is_there = session.is_open && session.connection == Some(connection);
--- a/lab/src/virt/state.rs
+++ b/lab/src/virt/state.rs
@@ -1,7 +1,7 @@
 //! What a relay's sockets, watches and store hold in virtual time.
 use super::events::QueuedEvent;
 use super::StateMachine;
-use hallrelay_balancer::types::SessId;
+use hallrelay_balancer::types::SessionId;
 use hallrelay_config::limits::Limits;
 use hallrelay_config::scenario::Fault;
 use hallrelay_emulator::servers::{ConnectionId, DialRequest};
@@ -40,7 +40,7 @@
 /// A connection from a relay to a server.
 pub(super) struct BackendConnection {
     pub(super) process: ProcessId,
-    pub(super) session_id: SessId,
+    pub(super) session_id: SessionId,
     pub(super) dial: u32,
     pub(super) mark: u64,
     pub(super) server: usize,
@@ -73,12 +73,12 @@
     /// None while no process runs.
     pub(super) state_machine: Option<Box<dyn StateMachine>>,
     pub(super) incarnation: u32,
-    pub(super) sessions: BTreeMap<SessId, ClientSession>,
-    pub(super) session_ids: BTreeMap<u64, SessId>,
+    pub(super) sessions: BTreeMap<SessionId, ClientSession>,
+    pub(super) session_ids_by_mark: BTreeMap<u64, SessionId>,
     /// Marks of sessions whose client has disconnected: a faulty relay may dial for them still.
-    pub(super) disconnected: BTreeMap<SessId, u64>,
+    pub(super) disconnected: BTreeMap<SessionId, u64>,
     pub(super) watches: Vec<Watch>,
-    pub(super) last_session_id: SessId,
+    pub(super) last_session_id: SessionId,
     /// Processes started.
     pub(super) starts: u32,
     pub(super) limits: Limits,
@@ -94,7 +94,7 @@
             state_machine: None,
             incarnation: 0,
             sessions: BTreeMap::new(),
-            session_ids: BTreeMap::new(),
+            session_ids_by_mark: BTreeMap::new(),
             disconnected: BTreeMap::new(),
             watches: Vec::new(),
             last_session_id: 0,
@@ -106,7 +106,7 @@
     }
 
     /// The mark of a session whose client is there, or has disconnected from this process.
-    pub(super) fn mark_of(&self, session_id: SessId) -> Option<u64> {
+    pub(super) fn mark_of(&self, session_id: SessionId) -> Option<u64> {
         let session = self.sessions.get(&session_id).map(|session| session.mark);
         session.or(self.disconnected.get(&session_id).copied())
     }
--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -9,7 +9,7 @@
 use crate::buffer::Buffer;
 use crate::lines;
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessionId};
 use std::ops::Range;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Receiver;
@@ -31,7 +31,7 @@
 
 /// The connection of a session that waits.
 struct WaitingSession<'a> {
-    connection_id: SessId,
+    connection_id: SessionId,
     client: TcpStream,
     buffer: Buffer,
     request: ClientRequest,
@@ -41,7 +41,7 @@
 
 /// Serves a session from its request to its end.
 pub async fn run(
-    connection_id: SessId,
+    connection_id: SessionId,
     client: TcpStream,
     buffer: Buffer,
     request: ClientRequest,
@@ -165,7 +165,7 @@
 
 /// Reports a connection that violates the protocol, and carries out its final answer.
 pub async fn reject_protocol_violation(
-    connection_id: SessId,
+    connection_id: SessionId,
     client: TcpStream,
     mut commands: Receiver<Command>,
     hub: &Hub,
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -8,7 +8,7 @@
 use super::{discovery, health_check, hot_restart, Command, Hub, Tuning};
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, Timer};
-use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
 use hallrelay_hot_restart::{Message, PeerId};
@@ -37,7 +37,7 @@
     ticket: u64,
     /// It waits no longer than this: service does not depend on a disk.
     until: Micros,
-    session_id: SessId,
+    session_id: SessionId,
     command: Command,
 }
 
@@ -73,7 +73,7 @@
     membership_sockets: Option<MembershipSockets>,
     state_store: Option<StateStore>,
     /// By session the record that its next dial waits for.
-    records_before_dials: BTreeMap<SessId, u64>,
+    records_before_dials: BTreeMap<SessionId, u64>,
     waiting_dials: VecDeque<WaitingDial>,
     pending_voter_writes: VecDeque<PendingVoterWrite>,
     exit: Option<io::Result<()>>,
@@ -250,7 +250,7 @@
     }
 
     /// Sends a dial, once the record that it waits for is durable.
-    fn dial(&mut self, session_id: SessId, command: Command) {
+    fn dial(&mut self, session_id: SessionId, command: Command) {
         let ticket = self.records_before_dials.remove(&session_id);
         let is_pending = |ticket: &u64| self.state_store.as_ref().is_some_and(|s| !s.is_settled(*ticket));
         match ticket.filter(is_pending) {
@@ -263,18 +263,18 @@
     }
 
     /// Sends a final answer, after which nothing is sent for the session.
-    fn final_answer(&mut self, session_id: SessId, line: Vec<u8>) {
+    fn final_answer(&mut self, session_id: SessionId, line: Vec<u8>) {
         self.cancel_waiting_dial(session_id);
         self.hub.command(session_id, Command::FinalAnswer(line));
     }
 
     /// Closes a connection without an answer; no dial is sent for it any more.
-    fn close_client(&mut self, session_id: SessId) {
+    fn close_client(&mut self, session_id: SessionId) {
         self.cancel_waiting_dial(session_id);
         self.hub.command(session_id, Command::Close);
     }
 
-    fn cancel_waiting_dial(&mut self, session_id: SessId) {
+    fn cancel_waiting_dial(&mut self, session_id: SessionId) {
         self.waiting_dials.retain(|dial| dial.session_id != session_id);
     }
 
@@ -328,7 +328,7 @@
         task.inspect(AbortHandle::abort);
     }
 
-    fn persist(&mut self, record: Record, before: Option<SessId>) {
+    fn persist(&mut self, record: Record, before: Option<SessionId>) {
         let ticket = self.state_store.as_ref().and_then(|store| store.persist(record));
         if let (Some(session_id), Some(ticket)) = (before, ticket) {
             self.records_before_dials.insert(session_id, ticket);
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -7,7 +7,7 @@
 use crate::clock::span;
 use crate::lines::{self, FirstLine, SessionRequest};
 use crate::reducer::Event;
-use hallrelay_balancer::types::SessId;
+use hallrelay_balancer::types::SessionId;
 use hallrelay_config::limits::Limits;
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -40,7 +40,7 @@
 
 /// A connection whose first line is awaited.
 struct NewConnection<'a> {
-    connection_id: SessId,
+    connection_id: SessionId,
     client: TcpStream,
     buffer: Buffer,
     hub: &'a Hub,
@@ -54,7 +54,7 @@
 }
 
 /// Serves a new connection to its end.
-pub async fn run(connection_id: SessId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
+pub async fn run(connection_id: SessionId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
     let limits = hub.limits();
     // One time for all that comes before the session: a client that sends a little now and then would stay
     // for ever.
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -9,7 +9,7 @@
 use super::dial_permit::DialConditions;
 use super::{first_line, Command, Hub};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::limits::Limits;
 use hallrelay_config::node::{self, Overrides};
 use socket2::{SockRef, Socket};
@@ -177,7 +177,7 @@
     }
 
     /// A session's line is told: its connection's number.
-    async fn opened(&mut self) -> SessId {
+    async fn opened(&mut self) -> SessionId {
         match self.event().await {
             Event::SessionRequested { session_id, .. } => session_id,
             other => panic!("{other:?} in place of a session"),
@@ -204,16 +204,16 @@
         }
     }
 
-    fn says(&self, connection_id: SessId, command: Command) {
+    fn says(&self, connection_id: SessionId, command: Command) {
         assert!(self.hub.connections.borrow().contains_key(&connection_id), "{command:?} goes to nobody");
         self.hub.command(connection_id, command);
     }
 
-    fn answers(&self, connection_id: SessId, line: &str) {
+    fn answers(&self, connection_id: SessionId, line: &str) {
         self.says(connection_id, Command::FinalAnswer(line.as_bytes().to_vec()));
     }
 
-    fn dials(&self, connection_id: SessId, dial: u32, at: &TcpListener, within: Micros) {
+    fn dials(&self, connection_id: SessionId, dial: u32, at: &TcpListener, within: Micros) {
         let addr = at.local_addr().expect("its address");
         let terms = DialConditions { server: Some(SERVER), start_by: self.hub.clock.now() + within };
         self.says(connection_id, Command::Dial { dial, addr, timeout: 1_500_000, conditions: terms });
@@ -222,7 +222,7 @@
 
 impl Play {
     /// A session whose first dial's line has come: its number, its client and its backend.
-    async fn dialled(&mut self) -> (SessId, Peer, Peer) {
+    async fn dialled(&mut self) -> (SessionId, Peer, Peer) {
         let (backend, client) = (bound().await, self.client_with(LINE).await);
         let connection_id = self.opened().await;
         self.dials(connection_id, 0, &backend, LONG);
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -1,12 +1,12 @@
 //! An open session: both its ends and the reducer's word, in each order in which two of them can meet.
 use super::{play, Command, Lies, Peer, Play};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessionId};
 
 const PLAYS: usize = 30;
 
 /// A session that stands: its number, its client and its backend.
-async fn open(play: &mut Play) -> (SessId, Peer, Peer) {
+async fn open(play: &mut Play) -> (SessionId, Peer, Peer) {
     let (connection_id, mut client, mut server) = play.dialled().await;
     server.says("UP r1\r\n").await;
     assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -28,7 +28,7 @@
 use crate::clock::Clock;
 use crate::reducer::Event;
 use crate::socket::{self, ConnectError};
-use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
 use hallrelay_hot_restart::{PeerId, SessionState};
@@ -82,10 +82,10 @@
 #[derive(Clone)]
 struct Hub {
     events: mpsc::Sender<Event>,
-    connections: Rc<RefCell<BTreeMap<SessId, mpsc::Sender<Command>>>>,
+    connections: Rc<RefCell<BTreeMap<SessionId, mpsc::Sender<Command>>>>,
     /// Scratch space for bytes that are read and dropped.
     discarded: Rc<RefCell<Vec<u8>>>,
-    last_id: Rc<Cell<SessId>>,
+    last_connection_id: Rc<Cell<SessionId>>,
     /// Servers to which nothing new may be sent.
     draining: Rc<RefCell<BTreeSet<ServerId>>>,
     denials: Rc<dial_permit::DenialCounter>,
@@ -107,7 +107,7 @@
             connections: Rc::new(RefCell::new(BTreeMap::new())),
             // Enough for what a peer sends at full speed between two reads.
             discarded: Rc::new(RefCell::new(vec![0; 1 << 16])),
-            last_id: Rc::new(Cell::new(0)),
+            last_connection_id: Rc::new(Cell::new(0)),
             draining: Rc::default(),
             denials: Rc::default(),
             last_connected_at: Rc::default(),
@@ -133,13 +133,13 @@
     }
 
     /// A new connection's id: counted up, and not one that is in use after the count went round.
-    fn register(&self) -> (SessId, mpsc::Receiver<Command>) {
+    fn register(&self) -> (SessionId, mpsc::Receiver<Command>) {
         let mut connections = self.connections.borrow_mut();
-        let mut id = self.last_id.get().wrapping_add(1);
+        let mut id = self.last_connection_id.get().wrapping_add(1);
         while connections.contains_key(&id) {
             id = id.wrapping_add(1);
         }
-        self.last_id.set(id);
+        self.last_connection_id.set(id);
         let (to, commands) = mpsc::channel(self.limits().max_queued_commands);
         connections.insert(id, to);
         (id, commands)
@@ -156,7 +156,7 @@
         Ok(stream)
     }
 
-    fn command(&self, connection_id: SessId, command: Command) {
+    fn command(&self, connection_id: SessionId, command: Command) {
         if let Some(to) = self.connections.borrow().get(&connection_id) {
             if to.try_send(command).is_err() {
                 slog::debug!(self.log, "a command came too late"; "connection" => connection_id);
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -6,7 +6,7 @@
 use crate::buffer::Buffer;
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessionId};
 use hallrelay_hot_restart::{PeerId, SessionState};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -55,7 +55,7 @@
 
 /// Watches the lines of a session for latency, load and the backend's last line.
 struct LineObserver<'a> {
-    connection_id: SessId,
+    connection_id: SessionId,
     hub: &'a Hub,
     /// When the client sent the messages whose answers are awaited, oldest first.
     unanswered: VecDeque<Micros>,
@@ -67,7 +67,7 @@
 }
 
 impl<'a> LineObserver<'a> {
-    fn new(connection_id: SessId, hub: &'a Hub) -> LineObserver<'a> {
+    fn new(connection_id: SessionId, hub: &'a Hub) -> LineObserver<'a> {
         let answer_timeout = hub.limits().silence_timeout;
         let unanswered = VecDeque::new();
         LineObserver { connection_id, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
@@ -201,7 +201,7 @@
 
 /// Proxies a session that a backend has accepted, from the acceptance line to the end.
 pub async fn run(
-    connection_id: SessId,
+    connection_id: SessionId,
     client: TcpStream,
     from_client: Buffer,
     backend: Backend,
@@ -222,7 +222,7 @@
 
 /// Continues a session of another process, once the reducer has adopted it.
 pub async fn resume(
-    connection_id: SessId,
+    connection_id: SessionId,
     session: Box<SessionState>,
     sockets: SessionSockets,
     mut commands: Receiver<Command>,
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -3,7 +3,7 @@
 use super::lifecycle::Lifecycle;
 use super::sessions::final_answer;
 use super::{Effect, Reducer, SessionStage, Timer};
-use hallrelay_balancer::types::{Micros, SessId};
+use hallrelay_balancer::types::{Micros, SessionId};
 
 /// The pause between two batches.
 const BATCH_INTERVAL: Micros = 50_000;
@@ -50,7 +50,7 @@
                 return;
             }
         }
-        let open: Vec<SessId> = self
+        let open: Vec<SessionId> = self
             .sessions
             .iter()
             .filter(|(_, session)| session.stage == SessionStage::Proxying)
@@ -80,7 +80,7 @@
             self.idle_connections.is_empty() || elapsed >= limits.stop_end_delay + BATCH_INTERVAL;
         if elapsed >= limits.stop_end_delay {
             let idle = self.idle_connections.drain(..);
-            out.extend(idle.map(|idle| Effect::ShedConnection { connection_id: idle.id }));
+            out.extend(idle.map(|idle| Effect::ShedConnection { connection_id: idle.connection_id }));
         }
         let is_empty = self.sessions.is_empty() && idle_connections_are_done;
         // Shortly before the process may be killed: every client got an answer or `MOVE` by then.
@@ -97,7 +97,7 @@
     /// settings: a rejection where nothing was sent, else a failure.
     fn answer_waiting(&mut self, out: &mut Vec<Effect>) {
         let waiting = self.sessions.iter().filter(|(_, session)| session.stage.awaits_answer());
-        let answers: Vec<(SessId, Effect)> =
+        let answers: Vec<(SessionId, Effect)> =
             waiting.map(|(id, session)| (*id, final_answer(*id, session.dials))).collect();
         for (session_id, answer) in answers {
             self.answer_waiting_session(session_id, answer, out);
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -6,7 +6,7 @@
 //! `hallrelay-lab losses` reads it.
 use super::{DrainRequest, LifecycleStatus, Metrics};
 use crate::lines::SessionRequest;
-use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, ServerId, SessId};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
 use hallrelay_config::list::List;
@@ -71,22 +71,22 @@
     /// A client connected.
     ClientConnected {
         /// Its connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// A part of a first line has come.
     FirstLineStarted {
         /// The client's connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// A client sent `PING`: is this relay ready?
     Ping {
         /// The connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// A client's first line is complete.
     SessionRequested {
         /// The session from now on.
-        session_id: SessId,
+        session_id: SessionId,
         /// The parsed line.
         open: SessionRequest,
         /// What is left of the client's timeout.
@@ -95,38 +95,38 @@
     /// A connection sends what is not of the protocol, or nothing in time.
     ProtocolViolation {
         /// The connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// A client's connection is over.
     ClientDisconnected {
         /// The connection, a session or not.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// A client ended its sending while it waited for its final answer: it has left, or still reads.
     ClientHalfClosed {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The first line of a dial is written to the backend, so the dial may run.
     FirstLineForwarded,
     /// A backend accepted a session.
     SessionEstablished {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// The dial's number within the session, from 0.
         dial: u32,
     },
     /// This machine could not start a dial, or its backend drains: it does not count as one.
     DialNotStarted {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// The dial's number within the session.
         dial: u32,
     },
     /// A dial ended without an open session.
     DialEnded {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// The dial's number within the session.
         dial: u32,
         /// How it ended; `Ok` where the backend served the session to its end at once.
@@ -137,7 +137,7 @@
     /// An open session ended at its backend's side.
     SessionEnded {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// How it ended.
         end: DialEnd,
         /// The backend's load report, where it gave one.
@@ -146,14 +146,14 @@
     /// A backend reported a load within an open session.
     LoadReported {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// The session's load, or a message delay in milliseconds: backends use one word for both.
         load: f64,
     },
     /// A message of an open session was answered.
     MessageLatency {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// From the message to its answer.
         time: Micros,
     },
@@ -192,17 +192,17 @@
     /// Another process took over a session.
     SessionHandedOver {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// Another process could not take over a session, which goes on here.
     SessionHandoverFailed {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// This process took over an open session of its predecessor.
     SessionAdopted {
         /// The session's number here.
-        session_id: SessId,
+        session_id: SessionId,
         /// What the predecessor knew of it.
         state: Box<SessionState>,
     },
@@ -233,9 +233,9 @@
     /// A timer of the balancer, by its label.
     Balancer(u32),
     /// The final answer of a session is due.
-    AnswerDeadline(SessId),
+    AnswerDeadline(SessionId),
     /// A session that is to be resumed is dialled at its backend again.
-    DialResumingSession(SessId),
+    DialResumingSession(SessionId),
     /// The next batch of sessions migrates, in the drain or stop of this number.
     MigrateBatch(u32),
     /// A process that was offered the listener was not ready in time.
@@ -262,12 +262,12 @@
     /// Answers a ping: this relay is ready.
     Pong {
         /// The connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// Answers a ping: this relay is not ready.
     RejectPing {
         /// The connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// Answers an operator.
     Reply {
@@ -286,7 +286,7 @@
     /// Dials a backend for a session.
     Dial {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// The dial's number within the session, from 0.
         dial: u32,
         /// The backend; `None` for a session that was open there before this process started.
@@ -301,29 +301,29 @@
     /// Proxies lines both ways from now on.
     StartProxying {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// The final answer of a session that was never forwarded.
     Reject {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// When the client may come again; at 0 the answer names no time.
         retry_after: Micros,
     },
     /// The final answer of a session that failed; it may have run.
     TearDown {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// Sends `MOVE` to an open session's client, and ends the session.
     Migrate {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// Hands an open session over to another process.
     HandOverSession {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// The process.
         peer: PeerId,
         /// What the process has to know of it.
@@ -332,25 +332,25 @@
     /// Answers a protocol violation with an error.
     ReportProtocolError {
         /// The connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// Ends a connection that is no session, for the place that it takes.
     ShedConnection {
         /// The connection.
-        connection_id: SessId,
+        connection_id: SessionId,
     },
     /// The backend of an open session fails its health checks, or answers them again: while it is suspect, an
     /// unanswered message counts as lost sooner.
     SetSuspect {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
         /// Whether the backend is suspect.
         suspect: bool,
     },
     /// Ends a client's connection without an answer.
     CloseClient {
         /// The session.
-        session_id: SessId,
+        session_id: SessionId,
     },
     /// Checks a backend's health and load.
     HealthCheck {
@@ -405,7 +405,7 @@
         /// The record.
         record: Record,
         /// The session whose dial waits until the record is durable, or for as long as the limits allow.
-        before: Option<SessId>,
+        before: Option<SessionId>,
     },
     /// Writes records of the voter; `VoterWritesDurable` reports when all of them are durable.
     PersistVoterWrites {
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -3,7 +3,7 @@
 use super::coordination::ExcludedBackends;
 use super::{log, Effect, Reducer, SessionStage};
 use crate::control_message::RemainingSessions;
-use hallrelay_balancer::types::{Phase, SessId};
+use hallrelay_balancer::types::{Phase, SessionId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_raft::Index;
 use hallrelay_recovery::Record;
@@ -12,7 +12,7 @@
 /// A session at an excluded backend.
 struct SessionToMigrate {
     backend: String,
-    session_id: SessId,
+    session_id: SessionId,
 }
 
 impl Reducer {
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -4,48 +4,48 @@
 //! Sessions and these share the places that the limits allow. Where there is none left, clients that
 //! connect and stay silent must not block others.
 use super::{Effect, Reducer};
-use hallrelay_balancer::types::SessId;
+use hallrelay_balancer::types::SessionId;
 
 /// One connection that is no session.
 #[derive(Clone, Copy)]
 pub(super) struct IdleConnection {
-    pub id: SessId,
+    pub connection_id: SessionId,
     /// A part of its first line was read.
     pub line_started: bool,
 }
 
 impl Reducer {
     /// Adds a connection as the most recently active one.
-    pub(super) fn add_idle_connection(&mut self, id: SessId) {
-        self.idle_connections.push_back(IdleConnection { id, line_started: false });
+    pub(super) fn add_idle_connection(&mut self, connection_id: SessionId) {
+        self.idle_connections.push_back(IdleConnection { connection_id, line_started: false });
     }
 
-    pub(super) fn remove_idle_connection(&mut self, id: SessId) {
-        self.idle_connections.retain(|idle| idle.id != id);
+    pub(super) fn remove_idle_connection(&mut self, connection_id: SessionId) {
+        self.idle_connections.retain(|idle| idle.connection_id != connection_id);
     }
 
     /// A client connected. Where that is one over the limit, the longest silent connection is shed, or else
     /// the one whose first line has paused longest.
-    pub(super) fn client_connected(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn client_connected(&mut self, connection_id: SessionId, out: &mut Vec<Effect>) {
         self.add_idle_connection(connection_id);
         let remaining = self.predecessor_remaining.connections as usize;
         let connections = remaining + self.sessions.len() + self.idle_connections.len();
         if connections <= self.node.limits.max_client_connections {
             return;
         }
-        let is_silent = |idle: &IdleConnection| !idle.line_started && idle.id != connection_id;
+        let is_silent = |idle: &IdleConnection| !idle.line_started && idle.connection_id != connection_id;
         let position = self.idle_connections.iter().position(is_silent).unwrap_or(0);
         if let Some(shed) = self.idle_connections.remove(position) {
-            out.push(Effect::ShedConnection { connection_id: shed.id });
+            out.push(Effect::ShedConnection { connection_id: shed.connection_id });
         }
     }
 
     /// A connection whose first line makes progress is shed after those whose line does not.
-    pub(super) fn first_line_started(&mut self, connection_id: SessId) {
-        let position = self.idle_connections.iter().position(|idle| idle.id == connection_id);
+    pub(super) fn first_line_started(&mut self, connection_id: SessionId) {
+        let position = self.idle_connections.iter().position(|idle| idle.connection_id == connection_id);
         if let Some(position) = position {
             self.idle_connections.remove(position);
-            self.idle_connections.push_back(IdleConnection { id: connection_id, line_started: true });
+            self.idle_connections.push_back(IdleConnection { connection_id, line_started: true });
         }
     }
 }
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -1,6 +1,6 @@
 //! What backends report and messages show of load and latency within open sessions.
 use super::{Effect, LatencyReport, Reducer};
-use hallrelay_balancer::types::{Input, Micros, SessId};
+use hallrelay_balancer::types::{Input, Micros, SessionId};
 
 /// Backends report message delays once in this time on a session; loads come at other times.
 const DELAY_REPORT_INTERVAL: Micros = 1_000_000;
@@ -21,7 +21,7 @@
 impl Reducer {
     /// A value that a backend reported within a session. Backends use one word for a session's load and for
     /// its message delay in milliseconds: a value that comes one interval after the last is a delay.
-    pub(super) fn load_reported(&mut self, session_id: SessId, load: f64, out: &mut Vec<Effect>) {
+    pub(super) fn load_reported(&mut self, session_id: SessionId, load: f64, out: &mut Vec<Effect>) {
         if !self.is_proxying(session_id) {
             return;
         }
@@ -42,7 +42,7 @@
 
     /// A message of a session took this long. The balancer is notified while a server's messages are slow,
     /// and once more when that is over.
-    pub(super) fn latency_measured(&mut self, session_id: SessId, time: Micros, out: &mut Vec<Effect>) {
+    pub(super) fn latency_measured(&mut self, session_id: SessionId, time: Micros, out: &mut Vec<Effect>) {
         if !self.is_proxying(session_id) {
             return;
         }
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The lifecycle of this process: whether it serves, drains, stops, or has been replaced by another process.
 //! One table decides what each command, signal and handover does in each state.
 use super::{log, Effect, Reducer};
-use hallrelay_balancer::types::{Micros, SessId};
+use hallrelay_balancer::types::{Micros, SessionId};
 use hallrelay_config::limits::Limits;
 use std::fmt;
 
@@ -257,7 +257,7 @@
         !self.servers.is_empty()
     }
 
-    pub(super) fn ping_received(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn ping_received(&mut self, connection_id: SessionId, out: &mut Vec<Effect>) {
         self.pending_pings.push(connection_id);
         self.answer_pings(out);
     }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -3,7 +3,7 @@
 use super::lifecycle::LifecycleEvent;
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{
-    self as balancer, Input, Micros, Phase, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
+    self as balancer, Input, Micros, Phase, ServerSnapshot, SessionId, SlotSnapshot, Snapshot,
 };
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::ownership::READY_TIMEOUT;
@@ -95,7 +95,7 @@
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { owned: false });
         out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
-        let open: Vec<SessId> = self.sessions.keys().copied().collect();
+        let open: Vec<SessionId> = self.sessions.keys().copied().collect();
         open.into_iter().for_each(|session_id| self.hand_over_session(session_id, out));
         self.report_remaining(out);
     }
@@ -115,7 +115,7 @@
             servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
             session_load,
             draining_age: self.draining_since().map(|since| self.now - since),
-            session_ids: self.sessions.values().map(|session| session.id).collect(),
+            session_ids: self.sessions.values().map(|session| session.client_session_id).collect(),
             connections: (self.sessions.len() + self.idle_connections.len()) as u32,
             membership: self.membership.as_ref().map(Membership::snapshot),
             exclusions: self.coordination.as_ref().map(|coordination| ExclusionList {
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -47,7 +47,7 @@
 pub use membership::MembershipMetrics;
 pub use metrics::{Metrics, Outcomes};
 
-use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessId};
+use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessionId};
 use hallrelay_balancer::Balancer;
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
@@ -87,9 +87,9 @@
     balancer: Balancer,
     /// The time of the event that is being handled, in microseconds.
     now: Micros,
-    sessions: BTreeMap<SessId, Session>,
+    sessions: BTreeMap<SessionId, Session>,
     /// The ids that clients gave the sessions, so that a second use of one is found at once.
-    session_ids: HashSet<u64>,
+    client_session_ids: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
     /// The numbers of the servers by their names in the endpoint list.
     ids: BTreeMap<String, ServerId>,
@@ -102,7 +102,7 @@
     /// Clients' connections that are no session, the least recently active one first.
     idle_connections: VecDeque<IdleConnection>,
     /// Connections that wait for the answer to a ping.
-    pending_pings: Vec<SessId>,
+    pending_pings: Vec<SessionId>,
     lifecycle: Lifecycle,
     /// When the drain or stop that is in force began.
     lifecycle_since: Micros,
@@ -166,7 +166,7 @@
             node,
             now: 0,
             sessions: BTreeMap::new(),
-            session_ids: HashSet::new(),
+            client_session_ids: HashSet::new(),
             servers: BTreeMap::new(),
             ids: BTreeMap::new(),
             draining: BTreeSet::new(),
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -1,7 +1,7 @@
 //! What a relay stores as it happens, and what a start takes over of it.
 use super::{log, Effect, Reducer, Server};
 use hallrelay_balancer::types::{
-    Input, Micros, Phase, ServerId, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
+    Input, Micros, Phase, ServerId, ServerSnapshot, SessionId, SlotSnapshot, Snapshot,
 };
 use hallrelay_config::list::{Instance, List};
 use hallrelay_recovery::{recover, PhaseInput, Record, RecoverInput, Recovered, RecoveryPhase, StoredState};
@@ -117,7 +117,7 @@
     pub(super) fn persist_slow_start_slot(
         &mut self,
         server: ServerId,
-        session_id: SessId,
+        session_id: SessionId,
         out: &mut Vec<Effect>,
     ) {
         if self.node.state.is_none() {
--- a/relay/src/reducer/session.rs
+++ b/relay/src/reducer/session.rs
@@ -27,7 +27,7 @@
 /// One session, from its request to its end.
 pub(super) struct Session {
     /// The id that its client gave it.
-    pub id: u64,
+    pub client_session_id: u64,
     /// The name of its listener when it was requested.
     pub listener: Rc<str>,
     pub request: AdmissionRequest,
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -1,12 +1,12 @@
 //! Open sessions that pass from one process of the relay to the next.
 use super::{Effect, Reducer, Session, SessionStage};
-use hallrelay_balancer::types::{AdmissionRequest, Input, SessId};
+use hallrelay_balancer::types::{AdmissionRequest, Input, SessionId};
 use hallrelay_hot_restart::SessionState;
 
 impl Reducer {
     /// Hands an open session over to the process that owns the listener. In a drain it is moved to another
     /// relay instead.
-    pub(super) fn hand_over_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn hand_over_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
         };
@@ -21,7 +21,7 @@
             return;
         };
         let state = SessionState {
-            id: session.id,
+            id: session.client_session_id,
             listener: session.listener.to_string(),
             server: backend.id.clone(),
             key: session.request.key,
@@ -34,7 +34,7 @@
     }
 
     /// The other process could not take it: it stays here, and moves as this process drains.
-    pub(super) fn session_handover_failed(&mut self, session_id: SessId) {
+    pub(super) fn session_handover_failed(&mut self, session_id: SessionId) {
         if let Some(session) =
             self.sessions.get_mut(&session_id).filter(|session| session.stage == SessionStage::HandingOver)
         {
@@ -43,7 +43,12 @@
     }
 
     /// An open session of the predecessor, after its first answer.
-    pub(super) fn adopt_session(&mut self, session_id: SessId, state: SessionState, out: &mut Vec<Effect>) {
+    pub(super) fn adopt_session(
+        &mut self,
+        session_id: SessionId,
+        state: SessionState,
+        out: &mut Vec<Effect>,
+    ) {
         let listeners = &self.node.site.listeners;
         // This process' configuration may no longer have its listener; an open session needs none.
         let listener = listeners.iter().position(|name| *name == state.listener).unwrap_or(0);
@@ -51,7 +56,7 @@
         let request = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
         let server = self.ids.get(&state.server).copied();
         let adopted = Session {
-            id: state.id,
+            client_session_id: state.id,
             listener: state.listener.as_str().into(),
             request,
             stage: SessionStage::Proxying,
@@ -62,7 +67,7 @@
             is_resuming: false,
         };
         self.predecessor_session_ids.remove(&state.id);
-        self.session_ids.insert(state.id);
+        self.client_session_ids.insert(state.id);
         self.sessions.insert(session_id, adopted);
         let remaining = &mut self.predecessor_remaining;
         remaining.connections = remaining.connections.saturating_sub(1);
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions, from a client's request to its final answer or the end of the open session.
 use super::{Effect, Reducer, Session, SessionStage, Timer};
 use crate::lines::SessionRequest;
-use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessId};
+use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessionId};
 use std::rc::Rc;
 
 /// Between two dials of a resumed session: often enough within the time that these have, seldom enough for a
@@ -9,7 +9,7 @@
 const RESUME_RETRY_INTERVAL: Micros = 200_000;
 
 /// The relay's own final answer after so many dials: a rejection where nothing was forwarded, else a failure.
-pub(super) fn final_answer(session_id: SessId, dials: u32) -> Effect {
+pub(super) fn final_answer(session_id: SessionId, dials: u32) -> Effect {
     match dials {
         0 => Effect::Reject { session_id, retry_after: 0 },
         _ => Effect::TearDown { session_id },
@@ -18,17 +18,17 @@
 
 impl Reducer {
     /// Whether the dial is the one that is out for the session; events of earlier dials are ignored.
-    fn is_current_dial(&self, session_id: SessId, dial: u32) -> bool {
+    fn is_current_dial(&self, session_id: SessionId, dial: u32) -> bool {
         let is_out = |session: &Session| session.stage == SessionStage::Dialing && session.dials == dial + 1;
         self.sessions.get(&session_id).is_some_and(is_out)
     }
 
-    pub(super) fn is_proxying(&self, session_id: SessId) -> bool {
+    pub(super) fn is_proxying(&self, session_id: SessionId) -> bool {
         self.sessions.get(&session_id).is_some_and(|session| session.stage == SessionStage::Proxying)
     }
 
     /// A connection that violates the protocol is never served, even where a dial is out for it.
-    pub(super) fn protocol_violation(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn protocol_violation(&mut self, connection_id: SessionId, out: &mut Vec<Effect>) {
         self.pending_pings.retain(|ping| *ping != connection_id);
         out.push(Effect::ReportProtocolError { connection_id });
         self.abandon_session(connection_id, out);
@@ -36,7 +36,7 @@
 
     /// Removes a session without an answer: its client left or violated the protocol, or another process has
     /// taken it over. The balancer is notified, unless the session still waits to be resumed.
-    pub(super) fn abandon_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn abandon_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         self.metrics.of_listener(&session.listener).abandoned += u64::from(session.stage.awaits_answer());
         if !session.is_resuming {
@@ -45,7 +45,7 @@
     }
 
     /// The client closed its connection, whether or not it was a session.
-    pub(super) fn client_disconnected(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn client_disconnected(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         self.abandon_session(session_id, out);
         self.remove_idle_connection(session_id);
         self.pending_pings.retain(|connection_id| *connection_id != session_id);
@@ -53,16 +53,16 @@
 
     /// The client ended its sending before it was answered. It may have left, so nothing is forwarded; it may
     /// still read, so its final answer is sent.
-    pub(super) fn client_half_closed(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn client_half_closed(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(&session_id) else { return };
         out.push(final_answer(session_id, session.dials));
         self.abandon_session(session_id, out);
     }
 
     /// Ends a session; its connection goes on for as long as its final answer takes.
-    pub(super) fn remove_session(&mut self, session_id: SessId) -> Option<Session> {
+    pub(super) fn remove_session(&mut self, session_id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&session_id)?;
-        self.session_ids.remove(&session.id);
+        self.client_session_ids.remove(&session.client_session_id);
         self.add_idle_connection(session_id);
         Some(session)
     }
@@ -70,7 +70,7 @@
     /// A client's first line. `time_remaining` is what is left of its timeout.
     pub(super) fn session_requested(
         &mut self,
-        session_id: SessId,
+        session_id: SessionId,
         open: SessionRequest,
         time_remaining: Micros,
         out: &mut Vec<Effect>,
@@ -94,7 +94,7 @@
             false => request.time_remaining,
         };
         let session = Session {
-            id: open.id,
+            client_session_id: open.id,
             listener: Rc::from(open.listener),
             request,
             stage: SessionStage::AwaitingPlacement,
@@ -105,7 +105,7 @@
             is_resuming,
         };
         self.metrics.of_listener(&session.listener).requested += 1;
-        self.session_ids.insert(session.id);
+        self.client_session_ids.insert(session.client_session_id);
         self.sessions.insert(session_id, session);
         if self.is_full() || !self.accepts_sessions() || self.is_past_stop_deadline() {
             return self.send_final_answer(session_id, Effect::Reject { session_id, retry_after: 0 }, out);
@@ -122,7 +122,7 @@
     /// not count.
     fn valid_listener(&self, open: &SessionRequest, time_remaining: Micros) -> Option<usize> {
         let is_in_use =
-            self.session_ids.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
+            self.client_session_ids.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
         let is_timely = open.at.is_some() || time_remaining <= self.node.limits.max_client_timeout;
         if is_in_use || !is_timely {
             return None;
@@ -137,7 +137,7 @@
     }
 
     /// Returns a session to the backend at which it was open before this process started.
-    fn resume_session(&mut self, session_id: SessId, backend: &str, out: &mut Vec<Effect>) {
+    fn resume_session(&mut self, session_id: SessionId, backend: &str, out: &mut Vec<Effect>) {
         let Some(&server) = self.ids.get(backend) else {
             return self.send_final_answer(session_id, Effect::TearDown { session_id }, out);
         };
@@ -148,7 +148,7 @@
     /// Removes a session, counts its outcome and sends its final answer. A client whose time was up long ago,
     /// since this process was not scheduled, gets none. Only `client_half_closed` sends one elsewhere: that
     /// counts as abandoned.
-    pub(super) fn send_final_answer(&mut self, session_id: SessId, answer: Effect, out: &mut Vec<Effect>) {
+    pub(super) fn send_final_answer(&mut self, session_id: SessionId, answer: Effect, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&session.listener);
         // Until then a late answer serves the client better than none.
@@ -161,7 +161,7 @@
     }
 
     /// Dials the backend of a session that is to be resumed.
-    pub(super) fn dial_resuming_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn dial_resuming_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         if session.stage != SessionStage::AwaitingPlacement {
             return;
@@ -180,7 +180,7 @@
     }
 
     /// The final answer is due, and no dial brought one.
-    pub(super) fn deadline_expired(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn deadline_expired(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         self.answer_waiting_session(session_id, Effect::TearDown { session_id }, out);
     }
 
@@ -188,7 +188,7 @@
     /// still waits to be resumed.
     pub(super) fn answer_waiting_session(
         &mut self,
-        session_id: SessId,
+        session_id: SessionId,
         answer: Effect,
         out: &mut Vec<Effect>,
     ) {
@@ -200,7 +200,7 @@
     }
 
     /// A backend accepted a session.
-    pub(super) fn session_established(&mut self, session_id: SessId, dial: u32, out: &mut Vec<Effect>) {
+    pub(super) fn session_established(&mut self, session_id: SessionId, dial: u32, out: &mut Vec<Effect>) {
         if !self.is_current_dial(session_id, dial) {
             return;
         }
@@ -234,7 +234,7 @@
     /// The current dial of a session ended without an open session.
     pub(super) fn dial_ended(
         &mut self,
-        session_id: SessId,
+        session_id: SessionId,
         dial: u32,
         end: DialEnd,
         report: Option<LoadReport>,
@@ -258,7 +258,7 @@
 
     /// A dial that this machine could not start does not count: the balancer decides anew while the session
     /// waits.
-    pub(super) fn dial_not_started(&mut self, session_id: SessId, dial: u32, out: &mut Vec<Effect>) {
+    pub(super) fn dial_not_started(&mut self, session_id: SessionId, dial: u32, out: &mut Vec<Effect>) {
         if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
             return;
         }
@@ -269,7 +269,7 @@
 
     /// No dial is out any more. A session that is to be resumed is dialled again at its backend, and true is
     /// returned.
-    fn retries_resuming(&mut self, session_id: SessId, out: &mut Vec<Effect>) -> bool {
+    fn retries_resuming(&mut self, session_id: SessionId, out: &mut Vec<Effect>) -> bool {
         let Some(session) = self.sessions.get_mut(&session_id) else { return false };
         session.stage = SessionStage::AwaitingPlacement;
         if session.is_resuming {
@@ -282,7 +282,7 @@
     /// An open session ended at its backend's side.
     pub(super) fn session_ended(
         &mut self,
-        session_id: SessId,
+        session_id: SessionId,
         end: DialEnd,
         report: Option<LoadReport>,
         out: &mut Vec<Effect>,
@@ -296,7 +296,7 @@
     }
 
     /// The balancer migrates an open session from its backend to another.
-    pub(super) fn migrate_session(&mut self, session_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn migrate_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         if session.stage == SessionStage::Proxying {
             session.stage = SessionStage::Migrating;
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -89,7 +89,7 @@
 enum Happening {
     Input { relay: usize, input: Input },
     ClientComes { relay: usize, returned: bool },
-    SessionEnds { relay: usize, sess: SessId, server: ServerId },
+    SessionEnds { relay: usize, sess: SessionId, server: ServerId },
     BackendIsProbed { relay: usize, server: ServerId },
 }
 
@@ -107,10 +107,10 @@
     /// The mean life of a session.
     pub session_life: Micros,
     relays: Vec<Balancer>,
-    standing: Vec<HashMap<SessId, Standing>>,
+    standing: Vec<HashMap<SessionId, Standing>>,
     due: BTreeMap<(Micros, u64), Happening>,
     scheduled: u64,
-    last_session: SessId,
+    last_session: SessionId,
     chance: oorandom::Rand64,
 }
 
@@ -169,7 +169,7 @@
     pub fn crash_backend(&mut self, server: ServerId, return_within: Micros) {
         for relay in 0..self.relays.len() {
             let there = self.standing[relay].iter().filter(|(_, one)| one.server == server);
-            let mut there: Vec<SessId> = there.map(|(sess, _)| *sess).collect();
+            let mut there: Vec<SessionId> = there.map(|(sess, _)| *sess).collect();
             there.sort_unstable();
             for sess in there {
                 self.standing[relay].remove(&sess);
@@ -289,7 +289,7 @@
         }
     }
 
-    fn dial(&mut self, relay: usize, sess: SessId, server: ServerId) {
+    fn dial(&mut self, relay: usize, sess: SessionId, server: ServerId) {
         self.deeds[relay].push((self.now, Deed::Dialled));
         let backend = self.backends.get_mut(&server).expect("only what is listed is dialled");
         backend.dials.push(self.now);
--- a/tests/short_days/unheard.rs
+++ b/tests/short_days/unheard.rs
@@ -47,7 +47,7 @@
     for (sess, now) in (0..END).step_by(EVERY as usize).enumerate() {
         let request =
             AdmissionRequest { listener: sess % 2, time_remaining: SECOND, ..AdmissionRequest::default() };
-        let dialled = dials(&mut relay, now, Input::SessionRequested { session: sess as SessId, request });
+        let dialled = dials(&mut relay, now, Input::SessionRequested { session: sess as SessionId, request });
         match (now < ROOM_AT, dialled) {
             (true, dialled) => refused_before += u32::from(!dialled),
             (false, true) => last_dial = now,
