--- a/config/src/scenario/check/mod.rs
+++ b/config/src/scenario/check/mod.rs
@@ -1,6 +1,6 @@
 //! Checks the values of a scenario beyond their types. The first value that is invalid is reported.
+mod faults;
 mod relay_faults;
-mod troubles;
 
 use super::{Listener, Relays, Scenario, Servers, Span};
 use hallrelay_balancer::types::Micros;
@@ -39,7 +39,7 @@
     reject_if(scenario.clients.message_s.us() == 0, "clients.message_s", "wanted more than 0")?;
     let has_no_sorts = scenario.bad.rate.0 > 0.0 && scenario.bad.sorts.is_empty();
     reject_if(has_no_sorts, "bad.sorts", "a rate without sorts means nothing")?;
-    troubles::check(scenario)
+    faults::check(scenario)
 }
 
 fn reject_if(is_invalid: bool, key: &str, reason: &str) -> Result<(), InvalidKey> {
--- a/config/src/scenario/check/relay_faults.rs
+++ b/config/src/scenario/check/relay_faults.rs
@@ -1,15 +1,15 @@
 //! Checks the keys of faults that are about relays and the links between them.
-use super::super::TroubleKind::{
+use super::super::FaultKind::{
     LinkCut, LinkDamage, LinkDelay, LinkDouble, LinkLoss, LinkReorder, LinkSplit, ListCut, RelayLooping,
     RelayStalled, RelaysOut, ServersCut,
 };
-use super::troubles::TroubleCheck;
+use super::faults::FaultCheck;
 use super::InvalidKey;
 use hallrelay_balancer::types::Micros;
 
 const MIN_PERIOD: Micros = 100_000;
 
-pub(super) fn check(check: &TroubleCheck) -> Result<(), InvalidKey> {
+pub(super) fn check(check: &FaultCheck) -> Result<(), InvalidKey> {
     check_kind(check)?;
     check_relay_numbers(check)?;
     check_selection(check)?;
@@ -18,8 +18,8 @@
     check_delay(check)
 }
 
-fn check_kind(check: &TroubleCheck) -> Result<(), InvalidKey> {
-    let (kind, relays) = (check.trouble.kind, &check.scenario.relays);
+fn check_kind(check: &FaultCheck) -> Result<(), InvalidKey> {
+    let (kind, relays) = (check.fault.kind, &check.scenario.relays);
     let lacks_fleet = kind.is_link() && !relays.fleet;
     check.reject_if(
         lacks_fleet,
@@ -29,47 +29,47 @@
     let lacks_voters = kind == RelaysOut && relays.voters == 0;
     check.reject_if(lacks_voters, "kind", "is about drains that are agreed, and relays.voters is 0")?;
     let must_last = kind.is_link() || matches!(kind, RelayStalled | RelayLooping | ListCut | ServersCut);
-    check.reject_if(must_last && check.trouble.length_s.us() == 0, "length_s", "wanted more than 0")
+    check.reject_if(must_last && check.fault.length_s.us() == 0, "length_s", "wanted more than 0")
 }
 
-fn check_relay_numbers(check: &TroubleCheck) -> Result<(), InvalidKey> {
-    let trouble = check.trouble;
+fn check_relay_numbers(check: &FaultCheck) -> Result<(), InvalidKey> {
+    let fault = check.fault;
     let is_unknown = |relay: usize| relay >= check.scenario.relays.count;
     let has_unknown = |relays: &[usize]| relays.iter().any(|&relay| is_unknown(relay));
-    let lists = [("relays", &trouble.relays), ("from", &trouble.from), ("to", &trouble.to)];
+    let lists = [("relays", &fault.relays), ("from", &fault.from), ("to", &fault.to)];
     for (name, list) in lists {
         check.reject_if(has_unknown(list), name, "names a relay that there is not (they count from 0)")?;
     }
-    let groups_have_unknown = trouble.groups.iter().any(|group| has_unknown(group));
+    let groups_have_unknown = fault.groups.iter().any(|group| has_unknown(group));
     check.reject_if(groups_have_unknown, "groups", "names a relay that there is not")?;
-    let members: Vec<usize> = trouble.groups.iter().flatten().copied().collect();
+    let members: Vec<usize> = fault.groups.iter().flatten().copied().collect();
     let has_duplicate = (1..members.len()).any(|index| members[..index].contains(&members[index]));
     check.reject_if(
         has_duplicate,
         "groups",
         "names a relay twice: a relay that hears two groups is the bridge",
     )?;
-    check.reject_if(trouble.bridge.is_some_and(is_unknown), "bridge", "names a relay that there is not")
+    check.reject_if(fault.bridge.is_some_and(is_unknown), "bridge", "names a relay that there is not")
 }
 
 /// Checks that keys which select relays or links stand beside a kind of fault that has them.
-fn check_selection(check: &TroubleCheck) -> Result<(), InvalidKey> {
-    let trouble = check.trouble;
-    let is_split = trouble.kind == LinkSplit;
-    let has_split_keys = !trouble.groups.is_empty() || trouble.bridge.is_some();
+fn check_selection(check: &FaultCheck) -> Result<(), InvalidKey> {
+    let fault = check.fault;
+    let is_split = fault.kind == LinkSplit;
+    let has_split_keys = !fault.groups.is_empty() || fault.bridge.is_some();
     check.reject_if(!is_split && has_split_keys, "groups", "belongs to kind = \"link-split\"")?;
-    let has_links = trouble.kind.is_link() && !is_split;
-    let has_link_keys = !trouble.from.is_empty() || !trouble.to.is_empty();
+    let has_links = fault.kind.is_link() && !is_split;
+    let has_link_keys = !fault.from.is_empty() || !fault.to.is_empty();
     check.reject_if(has_link_keys && !has_links, "from", "belongs to ways between relays")?;
-    let is_one_way_invalid = trouble.one_way && (!has_links || trouble.from.is_empty());
+    let is_one_way_invalid = fault.one_way && (!has_links || fault.from.is_empty());
     check.reject_if(is_one_way_invalid, "one_way", "wants `from`, and a way between relays")?;
-    let has_relays_misplaced = !trouble.relays.is_empty() && !trouble.kind.is_of_relays();
+    let has_relays_misplaced = !fault.relays.is_empty() && !fault.kind.is_of_relays();
     check.reject_if(has_relays_misplaced, "relays", "belongs to troubles of relays")
 }
 
-fn check_period(check: &TroubleCheck) -> Result<(), InvalidKey> {
-    let kind = check.trouble.kind;
-    let period = check.trouble.every_s.us();
+fn check_period(check: &FaultCheck) -> Result<(), InvalidKey> {
+    let kind = check.fault.kind;
+    let period = check.fault.every_s.us();
     let is_intermittent = matches!(kind, LinkCut | LinkSplit);
     let may_have_period = is_intermittent || kind == RelayLooping;
     check.reject_if(period > 0 && !may_have_period, "every_s", "means nothing for this kind")?;
@@ -77,16 +77,16 @@
     check.reject_if(is_too_short, "every_s", "wanted 0.1 s at least")
 }
 
-fn check_strength(check: &TroubleCheck) -> Result<(), InvalidKey> {
-    let strength = check.trouble.strength.0;
-    let is_fraction = matches!(check.trouble.kind, LinkLoss | LinkDouble | LinkReorder | LinkDamage);
+fn check_strength(check: &FaultCheck) -> Result<(), InvalidKey> {
+    let strength = check.fault.strength.0;
+    let is_fraction = matches!(check.fault.kind, LinkLoss | LinkDouble | LinkReorder | LinkDamage);
     let is_out_of_range = is_fraction && !(strength > 0.0 && strength <= 1.0);
     check.reject_if(is_out_of_range, "strength", "wanted a part over 0 and up to 1, of what goes the way")
 }
 
-fn check_delay(check: &TroubleCheck) -> Result<(), InvalidKey> {
-    let has_delay = matches!(check.trouble.kind, LinkDelay | LinkReorder);
-    let [shortest, longest] = check.trouble.delay_ms.map(|time| time.us());
+fn check_delay(check: &FaultCheck) -> Result<(), InvalidKey> {
+    let has_delay = matches!(check.fault.kind, LinkDelay | LinkReorder);
+    let [shortest, longest] = check.fault.delay_ms.map(|time| time.us());
     check.reject_if(shortest > longest, "delay_ms", "the first time is over the second")?;
     check.reject_if(has_delay && longest == 0, "delay_ms", "wanted two times, [least, most]")?;
     check.reject_if(!has_delay && longest > 0, "delay_ms", "means nothing for this kind")
--- a/config/src/scenario/trouble.rs
+++ b/config/src/scenario/fault.rs
@@ -5,9 +5,9 @@
 /// One fault. A key that its kind does not have must be left out.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// What happens.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// When it starts, from the day's beginning; before the day's end.
     pub at_s: Secs,
     /// How long it lasts; 0 by default, which most kinds do not allow.
@@ -25,7 +25,7 @@
     pub zone: Option<String>,
     /// The fault of `wire`.
     #[serde(default)]
-    pub fault: Option<Fault>,
+    pub fault: Option<ConnectionFault>,
     /// The relays that it affects, by number from 0, in place of a share of them.
     #[serde(default)]
     pub relays: Vec<usize>,
@@ -58,7 +58,7 @@
 /// The kinds of faults, with the unit of their `strength`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Servers end, and start anew at the fault's end; with a length of 0 they stay down.
     Crash,
     /// The same without closing their connections: they answer nothing.
@@ -135,7 +135,7 @@
 /// What a connection to a server meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fault {
+pub enum ConnectionFault {
     /// It is refused, or reset at once where only a fraction meets the fault.
     Refused,
     /// It is never established, or never answered where only a fraction meets the fault.
@@ -152,10 +152,10 @@
     SlowReader,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// Whether it is about links between relays, and so needs `relays.fleet`.
     pub fn is_link(self) -> bool {
-        use TroubleKind::{
+        use FaultKind::{
             LinkCut, LinkDamage, LinkDelay, LinkDouble, LinkHold, LinkLoss, LinkReorder, LinkSplit,
         };
         matches!(
@@ -166,7 +166,7 @@
 
     /// Whether it affects relays that can be named: their processes, and what they reach.
     pub fn is_of_relays(self) -> bool {
-        use TroubleKind::{
+        use FaultKind::{
             ListCut, RelayKilled, RelayLooping, RelayReloaded, RelayReplaced, RelayStalled, RelayStopped,
             RelaysOut, ServersCut,
         };
--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -2,21 +2,21 @@
 //! before anything starts; every error names file, line and key.
 mod check;
 mod clients;
+mod fault;
 mod listener;
 mod read;
 mod relays;
 mod rules;
 mod servers;
-mod trouble;
 mod units;
 
 pub use clients::{Bad, BadSort, Clients, Load, Step};
+pub use fault::{ConnectionFault, Fault, FaultKind};
 pub use listener::{Listener, Ring, Sort};
 pub use read::{parse, ScenarioError};
 pub use relays::{KnownList, Relays};
 pub use rules::{Goal, ListService, Net, Rules};
 pub use servers::{Drains, Kind, Servers, Warms};
-pub use trouble::{Fault, Trouble, TroubleKind};
 pub use units::{Millis, Num, Part, Secs, Span};
 
 use serde::Deserialize;
@@ -63,7 +63,7 @@
     pub net: Net,
     /// The faults; none by default.
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
 }
 
 fn default_seed() -> u64 {
@@ -81,7 +81,7 @@
         let shares: f64 = self.listeners.iter().map(|listener| listener.share.0).sum();
         let weighted_life = |listener: &Listener| listener.share.0 * listener.life_s.us() as f64 / 1e6;
         let life: f64 = self.listeners.iter().map(weighted_life).sum::<f64>();
-        let bursts = self.troubles.iter().filter(|trouble| trouble.kind == TroubleKind::Burst);
+        let bursts = self.faults.iter().filter(|fault| fault.kind == FaultKind::Burst);
         let factors = bursts.map(|burst| burst.strength.0);
         let highest = self.load.steps.iter().map(|step| step.times.0).chain(factors).fold(1.0, f64::max);
         let length = self.length_s.us() as f64 / 1e6;
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -7,7 +7,7 @@
 use crate::clients::ClientRequest;
 use crate::servers::{ConnectionId, DialRequest, Reachability, ServerLine};
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::Fault;
+use hallrelay_config::scenario::ConnectionFault;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -113,11 +113,11 @@
 
 async fn run_connection(server: usize, relay: usize, stream: TcpStream, host: Shared) {
     let fault = host.day.borrow_mut().servers.draw_wire_fault(server);
-    if matches!(fault, Some(Fault::ResetBefore | Fault::Refused)) {
+    if matches!(fault, Some(ConnectionFault::ResetBefore | ConnectionFault::Refused)) {
         return reset(&stream);
     }
     let (sender, commands) = mpsc::channel(COMMAND_CAPACITY);
-    if fault == Some(Fault::NeverUp) {
+    if fault == Some(ConnectionFault::NeverUp) {
         return hold(&stream, commands, &host).await;
     }
     let descriptor = stream.as_raw_fd();
@@ -159,7 +159,7 @@
     relay: usize,
     descriptor: RawFd,
     /// What befalls the connection.
-    fault: Option<Fault>,
+    fault: Option<ConnectionFault>,
     stream: TcpStream,
     /// For the models to send commands to this task.
     sender: mpsc::Sender<ConnectionCommand>,
@@ -218,7 +218,7 @@
 
     /// Answers a message on an open session with the same line.
     async fn echo(&mut self, line: &str) -> Flow {
-        if self.fault == Some(Fault::SlowReader) {
+        if self.fault == Some(ConnectionFault::SlowReader) {
             tokio::time::sleep(SLOW_READER_DELAY).await;
         }
         // The server may have gone silent meanwhile.
@@ -260,12 +260,12 @@
         };
         self.session = Some(Session { id, is_open: false });
         match self.fault {
-            Some(Fault::ResetAfter) => {
+            Some(ConnectionFault::ResetAfter) => {
                 self.host.connection_closed(id);
                 reset(&self.stream);
                 return Flow::Ended;
             }
-            Some(Fault::HalfLine) => _ = lines::write(&self.stream, b"UP half-a-li").await,
+            Some(ConnectionFault::HalfLine) => _ = lines::write(&self.stream, b"UP half-a-li").await,
             _ => {}
         }
         Flow::Continue
@@ -300,7 +300,7 @@
             lifetime: request.ended_after,
         };
         let received = DialReceived { mark, relay: self.relay, backend: self.server, first_byte_at };
-        let is_answered = !matches!(self.fault, Some(Fault::Silence | Fault::HalfLine));
+        let is_answered = !matches!(self.fault, Some(ConnectionFault::Silence | ConnectionFault::HalfLine));
         host.with(|day, now, todo| {
             if !host.accepts_foreign_clients.get() {
                 day.audit.dial_received(now, &received);
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -6,7 +6,7 @@
 use crate::links::{LinkFault, LinkSet};
 use crate::random::Random;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{Fault, Scenario, Trouble as FaultSettings, TroubleKind as FaultKind};
+use hallrelay_config::scenario::{ConnectionFault, Fault, FaultKind, Scenario};
 use schedule::FaultSchedule;
 use std::rc::Rc;
 
@@ -160,7 +160,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WireFault {
     /// What befalls them.
-    pub fault: Fault,
+    pub fault: ConnectionFault,
     /// Fraction of the connections, from 0 to 1.
     pub fraction: f64,
 }
@@ -221,18 +221,18 @@
 
 /// The times of a scenario's faults, in its order.
 pub fn fault_periods(scenario: &Scenario) -> Vec<FaultPeriod> {
-    let period = |fault: &FaultSettings| {
+    let period = |fault: &Fault| {
         let from = fault.at_s.us();
         let to = (from + fault.length_s.us()).min(scenario.length_s.us());
         FaultPeriod { kind: kind_text(fault.kind), from, to }
     };
-    scenario.troubles.iter().map(period).collect()
+    scenario.faults.iter().map(period).collect()
 }
 
 /// All actions of a day that begins at a time.
 pub fn actions(scenario: &Scenario, begin: Micros, random: &mut Random) -> EventQueue<Action> {
     let mut actions = EventQueue::default();
-    for (fault_id, fault) in scenario.troubles.iter().enumerate() {
+    for (fault_id, fault) in scenario.faults.iter().enumerate() {
         let from = begin + fault.at_s.us();
         let to = from + fault.length_s.us();
         let mut schedule =
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -4,7 +4,7 @@
 use crate::links::{LinkFault, LinkSet};
 use crate::random::Random;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{Drains, Scenario, Trouble as FaultSettings, TroubleKind as FaultKind};
+use hallrelay_config::scenario::{Drains, Fault, FaultKind, Scenario};
 use std::rc::Rc;
 
 /// How long an operator takes a relay out where the scenario sets no time.
@@ -26,7 +26,7 @@
 pub(super) struct FaultSchedule<'a> {
     pub scenario: &'a Scenario,
     pub fault_id: usize,
-    pub fault: &'a FaultSettings,
+    pub fault: &'a Fault,
     pub from: Micros,
     pub to: Micros,
     pub actions: &'a mut EventQueue<Action>,
--- a/emulator/src/servers/connections.rs
+++ b/emulator/src/servers/connections.rs
@@ -103,15 +103,15 @@
             _ if self.is_cut(server, relay) => Reachability::Unresponsive,
             ServerState::Down | ServerState::Overloaded => Reachability::Refused,
             ServerState::Up => match node.wire_fault.filter(|wire| wire.fraction >= 1.0) {
-                Some(WireFault { fault: Fault::Refused, .. }) => Reachability::Refused,
-                Some(WireFault { fault: Fault::NeverUp, .. }) => Reachability::Unresponsive,
+                Some(WireFault { fault: ConnectionFault::Refused, .. }) => Reachability::Refused,
+                Some(WireFault { fault: ConnectionFault::NeverUp, .. }) => Reachability::Unresponsive,
                 _ => Reachability::Open,
             },
         }
     }
 
     /// Draws the fault that a new connection to a server meets, if any.
-    pub fn draw_wire_fault(&mut self, server: usize) -> Option<Fault> {
+    pub fn draw_wire_fault(&mut self, server: usize) -> Option<ConnectionFault> {
         let wire = self.nodes[server].wire_fault?;
         (self.random.fraction() < wire.fraction).then_some(wire.fault)
     }
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -13,7 +13,7 @@
 use crate::server::{Cores, Machine, Server, ServerState, Work, CORE};
 use connections::Connection;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{Fault, Kind, Scenario, Warms};
+use hallrelay_config::scenario::{ConnectionFault, Kind, Scenario, Warms};
 pub use reports::LoadFigures;
 use reports::PublishedReport;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -6,7 +6,7 @@
 use crate::error::LabError;
 use crate::relay_process::Program;
 pub use descriptors::{descriptors_needed, raise_descriptor_limit};
-use hallrelay_config::scenario::{Scenario, TroubleKind};
+use hallrelay_config::scenario::{FaultKind, Scenario};
 use hallrelay_emulator::day::Day;
 use hallrelay_emulator::net::links::{self, RelayAddresses};
 use hallrelay_emulator::net::{endpoint_addresses, free_port, list, malformed, server, Clock, Host, Shared};
@@ -98,7 +98,7 @@
 
 /// What must hold before anything is started; makes the folder of results.
 fn check_limits(scenario: &Scenario, out: &Path) -> Result<(), LabError> {
-    if scenario.troubles.iter().any(|trouble| trouble.kind == TroubleKind::RelaysOut) {
+    if scenario.faults.iter().any(|fault| fault.kind == FaultKind::RelaysOut) {
         return Err(LabError::DrainsOnSockets);
     }
     raise_descriptor_limit(scenario, descriptors_needed(scenario))?;
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -2,7 +2,7 @@
 use super::{relay_placement, write_config, SocketDay, START_TIMEOUT};
 use crate::error::LabError;
 use crate::relay_process::{describe_exit, log_tail, Process};
-use hallrelay_config::scenario::TroubleKind;
+use hallrelay_config::scenario::FaultKind;
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::net::free_port;
 use hallrelay_emulator::node::{MembershipAddresses, RelayPlacement};
@@ -90,7 +90,7 @@
 
     /// Starts a process of a relay, beside one that may run, with a configuration of its own.
     fn spawn_process(&mut self, relay: usize) -> Result<Process, LabError> {
-        let has_hot_restarts = self.scenario.troubles.iter().any(|t| t.kind == TroubleKind::RelayReplaced);
+        let has_hot_restarts = self.scenario.faults.iter().any(|t| t.kind == FaultKind::RelayReplaced);
         let has_operator = self.scenario.relays.fleet || has_hot_restarts;
         let r = &mut self.relays[relay];
         r.figures.starts += 1;
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -3,7 +3,7 @@
 use super::state::{server_at, BackendConnection};
 use super::VirtualDay;
 use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
-use hallrelay_config::scenario::Fault;
+use hallrelay_config::scenario::ConnectionFault;
 use hallrelay_emulator::audit::{DialOutcome, DialReceived};
 use hallrelay_emulator::clients::ClientEvent;
 use hallrelay_emulator::day::DriverActions;
@@ -33,8 +33,10 @@
         let Some(mark) = r.mark_of(session_id) else { return };
         let latency = self.server_latency();
         let unconnected_after = match (reach, fault) {
-            (Reachability::Refused, _) | (_, Some(Fault::Refused)) => Some(2 * latency),
-            (Reachability::Unresponsive, _) | (_, Some(Fault::NeverUp)) => Some(timeout.min(connect_timeout)),
+            (Reachability::Refused, _) | (_, Some(ConnectionFault::Refused)) => Some(2 * latency),
+            (Reachability::Unresponsive, _) | (_, Some(ConnectionFault::NeverUp)) => {
+                Some(timeout.min(connect_timeout))
+            }
             (Reachability::Open, _) => None,
         };
         if let Some(after) = unconnected_after {
@@ -82,8 +84,10 @@
         let (relay, server, mark) = (dial.process.relay, dial.server, dial.mark);
         let received = DialReceived { mark, relay, backend: server, first_byte_at: self.now };
         let is_reachable = self.day.servers.reachability(server, relay) == Reachability::Open;
-        if !is_reachable || matches!(dial.fault, Some(Fault::ResetBefore | Fault::ResetAfter)) {
-            if is_reachable && dial.fault == Some(Fault::ResetAfter) {
+        if !is_reachable
+            || matches!(dial.fault, Some(ConnectionFault::ResetBefore | ConnectionFault::ResetAfter))
+        {
+            if is_reachable && dial.fault == Some(ConnectionFault::ResetAfter) {
                 self.day.audit.dial_received(self.now, &received);
                 self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRun);
             }
@@ -92,7 +96,7 @@
         dial.is_received = true;
         let (request, fault) = (dial.request.clone(), dial.fault);
         self.day.audit.dial_received(self.now, &received);
-        if !matches!(fault, Some(Fault::Silence | Fault::HalfLine)) {
+        if !matches!(fault, Some(ConnectionFault::Silence | ConnectionFault::HalfLine)) {
             self.day.servers.dial_received(self.now, connection, &request, &mut todo.server_events);
         }
     }
--- a/lab/src/virt/state.rs
+++ b/lab/src/virt/state.rs
@@ -3,7 +3,7 @@
 use super::StateMachine;
 use hallrelay_balancer::types::SessionId;
 use hallrelay_config::limits::Limits;
-use hallrelay_config::scenario::Fault;
+use hallrelay_config::scenario::ConnectionFault;
 use hallrelay_emulator::servers::{ConnectionId, DialRequest};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     pub(super) is_received: bool,
     pub(super) is_established: bool,
     /// Fault of the wire that it meets.
-    pub(super) fault: Option<Fault>,
+    pub(super) fault: Option<ConnectionFault>,
 }
 
 /// A relay's watch of the endpoint list.
