--- a/config/src/limits/mod.rs
+++ b/config/src/limits/mod.rs
@@ -97,8 +97,8 @@
     pub drain_admission_time: Micros,
     /// As `stop_first_migration_delay`, for a process that has handed its listener over: 0.1 s.
     pub leave_first_migration_delay: Micros,
-    /// As `stop_last_migration_delay`, for a process that has handed its listener over: the longest dial timeout, at least 1 s,
-    /// and `stop_last_migration_delay` at most.
+    /// As `stop_last_migration_delay`, for a process that has handed its listener over: the longest dial
+    /// timeout, at least 1 s, and `stop_last_migration_delay` at most.
     pub leave_last_migration_delay: Micros,
     /// Connections of processes that request to take over, at once: 3.
     pub max_takeover_connections: usize,
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -55,8 +55,8 @@
         if let Entry::Serving = entry {
             self.process_started();
         }
-        if matches!(entry, Entry::ClientConnected { connection_id } if *connection_id <= self.newest_connection_id)
-        {
+        let newest = self.newest_connection_id;
+        if matches!(entry, Entry::ClientConnected { connection_id } if *connection_id <= newest) {
             self.process_started();
         }
         if !matches!(entry, Entry::Other | Entry::Dropped(_)) && !self.running {
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -150,6 +150,7 @@
 impl Watch<'_> {
     async fn run(&self, since: Option<u64>) -> Result<Infallible, WatchError> {
         let limits = self.hub.limits();
+        let watch_timeout = span(limits.discovery_watch_timeout);
         let mut since = match since {
             Some(since) => since,
             None => self.whole_list().await?,
@@ -179,7 +180,7 @@
                 }
                 // One that is silent for too long is doubted: it may miss changes. The next is opened beside
                 // it, from the version that was received last.
-                () = sleep_until(last_received_at + span(limits.discovery_watch_timeout)), if opening.is_none() => {
+                () = sleep_until(last_received_at + watch_timeout), if opening.is_none() => {
                     slog::debug!(self.hub.log, "the watch of the list is doubted"; "at" => %self.addr);
                     opening = Some(self.open(since));
                     continue;
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -102,11 +102,12 @@
 
     async fn next_input(&mut self, commands: &mut Receiver<Command>) -> Input {
         let may_read = self.pending_pongs < self.limits.max_queued_commands / 2;
+        let max_line_bytes = self.limits.max_line_bytes;
         tokio::select! {
             biased;
             // A line that is there goes before a command to shed the connection, and before its deadline: the
             // process may not have been scheduled while the line lay there.
-            read = read::read_some(&self.client, &mut self.buffer, self.limits.max_line_bytes), if may_read => {
+            read = read::read_some(&self.client, &mut self.buffer, max_line_bytes), if may_read => {
                 match read {
                     Ok(Some(line)) => Input::Line(line),
                     Ok(None) => Input::Part,
