--- a/lab/src/losses/rows.rs
+++ b/lab/src/losses/rows.rs
@@ -25,51 +25,63 @@
     };
 }
 
-counts! {
-    /// Dials by how they ended.
-    DialEnds {
-        /// The backend sent `BYE`.
-        ok,
-        /// The backend sent `ERR`.
-        error,
-        /// The backend sent `BUSY`.
-        full,
-        /// No answer in time.
-        timeout,
-        /// No connection.
-        unconnected,
-        /// The connection was reset.
-        reset,
-        /// The backend sent `MOVE`.
-        recalled,
-        /// The relay needed it no more.
-        moot,
-    }
+/// Defines what depends on the ends of a dial, from one list of them with their outer names: the counts of
+/// each, and the names themselves.
+macro_rules! dial_ends {
+    ($($(#[$about:meta])* $end:ident => $field:ident,)*) => {
+        counts! {
+            /// Dials by how they ended.
+            DialEnds { $($(#[$about])* $field,)* }
+        }
+
+        counts! {
+            /// Attempts that the relay answered after at least one dial, by the state of the last of them.
+            AfterDials {
+                $($(#[$about])* $field,)*
+                /// The dial was in flight.
+                #[serde(rename = "out")]
+                in_flight,
+            }
+        }
+
+        impl DialEnds {
+            /// The count of an end.
+            pub fn of(&mut self, end: DialEnd) -> &mut u64 {
+                match end { $(DialEnd::$end => &mut self.$field,)* }
+            }
+        }
+
+        impl AfterDials {
+            /// The count of an end.
+            pub fn of(&mut self, end: DialEnd) -> &mut u64 {
+                match end { $(DialEnd::$end => &mut self.$field,)* }
+            }
+        }
+
+        /// The outer name of an end: the key of its count in JSON.
+        pub fn dial_end_name(end: DialEnd) -> &'static str {
+            match end { $(DialEnd::$end => stringify!($field),)* }
+        }
+    };
 }
 
-counts! {
-    /// Attempts that the relay answered after at least one dial, by the state of the last of them.
-    AfterDials {
-        /// The backend sent `BYE`.
-        ok,
-        /// The backend sent `ERR`.
-        error,
-        /// The backend sent `BUSY`.
-        full,
-        /// No answer in time.
-        timeout,
-        /// No connection.
-        unconnected,
-        /// The connection was reset.
-        reset,
-        /// The backend sent `MOVE`.
-        recalled,
-        /// The relay needed it no more.
-        moot,
-        /// The dial was in flight.
-        #[serde(rename = "out")]
-        in_flight,
-    }
+dial_ends! {
+    /// The backend sent `BYE`.
+    Ok => ok,
+    /// The backend sent `ERR`.
+    Error => error,
+    /// The backend sent `BUSY`.
+    Full => full,
+    /// No answer in time.
+    Timeout => timeout,
+    /// No connection.
+    Unconnected => unconnected,
+    /// The connection was reset.
+    Reset => reset,
+    /// The backend sent `MOVE`.
+    Cancelled => recalled,
+    /// The relay needed it no more.
+    NotSent => moot,
 }
 
 counts! {
@@ -196,29 +208,6 @@
     }
 }
 
-/// Finds the count of an end, for structs of counts that have one for each.
-macro_rules! counts_by_dial_end {
-    ($($name:ident),*) => {
-        $(impl $name {
-            /// The count of an end.
-            pub fn of(&mut self, end: DialEnd) -> &mut u64 {
-                match end {
-                    DialEnd::Ok => &mut self.ok,
-                    DialEnd::Error => &mut self.error,
-                    DialEnd::Full => &mut self.full,
-                    DialEnd::Timeout => &mut self.timeout,
-                    DialEnd::Unconnected => &mut self.unconnected,
-                    DialEnd::Reset => &mut self.reset,
-                    DialEnd::Cancelled => &mut self.recalled,
-                    DialEnd::NotSent => &mut self.moot,
-                }
-            }
-        })*
-    };
-}
-
-counts_by_dial_end!(AfterDials, DialEnds);
-
 impl Ends {
     /// Counts an end; what is open as the day ends has none.
     pub fn count(&mut self, end: End) {
--- a/lab/src/losses/trace.rs
+++ b/lab/src/losses/trace.rs
@@ -2,7 +2,7 @@
 use super::attempt::{Attempt, End, Fate, Origin};
 use super::error::LogsError;
 use super::logs::{Logs, Reader};
-use hallrelay_balancer::types::DialEnd;
+use super::rows::dial_end_name;
 use serde::Serialize;
 use std::path::Path;
 
@@ -96,7 +96,7 @@
     let dials = attempt.dials.iter().map(|dial| TracedDial {
         at: dial.at.seconds(),
         backend: dial.backend.clone(),
-        end: dial.end.map(|end| dial_end_word(end).to_string()),
+        end: dial.end.map(|end| dial_end_name(end).to_string()),
     });
     Traced {
         id: attempt.opening.id,
@@ -113,19 +113,6 @@
     }
 }
 
-fn dial_end_word(end: DialEnd) -> &'static str {
-    match end {
-        DialEnd::Ok => "ok",
-        DialEnd::Error => "error",
-        DialEnd::Full => "full",
-        DialEnd::Timeout => "timeout",
-        DialEnd::Unconnected => "unconnected",
-        DialEnd::Reset => "reset",
-        DialEnd::Cancelled => "recalled",
-        DialEnd::NotSent => "moot",
-    }
-}
-
 fn description(attempt: &Attempt) -> &'static str {
     match (&attempt.fate, attempt.end) {
         (_, Some(end)) => end_description(end),
