--- a/hot_restart/src/ownership.rs
+++ b/hot_restart/src/ownership.rs
@@ -5,31 +5,31 @@
 use serde_json::Value;
 
 /// Another process of the same relay, numbered by the caller for as long as it is connected.
-pub type PeerId = u32;
+pub type ProcessId = u32;
 
 /// How long a successor may take from the offer until it is ready, in microseconds: it reads its
 /// configuration and the endpoint list meanwhile. Whoever starts it waits 6 s for a ready answer.
 pub const READY_TIMEOUT: u64 = 10_000_000;
 
-/// What happens to a process.
+/// What happens to a process. Trace logs print events, and with them the field name `peer`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipEvent {
     /// A message came from another process.
     Received {
         /// The sender.
-        peer: PeerId,
+        peer: ProcessId,
         /// The message, decoded.
         message: Message,
     },
     /// Another process disconnected.
     Disconnected {
         /// Which one.
-        peer: PeerId,
+        peer: ProcessId,
     },
     /// [`READY_TIMEOUT`] has passed since an offer.
     ReadyTimeout {
         /// The process that was offered the listener.
-        peer: PeerId,
+        peer: ProcessId,
     },
     /// The connections and sessions that are left here changed.
     RemainingChanged {
@@ -51,24 +51,24 @@
     /// Send a message; the listening socket goes along with an [`Offer`](Message::Offer).
     Send {
         /// The receiver.
-        peer: PeerId,
+        process: ProcessId,
         /// The message.
         message: Message,
     },
     /// Close the connection to another process.
     Disconnect {
         /// Which one.
-        peer: PeerId,
+        process: ProcessId,
     },
     /// Report a [`ReadyTimeout`](OwnershipEvent::ReadyTimeout) after [`READY_TIMEOUT`].
     StartReadyTimer {
         /// The process that was offered the listener.
-        peer: PeerId,
+        process: ProcessId,
     },
     /// Stop accepting connections and send what is known as [`TakeOver`](Message::TakeOver).
     HandOver {
         /// The successor.
-        peer: PeerId,
+        process: ProcessId,
     },
     /// The successor died: accept connections again.
     Resume,
@@ -97,9 +97,9 @@
 enum Predecessor {
     None,
     /// It has offered its listener.
-    Offered(PeerId),
+    Offered(ProcessId),
     /// It has handed over its listener, and still has sessions.
-    HandedOver(PeerId),
+    HandedOver(ProcessId),
 }
 
 /// The process that takes over the listener of this one.
@@ -107,9 +107,9 @@
 enum Successor {
     None,
     /// It was offered the listener and is not ready yet.
-    Offered(PeerId),
+    Offered(ProcessId),
     /// It owns the listener.
-    Owner(PeerId),
+    Owner(ProcessId),
 }
 
 /// Whether this process owns the relay's listener, and how it stands with the processes before and after it.
@@ -123,7 +123,7 @@
 impl ListenerOwnership {
     /// For a relay of a name and listening address. `predecessor` has offered its listener; without one this
     /// process owns the listener from the start.
-    pub fn new(name: &str, listen: &str, predecessor: Option<PeerId>) -> ListenerOwnership {
+    pub fn new(name: &str, listen: &str, predecessor: Option<ProcessId>) -> ListenerOwnership {
         ListenerOwnership {
             name: name.to_string(),
             listen: listen.to_string(),
@@ -138,17 +138,17 @@
     }
 
     /// The predecessor, until it has handed over.
-    pub fn awaited_predecessor(&self) -> Option<PeerId> {
+    pub fn awaited_predecessor(&self) -> Option<ProcessId> {
         match self.predecessor {
-            Predecessor::Offered(peer) => Some(peer),
+            Predecessor::Offered(process) => Some(process),
             Predecessor::None | Predecessor::HandedOver(_) => None,
         }
     }
 
     /// The successor, once it owns the listener.
-    pub fn successor(&self) -> Option<PeerId> {
+    pub fn successor(&self) -> Option<ProcessId> {
         match self.successor {
-            Successor::Owner(peer) => Some(peer),
+            Successor::Owner(process) => Some(process),
             Successor::None | Successor::Offered(_) => None,
         }
     }
@@ -156,9 +156,9 @@
     /// Applies an event and appends what the caller is to do.
     pub fn step(&mut self, event: OwnershipEvent, actions: &mut Vec<OwnershipAction>) {
         match event {
-            OwnershipEvent::Received { peer, message } => self.receive(peer, message, actions),
-            OwnershipEvent::Disconnected { peer } => self.disconnected(peer, actions),
-            OwnershipEvent::ReadyTimeout { peer } => self.ready_timeout(peer, actions),
+            OwnershipEvent::Received { peer: sender, message } => self.receive(sender, message, actions),
+            OwnershipEvent::Disconnected { peer: process } => self.disconnected(process, actions),
+            OwnershipEvent::ReadyTimeout { peer: process } => self.ready_timeout(process, actions),
             OwnershipEvent::RemainingChanged { connections, sessions } => {
                 self.send_to_successor(Message::Remaining { connections, sessions }, actions);
             }
@@ -168,17 +168,17 @@
         }
     }
 
-    fn receive(&mut self, peer: PeerId, message: Message, actions: &mut Vec<OwnershipAction>) {
-        let is_offered = self.predecessor == Predecessor::Offered(peer);
-        let has_handed_over = self.predecessor == Predecessor::HandedOver(peer);
+    fn receive(&mut self, process: ProcessId, message: Message, actions: &mut Vec<OwnershipAction>) {
+        let is_offered = self.predecessor == Predecessor::Offered(process);
+        let has_handed_over = self.predecessor == Predecessor::HandedOver(process);
         match message {
-            Message::Hello { name, listen, .. } => self.receive_hello(peer, &name, &listen, actions),
-            Message::Ready {} if self.successor == Successor::Offered(peer) => {
-                self.successor = Successor::Owner(peer);
-                actions.push(OwnershipAction::HandOver { peer });
+            Message::Hello { name, listen, .. } => self.receive_hello(process, &name, &listen, actions),
+            Message::Ready {} if self.successor == Successor::Offered(process) => {
+                self.successor = Successor::Owner(process);
+                actions.push(OwnershipAction::HandOver { process });
             }
             Message::TakeOver(state) if is_offered => {
-                self.predecessor = Predecessor::HandedOver(peer);
+                self.predecessor = Predecessor::HandedOver(process);
                 let connections = state.connections;
                 let sessions = state.session_ids.len() as u32;
                 actions.push(OwnershipAction::TakeOver(Some(state)));
@@ -194,19 +194,25 @@
             message => {
                 let shown = format!("{message:?}");
                 actions.push(OwnershipAction::Log(format!("an unexpected message: {shown:.60}")));
-                reject(peer, "out of turn", actions);
-                self.disconnected(peer, actions);
+                reject(process, "out of turn", actions);
+                self.disconnected(process, actions);
             }
         }
     }
 
-    fn receive_hello(&mut self, peer: PeerId, name: &str, listen: &str, actions: &mut Vec<OwnershipAction>) {
+    fn receive_hello(
+        &mut self,
+        process: ProcessId,
+        name: &str,
+        listen: &str,
+        actions: &mut Vec<OwnershipAction>,
+    ) {
         if let Some(reason) = self.rejection(name, listen) {
-            return reject(peer, reason, actions);
+            return reject(process, reason, actions);
         }
-        self.successor = Successor::Offered(peer);
-        actions.push(OwnershipAction::Send { peer, message: Message::Offer { version: VERSION } });
-        actions.push(OwnershipAction::StartReadyTimer { peer });
+        self.successor = Successor::Offered(process);
+        actions.push(OwnershipAction::Send { process, message: Message::Offer { version: VERSION } });
+        actions.push(OwnershipAction::StartReadyTimer { process });
     }
 
     /// Why the listener is not offered to a process; `None` where it is.
@@ -229,45 +235,45 @@
         }
     }
 
-    fn ready_timeout(&mut self, peer: PeerId, actions: &mut Vec<OwnershipAction>) {
-        // An earlier offer's timer, where the peer is not the one that was offered the listener last.
-        if self.successor != Successor::Offered(peer) {
+    fn ready_timeout(&mut self, process: ProcessId, actions: &mut Vec<OwnershipAction>) {
+        // An earlier offer's timer, where the process is not the one that was offered the listener last.
+        if self.successor != Successor::Offered(process) {
             return;
         }
         self.successor = Successor::None;
         actions.push(OwnershipAction::Log("the new process was not ready in time".to_string()));
-        reject(peer, "not ready in time", actions);
+        reject(process, "not ready in time", actions);
     }
 
-    fn disconnected(&mut self, peer: PeerId, actions: &mut Vec<OwnershipAction>) {
-        if self.predecessor == Predecessor::Offered(peer) {
+    fn disconnected(&mut self, process: ProcessId, actions: &mut Vec<OwnershipAction>) {
+        if self.predecessor == Predecessor::Offered(process) {
             // It died as the owner: nobody else accepts connections.
             self.predecessor = Predecessor::None;
             actions.push(OwnershipAction::TakeOver(None));
-        } else if self.predecessor == Predecessor::HandedOver(peer) {
+        } else if self.predecessor == Predecessor::HandedOver(process) {
             self.predecessor = Predecessor::None;
             actions.push(OwnershipAction::PredecessorRemaining { connections: 0, sessions: 0 });
         }
-        if self.successor == Successor::Offered(peer) {
+        if self.successor == Successor::Offered(process) {
             self.successor = Successor::None;
             let text = "the new process disconnected before it was ready";
             actions.push(OwnershipAction::Log(text.to_string()));
-        } else if self.successor == Successor::Owner(peer) {
+        } else if self.successor == Successor::Owner(process) {
             self.successor = Successor::None;
             actions.push(OwnershipAction::Resume);
         }
     }
 
     fn send_to_successor(&self, message: Message, actions: &mut Vec<OwnershipAction>) {
-        if let Some(peer) = self.successor() {
-            actions.push(OwnershipAction::Send { peer, message });
+        if let Some(process) = self.successor() {
+            actions.push(OwnershipAction::Send { process, message });
         }
     }
 }
 
 /// Tells a process that it gets no listener, and disconnects it.
-fn reject(peer: PeerId, reason: &str, actions: &mut Vec<OwnershipAction>) {
+fn reject(process: ProcessId, reason: &str, actions: &mut Vec<OwnershipAction>) {
     let reason = reason.to_string();
-    actions.push(OwnershipAction::Send { peer, message: Message::Rejected { reason } });
-    actions.push(OwnershipAction::Disconnect { peer });
+    actions.push(OwnershipAction::Send { process, message: Message::Rejected { reason } });
+    actions.push(OwnershipAction::Disconnect { process });
 }
--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -127,10 +127,10 @@
     let acts = step(&mut old, say("new", hello(), &mut transcript));
     let offer = sent("old", &acts, &mut transcript);
     assert_eq!(offer, [Message::Offer { version: VERSION }]);
-    assert_eq!(acts[1], OwnershipAction::StartReadyTimer { peer: 1 });
+    assert_eq!(acts[1], OwnershipAction::StartReadyTimer { process: 1 });
 
     let acts = step(&mut old, say("new", Message::Ready {}, &mut transcript));
-    assert_eq!(acts, [OwnershipAction::HandOver { peer: 1 }]);
+    assert_eq!(acts, [OwnershipAction::HandOver { process: 1 }]);
     let acts = step(&mut new, say("old", Message::TakeOver(Box::new(state())), &mut transcript));
     let shares = OwnershipAction::PredecessorRemaining { connections: 4, sessions: 2 };
     assert_eq!(acts, [OwnershipAction::TakeOver(Some(Box::new(state()))), shares]);
@@ -153,7 +153,7 @@
 
     // A third process is refused by both.
     let acts = step(&mut old, OwnershipEvent::Received { peer: 2, message: hello() });
-    assert_eq!(acts[1], OwnershipAction::Disconnect { peer: 2 });
+    assert_eq!(acts[1], OwnershipAction::Disconnect { process: 2 });
     sent("old", &acts, &mut transcript);
     let acts = step(&mut new, OwnershipEvent::Received { peer: 1, message: hello() });
     sent("new", &acts, &mut transcript);
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -23,18 +23,20 @@
 
 fn shown(action: &OwnershipAction) -> String {
     match action {
-        OwnershipAction::Send { peer, message: Message::Rejected { reason } } => {
-            format!("no to {peer}: {reason}")
+        OwnershipAction::Send { process, message: Message::Rejected { reason } } => {
+            format!("no to {process}: {reason}")
         }
-        OwnershipAction::Send { peer, message: Message::Offer { .. } } => format!("offer to {peer}"),
-        OwnershipAction::Send { peer, message: Message::Remaining { connections, sessions } } => {
-            format!("holds to {peer}: {connections} {sessions}")
+        OwnershipAction::Send { process, message: Message::Offer { .. } } => format!("offer to {process}"),
+        OwnershipAction::Send { process, message: Message::Remaining { connections, sessions } } => {
+            format!("holds to {process}: {connections} {sessions}")
         }
-        OwnershipAction::Send { peer, message: Message::EndpointList { .. } } => format!("listed to {peer}"),
-        OwnershipAction::Send { peer, message } => format!("{message:?} to {peer}"),
-        OwnershipAction::Disconnect { peer } => format!("part from {peer}"),
-        OwnershipAction::StartReadyTimer { peer } => format!("wait for {peer}"),
-        OwnershipAction::HandOver { peer } => format!("yield to {peer}"),
+        OwnershipAction::Send { process, message: Message::EndpointList { .. } } => {
+            format!("listed to {process}")
+        }
+        OwnershipAction::Send { process, message } => format!("{message:?} to {process}"),
+        OwnershipAction::Disconnect { process } => format!("part from {process}"),
+        OwnershipAction::StartReadyTimer { process } => format!("wait for {process}"),
+        OwnershipAction::HandOver { process } => format!("yield to {process}"),
         OwnershipAction::Resume => "return".into(),
         OwnershipAction::TakeOver(Some(_)) => "take all".into(),
         OwnershipAction::TakeOver(None) => "take alone".into(),
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -11,7 +11,7 @@
 use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
-use hallrelay_hot_restart::{Message, PeerId};
+use hallrelay_hot_restart::{Message, ProcessId};
 use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_recovery::Record;
 use hallrelay_store::writer::WriterHealth;
@@ -193,8 +193,8 @@
             }
             Effect::TearDown { session_id } => self.final_answer(session_id, lines::FAIL.to_vec()),
             Effect::Migrate { session_id } => self.hub.command(session_id, Command::Migrate),
-            Effect::HandOverSession { session_id, peer, state } => {
-                self.hub.command(session_id, Command::HandOver(peer, state));
+            Effect::HandOverSession { session_id, peer: process, state } => {
+                self.hub.command(session_id, Command::HandOver(process, state));
             }
             Effect::ReportProtocolError { connection_id } => {
                 self.hub.command(connection_id, Command::FinalAnswer(lines::ERROR.to_vec()));
@@ -214,9 +214,11 @@
             }
             Effect::StartTimer { after, timer } => self.start_timer(after, timer),
             Effect::SetAccepting { accepting } => _ = self.accepting.send(accepting),
-            Effect::SendToProcess { peer, message } => self.send_to_process(peer, message),
+            Effect::SendToProcess { peer: process, message } => self.send_to_process(process, message),
             // What was sent before goes out first.
-            Effect::DisconnectProcess { peer } => _ = self.hub.processes.borrow_mut().remove(&peer),
+            Effect::DisconnectProcess { peer: process } => {
+                _ = self.hub.processes.borrow_mut().remove(&process)
+            }
             Effect::SetTakeoverListener { open: true } => self.open_takeover_listener(),
             Effect::SetTakeoverListener { open: false } => self.stop_takeover_listener(),
             Effect::Persist { record, before } => self.persist(record, before),
@@ -306,11 +308,11 @@
         self.timers.insert(key, timer);
     }
 
-    fn send_to_process(&self, peer: PeerId, message: Message) {
+    fn send_to_process(&self, process: ProcessId, message: Message) {
         let processes = self.hub.processes.borrow();
         let command = ProcessCommand::Send(message);
-        if processes.get(&peer).is_none_or(|process| process.try_send(command).is_err()) {
-            slog::warn!(self.hub.log, "a message to another process was dropped"; "peer" => peer);
+        if processes.get(&process).is_none_or(|channel| channel.try_send(command).is_err()) {
+            slog::warn!(self.hub.log, "a message to another process was dropped"; "peer" => process);
         }
     }
 
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -10,7 +10,7 @@
 use hallrelay_config::node::Node;
 use hallrelay_hot_restart::codec::MAX_MESSAGE_BYTES;
 use hallrelay_hot_restart::message::VERSION;
-use hallrelay_hot_restart::{decode, encode, Message, MessageError, OwnershipEvent, PeerId, SessionState};
+use hallrelay_hot_restart::{decode, encode, Message, MessageError, OwnershipEvent, ProcessId, SessionState};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -31,7 +31,7 @@
 use tokio::time::timeout;
 
 /// The predecessor, as the reducer knows it; processes that connect later are counted from here.
-const PREDECESSOR: PeerId = 0;
+const PREDECESSOR: ProcessId = 0;
 /// The most sockets that are attached to one message: a session's client and its backend.
 const MAX_SOCKETS: usize = 2;
 /// What the system allows for the path of a Unix socket, without its terminating zero.
@@ -219,7 +219,7 @@
         }
     };
     let connections = Arc::new(Semaphore::new(hub.limits().max_takeover_connections));
-    let mut last_peer = PREDECESSOR;
+    let mut last_process = PREDECESSOR;
     loop {
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
         let stream = match takeover_listener.accept().await {
@@ -235,8 +235,8 @@
             slog::warn!(hub.log, "a process of another user wants to take over");
             continue;
         }
-        last_peer = last_peer.wrapping_add(1).max(PREDECESSOR + 1);
-        let exchange = exchange(last_peer, stream, Some(listener.clone()), hub.clone());
+        last_process = last_process.wrapping_add(1).max(PREDECESSOR + 1);
+        let exchange = exchange(last_process, stream, Some(listener.clone()), hub.clone());
         tokio::task::spawn_local(async move {
             exchange.await;
             drop(permit);
@@ -247,7 +247,7 @@
 fn is_same_user(stream: &UnixStream) -> bool {
     // SAFETY: geteuid reads a number and can't fail.
     let own = unsafe { libc::geteuid() };
-    stream.peer_cred().is_ok_and(|peer| peer.uid() == own)
+    stream.peer_cred().is_ok_and(|process| process.uid() == own)
 }
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
@@ -265,18 +265,18 @@
 /// Exchanges messages with another process until either side disconnects. From the call on, messages to it
 /// are queued.
 fn exchange(
-    peer: PeerId,
+    process: ProcessId,
     stream: UnixStream,
     listener: Option<Rc<TcpListener>>,
     hub: Hub,
 ) -> impl Future<Output = ()> {
-    let (to_peer, outgoing) = mpsc::channel(hub.limits().max_queued_handover_messages);
-    hub.processes.borrow_mut().insert(peer, to_peer);
-    Exchange { peer, stream, listener, hub }.run(outgoing)
+    let (to_process, outgoing) = mpsc::channel(hub.limits().max_queued_handover_messages);
+    hub.processes.borrow_mut().insert(process, to_process);
+    Exchange { process, stream, listener, hub }.run(outgoing)
 }
 
 struct Exchange {
-    peer: PeerId,
+    process: ProcessId,
     stream: UnixStream,
     /// Attached to an offer.
     listener: Option<Rc<TcpListener>>,
@@ -307,9 +307,9 @@
                 break;
             }
         }
-        self.hub.processes.borrow_mut().remove(&self.peer);
+        self.hub.processes.borrow_mut().remove(&self.process);
         return_sessions(outgoing).await;
-        self.hub.notify(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.peer })).await;
+        self.hub.notify(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.process })).await;
     }
 
     /// Reads once and handles the complete messages; whether the exchange goes on.
@@ -331,13 +331,13 @@
     async fn handle_messages(&self, incoming: &mut Incoming) -> Result<(), ReceiveError> {
         while let Some(message) = incoming.next_message()? {
             match message {
-                Message::Session(session) if self.peer == PREDECESSOR => {
+                Message::Session(session) if self.process == PREDECESSOR => {
                     let client = incoming.next_socket()?;
                     let backend = incoming.next_socket()?;
                     adopt(session, SessionSockets { client, backend }, self.hub.clone());
                 }
                 message => {
-                    let event = OwnershipEvent::Received { peer: self.peer, message };
+                    let event = OwnershipEvent::Received { peer: self.process, message };
                     self.hub.notify(Event::HotRestart(event)).await;
                 }
             }
@@ -376,7 +376,7 @@
 }
 
 /// Exchanges messages with the predecessor from now on.
-pub fn begin(stream: std::os::unix::net::UnixStream, hub: &Hub) -> io::Result<PeerId> {
+pub fn begin(stream: std::os::unix::net::UnixStream, hub: &Hub) -> io::Result<ProcessId> {
     stream.set_nonblocking(true)?;
     let stream = UnixStream::from_std(stream)?;
     tokio::task::spawn_local(exchange(PREDECESSOR, stream, None, hub.clone()));
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -31,7 +31,7 @@
 use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
-use hallrelay_hot_restart::{PeerId, SessionState};
+use hallrelay_hot_restart::{ProcessId, SessionState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     /// Sends `MOVE` to the client and ends the session.
     Migrate,
     /// Hands the session over to another process.
-    HandOver(PeerId, Box<SessionState>),
+    HandOver(ProcessId, Box<SessionState>),
     /// Closes without an answer.
     Close,
     /// Whether the backend fails its health checks, so that an unanswered message counts as lost sooner.
@@ -92,7 +92,7 @@
     /// When a connection to any server was established last.
     last_connected_at: Rc<Cell<Micros>>,
     /// Channels to other processes of this relay.
-    processes: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<processes::ProcessCommand>>>>,
+    processes: Rc<RefCell<BTreeMap<ProcessId, mpsc::Sender<processes::ProcessCommand>>>>,
     tuning: Rc<RefCell<Tuning>>,
     clock: Clock,
     log: slog::Logger,
--- a/relay/src/net/processes.rs
+++ b/relay/src/net/processes.rs
@@ -1,7 +1,7 @@
 //! Channels to other processes of this relay during a hot restart, and the handover of one session through
 //! them.
 use super::Hub;
-use hallrelay_hot_restart::{encode, Message, PeerId, SessionState};
+use hallrelay_hot_restart::{encode, Message, ProcessId, SessionState};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
@@ -37,17 +37,17 @@
 /// The sockets, where that process is gone or the session cannot be encoded; none where they are lost with
 /// its connection.
 pub async fn hand_over_session(
-    peer: PeerId,
+    process: ProcessId,
     session: Box<SessionState>,
     sockets: SessionSockets,
     hub: &Hub,
 ) -> Result<(), Option<SessionSockets>> {
-    let process = hub.processes.borrow().get(&peer).cloned();
-    let Some(process) = process else { return Err(Some(sockets)) };
+    let channel = hub.processes.borrow().get(&process).cloned();
+    let Some(channel) = channel else { return Err(Some(sockets)) };
     let Ok(message) = encode(&Message::Session(session)) else { return Err(Some(sockets)) };
     let (result, handed_over) = oneshot::channel();
     let handover = SessionHandover { message, sockets, result };
-    match process.send(ProcessCommand::HandOver(handover)).await {
+    match channel.send(ProcessCommand::HandOver(handover)).await {
         Ok(()) => handed_over.await.map_err(|_| None)?.map_err(Some),
         Err(mpsc::error::SendError(ProcessCommand::HandOver(unsent))) => Err(Some(unsent.sockets)),
         Err(mpsc::error::SendError(ProcessCommand::Send(_))) => Err(None),
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -7,7 +7,7 @@
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
 use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessionId};
-use hallrelay_hot_restart::{PeerId, SessionState};
+use hallrelay_hot_restart::{ProcessId, SessionState};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 use tokio::net::TcpStream;
@@ -28,7 +28,7 @@
     /// The reducer migrates it.
     Migrated,
     /// Another process takes it over.
-    HandedOver(PeerId, Box<SessionState>),
+    HandedOver(ProcessId, Box<SessionState>),
     Closed,
 }
 
@@ -180,7 +180,7 @@
     fn command(&mut self, command: Option<Command>) -> Option<SessionEnd> {
         match command {
             Some(Command::Migrate) => Some(SessionEnd::Migrated),
-            Some(Command::HandOver(peer, session)) => Some(SessionEnd::HandedOver(peer, session)),
+            Some(Command::HandOver(process, session)) => Some(SessionEnd::HandedOver(process, session)),
             Some(Command::SetSuspect(suspect)) => {
                 let limits = self.hub.limits();
                 // Where the backend fails its health checks, a message gets no more time than a health check.
@@ -260,8 +260,8 @@
         loop {
             match self.proxy(&mut commands).await {
                 // A session whose last line was read ends here, at once.
-                SessionEnd::HandedOver(peer, session) if self.observer.backend_end.is_none() => {
-                    match self.hand_over(peer, session).await {
+                SessionEnd::HandedOver(process, session) if self.observer.backend_end.is_none() => {
+                    match self.hand_over(process, session).await {
                         Some(session) => self = session,
                         None => return,
                     }
@@ -299,7 +299,7 @@
 
     /// Hands the session over to another process; returns it where that could not take it, and `None` where
     /// it is over for this process.
-    async fn hand_over(self, peer: PeerId, session: Box<SessionState>) -> Option<Self> {
+    async fn hand_over(self, process: ProcessId, session: Box<SessionState>) -> Option<Self> {
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let hub = observer.hub;
         let now = hub.clock.now();
@@ -309,7 +309,7 @@
             unanswered_ages: observer.unanswered.iter().map(|sent_at| now - sent_at).collect(),
             ..*session
         });
-        match hand_over_session(peer, session, SessionSockets { client, backend }, hub).await {
+        match hand_over_session(process, session, SessionSockets { client, backend }, hub).await {
             Ok(()) => {
                 hub.notify(Event::SessionHandedOver { session_id: observer.connection_id }).await;
                 None
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -12,7 +12,7 @@
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::Command;
-use hallrelay_hot_restart::{Message, OwnershipEvent, PeerId, SessionState};
+use hallrelay_hot_restart::{Message, OwnershipEvent, ProcessId, SessionState};
 use hallrelay_membership::status::Status;
 use hallrelay_recovery::{Record, StoredState};
 use hallrelay_store::writer::WriterHealth;
@@ -239,7 +239,7 @@
     /// The next batch of sessions migrates, in the drain or stop of this number.
     MigrateBatch(u32),
     /// A process that was offered the listener was not ready in time.
-    HandoverOffer(PeerId),
+    HandoverOffer(ProcessId),
     /// What remains here is reported to the successor.
     HandoverProgress,
     /// Something of membership is due.
@@ -325,7 +325,7 @@
         /// The session.
         session_id: SessionId,
         /// The process.
-        peer: PeerId,
+        peer: ProcessId,
         /// What the process has to know of it.
         state: Box<SessionState>,
     },
@@ -386,14 +386,14 @@
     /// Sends a message to another process of this relay.
     SendToProcess {
         /// The process.
-        peer: PeerId,
+        peer: ProcessId,
         /// The message.
         message: Message,
     },
     /// Ends the connection to another process, after what was sent.
     DisconnectProcess {
         /// The process.
-        peer: PeerId,
+        peer: ProcessId,
     },
     /// Lets other processes request a takeover, or no longer.
     SetTakeoverListener {
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -8,7 +8,7 @@
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::ownership::READY_TIMEOUT;
 use hallrelay_hot_restart::{
-    ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, PeerId, RelayState, ServerState,
+    ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, ProcessId, RelayState, ServerState,
     SlowStartSlot,
 };
 use hallrelay_membership::{Event as MembershipEvent, Membership};
@@ -30,7 +30,7 @@
     /// predecessor that it is ready.
     pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
         match self.ownership.awaited_predecessor() {
-            Some(peer) => out.push(Effect::SendToProcess { peer, message: Message::Ready {} }),
+            Some(process) => out.push(Effect::SendToProcess { peer: process, message: Message::Ready {} }),
             None => {
                 out.push(Effect::SetAccepting { accepting: true });
                 out.push(Effect::SetTakeoverListener { open: true });
@@ -50,12 +50,14 @@
 
     fn carry_out_ownership(&mut self, action: OwnershipAction, out: &mut Vec<Effect>) {
         match action {
-            OwnershipAction::Send { peer, message } => out.push(Effect::SendToProcess { peer, message }),
-            OwnershipAction::Disconnect { peer } => out.push(Effect::DisconnectProcess { peer }),
-            OwnershipAction::StartReadyTimer { peer } => {
-                out.push(Effect::StartTimer { after: READY_TIMEOUT, timer: Timer::HandoverOffer(peer) });
+            OwnershipAction::Send { process, message } => {
+                out.push(Effect::SendToProcess { peer: process, message })
             }
-            OwnershipAction::HandOver { peer } => self.hand_over_to(peer, out),
+            OwnershipAction::Disconnect { process } => out.push(Effect::DisconnectProcess { peer: process }),
+            OwnershipAction::StartReadyTimer { process } => {
+                out.push(Effect::StartTimer { after: READY_TIMEOUT, timer: Timer::HandoverOffer(process) });
+            }
+            OwnershipAction::HandOver { process } => self.hand_over_to(process, out),
             OwnershipAction::Resume => self.resume_ownership(out),
             OwnershipAction::TakeOver(Some(state)) => self.take_over(*state, out),
             OwnershipAction::TakeOver(None) => {
@@ -83,7 +85,7 @@
     }
 
     /// In one step: from here on the successor accepts connections, and knows what this process knew.
-    fn hand_over_to(&mut self, peer: PeerId, out: &mut Vec<Effect>) {
+    fn hand_over_to(&mut self, process: ProcessId, out: &mut Vec<Effect>) {
         let state = Box::new(self.relay_state());
         self.reported_remaining =
             Remaining { connections: state.connections, sessions: state.session_ids.len() as u32 };
@@ -94,7 +96,7 @@
         self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { owned: false });
-        out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
+        out.push(Effect::SendToProcess { peer: process, message: Message::TakeOver(state) });
         let open: Vec<SessionId> = self.sessions.keys().copied().collect();
         open.into_iter().for_each(|session_id| self.hand_over_session(session_id, out));
         self.report_remaining(out);
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -52,7 +52,7 @@
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::SessionCounts;
-use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, PeerId};
+use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, ProcessId};
 use hallrelay_membership::Membership;
 use hallrelay_recovery::StoredState;
 use hallrelay_store::writer::WriterHealth;
@@ -144,7 +144,7 @@
 
 impl Reducer {
     /// A relay before its start. `predecessor` is the process that it takes over from, where there is one.
-    pub fn new(node: Node, predecessor: Option<PeerId>) -> Reducer {
+    pub fn new(node: Node, predecessor: Option<ProcessId>) -> Reducer {
         Reducer {
             ownership: ListenerOwnership::new(&node.name, &node.listen.to_string(), predecessor),
             predecessor_remaining: Remaining::default(),
@@ -270,8 +270,8 @@
             }
             Timer::MigrateBatch(round) if round == self.migration_round => self.migrate_batch(out),
             Timer::MigrateBatch(_) => {}
-            Timer::HandoverOffer(peer) => {
-                self.apply_ownership_event(OwnershipEvent::ReadyTimeout { peer }, out)
+            Timer::HandoverOffer(process) => {
+                self.apply_ownership_event(OwnershipEvent::ReadyTimeout { peer: process }, out)
             }
             Timer::HandoverProgress => self.report_remaining(out),
             Timer::Membership => self.membership_timer_expired(out),
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -7,7 +7,7 @@
     /// Hands an open session over to the process that owns the listener. In a drain it is moved to another
     /// relay instead.
     pub(super) fn hand_over_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
-        let Some(peer) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
+        let Some(successor) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
         };
         let Some(session) =
@@ -30,7 +30,7 @@
             ..SessionState::default()
         };
         session.stage = SessionStage::HandingOver;
-        out.push(Effect::HandOverSession { session_id, peer, state: Box::new(state) });
+        out.push(Effect::HandOverSession { session_id, peer: successor, state: Box::new(state) });
     }
 
     /// The other process could not take it: it stays here, and moves as this process drains.
