--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -77,7 +77,7 @@
 }
 
 /// A relay's process and what it was notified of.
-struct Relay {
+struct AuditedRelay {
     is_up: bool,
     started_at: Micros,
     ended_at: Micros,
@@ -108,7 +108,7 @@
     sessions: BTreeMap<u64, Session>,
     /// Deadlines of final answers that are pending.
     deadlines: BTreeSet<PendingAnswer>,
-    relays: Vec<Relay>,
+    relays: Vec<AuditedRelay>,
     /// Whether relays store what they must know, so that a notification outlives the process.
     relays_have_stores: bool,
     /// Dials to a backend whose drain the relay was notified of, by this process or an earlier one.
@@ -136,7 +136,7 @@
             draining_since: None,
         });
         let backends: Vec<Backend> = backends.collect();
-        let relay = || Relay {
+        let relay = || AuditedRelay {
             is_up: true,
             started_at: begin,
             ended_at: begin,
--- a/emulator/src/membership_audit.rs
+++ b/emulator/src/membership_audit.rs
@@ -151,7 +151,7 @@
 const MAX_START_DELAY: Micros = 5_000_000;
 
 /// The facts of one relay.
-struct Relay {
+struct AuditedMember {
     process: ProcessState,
     /// When its process was started last.
     started_at: Micros,
@@ -167,9 +167,9 @@
     word: String,
 }
 
-impl Relay {
-    fn down(begin: Micros) -> Relay {
-        Relay {
+impl AuditedMember {
+    fn down(begin: Micros) -> AuditedMember {
+        AuditedMember {
             process: ProcessState::Down,
             started_at: begin,
             process_changed_at: begin,
@@ -212,7 +212,7 @@
 pub struct MembershipAudit {
     begin: Micros,
     now: Micros,
-    relays: Vec<Relay>,
+    relays: Vec<AuditedMember>,
     views: BTreeMap<ViewKey, View>,
     pending: Vec<PendingDetection>,
     death_times: Vec<Micros>,
@@ -226,7 +226,7 @@
         MembershipAudit {
             begin,
             now: begin,
-            relays: (0..count).map(|_| Relay::down(begin)).collect(),
+            relays: (0..count).map(|_| AuditedMember::down(begin)).collect(),
             views: BTreeMap::new(),
             pending: Vec::new(),
             death_times: Vec::new(),
--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -2,7 +2,7 @@
 use super::attempt::{Attempt, Moment};
 use super::error::LogsError;
 use super::parse::{self, Entry, Line, Time};
-use super::process::Relay;
+use super::process::RelayLog;
 use super::rows::Read;
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::list::List;
@@ -93,7 +93,7 @@
     fn one(&self, path: &Path, reader: &mut dyn Reader, read: &mut Read) -> Result<(), LogsError> {
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
         let mut lines = Lines::open(path)?;
-        let mut relay = Relay::new(&name);
+        let mut relay = RelayLog::new(&name);
         // A configuration has no time; its list is valid from the next line on.
         let mut configured = None;
         let mut entries = 0;
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -9,7 +9,7 @@
 const MAX_SILENCE: Micros = 5_000_000;
 
 /// The sessions of one relay.
-pub struct Relay {
+pub struct RelayLog {
     name: String,
     /// Attempts that are undecided, and sessions that are open.
     active: BTreeMap<SessionId, Attempt>,
@@ -27,10 +27,10 @@
     done: Vec<Attempt>,
 }
 
-impl Relay {
+impl RelayLog {
     /// A relay whose log is read next.
-    pub fn new(name: &str) -> Relay {
-        Relay {
+    pub fn new(name: &str) -> RelayLog {
+        RelayLog {
             name: name.to_string(),
             active: BTreeMap::new(),
             closing: HashSet::new(),
--- a/lab/src/members/simulation.rs
+++ b/lab/src/members/simulation.rs
@@ -121,7 +121,7 @@
 }
 
 #[derive(Default)]
-struct Relay {
+struct SimulatedMember {
     /// None while it is down.
     protocol: Option<Protocol>,
     /// Counts its processes.
@@ -155,7 +155,7 @@
     queue: EventQueue<Event>,
     links: Links,
     random: Random,
-    relays: Vec<Relay>,
+    relays: Vec<SimulatedMember>,
     names: Vec<Rc<str>>,
     death: Option<Death>,
     counts: Counts,
@@ -175,7 +175,7 @@
             queue: EventQueue::default(),
             links,
             random: Random::new(seed, RANDOM_STREAM),
-            relays: (0..count).map(|_| Relay::default()).collect(),
+            relays: (0..count).map(|_| SimulatedMember::default()).collect(),
             names: (0..count).map(|relay| format!("relay-{relay}").into()).collect(),
             death: None,
             counts: Counts::default(),
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -13,7 +13,7 @@
 use hallrelay_emulator::node::{self, RelayPlacement};
 use hallrelay_emulator::script::RelayCommand;
 use hallrelay_emulator::service::Outcome;
-use relays::Relay;
+use relays::ManagedRelay;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
@@ -48,7 +48,7 @@
     host: Shared,
     /// Addresses for the emulated links, where relays know each other.
     addresses: Option<RelayAddresses>,
-    relays: Vec<Relay>,
+    relays: Vec<ManagedRelay>,
     options: &'a Options<'a>,
 }
 
@@ -83,7 +83,7 @@
         links::serve(addresses.clone(), &day.host).await.map_err(LabError::emulator)?;
     }
     for relay in 0..relay_count {
-        day.relays.push(Relay::new(relay, options.out));
+        day.relays.push(ManagedRelay::new(relay, options.out));
         day.start(relay)?;
     }
     for relay in 0..relay_count {
@@ -176,7 +176,7 @@
     }
 
     async fn finish(mut self, partial: Option<String>) -> Outcome {
-        self.relays.iter_mut().for_each(Relay::record_usage);
+        self.relays.iter_mut().for_each(ManagedRelay::record_usage);
         let mut outcome = self.host.day.borrow().outcome();
         for relay in &mut self.relays {
             if let Some(process) = &mut relay.process {
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -21,7 +21,7 @@
 const READINESS_POLLS: u32 = 300;
 
 /// A relay with its running process.
-pub(super) struct Relay {
+pub(super) struct ManagedRelay {
     pub(super) process: Option<Process>,
     /// Its process was requested to stop, so that its end is no crash.
     is_stopping: bool,
@@ -38,13 +38,13 @@
     is_polled: Rc<Cell<bool>>,
 }
 
-impl Relay {
+impl ManagedRelay {
     /// A relay without a process. What an earlier day left of it in the folder is removed.
-    pub(super) fn new(relay: usize, out: &Path) -> Relay {
+    pub(super) fn new(relay: usize, out: &Path) -> ManagedRelay {
         let file = |extension: &str| out.join(format!("relay-{relay}.{extension}"));
         _ = std::fs::remove_file(file("log"));
         _ = std::fs::remove_dir_all(file("state"));
-        Relay {
+        ManagedRelay {
             process: None,
             is_stopping: false,
             figures: RelayFigures::default(),
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -25,7 +25,7 @@
 use hallrelay_recovery::StoredState;
 use hallrelay_relay::reducer::{Effect, Event, Reducer};
 use operator::DrainCounts;
-use state::{BackendConnection, ProcessId, Relay};
+use state::{BackendConnection, ProcessId, VirtualRelay};
 use std::collections::HashMap;
 
 /// A relay's state machine: the reducer, or a test's faulty one.
@@ -68,7 +68,7 @@
 struct VirtualDay<'a> {
     day: Day,
     queue: EventQueue<QueuedEvent>,
-    relays: Vec<Relay>,
+    relays: Vec<VirtualRelay>,
     /// Connections to servers by their number. Only looked up, never iterated.
     dials: HashMap<ConnectionId, BackendConnection>,
     /// Requests of clients that are still there, by mark. Only looked up, never iterated.
@@ -107,7 +107,7 @@
     };
     for relay in 0..scenario.relays.count {
         let node = day.configuration(relay, 0)?;
-        day.relays.push(Relay::new(node.limits));
+        day.relays.push(VirtualRelay::new(node.limits));
     }
     for relay in 0..scenario.relays.count {
         day.start_process(relay)?;
@@ -164,7 +164,7 @@
     }
 
     fn outcome(&self, partial: Option<String>) -> Outcome {
-        let figures = |relay: &Relay| RelayFigures { starts: relay.starts, ..RelayFigures::default() };
+        let figures = |relay: &VirtualRelay| RelayFigures { starts: relay.starts, ..RelayFigures::default() };
         let mut outcome = self.day.outcome();
         outcome.outs = self.drains.outcome();
         outcome.relays = self.relays.iter().map(figures).collect();
--- a/lab/src/virt/state.rs
+++ b/lab/src/virt/state.rs
@@ -69,7 +69,7 @@
 }
 
 /// A relay with all that is around its reducer.
-pub(super) struct Relay {
+pub(super) struct VirtualRelay {
     /// None while no process runs.
     pub(super) state_machine: Option<Box<dyn StateMachine>>,
     pub(super) incarnation: u32,
@@ -88,9 +88,9 @@
     pub(super) stalled: Option<Vec<QueuedEvent>>,
 }
 
-impl Relay {
+impl VirtualRelay {
     pub(super) fn new(limits: Limits) -> Self {
-        Relay {
+        VirtualRelay {
             state_machine: None,
             incarnation: 0,
             sessions: BTreeMap::new(),
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -204,9 +204,9 @@
 }
 
 /// A process that is ended with the test, however that ends.
-struct Relay(std::process::Child);
+struct RelayProcess(std::process::Child);
 
-impl Relay {
+impl RelayProcess {
     /// Tells it to stop, and waits until it has.
     fn stop(&mut self) {
         // SAFETY: a signal to a process that this test has started and has not waited for.
@@ -215,7 +215,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for RelayProcess {
     fn drop(&mut self) {
         _ = self.0.kill();
         _ = self.0.wait();
@@ -241,7 +241,7 @@
         .stdin(Stdio::null())
         .stderr(log)
         .spawn();
-    let mut relay = Relay(started.expect("it starts"));
+    let mut relay = RelayProcess(started.expect("it starts"));
     let placed = client(&place, "OPEN 000000000000000a 000000000000004d c=schedule-view,d=1800,g=7\r\n");
     let unknown = client(&place, "OPEN 000000000000000b 000000000000004e c=no-such,d=1800\r\n");
     relay.stop();
--- a/relay/tests/common/coordination.rs
+++ b/relay/tests/common/coordination.rs
@@ -1,6 +1,6 @@
 //! Fleets of relay processes that coordinate disruptions, with backends shared by all of them.
 use super::discovery::endpoint;
-use super::{free_address, wait_until, CountingBackend, Relay, RelayConfig};
+use super::{free_address, wait_until, CountingBackend, RelayConfig, RelayProcess};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Command;
@@ -8,7 +8,7 @@
 /// Relays r0, r1, ... of one fleet, the first of which are voters, and their backends b-0, b-1, ...
 pub struct Fleet {
     pub configs: Vec<RelayConfig>,
-    pub relays: Vec<Option<Relay>>,
+    pub relays: Vec<Option<RelayProcess>>,
     pub backends: Vec<CountingBackend>,
 }
 
@@ -44,7 +44,7 @@
         Fleet { configs, relays, backends }
     }
 
-    pub fn relay(&self, i: usize) -> &Relay {
+    pub fn relay(&self, i: usize) -> &RelayProcess {
         self.relays[i].as_ref().expect("it runs")
     }
 
@@ -58,13 +58,14 @@
         self.relays[i] = Some(self.configs[i].start());
     }
 
-    pub fn running(&self) -> impl Iterator<Item = &Relay> {
+    pub fn running(&self) -> impl Iterator<Item = &RelayProcess> {
         self.relays.iter().flatten()
     }
 
     /// The relay that reports that it leads; none where no relay does, or more than one.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |(i, r): (usize, &Option<Relay>)| (leases(r.as_ref()?)?["leads"] == true).then_some(i);
+        let leads =
+            |(i, r): (usize, &Option<RelayProcess>)| (leases(r.as_ref()?)?["leads"] == true).then_some(i);
         let all: Vec<usize> = self.relays.iter().enumerate().filter_map(leads).collect();
         (all.len() == 1).then(|| all[0])
     }
@@ -95,7 +96,7 @@
 }
 
 /// The response to `GET /v1/grants`; none while the relay does not answer with status 200.
-pub fn leases(relay: &Relay) -> Option<Value> {
+pub fn leases(relay: &RelayProcess) -> Option<Value> {
     let (code, text) = std::net::TcpStream::connect(relay.operator_address)
         .ok()
         .map(|_| relay.request("GET", "/v1/grants"))?;
@@ -103,20 +104,20 @@
 }
 
 /// A target's row of that response, which lists only targets that are not in service or not up.
-pub fn lease_row(relay: &Relay, target: &str) -> Option<Value> {
+pub fn lease_row(relay: &RelayProcess, target: &str) -> Option<Value> {
     let status = leases(relay)?;
     status["things"].as_array()?.iter().find(|row| row["what"] == target).cloned()
 }
 
 /// Sends a POST request with a JSON body; returns the status code and the whole response.
-pub fn post(relay: &Relay, path: &str, body: &Value) -> (u16, String) {
+pub fn post(relay: &RelayProcess, path: &str, body: &Value) -> (u16, String) {
     let body = body.to_string();
     let head = format!("POST {path} HTTP/1.1\r\nhost: relay\r\ncontent-length: {}\r\n\r\n", body.len());
     relay.send_request((head + &body).as_bytes())
 }
 
 /// Runs a subcommand of `hallrelay` against a relay; returns its exit status, and stdout followed by stderr.
-pub fn run_command(relay: &Relay, subcommand: &str, arguments: &[&str]) -> (Option<i32>, String) {
+pub fn run_command(relay: &RelayProcess, subcommand: &str, arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
     let at = relay.operator_address.to_string();
     let output = super::run_to_end(command.arg(subcommand).args(arguments).args(["--at", &at]));
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -59,7 +59,7 @@
     }
 
     /// Starts a relay with the default configuration and waits until it is ready.
-    pub fn start_ready(name: &str) -> (RelayConfig, Relay) {
+    pub fn start_ready(name: &str) -> (RelayConfig, RelayProcess) {
         let mut config = RelayConfig::new(name);
         let relay = config.start();
         relay.wait_until_ready();
@@ -68,7 +68,7 @@
 
     /// Starts a process with its own operator address beside those that run already. It reads its own
     /// configuration file again at SIGHUP.
-    pub fn start(&mut self) -> Relay {
+    pub fn start(&mut self) -> RelayProcess {
         let operator_address = free_address();
         self.json["operator"] = json!(operator_address.to_string());
         let config_path = self.directory.join(format!("{}.json", LAST_ID.fetch_add(1, Ordering::Relaxed)));
@@ -81,7 +81,7 @@
             command.env_remove(name);
         }
         let child = spawn_process(&mut command);
-        Relay { child, config_path, operator_address }
+        RelayProcess { child, config_path, operator_address }
     }
 }
 
@@ -98,14 +98,14 @@
 }
 
 /// A running relay process, killed on drop.
-pub struct Relay {
+pub struct RelayProcess {
     pub child: Child,
     pub config_path: PathBuf,
     /// The address of its HTTP interface for operators.
     pub operator_address: SocketAddr,
 }
 
-impl Relay {
+impl RelayProcess {
     /// Sends a signal by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
@@ -152,7 +152,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for RelayProcess {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -4,19 +4,19 @@
 mod common;
 
 use common::coordination::{lease_row, leases, post, run_command, Fleet};
-use common::{wait_until, Client, Relay};
+use common::{wait_until, Client, RelayProcess};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-fn run_drain_command(relay: &Relay, arguments: &[&str]) -> (Option<i32>, String) {
+fn run_drain_command(relay: &RelayProcess, arguments: &[&str]) -> (Option<i32>, String) {
     run_command(relay, "drain", arguments)
 }
 
-fn request_drain(relay: &Relay) -> (u16, String) {
+fn request_drain(relay: &RelayProcess) -> (u16, String) {
     post(relay, "/v1/relay/drain", &json!({"by": "ann", "why": "new disks"}))
 }
 
-fn is_draining(relay: &Relay) -> bool {
+fn is_draining(relay: &RelayProcess) -> bool {
     relay.request("GET", "/v1/readyz").1.contains("draining")
 }
 
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! traffic at their port. Checked by each relay's final view and by metrics.
 mod common;
 
-use common::{free_address, wait_until, Client, Relay, RelayConfig};
+use common::{free_address, wait_until, Client, RelayConfig, RelayProcess};
 use hallrelay_membership::status::{MemberStatus, Status};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, UdpSocket};
@@ -12,7 +12,7 @@
 struct Fleet {
     configs: Vec<RelayConfig>,
     addresses: Vec<SocketAddr>,
-    relays: Vec<Relay>,
+    relays: Vec<RelayProcess>,
 }
 
 impl Fleet {
@@ -46,18 +46,18 @@
 }
 
 /// The response to `GET /v1/fleet`; none while the relay does not answer with status 200.
-fn status(relay: &Relay) -> Option<Status> {
+fn status(relay: &RelayProcess) -> Option<Status> {
     std::net::TcpStream::connect(relay.operator_address).ok()?;
     let (code, text) = relay.request("GET", "/v1/fleet");
     (code == 200).then(|| serde_json::from_str(text.split("\r\n\r\n").nth(1)?).ok())?
 }
 
 /// A relay's view of a member.
-fn member(relay: &Relay, name: &str) -> Option<MemberStatus> {
+fn member(relay: &RelayProcess, name: &str) -> Option<MemberStatus> {
     status(relay)?.members.into_iter().find(|m| m.name == name)
 }
 
-fn member_state(relay: &Relay, name: &str) -> String {
+fn member_state(relay: &RelayProcess, name: &str) -> String {
     member(relay, name).map_or("unknown".to_string(), |m| m.state)
 }
 
--- a/relay/tests/power.rs
+++ b/relay/tests/power.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::discovery::{endpoint, Discovery};
-use common::{free_address, wait_until, Client, CountingBackend, Relay, RelayConfig};
+use common::{free_address, wait_until, Client, CountingBackend, RelayConfig, RelayProcess};
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 struct Fleet {
     configs: Vec<RelayConfig>,
     states: Vec<PathBuf>,
-    relays: Vec<Option<Relay>>,
+    relays: Vec<Option<RelayProcess>>,
     servers: [CountingBackend; 3],
     discovery: Discovery,
 }
@@ -55,7 +55,7 @@
         self.relays[i] = Some(self.configs[i].start());
     }
 
-    fn relay(&self, i: usize) -> &Relay {
+    fn relay(&self, i: usize) -> &RelayProcess {
         self.relays[i].as_ref().expect("it runs")
     }
 
--- a/relay/tests/recovery.rs
+++ b/relay/tests/recovery.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::discovery::{endpoint, Discovery};
-use common::{free_address, listener_settings, wait_until, Client, CountingBackend, Relay, RelayConfig};
+use common::{
+    free_address, listener_settings, wait_until, Client, CountingBackend, RelayConfig, RelayProcess,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -48,7 +50,7 @@
     run_store_command("export", state).1.contains(text)
 }
 
-fn kill(mut relay: Relay) {
+fn kill(mut relay: RelayProcess) {
     relay.child.kill().expect("it lives");
     relay.child.wait().expect("it ends");
 }
--- a/relay/tests/short_days/killed.rs
+++ b/relay/tests/short_days/killed.rs
@@ -1,7 +1,7 @@
 //! A relay is killed right after it accepted a connection, and restarted: it dials for no session of the
 //! previous process, and serves new ones.
 use crate::backend::{Backend, Behaviour};
-use crate::common::{unique_id, wait_until, Client, Relay, RelayConfig, SessionError};
+use crate::common::{unique_id, wait_until, Client, RelayConfig, RelayProcess, SessionError};
 use crate::scripted_discovery::{endpoint, full_list};
 use crate::sockets::all_bytes_read_by;
 use serde_json::json;
@@ -18,7 +18,7 @@
     Open,
 }
 
-fn kill(mut relay: Relay) {
+fn kill(mut relay: RelayProcess) {
     relay.child.kill().expect("it lives");
     relay.child.wait().expect("it ends");
 }
--- a/relay/tests/short_days/pieces.rs
+++ b/relay/tests/short_days/pieces.rs
@@ -1,14 +1,14 @@
 //! A first line that is split at each byte: the relay has read one piece before the next one is sent, so it
 //! never reads them together. The line is forwarded once and complete.
 use crate::backend::{Backend, Behaviour};
-use crate::common::{unique_id, wait_until, Client, Relay, RelayConfig};
+use crate::common::{unique_id, wait_until, Client, RelayConfig, RelayProcess};
 use crate::scripted_discovery::{endpoint, full_list};
 use crate::sockets::all_bytes_read_by;
 
 struct Fixture {
     config: RelayConfig,
     backend: Backend,
-    relay: Relay,
+    relay: RelayProcess,
 }
 
 fn start_fixture(name: &str) -> Fixture {
--- a/relay/tests/short_days/reload.rs
+++ b/relay/tests/short_days/reload.rs
@@ -1,7 +1,7 @@
 //! A reload (SIGHUP) to a new discovery address with a drain right after it: whichever service announces the
 //! drain, no new session goes to the draining backend once the grace period is over.
 use crate::backend::{bind_small_backlog, fill_backlog, Backend, Behaviour};
-use crate::common::{load::Load, wait_until, wait_until_within, Client, Relay, RelayConfig};
+use crate::common::{load::Load, wait_until, wait_until_within, Client, RelayConfig, RelayProcess};
 use crate::scripted_discovery::{
     endpoint, full_list, list_changes, ListRequest, RequestKind, ScriptedDiscovery,
 };
@@ -18,7 +18,7 @@
 /// A relay that watches one discovery service, and is about to be reloaded to use another one.
 struct ReloadScenario {
     config: RelayConfig,
-    relay: Relay,
+    relay: RelayProcess,
     old_service: ScriptedDiscovery,
     old_watch: ListRequest,
     new_service: ScriptedDiscovery,
--- a/relay/tests/stops.rs
+++ b/relay/tests/stops.rs
@@ -3,7 +3,7 @@
 //! are prolonged by a named pipe in place of its configuration.
 mod common;
 
-use common::{bind_listener, wait_until, Client, CountingBackend, Relay, RelayConfig, SessionError};
+use common::{bind_listener, wait_until, Client, CountingBackend, RelayConfig, RelayProcess, SessionError};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// Starts a relay with one backend that the test plays; `dial_timeout` is in ms.
-fn start_with_backend(name: &str, backend: &TcpListener, dial_timeout: u64) -> (RelayConfig, Relay) {
+fn start_with_backend(name: &str, backend: &TcpListener, dial_timeout: u64) -> (RelayConfig, RelayProcess) {
     let mut config = RelayConfig::new(name);
     let address = backend.local_addr().expect("its address").to_string();
     config.json["known"]["instances"] =
@@ -29,7 +29,7 @@
 }
 
 /// Stops the process with SIGSTOP, and waits until it is stopped.
-fn pause(relay: &Relay) {
+fn pause(relay: &RelayProcess) {
     relay.signal("STOP");
     let stat = format!("/proc/{}/stat", relay.child.id());
     wait_until("it stands still", || {
@@ -178,7 +178,7 @@
 
 /// Starts a relay that gets a signal before it has installed its signal handlers: a named pipe in place of
 /// the configuration blocks it until then.
-fn start_from_pipe(name: &str, signal: &str) -> (RelayConfig, Relay) {
+fn start_from_pipe(name: &str, signal: &str) -> (RelayConfig, RelayProcess) {
     let mut config = RelayConfig::new(name);
     let relay = config.start();
     relay.wait_until_ready();
@@ -191,7 +191,7 @@
     let child = common::spawn_process(&mut command);
     let operator_address =
         config.json["operator"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-    let relay = Relay { child, config_path: pipe.clone(), operator_address };
+    let relay = RelayProcess { child, config_path: pipe.clone(), operator_address };
     // Opening returns once the relay opens the pipe: it is started by then, and handles no signals yet.
     let mut write = std::fs::OpenOptions::new().write(true).open(&pipe).expect("a pipe");
     relay.signal(signal);
--- a/soak/src/harness.rs
+++ b/soak/src/harness.rs
@@ -10,7 +10,7 @@
 use crate::observations::{Impairment, Interval, ListChange, Recorder, Timestamp};
 use crate::oracle::{self, Violation};
 use crate::plan::Plan;
-use crate::process::Relay;
+use crate::process::RelayProcess;
 use crate::report::Report;
 use crate::schedule::{FaultKind, ScheduledFault};
 use crate::settings::{shared_configuration, LISTENERS, REQUEST_TIMEOUT, SETTINGS};
@@ -47,7 +47,7 @@
     recorder: Recorder,
     discovery: Discovery,
     backends: Vec<Backend>,
-    relays: Vec<Arc<Mutex<Relay>>>,
+    relays: Vec<Arc<Mutex<RelayProcess>>>,
     relay_addresses: Vec<SocketAddr>,
     controls: Vec<Arc<FaultControl>>,
     /// Relays that start again as soon as their processes have ended.
@@ -113,8 +113,9 @@
     discovery: &Discovery,
     configuration: &Value,
     recorder: &Recorder,
-) -> Relay {
-    let mut relay = Relay::new(number, &plan.program, &plan.folder, configuration.clone(), recorder.clone());
+) -> RelayProcess {
+    let mut relay =
+        RelayProcess::new(number, &plan.program, &plan.folder, configuration.clone(), recorder.clone());
     relay.config["discovery"] = json!(discovery.addresses[number].to_string());
     relay.config["operator"] = json!(crate::unused_address().to_string());
     relay.config["seed"] = json!(format!("{:016x}", plan.seed * 1_000 + number as u64));
@@ -137,7 +138,7 @@
             discovery.list_backend(number, backend.address, false, 0);
         }
         let configuration = shared_configuration(plan, discovery.complete_list());
-        let relays: Vec<Relay> = (0..plan.relays)
+        let relays: Vec<RelayProcess> = (0..plan.relays)
             .map(|number| start_relay(plan, number, &discovery, &configuration, &recorder))
             .collect();
         let relay_addresses = relays.iter().map(|relay| relay.listen).collect();
@@ -354,7 +355,7 @@
         relay: usize,
         length: Duration,
         interval: Duration,
-        action: impl Fn(&Relay) + Send + 'static,
+        action: impl Fn(&RelayProcess) + Send + 'static,
     ) {
         let relay = self.relays[relay].clone();
         let recorder = self.recorder.clone();
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -17,7 +17,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// One relay: its configuration and its running process.
-pub struct Relay {
+pub struct RelayProcess {
     /// Its number.
     pub number: usize,
     /// Where it listens for clients.
@@ -38,9 +38,15 @@
     recorder: Recorder,
 }
 
-impl Relay {
+impl RelayProcess {
     /// A relay that is not started. `program` will be started as `PROGRAM relay serve --config FILE`.
-    pub fn new(number: usize, program: &Path, folder: &Path, mut config: Value, recorder: Recorder) -> Relay {
+    pub fn new(
+        number: usize,
+        program: &Path,
+        folder: &Path,
+        mut config: Value,
+        recorder: Recorder,
+    ) -> RelayProcess {
         let listen = crate::unused_address();
         let folder = folder.join(format!("relay-{number}"));
         std::fs::create_dir_all(&folder).expect("a folder for a relay");
@@ -49,7 +55,7 @@
         config["listen"] = json!(listen.to_string());
         config["name"] = json!(format!("relay-{number}"));
         config["settings"]["SlotNo"] = json!(number);
-        Relay {
+        RelayProcess {
             number,
             listen,
             control,
@@ -253,7 +259,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for RelayProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             _ = child.kill();
--- a/soak/tests/hot_restart.rs
+++ b/soak/tests/hot_restart.rs
@@ -2,7 +2,7 @@
 use hallrelay_soak::discovery::Discovery;
 use hallrelay_soak::faults::SystemFault;
 use hallrelay_soak::observations::Recorder;
-use hallrelay_soak::process::Relay;
+use hallrelay_soak::process::RelayProcess;
 use serde_json::{json, Value};
 use std::io::Read;
 use std::os::unix::fs::OpenOptionsExt;
@@ -15,7 +15,7 @@
 /// By then a process that cannot start has ended.
 const START_TIMEOUT: Duration = Duration::from_secs(3);
 
-fn relay(name: &str) -> (Relay, std::path::PathBuf) {
+fn relay(name: &str) -> (RelayProcess, std::path::PathBuf) {
     let folder = std::env::temp_dir().join(format!("hallrelay-soak-{}-{name}", std::process::id()));
     _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -27,12 +27,12 @@
     let mut config: Value = serde_json::from_str(text).expect("the example is JSON");
     config["known"] = discovery.complete_list();
     config["discovery"] = json!(discovery.addresses[0].to_string());
-    let mut relay = Relay::new(0, Path::new(PROGRAM), &folder, config, recorder);
+    let mut relay = RelayProcess::new(0, Path::new(PROGRAM), &folder, config, recorder);
     relay.config["operator"] = json!(hallrelay_soak::unused_address().to_string());
     (relay, folder)
 }
 
-fn started(name: &str) -> (Relay, std::path::PathBuf) {
+fn started(name: &str) -> (RelayProcess, std::path::PathBuf) {
     let (mut relay, folder) = relay(name);
     relay.start();
     assert!(relay.wait_until_ready(), "{}", relay.log_path().display());
