--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -15,4 +15,4 @@
 
 pub use codec::{decode, encode, MessageError};
 pub use message::{ExclusionList, LoadReport, Message, RelayState, ServerState, SessionState, SlowStartSlot};
-pub use ownership::{ListenerOwnership, OwnershipAction, OwnershipEvent, ProcessId};
+pub use ownership::{OwnershipAction, OwnershipEvent, ProcessId, SocketOwnership};
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Message {
-    /// From the new process: it asks for the listener of a relay.
+    /// From the new process: it asks for the listening socket of a relay.
     Hello {
         /// [`VERSION`] of the sender.
         version: u32,
         /// The relay's name, which must be the receiver's.
         name: String,
-        /// The address of the listener, which must be the receiver's.
+        /// The address of the listening socket, which must be the receiver's.
         listen: String,
     },
     /// The old process offers its listening socket, which is passed along with this message.
@@ -33,7 +33,7 @@
     },
     /// The new process is ready to take over.
     Ready {},
-    /// From now on the new process owns the listener; what the old one knew.
+    /// From now on the new process owns the listening socket; what the old one knew.
     #[serde(rename = "yours")]
     TakeOver(Box<RelayState>),
     /// An open session is handed over; its client's and its backend's socket are passed along.
--- a/hot_restart/src/ownership.rs
+++ b/hot_restart/src/ownership.rs
@@ -1,6 +1,6 @@
-//! The state machine of a process towards its predecessor, whose listener it takes over, and its successor,
-//! which takes over from it. It decides who owns the listener. Inputs are the other processes' messages and
-//! disconnects, and timeouts that the caller runs.
+//! The state machine of a process towards its predecessor, whose listening socket it takes over, and its
+//! successor, which takes over from it. It decides who owns the listening socket. Inputs are the other
+//! processes' messages and disconnects, and timeouts that the caller runs.
 use crate::message::{Message, RelayState, VERSION};
 use serde_json::Value;
 
@@ -28,7 +28,7 @@
     },
     /// [`READY_TIMEOUT`] has passed since an offer.
     ReadyTimeout {
-        /// The process that was offered the listener.
+        /// The process that was offered the listening socket.
         peer: ProcessId,
     },
     /// The connections and sessions that are left here changed.
@@ -62,7 +62,7 @@
     },
     /// Report a [`ReadyTimeout`](OwnershipEvent::ReadyTimeout) after [`READY_TIMEOUT`].
     StartReadyTimer {
-        /// The process that was offered the listener.
+        /// The process that was offered the listening socket.
         process: ProcessId,
     },
     /// Stop accepting connections and send what is known as [`TakeOver`](Message::TakeOver).
@@ -74,7 +74,7 @@
     Resume,
     /// Accept connections, with what the predecessor knew; `None` where it died before it told.
     TakeOver(Option<Box<RelayState>>),
-    /// The predecessor keeps the listener: end this process.
+    /// The predecessor keeps the listening socket: end this process.
     Abort {
         /// The predecessor's reason.
         reason: String,
@@ -92,39 +92,40 @@
     Log(String),
 }
 
-/// The process whose listener this one takes over.
+/// The process whose listening socket this one takes over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Predecessor {
     None,
-    /// It has offered its listener.
+    /// It has offered its listening socket.
     Offered(ProcessId),
-    /// It has handed over its listener, and still has sessions.
+    /// It has handed over its listening socket, and still has sessions.
     HandedOver(ProcessId),
 }
 
-/// The process that takes over the listener of this one.
+/// The process that takes over the listening socket of this one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Successor {
     None,
-    /// It was offered the listener and is not ready yet.
+    /// It was offered the listening socket and is not ready yet.
     Offered(ProcessId),
-    /// It owns the listener.
+    /// It owns the listening socket.
     Owner(ProcessId),
 }
 
-/// Whether this process owns the relay's listener, and how it stands with the processes before and after it.
-pub struct ListenerOwnership {
+/// Whether this process owns the relay's listening socket, and how it stands with the processes before and
+/// after it.
+pub struct SocketOwnership {
     name: String,
     listen: String,
     predecessor: Predecessor,
     successor: Successor,
 }
 
-impl ListenerOwnership {
-    /// For a relay of a name and listening address. `predecessor` has offered its listener; without one this
-    /// process owns the listener from the start.
-    pub fn new(name: &str, listen: &str, predecessor: Option<ProcessId>) -> ListenerOwnership {
-        ListenerOwnership {
+impl SocketOwnership {
+    /// For a relay of a name and listening address. `predecessor` has offered its listening socket; without
+    /// one this process owns the listening socket from the start.
+    pub fn new(name: &str, listen: &str, predecessor: Option<ProcessId>) -> SocketOwnership {
+        SocketOwnership {
             name: name.to_string(),
             listen: listen.to_string(),
             predecessor: predecessor.map_or(Predecessor::None, Predecessor::Offered),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Whether this process owns the listener.
+    /// Whether this process owns the listening socket.
     pub fn is_owner(&self) -> bool {
         self.awaited_predecessor().is_none() && self.successor().is_none()
     }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The successor, once it owns the listener.
+    /// The successor, once it owns the listening socket.
     pub fn successor(&self) -> Option<ProcessId> {
         match self.successor {
             Successor::Owner(process) => Some(process),
@@ -215,7 +216,7 @@
         actions.push(OwnershipAction::StartReadyTimer { process });
     }
 
-    /// Why the listener is not offered to a process; `None` where it is.
+    /// Why the listening socket is not offered to a process; `None` where it is.
     fn rejection(&self, name: &str, listen: &str) -> Option<&'static str> {
         if name != self.name {
             return Some("this relay has another name");
@@ -236,7 +237,8 @@
     }
 
     fn ready_timeout(&mut self, process: ProcessId, actions: &mut Vec<OwnershipAction>) {
-        // An earlier offer's timer, where the process is not the one that was offered the listener last.
+        // An earlier offer's timer, where the process is not the one that was offered the listening socket
+        // last.
         if self.successor != Successor::Offered(process) {
             return;
         }
@@ -271,7 +273,7 @@
     }
 }
 
-/// Tells a process that it gets no listener, and disconnects it.
+/// Tells a process that it gets no listening socket, and disconnects it.
 fn reject(process: ProcessId, reason: &str, actions: &mut Vec<OwnershipAction>) {
     let reason = reason.to_string();
     actions.push(OwnershipAction::Send { process, message: Message::Rejected { reason } });
--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -3,8 +3,8 @@
 //! say the same.
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
-    decode, encode, ExclusionList, ListenerOwnership, LoadReport, Message, OwnershipAction, OwnershipEvent,
-    RelayState, ServerState, SessionState, SlowStartSlot,
+    decode, encode, ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, RelayState,
+    ServerState, SessionState, SlowStartSlot, SocketOwnership,
 };
 use serde_json::json;
 
@@ -108,9 +108,9 @@
 #[test]
 fn a_whole_hot_restart_says_the_same() {
     let mut transcript = Vec::new();
-    let mut old = ListenerOwnership::new("relay-1", "10.0.0.1:7000", None);
-    let mut new = ListenerOwnership::new("relay-1", "10.0.0.1:7000", Some(0));
-    let step = |ownership: &mut ListenerOwnership, event| {
+    let mut old = SocketOwnership::new("relay-1", "10.0.0.1:7000", None);
+    let mut new = SocketOwnership::new("relay-1", "10.0.0.1:7000", Some(0));
+    let step = |ownership: &mut SocketOwnership, event| {
         let mut acts = Vec::new();
         ownership.step(event, &mut acts);
         acts
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -3,8 +3,8 @@
 use hallrelay_hot_restart::codec::MAX_MESSAGE_BYTES;
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
-    decode, encode, ListenerOwnership, LoadReport, Message, OwnershipAction, OwnershipEvent, RelayState,
-    ServerState, SlowStartSlot,
+    decode, encode, LoadReport, Message, OwnershipAction, OwnershipEvent, RelayState, ServerState,
+    SlowStartSlot, SocketOwnership,
 };
 
 fn message(word: &str) -> Message {
@@ -50,7 +50,7 @@
 }
 
 fn play(predecessor: Option<u32>, text: &str) {
-    let mut ownership = ListenerOwnership::new("n1", "a:1", predecessor);
+    let mut ownership = SocketOwnership::new("n1", "a:1", predecessor);
     let mut got: Vec<String> = Vec::new();
     for line in text.lines().map(str::trim).filter(|line| !line.is_empty()) {
         if let Some(wanted) = line.strip_prefix("=> ") {
@@ -152,7 +152,7 @@
         => wait for 3",
     );
     play(Some(0), "no 0\n=> abort: why");
-    // An owner that died leaves the listener to this process; a second disconnect changes nothing.
+    // An owner that died leaves the listening socket to this process; a second disconnect changes nothing.
     play(Some(0), "left 0\n=> take alone\nleft 0\nhello 1\n=> offer to 1\n=> wait for 1");
 }
 
--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -12,9 +12,9 @@
 /// every dial timeout and the second within which an operator is answered.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts for as long as the process runs. `accepting` is whether this process owns the listener, or
+/// Accepts for as long as the process runs. `accepting` is whether this process owns the listening socket, or
 /// leaves its connections to another process.
-pub async fn run(listener: Rc<TcpListener>, mut accepting: watch::Receiver<bool>, hub: Hub) {
+pub async fn run(listening_socket: Rc<TcpListener>, mut accepting: watch::Receiver<bool>, hub: Hub) {
     // A connection over the limit waits no longer than it takes to shed one before it.
     let places =
         Arc::new(Semaphore::new(hub.limits().max_client_connections + hub.limits().max_shedding_connections));
@@ -26,7 +26,7 @@
         let stream = tokio::select! {
             biased;
             _ = accepting.changed() => continue,
-            stream = next(&listener, "a connection", &hub) => stream,
+            stream = next(&listening_socket, "a connection", &hub) => stream,
         };
         spawn_connection(stream, place, hub.clone());
         // A line that arrived with its connection is read before more connections are accepted.
@@ -48,9 +48,9 @@
 }
 
 /// Waits for the next connection; `kind` names it in the log where it can't be accepted.
-pub async fn next(listener: &TcpListener, kind: &str, hub: &Hub) -> TcpStream {
+pub async fn next(listening_socket: &TcpListener, kind: &str, hub: &Hub) -> TcpStream {
     loop {
-        match listener.accept().await {
+        match listening_socket.accept().await {
             Ok((stream, _)) => {
                 // Lines are short and must not be delayed.
                 _ = stream.set_nodelay(true);
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -49,10 +49,10 @@
     number: u64,
 }
 
-/// Where the next process may connect, and the listener that it is offered.
-pub(super) struct TakeoverListener {
+/// Where the next process may connect, and the listening socket that it is offered.
+pub(super) struct TakeoverSocket {
     pub path: PathBuf,
-    pub listener: Rc<TcpListener>,
+    pub listening_socket: Rc<TcpListener>,
     /// The task that accepts processes, while it runs.
     pub task: Option<AbortHandle>,
 }
@@ -69,7 +69,7 @@
     calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
     /// Whether clients' connections are accepted here.
     accepting: watch::Sender<bool>,
-    takeover: Option<TakeoverListener>,
+    takeover: Option<TakeoverSocket>,
     membership_sockets: Option<MembershipSockets>,
     state_store: Option<StateStore>,
     /// By session the record that its next dial waits for.
@@ -83,7 +83,7 @@
     pub fn new(
         hub: Hub,
         accepting: watch::Sender<bool>,
-        takeover: Option<TakeoverListener>,
+        takeover: Option<TakeoverSocket>,
         membership_sockets: Option<MembershipSockets>,
         state_store: Option<StateStore>,
     ) -> EffectRunner {
@@ -319,7 +319,7 @@
     fn open_takeover_listener(&mut self) {
         let Some(takeover) = &mut self.takeover else { return };
         let path = takeover.path.clone();
-        let accept = hot_restart::accept_processes(path, takeover.listener.clone(), self.hub.clone());
+        let accept = hot_restart::accept_processes(path, takeover.listening_socket.clone(), self.hub.clone());
         let task = tokio::task::spawn_local(accept).abort_handle();
         takeover.task.replace(task).inspect(AbortHandle::abort);
     }
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -92,7 +92,7 @@
 /// What a running process offers.
 pub struct Offer {
     pub stream: std::os::unix::net::UnixStream,
-    pub listener: std::net::TcpListener,
+    pub listening_socket: std::net::TcpListener,
 }
 
 /// Requests a running process to hand over; `None` where there is none, or it does not answer.
@@ -121,9 +121,9 @@
         Message::Rejected { reason } => Err(TakeoverError::Rejected { reason }),
         Message::Offer { .. } => {
             let socket = incoming.sockets.pop_front().ok_or(TakeoverError::NoSocket)?;
-            let listener = std::net::TcpListener::from(socket);
-            match listener.local_addr() {
-                Ok(address) if address == node.listen => Ok(Some(Offer { stream, listener })),
+            let listening_socket = std::net::TcpListener::from(socket);
+            match listening_socket.local_addr() {
+                Ok(address) if address == node.listen => Ok(Some(Offer { stream, listening_socket })),
                 _ => Err(TakeoverError::OtherAddress(node.listen)),
             }
         }
@@ -210,7 +210,7 @@
 }
 
 /// Accepts processes that request to take over, until it is dropped.
-pub async fn accept_processes(path: PathBuf, listener: Rc<TcpListener>, hub: Hub) {
+pub async fn accept_processes(path: PathBuf, listening_socket: Rc<TcpListener>, hub: Hub) {
     let takeover_listener = match bind(&path) {
         Ok(bound) => bound,
         Err(e) => {
@@ -236,7 +236,7 @@
             continue;
         }
         last_process = last_process.wrapping_add(1).max(PREDECESSOR + 1);
-        let exchange = exchange(last_process, stream, Some(listener.clone()), hub.clone());
+        let exchange = exchange(last_process, stream, Some(listening_socket.clone()), hub.clone());
         tokio::task::spawn_local(async move {
             exchange.await;
             drop(permit);
@@ -257,9 +257,9 @@
         Ok(_) => return Err(io::Error::other(format!("{} is no socket", path.display()))),
         Err(_) => {}
     }
-    let listener = UnixListener::bind(path)?;
+    let unix_listener = UnixListener::bind(path)?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
-    Ok(listener)
+    Ok(unix_listener)
 }
 
 /// Exchanges messages with another process until either side disconnects. From the call on, messages to it
@@ -267,19 +267,19 @@
 fn exchange(
     process: ProcessId,
     stream: UnixStream,
-    listener: Option<Rc<TcpListener>>,
+    listening_socket: Option<Rc<TcpListener>>,
     hub: Hub,
 ) -> impl Future<Output = ()> {
     let (to_process, outgoing) = mpsc::channel(hub.limits().max_queued_handover_messages);
     hub.processes.borrow_mut().insert(process, to_process);
-    Exchange { process, stream, listener, hub }.run(outgoing)
+    Exchange { process, stream, listening_socket, hub }.run(outgoing)
 }
 
 struct Exchange {
     process: ProcessId,
     stream: UnixStream,
     /// Attached to an offer.
-    listener: Option<Rc<TcpListener>>,
+    listening_socket: Option<Rc<TcpListener>>,
     hub: Hub,
 }
 
@@ -349,8 +349,9 @@
     async fn send(&self, message: &Message) -> bool {
         let Ok(line) = encode(message) else { return false };
         let is_offer = matches!(message, Message::Offer { .. });
-        let offered = self.listener.as_ref().filter(|_| is_offer);
-        let attached: Vec<BorrowedFd> = offered.iter().map(|listener| listener.as_fd()).collect();
+        let offered = self.listening_socket.as_ref().filter(|_| is_offer);
+        let attached: Vec<BorrowedFd> =
+            offered.iter().map(|listening_socket| listening_socket.as_fd()).collect();
         send_line(&self.stream, &line, &attached, &self.hub).await
     }
 }
--- a/relay/src/net/listener.rs
+++ b/relay/src/net/listening_socket.rs
@@ -1,4 +1,4 @@
-//! Binds the listeners of this process: for clients, operators and other relays.
+//! Binds the listening sockets of this process: for clients, operators and other relays.
 use crate::socket;
 use std::io;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
     socket.listen(backlog)
 }
 
-/// A listener that the process before this one handed over.
+/// A listening socket that the process before this one handed over.
 ///
 /// # Errors
 /// That of the call which failed.
-pub fn from_std(listener: std::net::TcpListener) -> io::Result<TcpListener> {
-    listener.set_nonblocking(true)?;
-    TcpListener::from_std(listener)
+pub fn from_std(listening_socket: std::net::TcpListener) -> io::Result<TcpListener> {
+    listening_socket.set_nonblocking(true)?;
+    TcpListener::from_std(listening_socket)
 }
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -1,7 +1,7 @@
-//! Membership's sockets: a UDP socket for datagrams, and a TCP listener on the same port for streams that
+//! Membership's sockets: a UDP socket for datagrams, and a listening socket on the same port for streams that
 //! carry whole tables. What is no packet of this fleet is dropped and counted here, and the datagrams read in
 //! a second are bounded, so that other senders cannot delay sessions.
-use super::{accept, listener, Hub};
+use super::{accept, listening_socket, Hub};
 use crate::clock::span;
 use crate::reducer::Event;
 use crate::socket::{self, RetryingStream};
@@ -48,7 +48,7 @@
 pub async fn bind(addr: SocketAddr) -> io::Result<BoundSockets> {
     let with_key = |e: io::Error| io::Error::new(e.kind(), format!("fleet.listen {addr}: {e}"));
     let datagrams = socket::retry_without_resources(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
-    let streams = listener::bind(addr, BACKLOG).await.map_err(with_key)?;
+    let streams = listening_socket::bind(addr, BACKLOG).await.map_err(with_key)?;
     Ok(BoundSockets { datagrams, streams })
 }
 
@@ -220,11 +220,16 @@
 }
 
 /// Accepts other relays' streams; each is served by a task of its own.
-async fn accept_streams(listener: TcpListener, config: &FleetConfig, replies: PendingReplies, hub: &Hub) {
+async fn accept_streams(
+    listening_socket: TcpListener,
+    config: &FleetConfig,
+    replies: PendingReplies,
+    hub: &Hub,
+) {
     let inbound_streams = Arc::new(Semaphore::new(hub.limits().max_fleet_streams));
     let mut last_number = 0;
     loop {
-        let stream = accept::next(&listener, "another relay's stream", hub).await;
+        let stream = accept::next(&listening_socket, "another relay's stream", hub).await;
         // A stream over the limit is closed at once: the other relay tries again.
         let Ok(permit) = inbound_streams.clone().try_acquire_owned() else { continue };
         last_number += 1;
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -15,7 +15,7 @@
 mod hot_restart;
 #[cfg(test)]
 mod interleaving_tests;
-mod listener;
+mod listening_socket;
 mod membership;
 mod operator;
 mod processes;
--- a/relay/src/net/operator/mod.rs
+++ b/relay/src/net/operator/mod.rs
@@ -32,10 +32,10 @@
 type Calls = mpsc::Sender<OperatorCall>;
 
 /// Serves operators for as long as the process runs.
-pub(super) async fn run(listener: TcpListener, calls: Calls, hub: Hub) {
+pub(super) async fn run(listening_socket: TcpListener, calls: Calls, hub: Hub) {
     let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
-        let stream = accept::next(&listener, "an operator's connection", &hub).await;
+        let stream = accept::next(&listening_socket, "an operator's connection", &hub).await;
         open.retain(|task| !task.is_finished());
         if open.len() >= hub.limits().max_operator_connections {
             // Connections that take a place and never complete a call must not block others.
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,9 +1,9 @@
 //! Runs the relay: events go to the reducer in order of arrival, its effects to the runner.
-use super::effect_runner::{EffectRunner, TakeoverListener};
+use super::effect_runner::{EffectRunner, TakeoverSocket};
 use super::membership::MembershipSockets;
 use super::operator::OperatorCall;
 use super::state_store::StateStore;
-use super::{accept, hot_restart, listener, membership, operator, signals, Hub};
+use super::{accept, hot_restart, listening_socket, membership, operator, signals, Hub};
 use crate::clock::span;
 use crate::reducer::{Effect, Event, Reducer};
 use hallrelay_balancer::types::Micros;
@@ -40,15 +40,15 @@
     };
     let takeover_path = node.operator.and_then(|_| hot_restart::socket_path(&node).inspect_err(no_path).ok());
     let offer = takeover_path.as_deref().map_or(Ok(None), |path| hot_restart::request_takeover(path, &node));
-    let (predecessor, listener) = match offer.map_err(io::Error::other)? {
-        Some(offer) => (Some(offer.stream), listener::from_std(offer.listener)?),
-        None => (None, listener::bind(node.listen, BACKLOG).await?),
+    let (predecessor, listening_socket) = match offer.map_err(io::Error::other)? {
+        Some(offer) => (Some(offer.stream), listening_socket::from_std(offer.listening_socket)?),
+        None => (None, listening_socket::bind(node.listen, BACKLOG).await?),
     };
-    let listener = Rc::new(listener);
+    let listening_socket = Rc::new(listening_socket);
     let (to_calls, calls) = mpsc::channel(limits.max_operator_connections);
     if let Some(addr) = node.operator {
-        let listener = listener::bind(addr, BACKLOG).await?;
-        tokio::task::spawn_local(operator::run(listener, to_calls, hub.clone()));
+        let listening_socket = listening_socket::bind(addr, BACKLOG).await?;
+        tokio::task::spawn_local(operator::run(listening_socket, to_calls, hub.clone()));
     }
     let membership_sockets = membership_sockets(&node, predecessor.is_some(), &hub).await?;
     let mut state_store = node.state.as_deref().map(|path| StateStore::new(path, limits.max_state_bytes));
@@ -60,10 +60,13 @@
     slog::info!(log, "serving"; "name" => &node.name, "listen" => %node.listen, "limits" => ?limits);
 
     let (accepting, is_accepting) = watch::channel(false);
-    let takeover =
-        takeover_path.map(|path| TakeoverListener { path, listener: listener.clone(), task: None });
+    let takeover = takeover_path.map(|path| TakeoverSocket {
+        path,
+        listening_socket: listening_socket.clone(),
+        task: None,
+    });
     let runner = EffectRunner::new(hub.clone(), accepting, takeover, membership_sockets, state_store);
-    tokio::task::spawn_local(accept::run(listener, is_accepting, hub.clone()));
+    tokio::task::spawn_local(accept::run(listening_socket, is_accepting, hub.clone()));
     let predecessor = predecessor.map(|stream| hot_restart::begin(stream, &hub)).transpose()?;
     let mut reducer = Reducer::new(node, predecessor);
     stored.into_iter().for_each(|stored| reducer.load_state(stored));
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -238,7 +238,7 @@
     DialResumingSession(SessionId),
     /// The next batch of sessions migrates, in the drain or stop of this number.
     MigrateBatch(u32),
-    /// A process that was offered the listener was not ready in time.
+    /// A process that was offered the listening socket was not ready in time.
     HandoverOffer(ProcessId),
     /// What remains here is reported to the successor.
     HandoverProgress,
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -8,13 +8,13 @@
 /// The state of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Lifecycle {
-    /// Its predecessor still owns the listener.
+    /// Its predecessor still owns the listening socket.
     AwaitingTakeover,
     #[default]
     Serving,
     Draining,
     Stopping,
-    /// Its successor owns the listener; sessions that are left here go on.
+    /// Its successor owns the listening socket; sessions that are left here go on.
     HandedOver,
     /// The same, while a drain goes on.
     HandedOverDraining,
@@ -116,7 +116,7 @@
     Draining,
     /// It moves its sessions to other relays and ends.
     Stopping,
-    /// Another process owns the listener.
+    /// Another process owns the listening socket.
     Replaced,
 }
 
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -26,8 +26,8 @@
 const PROGRESS_INTERVAL: Micros = 100_000;
 
 impl Reducer {
-    /// The start is over. Without a predecessor this process owns the listener; else it reports to the
-    /// predecessor that it is ready.
+    /// The start is over. Without a predecessor this process owns the listening socket; else it reports to
+    /// the predecessor that it is ready.
     pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
         match self.ownership.awaited_predecessor() {
             Some(process) => out.push(Effect::SendToProcess { peer: process, message: Message::Ready {} }),
@@ -144,7 +144,7 @@
         })
     }
 
-    /// This process owns the listener from now on, and goes on with what its predecessor knew.
+    /// This process owns the listening socket from now on, and goes on with what its predecessor knew.
     fn take_over(&mut self, state: RelayState, out: &mut Vec<Effect>) {
         log("this process takes over from its predecessor", out);
         // This process' own watch may have received more by now. A list that can't be read stops nothing.
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -52,7 +52,7 @@
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::SessionCounts;
-use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, ProcessId};
+use hallrelay_hot_restart::{OwnershipEvent, ProcessId, SocketOwnership};
 use hallrelay_membership::Membership;
 use hallrelay_recovery::StoredState;
 use hallrelay_store::writer::WriterHealth;
@@ -111,7 +111,7 @@
     /// Thousandths of a session that the next batch moves in addition.
     migration_credit: usize,
     metrics: Metrics,
-    ownership: ListenerOwnership,
+    ownership: SocketOwnership,
     membership: Option<Membership>,
     /// What the store held, until the start has used it.
     stored: Option<Box<StoredState>>,
@@ -146,7 +146,7 @@
     /// A relay before its start. `predecessor` is the process that it takes over from, where there is one.
     pub fn new(node: Node, predecessor: Option<ProcessId>) -> Reducer {
         Reducer {
-            ownership: ListenerOwnership::new(&node.name, &node.listen.to_string(), predecessor),
+            ownership: SocketOwnership::new(&node.name, &node.listen.to_string(), predecessor),
             predecessor_remaining: Remaining::default(),
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -4,8 +4,8 @@
 use hallrelay_hot_restart::SessionState;
 
 impl Reducer {
-    /// Hands an open session over to the process that owns the listener. In a drain it is moved to another
-    /// relay instead.
+    /// Hands an open session over to the process that owns the listening socket. In a drain it is moved to
+    /// another relay instead.
     pub(super) fn hand_over_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(successor) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
