--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -3,8 +3,8 @@
 //! say the same.
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
-    decode, encode, ExclusionList, ListenerOwnership, LoadReport, Message, OwnershipAction, OwnershipEvent,
-    RelayState, ServerState, SessionState, SlowStartSlot,
+    decode, encode, ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, RelayState,
+    ServerState, SessionState, SlowStartSlot, SocketOwnership,
 };
 use serde_json::json;
 
@@ -108,9 +108,9 @@
 #[test]
 fn a_whole_hot_restart_says_the_same() {
     let mut transcript = Vec::new();
-    let mut old = ListenerOwnership::new("relay-1", "10.0.0.1:7000", None);
-    let mut new = ListenerOwnership::new("relay-1", "10.0.0.1:7000", Some(0));
-    let step = |ownership: &mut ListenerOwnership, event| {
+    let mut old = SocketOwnership::new("relay-1", "10.0.0.1:7000", None);
+    let mut new = SocketOwnership::new("relay-1", "10.0.0.1:7000", Some(0));
+    let step = |ownership: &mut SocketOwnership, event| {
         let mut acts = Vec::new();
         ownership.step(event, &mut acts);
         acts
@@ -127,10 +127,10 @@
     let acts = step(&mut old, say("new", hello(), &mut transcript));
     let offer = sent("old", &acts, &mut transcript);
     assert_eq!(offer, [Message::Offer { version: VERSION }]);
-    assert_eq!(acts[1], OwnershipAction::StartReadyTimer { peer: 1 });
+    assert_eq!(acts[1], OwnershipAction::StartReadyTimer { process: 1 });
 
     let acts = step(&mut old, say("new", Message::Ready {}, &mut transcript));
-    assert_eq!(acts, [OwnershipAction::HandOver { peer: 1 }]);
+    assert_eq!(acts, [OwnershipAction::HandOver { process: 1 }]);
     let acts = step(&mut new, say("old", Message::TakeOver(Box::new(state())), &mut transcript));
     let shares = OwnershipAction::PredecessorRemaining { connections: 4, sessions: 2 };
     assert_eq!(acts, [OwnershipAction::TakeOver(Some(Box::new(state()))), shares]);
@@ -153,7 +153,7 @@
 
     // A third process is refused by both.
     let acts = step(&mut old, OwnershipEvent::Received { peer: 2, message: hello() });
-    assert_eq!(acts[1], OwnershipAction::Disconnect { peer: 2 });
+    assert_eq!(acts[1], OwnershipAction::Disconnect { process: 2 });
     sent("old", &acts, &mut transcript);
     let acts = step(&mut new, OwnershipEvent::Received { peer: 1, message: hello() });
     sent("new", &acts, &mut transcript);
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -6,14 +6,14 @@
 use crate::error::LabError;
 use crate::relay_process::Program;
 pub use descriptors::{descriptors_needed, raise_descriptor_limit};
-use hallrelay_config::scenario::{Scenario, TroubleKind};
+use hallrelay_config::scenario::{FaultKind, Scenario};
 use hallrelay_emulator::day::Day;
 use hallrelay_emulator::net::links::{self, RelayAddresses};
 use hallrelay_emulator::net::{endpoint_addresses, free_port, list, malformed, server, Clock, Host, Shared};
 use hallrelay_emulator::node::{self, RelayPlacement};
 use hallrelay_emulator::script::RelayCommand;
 use hallrelay_emulator::service::Outcome;
-use relays::Relay;
+use relays::ManagedRelay;
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
@@ -48,7 +48,7 @@
     host: Shared,
     /// Addresses for the emulated links, where relays know each other.
     addresses: Option<RelayAddresses>,
-    relays: Vec<Relay>,
+    relays: Vec<ManagedRelay>,
     options: &'a Options<'a>,
 }
 
@@ -83,7 +83,7 @@
         links::serve(addresses.clone(), &day.host).await.map_err(LabError::emulator)?;
     }
     for relay in 0..relay_count {
-        day.relays.push(Relay::new(relay, options.out));
+        day.relays.push(ManagedRelay::new(relay, options.out));
         day.start(relay)?;
     }
     for relay in 0..relay_count {
@@ -98,7 +98,7 @@
 
 /// What must hold before anything is started; makes the folder of results.
 fn check_limits(scenario: &Scenario, out: &Path) -> Result<(), LabError> {
-    if scenario.troubles.iter().any(|trouble| trouble.kind == TroubleKind::RelaysOut) {
+    if scenario.faults.iter().any(|fault| fault.kind == FaultKind::RelaysOut) {
         return Err(LabError::DrainsOnSockets);
     }
     raise_descriptor_limit(scenario, descriptors_needed(scenario))?;
@@ -176,7 +176,7 @@
     }
 
     async fn finish(mut self, partial: Option<String>) -> Outcome {
-        self.relays.iter_mut().for_each(Relay::record_usage);
+        self.relays.iter_mut().for_each(ManagedRelay::record_usage);
         let mut outcome = self.host.day.borrow().outcome();
         for relay in &mut self.relays {
             if let Some(process) = &mut relay.process {
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -2,7 +2,7 @@
 use super::{relay_placement, write_config, SocketDay, START_TIMEOUT};
 use crate::error::LabError;
 use crate::relay_process::{describe_exit, log_tail, Process};
-use hallrelay_config::scenario::TroubleKind;
+use hallrelay_config::scenario::FaultKind;
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::net::free_port;
 use hallrelay_emulator::node::{MembershipAddresses, RelayPlacement};
@@ -21,7 +21,7 @@
 const READINESS_POLLS: u32 = 300;
 
 /// A relay with its running process.
-pub(super) struct Relay {
+pub(super) struct ManagedRelay {
     pub(super) process: Option<Process>,
     /// Its process was requested to stop, so that its end is no crash.
     is_stopping: bool,
@@ -38,13 +38,13 @@
     is_polled: Rc<Cell<bool>>,
 }
 
-impl Relay {
+impl ManagedRelay {
     /// A relay without a process. What an earlier day left of it in the folder is removed.
-    pub(super) fn new(relay: usize, out: &Path) -> Relay {
+    pub(super) fn new(relay: usize, out: &Path) -> ManagedRelay {
         let file = |extension: &str| out.join(format!("relay-{relay}.{extension}"));
         _ = std::fs::remove_file(file("log"));
         _ = std::fs::remove_dir_all(file("state"));
-        Relay {
+        ManagedRelay {
             process: None,
             is_stopping: false,
             figures: RelayFigures::default(),
@@ -90,7 +90,7 @@
 
     /// Starts a process of a relay, beside one that may run, with a configuration of its own.
     fn spawn_process(&mut self, relay: usize) -> Result<Process, LabError> {
-        let has_hot_restarts = self.scenario.troubles.iter().any(|t| t.kind == TroubleKind::RelayReplaced);
+        let has_hot_restarts = self.scenario.faults.iter().any(|t| t.kind == FaultKind::RelayReplaced);
         let has_operator = self.scenario.relays.fleet || has_hot_restarts;
         let r = &mut self.relays[relay];
         r.figures.starts += 1;
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -2,8 +2,8 @@
 use super::events::QueuedEvent;
 use super::state::{server_at, BackendConnection};
 use super::VirtualDay;
-use hallrelay_balancer::types::{DialEnd, Micros, SessId};
-use hallrelay_config::scenario::Fault;
+use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
+use hallrelay_config::scenario::ConnectionFault;
 use hallrelay_emulator::audit::{DialOutcome, DialReceived};
 use hallrelay_emulator::clients::ClientEvent;
 use hallrelay_emulator::day::DriverActions;
@@ -16,7 +16,7 @@
     pub(super) fn dial(
         &mut self,
         relay: usize,
-        session_id: SessId,
+        session_id: SessionId,
         dial: u32,
         addr: SocketAddr,
         timeout: Micros,
@@ -25,7 +25,7 @@
         let reach = self.day.servers.reachability(server, relay);
         let fault = if reach == Reachability::Open { self.day.servers.draw_wire_fault(server) } else { None };
         let r = &mut self.relays[relay];
-        let connect_timeout = r.limits.connect;
+        let connect_timeout = r.limits.connect_timeout;
         let session = r.sessions.get_mut(&session_id);
         if let Some(session) = session {
             session.dials = dial + 1;
@@ -33,8 +33,10 @@
         let Some(mark) = r.mark_of(session_id) else { return };
         let latency = self.server_latency();
         let unconnected_after = match (reach, fault) {
-            (Reachability::Refused, _) | (_, Some(Fault::Refused)) => Some(2 * latency),
-            (Reachability::Unresponsive, _) | (_, Some(Fault::NeverUp)) => Some(timeout.min(connect_timeout)),
+            (Reachability::Refused, _) | (_, Some(ConnectionFault::Refused)) => Some(2 * latency),
+            (Reachability::Unresponsive, _) | (_, Some(ConnectionFault::NeverUp)) => {
+                Some(timeout.min(connect_timeout))
+            }
             (Reachability::Open, _) => None,
         };
         if let Some(after) = unconnected_after {
@@ -82,8 +84,10 @@
         let (relay, server, mark) = (dial.process.relay, dial.server, dial.mark);
         let received = DialReceived { mark, relay, backend: server, first_byte_at: self.now };
         let is_reachable = self.day.servers.reachability(server, relay) == Reachability::Open;
-        if !is_reachable || matches!(dial.fault, Some(Fault::ResetBefore | Fault::ResetAfter)) {
-            if is_reachable && dial.fault == Some(Fault::ResetAfter) {
+        if !is_reachable
+            || matches!(dial.fault, Some(ConnectionFault::ResetBefore | ConnectionFault::ResetAfter))
+        {
+            if is_reachable && dial.fault == Some(ConnectionFault::ResetAfter) {
                 self.day.audit.dial_received(self.now, &received);
                 self.day.audit.dial_ended(self.now, mark, server, DialOutcome::MayHaveRun);
             }
@@ -92,7 +96,7 @@
         dial.is_received = true;
         let (request, fault) = (dial.request.clone(), dial.fault);
         self.day.audit.dial_received(self.now, &received);
-        if !matches!(fault, Some(Fault::Silence | Fault::HalfLine)) {
+        if !matches!(fault, Some(ConnectionFault::Silence | ConnectionFault::HalfLine)) {
             self.day.servers.dial_received(self.now, connection, &request, &mut todo.server_events);
         }
     }
@@ -101,7 +105,7 @@
     pub(super) fn dial_timeout(
         &mut self,
         relay: usize,
-        session_id: SessId,
+        session_id: SessionId,
         dial: u32,
         todo: &mut DriverActions,
     ) {
@@ -188,7 +192,7 @@
             };
             let sessions = self.relays[relay].sessions.iter();
             let open = sessions.filter(|(_, session)| session.is_open && is_there(session.connection));
-            let open: Vec<SessId> = open.map(|(session_id, _)| *session_id).collect();
+            let open: Vec<SessionId> = open.map(|(session_id, _)| *session_id).collect();
             for session_id in open {
                 self.schedule_silence_timeout(relay, session_id);
             }
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -8,10 +8,10 @@
 use super::{discovery, health_check, hot_restart, Command, Hub, Tuning};
 use crate::lines;
 use crate::reducer::{Effect, Event, OperatorReply, Timer};
-use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
-use hallrelay_hot_restart::{Message, PeerId};
+use hallrelay_hot_restart::{Message, ProcessId};
 use hallrelay_membership::Effect as MembershipEffect;
 use hallrelay_recovery::Record;
 use hallrelay_store::writer::WriterHealth;
@@ -37,7 +37,7 @@
     ticket: u64,
     /// It waits no longer than this: service does not depend on a disk.
     until: Micros,
-    session_id: SessId,
+    session_id: SessionId,
     command: Command,
 }
 
@@ -49,10 +49,10 @@
     number: u64,
 }
 
-/// Where the next process may connect, and the listener that it is offered.
-pub(super) struct TakeoverListener {
+/// Where the next process may connect, and the listening socket that it is offered.
+pub(super) struct TakeoverSocket {
     pub path: PathBuf,
-    pub listener: Rc<TcpListener>,
+    pub listening_socket: Rc<TcpListener>,
     /// The task that accepts processes, while it runs.
     pub task: Option<AbortHandle>,
 }
@@ -69,11 +69,11 @@
     calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
     /// Whether clients' connections are accepted here.
     accepting: watch::Sender<bool>,
-    takeover: Option<TakeoverListener>,
+    takeover: Option<TakeoverSocket>,
     membership_sockets: Option<MembershipSockets>,
     state_store: Option<StateStore>,
     /// By session the record that its next dial waits for.
-    records_before_dials: BTreeMap<SessId, u64>,
+    records_before_dials: BTreeMap<SessionId, u64>,
     waiting_dials: VecDeque<WaitingDial>,
     pending_voter_writes: VecDeque<PendingVoterWrite>,
     exit: Option<io::Result<()>>,
@@ -83,7 +83,7 @@
     pub fn new(
         hub: Hub,
         accepting: watch::Sender<bool>,
-        takeover: Option<TakeoverListener>,
+        takeover: Option<TakeoverSocket>,
         membership_sockets: Option<MembershipSockets>,
         state_store: Option<StateStore>,
     ) -> EffectRunner {
@@ -193,8 +193,8 @@
             }
             Effect::TearDown { session_id } => self.final_answer(session_id, lines::FAIL.to_vec()),
             Effect::Migrate { session_id } => self.hub.command(session_id, Command::Migrate),
-            Effect::HandOverSession { session_id, peer, state } => {
-                self.hub.command(session_id, Command::HandOver(peer, state));
+            Effect::HandOverSession { session_id, peer: process, state } => {
+                self.hub.command(session_id, Command::HandOver(process, state));
             }
             Effect::ReportProtocolError { connection_id } => {
                 self.hub.command(connection_id, Command::FinalAnswer(lines::ERROR.to_vec()));
@@ -214,9 +214,11 @@
             }
             Effect::StartTimer { after, timer } => self.start_timer(after, timer),
             Effect::SetAccepting { accepting } => _ = self.accepting.send(accepting),
-            Effect::SendToProcess { peer, message } => self.send_to_process(peer, message),
+            Effect::SendToProcess { peer: process, message } => self.send_to_process(process, message),
             // What was sent before goes out first.
-            Effect::DisconnectProcess { peer } => _ = self.hub.processes.borrow_mut().remove(&peer),
+            Effect::DisconnectProcess { peer: process } => {
+                _ = self.hub.processes.borrow_mut().remove(&process)
+            }
             Effect::SetTakeoverListener { open: true } => self.open_takeover_listener(),
             Effect::SetTakeoverListener { open: false } => self.stop_takeover_listener(),
             Effect::Persist { record, before } => self.persist(record, before),
@@ -250,12 +252,12 @@
     }
 
     /// Sends a dial, once the record that it waits for is durable.
-    fn dial(&mut self, session_id: SessId, command: Command) {
+    fn dial(&mut self, session_id: SessionId, command: Command) {
         let ticket = self.records_before_dials.remove(&session_id);
         let is_pending = |ticket: &u64| self.state_store.as_ref().is_some_and(|s| !s.is_settled(*ticket));
         match ticket.filter(is_pending) {
             Some(ticket) => {
-                let until = self.hub.clock.now() + self.hub.limits().state_wait;
+                let until = self.hub.clock.now() + self.hub.limits().state_write_timeout;
                 self.waiting_dials.push_back(WaitingDial { ticket, until, session_id, command });
             }
             None => self.hub.command(session_id, command),
@@ -263,23 +265,23 @@
     }
 
     /// Sends a final answer, after which nothing is sent for the session.
-    fn final_answer(&mut self, session_id: SessId, line: Vec<u8>) {
+    fn final_answer(&mut self, session_id: SessionId, line: Vec<u8>) {
         self.cancel_waiting_dial(session_id);
         self.hub.command(session_id, Command::FinalAnswer(line));
     }
 
     /// Closes a connection without an answer; no dial is sent for it any more.
-    fn close_client(&mut self, session_id: SessId) {
+    fn close_client(&mut self, session_id: SessionId) {
         self.cancel_waiting_dial(session_id);
         self.hub.command(session_id, Command::Close);
     }
 
-    fn cancel_waiting_dial(&mut self, session_id: SessId) {
+    fn cancel_waiting_dial(&mut self, session_id: SessionId) {
         self.waiting_dials.retain(|dial| dial.session_id != session_id);
     }
 
     fn check_health(&mut self, server: ServerId, addr: SocketAddr) {
-        let keep_connection = self.health_checks.len() < self.hub.limits().probes;
+        let keep_connection = self.health_checks.len() < self.hub.limits().max_probe_connections;
         let requests = self.health_checks.entry(server).or_insert_with(|| {
             // The balancer requests one check of a server at a time.
             let (to, requests) = mpsc::channel(1);
@@ -306,18 +308,18 @@
         self.timers.insert(key, timer);
     }
 
-    fn send_to_process(&self, peer: PeerId, message: Message) {
+    fn send_to_process(&self, process: ProcessId, message: Message) {
         let processes = self.hub.processes.borrow();
         let command = ProcessCommand::Send(message);
-        if processes.get(&peer).is_none_or(|process| process.try_send(command).is_err()) {
-            slog::warn!(self.hub.log, "a message to another process was dropped"; "peer" => peer);
+        if processes.get(&process).is_none_or(|channel| channel.try_send(command).is_err()) {
+            slog::warn!(self.hub.log, "a message to another process was dropped"; "peer" => process);
         }
     }
 
     fn open_takeover_listener(&mut self) {
         let Some(takeover) = &mut self.takeover else { return };
         let path = takeover.path.clone();
-        let accept = hot_restart::accept_processes(path, takeover.listener.clone(), self.hub.clone());
+        let accept = hot_restart::accept_processes(path, takeover.listening_socket.clone(), self.hub.clone());
         let task = tokio::task::spawn_local(accept).abort_handle();
         takeover.task.replace(task).inspect(AbortHandle::abort);
     }
@@ -328,7 +330,7 @@
         task.inspect(AbortHandle::abort);
     }
 
-    fn persist(&mut self, record: Record, before: Option<SessId>) {
+    fn persist(&mut self, record: Record, before: Option<SessionId>) {
         let ticket = self.state_store.as_ref().and_then(|store| store.persist(record));
         if let (Some(session_id), Some(ticket)) = (before, ticket) {
             self.records_before_dials.insert(session_id, ticket);
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -10,7 +10,7 @@
 use hallrelay_config::node::Node;
 use hallrelay_hot_restart::codec::MAX_MESSAGE_BYTES;
 use hallrelay_hot_restart::message::VERSION;
-use hallrelay_hot_restart::{decode, encode, Message, MessageError, OwnershipEvent, PeerId, SessionState};
+use hallrelay_hot_restart::{decode, encode, Message, MessageError, OwnershipEvent, ProcessId, SessionState};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -31,7 +31,7 @@
 use tokio::time::timeout;
 
 /// The predecessor, as the reducer knows it; processes that connect later are counted from here.
-const PREDECESSOR: PeerId = 0;
+const PREDECESSOR: ProcessId = 0;
 /// The most sockets that are attached to one message: a session's client and its backend.
 const MAX_SOCKETS: usize = 2;
 /// What the system allows for the path of a Unix socket, without its terminating zero.
@@ -92,7 +92,7 @@
 /// What a running process offers.
 pub struct Offer {
     pub stream: std::os::unix::net::UnixStream,
-    pub listener: std::net::TcpListener,
+    pub listening_socket: std::net::TcpListener,
 }
 
 /// Requests a running process to hand over; `None` where there is none, or it does not answer.
@@ -102,7 +102,7 @@
         return Ok(None);
     };
     stream
-        .set_read_timeout(Some(span(node.limits.offer)))
+        .set_read_timeout(Some(span(node.limits.listener_offer_timeout)))
         .map_err(|source| TakeoverError::Socket { path: path.to_path_buf(), source })?;
     let hello = Message::Hello { version: VERSION, name: node.name.clone(), listen: node.listen.to_string() };
     if io::Write::write_all(&mut &stream, &encode(&hello)?).is_err() {
@@ -121,9 +121,9 @@
         Message::Rejected { reason } => Err(TakeoverError::Rejected { reason }),
         Message::Offer { .. } => {
             let socket = incoming.sockets.pop_front().ok_or(TakeoverError::NoSocket)?;
-            let listener = std::net::TcpListener::from(socket);
-            match listener.local_addr() {
-                Ok(address) if address == node.listen => Ok(Some(Offer { stream, listener })),
+            let listening_socket = std::net::TcpListener::from(socket);
+            match listening_socket.local_addr() {
+                Ok(address) if address == node.listen => Ok(Some(Offer { stream, listening_socket })),
                 _ => Err(TakeoverError::OtherAddress(node.listen)),
             }
         }
@@ -206,11 +206,11 @@
         }
         Ok(())
     };
-    matches!(timeout(span(hub.limits().offer), send).await, Ok(Ok(())))
+    matches!(timeout(span(hub.limits().listener_offer_timeout), send).await, Ok(Ok(())))
 }
 
 /// Accepts processes that request to take over, until it is dropped.
-pub async fn accept_processes(path: PathBuf, listener: Rc<TcpListener>, hub: Hub) {
+pub async fn accept_processes(path: PathBuf, listening_socket: Rc<TcpListener>, hub: Hub) {
     let takeover_listener = match bind(&path) {
         Ok(bound) => bound,
         Err(e) => {
@@ -218,8 +218,8 @@
             return;
         }
     };
-    let connections = Arc::new(Semaphore::new(hub.limits().visitors));
-    let mut last_peer = PREDECESSOR;
+    let connections = Arc::new(Semaphore::new(hub.limits().max_takeover_connections));
+    let mut last_process = PREDECESSOR;
     loop {
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
         let stream = match takeover_listener.accept().await {
@@ -235,8 +235,8 @@
             slog::warn!(hub.log, "a process of another user wants to take over");
             continue;
         }
-        last_peer = last_peer.wrapping_add(1).max(PREDECESSOR + 1);
-        let exchange = exchange(last_peer, stream, Some(listener.clone()), hub.clone());
+        last_process = last_process.wrapping_add(1).max(PREDECESSOR + 1);
+        let exchange = exchange(last_process, stream, Some(listening_socket.clone()), hub.clone());
         tokio::task::spawn_local(async move {
             exchange.await;
             drop(permit);
@@ -247,7 +247,7 @@
 fn is_same_user(stream: &UnixStream) -> bool {
     // SAFETY: geteuid reads a number and can't fail.
     let own = unsafe { libc::geteuid() };
-    stream.peer_cred().is_ok_and(|peer| peer.uid() == own)
+    stream.peer_cred().is_ok_and(|process| process.uid() == own)
 }
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
@@ -257,29 +257,29 @@
         Ok(_) => return Err(io::Error::other(format!("{} is no socket", path.display()))),
         Err(_) => {}
     }
-    let listener = UnixListener::bind(path)?;
+    let unix_listener = UnixListener::bind(path)?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
-    Ok(listener)
+    Ok(unix_listener)
 }
 
 /// Exchanges messages with another process until either side disconnects. From the call on, messages to it
 /// are queued.
 fn exchange(
-    peer: PeerId,
+    process: ProcessId,
     stream: UnixStream,
-    listener: Option<Rc<TcpListener>>,
+    listening_socket: Option<Rc<TcpListener>>,
     hub: Hub,
 ) -> impl Future<Output = ()> {
-    let (to_peer, outgoing) = mpsc::channel(hub.limits().passing);
-    hub.processes.borrow_mut().insert(peer, to_peer);
-    Exchange { peer, stream, listener, hub }.run(outgoing)
+    let (to_process, outgoing) = mpsc::channel(hub.limits().max_queued_handover_messages);
+    hub.processes.borrow_mut().insert(process, to_process);
+    Exchange { process, stream, listening_socket, hub }.run(outgoing)
 }
 
 struct Exchange {
-    peer: PeerId,
+    process: ProcessId,
     stream: UnixStream,
     /// Attached to an offer.
-    listener: Option<Rc<TcpListener>>,
+    listening_socket: Option<Rc<TcpListener>>,
     hub: Hub,
 }
 
@@ -307,9 +307,9 @@
                 break;
             }
         }
-        self.hub.processes.borrow_mut().remove(&self.peer);
+        self.hub.processes.borrow_mut().remove(&self.process);
         return_sessions(outgoing).await;
-        self.hub.notify(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.peer })).await;
+        self.hub.notify(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.process })).await;
     }
 
     /// Reads once and handles the complete messages; whether the exchange goes on.
@@ -331,13 +331,13 @@
     async fn handle_messages(&self, incoming: &mut Incoming) -> Result<(), ReceiveError> {
         while let Some(message) = incoming.next_message()? {
             match message {
-                Message::Session(session) if self.peer == PREDECESSOR => {
+                Message::Session(session) if self.process == PREDECESSOR => {
                     let client = incoming.next_socket()?;
                     let backend = incoming.next_socket()?;
                     adopt(session, SessionSockets { client, backend }, self.hub.clone());
                 }
                 message => {
-                    let event = OwnershipEvent::Received { peer: self.peer, message };
+                    let event = OwnershipEvent::Received { peer: self.process, message };
                     self.hub.notify(Event::HotRestart(event)).await;
                 }
             }
@@ -349,8 +349,9 @@
     async fn send(&self, message: &Message) -> bool {
         let Ok(line) = encode(message) else { return false };
         let is_offer = matches!(message, Message::Offer { .. });
-        let offered = self.listener.as_ref().filter(|_| is_offer);
-        let attached: Vec<BorrowedFd> = offered.iter().map(|listener| listener.as_fd()).collect();
+        let offered = self.listening_socket.as_ref().filter(|_| is_offer);
+        let attached: Vec<BorrowedFd> =
+            offered.iter().map(|listening_socket| listening_socket.as_fd()).collect();
         send_line(&self.stream, &line, &attached, &self.hub).await
     }
 }
@@ -376,7 +377,7 @@
 }
 
 /// Exchanges messages with the predecessor from now on.
-pub fn begin(stream: std::os::unix::net::UnixStream, hub: &Hub) -> io::Result<PeerId> {
+pub fn begin(stream: std::os::unix::net::UnixStream, hub: &Hub) -> io::Result<ProcessId> {
     stream.set_nonblocking(true)?;
     let stream = UnixStream::from_std(stream)?;
     tokio::task::spawn_local(exchange(PREDECESSOR, stream, None, hub.clone()));
--- a/relay/src/net/interleaving_tests/passing.rs
+++ b/relay/src/net/interleaving_tests/passing.rs
@@ -1,12 +1,12 @@
 //! An open session: both its ends and the reducer's word, in each order in which two of them can meet.
 use super::{play, Command, Lies, Peer, Play};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, SessId};
+use hallrelay_balancer::types::{DialEnd, SessionId};
 
 const PLAYS: usize = 30;
 
 /// A session that stands: its number, its client and its backend.
-async fn open(play: &mut Play) -> (SessId, Peer, Peer) {
+async fn open(play: &mut Play) -> (SessionId, Peer, Peer) {
     let (connection_id, mut client, mut server) = play.dialled().await;
     server.says("UP r1\r\n").await;
     assert!(matches!(play.event().await, Event::SessionEstablished { .. }));
@@ -99,7 +99,9 @@
             server.says("M 1\r\nBYE\r\n").await;
             drop(server);
             // Twice what a connect may take, while nothing of the program runs.
-            std::thread::sleep(std::time::Duration::from_micros(play.hub.limits().probe.min(100_000)));
+            std::thread::sleep(std::time::Duration::from_micros(
+                play.hub.limits().probe_timeout.min(100_000),
+            ));
             loop {
                 match play.event().await {
                     Event::SessionEnded { end, .. } => break assert_eq!(end, DialEnd::Ok),
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -15,7 +15,7 @@
 mod hot_restart;
 #[cfg(test)]
 mod interleaving_tests;
-mod listener;
+mod listening_socket;
 mod membership;
 mod operator;
 mod processes;
@@ -28,10 +28,10 @@
 use crate::clock::Clock;
 use crate::reducer::Event;
 use crate::socket::{self, ConnectError};
-use hallrelay_balancer::types::{Micros, ServerId, SessId};
+use hallrelay_balancer::types::{Micros, ServerId, SessionId};
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_config::limits::Limits;
-use hallrelay_hot_restart::{PeerId, SessionState};
+use hallrelay_hot_restart::{ProcessId, SessionState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     /// Sends `MOVE` to the client and ends the session.
     Migrate,
     /// Hands the session over to another process.
-    HandOver(PeerId, Box<SessionState>),
+    HandOver(ProcessId, Box<SessionState>),
     /// Closes without an answer.
     Close,
     /// Whether the backend fails its health checks, so that an unanswered message counts as lost sooner.
@@ -82,17 +82,17 @@
 #[derive(Clone)]
 struct Hub {
     events: mpsc::Sender<Event>,
-    connections: Rc<RefCell<BTreeMap<SessId, mpsc::Sender<Command>>>>,
+    connections: Rc<RefCell<BTreeMap<SessionId, mpsc::Sender<Command>>>>,
     /// Scratch space for bytes that are read and dropped.
     discarded: Rc<RefCell<Vec<u8>>>,
-    last_id: Rc<Cell<SessId>>,
+    last_connection_id: Rc<Cell<SessionId>>,
     /// Servers to which nothing new may be sent.
     draining: Rc<RefCell<BTreeSet<ServerId>>>,
     denials: Rc<dial_permit::DenialCounter>,
     /// When a connection to any server was established last.
     last_connected_at: Rc<Cell<Micros>>,
     /// Channels to other processes of this relay.
-    processes: Rc<RefCell<BTreeMap<PeerId, mpsc::Sender<processes::ProcessCommand>>>>,
+    processes: Rc<RefCell<BTreeMap<ProcessId, mpsc::Sender<processes::ProcessCommand>>>>,
     tuning: Rc<RefCell<Tuning>>,
     clock: Clock,
     log: slog::Logger,
@@ -101,13 +101,13 @@
 impl Hub {
     /// A hub, and the channel on which its tasks' events arrive.
     fn new(limits: Limits, order: ReportOrder, log: slog::Logger) -> (Hub, mpsc::Receiver<Event>) {
-        let (events, arriving) = mpsc::channel(limits.events);
+        let (events, arriving) = mpsc::channel(limits.max_queued_events);
         let hub = Hub {
             events,
             connections: Rc::new(RefCell::new(BTreeMap::new())),
             // Enough for what a peer sends at full speed between two reads.
             discarded: Rc::new(RefCell::new(vec![0; 1 << 16])),
-            last_id: Rc::new(Cell::new(0)),
+            last_connection_id: Rc::new(Cell::new(0)),
             draining: Rc::default(),
             denials: Rc::default(),
             last_connected_at: Rc::default(),
@@ -133,14 +133,14 @@
     }
 
     /// A new connection's id: counted up, and not one that is in use after the count went round.
-    fn register(&self) -> (SessId, mpsc::Receiver<Command>) {
+    fn register(&self) -> (SessionId, mpsc::Receiver<Command>) {
         let mut connections = self.connections.borrow_mut();
-        let mut id = self.last_id.get().wrapping_add(1);
+        let mut id = self.last_connection_id.get().wrapping_add(1);
         while connections.contains_key(&id) {
             id = id.wrapping_add(1);
         }
-        self.last_id.set(id);
-        let (to, commands) = mpsc::channel(self.limits().commands);
+        self.last_connection_id.set(id);
+        let (to, commands) = mpsc::channel(self.limits().max_queued_commands);
         connections.insert(id, to);
         (id, commands)
     }
@@ -156,7 +156,7 @@
         Ok(stream)
     }
 
-    fn command(&self, connection_id: SessId, command: Command) {
+    fn command(&self, connection_id: SessionId, command: Command) {
         if let Some(to) = self.connections.borrow().get(&connection_id) {
             if to.try_send(command).is_err() {
                 slog::debug!(self.log, "a command came too late"; "connection" => connection_id);
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -6,8 +6,8 @@
 use crate::buffer::Buffer;
 use crate::lines::{self, BackendReply};
 use crate::reducer::Event;
-use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessId};
-use hallrelay_hot_restart::{PeerId, SessionState};
+use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, SessionId};
+use hallrelay_hot_restart::{ProcessId, SessionState};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 use tokio::net::TcpStream;
@@ -28,7 +28,7 @@
     /// The reducer migrates it.
     Migrated,
     /// Another process takes it over.
-    HandedOver(PeerId, Box<SessionState>),
+    HandedOver(ProcessId, Box<SessionState>),
     Closed,
 }
 
@@ -55,7 +55,7 @@
 
 /// Watches the lines of a session for latency, load and the backend's last line.
 struct LineObserver<'a> {
-    connection_id: SessId,
+    connection_id: SessionId,
     hub: &'a Hub,
     /// When the client sent the messages whose answers are awaited, oldest first.
     unanswered: VecDeque<Micros>,
@@ -67,8 +67,8 @@
 }
 
 impl<'a> LineObserver<'a> {
-    fn new(connection_id: SessId, hub: &'a Hub) -> LineObserver<'a> {
-        let answer_timeout = hub.limits().silence;
+    fn new(connection_id: SessionId, hub: &'a Hub) -> LineObserver<'a> {
+        let answer_timeout = hub.limits().silence_timeout;
         let unanswered = VecDeque::new();
         LineObserver { connection_id, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
     }
@@ -78,16 +78,16 @@
         let now = self.hub.clock.now();
         let limits = self.hub.limits();
         lines::complete_lines(lines).all(|line| {
-            if self.unanswered.len() < limits.unanswered {
+            if self.unanswered.len() < limits.max_timed_messages {
                 self.unanswered.push_back(now);
             }
-            line.len() <= limits.line
+            line.len() <= limits.max_line_bytes
         })
     }
 
     /// Takes complete lines from the backend; false where one is too long.
     async fn backend_lines(&mut self, lines: &[u8]) -> bool {
-        let max_bytes = self.hub.limits().line;
+        let max_bytes = self.hub.limits().max_line_bytes;
         let report_order = self.hub.report_order();
         for line in lines::complete_lines(lines) {
             if line.len() > max_bytes {
@@ -180,11 +180,11 @@
     fn command(&mut self, command: Option<Command>) -> Option<SessionEnd> {
         match command {
             Some(Command::Migrate) => Some(SessionEnd::Migrated),
-            Some(Command::HandOver(peer, session)) => Some(SessionEnd::HandedOver(peer, session)),
+            Some(Command::HandOver(process, session)) => Some(SessionEnd::HandedOver(process, session)),
             Some(Command::SetSuspect(suspect)) => {
                 let limits = self.hub.limits();
                 // Where the backend fails its health checks, a message gets no more time than a health check.
-                self.answer_timeout = if suspect { limits.probe } else { limits.silence };
+                self.answer_timeout = if suspect { limits.probe_timeout } else { limits.silence_timeout };
                 None
             }
             // Meant for the connection before it was a session.
@@ -201,7 +201,7 @@
 
 /// Proxies a session that a backend has accepted, from the acceptance line to the end.
 pub async fn run(
-    connection_id: SessId,
+    connection_id: SessionId,
     client: TcpStream,
     from_client: Buffer,
     backend: Backend,
@@ -210,7 +210,7 @@
 ) {
     let Backend { stream: backend, buffer: from_backend, acceptance } = backend;
     let mut observer = LineObserver::new(connection_id, hub);
-    if !close::write_all(&client, &acceptance, hub.limits().stuck).await {
+    if !close::write_all(&client, &acceptance, hub.limits().stalled_client_timeout).await {
         return close::reset(backend);
     }
     drop(acceptance);
@@ -222,7 +222,7 @@
 
 /// Continues a session of another process, once the reducer has adopted it.
 pub async fn resume(
-    connection_id: SessId,
+    connection_id: SessionId,
     session: Box<SessionState>,
     sockets: SessionSockets,
     mut commands: Receiver<Command>,
@@ -230,8 +230,10 @@
 ) {
     let SessionSockets { client, backend } = sockets;
     let limits = hub.limits();
-    let from_client = Buffer::holding(&session.to_backend, limits.buffer_first, limits.buffer_most);
-    let from_backend = Buffer::holding(&session.to_client, limits.buffer_first, limits.buffer_most);
+    let from_client =
+        Buffer::holding(&session.to_backend, limits.initial_buffer_bytes, limits.max_buffer_bytes);
+    let from_backend =
+        Buffer::holding(&session.to_client, limits.initial_buffer_bytes, limits.max_buffer_bytes);
     let mut observer = LineObserver::new(connection_id, hub);
     let now = hub.clock.now();
     observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
@@ -258,8 +260,8 @@
         loop {
             match self.proxy(&mut commands).await {
                 // A session whose last line was read ends here, at once.
-                SessionEnd::HandedOver(peer, session) if self.observer.backend_end.is_none() => {
-                    match self.hand_over(peer, session).await {
+                SessionEnd::HandedOver(process, session) if self.observer.backend_end.is_none() => {
+                    match self.hand_over(process, session).await {
                         Some(session) => self = session,
                         None => return,
                     }
@@ -297,7 +299,7 @@
 
     /// Hands the session over to another process; returns it where that could not take it, and `None` where
     /// it is over for this process.
-    async fn hand_over(self, peer: PeerId, session: Box<SessionState>) -> Option<Self> {
+    async fn hand_over(self, process: ProcessId, session: Box<SessionState>) -> Option<Self> {
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let hub = observer.hub;
         let now = hub.clock.now();
@@ -307,7 +309,7 @@
             unanswered_ages: observer.unanswered.iter().map(|sent_at| now - sent_at).collect(),
             ..*session
         });
-        match hand_over_session(peer, session, SessionSockets { client, backend }, hub).await {
+        match hand_over_session(process, session, SessionSockets { client, backend }, hub).await {
             Ok(()) => {
                 hub.notify(Event::SessionHandedOver { session_id: observer.connection_id }).await;
                 None
@@ -324,7 +326,7 @@
     async fn client_closed(self) {
         let hub = self.observer.hub;
         hub.notify(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
-        if close::write_all(&self.backend, self.from_client.lines(), hub.limits().end).await {
+        if close::write_all(&self.backend, self.from_client.lines(), hub.limits().close_timeout).await {
             close::close_gracefully(self.backend, hub).await;
         }
     }
@@ -334,14 +336,14 @@
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let limits = observer.hub.limits();
         let clock = observer.hub.clock;
-        let max_partial = limits.line + lines::END.len();
+        let max_partial = limits.max_line_bytes + lines::END.len();
         // Since when the client has taken nothing of what waits for it.
         let mut stalled_since: Option<Micros> = None;
         loop {
             let to_client = !from_backend.lines().is_empty();
             let to_backend = !from_client.lines().is_empty();
             stalled_since = if to_client { stalled_since.or(Some(clock.now())) } else { None };
-            let stalled_until = stalled_since.map(|since| since + limits.stuck);
+            let stalled_until = stalled_since.map(|since| since + limits.stalled_client_timeout);
             // While the client takes nothing, the backend's silence is the client's doing.
             let wake = stalled_until.or(observer.answer_deadline());
             let wake_at = clock.at(wake.unwrap_or_default());
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -1,20 +1,20 @@
 //! The lifecycle of this process: whether it serves, drains, stops, or has been replaced by another process.
 //! One table decides what each command, signal and handover does in each state.
 use super::{log, Effect, Reducer};
-use hallrelay_balancer::types::{Micros, SessId};
+use hallrelay_balancer::types::{Micros, SessionId};
 use hallrelay_config::limits::Limits;
 use std::fmt;
 
 /// The state of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Lifecycle {
-    /// Its predecessor still owns the listener.
+    /// Its predecessor still owns the listening socket.
     AwaitingTakeover,
     #[default]
     Serving,
     Draining,
     Stopping,
-    /// Its successor owns the listener; sessions that are left here go on.
+    /// Its successor owns the listening socket; sessions that are left here go on.
     HandedOver,
     /// The same, while a drain goes on.
     HandedOverDraining,
@@ -116,7 +116,7 @@
     Draining,
     /// It moves its sessions to other relays and ends.
     Stopping,
-    /// Another process owns the listener.
+    /// Another process owns the listening socket.
     Replaced,
 }
 
@@ -162,16 +162,21 @@
 
     pub(super) fn migration_schedule(self, limits: &Limits) -> MigrationSchedule {
         match self {
-            Lifecycle::Draining | Lifecycle::HandedOverDraining => {
-                MigrationSchedule { start: limits.drain_from, end: limits.drain_by }
-            }
-            Lifecycle::HandedOverStopping => {
-                MigrationSchedule { start: limits.leave_from, end: limits.leave_by }
-            }
+            Lifecycle::Draining | Lifecycle::HandedOverDraining => MigrationSchedule {
+                start: limits.drain_first_migration_delay,
+                end: limits.drain_last_migration_delay,
+            },
+            Lifecycle::HandedOverStopping => MigrationSchedule {
+                start: limits.leave_first_migration_delay,
+                end: limits.leave_last_migration_delay,
+            },
             Lifecycle::AwaitingTakeover
             | Lifecycle::Serving
             | Lifecycle::Stopping
-            | Lifecycle::HandedOver => MigrationSchedule { start: limits.stop_from, end: limits.stop_by },
+            | Lifecycle::HandedOver => MigrationSchedule {
+                start: limits.stop_first_migration_delay,
+                end: limits.stop_last_migration_delay,
+            },
         }
     }
 
@@ -252,7 +257,7 @@
         !self.servers.is_empty()
     }
 
-    pub(super) fn ping_received(&mut self, connection_id: SessId, out: &mut Vec<Effect>) {
+    pub(super) fn ping_received(&mut self, connection_id: SessionId, out: &mut Vec<Effect>) {
         self.pending_pings.push(connection_id);
         self.answer_pings(out);
     }
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -3,12 +3,12 @@
 use super::lifecycle::LifecycleEvent;
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{
-    self as balancer, Input, Micros, Phase, ServerSnapshot, SessId, SlotSnapshot, Snapshot,
+    self as balancer, Input, Micros, Phase, ServerSnapshot, SessionId, SlotSnapshot, Snapshot,
 };
 use hallrelay_config::list::{self, List};
 use hallrelay_hot_restart::ownership::READY_TIMEOUT;
 use hallrelay_hot_restart::{
-    ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, PeerId, RelayState, ServerState,
+    ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, ProcessId, RelayState, ServerState,
     SlowStartSlot,
 };
 use hallrelay_membership::{Event as MembershipEvent, Membership};
@@ -26,11 +26,11 @@
 const PROGRESS_INTERVAL: Micros = 100_000;
 
 impl Reducer {
-    /// The start is over. Without a predecessor this process owns the listener; else it reports to the
-    /// predecessor that it is ready.
+    /// The start is over. Without a predecessor this process owns the listening socket; else it reports to
+    /// the predecessor that it is ready.
     pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
         match self.ownership.awaited_predecessor() {
-            Some(peer) => out.push(Effect::SendToProcess { peer, message: Message::Ready {} }),
+            Some(process) => out.push(Effect::SendToProcess { peer: process, message: Message::Ready {} }),
             None => {
                 out.push(Effect::SetAccepting { accepting: true });
                 out.push(Effect::SetTakeoverListener { open: true });
@@ -50,12 +50,14 @@
 
     fn carry_out_ownership(&mut self, action: OwnershipAction, out: &mut Vec<Effect>) {
         match action {
-            OwnershipAction::Send { peer, message } => out.push(Effect::SendToProcess { peer, message }),
-            OwnershipAction::Disconnect { peer } => out.push(Effect::DisconnectProcess { peer }),
-            OwnershipAction::StartReadyTimer { peer } => {
-                out.push(Effect::StartTimer { after: READY_TIMEOUT, timer: Timer::HandoverOffer(peer) });
+            OwnershipAction::Send { process, message } => {
+                out.push(Effect::SendToProcess { peer: process, message })
             }
-            OwnershipAction::HandOver { peer } => self.hand_over_to(peer, out),
+            OwnershipAction::Disconnect { process } => out.push(Effect::DisconnectProcess { peer: process }),
+            OwnershipAction::StartReadyTimer { process } => {
+                out.push(Effect::StartTimer { after: READY_TIMEOUT, timer: Timer::HandoverOffer(process) });
+            }
+            OwnershipAction::HandOver { process } => self.hand_over_to(process, out),
             OwnershipAction::Resume => self.resume_ownership(out),
             OwnershipAction::TakeOver(Some(state)) => self.take_over(*state, out),
             OwnershipAction::TakeOver(None) => {
@@ -83,7 +85,7 @@
     }
 
     /// In one step: from here on the successor accepts connections, and knows what this process knew.
-    fn hand_over_to(&mut self, peer: PeerId, out: &mut Vec<Effect>) {
+    fn hand_over_to(&mut self, process: ProcessId, out: &mut Vec<Effect>) {
         let state = Box::new(self.relay_state());
         self.reported_remaining =
             Remaining { connections: state.connections, sessions: state.session_ids.len() as u32 };
@@ -94,8 +96,8 @@
         self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { owned: false });
-        out.push(Effect::SendToProcess { peer, message: Message::TakeOver(state) });
-        let open: Vec<SessId> = self.sessions.keys().copied().collect();
+        out.push(Effect::SendToProcess { peer: process, message: Message::TakeOver(state) });
+        let open: Vec<SessionId> = self.sessions.keys().copied().collect();
         open.into_iter().for_each(|session_id| self.hand_over_session(session_id, out));
         self.report_remaining(out);
     }
@@ -115,7 +117,7 @@
             servers: servers.into_iter().filter_map(|known| self.server_state(known)).collect(),
             session_load,
             draining_age: self.draining_since().map(|since| self.now - since),
-            session_ids: self.sessions.values().map(|session| session.id).collect(),
+            session_ids: self.sessions.values().map(|session| session.client_session_id).collect(),
             connections: (self.sessions.len() + self.idle_connections.len()) as u32,
             membership: self.membership.as_ref().map(Membership::snapshot),
             exclusions: self.coordination.as_ref().map(|coordination| ExclusionList {
@@ -142,7 +144,7 @@
         })
     }
 
-    /// This process owns the listener from now on, and goes on with what its predecessor knew.
+    /// This process owns the listening socket from now on, and goes on with what its predecessor knew.
     fn take_over(&mut self, state: RelayState, out: &mut Vec<Effect>) {
         log("this process takes over from its predecessor", out);
         // This process' own watch may have received more by now. A list that can't be read stops nothing.
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -47,12 +47,12 @@
 pub use membership::MembershipMetrics;
 pub use metrics::{Metrics, Outcomes};
 
-use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessId};
+use hallrelay_balancer::types::{self as balancer, Input, Micros, ServerId, SessionId};
 use hallrelay_balancer::Balancer;
 use hallrelay_config::list::List;
 use hallrelay_config::node::Node;
 use hallrelay_disruption::SessionCounts;
-use hallrelay_hot_restart::{ListenerOwnership, OwnershipEvent, PeerId};
+use hallrelay_hot_restart::{OwnershipEvent, ProcessId, SocketOwnership};
 use hallrelay_membership::Membership;
 use hallrelay_recovery::StoredState;
 use hallrelay_store::writer::WriterHealth;
@@ -87,9 +87,9 @@
     balancer: Balancer,
     /// The time of the event that is being handled, in microseconds.
     now: Micros,
-    sessions: BTreeMap<SessId, Session>,
+    sessions: BTreeMap<SessionId, Session>,
     /// The ids that clients gave the sessions, so that a second use of one is found at once.
-    session_ids: HashSet<u64>,
+    client_session_ids: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
     /// The numbers of the servers by their names in the endpoint list.
     ids: BTreeMap<String, ServerId>,
@@ -102,7 +102,7 @@
     /// Clients' connections that are no session, the least recently active one first.
     idle_connections: VecDeque<IdleConnection>,
     /// Connections that wait for the answer to a ping.
-    pending_pings: Vec<SessId>,
+    pending_pings: Vec<SessionId>,
     lifecycle: Lifecycle,
     /// When the drain or stop that is in force began.
     lifecycle_since: Micros,
@@ -111,7 +111,7 @@
     /// Thousandths of a session that the next batch moves in addition.
     migration_credit: usize,
     metrics: Metrics,
-    ownership: ListenerOwnership,
+    ownership: SocketOwnership,
     membership: Option<Membership>,
     /// What the store held, until the start has used it.
     stored: Option<Box<StoredState>>,
@@ -144,9 +144,9 @@
 
 impl Reducer {
     /// A relay before its start. `predecessor` is the process that it takes over from, where there is one.
-    pub fn new(node: Node, predecessor: Option<PeerId>) -> Reducer {
+    pub fn new(node: Node, predecessor: Option<ProcessId>) -> Reducer {
         Reducer {
-            ownership: ListenerOwnership::new(&node.name, &node.listen.to_string(), predecessor),
+            ownership: SocketOwnership::new(&node.name, &node.listen.to_string(), predecessor),
             predecessor_remaining: Remaining::default(),
             predecessor_session_ids: HashSet::new(),
             reported_remaining: Remaining::default(),
@@ -166,7 +166,7 @@
             node,
             now: 0,
             sessions: BTreeMap::new(),
-            session_ids: HashSet::new(),
+            client_session_ids: HashSet::new(),
             servers: BTreeMap::new(),
             ids: BTreeMap::new(),
             draining: BTreeSet::new(),
@@ -270,8 +270,8 @@
             }
             Timer::MigrateBatch(round) if round == self.migration_round => self.migrate_batch(out),
             Timer::MigrateBatch(_) => {}
-            Timer::HandoverOffer(peer) => {
-                self.apply_ownership_event(OwnershipEvent::ReadyTimeout { peer }, out)
+            Timer::HandoverOffer(process) => {
+                self.apply_ownership_event(OwnershipEvent::ReadyTimeout { peer: process }, out)
             }
             Timer::HandoverProgress => self.report_remaining(out),
             Timer::Membership => self.membership_timer_expired(out),
