--- a/membership/src/apply.rs
+++ b/membership/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applies updates to the member table, and answers those about this relay.
+//! Application of updates to the member table, and refutation of updates about this relay.
 use crate::events::Effect;
 use crate::members::{Member, MAX_MEMBERS};
 use crate::message::DropReason;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Membership {
-    /// Applies a member's own statement about itself, which came from its address.
+    /// Applies a member's statement about itself that was received from its own address.
     pub(crate) fn apply_update_of_sender(&mut self, update: Update, out: &mut Vec<Effect>) {
         let name = update.name.clone();
         let incarnation = update.incarnation;
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Applies an update about any member; `source` is the member that sent it, none for the member itself
-    /// and for this relay's own verdicts.
+    /// Applies an update about any member. `source` is the member that sent it; it is `None` if the member
+    /// sent the update itself or this relay concluded it.
     pub(crate) fn apply_update(
         &mut self,
         mut update: Update,
@@ -41,11 +41,11 @@
             return self.add_member(update, source, out);
         };
         let precedence = update.precedence_over(&held.update);
-        // A reported death of a member that this relay received from a moment ago is taken as a suspicion,
-        // which the member may refute.
-        let received_lately = held.last_received.is_some_and(|at| self.now < at + MIN_SUSPICION_TIMEOUT);
-        let is_same_death = update.state == MemberState::Dead && precedence == Precedence::Same;
-        if is_same_death && received_lately && source.is_some() {
+        // If this relay received from the member a moment ago, a reported death is treated as a suspicion,
+        // which the member can refute.
+        let received_recently = held.last_received.is_some_and(|at| self.now < at + MIN_SUSPICION_TIMEOUT);
+        let is_reported_death = update.state == MemberState::Dead && precedence == Precedence::Same;
+        if is_reported_death && received_recently && source.is_some() {
             update.state = MemberState::Suspect;
         }
         let outcome = merge(held.state(), update.state, precedence);
@@ -66,13 +66,13 @@
             return self.confirm_suspicion(&update);
         }
         if precedence == Precedence::Same {
-            // What is held came from the member itself, or from nearer to it than its reporter.
+            // The stored report came from the member itself or on a shorter path than the reporter's copy.
             update.metadata = held.update.metadata.clone();
         }
         self.replace_update(update, outcome, out);
     }
 
-    /// An update won over the one that was held.
+    /// Replaces the stored update with one of higher precedence.
     fn replace_update(&mut self, update: Update, outcome: MergeOutcome, out: &mut Vec<Effect>) {
         let name = update.name.clone();
         let Some(previous) = self.members.replace(&update, self.now) else { return };
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A name that was not known becomes a member, if it is live and there is room.
+    /// Adds a member with an unknown name if it is live and the table is not full.
     fn add_member(&mut self, update: Update, source: Option<&Rc<str>>, out: &mut Vec<Effect>) {
         if !update.state.is_live() {
             return;
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Refutes what others hold against this relay (SWIM section 4.2): it raises its own incarnation past
-    /// theirs.
+    /// Refutes suspicions and deaths of this relay (SWIM section 4.2) by raising its incarnation above the
+    /// reported one.
     pub(crate) fn apply_update_about_self(&mut self, update: &Update, out: &mut Vec<Effect>) {
         if update.addr != self.local.addr {
             if update.state.is_live() {
@@ -138,10 +138,11 @@
         let is_same_start = start == self.incarnation.start;
         let is_not_older = is_same_start && counter >= self.incarnation.counter;
         let is_refutable = is_not_older && update.state != MemberState::Alive;
-        // Said by another process that spoke for this relay.
+        // The statement came from another process that represented this relay.
         let is_ahead = is_same_start && counter > self.incarnation.counter;
         if is_later_start {
-            // Of an earlier process, by a clock that was ahead: this process is the later one all the same.
+            // An earlier process started with a clock that was ahead. The start of this process must still be
+            // later.
             self.incarnation = Incarnation { start: start + 1, counter: 0 };
         } else if is_refutable || is_ahead {
             self.incarnation.counter = counter + 1;
@@ -149,7 +150,7 @@
             return;
         }
         if is_refutable {
-            // Somebody missed its answers: it may be late itself (Lifeguard).
+            // Another member received no answer from this relay, so this relay may be slow (Lifeguard).
             self.counters.refutations += 1;
             self.detector.local_health.degrade(1);
         }
--- a/membership/src/events.rs
+++ b/membership/src/events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`Membership::step`](crate::Membership::step).
+//! Inputs and outputs of [`Membership::step`](crate::Membership::step).
 use crate::message::{DropReason, Packet};
 use crate::update::{MemberMetadata, MemberState};
 use crate::Micros;
@@ -6,185 +6,185 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The local relay, as it is configured.
+/// The local relay and its configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalMember {
-    /// Name of the fleet; packets of others are dropped.
+    /// Name of the fleet. Packets of other fleets are dropped.
     pub fleet: Rc<str>,
     /// Name of this relay, unique in the fleet.
     pub name: Rc<str>,
-    /// Address at which others reach this relay.
+    /// Address at which other members reach this relay.
     pub addr: SocketAddr,
     /// Start of the process, in microseconds of Unix time.
     pub start: u64,
-    /// What this relay reports of itself.
+    /// What this relay reports about itself.
     pub metadata: MemberMetadata,
-    /// Addresses at which other relays may be found; this relay's own address among them does no harm.
+    /// Configured addresses of other relays. The list may contain this relay's own address, which is skipped.
     pub peers: Vec<SocketAddr>,
-    /// Number of relays by configuration, this one included. Gossip never changes it.
+    /// Configured number of relays, including this one. Gossip never changes it.
     pub configured_relays: usize,
-    /// Seed of all randomness.
+    /// Seed of the random number generator.
     pub random_seed: u64,
 }
 
-/// An input.
+/// An input of the step function.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// This process speaks for the relay from now on.
+    /// This process represents the relay from now on.
     Activate,
-    /// Another process of the same relay speaks for it from now on.
+    /// Another process of the same relay represents it from now on.
     Deactivate,
-    /// A decoded datagram.
+    /// A datagram was received and decoded.
     DatagramReceived {
-        /// Address that it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// The datagram.
+        /// The decoded datagram.
         packet: Box<Packet>,
     },
-    /// A decoded frame on a stream that another relay opened; [`Effect::ReplyOnStream`] answers it.
+    /// A frame was received on a stream that another relay opened. [`Effect::ReplyOnStream`] answers it.
     StreamRequest {
         /// Number of the stream.
         stream: u64,
-        /// Address that it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// The frame.
+        /// The decoded frame.
         packet: Box<Packet>,
     },
-    /// The decoded answer on a stream that this relay opened.
+    /// The response on a stream that this relay opened was received.
     StreamResponse {
-        /// The frame.
+        /// The decoded frame.
         packet: Box<Packet>,
     },
-    /// One member is to be asked for its endpoint list.
+    /// The relay needs the endpoint list of another member.
     PollEndpointList,
-    /// Answer to [`Effect::EndpointListRequested`].
+    /// The relay's answer to [`Effect::EndpointListRequested`].
     EndpointListReply {
-        /// Number of the stream that asked.
+        /// Number of the stream with the request.
         stream: u64,
-        /// The list; none where there is none to give.
+        /// The endpoint list; `None` if the relay has none.
         bytes: Option<Vec<u8>>,
     },
-    /// A message of the user for one member, or for all that are live.
+    /// The relay sends an application message to one member or to all live members.
     SendUserMessage {
-        /// Name of the member; none for all.
+        /// Name of the receiver; `None` for all live members.
         to: Option<Rc<str>>,
-        /// The message.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
-    /// Packets that were dropped before they came here, since this was last reported.
+    /// Packets were dropped before they were passed to `step`, since the last such report.
     PacketsDropped {
-        /// Why.
+        /// The reason for dropping them.
         reason: DropReason,
-        /// How many.
+        /// Number of dropped packets.
         count: u64,
     },
-    /// What this relay reports of itself, as it is now.
+    /// The relay's report about itself changed.
     MetadataChanged {
-        /// All of it.
+        /// The complete new report.
         metadata: MemberMetadata,
     },
-    /// The configured addresses of other relays have changed.
+    /// The configured addresses of other relays changed.
     PeersChanged {
-        /// All of them.
+        /// The complete new list.
         peers: Vec<SocketAddr>,
     },
-    /// The timer set last has expired.
+    /// The timer that was set last expired.
     TimerExpired,
-    /// The relay ends, on purpose.
+    /// The relay shuts down as planned.
     Leave,
 }
 
-/// An output.
+/// An output of the step function.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Opens both sockets, or closes them for another process.
+    /// Open the UDP and TCP sockets, or close them because another process takes over.
     SetListening {
-        /// Whether they are to be open.
+        /// Whether the sockets must be open.
         enabled: bool,
     },
-    /// Sends a datagram.
+    /// Send a datagram.
     SendDatagram {
         /// Address of the receiver.
         to: SocketAddr,
-        /// At most [`MAX_DATAGRAM_BYTES`](crate::message::MAX_DATAGRAM_BYTES).
+        /// At most [`MAX_DATAGRAM_BYTES`](crate::message::MAX_DATAGRAM_BYTES) long.
         bytes: Vec<u8>,
     },
-    /// Sends a frame on a new stream; its answer, if any, comes back as [`Event::StreamResponse`].
+    /// Send a frame on a new stream. A response is reported as [`Event::StreamResponse`].
     OpenStream {
         /// Address of the receiver.
         to: SocketAddr,
-        /// At most [`MAX_FRAME_BYTES`](crate::message::MAX_FRAME_BYTES).
+        /// At most [`MAX_FRAME_BYTES`](crate::message::MAX_FRAME_BYTES) long.
         bytes: Vec<u8>,
     },
-    /// Ends a stream that another relay opened.
+    /// Close a stream that another relay opened.
     ReplyOnStream {
         /// Number of the stream.
         stream: u64,
-        /// The answer; none where the stream is closed without one.
+        /// The response to send before closing; `None` to close without a response.
         bytes: Option<Vec<u8>>,
     },
-    /// Wants [`Event::TimerExpired`].
+    /// Report [`Event::TimerExpired`] after a delay.
     SetTimer {
-        /// After this time.
+        /// Time until the timer expires.
         after: Micros,
     },
-    /// A member has become live, died or left.
+    /// A member became live, restarted, died or left.
     MemberChanged {
         /// Name of the member.
         name: Rc<str>,
-        /// Its state.
+        /// The member's new state.
         state: MemberState,
-        /// Who reported it dead, where somebody did.
+        /// The member that declared it dead, if any.
         reporter: Option<Rc<str>>,
-        /// Whether its process has started anew.
+        /// Whether a new process of the member replaced the earlier one.
         restarted: bool,
     },
-    /// A member asks for this relay's endpoint list; [`Event::EndpointListReply`] answers it.
+    /// A member requests this relay's endpoint list. [`Event::EndpointListReply`] answers the request.
     EndpointListRequested {
-        /// Number of the stream.
+        /// Number of the stream with the request.
         stream: u64,
     },
-    /// A member's endpoint list.
+    /// The endpoint list of another member was received.
     EndpointListReceived {
         /// Name of the member.
         from: Rc<str>,
-        /// The list.
+        /// The encoded list.
         bytes: Vec<u8>,
     },
-    /// A message for the user.
+    /// An application message was received.
     UserMessageReceived {
-        /// Name of the member that sent it.
+        /// Name of the sender.
         from: Rc<str>,
-        /// The message.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
-    /// A line for the log, of something out of the ordinary.
+    /// Write a line about an unusual condition to the log.
     Log {
-        /// The line.
+        /// The text of the line.
         message: String,
     },
 }
 
-/// Counted since the process started.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Bytes sent, in datagrams and on streams.
+    /// Bytes sent in datagrams and on streams.
     pub bytes_sent: u64,
-    /// Packets received, by datagram and on streams.
+    /// Packets received in datagrams and on streams.
     pub packets_received: u64,
     /// Probes started.
     pub probes: u64,
-    /// Suspicions that started with a failed probe of this relay.
+    /// Suspicions that started with a failed probe by this relay.
     pub suspicions: u64,
-    /// Members that this relay declared dead, as a suspicion timeout of its own was over.
+    /// Members that this relay declared dead because their suspicion timeout expired.
     pub declared_dead: u64,
     /// Suspicions of this relay that it refuted.
     pub refutations: u64,
-    /// Times at which the timer came so late that the process must have stalled.
+    /// Timer expiries that were late enough to show a stall of the process.
     pub stalls: u64,
-    /// What was dropped, by reason.
+    /// Dropped packets and updates by reason.
     pub dropped: BTreeMap<DropReason, u64>,
 }
 
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination (SWIM section 4.1): updates ride on every datagram, and on gossip of their own while they
-//! are new.
+//! Dissemination (SWIM section 4.1): new updates are piggybacked on every datagram and sent in separate
+//! gossip messages.
 use crate::events::Effect;
 use crate::message::{
     encode, encode_update, EncodedPacket, MessageBody, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES,
@@ -11,25 +11,26 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Interval of gossip while there is anything to disseminate.
+/// Interval between rounds of gossip while updates are queued.
 const GOSSIP_INTERVAL: Micros = 100 * MILLISECOND;
-/// Members that gossip goes to in each interval.
+/// Number of members that receive gossip in each round.
 const GOSSIP_FANOUT: usize = 3;
-/// SWIM's lambda: each member sends an update so many times the decimal logarithm of the members, rounded up.
+/// SWIM's lambda: a member sends each update this many times the decimal logarithm of the number of members,
+/// rounded up.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
-/// Least retransmit limit: in a small fleet half of the transmissions of a member that bridges two partitions
-/// go to the wrong side. It rules up to a thousand members.
+/// Lower bound of the retransmit limit. If a member connects two partitions of a small fleet, half of its
+/// transmissions go to the wrong side. The bound determines the limit in fleets of up to a thousand members.
 const MIN_RETRANSMIT_LIMIT: u32 = 12;
 
-/// An update that is being disseminated.
+/// A queued update.
 struct Broadcast {
     encoded: Vec<u8>,
     transmits: u32,
-    /// Order in which updates were queued.
+    /// Position in the order of queueing.
     id: u64,
 }
 
-/// Updates that are being disseminated, the newest about each member.
+/// Updates that are being disseminated: the latest one about each member.
 pub(crate) struct BroadcastQueue {
     broadcasts: BTreeMap<Rc<str>, Broadcast>,
     last_id: u64,
@@ -50,7 +51,8 @@
         self.next_gossip = at;
     }
 
-    /// Replaces what was queued about the same member, and gossips at once unless it just did.
+    /// Queues an update in place of an earlier one about the same member. Schedules gossip at once, but not
+    /// within [`GOSSIP_INTERVAL`] of the last round.
     fn push(&mut self, update: &Update, now: Micros) {
         self.last_id += 1;
         let broadcast = Broadcast { encoded: encode_update(update), transmits: 0, id: self.last_id };
@@ -59,14 +61,14 @@
         self.next_gossip = self.next_gossip.min(earliest);
     }
 
-    /// Those sent least often first, the newest of these before the others.
+    /// The queue ordered by number of transmissions, with newer updates first among equals.
     fn in_order(&self) -> Vec<(&Rc<str>, &Broadcast)> {
         let mut order: Vec<(&Rc<str>, &Broadcast)> = self.broadcasts.iter().collect();
         order.sort_by_key(|(_, broadcast)| (broadcast.transmits, Reverse(broadcast.id)));
         order
     }
 
-    /// Counts a transmission, and ends the dissemination at the limit.
+    /// Counts a transmission of the named updates and removes those that reached the limit.
     fn count_transmits(&mut self, names: &[Rc<str>], limit: u32) {
         for name in names {
             let Some(broadcast) = self.broadcasts.get_mut(name) else { continue };
@@ -79,7 +81,7 @@
 }
 
 impl Membership {
-    /// SWIM's lambda log n. While few members are known the configured number counts.
+    /// SWIM's lambda log n. The configured number of relays counts if fewer members are known.
     fn retransmit_limit(&self) -> u32 {
         let members = (self.members.live().len() + 2).max(self.local.configured_relays);
         let log_members = (members as f64).log10().ceil() as u32;
@@ -91,8 +93,8 @@
         self.broadcasts.push(update, self.now);
     }
 
-    /// Sends a message with as many updates as fit. What is held against the receiver itself comes first, so
-    /// that it can refute (Lifeguard's buddy system).
+    /// Sends a message with as many updates as fit. A suspicion or death of the receiver itself comes first,
+    /// so that the receiver can refute it (Lifeguard's buddy system).
     pub(crate) fn send_message(
         &mut self,
         to: SocketAddr,
@@ -120,7 +122,7 @@
         out.push(Effect::SendDatagram { to, bytes });
     }
 
-    /// Gossips to some live members.
+    /// Sends gossip to `fanout` random live members.
     fn gossip_to(&mut self, fanout: usize, out: &mut Vec<Effect>) {
         for name in self.random_live_members(fanout, None) {
             if let Some(addr) = self.members.addr_of(&name) {
@@ -129,22 +131,22 @@
         }
     }
 
-    /// One round of gossip. With nobody live the queue waits for the next message to somebody.
+    /// Runs one round of gossip. Without live members the queue waits for the next message to any member.
     pub(crate) fn run_gossip(&mut self, out: &mut Vec<Effect>) {
         self.broadcasts.last_gossip = self.now;
         if !self.broadcasts.broadcasts.is_empty() {
             self.gossip_to(GOSSIP_FANOUT, out);
         }
-        let goes_on = !self.broadcasts.broadcasts.is_empty() && !self.members.live().is_empty();
-        self.broadcasts.next_gossip = if goes_on { self.now + GOSSIP_INTERVAL } else { Micros::MAX };
+        let has_more = !self.broadcasts.broadcasts.is_empty() && !self.members.live().is_empty();
+        self.broadcasts.next_gossip = if has_more { self.now + GOSSIP_INTERVAL } else { Micros::MAX };
     }
 
-    /// The last round, to twice as many: nothing is sent again after it.
+    /// Runs the last round of gossip, to twice as many members, because nothing is sent after it.
     pub(crate) fn run_last_gossip(&mut self, out: &mut Vec<Effect>) {
         self.gossip_to(2 * GOSSIP_FANOUT, out);
     }
 
-    /// Encodes a message without updates; it may be longer than a frame.
+    /// Encodes a message without updates. The result may be longer than a frame.
     pub(crate) fn encode_alone(&self, body: MessageBody) -> Vec<u8> {
         let no_updates = std::iter::empty();
         let EncodedPacket { bytes, .. } =
@@ -152,8 +154,8 @@
         bytes
     }
 
-    /// Sends a message of the user to one member, or to all that are live: by datagram, or by stream where it
-    /// is longer. It is lost where the member is unknown, or the message longer than a frame.
+    /// Sends an application message to one member or to all live members: in a datagram if it fits, otherwise
+    /// on a stream. The message is lost if the member is unknown or the message is longer than a frame.
     pub(crate) fn send_user_message(&mut self, to: Option<Rc<str>>, bytes: &[u8], out: &mut Vec<Effect>) {
         let names = to.map_or_else(|| self.members.live().to_vec(), |name| vec![name]);
         for name in names {
--- a/membership/src/join.rs
+++ b/membership/src/join.rs
@@ -1,5 +1,5 @@
-//! Joining a fleet, and rejoining members that are dead or were never met: where a partition heals, one side
-//! reaches the other from here.
+//! Joining a fleet, and contacting dead members and configured addresses without a known member. The latter
+//! reconnects the two sides after a partition heals.
 use crate::events::Effect;
 use crate::members::{Member, MAX_MEMBERS};
 use crate::message::MessageBody;
@@ -8,23 +8,23 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Mean interval at which one dead member, or one configured address without a known member, is tried.
+/// Mean interval between attempts to reach a dead member or a configured address without a known member.
 const REJOIN_INTERVAL: Micros = 2_000 * MILLISECOND;
-/// Mean interval at which a relay without any live member asks configured addresses for their tables.
+/// Mean interval at which a relay without live members requests member tables from configured addresses.
 const JOIN_INTERVAL: Micros = 1_000 * MILLISECOND;
-/// The first attempt comes within this time after the start.
+/// Longest delay between the start and the first attempt to join.
 const FIRST_JOIN_WITHIN: Micros = 100 * MILLISECOND;
-/// Configured addresses asked at a time.
+/// Number of configured addresses contacted per attempt to join.
 const JOIN_FANOUT: usize = 2;
-/// From the first member that a relay meets to its first probe. Members that have not learnt of the newcomer
-/// yet drop its pings as those of an unknown sender, and would be suspected by it.
+/// Delay between the first member that a relay learns of and its first probe. Members that have not learnt of
+/// the new relay yet drop its pings as those of an unknown sender, and the new relay would suspect them.
 const JOIN_GRACE: Micros = 2_000 * MILLISECOND;
 
 /// Times of the next attempts.
 pub(crate) struct JoinSchedule {
     next_join: Micros,
     next_rejoin: Micros,
-    /// Counts the configured addresses that were asked, from a random one on.
+    /// Number of configured addresses contacted so far, plus a random initial value.
     asked_addresses: usize,
 }
 
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Configured addresses have changed.
+    /// Applies a changed list of configured addresses.
     pub(crate) fn set_peers(&mut self, peers: Vec<SocketAddr>) {
         self.local.peers = peers;
         self.join.next_rejoin = self.join.next_rejoin.min(self.now);
     }
 
-    /// A relay that knows no live member asks configured addresses for their tables, each in its turn.
+    /// If this relay knows no live member, requests member tables from configured addresses in rotation.
     fn join(&mut self, out: &mut Vec<Effect>) {
         self.join.next_join = self.now + JOIN_INTERVAL / 2 + self.random_time(JOIN_INTERVAL);
         if !self.members.live().is_empty() {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Tries a random one of the dead members and the configured addresses without a known member.
+    /// Contacts a random one of the dead members and the configured addresses without a known member.
     fn rejoin(&mut self, out: &mut Vec<Effect>) {
         self.join.next_rejoin = self.now + REJOIN_INTERVAL / 2 + self.random_time(REJOIN_INTERVAL);
         let is_dead = |member: &&Member| member.state() == MemberState::Dead;
@@ -90,9 +90,10 @@
         }
     }
 
-    /// A ping carries what is held against the member, so one that only was partitioned refutes it. One that
-    /// has restarted and reaches no configured address drops the ping of an unknown sender: a stream tells it
-    /// who this relay is. Of all relays that try, about one opens a stream at a time.
+    /// Contacts a dead member. A ping carries the member's death, so a member that was only partitioned
+    /// refutes it. A member that restarted and reaches no configured address drops the ping because its
+    /// sender is unknown; a stream tells it who this relay is. Among all relays that try this, about one
+    /// opens a stream at a time.
     fn rejoin_dead(&mut self, name: &Rc<str>, out: &mut Vec<Effect>) {
         let Some(addr) = self.members.addr_of(name) else { return };
         if self.random_below(self.members.live().len() + 1) == 0 {
@@ -102,13 +103,13 @@
         self.send_message(addr, Some(name), MessageBody::Ping { sequence }, out);
     }
 
-    /// Configured addresses at which no member is known. A dead member at its own address is known.
+    /// Configured addresses without a known member. A dead member at its current address is a known one.
     fn unmet_addresses(&self) -> Vec<SocketAddr> {
         let is_met = |addr: &SocketAddr| *addr == self.local.addr || self.members.has_member_at(*addr);
         self.local.peers.iter().copied().filter(|addr| !is_met(addr)).collect()
     }
 
-    /// A member has become live.
+    /// Records that a member became live.
     pub(crate) fn add_live_member(&mut self, name: &Rc<str>) {
         if self.members.live().is_empty() {
             self.detector.delay_probes_until(self.now + JOIN_GRACE);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,19 +1,19 @@
-//! Membership of the relays of one fleet: which relays there are, what each reports of itself, which have
+//! Membership of a fleet of relays: which relays exist, what each one reports about itself, and which have
 //! failed.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process
-//! Group Membership Protocol", DSN 2002) with suspicion and incarnations, and the three parts of Lifeguard
-//! (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W
-//! 2018): timeouts that grow with a relay's own lateness, a suspicion timeout that shrinks with each
-//! independent confirmation, and a suspect that is told first that it is suspected. `docs/fleet.md` has
-//! the messages and the differences.
+//! Group Membership Protocol", DSN 2002) with suspicion and incarnation numbers, plus the three parts of
+//! Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure
+//! Detection", DSN-W 2018): timeouts that grow while the local relay itself is slow, a suspicion timeout that
+//! shrinks with each independent confirmation, and messages to a suspect that carry its suspicion first.
+//! `docs/fleet.md` describes the messages and the differences from the papers.
 //!
 //! The package does no I/O and reads no clock: [`Membership::step`] takes the time and an [`Event`] and
 //! appends [`Effect`]s, and all randomness comes from [`LocalMember::random_seed`]. Times are in
 //! microseconds.
 //!
-//! Invariant: nothing concluded here widens what a relay may do. The number of relays that admission reckons
-//! with stays the configured one, however many are reachable.
+//! Invariant: no conclusion of this package raises a limit of a relay. Admission always uses the configured
+//! number of relays, regardless of how many are reachable.
 #![warn(missing_docs)]
 
 mod apply;
@@ -41,8 +41,8 @@
 pub use probe::PROBE_PERIOD;
 pub use update::{Incarnation, MemberMetadata, MemberState, Precedence, ReportedLifecycle, Update};
 
-/// Microseconds of a clock that never goes back: in a relay, Unix time as of its start plus monotonic time
-/// since.
+/// Microseconds of a clock that never goes back. A relay uses the Unix time at its start plus the monotonic
+/// time since then.
 pub type Micros = u64;
 
 const MILLISECOND: Micros = 1_000;
--- a/membership/src/local_health.rs
+++ b/membership/src/local_health.rs
@@ -1,9 +1,9 @@
-//! Lifeguard's local health multiplier: how much this relay doubts its own timeliness.
+//! Lifeguard's local health multiplier: lengthens the timeouts of a relay that may be slow itself.
 
-/// Lifeguard's bound: all timeouts are up to nine times as long.
+/// Highest score. Lifeguard lets timeouts grow to at most nine times their length.
 const MAX_SCORE: u32 = 8;
 
-/// 0 is healthy. Invariant: the score stays within 0 to [`MAX_SCORE`].
+/// The local health score; 0 is healthy. Invariant: the score is from 0 to [`MAX_SCORE`].
 #[derive(Default)]
 pub(crate) struct LocalHealth {
     score: u32,
@@ -14,17 +14,17 @@
         self.score
     }
 
-    /// Factor of the probe's timeouts (Lifeguard's LHA-Probe).
+    /// Multiplier of the timeouts of probes (Lifeguard's LHA-Probe).
     pub(crate) fn multiplier(&self) -> u32 {
         self.score + 1
     }
 
-    /// Evidence that this relay is late: a missed nack, a refuted suspicion of itself, a late timer.
+    /// Records evidence that this relay is slow: a missing nack, a refuted suspicion of itself, a late timer.
     pub(crate) fn degrade(&mut self, by: u32) {
         self.score = self.score.saturating_add(by).min(MAX_SCORE);
     }
 
-    /// A probe was answered in time.
+    /// Records that a probe was answered in time.
     pub(crate) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
--- a/membership/src/members.rs
+++ b/membership/src/members.rs
@@ -1,25 +1,26 @@
-//! The table of all other members, and the index of those that are live.
+//! The table of all other members and the index of the live ones.
 use crate::update::{MemberState, Update};
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Largest number of other members; updates about further ones are dropped and counted.
+/// Largest number of other members. Updates about further members are dropped and counted.
 pub const MAX_MEMBERS: usize = 1_024;
 
-/// Another member, as this relay holds it.
+/// Another member as this relay knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The update that won over all others about it.
+    /// The update with the highest precedence among those received about the member.
     pub update: Update,
-    /// When it came into its present state.
+    /// Time at which the member entered its current state.
     pub since: Micros,
-    /// When this relay last received something from the member itself.
+    /// Time at which this relay last received something from the member itself.
     pub last_received: Option<Micros>,
-    /// Who sent the last update about it; none where that was the member itself.
+    /// The member that sent the last update about this one; `None` if this one sent it itself.
     pub source: Option<Rc<str>>,
-    /// Who reached it last by an indirect probe, where its answer to the direct one did not come.
+    /// The member through which the last indirect probe reached this one; `None` after an answer to a direct
+    /// probe.
     pub reached_through: Option<Rc<str>>,
 }
 
@@ -35,11 +36,11 @@
     }
 }
 
-/// Invariant: `live` holds the names of exactly the members that are alive or suspect, sorted.
+/// Invariant: `live` contains the names of exactly the alive and suspect members, sorted.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<Rc<str>, Member>,
-    /// Addresses of members; datagrams are read from these and from the configured ones.
+    /// Addresses of members. Only datagrams from these and from the configured addresses are processed.
     names_by_addr: BTreeMap<SocketAddr, Rc<str>>,
     live: Vec<Rc<str>>,
 }
@@ -65,7 +66,7 @@
         self.members.contains_key(name)
     }
 
-    /// Names of the members that are alive or suspect, sorted.
+    /// Names of the alive and suspect members, sorted.
     pub(crate) fn live(&self) -> &[Rc<str>] {
         &self.live
     }
@@ -82,20 +83,20 @@
         self.names_by_addr.contains_key(&addr)
     }
 
-    /// Whether some member is reached at the address now.
+    /// Whether `addr` is the current address of a member.
     pub(crate) fn has_member_at(&self, addr: SocketAddr) -> bool {
         let name = self.names_by_addr.get(&addr);
         name.is_some_and(|name| self.addr_of(name) == Some(addr))
     }
 
-    /// Adds a member that is live. It is not in `live` yet: [`MemberTable::add_live`] follows.
+    /// Adds a live member. The caller must add it to `live` with [`MemberTable::add_live`].
     pub(crate) fn insert(&mut self, member: Member) {
         let name = member.name().clone();
         self.names_by_addr.insert(member.update.addr, name.clone());
         self.members.insert(name, member);
     }
 
-    /// Replaces what is held of a member; returns what was held before.
+    /// Replaces the stored update of a member and returns the previous one.
     pub(crate) fn replace(&mut self, update: &Update, now: Micros) -> Option<Update> {
         let member = self.members.get_mut(&update.name)?;
         let previous = std::mem::replace(&mut member.update, update.clone());
@@ -104,7 +105,8 @@
             member.since = now;
         }
         if previous.addr != update.addr {
-            // The process that had the name before is still received from, so that it learns of the other.
+            // Datagrams of the previous process of this name are still accepted, so that it learns of the new
+            // one.
             self.names_by_addr.retain(|addr, name| *name != update.name || *addr == previous.addr);
             self.names_by_addr.insert(update.addr, update.name.clone());
         }
@@ -120,7 +122,7 @@
         self.live.retain(|other| **other != *name);
     }
 
-    /// Removes the members that have been dead or gone from the fleet for a time.
+    /// Removes the members that have been dead or have left for the time `retention`.
     pub(crate) fn remove_expired(&mut self, now: Micros, retention: Micros) {
         let is_expired = |member: &Member| !member.state().is_live() && now >= member.since + retention;
         self.members.retain(|_, member| !is_expired(member));
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state of one relay's membership, and its step: events and expired timers in, effects out.
+//! The state of one relay's membership and its step function: events and expired timers in, effects out.
 use crate::events::{Counters, Effect, Event, LocalMember};
 use crate::gossip::BroadcastQueue;
 use crate::join::JoinSchedule;
@@ -14,43 +14,43 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A timer that comes later than this by so much shows that the process stalled.
+/// A timer that fires later than its deadline by more than this shows that the process stalled.
 const STALL_THRESHOLD: Micros = 200 * MILLISECOND;
-/// A stall from this length on is logged.
+/// Stalls of at least this length are logged.
 const LOGGED_STALL: Micros = 5 * PROBE_PERIOD;
-/// A dead member, or one that left, is forgotten after this.
+/// Time after which a dead member, or one that left, is removed from the table.
 const MEMBER_RETENTION: Micros = 3_600_000 * MILLISECOND;
-/// Interval at which members are looked through for those to forget.
+/// Interval at which the table is searched for members to remove.
 const EXPIRY_INTERVAL: Micros = MEMBER_RETENTION / 60;
-/// A member counts as reachable for at least this long after it was last received from.
+/// Shortest time for which a member counts as reachable after something was received from it.
 const MIN_REACHABLE_WINDOW: Micros = 10 * PROBE_PERIOD;
 
 /// One relay's view of its fleet.
 pub struct Membership {
     pub(crate) local: LocalMember,
     pub(crate) incarnation: Incarnation,
-    /// Whether this process speaks for the relay; another one may, before and after a hot restart.
+    /// Whether this process represents the relay; before and after a hot restart another process does.
     active: bool,
     pub(crate) left: bool,
     pub(crate) now: Micros,
     pub(crate) members: MemberTable,
-    /// Invariant: an entry for exactly each member that is suspect.
+    /// Invariant: contains an entry for each member that is suspect and for no other.
     pub(crate) suspicions: BTreeMap<Rc<str>, Suspicion>,
     pub(crate) detector: FailureDetector,
     pub(crate) broadcasts: BroadcastQueue,
     pub(crate) join: JoinSchedule,
     pub(crate) push_pull: PushPullSchedule,
     next_expiry: Micros,
-    /// When the timer that was set last expires.
+    /// Expiry of the timer that was set last.
     timer_at: Option<Micros>,
     pub(crate) conflict: Option<NameConflict>,
     random: oorandom::Rand64,
-    /// Counted since the process started.
+    /// Counters since the start of the process.
     pub counters: Counters,
 }
 
 impl Membership {
-    /// A relay that knows nobody, and is not active yet.
+    /// Creates the state of a relay that knows no other member. It is not active yet.
     pub fn new(local: LocalMember) -> Membership {
         let random = oorandom::Rand64::new(u128::from(local.random_seed) << 1 | 1);
         Membership {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The local relay, as it is configured now.
+    /// The local relay with its current configuration.
     pub fn local(&self) -> &LocalMember {
         &self.local
     }
@@ -88,45 +88,46 @@
         self.detector.local_health.score()
     }
 
-    /// Whether this process speaks for the relay.
+    /// Whether this process represents the relay.
     pub fn is_active(&self) -> bool {
         self.active
     }
 
-    /// All other members, by name.
+    /// All other members in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// One of the other members.
+    /// Another member by its name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Number of relays that this one received from lately, itself included.
+    /// Number of relays from which this one received something recently, including itself.
     pub fn reachable_count(&self) -> usize {
         let window = self.reachable_window();
         let is_reachable = |member: &&Member| {
-            let lately = |at| self.now.saturating_sub(at) < window;
-            member.state().is_live() && member.last_received.is_some_and(lately)
+            let is_recent = |at| self.now.saturating_sub(at) < window;
+            member.state().is_live() && member.last_received.is_some_and(is_recent)
         };
         1 + self.members.iter().filter(is_reachable).count()
     }
 
-    /// In a round of probes each member is received from twice; a round is a probe period for each.
+    /// Time for which a member counts as reachable. In a round of probes, which takes one probe period per
+    /// member, each member is received from twice.
     fn reachable_window(&self) -> Micros {
         MIN_REACHABLE_WINDOW.max(2 * PROBE_PERIOD * self.members.live().len() as Micros)
     }
 
-    /// Whether this relay reaches less than half of the configured relays, or of the known ones if these are
-    /// more. It is reported; nothing is decided by it.
+    /// Whether this relay reaches less than half of the configured relays, or of the known relays if there
+    /// are more of them. The result is only reported; no decision depends on it.
     pub fn is_partitioned(&self) -> bool {
         let has_not_left = |member: &&Member| member.state() != MemberState::Left;
         let known = 1 + self.members.iter().filter(has_not_left).count();
         self.reachable_count() * 2 < self.local.configured_relays.max(known)
     }
 
-    /// Handles one event, then all that is due. Effects are appended to `out`, in order.
+    /// Handles an event and then all expired deadlines. Appends the effects to `out` in order.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match event {
@@ -156,15 +157,16 @@
         }
     }
 
-    /// Continues as the process before this one at the same address, from its [`Membership::snapshot`]. What
-    /// cannot be decoded, or is of another relay, is ignored.
+    /// Continues as the previous process at the same address, from its [`Membership::snapshot`]. A snapshot
+    /// that cannot be decoded or belongs to another relay is ignored.
     pub fn restore(&mut self, now: Micros, snapshot: &[u8]) {
         self.now = self.now.max(now);
         let Ok(packet) = message::decode(&self.local.fleet, snapshot, MAX_FRAME_BYTES) else { return };
         if packet.sender.name != self.local.name {
             return;
         }
-        // The same member goes on: the start is that of its first process, and what it says now is newer.
+        // The member stays the same: it keeps the start of its first process, and its next statement must be
+        // newer.
         self.incarnation = packet.sender.incarnation;
         self.incarnation.counter += 1;
         for update in packet.updates {
@@ -172,12 +174,12 @@
         }
     }
 
-    /// All that this relay holds, for the next process at its address.
+    /// The encoded member table, for the next process at the same address.
     pub fn snapshot(&self) -> Vec<u8> {
         self.encode_table(MessageBody::PushPullResponse)
     }
 
-    /// This relay's own statement about itself.
+    /// This relay's statement about itself.
     pub(crate) fn own_update(&self) -> Update {
         Update {
             name: self.local.name.clone(),
@@ -207,7 +209,7 @@
         self.start_push_pulls();
         self.next_expiry = self.now + EXPIRY_INTERVAL;
         self.broadcasts.gossip_at(self.now);
-        // A suspicion that was taken over has all of its time again.
+        // A suspicion that was restored gets its full timeout again.
         let suspects: Vec<Rc<str>> = self.suspicions.keys().cloned().collect();
         for name in suspects {
             self.restart_suspicion_timeout(&name);
@@ -222,15 +224,15 @@
     }
 
     fn set_metadata(&mut self, metadata: MemberMetadata) {
-        let is_news = !self.local.metadata.differs_only_in_counts(&metadata);
+        let is_disseminated = !self.local.metadata.differs_only_in_counts(&metadata);
         self.local.metadata = metadata;
-        if is_news && self.active {
+        if is_disseminated && self.active {
             self.incarnation.counter += 1;
             self.disseminate_own_update();
         }
     }
 
-    /// Announces that this relay leaves, and is silent after that.
+    /// Announces that this relay leaves, and stops sending.
     fn leave(&mut self, out: &mut Vec<Effect>) {
         self.left = true;
         self.incarnation.counter += 1;
@@ -251,7 +253,7 @@
         schedules.into_iter().chain(suspicions).fold(Micros::MAX, Micros::min)
     }
 
-    /// Does all that is due by now, and sets the timer for the rest.
+    /// Handles all expired deadlines and sets the timer for the next one.
     fn run_due(&mut self, out: &mut Vec<Effect>) {
         let late = self.now.saturating_sub(self.next_deadline());
         if late > STALL_THRESHOLD {
@@ -282,8 +284,9 @@
         }
     }
 
-    /// This process stalled: that it received nothing meanwhile says nothing of others. It drops its probes
-    /// without a verdict, gives suspects the time that it missed, and doubts itself (Lifeguard).
+    /// Handles a stall of this process. A stalled process receives nothing, which says nothing about the
+    /// other members: it cancels its probes without a result, extends the suspicions by the missed time, and
+    /// lowers its own local health (Lifeguard).
     fn recover_from_stall(&mut self, late: Micros, out: &mut Vec<Effect>) {
         self.counters.stalls += 1;
         let missed_periods = (late / PROBE_PERIOD).max(1);
@@ -295,22 +298,22 @@
         let next_probe = self.now + self.random_time(PROBE_PERIOD);
         self.detector.reset(next_probe);
         if late >= LOGGED_STALL {
-            let message = format!("this process stood still for {} ms", late / MILLISECOND);
+            let message = format!("this process stalled for {} ms", late / MILLISECOND);
             out.push(Effect::Log { message });
         }
     }
 
-    /// From 0 to below a span.
+    /// A random time from 0 up to, but not including, `span`.
     pub(crate) fn random_time(&mut self, span: Micros) -> Micros {
         self.random.rand_range(0..span.max(1))
     }
 
-    /// From 0 to below an end.
+    /// A random number from 0 up to, but not including, `end`.
     pub(crate) fn random_below(&mut self, end: usize) -> usize {
         self.random.rand_range(0..end.max(1) as u64) as usize
     }
 
-    /// Different live members, as many as there are up to `count`, without one.
+    /// Different random live members other than `except`: `count` of them, or all if there are fewer.
     pub(crate) fn random_live_members(&mut self, count: usize, except: Option<&Rc<str>>) -> Vec<Rc<str>> {
         let live_count = self.members.live().len();
         let excepted = except.is_some_and(|name| self.members.live().contains(name));
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -1,35 +1,35 @@
-//! The wire format between relays: a version byte, a CRC-32, a postcard header, then updates up to the end. A
-//! datagram carries as many updates as fit; a frame on a stream carries the whole member table.
+//! The wire format between relays: a version byte, a CRC-32, a postcard header, and updates up to the end of
+//! the packet. A datagram carries as many updates as fit; a frame on a stream carries the full member table.
 use crate::update::Update;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Raised with each change that an older relay would misread; packets of other versions are dropped and
-/// counted.
+/// Version of the wire format, to be raised with each change that an earlier relay would misread. Packets of
+/// other versions are dropped and counted.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Largest datagram in bytes: IPv6's minimum MTU of 1,280 bytes less 48 bytes of headers, rounded down.
+/// Largest datagram in bytes: the minimum MTU of IPv6 (1,280 bytes) less 48 bytes of headers, rounded down.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Largest frame on a stream in bytes: some thousand members.
+/// Largest frame on a stream in bytes, enough for a thousand members.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// Longest name of a relay, and longest version, in bytes.
+/// Longest name of a relay and longest program version, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Listeners whose sessions are reported one by one; further ones are in the sum alone.
+/// Number of listeners whose sessions are reported separately; the sessions of others count in the sum only.
 pub const MAX_LISTENERS: usize = 16;
-/// Bytes of the version and the checksum.
+/// Length of the version and the checksum in bytes.
 const PREFIX_BYTES: usize = 5;
 
-/// The body of a packet. Variants are encoded by their order.
+/// The body of a packet. The encoding identifies variants by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// SWIM's direct probe; answered with an `Ack` of the same sequence number.
+    /// SWIM's direct probe, answered with an `Ack` that has the same sequence number.
     Ping {
         /// Sequence number of the sender's probe.
         sequence: u32,
     },
     /// Answer to a `Ping`, or to a `PingRequest` whose target answered.
     Ack {
-        /// Sequence number of the probe that is answered.
+        /// Sequence number of the answered probe.
         sequence: u32,
     },
     /// SWIM's indirect probe: asks the receiver to ping another member on the sender's behalf.
@@ -41,33 +41,33 @@
         /// Address of the member to ping.
         addr: SocketAddr,
     },
-    /// Lifeguard's nack: the target of a `PingRequest` has not answered yet. It shows that the way between
-    /// the two that talk works.
+    /// Lifeguard's nack: the target of a `PingRequest` has not answered yet. It shows that the path between
+    /// the sender of the nack and the requester works.
     Nack {
-        /// Sequence number of the probe that is answered.
+        /// Sequence number of the answered probe.
         sequence: u32,
     },
-    /// Carries updates alone.
+    /// Carries only updates.
     Gossip,
-    /// Anti-entropy: carries the sender's member table, and asks for the receiver's. On streams.
+    /// Full-state exchange: carries the sender's member table and requests the receiver's. Sent on streams.
     PushPullRequest,
-    /// The receiver's member table.
+    /// Answer to a `PushPullRequest`: carries the receiver's member table.
     PushPullResponse,
-    /// Asks for the receiver's endpoint list. On streams.
+    /// Requests the receiver's endpoint list. Sent on streams.
     EndpointListRequest,
-    /// The endpoint list.
+    /// Answer to an `EndpointListRequest`.
     EndpointListResponse {
-        /// The user's bytes; membership does not read them.
+        /// The encoded list, which membership does not interpret.
         bytes: Vec<u8>,
     },
-    /// A message of membership's user to one member, on a datagram or a stream; nothing comes back.
+    /// A message of the application to one member, sent as a datagram or on a stream. It is not answered.
     User {
-        /// The user's bytes; membership does not read them.
+        /// The content, which membership does not interpret.
         bytes: Vec<u8>,
     },
 }
 
-/// What stands before the updates.
+/// The part of a packet that precedes the updates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Header {
     fleet: Rc<str>,
@@ -75,34 +75,34 @@
     body: MessageBody,
 }
 
-/// One decoded datagram or frame.
+/// A decoded datagram or frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packet {
     /// Name of the sender's fleet.
     pub fleet: Rc<str>,
-    /// The sender's own statement about itself.
+    /// The sender's statement about itself.
     pub sender: Update,
-    /// The message.
+    /// The body of the packet.
     pub body: MessageBody,
-    /// Piggybacked updates, or the sender's member table.
+    /// Updates that are piggybacked on the message, or the sender's member table.
     pub updates: Vec<Update>,
 }
 
-/// Why bytes are no packet of this fleet.
+/// Why bytes are not a valid packet of this fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Another version of the protocol.
+    /// The packet has another protocol version.
     #[error("unsupported protocol version")]
     UnsupportedVersion,
-    /// Too long, too short, a wrong checksum, or out of bounds.
+    /// The packet is too long or too short, has a wrong checksum, or contains a value out of bounds.
     #[error("malformed packet")]
     Malformed,
-    /// Of another fleet.
+    /// The packet belongs to another fleet.
     #[error("packet of another fleet")]
     WrongFleet,
 }
 
-/// Why something that was received is dropped.
+/// Why a packet or an update was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
     /// [`DecodeError::UnsupportedVersion`].
@@ -111,11 +111,11 @@
     Malformed,
     /// [`DecodeError::WrongFleet`].
     WrongFleet,
-    /// From an address that is neither configured nor a member's.
+    /// The sender's address is neither configured nor that of a member.
     UnknownSender,
-    /// More datagrams than are read in a second.
+    /// More datagrams arrived within a second than are processed.
     RateLimited,
-    /// An update about one member more than the table holds.
+    /// The update is about a new member, and the member table is full.
     TableFull,
 }
 
@@ -130,7 +130,7 @@
         DropReason::TableFull,
     ];
 
-    /// The word of status answers and metrics.
+    /// The word for this reason in status responses and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             DropReason::UnsupportedVersion => "version",
@@ -153,7 +153,7 @@
     }
 }
 
-/// The bytes of an update within a packet; empty if it cannot be encoded, which no update of ours comes to.
+/// Encodes an update for a packet. The result is empty if encoding fails, which no valid update causes.
 pub fn encode_update(update: &Update) -> Vec<u8> {
     postcard::to_stdvec(update).unwrap_or_default()
 }
@@ -161,14 +161,14 @@
 /// An encoded packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedPacket {
-    /// The whole packet.
+    /// The complete packet.
     pub bytes: Vec<u8>,
-    /// How many of the updates fitted, from the first on.
+    /// Number of updates that fitted, counted from the first one.
     pub update_count: usize,
 }
 
-/// Encodes a packet with as many of the encoded updates, in their order, as fit into `max_bytes`. The header
-/// is always written whole, so a long body may exceed `max_bytes`.
+/// Encodes a packet with as many of the encoded updates, in the given order, as fit into `max_bytes`. The
+/// header is never shortened, so that a packet with a long body may exceed `max_bytes`.
 pub fn encode<'a>(
     fleet: &Rc<str>,
     sender: &Update,
@@ -178,7 +178,7 @@
 ) -> EncodedPacket {
     let header = Header { fleet: fleet.clone(), sender: sender.clone(), body };
     let prefix = vec![PROTOCOL_VERSION, 0, 0, 0, 0];
-    // Encoding these types to memory cannot fail; a packet without a header is dropped where it arrives.
+    // Encoding these types to memory cannot fail; a packet without a header would be dropped by its receiver.
     let mut bytes = postcard::to_extend(&header, prefix.clone()).unwrap_or(prefix);
     let mut update_count = 0;
     for update in updates {
@@ -193,11 +193,10 @@
     EncodedPacket { bytes, update_count }
 }
 
-/// Decodes what [`encode`] wrote for a fleet.
+/// Decodes a packet that [`encode`] wrote for this fleet.
 ///
 /// # Errors
-/// [`DecodeError`] for anything else, whatever the bytes are; memory used stays within a multiple of their
-/// length.
+/// [`DecodeError`] for any other bytes. The memory used is at most a constant multiple of their length.
 pub fn decode(fleet: &str, bytes: &[u8], max_bytes: usize) -> Result<Packet, DecodeError> {
     if bytes.len() < PREFIX_BYTES || bytes.len() > max_bytes {
         return Err(DecodeError::Malformed);
@@ -235,7 +234,7 @@
     Ok(updates)
 }
 
-/// Whether names are within their bounds, and the address can be sent to.
+/// Whether names and lists are within their bounds and the address is a valid destination.
 fn is_valid(update: &Update) -> bool {
     let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     let metadata = &update.metadata;
--- a/membership/src/name_conflict.rs
+++ b/membership/src/name_conflict.rs
@@ -1,31 +1,33 @@
-//! Another process that uses this relay's name at another address.
+//! Detection of another process that uses this relay's name at a different address.
 use crate::events::Effect;
 use crate::message::MessageBody;
 use crate::update::Update;
 use crate::{Membership, Micros, MILLISECOND};
 use std::net::SocketAddr;
 
-/// A conflict is reported for so long after the other process was last seen.
+/// Time for which a conflict is reported after the other process was last seen.
 const CONFLICT_RETENTION: Micros = 30_000 * MILLISECOND;
 
-/// Another process of this relay's name. Both go on; in the others' tables the later start holds the name.
+/// Another process that uses this relay's name. Both processes keep running; other members attribute the name
+/// to the one that started later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameConflict {
     /// Address of the other process.
     pub addr: SocketAddr,
     /// Start of the other process.
     pub start: u64,
-    /// When it was last seen.
+    /// Time at which it was last seen.
     pub seen_at: Micros,
 }
 
 impl Membership {
-    /// Another process of this relay's name that was seen lately.
+    /// The other process that uses this relay's name, if it was seen recently.
     pub fn name_conflict(&self) -> Option<NameConflict> {
         self.conflict.filter(|conflict| self.now < conflict.seen_at + CONFLICT_RETENTION)
     }
 
-    /// Whether the other process holds the name: the later start does, the higher address between equals.
+    /// Whether the other process keeps the name: the one with the later start does, and with equal starts the
+    /// one with the higher address.
     pub(crate) fn is_overridden_by(&self, conflict: &NameConflict) -> bool {
         (conflict.start, conflict.addr) > (self.incarnation.start, self.local.addr)
     }
@@ -35,12 +37,13 @@
         let is_known =
             self.conflict.is_some_and(|known| known.addr == conflict.addr && known.start == conflict.start);
         if !is_known {
-            let holder = if self.is_overridden_by(&conflict) { "it holds" } else { "this one holds" };
+            let holder = if self.is_overridden_by(&conflict) { "that process" } else { "this process" };
             let addr = conflict.addr;
-            let message =
-                format!("another relay has this one's name, at {addr}: {holder}, as the later start");
+            let message = format!(
+                "another process at {addr} uses this relay's name; {holder} keeps it because it started later"
+            );
             out.push(Effect::Log { message });
-            // The other may not know yet.
+            // The other process may not have noticed the conflict yet.
             let name = self.local.name.clone();
             self.send_message(addr, Some(&name), MessageBody::Gossip, out);
         }
--- a/membership/src/peer_heartbeats.rs
+++ b/membership/src/peer_heartbeats.rs
@@ -1,13 +1,14 @@
-//! All-to-all heartbeats: the baseline that `hallrelay-lab members` compares membership with. No relay uses
-//! it.
+//! Heartbeats between all pairs of relays: the baseline with which `hallrelay-lab members` compares
+//! membership. No relay uses it.
 use crate::Micros;
 
-/// Interval between two heartbeats, as membership's probe period.
+/// Interval between two heartbeats, the same as membership's probe period.
 pub const HEARTBEAT_INTERVAL: Micros = 400_000;
-/// Silence after which a peer is dead: the longest suspicion timeout of a small fleet's membership.
+/// Silence after which a peer counts as dead, the same as membership's longest suspicion timeout in a small
+/// fleet.
 pub const HEARTBEAT_TIMEOUT: Micros = 2_400_000;
 
-/// One relay's view of its peers, by heartbeats alone. Relays are numbered from 0.
+/// One relay's view of its peers based on heartbeats only. Relays are numbered from 0.
 pub struct PeerHeartbeats {
     last_received: Vec<Micros>,
     is_dead: Vec<bool>,
@@ -15,23 +16,23 @@
 }
 
 impl PeerHeartbeats {
-    /// Relay `local` of `count`, all of them taken to be alive.
+    /// Creates the view of relay `local` of `count` relays, all of which count as alive.
     pub fn new(local: usize, count: usize, now: Micros) -> PeerHeartbeats {
         PeerHeartbeats { last_received: vec![now; count], is_dead: vec![false; count], local }
     }
 
-    /// The other relays, to which a heartbeat goes in each interval.
+    /// The other relays. Each receives a heartbeat in each interval.
     pub fn peers(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.last_received.len()).filter(|peer| *peer != self.local)
     }
 
-    /// A heartbeat was received. Returns whether its sender was held to be dead.
+    /// Records a received heartbeat. Returns whether its sender counted as dead.
     pub fn receive(&mut self, from: usize, now: Micros) -> bool {
         self.last_received[from] = now;
         std::mem::replace(&mut self.is_dead[from], false)
     }
 
-    /// The peers that have become dead since the last call.
+    /// The peers that died since the last call.
     pub fn newly_dead(&mut self, now: Micros) -> Vec<usize> {
         let is_silent = |peer: &usize| now.saturating_sub(self.last_received[*peer]) > HEARTBEAT_TIMEOUT;
         let found: Vec<usize> = self.peers().filter(|peer| is_silent(peer) && !self.is_dead[*peer]).collect();
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! SWIM's failure detector: a direct probe of one member in each period, then indirect probes through others.
+//! SWIM's failure detector: a direct probe of one member per period, followed by indirect probes if it fails.
 use crate::events::Effect;
 use crate::local_health::LocalHealth;
 use crate::message::MessageBody;
@@ -8,31 +8,32 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// SWIM's protocol period: each member probes one other in each, and is probed by one.
+/// SWIM's protocol period, in which each member probes one other member and is probed by one.
 pub const PROBE_PERIOD: Micros = 400 * MILLISECOND;
-/// A ping without an answer is sent a second time after this.
+/// Delay before an unanswered ping is sent a second time.
 const PING_RETRY_DELAY: Micros = 100 * MILLISECOND;
-/// Indirect probes start this long after the first ping; the rest of the period is left for their answers.
+/// Delay between the first ping and the indirect probes. The rest of the period is left for their answers.
 const INDIRECT_PROBE_DELAY: Micros = 200 * MILLISECOND;
-/// A member that pings on another's behalf sends a nack after this, within the other's period.
+/// Delay before a member sends a nack for an unanswered ping on another's behalf, within the requester's
+/// period.
 const NACK_DELAY: Micros = 100 * MILLISECOND;
-/// SWIM's k: members asked to ping the target.
+/// SWIM's k: number of members that are asked to ping the target.
 const INDIRECT_PROBES: usize = 3;
-/// Probes in flight.
+/// Largest number of probes in flight.
 const MAX_PROBES: usize = 16;
-/// Pings in flight on behalf of others.
+/// Largest number of pings in flight on behalf of other members.
 const MAX_FORWARDED_PINGS: usize = 64;
-/// A ping on another's behalf is forgotten after this.
+/// Time after which an unanswered ping on another member's behalf is dropped.
 const FORWARDED_PING_TIMEOUT: Micros = 2 * PROBE_PERIOD;
 
-/// A probe of this relay's own.
+/// A probe that this relay started.
 struct Probe {
     target: Rc<str>,
-    /// When the ping is sent again; [`Micros::MAX`] once it was.
+    /// Time of the second ping; [`Micros::MAX`] after it was sent.
     retry_at: Micros,
-    /// When indirect probes start; [`Micros::MAX`] once they did.
+    /// Start of the indirect probes; [`Micros::MAX`] after it.
     indirect_at: Micros,
-    /// When the probe has failed.
+    /// Time at which the probe fails.
     deadline: Micros,
     requests: u32,
     nacks: u32,
@@ -44,12 +45,12 @@
     }
 }
 
-/// A ping on another member's behalf.
+/// A ping on behalf of another member.
 struct ForwardedPing {
     requester: SocketAddr,
     /// Sequence number of the requester's probe.
     sequence: u32,
-    /// When the nack is sent; [`Micros::MAX`] once it was.
+    /// Time of the nack; [`Micros::MAX`] after it was sent.
     nack_at: Micros,
     deadline: Micros,
 }
@@ -60,7 +61,7 @@
     }
 }
 
-/// Probes in flight, by the sequence numbers of their pings, and the time of the next one.
+/// Probes in flight by the sequence numbers of their pings, and the time of the next probe.
 pub(crate) struct FailureDetector {
     probes: BTreeMap<u32, Probe>,
     forwarded_pings: BTreeMap<u32, ForwardedPing>,
@@ -91,7 +92,7 @@
         probes.chain(forwarded_pings).fold(self.next_probe, Micros::min)
     }
 
-    /// Drops all that is in flight, without a verdict.
+    /// Cancels everything in flight without a result.
     pub(crate) fn reset(&mut self, next_probe: Micros) {
         self.probes.clear();
         self.forwarded_pings.clear();
@@ -108,26 +109,26 @@
 }
 
 impl Membership {
-    /// Lifeguard's LHA-Probe: all timeouts of a probe grow with the doubt in this relay's own timeliness.
+    /// Lifeguard's LHA-Probe: all timeouts of a probe grow with the local health score.
     fn probe_multiplier(&self) -> Micros {
         Micros::from(self.detector.local_health.multiplier())
     }
 
-    /// SWIM's round-robin selection, without the shuffle: in each period, counted by the clock, each relay
-    /// probes the member that stands so many places behind it in the order of names. So with equal clocks and
-    /// views each is probed once in every period, and by all in a round; with others some wait a period or
-    /// two longer.
+    /// SWIM's round-robin selection, but without the shuffle: the clock determines the number of the period,
+    /// and each relay probes the member that many positions after itself in the order of names. With equal
+    /// clocks and views, each member is probed once in every period, and by all others in a round. Otherwise
+    /// some members wait one or two periods longer.
     fn probe_target(&self) -> Option<Rc<str>> {
         let live = self.members.live();
         if live.is_empty() {
             return None;
         }
-        let own_place = live.partition_point(|name| *name < self.local.name);
-        let turn = (self.now / PROBE_PERIOD) as usize % live.len();
-        live.get((own_place + turn) % live.len()).cloned()
+        let own_index = live.partition_point(|name| *name < self.local.name);
+        let offset = (self.now / PROBE_PERIOD) as usize % live.len();
+        live.get((own_index + offset) % live.len()).cloned()
     }
 
-    /// Starts the probe of this period, and carries those in flight on.
+    /// Starts the probe of this period and advances those in flight.
     pub(crate) fn run_probes(&mut self, out: &mut Vec<Effect>) {
         if self.detector.next_probe <= self.now {
             self.detector.next_probe = self.now + PROBE_PERIOD * self.probe_multiplier();
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Asks some members to ping the target. The one that reached it last is among them: with a partition
-    /// between this relay and the target it is the one that sees both sides.
+    /// Asks some members to ping the target, including the one that reached it last: if a partition separates
+    /// this relay from the target, that member is connected to both sides.
     fn send_ping_requests(&mut self, sequence: u32, target: &Rc<str>, out: &mut Vec<Effect>) {
         let Some(member) = self.members.get(target) else { return };
         let addr = member.update.addr;
@@ -207,8 +208,9 @@
         }
     }
 
-    /// No answer on any path: the target becomes suspect. Helpers that did not even send a nack are evidence
-    /// that this relay itself is late (Lifeguard); with nobody to ask, a failed probe counts as one such.
+    /// Handles a probe without an answer on any path: the target becomes suspect. Each helper that did not
+    /// even send a nack is evidence that this relay itself is slow (Lifeguard). Without helpers a failed
+    /// probe counts as one missing nack.
     fn fail_probe(&mut self, sequence: u32, out: &mut Vec<Effect>) {
         let Some(probe) = self.detector.probes.remove(&sequence) else { return };
         let missed = if probe.requests == 0 { 1 } else { probe.requests.saturating_sub(probe.nacks) };
@@ -225,7 +227,7 @@
         self.apply_update(update, None, out);
     }
 
-    /// An answer to a ping of this relay's own, or to one on another's behalf.
+    /// Handles the answer to a ping of this relay, or to a ping on another member's behalf.
     pub(crate) fn receive_ack(&mut self, sequence: u32, from: &Rc<str>, out: &mut Vec<Effect>) {
         if let Some(probe) = self.detector.probes.remove(&sequence) {
             self.detector.local_health.improve();
@@ -242,19 +244,19 @@
         }
     }
 
-    /// The target has not answered the helper either, but the helper reached this relay.
+    /// Handles a nack: the target has not answered the helper either, but the helper can reach this relay.
     pub(crate) fn receive_nack(&mut self, sequence: u32) {
         if let Some(probe) = self.detector.probes.get_mut(&sequence) {
             probe.nacks += 1;
         }
     }
 
-    /// Pings a member on another's behalf. Only members at the address that is known here are pinged: a
-    /// message cannot direct this relay's datagrams anywhere else.
+    /// Pings a member on another member's behalf. Only known members at their known addresses are pinged, so
+    /// that a message cannot direct this relay's datagrams to any other address.
     pub(crate) fn receive_ping_request(
         &mut self,
         requester: SocketAddr,
-        requested: u32,
+        requester_sequence: u32,
         target: &Rc<str>,
         addr: SocketAddr,
         out: &mut Vec<Effect>,
@@ -266,7 +268,7 @@
         let sequence = self.detector.next_sequence();
         let ping = ForwardedPing {
             requester,
-            sequence: requested,
+            sequence: requester_sequence,
             nack_at: self.now + NACK_DELAY,
             deadline: self.now + FORWARDED_PING_TIMEOUT,
         };
@@ -274,7 +276,7 @@
         self.send_message(addr, Some(target), MessageBody::Ping { sequence }, out);
     }
 
-    /// Sends nacks that are due, and forgets the pings that were never answered.
+    /// Sends the nacks that are due and drops the pings that were not answered in time.
     pub(crate) fn run_forwarded_pings(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let due = self.detector.forwarded_pings.iter().filter(|(_, ping)| ping.next_deadline() <= now);
--- a/membership/src/push_pull.rs
+++ b/membership/src/push_pull.rs
@@ -1,22 +1,22 @@
-//! Anti-entropy: two members exchange their whole tables on a stream (memberlist's push/pull). It reaches
-//! those that gossip missed, and carries a newcomer's first table.
+//! Full-state exchange: two members exchange their complete member tables on a stream (memberlist's
+//! push/pull). It delivers updates that a member missed in gossip, and the first table of a new relay.
 use crate::events::Effect;
 use crate::message::{encode, encode_update, MessageBody, MAX_FRAME_BYTES};
 use crate::update::{MemberState, Update};
 use crate::{Membership, Micros, MILLISECOND};
 use std::net::SocketAddr;
 
-/// Mean interval of push/pull for each live member: the bytes that it costs in a second do not grow with the
-/// fleet.
+/// Mean interval between exchanges per live member. The bytes that exchanges cost per second therefore do not
+/// grow with the fleet.
 const INTERVAL_PER_MEMBER: Micros = 1_000 * MILLISECOND;
-/// Least mean interval of push/pull.
+/// Shortest mean interval between exchanges.
 const MIN_INTERVAL: Micros = 10_000 * MILLISECOND;
-/// Unknown senders make a relay start push/pull at most this often, however many there are.
+/// Shortest interval between exchanges caused by unknown senders, regardless of their number.
 const UNKNOWN_SENDER_INTERVAL: Micros = 1_000 * MILLISECOND;
-/// Members that come back make a relay start push/pull with one of them at most this often.
+/// Shortest interval between exchanges with members that were dead and returned.
 const HEAL_INTERVAL: Micros = 2_000 * MILLISECOND;
 
-/// Time of the next push/pull, and of those that were started for a reason.
+/// Times of the next regular exchange and of the last ones with a special cause.
 pub(crate) struct PushPullSchedule {
     next: Micros,
     last_heal: Option<Micros>,
@@ -38,7 +38,7 @@
         self.push_pull.next = self.now + MIN_INTERVAL / 2 + self.random_time(MIN_INTERVAL);
     }
 
-    /// The regular exchange with a random live member.
+    /// Starts the regular exchange with a random live member.
     pub(crate) fn run_push_pull(&mut self, out: &mut Vec<Effect>) {
         let interval = MIN_INTERVAL.max(INTERVAL_PER_MEMBER * self.members.live().len() as Micros);
         self.push_pull.next = self.now + interval / 2 + self.random_time(interval);
@@ -53,8 +53,9 @@
         out.push(Effect::OpenStream { to, bytes });
     }
 
-    /// A datagram of an unknown sender: this relay may have missed that it joined, so it asks a member that
-    /// it knows. Invariant: nobody becomes a member by its own datagram.
+    /// Handles a datagram of an unknown sender. This relay may have missed that the sender joined, so it
+    /// starts an exchange with a known member. Invariant: a relay never becomes a member through its own
+    /// datagram.
     pub(crate) fn schedule_push_pull_for_unknown_sender(&mut self) {
         let last = self.push_pull.last_unknown_sender;
         let is_due = last.is_none_or(|at| self.now >= at + UNKNOWN_SENDER_INTERVAL);
@@ -64,7 +65,8 @@
         }
     }
 
-    /// A dead member is back: its table may be that of the other side of a partition.
+    /// Starts an exchange with a dead member that returned: its table may be that of the other side of a
+    /// partition.
     pub(crate) fn push_pull_after_heal(&mut self, addr: SocketAddr, out: &mut Vec<Effect>) {
         let last = self.push_pull.last_heal;
         if last.is_none_or(|at| self.now >= at + HEAL_INTERVAL) {
@@ -73,15 +75,15 @@
         }
     }
 
-    /// The whole table in one frame.
+    /// Encodes the complete member table as one frame.
     pub(crate) fn encode_table(&self, body: MessageBody) -> Vec<u8> {
         let updates: Vec<Vec<u8>> = self.members.iter().map(|member| encode_update(&member.update)).collect();
         let updates = updates.iter().map(Vec::as_slice);
         encode(&self.local.fleet, &self.own_update(), body, updates, MAX_FRAME_BYTES).bytes
     }
 
-    /// Applies another member's table. It may be that of the other side of a partition, so a live member that
-    /// it holds to be dead becomes suspect here, and can refute.
+    /// Applies another member's table. The table may come from the other side of a partition. A member that
+    /// is live here and dead there therefore becomes suspect, so that it can refute its death.
     pub(crate) fn merge_table(&mut self, sender: Update, updates: Vec<Update>, out: &mut Vec<Effect>) {
         self.counters.packets_received += 1;
         if sender.name == self.local.name {
--- a/membership/src/receive.rs
+++ b/membership/src/receive.rs
@@ -1,17 +1,18 @@
-//! Packets of other relays, by datagram and by stream.
+//! Handling of packets from other relays.
 use crate::events::Effect;
 use crate::message::{DropReason, MessageBody, Packet, MAX_FRAME_BYTES};
 use crate::Membership;
 use std::net::SocketAddr;
 
 impl Membership {
-    /// A datagram. Only senders at configured addresses and members' are read, and only if the address is the
-    /// one that they report.
+    /// Handles a datagram. It is accepted only from configured addresses and addresses of members, and only
+    /// if the sender reports the address that it came from.
     pub(crate) fn receive_datagram(&mut self, from: SocketAddr, packet: Packet, out: &mut Vec<Effect>) {
         self.counters.packets_received += 1;
         let Packet { sender, body, updates, .. } = packet;
         if sender.name == self.local.name {
-            // Its own datagram, where a configured address is its own; or that of a process with its name.
+            // A datagram to a configured address that is this relay's own, or of another process with its
+            // name.
             return self.apply_update_about_self(&sender, out);
         }
         let is_known = self.members.is_member_addr(from) || self.local.peers.contains(&from);
@@ -35,7 +36,7 @@
             MessageBody::Nack { sequence } => self.receive_nack(sequence),
             MessageBody::User { bytes } => out.push(Effect::UserMessageReceived { from: name, bytes }),
             MessageBody::Gossip => {}
-            // These come on streams only.
+            // These bodies are valid on streams only.
             MessageBody::PushPullRequest
             | MessageBody::PushPullResponse
             | MessageBody::EndpointListRequest
@@ -43,8 +44,8 @@
         }
     }
 
-    /// A frame on a stream that another relay opened. A newcomer becomes a member by it, as its connection
-    /// shows that it is at the address that it reports.
+    /// Handles a frame on a stream that another relay opened. It makes a new relay a member, since the
+    /// connection proves that the relay is at the address that it reports.
     pub(crate) fn receive_request(
         &mut self,
         stream: u64,
@@ -66,7 +67,7 @@
             }
             MessageBody::EndpointListRequest => {
                 self.merge_table(sender, updates, out);
-                // Only a member gets the list: a newcomer asks for the table first.
+                // Only members receive the list. A new relay requests the member table first.
                 if is_member {
                     out.push(Effect::EndpointListRequested { stream });
                 } else {
@@ -94,7 +95,7 @@
         out.push(Effect::ReplyOnStream { stream, bytes });
     }
 
-    /// The answer on a stream that this relay opened.
+    /// Handles the response on a stream that this relay opened.
     pub(crate) fn receive_response(&mut self, packet: Packet, out: &mut Vec<Effect>) {
         let Packet { sender, body, updates, .. } = packet;
         match body {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Asks a random live member for its endpoint list.
+    /// Requests the endpoint list of a random live member.
     pub(crate) fn poll_endpoint_list(&mut self, out: &mut Vec<Effect>) {
         let Some(to) = self.random_live_addr() else { return };
         let bytes = self.encode_alone(MessageBody::EndpointListRequest);
@@ -118,7 +119,7 @@
         out.push(Effect::OpenStream { to, bytes });
     }
 
-    /// Answers a request for the endpoint list. A list that is longer than a frame is not sent.
+    /// Answers a request for the endpoint list. A list that does not fit into a frame is not sent.
     pub(crate) fn reply_endpoint_list(&mut self, stream: u64, list: Option<Vec<u8>>, out: &mut Vec<Effect>) {
         let frame = list.map(|bytes| self.encode_alone(MessageBody::EndpointListResponse { bytes }));
         let frame = frame.filter(|frame| frame.len() <= MAX_FRAME_BYTES);
--- a/membership/src/status.rs
+++ b/membership/src/status.rs
@@ -1,5 +1,5 @@
-//! A relay's view of its fleet, as operators read it: the JSON answer of `GET /v1/fleet`. Keys and words of
-//! the answer are fixed; a field with another name carries its key as `rename`.
+//! A relay's view of its fleet for operators: the JSON response of `GET /v1/fleet`. The keys and state words
+//! of the response are fixed; a field with a different name here carries its key as `rename`.
 use crate::members::Member;
 use crate::membership::Membership;
 use crate::update::{MemberState, Update};
@@ -7,52 +7,52 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The whole answer.
+/// The response to `GET /v1/fleet`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the fleet.
     pub fleet: String,
-    /// Name of the relay that answers.
+    /// Name of the responding relay.
     pub name: String,
-    /// Its address.
+    /// Address of the responding relay.
     pub addr: String,
-    /// Start of its incarnation.
+    /// Start time of the incarnation of the responding relay.
     pub start: u64,
-    /// Counter of its incarnation.
+    /// Counter of the incarnation of the responding relay.
     pub incarnation: u32,
-    /// Number of relays by configuration, this one included.
+    /// Configured number of relays, including this one.
     #[serde(rename = "configured")]
     pub configured_relays: usize,
-    /// Number of relays that this one received from lately, itself included.
+    /// Number of relays from which this one received something recently, including itself.
     #[serde(rename = "hears")]
     pub reachable_relays: usize,
-    /// `whole`, `parts missing`, `cut off`; `silent` where another process speaks for this relay.
+    /// `whole`, `parts missing` or `cut off`; `silent` if another process represents this relay.
     #[serde(rename = "believes")]
     pub view: String,
     /// Lifeguard's local health score, from 0 (healthy) to 8.
     #[serde(rename = "doubt")]
     pub local_health: u32,
-    /// Stage of the relay's recovery after a start: `dark`, `remembering`, `asking`, `trickle`, `open`.
-    /// Filled in by the relay; older ones leave it out.
+    /// Stage of the relay's recovery after a start: `dark`, `remembering`, `asking`, `trickle`, `open`. The
+    /// relay fills it in; earlier versions omit it.
     #[serde(default, rename = "returning")]
     pub recovery_stage: String,
-    /// Another process of this relay's name.
+    /// Another process that uses this relay's name.
     #[serde(rename = "twin")]
     pub name_conflict: Option<NameConflictStatus>,
-    /// Packets and updates dropped, by reason.
+    /// Number of dropped packets and updates by reason.
     pub dropped: BTreeMap<String, u64>,
-    /// This relay first, then the others by name.
+    /// This relay first, then the other members in the order of their names.
     pub members: Vec<MemberStatus>,
 }
 
-/// Another process of this relay's name.
+/// Another process that uses this relay's name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NameConflictStatus {
     /// Address of the other process.
     pub addr: String,
-    /// Start of the other process.
+    /// Start time of the other process.
     pub start: u64,
-    /// Whether the other process holds the name in the others' tables.
+    /// Whether the other members attribute the name to the other process.
     #[serde(rename = "holds")]
     pub holds_name: bool,
 }
@@ -62,49 +62,50 @@
 pub struct MemberStatus {
     /// Name of the member.
     pub name: String,
-    /// Its address.
+    /// Address of the member.
     pub addr: String,
-    /// `alive`, `suspect`, `gone` (dead), `left`.
+    /// `alive`, `suspect`, `gone` (dead) or `left`.
     pub state: String,
-    /// How long it has been in this state, in milliseconds.
+    /// Time since the member entered this state, in milliseconds.
     pub since_ms: u64,
-    /// How long ago the relay received from it, in milliseconds; none where it never did.
+    /// Time since this relay last received something from the member, in milliseconds; `None` if it never
+    /// did.
     #[serde(rename = "heard_ms")]
     pub last_received_ms: Option<u64>,
-    /// Who sent the last update about it, where that was not the member itself.
+    /// Name of the member that sent the last update about this one; `None` if this one sent it itself.
     #[serde(rename = "told_by")]
     pub source: Option<String>,
-    /// Who suspects it.
+    /// Names of the members that suspect this one.
     #[serde(rename = "accused_by")]
     pub suspected_by: Vec<String>,
-    /// Start of its incarnation.
+    /// Start time of the member's incarnation.
     pub start: u64,
-    /// Counter of its incarnation.
+    /// Counter of the member's incarnation.
     pub incarnation: u32,
-    /// Version of its program.
+    /// Version of the member's program.
     pub version: String,
-    /// Checksum of its settings, eight hexadecimal digits.
+    /// Checksum of the member's settings, as eight hexadecimal digits.
     #[serde(rename = "digest")]
     pub settings_digest: String,
-    /// `starting`, `serving`, `draining`, `stopping`.
+    /// `starting`, `serving`, `draining` or `stopping`.
     #[serde(rename = "duty")]
     pub lifecycle: String,
-    /// Its open sessions.
+    /// Number of open sessions.
     pub sessions: u32,
-    /// Its open sessions by listener.
+    /// Number of open sessions per listener.
     #[serde(rename = "load")]
     pub listener_sessions: Vec<u32>,
 }
 
 impl Status {
-    /// Whether all configured relays are there and this one reaches them.
+    /// Whether all configured relays are alive and reachable from this one.
     pub fn is_whole(&self) -> bool {
         self.view == "whole"
     }
 }
 
 impl MemberStatus {
-    /// What an update holds; the rest is this relay's own.
+    /// Fills in the fields that an update contains; the others keep their defaults.
     fn of(update: &Update) -> MemberStatus {
         let metadata = &update.metadata;
         MemberStatus {
@@ -124,7 +125,7 @@
 }
 
 impl Membership {
-    /// The view as of a time.
+    /// The relay's view at the time `now`.
     pub fn status(&self, now: Micros) -> Status {
         let local = self.local();
         let mut members = vec![self.local_status()];
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The word for the whole view.
+    /// The state word for the complete view.
     fn view(&self) -> &'static str {
         let count = |state: MemberState| self.members().filter(|member| member.state() == state).count();
         let alive = 1 + count(MemberState::Alive);
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -1,33 +1,34 @@
-//! Suspected members and the time that each has to refute (SWIM section 4.2, Lifeguard's LHA-Suspicion).
+//! Suspected members and their timeouts to refute (SWIM section 4.2, Lifeguard's LHA-Suspicion).
 use crate::events::Effect;
 use crate::update::{MemberState, Update};
 use crate::{Membership, Micros, MILLISECOND};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Least time in which a suspect may refute, in the smallest fleet.
+/// Shortest suspicion timeout in a small fleet.
 pub(crate) const MIN_SUSPICION_TIMEOUT: Micros = 800 * MILLISECOND;
-/// Least time by the decimal logarithm of the members: a refutation takes some rounds of gossip there and
-/// back.
+/// Shortest suspicion timeout per decimal logarithm of the number of members. A refutation needs several
+/// rounds of gossip in each direction.
 const MIN_SUSPICION_TIMEOUT_PER_LOG: Micros = 400 * MILLISECOND;
-/// Lifeguard's beta: the longest suspicion timeout over the shortest.
+/// Lifeguard's beta: ratio of the longest suspicion timeout to the shortest.
 const MAX_SUSPICION_MULTIPLIER: Micros = 6;
-/// Lifeguard's K: independent confirmations after which the timeout is the shortest.
+/// Lifeguard's K: number of independent confirmations that reduce the timeout to the shortest.
 const MAX_CONFIRMATIONS: usize = 3;
-/// Pings of a suspect after its timeout, by whoever would declare it dead: one that missed the refutation
-/// receives it with the answer.
+/// Number of pings to a suspect after its timeout, before this relay declares it dead. If this relay missed
+/// the refutation, the answer to a ping contains it.
 const FINAL_PINGS: u32 = 2;
 /// Interval of the final pings.
 const FINAL_PING_INTERVAL: Micros = 100 * MILLISECOND;
-/// Of the members that learn of a suspicion so many probe the suspect at once, which decides it sooner.
+/// Expected number of members that probe a newly suspected member immediately, to confirm or refute the
+/// suspicion sooner.
 const SUSPECT_PROBERS: usize = 6;
 
-/// One suspected member.
+/// A suspected member.
 pub(crate) struct Suspicion {
-    /// Members that suspect it, each with a failed probe of its own.
+    /// Members that suspect it, each because of its own failed probe.
     reporters: BTreeSet<Rc<str>>,
     started_at: Micros,
-    /// When the next final ping is sent, or the member is declared dead.
+    /// Time of the next final ping, or of declaring the member dead.
     deadline: Micros,
     final_pings: u32,
 }
@@ -37,7 +38,7 @@
         self.deadline
     }
 
-    /// Gives the suspect the time for which this process stalled.
+    /// Extends the suspicion by the duration of a stall of this process.
     pub(crate) fn extend(&mut self, stalled_for: Micros, now: Micros) {
         let deadline = self.deadline.saturating_add(stalled_for);
         self.deadline = deadline.max(now + MIN_SUSPICION_TIMEOUT);
@@ -45,12 +46,12 @@
 }
 
 impl Membership {
-    /// Members that suspect a member, as far as this relay knows.
+    /// Members that suspect the named member, as far as this relay knows.
     pub fn reporters(&self, name: &str) -> impl Iterator<Item = &Rc<str>> {
         self.suspicions.get(name).into_iter().flat_map(|suspicion| &suspicion.reporters)
     }
 
-    /// A member has become suspect.
+    /// Starts the suspicion of a member.
     pub(crate) fn start_suspicion(&mut self, update: Update, out: &mut Vec<Effect>) {
         let name = update.name;
         let reporter = update.reporter.unwrap_or_else(|| self.local.name.clone());
@@ -68,11 +69,11 @@
         }
     }
 
-    /// Another member suspects one that is suspect already.
+    /// Records that another member suspects a member that is already suspect.
     pub(crate) fn confirm_suspicion(&mut self, update: &Update) {
         let Some(reporter) = &update.reporter else { return };
         let Some(suspicion) = self.suspicions.get_mut(&update.name) else { return };
-        // Only confirmations that shorten the timeout are passed on.
+        // Only confirmations that shorten the timeout are disseminated.
         if suspicion.reporters.len() > MAX_CONFIRMATIONS || !suspicion.reporters.insert(reporter.clone()) {
             return;
         }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Pings the suspects whose timeout is over, and declares those dead that were pinged often enough.
+    /// Pings the suspects whose timeout expired, and declares them dead after the last final ping.
     pub(crate) fn expire_suspicions(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let expired = self.suspicions.iter().filter(|(_, suspicion)| suspicion.deadline <= now);
@@ -116,14 +117,14 @@
     }
 }
 
-/// Lifeguard's suspicion timeout: from the longest with one reporter down to the shortest with all
-/// confirmations, by the logarithm of their number. `member_count` includes this relay.
+/// Lifeguard's suspicion timeout: the longest with one reporter, the shortest with all confirmations, and in
+/// between decreasing with the logarithm of their number. `member_count` includes this relay.
 fn suspicion_timeout(reporter_count: usize, member_count: usize) -> Micros {
     let log_members = (member_count as f64).log10().max(1.0);
     let by_log = (MIN_SUSPICION_TIMEOUT_PER_LOG as f64 * log_members) as Micros;
     let shortest = MIN_SUSPICION_TIMEOUT.max(by_log);
     let longest = shortest * MAX_SUSPICION_MULTIPLIER;
-    // Besides the suspect and its first reporter.
+    // All members but the suspect and its first reporter can confirm.
     let possible = MAX_CONFIRMATIONS.min(member_count.saturating_sub(2));
     if possible == 0 {
         return longest;
--- a/membership/src/update.rs
+++ b/membership/src/update.rs
@@ -1,41 +1,41 @@
-//! Updates about one member, and which of two updates about the same member wins.
+//! Updates about one member, and the precedence between two updates about the same member.
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// SWIM's incarnation number, with the start of the process before it.
+/// SWIM's incarnation number, preceded by the start time of the process.
 ///
-/// Invariant: only the member itself raises its incarnation, so whoever holds a higher one holds something
-/// that the member said later.
+/// Invariant: only the member itself raises its incarnation. An update with a higher incarnation is therefore
+/// based on a later statement of the member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// When the process started, in microseconds of Unix time; one more than that of an earlier process at
-    /// the same address where the clock has gone back since.
+    /// Start of the process, in microseconds of Unix time. If the clock has gone back since an earlier
+    /// process at the same address started, it is one more than the start of that process.
     pub start: u64,
-    /// Raised to refute a suspicion, and with each change of what the member reports of itself.
+    /// Raised to refute a suspicion, and whenever the member's own report changes.
     pub counter: u32,
 }
 
-/// What others hold a member to be.
+/// State of a member as seen by the other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers, or nobody has found that it does not.
+    /// The member answers, or no failed probe of it has been reported.
     Alive,
-    /// A probe of it failed; it may refute that until its suspicion timeout is over.
+    /// A probe of the member failed; the member can refute that until the suspicion timeout expires.
     Suspect,
-    /// It did not refute the suspicion. Its process may still run, stalled or partitioned.
+    /// The member did not refute the suspicion. Its process may still run, stalled or partitioned.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves the fleet.
     Left,
 }
 
 impl MemberState {
-    /// All states, in the order of the protocol.
+    /// All states, in the order of their encoding.
     pub const ALL: [MemberState; 4] =
         [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
 
-    /// The word of status answers, metrics and logs.
+    /// The word for this state in status responses, metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -45,28 +45,28 @@
         }
     }
 
-    /// Whether the member may still run: it is probed, and updates are sent to it.
+    /// Whether the member may still run. Live members are probed and receive updates.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// The lifecycle state that a relay reports of itself.
+/// The lifecycle state that a relay reports for itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportedLifecycle {
-    /// It does not place sessions yet.
+    /// The relay does not place sessions yet.
     #[default]
     Starting,
-    /// It takes sessions.
+    /// The relay accepts sessions.
     Serving,
-    /// It takes no new sessions.
+    /// The relay accepts no new sessions.
     Draining,
-    /// It ends.
+    /// The relay shuts down.
     Stopping,
 }
 
 impl ReportedLifecycle {
-    /// The word of status answers.
+    /// The word for this state in status responses.
     pub fn as_str(self) -> &'static str {
         match self {
             ReportedLifecycle::Starting => "starting",
@@ -77,25 +77,25 @@
     }
 }
 
-/// What a relay reports of itself. The session counts ride on whatever it sends and are as old as that; a
-/// change of the rest is disseminated as an update.
+/// What a relay reports about itself. The session counts are part of every packet of the relay and as old as
+/// that packet; a change of any other field is disseminated as an update.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberMetadata {
-    /// Version of the program, at most [`MAX_NAME_BYTES`](crate::message::MAX_NAME_BYTES).
+    /// Version of the program, at most [`MAX_NAME_BYTES`](crate::message::MAX_NAME_BYTES) long.
     pub version: Rc<str>,
-    /// Checksum of the settings that all relays share.
+    /// Checksum of the settings that must be the same on all relays.
     pub settings_digest: u32,
     /// Lifecycle state of the relay.
     pub lifecycle: ReportedLifecycle,
-    /// Open sessions.
+    /// Number of open sessions.
     pub sessions: u32,
-    /// Open sessions by listener, in the order of the settings; at most
-    /// [`MAX_LISTENERS`](crate::message::MAX_LISTENERS).
+    /// Number of open sessions per listener, in the order of the settings, for at most
+    /// [`MAX_LISTENERS`](crate::message::MAX_LISTENERS) listeners.
     pub listener_sessions: Vec<u32>,
 }
 
 impl MemberMetadata {
-    /// Whether the other differs in nothing but session counts, which are not disseminated on their own.
+    /// Whether `other` differs at most in the session counts, which are not disseminated on their own.
     pub fn differs_only_in_counts(&self, other: &MemberMetadata) -> bool {
         self.version == other.version
             && self.settings_digest == other.settings_digest
@@ -103,37 +103,37 @@
     }
 }
 
-/// One statement about one member, as it is gossiped.
+/// A statement about one member, as disseminated by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// Name of the member.
     pub name: Rc<str>,
-    /// Address at which others reach the member.
+    /// Address at which other members reach the member.
     pub addr: SocketAddr,
-    /// Incarnation that the statement is about.
+    /// Incarnation to which the statement applies.
     pub incarnation: Incarnation,
-    /// State that the member is held to be in.
+    /// State of the member according to the statement.
     pub state: MemberState,
-    /// Who suspected the member or declared it dead first; none where the member speaks for itself.
+    /// The member that first suspected this one or declared it dead; `None` for a member's own statement.
     pub reporter: Option<Rc<str>>,
-    /// What the member last reported of itself, as far as the sender knows.
+    /// The member's latest report about itself that the sender knows.
     pub metadata: MemberMetadata,
 }
 
-/// How new an update is beside the one that is held.
+/// Age of an update compared with the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// Of an earlier incarnation.
+    /// The update is of an earlier incarnation.
     Older,
-    /// Of the same incarnation.
+    /// The update is of the same incarnation.
     Same,
-    /// Of a later incarnation.
+    /// The update is of a later incarnation.
     Newer,
 }
 
 impl Update {
-    /// Compares incarnations. Of two processes with one name at two addresses the later start wins, the
-    /// higher address between equals.
+    /// Compares incarnations. If two processes use one name at two addresses, the later start takes
+    /// precedence, and with equal starts the higher address.
     pub fn precedence_over(&self, held: &Update) -> Precedence {
         let order = if self.addr == held.addr {
             self.incarnation.cmp(&held.incarnation)
@@ -148,28 +148,28 @@
     }
 }
 
-/// What an update changes.
+/// Effect of an update on the stored state of its member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
     /// The member is alive, by its own statement.
     MarkAlive,
-    /// A suspicion starts; the member has time to refute it.
+    /// A suspicion starts, which the member has time to refute.
     StartSuspicion,
-    /// Another member suspects it too: the suspicion timeout shrinks.
+    /// Another member confirms the suspicion, which shortens the suspicion timeout.
     ConfirmSuspicion,
     /// The member is declared dead.
     MarkDead,
     /// The member has left.
     MarkLeft,
-    /// Nothing but session counts may be newer; nothing is disseminated.
+    /// At most the session counts are newer; nothing is disseminated.
     RefreshMetadata,
-    /// The update is stale.
+    /// The update is outdated.
     Ignore,
 }
 
-/// SWIM's rule of precedence: a newer incarnation overrides whatever is held, and within one incarnation
-/// `Alive < Suspect < Dead`. Invariant: within one incarnation a member never goes back towards alive; it has
-/// to raise its incarnation. `Left` is the member's own last statement and overrides the others.
+/// SWIM's rule of precedence: a newer incarnation overrides every older one, and within one incarnation
+/// `Alive < Suspect < Dead`. Invariant: within one incarnation a member never returns towards alive; it must
+/// raise its incarnation. `Left` is the member's own last statement and overrides the other states.
 pub(crate) fn merge(held: MemberState, received: MemberState, precedence: Precedence) -> MergeOutcome {
     use MemberState::{Alive, Dead, Left, Suspect};
     match (precedence, held, received) {
--- a/membership/tests/fixtures.rs
+++ b/membership/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! The bytes of each message between relays, as released builds write them: each file is decoded to the value
-//! that stands here, and the value is encoded to the same bytes again.
+//! The bytes of each message between relays as released builds write them. Each file must decode to the value
+//! defined here, and the value must encode to the bytes of the file.
 use hallrelay_membership::message::{
     decode, encode, encode_update, MessageBody, Packet, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, MAX_LISTENERS,
     MAX_NAME_BYTES,
@@ -14,12 +14,12 @@
 
 const FLEET: &str = "trunk";
 
-fn folder() -> PathBuf {
+fn fixture_directory() -> PathBuf {
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures"))
 }
 
-fn file(name: &str) -> Vec<u8> {
-    fs::read(folder().join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+fn fixture(name: &str) -> Vec<u8> {
+    fs::read(fixture_directory().join(name)).unwrap_or_else(|e| panic!("read fixture {name}: {e}"))
 }
 
 fn v4(last: u8) -> SocketAddr {
@@ -30,7 +30,7 @@
     ([0x2001, 0xdb8, 0, 0, 0, 0, 0, last], 65_535).into()
 }
 
-/// The sender of all messages here.
+/// The sender of all messages.
 fn sender() -> Update {
     Update {
         name: "relay-1".into(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A member with nothing but defaults in what it says of itself.
+/// A member that reports only default values.
 fn member(name: &str, addr: SocketAddr, state: MemberState, reporter: Option<&str>) -> Update {
     let incarnation = Incarnation { start: 1_800_000_000_000_001, counter: 0 };
     Update {
@@ -61,7 +61,7 @@
     }
 }
 
-/// An update of each state, with a reporter and without.
+/// An update for each state, with and without a reporter.
 fn each_state() -> Vec<Update> {
     let mut all = Vec::new();
     for state in MemberState::ALL {
@@ -72,7 +72,7 @@
     all
 }
 
-/// Each lifecycle state that a relay says of itself.
+/// An update for each lifecycle state that a relay can report.
 fn each_lifecycle() -> Vec<Update> {
     let all = [
         ReportedLifecycle::Starting,
@@ -87,16 +87,16 @@
     all.map(one).to_vec()
 }
 
-/// The least and the most of each field.
+/// Updates with the smallest and the largest value of each field.
 fn limits() -> Vec<Update> {
-    let most = MemberMetadata {
+    let largest = MemberMetadata {
         version: "v".repeat(MAX_NAME_BYTES).as_str().into(),
         settings_digest: u32::MAX,
         lifecycle: ReportedLifecycle::Stopping,
         sessions: u32::MAX,
         listener_sessions: vec![u32::MAX; MAX_LISTENERS],
     };
-    let long = "n".repeat(MAX_NAME_BYTES);
+    let longest_name = "n".repeat(MAX_NAME_BYTES);
     let incarnation = Incarnation { start: u64::MAX, counter: u32::MAX };
     vec![
         Update {
@@ -105,14 +105,14 @@
         },
         Update {
             incarnation,
-            metadata: most,
-            ..member(&long, v6(u16::MAX), MemberState::Suspect, Some(&long))
+            metadata: largest,
+            ..member(&longest_name, v6(u16::MAX), MemberState::Suspect, Some(&longest_name))
         },
     ]
 }
 
-/// More members than a datagram holds.
-fn many(count: usize) -> Vec<Update> {
+/// More members than fit into a datagram.
+fn many_members(count: usize) -> Vec<Update> {
     let one = |i: usize| {
         let addr = ([10, 1, (i >> 8) as u8, i as u8], 7946).into();
         member(&format!("other-{i}"), addr, MemberState::ALL[i % 4], None)
@@ -120,9 +120,9 @@
     (0..count).map(one).collect()
 }
 
-/// Name of the file, the message's own part, the updates that ride on it, and the bytes that it may have.
+/// File name, body, updates and largest length of each message.
 fn cases() -> Vec<(&'static str, MessageBody, Vec<Update>, usize)> {
-    let ask = |addr| MessageBody::PingRequest { sequence: 9, target: "relay-7".into(), addr };
+    let ping_request = |addr| MessageBody::PingRequest { sequence: 9, target: "relay-7".into(), addr };
     let longest = MessageBody::PingRequest {
         sequence: u32::MAX,
         target: "n".repeat(MAX_NAME_BYTES).as_str().into(),
@@ -132,16 +132,16 @@
         ("ping.bin", MessageBody::Ping { sequence: 7 }, vec![], MAX_DATAGRAM_BYTES),
         ("ping_limit.bin", MessageBody::Ping { sequence: u32::MAX }, vec![], MAX_DATAGRAM_BYTES),
         ("ack.bin", MessageBody::Ack { sequence: 128 }, vec![], MAX_DATAGRAM_BYTES),
-        ("ask_v4.bin", ask(v4(7)), vec![], MAX_DATAGRAM_BYTES),
-        ("ask_v6.bin", ask(v6(7)), vec![], MAX_DATAGRAM_BYTES),
+        ("ask_v4.bin", ping_request(v4(7)), vec![], MAX_DATAGRAM_BYTES),
+        ("ask_v6.bin", ping_request(v6(7)), vec![], MAX_DATAGRAM_BYTES),
         ("ask_limit.bin", longest, vec![], MAX_DATAGRAM_BYTES),
         ("nack.bin", MessageBody::Nack { sequence: 16_384 }, vec![], MAX_DATAGRAM_BYTES),
         ("gossip.bin", MessageBody::Gossip, each_state(), MAX_DATAGRAM_BYTES),
         ("ping_with_duties.bin", MessageBody::Ping { sequence: 1 }, each_lifecycle(), MAX_DATAGRAM_BYTES),
         ("ack_with_limits.bin", MessageBody::Ack { sequence: 0 }, limits(), MAX_DATAGRAM_BYTES),
-        ("gossip_full.bin", MessageBody::Gossip, many(100), MAX_DATAGRAM_BYTES),
+        ("gossip_full.bin", MessageBody::Gossip, many_members(100), MAX_DATAGRAM_BYTES),
         ("exchange.bin", MessageBody::PushPullRequest, each_state(), MAX_FRAME_BYTES),
-        ("exchanged.bin", MessageBody::PushPullResponse, many(300), MAX_FRAME_BYTES),
+        ("exchanged.bin", MessageBody::PushPullResponse, many_members(300), MAX_FRAME_BYTES),
         ("recall.bin", MessageBody::EndpointListRequest, vec![], MAX_FRAME_BYTES),
         (
             "recalled.bin",
@@ -160,37 +160,41 @@
     ]
 }
 
-fn bytes_of(sender: &Update, body: &MessageBody, updates: &[Update], most: usize) -> (Vec<u8>, usize) {
+fn bytes_of(sender: &Update, body: &MessageBody, updates: &[Update], max_bytes: usize) -> (Vec<u8>, usize) {
     let updates: Vec<Vec<u8>> = updates.iter().map(encode_update).collect();
-    let packet = encode(&FLEET.into(), sender, body.clone(), updates.iter().map(Vec::as_slice), most);
+    let packet = encode(&FLEET.into(), sender, body.clone(), updates.iter().map(Vec::as_slice), max_bytes);
     (packet.bytes, packet.update_count)
 }
 
 #[test]
-fn each_message_is_decoded_and_written_the_same() {
-    for (name, body, mut updates, most) in cases() {
-        let (bytes, fit) = bytes_of(&sender(), &body, &updates, most);
-        updates.truncate(fit);
-        let stored = file(name);
+fn each_message_matches_its_fixture() {
+    for (name, body, mut updates, max_bytes) in cases() {
+        let (bytes, update_count) = bytes_of(&sender(), &body, &updates, max_bytes);
+        updates.truncate(update_count);
+        let stored = fixture(name);
         assert_eq!(bytes, stored, "{name}: encoded");
-        let packet = decode(FLEET, &stored, most).unwrap_or_else(|e| panic!("{name}: {e:?}"));
+        let packet = decode(FLEET, &stored, max_bytes).unwrap_or_else(|e| panic!("{name}: {e:?}"));
         assert_eq!(
             packet,
             Packet { fleet: FLEET.into(), sender: sender(), body, updates },
             "{name}: decoded"
         );
-        let again = bytes_of(&packet.sender, &packet.body, &packet.updates, most);
-        assert_eq!(again, (stored, fit), "{name}: encoded again");
+        let encoded_again = bytes_of(&packet.sender, &packet.body, &packet.updates, max_bytes);
+        assert_eq!(encoded_again, (stored, update_count), "{name}: encoded again");
     }
-    let fit = |name: &str, most: usize| decode(FLEET, &file(name), most).map(|packet| packet.updates.len());
-    assert_eq!(fit("gossip.bin", MAX_DATAGRAM_BYTES), Ok(8));
-    assert_eq!(fit("exchanged.bin", MAX_FRAME_BYTES), Ok(300));
-    assert!(fit("gossip_full.bin", MAX_DATAGRAM_BYTES).is_ok_and(|fit| (20..100).contains(&fit)));
+    let decoded_updates = |name: &str, max_bytes: usize| {
+        decode(FLEET, &fixture(name), max_bytes).map(|packet| packet.updates.len())
+    };
+    assert_eq!(decoded_updates("gossip.bin", MAX_DATAGRAM_BYTES), Ok(8));
+    assert_eq!(decoded_updates("exchanged.bin", MAX_FRAME_BYTES), Ok(300));
+    assert!(
+        decoded_updates("gossip_full.bin", MAX_DATAGRAM_BYTES).is_ok_and(|count| (20..100).contains(&count))
+    );
 }
 
-/// A process that takes over a relay reads the table that the one before it wrote.
+/// A process that takes over a relay reads the member table that its predecessor wrote.
 #[test]
-fn the_table_for_the_next_process_is_read_and_written_the_same() {
+fn restored_member_table_encodes_to_the_stored_bytes() {
     let local = LocalMember {
         fleet: FLEET.into(),
         name: sender().name,
@@ -202,19 +206,19 @@
         random_seed: 1,
     };
     let mut membership = Membership::new(local);
-    membership.restore(1_800_000_000_000_100, &file("exchanged.bin"));
+    membership.restore(1_800_000_000_000_100, &fixture("exchanged.bin"));
     assert_eq!(membership.incarnation(), Incarnation { counter: 4, ..sender().incarnation });
-    assert_eq!(membership.members().count(), 150, "those that are live");
-    assert_eq!(membership.snapshot(), file("estate.bin"));
+    assert_eq!(membership.members().count(), 150, "only live members are restored");
+    assert_eq!(membership.snapshot(), fixture("estate.bin"));
 }
 
 #[test]
-fn each_file_has_its_case() {
-    let names: BTreeSet<String> = fs::read_dir(folder())
-        .expect("a folder")
-        .map(|entry| entry.expect("an entry").file_name().to_string_lossy().into_owned())
+fn each_fixture_file_has_a_case() {
+    let names: BTreeSet<String> = fs::read_dir(fixture_directory())
+        .expect("read the fixture directory")
+        .map(|entry| entry.expect("read a directory entry").file_name().to_string_lossy().into_owned())
         .collect();
-    let mut wanted: BTreeSet<String> = cases().iter().map(|case| case.0.to_string()).collect();
-    wanted.insert("estate.bin".to_string());
-    assert_eq!(names, wanted);
+    let mut expected: BTreeSet<String> = cases().iter().map(|case| case.0.to_string()).collect();
+    expected.insert("estate.bin".to_string());
+    assert_eq!(names, expected);
 }
--- a/membership/tests/messages.rs
+++ b/membership/tests/messages.rs
@@ -1,5 +1,5 @@
-//! The bytes between relays: what is written is read; what is damaged, cut short, of another version or of
-//! another fleet is a fault by name, whatever the bytes are, and never more than that.
+//! The encoding of packets: encoded packets decode to the same values, and damaged or truncated packets and
+//! those of another version or fleet give the matching error, without a panic for any input.
 use hallrelay_membership::message::{
     decode, encode, encode_update, DecodeError, MessageBody, Packet, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES,
     MAX_LISTENERS, MAX_NAME_BYTES,
@@ -22,7 +22,7 @@
         addr,
         incarnation: Incarnation { start: rng.rand_u64() >> below(rng, 64), counter: rng.rand_u64() as u32 },
         state: MemberState::ALL[below(rng, 4) as usize],
-        reporter: (below(rng, 2) == 0).then(|| "accuser".into()),
+        reporter: (below(rng, 2) == 0).then(|| "relay-9".into()),
         metadata: MemberMetadata {
             version: "0.4.0".into(),
             settings_digest: rng.rand_u64() as u32,
@@ -33,11 +33,11 @@
     }
 }
 
-fn sample(rng: &mut Rand64, most: usize) -> (Packet, Vec<u8>) {
+fn sample(rng: &mut Rand64, max_bytes: usize) -> (Packet, Vec<u8>) {
     let target: std::rc::Rc<str> = "relay".into();
     let bodies = [
         MessageBody::Ping { sequence: 7 },
-        MessageBody::PingRequest { sequence: 9, target, addr: "10.0.0.1:7".parse().expect("an address") },
+        MessageBody::PingRequest { sequence: 9, target, addr: "10.0.0.1:7".parse().expect("parse address") },
         MessageBody::Gossip,
         MessageBody::PushPullRequest,
     ];
@@ -46,14 +46,14 @@
     let updates: Vec<Update> = (0..rng.rand_range(0..40)).map(|_| update(rng)).collect();
     let body = bodies[rng.rand_range(0..4) as usize].clone();
     let encoded: Vec<Vec<u8>> = updates.iter().map(encode_update).collect();
-    let packet = encode(&fleet, &sender, body.clone(), encoded.iter().map(Vec::as_slice), most);
-    assert!(packet.bytes.len() <= most && packet.update_count <= updates.len());
+    let packet = encode(&fleet, &sender, body.clone(), encoded.iter().map(Vec::as_slice), max_bytes);
+    assert!(packet.bytes.len() <= max_bytes && packet.update_count <= updates.len());
     let updates = updates[..packet.update_count].to_vec();
     (Packet { fleet, sender, body, updates }, packet.bytes)
 }
 
 #[test]
-fn what_is_written_is_read_and_fits() {
+fn packets_decode_as_encoded_and_fit_their_bound() {
     let mut rng = Rand64::new(1);
     let mut full = 0;
     for _ in 0..2_000 {
@@ -62,7 +62,7 @@
         assert_eq!(decode("trunk", &bytes, MAX_DATAGRAM_BYTES), Ok(packet));
         assert_eq!(decode("other", &bytes, MAX_DATAGRAM_BYTES), Err(DecodeError::WrongFleet));
     }
-    assert!(full > 500, "many datagrams are full: {full}");
+    assert!(full > 500, "at least 500 of 2000 datagrams must be nearly full: {full}");
     // A thousand members fit into one frame.
     let updates: Vec<Vec<u8>> = (0..1_000).map(|_| encode_update(&update(&mut rng))).collect();
     let sender = update(&mut rng);
@@ -73,15 +73,15 @@
 }
 
 #[test]
-fn each_damaged_byte_and_each_cut_is_seen() {
+fn each_damaged_or_truncated_packet_is_rejected() {
     let mut rng = Rand64::new(2);
     for _ in 0..20 {
         let (_, bytes) = sample(&mut rng, 600);
         for at in 0..bytes.len() {
             let mut damaged = bytes.clone();
             damaged[at] ^= 1 + rng.rand_range(0..255) as u8;
-            let wanted = if at == 0 { DecodeError::UnsupportedVersion } else { DecodeError::Malformed };
-            assert_eq!(decode("trunk", &damaged, MAX_DATAGRAM_BYTES), Err(wanted), "byte {at}");
+            let expected = if at == 0 { DecodeError::UnsupportedVersion } else { DecodeError::Malformed };
+            assert_eq!(decode("trunk", &damaged, MAX_DATAGRAM_BYTES), Err(expected), "damaged byte {at}");
             assert_eq!(
                 decode("trunk", &bytes[..at], MAX_DATAGRAM_BYTES),
                 Err(DecodeError::Malformed),
@@ -91,15 +91,19 @@
         let mut longer = bytes.clone();
         longer.push(0);
         assert_eq!(decode("trunk", &longer, MAX_DATAGRAM_BYTES), Err(DecodeError::Malformed));
-        assert_eq!(decode("trunk", &bytes, bytes.len() - 1), Err(DecodeError::Malformed), "over the bound");
+        assert_eq!(
+            decode("trunk", &bytes, bytes.len() - 1),
+            Err(DecodeError::Malformed),
+            "longer than the bound"
+        );
     }
 }
 
-/// Bytes with a right checksum that nobody sound writes: a fault or a sound packet, never an end.
+/// Random bytes with a valid checksum give an error or a valid packet, but never a panic.
 #[test]
-fn garbage_under_a_right_checksum() {
+fn random_bytes_with_valid_checksum_never_panic() {
     let mut rng = Rand64::new(3);
-    let mut sound = 0;
+    let mut valid = 0;
     for _ in 0..100_000 {
         let (_, mut bytes) = if rng.rand_range(0..2) == 0 {
             sample(&mut rng, 500)
@@ -118,12 +122,12 @@
         let sum = crc32fast::hash(&bytes[5..]);
         bytes[1..5].copy_from_slice(&sum.to_le_bytes());
         if let Ok(packet) = decode("trunk", &bytes, MAX_DATAGRAM_BYTES) {
-            sound += 1;
+            valid += 1;
             let all = packet.updates.iter().chain([&packet.sender]);
             assert!(all
                 .clone()
                 .all(|u| !u.name.is_empty() && u.name.len() <= MAX_NAME_BYTES && u.addr.port() != 0));
         }
     }
-    assert!(sound > 1_000, "some are sound still: {sound}");
+    assert!(valid > 1_000, "too few of the packets are valid: {valid}");
 }
