--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,40 +1,40 @@
-//! What the store needs of a disk ([`Disk`]), and its implementation over a directory of real files.
+//! The interface of a disk that the store uses ([`Disk`]), and its implementation with files of a directory.
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// The file whose advisory lock keeps a second process out of a directory.
+/// The file whose advisory lock prevents a second process from using the directory.
 const LOCK_FILE: &str = "lock";
 
-/// Files of one directory, by name.
+/// The files of one directory, identified by their names.
 ///
-/// A write is durable only after [`sync`](Disk::sync) of its file, and a new, renamed or removed name only
-/// after [`sync_directory`](Disk::sync_directory). Errors are those of the system; what a failed write left
-/// behind is unknown.
+/// A write is durable only after [`sync`](Disk::sync) of its file, and a created, renamed or removed name
+/// only after [`sync_directory`](Disk::sync_directory). Errors are those of the system. The contents of a
+/// file after a failed write are unknown.
 pub trait Disk {
-    /// A file's bytes, the first `max_bytes` of them at most; `None` where there is no file of that name.
+    /// Reads at most the first `max_bytes` bytes of a file; `None` if the file does not exist.
     fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>>;
-    /// Writes bytes at an offset of a file, which is created where it is missing.
+    /// Writes bytes at an offset of a file. Creates the file if it does not exist.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
     /// Sets the length of a file in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Makes all earlier writes to a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, atomically; a file that had this name is gone.
+    /// Renames a file atomically, replacing any file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file; no error where there is none of that name.
+    /// Removes a file. Succeeds if the file does not exist.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes all earlier changes of names durable.
+    /// Makes all earlier changes of file names durable.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A directory of real files, locked by one process at a time.
+/// A directory of real files that only one process at a time can open.
 pub struct Directory {
     path: PathBuf,
-    /// Keeps the advisory lock as long as it lives; the system releases it where the process dies.
+    /// Holds the advisory lock until it is dropped; the system releases the lock if the process dies.
     _lock: File,
-    /// The file that was written last, kept open.
+    /// The file that was written last, kept open for the next write.
     open_file: Option<OpenFile>,
 }
 
@@ -44,10 +44,10 @@
 }
 
 impl Directory {
-    /// Creates the directory where it is missing, and takes its lock.
+    /// Creates the directory if it does not exist, and locks it.
     ///
     /// # Errors
-    /// `WouldBlock` where another process holds the lock; otherwise what the system reports.
+    /// `WouldBlock` if another process holds the lock; otherwise the error of the system.
     pub fn open(path: &Path) -> io::Result<Directory> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,39 +1,40 @@
-//! Why the store could not be opened or written.
+//! Errors of opening and writing the store.
+use crate::format::{MAX_NAME_BYTES, MAX_VALUE_BYTES};
 use std::io;
 
 /// Why the store could not be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk reported an error; what a failed write left behind is unknown.
-    #[error("the disk: {0}")]
+    /// The disk reported an error. The contents of a file after a failed write are unknown.
+    #[error("disk error: {0}")]
     Disk(#[from] io::Error),
-    /// The file is not a log of this store: it is left as it is.
-    #[error("this is no store of hallrelay's")]
+    /// The file is not a log of this store. It is left unchanged.
+    #[error("the file is not a hallrelay store")]
     NotAStore,
-    /// The file is a log of another format, most likely a later one: it is left as it is.
+    /// The log file has another format, most likely a later one. It is left unchanged.
     #[error("the store's format is {found}, wanted {wanted}")]
     Format {
-        /// The format that the file names.
+        /// The format named by the file.
         found: u8,
-        /// The only format that this program reads and writes.
+        /// The only format that this version reads and writes.
         wanted: u8,
     },
-    /// A key's name is over [`MAX_NAME_BYTES`](crate::format::MAX_NAME_BYTES) or a value over
+    /// A key's name is longer than [`MAX_NAME_BYTES`](crate::format::MAX_NAME_BYTES) or a value longer than
     /// [`MAX_VALUE_BYTES`](crate::format::MAX_VALUE_BYTES).
-    #[error("a key or value is over its bound")]
+    #[error("a key has over {MAX_NAME_BYTES} bytes or a value over {MAX_VALUE_BYTES} bytes")]
     EntryTooLarge,
-    /// A batch is over [`MAX_RECORD_BYTES`](crate::format::MAX_RECORD_BYTES).
-    #[error("a batch of {bytes} bytes, {max} at most")]
+    /// A batch is larger than [`MAX_RECORD_BYTES`](crate::format::MAX_RECORD_BYTES).
+    #[error("a batch has {bytes} bytes, at most {max} are allowed")]
     BatchTooLarge {
-        /// Bytes of the batch as a record.
+        /// Size of the batch as the body of a record, in bytes.
         bytes: usize,
-        /// Bytes that a record may have.
+        /// Largest size of a record's body, in bytes.
         max: usize,
     },
     /// The batch does not fit into the store's capacity, even after a compaction.
-    #[error("the store would be over its {capacity} bytes")]
+    #[error("the batch does not fit into the store's capacity of {capacity} bytes")]
     Full {
-        /// Bytes that the log file may have.
+        /// Largest size of the log file, in bytes.
         capacity: u64,
     },
 }
--- a/store/src/faulty_disk.rs
+++ b/store/src/faulty_disk.rs
@@ -1,26 +1,27 @@
-//! A simulated disk for tests, in memory, driven by a seed. Writes are cut short, syncs fail, space runs out;
-//! a power loss may come at any step and loses any subset of the sectors that were not synced, or tears them.
+//! A simulated in-memory disk for tests. Its faults are random but repeatable for a seed: incomplete writes,
+//! failed syncs, lack of space, and a power loss at any operation, which loses or tears any subset of the
+//! sectors that were not synced.
 use crate::disk::Disk;
 use std::collections::BTreeMap;
 use std::io;
 
-/// The bytes that a power loss keeps, loses or tears together.
+/// Unit in which a power loss keeps, loses or tears written bytes.
 const SECTOR_BYTES: usize = 512;
 
-/// How often each fault occurs, per thousand operations.
+/// Frequency of each fault, per thousand operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultRates {
-    /// A write that stores only a part of its bytes and fails.
+    /// A write fails after storing a part of its bytes.
     pub short_write: u32,
-    /// A write that fails for lack of space, with a part of its bytes stored.
+    /// A write fails for lack of space after storing a part of its bytes.
     pub no_space: u32,
-    /// A sync that fails and forgets what it should have written.
+    /// A sync fails and discards the changes that it should have made durable.
     pub sync_failure: u32,
-    /// Any operation that fails without an effect.
+    /// Any operation fails without an effect.
     pub other: u32,
 }
 
-/// A change of a file that is not durable yet.
+/// A change of a file's contents that is not durable yet.
 enum UnsyncedChange {
     Write(UnsyncedWrite),
     Length(u64),
@@ -33,14 +34,14 @@
 
 #[derive(Default)]
 struct File {
-    /// What a power loss leaves at the least.
+    /// Contents that a power loss is certain to keep.
     durable: Vec<u8>,
-    /// What is read.
+    /// Contents that a read returns.
     current: Vec<u8>,
     unsynced: Vec<UnsyncedChange>,
 }
 
-/// A change of names that is not durable yet; files go by their position.
+/// A change of file names that is not durable yet. Files are identified by their index.
 enum NameChange {
     Create { name: String, file: usize },
     Rename { from: String, to: String },
@@ -70,14 +71,14 @@
     durable_names: Names,
     unsynced_names: Vec<NameChange>,
     random: Random,
-    /// How often each fault occurs; never at first.
+    /// Frequency of the faults; initially zero.
     pub rates: FaultRates,
-    /// Operations until the power is lost; `None` for never.
+    /// Number of operations until the power loss; `None` for no power loss.
     pub power_loss_after: Option<u64>,
     operations: u64,
 }
 
-/// Xorshift (Marsaglia 2003), so that the package needs no random number generator.
+/// Xorshift (Marsaglia 2003), which saves the package a dependency on a random number generator.
 struct Random(u64);
 
 impl Random {
@@ -92,7 +93,7 @@
         (self.0 >> 11) % end.max(1)
     }
 
-    /// True `rate` times of a thousand.
+    /// Returns true with a probability of `rate` per thousand.
     fn occurs(&mut self, rate: u32) -> bool {
         self.below(1000) < rate.into()
     }
@@ -107,7 +108,7 @@
     bytes[start..end].copy_from_slice(part);
 }
 
-/// Writes each sector of a write completely, in part or not at all, by chance.
+/// Writes each sector of a write completely, partially or not at all, at random.
 fn write_some_sectors(bytes: &mut Vec<u8>, write: &UnsyncedWrite, random: &mut Random) {
     let mut done = 0;
     while done < write.bytes.len() {
@@ -128,7 +129,8 @@
 }
 
 impl File {
-    /// Applies the changes that were not synced in any order and any subset: a disk writes back as it likes.
+    /// Applies a random subset of the unsynced changes in random order, since disks may write back in any
+    /// order.
     fn lose_power(&mut self, random: &mut Random) {
         let mut bytes = std::mem::take(&mut self.durable);
         let mut changes = std::mem::take(&mut self.unsynced);
@@ -151,7 +153,7 @@
 }
 
 impl FaultyDisk {
-    /// An empty disk without faults.
+    /// Creates an empty disk without faults.
     pub fn new(seed: u64) -> FaultyDisk {
         FaultyDisk {
             files: Vec::new(),
@@ -165,8 +167,8 @@
         }
     }
 
-    /// The disk as it is found after a power loss, without further faults: what was synced, and of the rest
-    /// whatever chance left.
+    /// The disk after a power loss, without further faults. It holds everything that was synced and a random
+    /// part of the rest.
     pub fn after_power_loss(mut self) -> FaultyDisk {
         for file in &mut self.files {
             file.lose_power(&mut self.random);
@@ -183,7 +185,7 @@
         self
     }
 
-    /// The bytes of a file, for tests that damage them; what was not synced is dropped.
+    /// The contents of a file, for tests that damage them. Unsynced changes of the file are discarded.
     pub fn bytes(&mut self, name: &str) -> Option<&mut Vec<u8>> {
         let file = self.names.get(name).and_then(|file| self.files.get_mut(*file))?;
         file.unsynced.clear();
@@ -191,21 +193,21 @@
         Some(&mut file.current)
     }
 
-    /// Operations done so far, failed ones included.
+    /// Number of operations so far, including failed ones.
     pub fn operations(&self) -> u64 {
         self.operations
     }
 
-    /// Counts an operation, and fails it where a fault occurs.
+    /// Counts an operation and makes it fail if a fault occurs.
     fn begin_operation(&mut self) -> io::Result<()> {
         self.operations += 1;
         match &mut self.power_loss_after {
-            Some(0) => return Err(io::Error::other("the power is lost")),
+            Some(0) => return Err(io::Error::other("simulated power loss")),
             Some(left) => *left -= 1,
             None => {}
         }
         if self.random.occurs(self.rates.other) {
-            return Err(io::Error::other("the disk does not answer"));
+            return Err(io::Error::other("simulated disk failure"));
         }
         Ok(())
     }
@@ -266,10 +268,10 @@
         let fails = self.random.occurs(self.rates.sync_failure);
         let file = self.file(name);
         if fails {
-            // As systems do, it forgets what was to be written back: the bytes are read as written until the
-            // power is lost, and are gone then.
+            // Like an operating system, the disk discards the changes after the failed sync. Reads still
+            // return them until the power loss, which removes them.
             file.unsynced.clear();
-            return Err(io::Error::other("a sync failed"));
+            return Err(io::Error::other("simulated failure of a file sync"));
         }
         for change in std::mem::take(&mut file.unsynced) {
             match change {
@@ -302,7 +304,7 @@
     fn sync_directory(&mut self) -> io::Result<()> {
         self.begin_operation()?;
         if self.random.occurs(self.rates.sync_failure) {
-            return Err(io::Error::other("a directory's sync failed"));
+            return Err(io::Error::other("simulated failure of a directory sync"));
         }
         self.unsynced_names.clear();
         self.durable_names = self.names.clone();
--- a/store/src/format.rs
+++ b/store/src/format.rs
@@ -1,36 +1,36 @@
-//! The bytes of a log file: a header, then records, each of which holds a batch of changes. Numbers are
-//! little-endian; `docs/store.md` has the layout. No I/O.
+//! The format of a log file: a header followed by records, each of which contains a batch of changes. Numbers
+//! are little-endian; `docs/store.md` describes the layout. This module does no I/O.
 use crate::error::StoreError;
 
-/// Identifies a value: its kind, whose meaning is the user's, and its name among those of that kind.
+/// Identifies a value by its kind and its name among the values of that kind. The caller defines the kinds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// The kind of the value.
+    /// Kind of the value.
     pub kind: u8,
-    /// The name, [`MAX_NAME_BYTES`] at most.
+    /// Name of the value, at most [`MAX_NAME_BYTES`] long.
     pub name: Vec<u8>,
 }
 
-/// A value, and the version of its encoding, whose meaning is the user's.
+/// A value and the version of its encoding. The caller defines the encoding and its versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// The version of the encoding.
+    /// Version of the encoding.
     pub version: u8,
-    /// The encoded value, [`MAX_VALUE_BYTES`] at most.
+    /// The encoded value, at most [`MAX_VALUE_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
-/// A key's new value, or its removal.
+/// A new value of a key, or the removal of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// What is changed.
+    /// The affected key.
     pub key: Key,
     /// The new value; `None` removes the key.
     pub value: Option<Value>,
 }
 
 impl Change {
-    /// Sets a key's value.
+    /// Sets the value of a key.
     pub fn set(key: Key, value: Value) -> Change {
         Change { key, value: Some(value) }
     }
@@ -40,63 +40,63 @@
         Change { key, value: None }
     }
 
-    /// Whether key and value are within [`MAX_NAME_BYTES`] and [`MAX_VALUE_BYTES`].
+    /// Whether name and value are at most [`MAX_NAME_BYTES`] and [`MAX_VALUE_BYTES`] long.
     pub fn is_within_bounds(&self) -> bool {
         let value_bytes = self.value.as_ref().map_or(0, |value| value.bytes.len());
         self.key.name.len() <= MAX_NAME_BYTES && value_bytes <= MAX_VALUE_BYTES
     }
 }
 
-/// What a log file holds, as recovery found it.
+/// Summary of a log file, as found by recovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSummary {
-    /// Complete records.
+    /// Number of complete records.
     pub records: u64,
-    /// Bytes after the last complete record, which recovery cuts off.
+    /// Number of bytes after the last complete record, which recovery cuts off.
     pub torn_bytes: u64,
-    /// Counted up with each compaction; the first file has 1.
+    /// Number of the file: 1 for the first one, incremented by each compaction.
     pub generation: u64,
 }
 
-/// Bytes that a key's name may have.
+/// Longest name of a key, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Bytes that a value may have.
+/// Longest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Bytes that a record's body, which is a batch, may have.
+/// Longest body of a record, which contains one batch, in bytes.
 pub const MAX_RECORD_BYTES: usize = 4 << 20;
 
 const MAGIC: &[u8; 7] = b"hallrel";
 const FORMAT: u8 = 1;
-/// Magic, format (u8), generation (u64), CRC-32 of these.
+/// Length of the header: magic, format (u8), generation (u64), and the CRC-32 of these.
 pub(crate) const HEADER_BYTES: usize = 7 + 1 + 8 + 4;
-/// Length (u32) and CRC-32 in front of each record's body.
+/// Length of the frame before each record's body: the body's length (u32) and the CRC-32.
 pub(crate) const FRAME_BYTES: usize = 8;
-/// Stands for a removal where the length of the value is expected; no value is as long.
+/// Marks a removal in place of the value's length; no value is this long.
 const REMOVED: u32 = u32::MAX;
 
-/// A record as it stands in the file, with its frame.
+/// The bytes of a record including its frame, and their offset in the file.
 pub(crate) struct RawRecord {
     pub offset: u64,
     pub bytes: Vec<u8>,
 }
 
-/// The complete records of a file.
+/// The complete records of a log file.
 pub(crate) struct LogContents {
     pub generation: u64,
-    /// The changes of all records, in the order of writing.
+    /// The changes of all records in the order of writing.
     pub changes: Vec<Change>,
     pub records: u64,
-    /// Where the last complete record ends.
+    /// Offset of the end of the last complete record.
     pub end: u64,
     pub last_record: Option<RawRecord>,
 }
 
-/// Bytes that a key with a value takes in a batch.
+/// Length of a change that sets a value, in bytes.
 pub(crate) fn encoded_length(key: &Key, value: &Value) -> u64 {
     (1 + 1 + 2 + key.name.len() + 4 + value.bytes.len()) as u64
 }
 
-/// Appends one change to a record's body.
+/// Appends a change to the body of a record.
 pub(crate) fn encode_change(out: &mut Vec<u8>, key: &Key, value: Option<&Value>) {
     out.push(key.kind);
     out.push(value.map_or(0, |value| value.version));
@@ -107,7 +107,7 @@
     out.extend_from_slice(value.map_or(&[], |value| &value.bytes));
 }
 
-/// Takes one change from the front of `bytes`.
+/// Decodes and removes the change at the front of `bytes`.
 fn decode_change(bytes: &mut &[u8]) -> Option<Change> {
     let mut take = |count: usize| -> Option<&[u8]> {
         let (front, rest) = bytes.split_at_checked(count)?;
@@ -126,7 +126,7 @@
     Some(Change { key: Key { kind, name }, value })
 }
 
-/// All changes of a record's body; `None` where any of them is malformed.
+/// Decodes the changes of a record's body; `None` if any of them is malformed.
 fn decode_batch(mut bytes: &[u8]) -> Option<Vec<Change>> {
     let mut changes = Vec::new();
     while !bytes.is_empty() {
@@ -135,8 +135,8 @@
     Some(changes)
 }
 
-/// The checksum of a record. It covers generation and offset, so that the remains of an earlier file in the
-/// same blocks are never taken for a record of this one.
+/// The checksum of a record. Besides the body it covers the body's length, the generation of the file and the
+/// offset of the record, so that the remains of an earlier file are never read as a record of this one.
 fn record_checksum(generation: u64, offset: u64, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&generation.to_le_bytes());
@@ -146,14 +146,14 @@
     hasher.finalize()
 }
 
-/// Appends a record that is to stand at `offset` of the file.
+/// Appends a record that will be written at `offset` of the file.
 pub(crate) fn encode_record(out: &mut Vec<u8>, generation: u64, offset: u64, body: &[u8]) {
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&record_checksum(generation, offset, body).to_le_bytes());
     out.extend_from_slice(body);
 }
 
-/// The header of a file.
+/// Encodes the header of a file.
 pub(crate) fn encode_header(generation: u64) -> Vec<u8> {
     let mut header = MAGIC.to_vec();
     header.push(FORMAT);
@@ -163,13 +163,13 @@
     header
 }
 
-/// The first four bytes as a number.
+/// The little-endian number in the first four bytes.
 fn u32_at_front(bytes: &[u8]) -> u32 {
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// The generation in a header; `None` where the header is incomplete, so that nothing durable ever followed
-/// it.
+/// The generation in a header; `None` if the header is incomplete. A file whose header is incomplete never
+/// held anything that was promised as durable.
 fn decode_header(bytes: &[u8]) -> Result<Option<u64>, StoreError> {
     let Some((header, _)) = bytes.split_at_checked(HEADER_BYTES) else { return Ok(None) };
     let (covered, checksum) = header.split_at(HEADER_BYTES - 4);
@@ -185,7 +185,7 @@
     Ok(Some(u64::from_le_bytes(covered[8..16].try_into().unwrap_or_default())))
 }
 
-/// The complete records of a file's bytes, up to the first one that is not; `None` where the header is
+/// Decodes the records of a file up to the first incomplete or damaged one; `None` if the header is
 /// incomplete.
 ///
 /// # Errors
@@ -221,15 +221,15 @@
     Ok(Some(log))
 }
 
-/// The contents of a log file, for tools.
+/// Contents of a log file for diagnostic tools.
 pub struct Inspection {
-    /// What recovery would find.
+    /// Summary that recovery would give.
     pub summary: LogSummary,
-    /// The changes of all complete records, in the order of writing.
+    /// The changes of all complete records in the order of writing.
     pub changes: Vec<Change>,
 }
 
-/// Reads a log file's bytes without changing anything.
+/// Decodes the bytes of a log file without changing the file.
 ///
 /// # Errors
 /// [`StoreError::NotAStore`] and [`StoreError::Format`].
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,12 +1,13 @@
-//! A small write-ahead log for what a relay must remember across restarts.
+//! A small write-ahead log for the state that a relay must keep across restarts.
 //!
-//! All values are held in memory, by key; each change is appended to one log file. A compaction writes the
-//! values that are still held to a second file and renames that over the first.
+//! All values are held in memory by key, and each change is appended to one log file. A compaction writes the
+//! current values to a second file and renames it to the log file.
 //!
-//! Each record of the log carries a checksum. Recovery reads from the front and stops at the first record
-//! that is cut short or does not match its checksum. A batch of changes is one record, so it is applied
-//! completely or not at all. What [`Store::commit`] has returned for survives a power loss; a batch that
-//! failed may survive, completely. `docs/store.md` describes the bytes.
+//! Each record of the log has a checksum. Recovery reads from the start of the file and stops at the first
+//! record that is truncated or does not match its checksum. A batch of changes is one record, so that it is
+//! applied completely or not at all. A batch survives a power loss once [`Store::commit`] has returned
+//! successfully. A batch whose commit failed may survive too, but only completely. `docs/store.md` describes
+//! the format.
 #![deny(missing_docs)]
 
 pub mod disk;
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -1,4 +1,4 @@
-//! The store: opening and recovery, committing batches, compaction.
+//! The store: opening and recovery, committing batches, and compaction.
 use crate::disk::Disk;
 use crate::error::StoreError;
 use crate::format::{
@@ -7,24 +7,25 @@
 };
 use std::collections::BTreeMap;
 
-/// The name of the log file.
+/// Name of the log file.
 pub const LOG_FILE: &str = "log";
-/// The name of the file that a compaction writes and then renames to [`LOG_FILE`].
+/// Name of the file that a compaction writes before renaming it to [`LOG_FILE`].
 pub const NEXT_LOG_FILE: &str = "log.next";
 
-/// The log is compacted once it is twice as long as what it holds and longer than this, in bytes.
+/// The log is compacted when it is longer than this and more than twice as long as its current values.
 const COMPACTION_MIN_BYTES: u64 = 64 << 10;
-/// The least capacity of a store, in bytes.
+/// Smallest capacity of a store, in bytes.
 const MIN_CAPACITY: u64 = 4 * COMPACTION_MIN_BYTES;
-/// A compaction writes records and chunks of about this many bytes.
+/// Size of the records and writes of a compaction, in bytes: as much as is read at once. A record of this
+/// size holds about a thousand values, so that the cost of its frame is negligible.
 const COMPACTION_CHUNK_BYTES: usize = 64 << 10;
 
-/// The sizes of a store.
+/// Sizes of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreSize {
-    /// Bytes of the log file.
+    /// Length of the log file, in bytes.
     pub file_bytes: u64,
-    /// Bytes that the held values would take, one record each.
+    /// Length of the current values in bytes, if each had its own record.
     pub live_bytes: u64,
 }
 
@@ -33,31 +34,32 @@
     disk: D,
     index: BTreeMap<Key, Value>,
     generation: u64,
-    /// The offset of the next record; all before it is complete.
+    /// Offset of the next record. All bytes before it belong to complete records.
     end: u64,
     live_bytes: u64,
-    /// Bytes that the file may have.
+    /// Largest length of the log file, in bytes.
     capacity: u64,
-    /// A write failed, so it is unknown what stands behind `end`: it is cut off before the next write.
+    /// Whether the contents after `end` are unknown, because a write failed or recovery found an incomplete
+    /// record. The file is then cut at `end` before the next write.
     tail_uncertain: bool,
-    /// The file's name may not be durable yet: nothing is promised before the directory was synced.
+    /// Whether the file's name may not be durable yet. No commit succeeds before the directory is synced.
     name_unsynced: bool,
-    /// The last record of an earlier process, until it was written and synced once more.
+    /// The last record of an earlier process, until it has been written and synced again.
     unsynced_record: Option<RawRecord>,
     summary: LogSummary,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens a store, or creates an empty one. An incomplete record at the end of the file is cut off.
+    /// Opens a store or creates an empty one. An incomplete record at the end of the file is cut off.
     ///
-    /// `capacity` is the bytes that the file may have, 256 KiB at least.
+    /// `capacity` is the largest length of the log file in bytes; it is raised to 256 KiB if it is smaller.
     ///
     /// # Errors
-    /// [`StoreError::NotAStore`] and [`StoreError::Format`], where the file is left as it is;
+    /// [`StoreError::NotAStore`] and [`StoreError::Format`], which leave the file unchanged;
     /// [`StoreError::Disk`].
     pub fn open(mut disk: D, capacity: u64) -> Result<Store<D>, StoreError> {
         let capacity = capacity.max(MIN_CAPACITY);
-        // Left by a compaction that was not finished; the log still holds everything.
+        // An unfinished compaction may have left this file. The log still holds all values.
         _ = disk.remove(NEXT_LOG_FILE);
         let bytes = disk.read(LOG_FILE, capacity.saturating_mul(2))?;
         let file_bytes = bytes.as_ref().map_or(0, |bytes| bytes.len() as u64);
@@ -70,7 +72,7 @@
         match log {
             Some(log) => store.recover(log, file_bytes),
             None => {
-                // The header is durable before anything is promised, as in a compaction.
+                // As in a compaction, the header must be durable before any commit succeeds.
                 store.summary.torn_bytes = file_bytes;
                 store.rewrite(1)?;
                 store.summary.generation = 1;
@@ -100,16 +102,16 @@
         self.generation = log.generation;
         self.end = log.end;
         log.changes.into_iter().for_each(|change| self.apply(change));
-        // What the earlier process wrote last, and the file's name, may be in the system's memory alone. A
-        // sync that succeeds now does not prove otherwise: after one that failed the system counts its pages
-        // as written. So both are written anew before anything is promised.
+        // The last record of an earlier process and the file's name may exist only in the system's memory. A
+        // successful sync would not prove that they are durable, because after a failed sync the system
+        // considers its pages written. Both are therefore written again before any commit succeeds.
         self.tail_uncertain = torn_bytes > 0;
         self.unsynced_record = log.last_record;
-        // Where this fails, the next commit does it.
+        // If this fails, the next commit repeats it.
         _ = self.repair();
     }
 
-    /// What recovery found in the file.
+    /// Summary of the log file as found by recovery.
     pub fn summary(&self) -> LogSummary {
         self.summary
     }
@@ -119,12 +121,12 @@
         self.index.get(key)
     }
 
-    /// All values, in the order of their keys.
+    /// All values in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Value)> {
         self.index.iter()
     }
 
-    /// The sizes of the store.
+    /// Current sizes of the store.
     pub fn size(&self) -> StoreSize {
         StoreSize { file_bytes: self.end, live_bytes: self.live_bytes }
     }
@@ -141,11 +143,11 @@
         }
     }
 
-    /// Writes a batch as one record and returns once it is durable.
+    /// Writes a batch as one record. The batch is durable when this returns successfully.
     ///
     /// # Errors
-    /// After any error the store holds what it held before, and the next commit begins by cutting off what
-    /// the failed one may have left in the file.
+    /// After any error the store holds the same values as before. The next commit first cuts off what the
+    /// failed one may have left in the file.
     pub fn commit(&mut self, batch: Vec<Change>) -> Result<(), StoreError> {
         if batch.is_empty() {
             return Ok(());
@@ -163,13 +165,13 @@
         self.end += record_bytes;
         batch.into_iter().for_each(|change| self.apply(change));
         if self.end > COMPACTION_MIN_BYTES && self.end > 2 * (self.live_bytes + HEADER_BYTES as u64) {
-            // The batch is durable; a compaction that fails leaves the log as it is.
+            // The batch is durable. A failed compaction leaves the log unchanged.
             _ = self.compact();
         }
         Ok(())
     }
 
-    /// Makes sure that a record fits into the capacity, by a compaction where it must.
+    /// Makes sure that a record fits into the capacity, with a compaction if necessary.
     fn reserve(&mut self, record_bytes: u64) -> Result<(), StoreError> {
         if self.end + record_bytes <= self.capacity {
             return Ok(());
@@ -181,8 +183,8 @@
         Ok(())
     }
 
-    /// Makes the file's name and its last record durable, and cuts off what a failed write may have left: a
-    /// record that was never promised must not reappear behind the next one.
+    /// Makes the file's name and its last record durable, and cuts off the bytes that a failed write may have
+    /// left. Otherwise a record whose commit failed could reappear after the next record.
     fn repair(&mut self) -> Result<(), StoreError> {
         if self.name_unsynced {
             self.disk.sync_directory()?;
@@ -200,10 +202,10 @@
         Ok(())
     }
 
-    /// Writes all held values to a new file and renames it over the log.
+    /// Writes all current values to a new file and renames it to the log file.
     ///
     /// # Errors
-    /// [`StoreError::Disk`]; all values are still there.
+    /// [`StoreError::Disk`]; the store keeps all values.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         self.rewrite(self.generation + 1)
     }
@@ -213,8 +215,8 @@
         let file_bytes = self.write_next_log(generation)?;
         self.disk.sync(NEXT_LOG_FILE)?;
         self.disk.rename(NEXT_LOG_FILE, LOG_FILE)?;
-        // Both files hold the same values, so either name after a power loss is right. Nothing is promised on
-        // the new file before its name is durable.
+        // Both files hold the same values, so that either may have the name after a power loss. No commit to
+        // the new file succeeds before its name is durable.
         self.generation = generation;
         self.end = file_bytes;
         self.tail_uncertain = false;
@@ -223,7 +225,7 @@
         self.repair()
     }
 
-    /// Writes all held values to [`NEXT_LOG_FILE`]; the bytes written.
+    /// Writes all current values to [`NEXT_LOG_FILE`] and returns the length of the file.
     fn write_next_log(&mut self, generation: u64) -> Result<u64, StoreError> {
         let mut chunk = encode_header(generation);
         let mut chunk_offset = 0u64;
@@ -246,13 +248,13 @@
         Ok(chunk_offset + chunk.len() as u64)
     }
 
-    /// The disk, for tests that simulate a power loss.
+    /// Returns the disk, for tests that simulate a power loss.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// A batch as the body of a record.
+/// Encodes a batch as the body of a record.
 fn encode_batch(batch: &[Change]) -> Result<Vec<u8>, StoreError> {
     let mut body = Vec::new();
     for change in batch {
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -1,7 +1,7 @@
-//! A thread that writes to a [`Store`], so that whoever has something to store never waits for the disk.
+//! A thread that writes to a [`Store`], so that its callers never wait for the disk.
 //!
-//! Of each key only the latest change is queued. A write that fails is retried with a backoff, together with
-//! what was queued meanwhile.
+//! Only the latest change of each key is queued. A failed write is retried after a backoff, together with the
+//! changes queued in the meantime.
 use crate::disk::Disk;
 use crate::error::StoreError;
 use crate::format::{Change, Key, Value};
@@ -12,29 +12,29 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Keys that may be queued; a change of one more is rejected.
+/// Largest number of queued keys. Changes of further keys are rejected.
 const MAX_QUEUED_KEYS: usize = 65_536;
-/// The pause after a failed write; it doubles with each further failure in a row.
+/// Delay after a failed write. It doubles with each further failure in a row.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
-/// The longest pause after a failed write.
+/// Longest delay after a failed write.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// A queue is written in batches of about this many bytes, well under the bound of a record.
+/// Approximate size of the batches in which a queue is written, well below the largest size of a record.
 const BATCH_BYTES: usize = 1 << 20;
 
-/// How the writing goes.
+/// State and counters of the writer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriterHealth {
     /// All changes up to this ticket are durable.
     pub durable_ticket: u64,
-    /// Why the last write failed; `None` where it succeeded.
+    /// Error of the last write; `None` if it succeeded.
     pub last_error: Option<String>,
-    /// Queues written.
+    /// Number of successfully written queues.
     pub batches: u64,
-    /// Writes that failed.
+    /// Number of failed writes.
     pub failures: u64,
-    /// Changes that were rejected.
+    /// Number of rejected changes.
     pub rejected: u64,
-    /// Bytes of the log file.
+    /// Length of the log file, in bytes.
     pub file_bytes: u64,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Default)]
 struct Shared {
     queue: Queue,
-    /// The ticket of the latest change that was queued.
+    /// Ticket of the latest queued change.
     last_ticket: u64,
     stopping: bool,
     health: WriterHealth,
@@ -52,48 +52,48 @@
 #[derive(Default)]
 struct Channel {
     shared: Mutex<Shared>,
-    /// Notified as something is queued, and as the writer is to stop.
+    /// Notified when a change is queued and when the writer must stop.
     wake: Condvar,
 }
 
 impl Channel {
     fn lock(&self) -> MutexGuard<'_, Shared> {
-        // No code panics while it holds the lock, so the data is consistent even if it was poisoned.
+        // No code panics while it holds the lock, so that the data is consistent even if the lock was
+        // poisoned.
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The handle of the writing thread. Dropping it writes what is queued, with one attempt, and ends the
-/// thread.
+/// Handle of the writer thread. Dropping it writes the queue with a single attempt and then ends the thread.
 pub struct Writer {
     channel: Arc<Channel>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts the thread. `on_write` is called on it after each write, successful or failed.
+    /// Starts the thread. The thread calls `on_write` after each write, whether it succeeded or failed.
     ///
     /// # Errors
-    /// Where the system gives no thread.
+    /// The system could not create the thread.
     pub fn start<D, F>(store: Store<D>, on_write: F) -> io::Result<Writer>
     where
         D: Disk + Send + 'static,
         F: FnMut(&WriterHealth) + Send + 'static,
     {
         let channel = Arc::new(Channel::default());
-        let of_thread = channel.clone();
+        let thread_channel = channel.clone();
         let thread = std::thread::Builder::new()
             .name("store".to_string())
-            .spawn(move || run(store, &of_thread, on_write))?;
+            .spawn(move || run(store, &thread_channel, on_write))?;
         Ok(Writer { channel, thread: Some(thread) })
     }
 
-    /// Queues a change. Returns its ticket, which [`WriterHealth::durable_ticket`] reaches once it is
-    /// durable; `None` where it was rejected: it is over its bounds, or too many keys are queued.
+    /// Queues a change and returns its ticket. The change is durable once [`WriterHealth::durable_ticket`]
+    /// reaches the ticket. Returns `None` if the change is too large or too many keys are queued.
     pub fn submit(&self, change: Change) -> Option<u64> {
         let mut shared = self.channel.lock();
         let is_full = shared.queue.len() >= MAX_QUEUED_KEYS && !shared.queue.contains_key(&change.key);
-        // A change that can never be written would hold up all others.
+        // A change that can never be written would block all others.
         if !change.is_within_bounds() || is_full {
             shared.health.rejected += 1;
             return None;
@@ -104,7 +104,7 @@
         Some(shared.last_ticket)
     }
 
-    /// How the writing goes at this moment.
+    /// Current state and counters of the writer.
     pub fn health(&self) -> WriterHealth {
         self.channel.lock().health.clone()
     }
@@ -120,12 +120,12 @@
     }
 }
 
-/// What the thread writes next.
+/// The next queue to write.
 struct Work {
     queue: Queue,
-    /// The ticket of the latest change in the queue.
+    /// Ticket of the latest change in the queue.
     ticket: u64,
-    /// Whether this is the last write.
+    /// Whether this is the last write before the thread ends.
     is_last: bool,
 }
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// Waits until something is queued or the writer is to stop, and for the backoff after a failure.
+/// Waits until a change is queued or the writer must stop, and after a failure also for the backoff.
 fn next_work(channel: &Channel, backoff: Duration) -> Work {
     let mut shared = channel.lock();
     while shared.queue.is_empty() && !shared.stopping {
@@ -162,7 +162,7 @@
     Work { queue: std::mem::take(&mut shared.queue), ticket: shared.last_ticket, is_last: shared.stopping }
 }
 
-/// Takes the result of a write into the health; what was not written is queued again.
+/// Records the result of a write. After a failure the changes are queued again.
 fn record_result(
     channel: &Channel,
     work: Work,
@@ -180,7 +180,7 @@
         Err(error) => {
             shared.health.failures += 1;
             shared.health.last_error = Some(error.to_string());
-            // A change that was queued meanwhile is newer.
+            // A change that was queued in the meantime is newer.
             for (key, value) in work.queue {
                 shared.queue.entry(key).or_insert(value);
             }
@@ -189,7 +189,7 @@
     shared.health.clone()
 }
 
-/// Writes a queue in as many batches as its size demands.
+/// Writes a queue in batches of about [`BATCH_BYTES`].
 fn write_queue<D: Disk>(store: &mut Store<D>, queue: &Queue) -> Result<(), StoreError> {
     let mut batch = Vec::new();
     let mut batch_bytes = 0;
