--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a starting relay takes over from before: the records of its state directory ([`record`], [`stored`]),
-//! how far each kind of record is trusted against the configuration ([`recover`](mod@recover)), and how a
-//! relay's recovery is reported ([`phase`]). No file, no clock; `docs/recovery.md`.
+//! Recovery of a relay's state at its start: the records of its state directory ([`record`], [`stored`]), how
+//! they are weighed against the configuration ([`recover`](mod@recover)), and how the progress of a recovery
+//! is reported ([`phase`]). The package accesses no file and no clock; see `docs/recovery.md`.
 #![deny(missing_docs)]
 
 pub mod phase;
--- a/recovery/src/phase.rs
+++ b/recovery/src/phase.rs
@@ -1,35 +1,35 @@
-//! How far a relay's recovery is, for operators. Nothing is decided by it.
+//! The phase of a relay's recovery, for operators. No decision depends on it.
 
-/// What a relay knows of itself and its servers at this moment.
+/// What a relay currently knows about itself and its servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PhaseInput {
-    /// Servers that sessions can be placed on.
+    /// Number of servers on which sessions can be placed.
     pub servers: usize,
-    /// Those of them that are in slow start.
+    /// Number of these servers that are in slow start.
     pub servers_in_slow_start: usize,
-    /// Whether discovery has answered since the start.
+    /// Whether discovery has answered since the start of the relay.
     pub discovery_contacted: bool,
-    /// Whether another relay's endpoint list was used since the start.
+    /// Whether the endpoint list of another relay has been used since the start.
     pub list_from_peer: bool,
 }
 
-/// How far a relay's recovery is.
+/// The phase of a relay's recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryPhase {
-    /// It knows no server to place a session on: all sessions are rejected.
+    /// The relay knows no server for sessions and rejects all sessions.
     NoServers,
-    /// It goes by its store or its configuration.
+    /// The relay uses the servers of its store or its configuration.
     FromStore,
-    /// It goes by another relay's endpoint list.
+    /// The relay uses the endpoint list of another relay.
     FromPeer,
-    /// Most servers are in slow start.
+    /// More than half of the servers are in slow start.
     SlowStart,
-    /// Discovery has answered, and most servers are warm.
+    /// Discovery has answered, and at most half of the servers are in slow start.
     Complete,
 }
 
 impl RecoveryPhase {
-    /// The phase by what is known; the first condition that holds decides.
+    /// Determines the phase. The first condition that holds decides.
     pub fn of(input: &PhaseInput) -> RecoveryPhase {
         if input.servers == 0 {
             RecoveryPhase::NoServers
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The word in `/v1/fleet` and `hallrelay fleet status`.
+    /// The word for this phase in `/v1/fleet` and `hallrelay fleet status`.
     pub fn label(self) -> &'static str {
         match self {
             RecoveryPhase::NoServers => "dark",
--- a/recovery/src/record.rs
+++ b/recovery/src/record.rs
@@ -1,5 +1,5 @@
-//! The kinds of records in a relay's state directory, and the encoding of each. JSON keys and the order of
-//! fields in postcard are the stored form: they outlive the names here.
+//! The kinds of records in a relay's state directory and their encodings. The JSON keys and the order of
+//! postcard fields are the stored format. They stay the same when a name in this module changes.
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::list::{self, Instance};
 use hallrelay_raft::{Entry, Snapshot, Voter};
@@ -7,33 +7,32 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The version of the records' encodings. It is counted up with each change that an older program would
-/// misread.
+/// Version of the encodings, to be raised with each change that an earlier program would misread.
 pub const VERSION: u8 = 1;
 
-/// Kinds of records; the number is the kind of their keys in the store.
+/// Kinds of records. The number of a kind is the kind of its keys in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordKind {
-    /// Which relay the store belongs to, and its start number.
+    /// The relay to which the store belongs, and its start number.
     RelayIdentity = 1,
     /// The source and the version of the endpoint list.
     ListVersion = 2,
-    /// One server as the list had it last, by its name; draining and removed ones included.
+    /// One server as last listed, by its name. Draining and removed servers are included.
     Server = 3,
-    /// The slot that this relay used last at a server in slow start, by the server's name.
+    /// The slot that this relay last used at a server in slow start, by the server's name.
     SlowStartSlot = 4,
     /// A voter's incarnation, current term and vote.
     Vote = 5,
     /// An entry of the replicated log, by its index.
     LogEntry = 6,
-    /// The snapshot that stands for the entries before those.
+    /// The snapshot that replaces the earlier entries of the replicated log.
     Snapshot = 7,
     /// Backends that the replicated log excludes.
     Exclusions = 8,
 }
 
 impl RecordKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds in the order of their numbers.
     pub const ALL: [RecordKind; 8] = [
         RecordKind::RelayIdentity,
         RecordKind::ListVersion,
@@ -45,17 +44,17 @@
         RecordKind::Exclusions,
     ];
 
-    /// The kind of a number; `None` where there is no such kind.
+    /// The kind with a number; `None` if there is none.
     pub fn from_number(number: u8) -> Option<RecordKind> {
         RecordKind::ALL.into_iter().find(|kind| kind.number() == number)
     }
 
-    /// The number in the store.
+    /// The number of this kind in the store.
     pub fn number(self) -> u8 {
         self as u8
     }
 
-    /// The kind in the output of `hallrelay store`.
+    /// The word for this kind in the output of `hallrelay store`.
     pub fn label(self) -> &'static str {
         match self {
             RecordKind::RelayIdentity => "own",
@@ -70,46 +69,46 @@
     }
 }
 
-/// The content of a [`RecordKind::RelayIdentity`].
+/// Content of a [`RecordKind::RelayIdentity`] record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayIdentity {
-    /// The relay's name.
+    /// Name of the relay.
     pub name: String,
-    /// Its start number, which rises with each start.
+    /// Start number of the relay, which rises with each start.
     #[serde(rename = "start")]
     pub start_number: u64,
-    /// When this was written, by the system's clock.
+    /// Time of writing by the system clock.
     #[serde(rename = "wall")]
     pub written_at: Micros,
 }
 
-/// The content of a [`RecordKind::ListVersion`].
+/// Content of a [`RecordKind::ListVersion`] record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// The address that the list came from. Versions of different sources can't be compared.
+    /// Address from which the list was received. Versions of different sources cannot be compared.
     pub source: String,
-    /// The version of the list.
+    /// Version of the list.
     pub generation: u64,
 }
 
-/// The content of a [`RecordKind::Server`].
+/// Content of a [`RecordKind::Server`] record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ServerContent {
     pub generation: u64,
     #[serde(rename = "wall")]
     pub written_at: Micros,
-    /// In the form of discovery's list.
+    /// The server in the format of discovery's list.
     pub instance: Value,
 }
 
-/// The content of a [`RecordKind::SlowStartSlot`].
+/// Content of a [`RecordKind::SlowStartSlot`] record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SlowStartContent {
     #[serde(rename = "wall")]
     pub used_at: Micros,
 }
 
-/// The content of a [`RecordKind::Vote`].
+/// Content of a [`RecordKind::Vote`] record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VoteContent {
     pub incarnation: u64,
@@ -117,20 +116,21 @@
     pub vote: Option<Voter>,
 }
 
-/// One record as it is stored.
+/// A stored record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Its kind.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// Its name among those of its kind; empty where there is only one.
+    /// Name of the record within its kind; empty if the kind has only one record.
     pub name: String,
-    /// Its content, encoded; `None` removes it from the store.
+    /// The encoded content; `None` removes the record from the store.
     pub bytes: Option<Vec<u8>>,
 }
 
 impl Record {
     fn json(kind: RecordKind, name: &str, content: &impl Serialize) -> Record {
-        // Numbers, texts, and JSON that was parsed before: encoding can't fail.
+        // Encoding cannot fail: the content consists of numbers, strings, and JSON values that were parsed
+        // before.
         Record { kind, name: name.to_string(), bytes: serde_json::to_vec(content).ok() }
     }
 
@@ -138,7 +138,7 @@
         Record { kind, name, bytes: postcard::to_stdvec(content).ok() }
     }
 
-    /// Which relay the store belongs to. `written_at` is by the system's clock.
+    /// The relay to which the store belongs. `written_at` is a time of the system clock.
     pub fn relay_identity(name: &str, start_number: u64, written_at: Micros) -> Record {
         let identity = RelayIdentity { name: name.to_string(), start_number, written_at };
         Record::json(RecordKind::RelayIdentity, "", &identity)
@@ -150,19 +150,19 @@
         Record::json(RecordKind::ListVersion, "", &version)
     }
 
-    /// A server as a version of the list has it. `written_at` is by the system's clock.
+    /// A server from a version of the endpoint list. `written_at` is a time of the system clock.
     pub fn server(generation: u64, written_at: Micros, instance: &Instance) -> Record {
         let list = list::encode(generation, true, std::iter::once(instance));
         let content = ServerContent { generation, written_at, instance: list["instances"][0].clone() };
         Record::json(RecordKind::Server, &instance.id, &content)
     }
 
-    /// A used slot at a server in slow start. `used_at` is by the system's clock.
+    /// A used slot at a server in slow start. `used_at` is a time of the system clock.
     pub fn slow_start_slot(server: &str, used_at: Micros) -> Record {
         Record::json(RecordKind::SlowStartSlot, server, &SlowStartContent { used_at })
     }
 
-    /// A voter's term and vote. `incarnation` is that of its disk.
+    /// A voter's term and vote. `incarnation` is the one stored on the voter's disk.
     pub fn vote(incarnation: u64, term: u64, vote: Option<Voter>) -> Record {
         let content = VoteContent { incarnation, term, vote };
         Record::postcard(RecordKind::Vote, String::new(), &content)
@@ -173,7 +173,7 @@
         Record::postcard(RecordKind::LogEntry, log_entry_name(entry.index), entry)
     }
 
-    /// Removes the entry of an index.
+    /// Removes the log entry with an index.
     pub fn log_entry_removed(index: u64) -> Record {
         Record::removed(RecordKind::LogEntry, &log_entry_name(index))
     }
@@ -183,7 +183,7 @@
         Record::postcard(RecordKind::Snapshot, String::new(), snapshot)
     }
 
-    /// Backends that the replicated log excludes as of an entry.
+    /// Backends that the replicated log excludes after the entry `log_index`.
     pub fn exclusions(log_index: u64, backends: &BTreeSet<String>) -> Record {
         Record::json(RecordKind::Exclusions, "", &(log_index, backends))
     }
@@ -194,7 +194,7 @@
     }
 }
 
-/// The name of an entry's record, of fixed length, so that the order of names is that of indexes.
+/// The name of a log entry's record. Its fixed length makes the order of names the order of indexes.
 pub(crate) fn log_entry_name(index: u64) -> String {
     format!("{index:020}")
 }
--- a/recovery/src/recover.rs
+++ b/recovery/src/recover.rs
@@ -1,87 +1,88 @@
-//! What a starting relay takes over of its store: how old each kind of record may be, and which source
-//! outranks which where two disagree. Times are microseconds of the system's clock.
+//! What a starting relay uses from its store: how old each kind of record may be, and which source takes
+//! precedence when two disagree. Times are microseconds of the system clock.
 use crate::record::{log_entry_name, RecordKind};
 use crate::stored::{StoredServer, StoredState};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{Instance, List};
 
-/// A removed server is remembered this long: by then it is missing from every list.
+/// Longest age of a removed server's record. By then the server is missing from every list.
 const SERVER_MAX_AGE: Micros = 7 * 86_400_000_000;
 
-/// A slot at a server in slow start that this relay has used already.
+/// A slot at a server in slow start that this relay has already used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlowStartSlot {
-    /// The server's name in the list.
+    /// Name of the server in the list.
     pub server: String,
-    /// How long ago it was used, in microseconds.
+    /// Time since the slot was used, in microseconds.
     pub age: Micros,
 }
 
-/// What decides about a recovery.
+/// Inputs of a recovery.
 pub struct RecoverInput<'a> {
-    /// The system's clock.
+    /// Current time of the system clock.
     pub now: Micros,
-    /// The relay's name.
+    /// Name of the relay.
     pub relay_name: &'a str,
-    /// Where the relay asks for the endpoint list, as stored in list versions.
+    /// Address from which the relay requests the endpoint list, in the form used by stored list versions.
     pub discovery: &'a str,
-    /// How long a server's slow start takes, in microseconds.
+    /// Duration of a server's slow start, in microseconds.
     pub slow_start: Micros,
-    /// The endpoint list of the configuration.
+    /// Endpoint list of the configuration.
     pub configured: &'a List,
-    /// What the store held.
+    /// The decoded records of the store.
     pub stored: &'a StoredState,
 }
 
-/// A server that the list no longer has.
+/// A server that is no longer in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RemovedServer {
-    /// Its name in the list.
+    /// Name of the server in the list.
     pub name: String,
-    /// When it had started, in Unix microseconds.
+    /// Start time of the server, in microseconds of Unix time.
     pub started_at: Micros,
 }
 
-/// A record that is to be removed from the store.
+/// A record to be removed from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObsoleteRecord {
-    /// Its kind.
+    /// Kind of the record.
     pub kind: RecordKind,
-    /// Its name.
+    /// Name of the record.
     pub name: String,
 }
 
-/// What a relay begins with.
+/// The state with which a relay starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// The complete endpoint list. Servers that were draining or removed are so in it.
+    /// The complete endpoint list, including the stored draining or removed state of its servers.
     pub list: List,
-    /// Slots at servers in slow start that are used already.
+    /// Slots at servers in slow start that are already used.
     pub slow_start_slots: Vec<SlowStartSlot>,
-    /// The relay's start number is at least this.
+    /// Smallest start number that the relay may use.
     pub min_start_number: u64,
     /// Records that are no longer needed.
     pub obsolete: Vec<ObsoleteRecord>,
-    /// Servers of the list that are not stored yet.
+    /// Servers of the list that are not in the store yet.
     pub unstored: Vec<Instance>,
     /// Servers that were removed from the list.
     pub removed: Vec<RemovedServer>,
-    /// Lines for the log.
+    /// Messages for the log.
     pub messages: Vec<String>,
 }
 
-/// What a relay begins with.
+/// Determines the state with which a relay starts.
 ///
-/// Another relay's store is not used. Of two lists from one source the later version holds; versions of
-/// different sources can't be compared, so there the configuration's list holds. A server that was draining
-/// or removed stays so until a later version of the same list says otherwise, or until it has restarted.
+/// A store of another relay is not used. Of two lists from the same source, the later version takes
+/// precedence. Versions of different sources cannot be compared, so that the configured list takes precedence
+/// over a stored one of another source. A server that was draining or removed keeps that state until a later
+/// version of the same list changes it or the server has restarted.
 pub fn recover(input: &RecoverInput) -> Recovered {
     let list = List { is_complete: true, ..input.configured.clone() };
     let recovery = Recovery { input, recovered: Recovered { list, ..Recovered::default() } };
     if input.stored.relay_name.as_deref() != Some(input.relay_name) {
-        return recovery.with_foreign_store();
+        return recovery.discard_foreign_store();
     }
-    recovery.with_own_store()
+    recovery.recover_own_store()
 }
 
 struct Recovery<'a> {
@@ -90,11 +91,12 @@
 }
 
 impl<'a> Recovery<'a> {
-    /// The store is new, or another relay's: nothing of it is used, now or at the next start.
-    fn with_foreign_store(mut self) -> Recovered {
+    /// Discards the records of a store that is new or belongs to another relay, so that no later start uses
+    /// them.
+    fn discard_foreign_store(mut self) -> Recovered {
         let stored = self.input.stored;
         if let Some(owner) = &stored.relay_name {
-            self.log(format!("the store is relay {owner}'s: nothing of it is used"));
+            self.log(format!("the store belongs to relay {owner}; its records are ignored"));
         }
         for name in stored.servers.keys() {
             self.discard(RecordKind::Server, name);
@@ -102,9 +104,9 @@
         for name in stored.slow_start_slots.keys() {
             self.discard(RecordKind::SlowStartSlot, name);
         }
-        let singles =
+        let unnamed_kinds =
             [RecordKind::ListVersion, RecordKind::Vote, RecordKind::Snapshot, RecordKind::Exclusions];
-        for kind in singles {
+        for kind in unnamed_kinds {
             self.discard(kind, "");
         }
         for entry in &stored.raft.entries {
@@ -114,9 +116,9 @@
         self.recovered
     }
 
-    fn with_own_store(mut self) -> Recovered {
+    fn recover_own_store(mut self) -> Recovered {
         let stored = self.input.stored;
-        // It rises whatever the clock says.
+        // The start number must rise even if the clock has gone back.
         self.recovered.min_start_number = stored.start_number + 1;
         let servers: Vec<&StoredServer> =
             stored.servers.values().filter(|server| self.is_server_trusted(server)).collect();
@@ -134,10 +136,10 @@
         self.apply_stored_phases(&servers);
         self.recover_slow_start_slots();
         if self.age(stored.last_written_at).is_none() {
-            self.log("the clock is before the last write to the store: ages are unknown".to_string());
+            self.log("the clock is before the last write to the store; ages are unknown".to_string());
         }
         if stored.unreadable > 0 {
-            self.log(format!("{} records of the store are not understood", stored.unreadable));
+            self.log(format!("{} records of the store cannot be decoded and are ignored", stored.unreadable));
         }
         self.recovered
     }
@@ -150,8 +152,8 @@
         self.recovered.obsolete.push(ObsoleteRecord { kind, name: name.to_string() });
     }
 
-    /// How long ago something was written; `None` where the clock can't be trusted: the time is in the
-    /// future, or the clock is before the last write.
+    /// Time since a record was written. `None` if the clock cannot be trusted: it is before the time of
+    /// writing or before the last write to the store.
     fn age(&self, written_at: Micros) -> Option<Micros> {
         if self.input.now < self.input.stored.last_written_at {
             return None;
@@ -159,20 +161,20 @@
         self.input.now.checked_sub(written_at)
     }
 
-    /// How old a record may be; `None` where there is no bound. `docs/recovery.md` has the reasons.
+    /// Longest age of a record; `None` if it is unlimited. `docs/recovery.md` gives the reasons.
     fn max_age(&self, kind: RecordKind) -> Option<Micros> {
         match kind {
             RecordKind::Server => Some(SERVER_MAX_AGE),
-            // A slot matters while the server is in slow start.
+            // The slot matters only while the server is in slow start.
             RecordKind::SlowStartSlot => Some(self.input.slow_start),
-            // Raft: term, vote, log and snapshot survive any restart.
+            // Raft requires that term, vote, log and snapshot survive every restart.
             RecordKind::Vote | RecordKind::LogEntry | RecordKind::Snapshot => None,
             RecordKind::RelayIdentity | RecordKind::ListVersion | RecordKind::Exclusions => None,
         }
     }
 
-    /// The age that a record counts with; `None` where it is too old to be used. A record of unknown age
-    /// counts as written just now: a removed server stays removed, a slow-start slot counts as just used.
+    /// The age to assume for a record; `None` if the record is too old to be used. A record of unknown age
+    /// counts as just written: a removed server stays removed, and a slow-start slot counts as just used.
     fn trusted_age(&self, kind: RecordKind, written_at: Micros) -> Option<Micros> {
         let Some(age) = self.age(written_at) else { return Some(0) };
         let is_too_old = self.max_age(kind).is_some_and(|max_age| age >= max_age);
@@ -191,32 +193,34 @@
         }
     }
 
-    /// The stored version, where it is of this relay's source.
+    /// Version of the stored list; `None` if the list came from another source than this relay's.
     fn stored_generation(&self) -> Option<u64> {
         let version = self.input.stored.list_version.as_ref()?;
         (version.source == self.input.discovery).then_some(version.generation)
     }
 
-    /// Takes the stored list where it is a later version from the same source.
+    /// Uses the stored list if it is a later version from the same source.
     fn choose_list(&mut self, servers: &[&StoredServer]) {
         let Some(generation) = self.stored_generation() else { return };
         if generation <= self.input.configured.generation {
             return;
         }
-        let listed = servers.iter().map(|server| &server.instance).filter(|one| one.phase != Phase::Gone);
+        let listed =
+            servers.iter().map(|server| &server.instance).filter(|instance| instance.phase != Phase::Gone);
         self.recovered.list.generation = generation;
         self.recovered.list.instances = listed.cloned().collect();
-        self.log(format!("the list of version {generation} is from the store"));
+        self.log(format!("using version {generation} of the endpoint list from the store"));
     }
 
     fn find_unstored(&mut self) {
         let stored = &self.input.stored.servers;
-        let unstored = self.recovered.list.instances.iter().filter(|one| !stored.contains_key(&one.id));
+        let unstored =
+            self.recovered.list.instances.iter().filter(|instance| !stored.contains_key(&instance.id));
         self.recovered.unstored = unstored.cloned().collect();
     }
 
-    /// Servers that were draining or removed stay so, unless the list is a later version of the one that said
-    /// so, or the server has restarted.
+    /// Applies the stored draining or removed state to servers of the list, unless the list is a later
+    /// version of the one with that state or the server has restarted.
     fn apply_stored_phases(&mut self, servers: &[&StoredServer]) {
         let is_same_source = self.stored_generation().is_some();
         let generation = self.recovered.list.generation;
@@ -225,15 +229,15 @@
             let is_stored =
                 |s: &&&StoredServer| s.instance.id == instance.id && s.instance.phase != Phase::Ready;
             let Some(stored) = servers.iter().find(is_stored) else { continue };
-            let is_overruled = is_same_source && generation > stored.generation;
+            let is_superseded = is_same_source && generation > stored.generation;
             let has_restarted = instance.started_at > stored.instance.started_at;
-            if instance.phase == Phase::Ready && !is_overruled && !has_restarted {
+            if instance.phase == Phase::Ready && !is_superseded && !has_restarted {
                 instance.phase = stored.instance.phase;
                 changed += 1;
             }
         }
         if changed > 0 {
-            self.log(format!("{changed} servers are draining or removed, as the store has them"));
+            self.log(format!("{changed} servers are draining or removed according to the store"));
         }
     }
 
--- a/recovery/src/stored.rs
+++ b/recovery/src/stored.rs
@@ -1,4 +1,4 @@
-//! The records of a state directory, decoded.
+//! The decoded records of a state directory.
 use crate::record::{
     ListVersion, RecordKind, RelayIdentity, ServerContent, SlowStartContent, VoteContent, VERSION,
 };
@@ -7,12 +7,12 @@
 use hallrelay_raft::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One server as the list had it last.
+/// One server as last listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredServer {
-    /// The version of the list.
+    /// Version of the list.
     pub generation: u64,
-    /// When it was written, by the system's clock.
+    /// Time of writing by the system clock.
     pub written_at: Micros,
     /// The server.
     pub instance: Instance,
@@ -21,46 +21,47 @@
 /// Backends that the replicated log excludes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Exclusions {
-    /// The index of the last log entry that was applied.
+    /// Index of the last applied log entry.
     pub log_index: u64,
-    /// The backends' names in the endpoint list.
+    /// Names of the backends in the endpoint list.
     pub backends: BTreeSet<String>,
 }
 
-/// All that a store held.
+/// The decoded contents of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// The name of the relay that the store belongs to; `None` in a new store.
+    /// Name of the relay to which the store belongs; `None` in a new store.
     pub relay_name: Option<String>,
-    /// The relay's last start number.
+    /// Last start number of the relay.
     pub start_number: u64,
-    /// The source and the version of the endpoint list.
+    /// Source and version of the endpoint list.
     pub list_version: Option<ListVersion>,
-    /// Servers, by their name in the list.
+    /// Servers by their names in the list.
     pub servers: BTreeMap<String, StoredServer>,
-    /// When this relay last used a slot at a server in slow start, by the system's clock.
+    /// Times of the system clock at which this relay last used a slot at a server in slow start.
     pub slow_start_slots: BTreeMap<String, Micros>,
-    /// The incarnation of a voter's disk; `None` where the relay was no voter.
+    /// Incarnation of a voter's disk; `None` if the relay was not a voter.
     pub incarnation: Option<u64>,
-    /// A voter's term, vote, snapshot and log entries.
+    /// Term, vote, snapshot and log entries of a voter.
     pub raft: hallrelay_raft::PersistentState,
-    /// Backends that were excluded.
+    /// Excluded backends.
     pub exclusions: Exclusions,
-    /// The latest time at which anything was written, by the system's clock.
+    /// Latest time at which a record was written, by the system clock.
     pub last_written_at: Micros,
-    /// Records of another version or kind, or that can't be decoded. They are ignored.
+    /// Number of ignored records: those of another version or kind, and those that cannot be decoded.
     pub unreadable: usize,
 }
 
 impl StoredState {
-    /// Takes one record of the store: the number of its kind, the version of its encoding, name and content.
+    /// Adds a record of the store, given the number of its kind, the version of its encoding, its name and
+    /// content.
     pub fn add(&mut self, kind: u8, version: u8, name: &[u8], bytes: &[u8]) {
         if self.decode(kind, version, name, bytes).is_none() {
             self.unreadable += 1;
         }
     }
 
-    /// `None` where the record is unreadable.
+    /// Decodes a record and adds it. `None` if the record is unreadable.
     fn decode(&mut self, kind: u8, version: u8, name: &[u8], bytes: &[u8]) -> Option<()> {
         let kind = RecordKind::from_number(kind).filter(|_| version == VERSION)?;
         let name = std::str::from_utf8(name).ok()?;
@@ -69,18 +70,18 @@
                 let identity: RelayIdentity = serde_json::from_slice(bytes).ok()?;
                 self.relay_name = Some(identity.name);
                 self.start_number = identity.start_number;
-                self.written_at(identity.written_at);
+                self.raise_last_written_at(identity.written_at);
             }
             RecordKind::ListVersion => self.list_version = Some(serde_json::from_slice(bytes).ok()?),
             RecordKind::Server => {
                 let server = decode_server(name, bytes)?;
-                self.written_at(server.written_at);
+                self.raise_last_written_at(server.written_at);
                 self.servers.insert(name.to_string(), server);
             }
             RecordKind::SlowStartSlot => {
                 let content: SlowStartContent = serde_json::from_slice(bytes).ok()?;
                 self.slow_start_slots.insert(name.to_string(), content.used_at);
-                self.written_at(content.used_at);
+                self.raise_last_written_at(content.used_at);
             }
             RecordKind::Vote => {
                 let content: VoteContent = postcard::from_bytes(bytes).ok()?;
@@ -98,18 +99,18 @@
         Some(())
     }
 
-    fn written_at(&mut self, time: Micros) {
+    fn raise_last_written_at(&mut self, time: Micros) {
         self.last_written_at = self.last_written_at.max(time);
     }
 
-    /// Inserts an entry in the order of indexes.
+    /// Inserts an entry in the order of the indexes.
     fn add_log_entry(&mut self, entry: Entry) {
         let position = self.raft.entries.partition_point(|other| other.index < entry.index);
         self.raft.entries.insert(position, entry);
     }
 }
 
-/// `None` where the content can't be decoded, or is another server's.
+/// Decodes a server. `None` if the content cannot be decoded or belongs to another server.
 fn decode_server(name: &str, bytes: &[u8]) -> Option<StoredServer> {
     let content: ServerContent = serde_json::from_slice(bytes).ok()?;
     let list = serde_json::json!({"generation": content.generation, "instances": [content.instance]});
--- a/recovery/tests/recover.rs
+++ b/recovery/tests/recover.rs
@@ -1,4 +1,4 @@
-//! What is taken over from a store, case by case.
+//! Tests of what a relay recovers from its store.
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_recovery::recover::ObsoleteRecord;
@@ -12,14 +12,14 @@
 const SLOW_START: Micros = 20 * SECOND;
 const DISCOVERY: &str = "10.0.0.1:8500";
 
-fn server(id: &str, phase: Phase, came_up: Micros) -> Instance {
+fn server(id: &str, phase: Phase, started_at: Micros) -> Instance {
     Instance {
         id: id.to_string(),
-        addr: "10.0.0.9:80".parse().expect("an address"),
+        addr: "10.0.0.9:80".parse().expect("parse the address"),
         zone: "east".to_string(),
         cell: 2,
         phase,
-        started_at: came_up,
+        started_at,
     }
 }
 
@@ -27,11 +27,11 @@
     List { generation, is_complete: true, instances, ..List::default() }
 }
 
-/// As a relay `r` would have stored it some seconds ago.
+/// The decoded form of records that relay `r` stored some seconds ago.
 fn stored(records: &[Record]) -> StoredState {
     let mut stored = StoredState::default();
     for record in records {
-        let bytes = record.bytes.as_deref().expect("a value");
+        let bytes = record.bytes.as_deref().expect("the record must have content");
         stored.add(record.kind.number(), 1, record.name.as_bytes(), bytes);
     }
     assert_eq!(stored.unreadable, 0);
@@ -57,8 +57,8 @@
     Record::relay_identity("r", 41, NOW - 9 * SECOND)
 }
 
-fn server_record(generation: u64, phase: Phase, came_up: Micros) -> Record {
-    Record::server(generation, NOW - 5 * SECOND, &server("s", phase, came_up))
+fn server_record(generation: u64, phase: Phase, started_at: Micros) -> Record {
+    Record::server(generation, NOW - 5 * SECOND, &server("s", phase, started_at))
 }
 
 fn obsolete(kind: RecordKind) -> ObsoleteRecord {
@@ -66,68 +66,69 @@
 }
 
 fn phase(r: &Recovered) -> Option<Phase> {
-    r.list.instances.iter().find(|one| one.id == "s").map(|one| one.phase)
+    r.list.instances.iter().find(|server| server.id == "s").map(|server| server.phase)
 }
 
 #[test]
-fn a_stored_drain_holds_until_a_later_version_or_restart() {
+fn stored_drain_lasts_until_later_version_or_restart() {
     let known = list(7, vec![server("s", Phase::Ready, 100)]);
-    let head = || Record::list_version(DISCOVERY, 9);
-    for shut in [Phase::Draining, Phase::Gone] {
+    let list_version = || Record::list_version(DISCOVERY, 9);
+    for stored_phase in [Phase::Draining, Phase::Gone] {
         let r = recovered(
             &known,
-            &[identity(), Record::list_version("10.0.0.2:1", 9), server_record(9, shut, 100)],
+            &[identity(), Record::list_version("10.0.0.2:1", 9), server_record(9, stored_phase, 100)],
         );
-        assert_eq!(phase(&r), Some(shut), "another source's version lifts nothing");
-        // The configuration's list is of a later version of the same list: it says so itself.
+        assert_eq!(phase(&r), Some(stored_phase), "a version of another source must not change the state");
+        // The configured list is a later version of the stored list, so that its state of the server holds.
         let later = list(12, vec![server("s", Phase::Ready, 100)]);
         assert_eq!(
-            phase(&recovered(&later, &[identity(), head(), server_record(9, shut, 100)])),
+            phase(&recovered(&later, &[identity(), list_version(), server_record(9, stored_phase, 100)])),
             Some(Phase::Ready)
         );
-        // It has started anew since.
-        let anew = list(7, vec![server("s", Phase::Ready, 200)]);
+        // The server has restarted since its state was stored.
+        let restarted = list(7, vec![server("s", Phase::Ready, 200)]);
         let r = recovered(
-            &anew,
-            &[identity(), Record::list_version("10.0.0.2:1", 9), server_record(9, shut, 100)],
+            &restarted,
+            &[identity(), Record::list_version("10.0.0.2:1", 9), server_record(9, stored_phase, 100)],
         );
         assert_eq!(phase(&r), Some(Phase::Ready));
     }
-    // The stored list is the later one of the same source: it holds whole, without those who are gone.
-    let r = recovered(&known, &[identity(), head(), server_record(9, Phase::Draining, 100)]);
+    // The stored list is a later version from the same source. It is used without its removed servers.
+    let r = recovered(&known, &[identity(), list_version(), server_record(9, Phase::Draining, 100)]);
     assert_eq!((r.list.generation, phase(&r)), (9, Some(Phase::Draining)));
-    let r = recovered(&known, &[identity(), head(), server_record(9, Phase::Gone, 100)]);
+    let r = recovered(&known, &[identity(), list_version(), server_record(9, Phase::Gone, 100)]);
     assert_eq!((r.list.generation, phase(&r)), (9, None));
-    let older = recovered(&list(10, vec![]), &[identity(), head(), server_record(9, Phase::Ready, 100)]);
-    assert_eq!((older.list.generation, phase(&older)), (10, None), "an older store adds no server");
+    let older =
+        recovered(&list(10, vec![]), &[identity(), list_version(), server_record(9, Phase::Ready, 100)]);
+    assert_eq!((older.list.generation, phase(&older)), (10, None), "an older stored list must add no server");
 }
 
 #[test]
-fn slow_start_slots_stay_used_and_an_unknown_age_is_the_longest_wait() {
+fn slow_start_slots_are_restored_until_warm_with_unknown_age_zero() {
     let known = list(7, vec![server("s", Phase::Ready, 100)]);
     let slot = |ago: i64| Record::slow_start_slot("s", NOW.saturating_add_signed(-ago * SECOND as i64));
     let slots = |records: &[Record]| recovered(&known, records).slow_start_slots;
     let used = |age| vec![SlowStartSlot { server: "s".to_string(), age }];
     assert_eq!(slots(&[identity(), slot(3)]), used(3 * SECOND));
-    assert_eq!(slots(&[identity(), slot(21)]), [], "it is warm by now");
-    // Written in what is the future now: the clock has gone back.
+    assert_eq!(slots(&[identity(), slot(21)]), [], "the server is warm after 20 s");
+    // The slot was used in the future: the clock has gone back.
     assert_eq!(slots(&[identity(), slot(-60)]), used(0));
-    // The clock stands before another record: no age is known, not even a sound looking one.
+    // The clock is before the time of another record, so that even a plausible age is unknown.
     let r = recovered(&known, &[Record::relay_identity("r", 1, NOW + SECOND), slot(3)]);
     assert_eq!(r.slow_start_slots, used(0));
-    assert!(r.messages.iter().any(|text| text.contains("ages are unknown")), "{:?}", r.messages);
+    assert!(r.messages.iter().any(|text| text.contains("ages are unknown")), "messages: {:?}", r.messages);
     assert_eq!(recovered(&known, &[identity(), slot(21)]).obsolete, [obsolete(RecordKind::SlowStartSlot)]);
 }
 
 #[test]
-fn start_numbers_rise_and_a_foreign_or_empty_store_is_not_used() {
+fn start_numbers_rise_and_foreign_stores_are_ignored() {
     let known = list(7, vec![server("s", Phase::Ready, 100)]);
     assert_eq!(recovered(&known, &[identity()]).min_start_number, 42);
     let future = Record::relay_identity("r", NOW + 500, NOW);
     assert_eq!(
         recovered(&known, &[future]).min_start_number,
         NOW + 501,
-        "the start rises though the clock went back"
+        "the start number must rise although the clock went back"
     );
     let foreign = [
         Record::relay_identity("other", 41, NOW),
@@ -136,9 +137,9 @@
     ];
     let r = recovered(&known, &foreign);
     assert_eq!((phase(&r), r.min_start_number, r.slow_start_slots.len()), (Some(Phase::Ready), 0, 0));
-    assert!(r.messages[0].contains("relay other's"), "{:?}", r.messages);
-    // Nothing of it is there at the next start; the configuration's servers are.
-    // The server, and the records without a name: list version, vote, snapshot, exclusions.
+    assert!(r.messages[0].contains("belongs to relay other;"), "messages: {:?}", r.messages);
+    // The records of the other relay are removed, and the configured servers are stored. Removed are the
+    // server and the four records without a name: list version, vote, snapshot and exclusions.
     assert_eq!((r.obsolete.len(), &r.unstored), (5, &known.instances));
     let empty = recovered(&known, &[]);
     assert_eq!((&empty.list, &empty.unstored), (&known, &known.instances));
@@ -155,19 +156,24 @@
     s.add(3, 9, b"s", b"{}");
     s.add(77, 1, b"x", b"{}");
     s.add(4, 1, b"x", b"not json");
-    s.add(3, 1, b"another name", server_record(9, Phase::Gone, 1).bytes.as_deref().expect("a value"));
+    let removed = server_record(9, Phase::Gone, 1);
+    s.add(3, 1, b"another name", removed.bytes.as_deref().expect("the record must have content"));
     assert_eq!((s.unreadable, s.servers.len(), s.slow_start_slots.len()), (4, 1, 0));
     let known = list(7, vec![server("s", Phase::Ready, 1)]);
     let r = recover_from(&known, &s);
-    assert!(r.messages.iter().any(|text| text.contains("4 records")), "{:?}", r.messages);
+    assert!(
+        r.messages.iter().any(|text| text.contains("4 records of the store")),
+        "messages: {:?}",
+        r.messages
+    );
     assert_eq!(phase(&r), Some(Phase::Draining));
 }
 
-/// A removal stored long ago is discarded; one of unknown age holds.
+/// A removal stored more than a week ago is discarded, but one of unknown age is kept.
 #[test]
 fn old_removals_are_discarded() {
     let known = list(7, vec![server("s", Phase::Ready, 100)]);
-    let gone = |wall| Record::server(9, wall, &server("s", Phase::Gone, 100));
+    let gone = |written_at| Record::server(9, written_at, &server("s", Phase::Gone, 100));
     let week = 7 * 86_400 * SECOND;
     let r = recovered(&known, &[identity(), gone(NOW - week - 1)]);
     assert_eq!((phase(&r), r.obsolete), (Some(Phase::Ready), vec![obsolete(RecordKind::Server)]));
@@ -175,7 +181,7 @@
 }
 
 #[test]
-fn the_phases_of_a_recovery() {
+fn recovery_phases_follow_servers_and_list_sources() {
     let input = |servers, servers_in_slow_start, discovery_contacted, list_from_peer| PhaseInput {
         servers,
         servers_in_slow_start,
