--- a/hot_restart/src/codec.rs
+++ b/hot_restart/src/codec.rs
@@ -1,62 +1,64 @@
-//! Encoding and decoding of messages, and the bounds that a decoded message keeps.
+//! Encoding and decoding of messages, and the bounds that are checked when decoding.
 use crate::message::{Message, RelayState, ServerState, SessionState, VERSION};
 
-/// Bytes that a message may have as a line, its end included: some ten thousand servers and sessions.
+/// Longest encoded message in bytes, including the newline. Enough for about ten thousand servers and
+/// sessions.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// Bytes that a name or an address may have.
+/// Longest name or address, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Bytes that a session may have buffered in one direction.
+/// Largest number of buffered bytes of a session per direction.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// Messages of a session that may be unanswered.
+/// Largest number of unanswered messages of a session.
 const MAX_UNANSWERED: usize = 64;
-/// The largest magnitude of any quantity in a message.
+/// Largest magnitude of a number in a message.
 const MAX_QUANTITY: f64 = 1e9;
 
-/// Why a message could not be encoded or decoded.
+/// Why a message could not be encoded or decoded. The old process sends the text of a decoding error to the
+/// new one as the reason of a rejection, so that a changed text changes the bytes on the wire.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The message can't be written as JSON.
-    #[error("a message can't be written: {0}")]
+    /// The message cannot be encoded as JSON.
+    #[error("encoding a message as JSON failed: {0}")]
     Encode(#[source] serde_json::Error),
-    /// The encoded message is over [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {bytes} bytes is too long")]
+    /// The encoded message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("an encoded message has {bytes} bytes, at most {MAX_MESSAGE_BYTES} are allowed")]
     EncodedTooLong {
-        /// Bytes of the line.
+        /// Length of the encoded message, in bytes.
         bytes: usize,
     },
-    /// The received line is over [`MAX_MESSAGE_BYTES`].
+    /// The received line is longer than [`MAX_MESSAGE_BYTES`].
     #[error("a message is over {MAX_MESSAGE_BYTES} bytes")]
     ReceivedTooLong,
-    /// The line is no message.
+    /// The line is not a valid message.
     #[error("not a message: {0}")]
     Decode(#[source] serde_json::Error),
-    /// The other process speaks another version.
+    /// The other process uses another version of the messages.
     #[error("version {found} of the handover, wanted {VERSION}")]
     Version {
-        /// The other process' version.
+        /// Version of the other process.
         found: u32,
     },
-    /// A name or an address is too long.
+    /// A name or an address is longer than [`MAX_NAME_BYTES`].
     #[error("a name is over {MAX_NAME_BYTES} bytes")]
     NameTooLong,
-    /// A session has more bytes buffered or more messages unanswered than a relay allows.
+    /// A session has more buffered bytes or unanswered messages than a relay allows.
     #[error("a session with too much under way")]
     SessionTooLarge,
-    /// A quantity of a server is out of its bounds.
+    /// A number or the name of a server is out of its bounds.
     #[error("what is told of server {server:.40} can't be")]
     InvalidServer {
-        /// The server's name.
+        /// Name of the server.
         server: String,
     },
-    /// One session's part of a server is out of its bounds.
+    /// The load of one session, as part of a server's capacity, is out of its bounds.
     #[error("step is {session_load}")]
     InvalidSessionLoad {
-        /// The value that was received.
+        /// The received value.
         session_load: f64,
     },
 }
 
-/// A message as a line, its end included.
+/// Encodes a message as a line, including the newline.
 ///
 /// # Errors
 /// [`MessageError::Encode`], [`MessageError::EncodedTooLong`].
@@ -69,10 +71,10 @@
     Ok(line)
 }
 
-/// Decodes a line, without its end, and checks all bounds.
+/// Decodes a line without its newline and checks all bounds.
 ///
 /// # Errors
-/// All of [`MessageError`] but those of encoding.
+/// All errors of [`MessageError`] except those of encoding.
 pub fn decode(line: &[u8]) -> Result<Message, MessageError> {
     if line.len() > MAX_MESSAGE_BYTES {
         return Err(MessageError::ReceivedTooLong);
--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -1,12 +1,12 @@
 //! Hot restart: a new process of a relay takes over the listening socket and the open sessions of the running
-//! one. This package has the messages that the two exchange over a Unix socket ([`message`]) and the state
-//! machine that either runs ([`ownership`]). It reads no socket, clock or file.
+//! process. This package contains the messages that the two exchange over a Unix socket ([`message`]) and the
+//! state machine that each of them runs ([`ownership`]). It accesses no socket, clock or file.
 //!
-//! The new process connects, says hello, and is offered the listening socket. Once it is ready, and in one
-//! step, the old process stops accepting connections and sends its state, and the new one takes over. Until
-//! that step the old process goes on as if there were no other. Afterwards open sessions are handed over one
-//! by one, each with its client's and its backend's socket. A session that still waits for its answer gets it
-//! from the old process, and is handed over once it is established.
+//! The new process connects and sends a hello, and the old process offers its listening socket. When the new
+//! process is ready, the old one stops accepting connections and sends its state in a single step, and the
+//! new one takes over. Until that step the old process works as if there were no other. Afterwards the open
+//! sessions are handed over one by one, each with the sockets of its client and its backend. A session that
+//! is not established yet is answered by the old process and handed over after that.
 #![deny(missing_docs)]
 
 pub mod codec;
--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -1,83 +1,83 @@
-//! The messages of a hot restart. Each is a line of JSON, whose keys are older than the names here.
+//! The messages of a hot restart. Each is a line of JSON. Its keys are fixed, even if the names here change.
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The version of the messages. It is counted up with each change that the other side would misread; both
-/// sides must have the same.
+/// Version of the messages, to be raised with each change that the other process would misread. Both
+/// processes must have the same version.
 pub const VERSION: u32 = 2;
 
-/// What one process says to the other.
+/// A message from one process to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Message {
-    /// From the new process: it asks for the listening socket of a relay.
+    /// The new process requests the listening socket of a relay.
     Hello {
         /// [`VERSION`] of the sender.
         version: u32,
-        /// The relay's name, which must be the receiver's.
+        /// Name of the relay, which must be that of the receiver.
         name: String,
-        /// The address of the listening socket, which must be the receiver's.
+        /// Address of the listening socket, which must be that of the receiver.
         listen: String,
     },
-    /// The old process offers its listening socket, which is passed along with this message.
+    /// The old process offers its listening socket, which it passes with this message.
     Offer {
         /// [`VERSION`] of the sender.
         version: u32,
     },
-    /// The request is rejected, or an offer withdrawn.
+    /// The old process rejects the request or withdraws its offer.
     #[serde(rename = "no")]
     Rejected {
-        /// The reason, for the other process' log.
+        /// The reason, for the log of the receiver.
         #[serde(rename = "why")]
         reason: String,
     },
     /// The new process is ready to take over.
     Ready {},
-    /// From now on the new process owns the listening socket; what the old one knew.
+    /// The new process owns the listening socket from now on and receives the state of the old one.
     #[serde(rename = "yours")]
     TakeOver(Box<RelayState>),
-    /// An open session is handed over; its client's and its backend's socket are passed along.
+    /// An open session, passed with the sockets of its client and its backend.
     Session(Box<SessionState>),
-    /// What is left at the old process.
+    /// The connections and sessions that remain at the old process.
     #[serde(rename = "holds")]
     Remaining {
-        /// Connections of clients, those with a session included.
+        /// Number of client connections, including those with a session.
         connections: u32,
-        /// Sessions.
+        /// Number of sessions.
         sessions: u32,
     },
-    /// What the old process heard from discovery after it handed over.
+    /// An endpoint list that the old process received from discovery after it handed over.
     #[serde(rename = "listed")]
     EndpointList {
-        /// The list, in discovery's form.
+        /// The list in the format of discovery.
         list: Value,
     },
 }
 
-/// What the old process knew, for the new one to go on with. Times are ages in microseconds.
+/// State of the old process with which the new one continues. Times are ages in microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayState {
-    /// The endpoint list as heard last, in discovery's form; `None` where none was heard.
+    /// Last received endpoint list in the format of discovery; `None` if none was received.
     #[serde(rename = "list")]
     pub endpoint_list: Option<Value>,
-    /// What is known of each server.
+    /// State of each server.
     pub servers: Vec<ServerState>,
-    /// One session's estimated part of a server's capacity.
+    /// Estimated load of one session, as part of a server's capacity.
     #[serde(rename = "step")]
     pub session_load: f64,
-    /// How long ago the drain that is in force began; `None` where there is none.
+    /// Time since the start of the current drain; `None` if the relay is not draining.
     #[serde(rename = "draining")]
     pub draining_age: Option<u64>,
-    /// The ids of the sessions that are still at the old process.
+    /// Ids of the sessions that remain at the old process.
     #[serde(rename = "open")]
     pub session_ids: Vec<u64>,
-    /// Connections of clients at the old process, those with a session included.
+    /// Number of client connections at the old process, including those with a session.
     pub connections: u32,
-    /// The membership table, encoded as a message between relays; `None` without membership.
+    /// The member table, encoded as a message between relays; `None` without membership.
     #[serde(default, rename = "fleet", skip_serializing_if = "Option::is_none")]
     pub membership: Option<Vec<u8>>,
-    /// Backends excluded by the replicated log; `None` where nothing is replicated.
+    /// Backends that the replicated log excludes; `None` without a replicated log.
     #[serde(default, rename = "shut", skip_serializing_if = "Option::is_none")]
     pub exclusions: Option<ExclusionList>,
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Vec<String>)", into = "(u64, Vec<String>)")]
 pub struct ExclusionList {
-    /// The index of the last log entry that was applied.
+    /// Index of the last applied log entry.
     pub log_index: u64,
-    /// The backends' names in the endpoint list.
+    /// Names of the backends in the endpoint list.
     pub backends: Vec<String>,
 }
 
@@ -104,64 +104,64 @@
     }
 }
 
-/// An open session: what the new process needs to go on between two bytes.
+/// An open session with the state that the new process needs to continue at any byte.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionState {
-    /// The session's id, chosen by its client.
+    /// Id of the session, chosen by its client.
     #[serde(rename = "mark")]
     pub id: u64,
-    /// The name of its listener.
+    /// Name of the session's listener.
     pub listener: String,
-    /// The name of its server in the endpoint list.
+    /// Name of the session's server in the endpoint list.
     pub server: String,
-    /// The client's key, the same in all its attempts; 0 is none.
+    /// Key of the client, which is the same in all its attempts; 0 if there is none.
     pub key: u64,
-    /// The session's group; 0 is none.
+    /// Group of the session; 0 if there is none.
     pub group: u64,
-    /// Whether the client came back after an interruption or a move.
+    /// Whether the client returned after an interruption or a move.
     pub returned: bool,
-    /// Bytes read from the client and not yet written to the backend.
+    /// Bytes that were read from the client and are not written to the backend yet.
     #[serde(rename = "up")]
     pub to_backend: Vec<u8>,
-    /// Bytes read from the backend and not yet written to the client.
+    /// Bytes that were read from the backend and are not written to the client yet.
     #[serde(rename = "down")]
     pub to_client: Vec<u8>,
-    /// The ages in microseconds of the client's messages that were not answered, the oldest first.
+    /// Ages of the client's unanswered messages in microseconds, the oldest message first.
     #[serde(rename = "unanswered")]
     pub unanswered_ages: Vec<u64>,
 }
 
-/// What is known of one server.
+/// State of one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerState {
-    /// Its name in the endpoint list.
+    /// Name of the server in the endpoint list.
     pub name: String,
-    /// Its last load report.
+    /// Last load report of the server.
     pub report: Option<LoadReport>,
-    /// Health checks and dials in a row without an answer.
+    /// Number of consecutive health checks and dials without an answer.
     #[serde(rename = "misses")]
     pub consecutive_failures: u32,
-    /// Sessions placed there recently, less those that left since; may be negative.
+    /// Number of recently placed sessions less those that have ended since. It may be negative.
     #[serde(rename = "placed")]
     pub recently_placed: f64,
-    /// The slot that this relay used last at the server, where that is in slow start.
+    /// The slot that this relay last used at the server, if the server is in slow start.
     #[serde(rename = "turn")]
     pub slow_start_slot: SlowStartSlot,
 }
 
-/// A server's load report.
+/// Load report of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, f64, f64, f64)", into = "(u64, f64, f64, f64)")]
 pub struct LoadReport {
-    /// Its age in microseconds.
+    /// Age of the report in microseconds.
     pub age: u64,
-    /// The part of the server's capacity in use.
+    /// Used part of the server's capacity.
     pub load: f64,
-    /// How long queue_delay work waits, in seconds.
+    /// Time for which queued work waits, in seconds.
     pub queue_delay: f64,
-    /// Sessions at the server.
+    /// Number of sessions at the server.
     pub sessions: f64,
 }
 
@@ -177,13 +177,13 @@
     }
 }
 
-/// The slot in which a relay last sent a session to a server in slow start.
+/// The slot in which a relay last placed a session on a server in slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, f64)", into = "(u64, f64)")]
 pub struct SlowStartSlot {
-    /// Its age in microseconds.
+    /// Age of the slot in microseconds.
     pub age: u64,
-    /// The part of the interval between slots that the next one waits.
+    /// Part of the interval between slots for which the next slot waits.
     pub interval_fraction: f64,
 }
 
--- a/hot_restart/src/ownership.rs
+++ b/hot_restart/src/ownership.rs
@@ -1,29 +1,30 @@
-//! The state machine of a process towards its predecessor, whose listening socket it takes over, and its
-//! successor, which takes over from it. It decides who owns the listening socket. Inputs are the other
-//! processes' messages and disconnects, and timeouts that the caller runs.
+//! The state machine that decides whether a process owns the relay's listening socket. A process takes the
+//! socket over from its predecessor and hands it over to its successor. The inputs are messages and
+//! disconnects of the other processes, and timeouts that the caller runs.
 use crate::message::{Message, RelayState, VERSION};
 use serde_json::Value;
 
-/// Another process of the same relay, numbered by the caller for as long as it is connected.
+/// Another process of the same relay. The caller chooses the number, which identifies it while it is
+/// connected.
 pub type ProcessId = u32;
 
-/// How long a successor may take from the offer until it is ready, in microseconds: it reads its
-/// configuration and the endpoint list meanwhile. Whoever starts it waits 6 s for a ready answer.
+/// Longest time from the offer until the successor is ready, in microseconds. The successor reads its
+/// configuration and the endpoint list in this time. Whoever starts a successor waits 6 s for a ready answer.
 pub const READY_TIMEOUT: u64 = 10_000_000;
 
-/// What happens to a process. Trace logs print events, and with them the field name `peer`.
+/// An input of the state machine. Trace logs print events with `{:?}`, including the field name `peer`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipEvent {
-    /// A message came from another process.
+    /// A message of another process was received.
     Received {
         /// The sender.
         peer: ProcessId,
-        /// The message, decoded.
+        /// The decoded message.
         message: Message,
     },
     /// Another process disconnected.
     Disconnected {
-        /// Which one.
+        /// The disconnected process.
         peer: ProcessId,
     },
     /// [`READY_TIMEOUT`] has passed since an offer.
@@ -31,24 +32,24 @@
         /// The process that was offered the listening socket.
         peer: ProcessId,
     },
-    /// The connections and sessions that are left here changed.
+    /// The number of connections or sessions that remain at this process changed.
     RemainingChanged {
-        /// Connections of clients, those with a session included.
+        /// Number of client connections, including those with a session.
         connections: u32,
-        /// Sessions.
+        /// Number of sessions.
         sessions: u32,
     },
-    /// Discovery told this process something.
+    /// This process received an endpoint list from discovery.
     ListReceived {
-        /// In discovery's form.
+        /// The list in the format of discovery.
         list: Value,
     },
 }
 
-/// What the caller is to do.
+/// An output of the state machine: an action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipAction {
-    /// Send a message; the listening socket goes along with an [`Offer`](Message::Offer).
+    /// Send a message. The listening socket is passed with an [`Offer`](Message::Offer).
     Send {
         /// The receiver.
         process: ProcessId,
@@ -57,7 +58,7 @@
     },
     /// Close the connection to another process.
     Disconnect {
-        /// Which one.
+        /// The process to disconnect.
         process: ProcessId,
     },
     /// Report a [`ReadyTimeout`](OwnershipEvent::ReadyTimeout) after [`READY_TIMEOUT`].
@@ -65,55 +66,56 @@
         /// The process that was offered the listening socket.
         process: ProcessId,
     },
-    /// Stop accepting connections and send what is known as [`TakeOver`](Message::TakeOver).
+    /// Stop accepting connections and send this process's state as [`TakeOver`](Message::TakeOver).
     HandOver {
         /// The successor.
         process: ProcessId,
     },
-    /// The successor died: accept connections again.
+    /// Accept connections again, because the successor disconnected.
     Resume,
-    /// Accept connections, with what the predecessor knew; `None` where it died before it told.
+    /// Accept connections with the predecessor's state; `None` if the predecessor disconnected before sending
+    /// it.
     TakeOver(Option<Box<RelayState>>),
-    /// The predecessor keeps the listening socket: end this process.
+    /// End this process, because the predecessor keeps the listening socket.
     Abort {
         /// The predecessor's reason.
         reason: String,
     },
-    /// What is left at the predecessor; nothing once it is gone.
+    /// The connections and sessions that remain at the predecessor. Both are 0 after it disconnected.
     PredecessorRemaining {
-        /// Connections of clients, those with a session included.
+        /// Number of client connections, including those with a session.
         connections: u32,
-        /// Sessions.
+        /// Number of sessions.
         sessions: u32,
     },
-    /// Discovery told the predecessor something.
+    /// The predecessor received an endpoint list from discovery.
     PredecessorList(Value),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// The process whose listening socket this one takes over.
+/// The process from which this one takes over the listening socket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Predecessor {
     None,
-    /// It has offered its listening socket.
+    /// The predecessor has offered its listening socket.
     Offered(ProcessId),
-    /// It has handed over its listening socket, and still has sessions.
+    /// The predecessor has handed over its listening socket and still has sessions.
     HandedOver(ProcessId),
 }
 
-/// The process that takes over the listening socket of this one.
+/// The process that takes over the listening socket from this one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Successor {
     None,
-    /// It was offered the listening socket and is not ready yet.
+    /// The successor was offered the listening socket and is not ready yet.
     Offered(ProcessId),
-    /// It owns the listening socket.
+    /// The successor owns the listening socket.
     Owner(ProcessId),
 }
 
-/// Whether this process owns the relay's listening socket, and how it stands with the processes before and
-/// after it.
+/// Whether this process owns the relay's listening socket, and the state of the handovers from its
+/// predecessor and to its successor.
 pub struct SocketOwnership {
     name: String,
     listen: String,
@@ -122,8 +124,8 @@
 }
 
 impl SocketOwnership {
-    /// For a relay of a name and listening address. `predecessor` has offered its listening socket; without
-    /// one this process owns the listening socket from the start.
+    /// Creates the state of a process of the named relay. `predecessor` is the process that offered its
+    /// listening socket; without one this process owns the listening socket from the start.
     pub fn new(name: &str, listen: &str, predecessor: Option<ProcessId>) -> SocketOwnership {
         SocketOwnership {
             name: name.to_string(),
@@ -138,7 +140,7 @@
         self.awaited_predecessor().is_none() && self.successor().is_none()
     }
 
-    /// The predecessor, until it has handed over.
+    /// The predecessor, until it has handed over the listening socket.
     pub fn awaited_predecessor(&self) -> Option<ProcessId> {
         match self.predecessor {
             Predecessor::Offered(process) => Some(process),
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Applies an event and appends what the caller is to do.
+    /// Applies an event and appends the resulting actions.
     pub fn step(&mut self, event: OwnershipEvent, actions: &mut Vec<OwnershipAction>) {
         match event {
             OwnershipEvent::Received { peer: sender, message } => self.receive(sender, message, actions),
@@ -193,8 +195,8 @@
                 actions.push(OwnershipAction::PredecessorList(list));
             }
             message => {
-                let shown = format!("{message:?}");
-                actions.push(OwnershipAction::Log(format!("an unexpected message: {shown:.60}")));
+                let text = format!("{message:?}");
+                actions.push(OwnershipAction::Log(format!("received an unexpected message: {text:.60}")));
                 reject(process, "out of turn", actions);
                 self.disconnected(process, actions);
             }
@@ -216,7 +218,7 @@
         actions.push(OwnershipAction::StartReadyTimer { process });
     }
 
-    /// Why the listening socket is not offered to a process; `None` where it is.
+    /// The reason for not offering the listening socket to a process; `None` to offer it.
     fn rejection(&self, name: &str, listen: &str) -> Option<&'static str> {
         if name != self.name {
             return Some("this relay has another name");
@@ -237,19 +239,21 @@
     }
 
     fn ready_timeout(&mut self, process: ProcessId, actions: &mut Vec<OwnershipAction>) {
-        // An earlier offer's timer, where the process is not the one that was offered the listening socket
-        // last.
+        // The timer of an earlier offer. The last offer was made to another process or is no longer pending.
         if self.successor != Successor::Offered(process) {
             return;
         }
         self.successor = Successor::None;
-        actions.push(OwnershipAction::Log("the new process was not ready in time".to_string()));
+        let seconds = READY_TIMEOUT / 1_000_000;
+        let text = format!("the new process was not ready within {seconds} s of the offer");
+        actions.push(OwnershipAction::Log(text));
         reject(process, "not ready in time", actions);
     }
 
     fn disconnected(&mut self, process: ProcessId, actions: &mut Vec<OwnershipAction>) {
         if self.predecessor == Predecessor::Offered(process) {
-            // It died as the owner: nobody else accepts connections.
+            // The predecessor died as the owner of the listening socket, and no other process accepts
+            // connections.
             self.predecessor = Predecessor::None;
             actions.push(OwnershipAction::TakeOver(None));
         } else if self.predecessor == Predecessor::HandedOver(process) {
@@ -273,7 +277,7 @@
     }
 }
 
-/// Tells a process that it gets no listening socket, and disconnects it.
+/// Rejects a process's request for the listening socket and disconnects the process.
 fn reject(process: ProcessId, reason: &str, actions: &mut Vec<OwnershipAction>) {
     let reason = reason.to_string();
     actions.push(OwnershipAction::Send { process, message: Message::Rejected { reason } });
--- a/hot_restart/tests/fixtures.rs
+++ b/hot_restart/tests/fixtures.rs
@@ -1,6 +1,6 @@
-//! The messages of a hot restart as version 0.4.0 wrote them: the same values are read from the same bytes
-//! and written to them, what was refused is refused with the same text, and both sides of a whole hot restart
-//! say the same.
+//! The messages of a hot restart as written by version 0.4.0. Each message must encode to and decode from the
+//! stored bytes, invalid messages must be rejected with the stored text, and a complete hot restart must
+//! exchange the stored messages.
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
     decode, encode, ExclusionList, LoadReport, Message, OwnershipAction, OwnershipEvent, RelayState,
@@ -49,7 +49,7 @@
     }
 }
 
-/// In the order of the lines of `fixtures/messages.txt`.
+/// The messages in the order of the lines of `fixtures/messages.txt`.
 fn messages() -> Vec<Message> {
     vec![
         hello(),
@@ -65,98 +65,100 @@
     ]
 }
 
-fn shown(message: &Message) -> String {
-    let line = encode(message).expect("a short message");
-    String::from_utf8(line).expect("JSON").strip_suffix('\n').expect("a line").to_string()
+fn encoded(message: &Message) -> String {
+    let line = encode(message).expect("encode the message");
+    let line = String::from_utf8(line).expect("the encoded message must be UTF-8");
+    line.strip_suffix('\n').expect("the encoded message must end with a newline").to_string()
 }
 
 #[test]
-fn each_message_has_its_bytes() {
+fn each_message_matches_its_fixture() {
     let text = include_str!("fixtures/messages.txt");
     let lines: Vec<&str> = text.lines().collect();
-    assert_eq!(messages().iter().map(shown).collect::<Vec<_>>(), lines);
+    assert_eq!(messages().iter().map(encoded).collect::<Vec<_>>(), lines);
     for (message, line) in messages().into_iter().zip(lines) {
         assert_eq!(decode(line.as_bytes()).map_err(|e| e.to_string()), Ok(message));
     }
 }
 
-/// A line, and behind `=> ` why it is refused.
+/// Each pair of lines in the fixture is a message and, after `=> `, the reason of its rejection.
 #[test]
-fn what_was_refused_is_refused_with_the_same_text() {
+fn invalid_messages_are_rejected_with_the_stored_text() {
     let text = include_str!("fixtures/refused.txt");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len() % 2, 0);
     for pair in lines.chunks(2) {
-        let why = decode(pair[0].as_bytes()).map_err(|e| format!("=> {e}"));
-        assert_eq!(why, Err(pair[1].to_string()), "{}", pair[0]);
+        let error = decode(pair[0].as_bytes()).map_err(|e| format!("=> {e}"));
+        assert_eq!(error, Err(pair[1].to_string()), "{}", pair[0]);
     }
 }
 
-/// What a process sends, with `old> ` or `new> ` before it.
-fn sent(side: &str, acts: &[OwnershipAction], transcript: &mut Vec<String>) -> Vec<Message> {
+/// Records the messages among the actions of a process, prefixed with `old> ` or `new> `, and returns them.
+fn record_sent(side: &str, actions: &[OwnershipAction], transcript: &mut Vec<String>) -> Vec<Message> {
     let mut messages = Vec::new();
-    for act in acts {
-        if let OwnershipAction::Send { message, .. } = act {
-            transcript.push(format!("{side}> {}", shown(message)));
+    for action in actions {
+        if let OwnershipAction::Send { message, .. } = action {
+            transcript.push(format!("{side}> {}", encoded(message)));
             messages.push(message.clone());
         }
     }
     messages
 }
 
-/// Both processes play a whole hot restart: hello, offer, ready, state, a session, what is left, a list.
+/// Runs a complete hot restart: hello, offer, ready, state, a session, the remaining sessions, an endpoint
+/// list.
 #[test]
-fn a_whole_hot_restart_says_the_same() {
+fn complete_hot_restart_matches_its_fixture() {
     let mut transcript = Vec::new();
     let mut old = SocketOwnership::new("relay-1", "10.0.0.1:7000", None);
     let mut new = SocketOwnership::new("relay-1", "10.0.0.1:7000", Some(0));
     let step = |ownership: &mut SocketOwnership, event| {
-        let mut acts = Vec::new();
-        ownership.step(event, &mut acts);
-        acts
+        let mut actions = Vec::new();
+        ownership.step(event, &mut actions);
+        actions
     };
-    let say = |side: &str, message: Message, transcript: &mut Vec<String>| {
-        transcript.push(format!("{side}> {}", shown(&message)));
-        let line = transcript.last().expect("a line")[5..].to_string();
+    let send = |side: &str, message: Message, transcript: &mut Vec<String>| {
+        transcript.push(format!("{side}> {}", encoded(&message)));
+        let line = transcript.last().expect("the transcript must have a line")[5..].to_string();
         OwnershipEvent::Received {
             peer: if side == "new" { 1 } else { 0 },
-            message: decode(line.as_bytes()).expect("one"),
+            message: decode(line.as_bytes()).expect("decode the message"),
         }
     };
 
-    let acts = step(&mut old, say("new", hello(), &mut transcript));
-    let offer = sent("old", &acts, &mut transcript);
+    let actions = step(&mut old, send("new", hello(), &mut transcript));
+    let offer = record_sent("old", &actions, &mut transcript);
     assert_eq!(offer, [Message::Offer { version: VERSION }]);
-    assert_eq!(acts[1], OwnershipAction::StartReadyTimer { process: 1 });
+    assert_eq!(actions[1], OwnershipAction::StartReadyTimer { process: 1 });
 
-    let acts = step(&mut old, say("new", Message::Ready {}, &mut transcript));
-    assert_eq!(acts, [OwnershipAction::HandOver { process: 1 }]);
-    let acts = step(&mut new, say("old", Message::TakeOver(Box::new(state())), &mut transcript));
-    let shares = OwnershipAction::PredecessorRemaining { connections: 4, sessions: 2 };
-    assert_eq!(acts, [OwnershipAction::TakeOver(Some(Box::new(state()))), shares]);
+    let actions = step(&mut old, send("new", Message::Ready {}, &mut transcript));
+    assert_eq!(actions, [OwnershipAction::HandOver { process: 1 }]);
+    let actions = step(&mut new, send("old", Message::TakeOver(Box::new(state())), &mut transcript));
+    let remaining = OwnershipAction::PredecessorRemaining { connections: 4, sessions: 2 };
+    assert_eq!(actions, [OwnershipAction::TakeOver(Some(Box::new(state()))), remaining]);
 
-    // A session goes past the two state machines, with its sockets.
-    say("old", Message::Session(Box::new(session())), &mut transcript);
-    let acts = step(&mut old, OwnershipEvent::RemainingChanged { connections: 3, sessions: 1 });
-    for message in sent("old", &acts, &mut transcript) {
-        let shares = OwnershipAction::PredecessorRemaining { connections: 3, sessions: 1 };
-        assert_eq!(step(&mut new, OwnershipEvent::Received { peer: 0, message }), [shares]);
+    // Sessions are passed with their sockets by the caller, not by the state machines.
+    send("old", Message::Session(Box::new(session())), &mut transcript);
+    let actions = step(&mut old, OwnershipEvent::RemainingChanged { connections: 3, sessions: 1 });
+    for message in record_sent("old", &actions, &mut transcript) {
+        let remaining = OwnershipAction::PredecessorRemaining { connections: 3, sessions: 1 };
+        assert_eq!(step(&mut new, OwnershipEvent::Received { peer: 0, message }), [remaining]);
     }
     let list = json!({"generation": 10, "reset": true, "instances": []});
-    let acts = step(&mut old, OwnershipEvent::ListReceived { list: list.clone() });
-    for message in sent("old", &acts, &mut transcript) {
+    let actions = step(&mut old, OwnershipEvent::ListReceived { list: list.clone() });
+    for message in record_sent("old", &actions, &mut transcript) {
         assert_eq!(
             step(&mut new, OwnershipEvent::Received { peer: 0, message }),
             [OwnershipAction::PredecessorList(list.clone())]
         );
     }
 
-    // A third process is refused by both.
-    let acts = step(&mut old, OwnershipEvent::Received { peer: 2, message: hello() });
-    assert_eq!(acts[1], OwnershipAction::Disconnect { process: 2 });
-    sent("old", &acts, &mut transcript);
-    let acts = step(&mut new, OwnershipEvent::Received { peer: 1, message: hello() });
-    sent("new", &acts, &mut transcript);
+    // Both processes reject a third one.
+    let actions = step(&mut old, OwnershipEvent::Received { peer: 2, message: hello() });
+    assert_eq!(actions[1], OwnershipAction::Disconnect { process: 2 });
+    record_sent("old", &actions, &mut transcript);
+    let actions = step(&mut new, OwnershipEvent::Received { peer: 1, message: hello() });
+    record_sent("new", &actions, &mut transcript);
     let text = include_str!("fixtures/hot_restart.txt");
     assert_eq!(transcript, text.lines().collect::<Vec<_>>());
 }
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -1,5 +1,5 @@
-//! The state machine of a hot restart, played as text: lines of events, and the actions that must follow
-//! behind `=>`. And the messages: what is read back, and what is rejected.
+//! Tests of the state machine and the messages of a hot restart. The tests of the state machine are scripts:
+//! lines with events, each followed by the expected actions after `=>`.
 use hallrelay_hot_restart::codec::MAX_MESSAGE_BYTES;
 use hallrelay_hot_restart::message::VERSION;
 use hallrelay_hot_restart::{
@@ -21,7 +21,7 @@
     }
 }
 
-fn shown(action: &OwnershipAction) -> String {
+fn describe(action: &OwnershipAction) -> String {
     match action {
         OwnershipAction::Send { process, message: Message::Rejected { reason } } => {
             format!("no to {process}: {reason}")
@@ -34,126 +34,143 @@
             format!("listed to {process}")
         }
         OwnershipAction::Send { process, message } => format!("{message:?} to {process}"),
-        OwnershipAction::Disconnect { process } => format!("part from {process}"),
-        OwnershipAction::StartReadyTimer { process } => format!("wait for {process}"),
-        OwnershipAction::HandOver { process } => format!("yield to {process}"),
-        OwnershipAction::Resume => "return".into(),
-        OwnershipAction::TakeOver(Some(_)) => "take all".into(),
-        OwnershipAction::TakeOver(None) => "take alone".into(),
+        OwnershipAction::Disconnect { process } => format!("disconnect {process}"),
+        OwnershipAction::StartReadyTimer { process } => format!("start timer for {process}"),
+        OwnershipAction::HandOver { process } => format!("hand over to {process}"),
+        OwnershipAction::Resume => "resume".into(),
+        OwnershipAction::TakeOver(Some(_)) => "take over with state".into(),
+        OwnershipAction::TakeOver(None) => "take over without state".into(),
         OwnershipAction::Abort { reason } => format!("abort: {reason}"),
         OwnershipAction::PredecessorRemaining { connections, sessions } => {
-            format!("shares {connections} {sessions}")
+            format!("predecessor keeps {connections} {sessions}")
         }
-        OwnershipAction::PredecessorList(list) => format!("listed {list}"),
+        OwnershipAction::PredecessorList(list) => format!("predecessor list {list}"),
         OwnershipAction::Log(_) => "log".into(),
     }
 }
 
-fn play(predecessor: Option<u32>, text: &str) {
+fn run_script(predecessor: Option<u32>, text: &str) {
     let mut ownership = SocketOwnership::new("n1", "a:1", predecessor);
-    let mut got: Vec<String> = Vec::new();
+    let mut actual: Vec<String> = Vec::new();
     for line in text.lines().map(str::trim).filter(|line| !line.is_empty()) {
-        if let Some(wanted) = line.strip_prefix("=> ") {
-            assert!(!got.is_empty(), "nothing came where '{wanted}' was wanted");
-            assert_eq!(got.remove(0), wanted);
+        if let Some(expected) = line.strip_prefix("=> ") {
+            assert!(!actual.is_empty(), "expected '{expected}', but there are no more actions");
+            assert_eq!(actual.remove(0), expected);
             continue;
         }
-        assert_eq!(got, Vec::<String>::new(), "before '{line}'");
+        assert_eq!(actual, Vec::<String>::new(), "unexpected actions before '{line}'");
         let words: Vec<&str> = line.split(' ').collect();
         let peer = words.get(1).and_then(|w| w.parse().ok()).unwrap_or(0);
         let event = match words[0] {
-            "left" => OwnershipEvent::Disconnected { peer },
-            "due" => OwnershipEvent::ReadyTimeout { peer },
-            "hears" => OwnershipEvent::ListReceived { list: serde_json::json!({"generation": 2}) },
-            "here" => OwnershipEvent::RemainingChanged { connections: 5, sessions: 4 },
+            "disconnected" => OwnershipEvent::Disconnected { peer },
+            "timeout" => OwnershipEvent::ReadyTimeout { peer },
+            "list" => OwnershipEvent::ListReceived { list: serde_json::json!({"generation": 2}) },
+            "remaining" => OwnershipEvent::RemainingChanged { connections: 5, sessions: 4 },
             word => OwnershipEvent::Received { peer, message: message(word) },
         };
         let mut actions = Vec::new();
         ownership.step(event, &mut actions);
-        got = actions.iter().map(shown).collect();
+        actual = actions.iter().map(describe).collect();
     }
-    assert_eq!(got, Vec::<String>::new());
+    assert_eq!(actual, Vec::<String>::new(), "unexpected actions at the end");
 }
 
 #[test]
-fn a_listener_is_offered_handed_over_and_shared() {
-    play(
+fn listening_socket_is_offered_and_handed_over_to_one_process() {
+    run_script(
         None,
-        "here
+        "remaining
         hello 1
         => offer to 1
-        => wait for 1
+        => start timer for 1
         hello 2
         => no to 2: another replacement is under way
-        => part from 2
-        left 2
+        => disconnect 2
+        disconnected 2
         ready 1
-        => yield to 1
-        due 1
+        => hand over to 1
+        timeout 1
         hello 3
         => no to 3: this process is replaced already
-        => part from 3
-        here
+        => disconnect 3
+        remaining
         => holds to 1: 5 4
-        left 1
-        => return
+        disconnected 1
+        => resume
         hello 4
         => offer to 4
-        => wait for 4",
+        => start timer for 4",
     );
 }
 
 #[test]
-fn until_the_handover_the_old_process_goes_on_whatever_happens() {
-    for end in ["left 1\n=> log", "due 1\n=> log\n=> no to 1: not ready in time\n=> part from 1"] {
-        play(
+fn failed_replacements_leave_the_old_process_in_charge() {
+    let timeout = "timeout 1\n=> log\n=> no to 1: not ready in time\n=> disconnect 1";
+    for end in ["disconnected 1\n=> log", timeout] {
+        run_script(
             None,
-            &format!("hello 1\n=> offer to 1\n=> wait for 1\n{end}\nhello 2\n=> offer to 2\n=> wait for 2"),
+            &format!(
+                "hello 1
+                => offer to 1
+                => start timer for 1
+                {end}
+                hello 2
+                => offer to 2
+                => start timer for 2"
+            ),
         );
     }
-    play(
+    run_script(
         None,
         "other-name 1
         => no to 1: this relay has another name
-        => part from 1
+        => disconnect 1
         other-address 2
         => no to 2: this relay listens elsewhere
-        => part from 2
+        => disconnect 2
         yours 3
         => log
         => no to 3: out of turn
-        => part from 3
+        => disconnect 3
         ready 4
         => log
         => no to 4: out of turn
-        => part from 4",
+        => disconnect 4",
     );
 }
 
 #[test]
-fn the_new_process_takes_over_or_ends() {
-    play(
+fn new_process_takes_over_or_aborts() {
+    run_script(
         Some(0),
         "hello 1
         => no to 1: this process has not taken over yet
-        => part from 1
+        => disconnect 1
         yours 0
-        => take all
-        => shares 3 0
+        => take over with state
+        => predecessor keeps 3 0
         holds 0
-        => shares 2 1
+        => predecessor keeps 2 1
         hello 2
         => no to 2: the last replacement is not over yet
-        => part from 2
-        left 0
-        => shares 0 0
+        => disconnect 2
+        disconnected 0
+        => predecessor keeps 0 0
         hello 3
         => offer to 3
-        => wait for 3",
+        => start timer for 3",
+    );
+    run_script(Some(0), "no 0\n=> abort: why");
+    // If the owner disconnects, this process takes the listening socket. A second disconnect changes nothing.
+    run_script(
+        Some(0),
+        "disconnected 0
+        => take over without state
+        disconnected 0
+        hello 1
+        => offer to 1
+        => start timer for 1",
     );
-    play(Some(0), "no 0\n=> abort: why");
-    // An owner that died leaves the listening socket to this process; a second disconnect changes nothing.
-    play(Some(0), "left 0\n=> take alone\nleft 0\nhello 1\n=> offer to 1\n=> wait for 1");
 }
 
 fn state() -> RelayState {
@@ -177,29 +194,29 @@
 #[test]
 fn messages_are_decoded_as_encoded() {
     for word in ["hello", "ready", "yours", "no", "holds", "listed"] {
-        let line = encode(&message(word)).expect("it is short");
-        assert_eq!(decode(line.trim_ascii_end()).expect("a message"), message(word));
+        let line = encode(&message(word)).expect("encode a short message");
+        assert_eq!(decode(line.trim_ascii_end()).expect("decode the message"), message(word));
     }
-    let whole = Message::TakeOver(Box::new(state()));
-    let line = encode(&whole).expect("it is short");
-    assert_eq!(decode(line.trim_ascii_end()).expect("a message"), whole);
-    // Cut anywhere it is no message.
+    let take_over = Message::TakeOver(Box::new(state()));
+    let line = encode(&take_over).expect("encode a short message");
+    assert_eq!(decode(line.trim_ascii_end()).expect("decode the message"), take_over);
+    // The message is invalid if it is truncated at any byte.
     for cut in 0..line.len() - 2 {
-        assert!(decode(&line[..cut]).is_err(), "cut at {cut}");
+        assert!(decode(&line[..cut]).is_err(), "truncated to {cut} bytes");
     }
 }
 
 #[test]
-fn invalid_messages_are_rejected_with_the_reason() {
+fn messages_out_of_bounds_are_rejected() {
     let later = Message::Hello { version: VERSION + 1, name: "n1".into(), listen: "a:1".into() };
-    let why =
-        decode(encode(&later).expect("short").trim_ascii_end()).expect_err("another version").to_string();
+    let line = encode(&later).expect("encode a short message");
+    let error = decode(line.trim_ascii_end()).expect_err("another version must be rejected").to_string();
     assert!(
-        why.contains(&format!("version {}", VERSION + 1)) && why.contains(&format!("wanted {VERSION}")),
-        "{why}"
+        error.contains(&format!("version {}", VERSION + 1)) && error.contains(&format!("wanted {VERSION}")),
+        "{error}"
     );
     let long = Message::Hello { version: VERSION, name: "n".repeat(300), listen: "a:1".into() };
-    assert!(decode(encode(&long).expect("short").trim_ascii_end()).is_err());
+    assert!(decode(encode(&long).expect("encode a short message").trim_ascii_end()).is_err());
     for change in [
         |s: &mut RelayState| s.session_load = -1.0,
         |s: &mut RelayState| s.servers[0].recently_placed = 1e12,
@@ -208,35 +225,35 @@
     ] {
         let mut state = state();
         change(&mut state);
-        let line = encode(&Message::TakeOver(Box::new(state))).expect("short");
+        let line = encode(&Message::TakeOver(Box::new(state))).expect("encode a short message");
         assert!(decode(line.trim_ascii_end()).is_err());
     }
     assert!(decode(b"{\"ready\":{},\"more\":1}").is_err());
     assert!(decode(&vec![b' '; MAX_MESSAGE_BYTES + 1]).is_err());
-    let huge = Message::Rejected { reason: "x".repeat(MAX_MESSAGE_BYTES) };
-    assert!(encode(&huge).is_err());
+    let too_long = Message::Rejected { reason: "x".repeat(MAX_MESSAGE_BYTES) };
+    assert!(encode(&too_long).is_err());
 }
 
 #[test]
-fn what_discovery_tells_the_old_process_goes_to_its_successor_alone() {
-    play(None, "hears");
-    play(
+fn lists_of_the_old_process_are_sent_to_its_successor() {
+    run_script(None, "list");
+    run_script(
         None,
         "hello 1
         => offer to 1
-        => wait for 1
-        hears
+        => start timer for 1
+        list
         ready 1
-        => yield to 1
-        hears
+        => hand over to 1
+        list
         => listed to 1",
     );
-    play(
+    run_script(
         Some(0),
         "yours 0
-        => take all
-        => shares 3 0
+        => take over with state
+        => predecessor keeps 3 0
         listed 0
-        => listed {\"generation\":2}",
+        => predecessor list {\"generation\":2}",
     );
 }
