--- a/membership/src/join.rs
+++ b/membership/src/join.rs
@@ -1,5 +1,5 @@
-//! Joining a fleet, and contacting dead members and configured addresses without a known member. The latter
-//! reconnects the two sides after a partition heals.
+//! Joining a fleet, and rejoining: contacting dead members and configured addresses without a known member.
+//! Rejoining reconnects the two sides of a partition after it heals.
 use crate::events::Effect;
 use crate::members::{Member, MAX_MEMBERS};
 use crate::message::MessageBody;
@@ -25,12 +25,12 @@
     next_join: Micros,
     next_rejoin: Micros,
     /// Number of configured addresses contacted so far, plus a random initial value.
-    asked_addresses: usize,
+    contacted_addresses: usize,
 }
 
 impl JoinSchedule {
     pub(crate) fn new() -> JoinSchedule {
-        JoinSchedule { next_join: Micros::MAX, next_rejoin: Micros::MAX, asked_addresses: 0 }
+        JoinSchedule { next_join: Micros::MAX, next_rejoin: Micros::MAX, contacted_addresses: 0 }
     }
 
     pub(crate) fn next_deadline(&self) -> Micros {
@@ -41,7 +41,7 @@
 impl Membership {
     pub(crate) fn start_joining(&mut self) {
         self.join.next_join = self.now + self.random_time(FIRST_JOIN_WITHIN);
-        self.join.asked_addresses = self.random_below(MAX_MEMBERS);
+        self.join.contacted_addresses = self.random_below(MAX_MEMBERS);
         self.join.next_rejoin = self.now + self.random_time(REJOIN_INTERVAL);
     }
 
@@ -69,8 +69,8 @@
         let own = self.local.addr;
         let others: Vec<SocketAddr> = self.local.peers.iter().copied().filter(|addr| *addr != own).collect();
         for _ in 0..JOIN_FANOUT.min(others.len()) {
-            self.join.asked_addresses += 1;
-            let addr = others[self.join.asked_addresses % others.len()];
+            self.join.contacted_addresses += 1;
+            let addr = others[self.join.contacted_addresses % others.len()];
             self.start_push_pull(addr, out);
         }
     }
@@ -81,11 +81,11 @@
         let is_dead = |member: &&Member| member.state() == MemberState::Dead;
         let dead: Vec<Rc<str>> =
             self.members.iter().filter(is_dead).map(|member| member.name().clone()).collect();
-        let unmet = self.unmet_addresses();
-        let index = self.random_below(dead.len() + unmet.len());
+        let without_member = self.addresses_without_member();
+        let index = self.random_below(dead.len() + without_member.len());
         if let Some(name) = dead.get(index) {
             self.rejoin_dead(name, out);
-        } else if let Some(addr) = unmet.get(index - dead.len()) {
+        } else if let Some(addr) = without_member.get(index - dead.len()) {
             self.start_push_pull(*addr, out);
         }
     }
@@ -104,9 +104,9 @@
     }
 
     /// Configured addresses without a known member. A dead member at its current address is a known one.
-    fn unmet_addresses(&self) -> Vec<SocketAddr> {
-        let is_met = |addr: &SocketAddr| *addr == self.local.addr || self.members.has_member_at(*addr);
-        self.local.peers.iter().copied().filter(|addr| !is_met(addr)).collect()
+    fn addresses_without_member(&self) -> Vec<SocketAddr> {
+        let has_member = |addr: &SocketAddr| *addr == self.local.addr || self.members.has_member_at(*addr);
+        self.local.peers.iter().copied().filter(|addr| !has_member(addr)).collect()
     }
 
     /// Records that a member became live.
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -255,9 +255,9 @@
 
     /// Handles all expired deadlines and sets the timer for the next one.
     fn run_due(&mut self, out: &mut Vec<Effect>) {
-        let late = self.now.saturating_sub(self.next_deadline());
-        if late > STALL_THRESHOLD {
-            self.recover_from_stall(late, out);
+        let delay = self.now.saturating_sub(self.next_deadline());
+        if delay > STALL_THRESHOLD {
+            self.recover_from_stall(delay, out);
         }
         self.run_probes(out);
         self.run_forwarded_pings(out);
@@ -286,19 +286,19 @@
 
     /// Handles a stall of this process. A stalled process receives nothing, which says nothing about the
     /// other members: it cancels its probes without a result, extends the suspicions by the missed time, and
-    /// lowers its own local health (Lifeguard).
-    fn recover_from_stall(&mut self, late: Micros, out: &mut Vec<Effect>) {
+    /// raises its own local health score (Lifeguard).
+    fn recover_from_stall(&mut self, delay: Micros, out: &mut Vec<Effect>) {
         self.counters.stalls += 1;
-        let missed_periods = (late / PROBE_PERIOD).max(1);
+        let missed_periods = (delay / PROBE_PERIOD).max(1);
         self.detector.local_health.degrade(u32::try_from(missed_periods).unwrap_or(u32::MAX));
         let now = self.now;
         for suspicion in self.suspicions.values_mut() {
-            suspicion.extend(late, now);
+            suspicion.extend(delay, now);
         }
         let next_probe = self.now + self.random_time(PROBE_PERIOD);
         self.detector.reset(next_probe);
-        if late >= LOGGED_STALL {
-            let message = format!("this process stalled for {} ms", late / MILLISECOND);
+        if delay >= LOGGED_STALL {
+            let message = format!("this process stalled for {} ms", delay / MILLISECOND);
             out.push(Effect::Log { message });
         }
     }
--- a/membership/tests/fixtures.rs
+++ b/membership/tests/fixtures.rs
@@ -80,11 +80,11 @@
         ReportedLifecycle::Draining,
         ReportedLifecycle::Stopping,
     ];
-    let one = |lifecycle: ReportedLifecycle| {
+    let update = |lifecycle: ReportedLifecycle| {
         let metadata = MemberMetadata { lifecycle, version: "1.2.3".into(), ..MemberMetadata::default() };
         Update { metadata, ..member(lifecycle.as_str(), v4(20), MemberState::Alive, None) }
     };
-    all.map(one).to_vec()
+    all.map(update).to_vec()
 }
 
 /// Updates with the smallest and the largest value of each field.
@@ -113,11 +113,11 @@
 
 /// More members than fit into a datagram.
 fn many_members(count: usize) -> Vec<Update> {
-    let one = |i: usize| {
+    let numbered_member = |i: usize| {
         let addr = ([10, 1, (i >> 8) as u8, i as u8], 7946).into();
         member(&format!("other-{i}"), addr, MemberState::ALL[i % 4], None)
     };
-    (0..count).map(one).collect()
+    (0..count).map(numbered_member).collect()
 }
 
 /// File name, body, updates and largest length of each message.
--- a/store/src/faulty_disk.rs
+++ b/store/src/faulty_disk.rs
@@ -110,12 +110,12 @@
 
 /// Writes each sector of a write completely, partially or not at all, at random.
 fn write_some_sectors(bytes: &mut Vec<u8>, write: &UnsyncedWrite, random: &mut Random) {
-    let mut done = 0;
-    while done < write.bytes.len() {
-        let offset = write.offset + done as u64;
-        let left_in_sector = SECTOR_BYTES - (offset as usize % SECTOR_BYTES);
-        let end = (done + left_in_sector).min(write.bytes.len());
-        let sector = &write.bytes[done..end];
+    let mut written = 0;
+    while written < write.bytes.len() {
+        let offset = write.offset + written as u64;
+        let rest_of_sector = SECTOR_BYTES - (offset as usize % SECTOR_BYTES);
+        let end = (written + rest_of_sector).min(write.bytes.len());
+        let sector = &write.bytes[written..end];
         match random.below(4) {
             0 => {}
             1 => {
@@ -124,7 +124,7 @@
             }
             _ => write_at(bytes, offset, sector),
         }
-        done = end;
+        written = end;
     }
 }
 
@@ -203,7 +203,7 @@
         self.operations += 1;
         match &mut self.power_loss_after {
             Some(0) => return Err(io::Error::other("simulated power loss")),
-            Some(left) => *left -= 1,
+            Some(remaining) => *remaining -= 1,
             None => {}
         }
         if self.random.occurs(self.rates.other) {
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -34,7 +34,7 @@
     disk: D,
     index: BTreeMap<Key, Value>,
     generation: u64,
-    /// Offset of the next record. All bytes before it belong to complete records.
+    /// Offset of the next record. All records before it are complete.
     end: u64,
     live_bytes: u64,
     /// Largest length of the log file, in bytes.
--- a/store/tests/power_loss.rs
+++ b/store/tests/power_loss.rs
@@ -21,13 +21,13 @@
 }
 
 fn batch(rng: &mut Rand64, max_bytes: usize) -> Batch {
-    let one = |rng: &mut Rand64| {
+    let change = |rng: &mut Rand64| {
         let len = rng.rand_range(0..max_bytes as u64) as usize;
         let bytes = (0..len).map(|_| rng.rand_u64() as u8).collect();
         let value = (rng.rand_range(0..5) > 0).then_some(Value { version: 1, bytes });
         Change { key: key(rng.rand_range(0..12)), value }
     };
-    (0..rng.rand_range(1..4)).map(|_| one(rng)).collect()
+    (0..rng.rand_range(1..4)).map(|_| change(rng)).collect()
 }
 
 fn apply(state: &State, batch: &Batch) -> State {
@@ -108,12 +108,17 @@
 
 /// Checks that a restart after a power loss finds all successful commits, and the failed last batch
 /// completely or not at all.
-fn assert_recovers(disk: FaultyDisk, committed: &State, possible: Option<&State>, what: &str) -> FaultyDisk {
-    let store = Store::open(disk.after_power_loss(), CAPACITY).unwrap_or_else(|e| panic!("{what}: {e}"));
+fn assert_recovers(
+    disk: FaultyDisk,
+    committed: &State,
+    possible: Option<&State>,
+    context: &str,
+) -> FaultyDisk {
+    let store = Store::open(disk.after_power_loss(), CAPACITY).unwrap_or_else(|e| panic!("{context}: {e}"));
     let found = values(&store);
     assert!(
         found == *committed || Some(&found) == possible,
-        "{what}: neither the committed state nor the state with the failed batch was recovered"
+        "{context}: neither the committed state nor the state with the failed batch was recovered"
     );
     store.into_disk()
 }
@@ -170,15 +175,15 @@
         // survive.
         let mut possible: Vec<State> = Vec::new();
         for restart in 0..3 {
-            let what = format!("seed {seed}, restart {restart}");
+            let context = format!("seed {seed}, restart {restart}");
             let mut store = match Store::open(disk, CAPACITY) {
                 Ok(store) => store,
-                Err(e) => panic!("{what}: {e}"),
+                Err(e) => panic!("{context}: {e}"),
             };
             let found = values(&store);
             assert!(
                 found == committed || possible.contains(&found),
-                "{what}: the recovered state was not written"
+                "{context}: the recovered state was not written"
             );
             (committed, possible) = (found, Vec::new());
             compactions += store.summary().generation.saturating_sub(1);
@@ -201,9 +206,9 @@
                         failed += 1;
                         possible.push(next);
                     }
-                    Err(e) => panic!("{what}: {e}"),
+                    Err(e) => panic!("{context}: {e}"),
                 }
-                assert_eq!(values(&store), committed, "{what}: a failed batch must not be visible");
+                assert_eq!(values(&store), committed, "{context}: a failed batch must not be visible");
             }
             disk = store.into_disk().after_power_loss();
         }
