--- a/hot_restart/src/lib.rs
+++ b/hot_restart/src/lib.rs
@@ -5,8 +5,8 @@
 //! The new process connects and sends a hello, and the old process offers its listening socket. When the new
 //! process is ready, the old one stops accepting connections and sends its state in a single step, and the
 //! new one takes over. Until that step the old process works as if there were no other. Afterwards the open
-//! sessions are handed over one by one, each with the sockets of its client and its backend. A session that
-//! is not established yet is answered by the old process and handed over after that.
+//! sessions are handed over one by one, each with the sockets of its client and its backend. The old process
+//! first answers a session that is not established yet, and hands it over afterwards.
 #![deny(missing_docs)]
 
 pub mod codec;
--- a/hot_restart/src/ownership.rs
+++ b/hot_restart/src/ownership.rs
@@ -9,7 +9,8 @@
 pub type ProcessId = u32;
 
 /// Longest time from the offer until the successor is ready, in microseconds. The successor reads its
-/// configuration and the endpoint list in this time. Whoever starts a successor waits 6 s for a ready answer.
+/// configuration and the endpoint list in this time. A tool that starts a successor waits 6 s for a ready
+/// answer.
 pub const READY_TIMEOUT: u64 = 10_000_000;
 
 /// An input of the state machine. Trace logs print events with `{:?}`, including the field name `peer`.
@@ -218,7 +219,8 @@
         actions.push(OwnershipAction::StartReadyTimer { process });
     }
 
-    /// The reason for not offering the listening socket to a process; `None` to offer it.
+    /// The reason for not offering the listening socket to a process; `None` to offer it. The reason is sent
+    /// on the wire.
     fn rejection(&self, name: &str, listen: &str) -> Option<&'static str> {
         if name != self.name {
             return Some("this relay has another name");
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn listening_socket_is_offered_and_handed_over_to_one_process() {
+fn listening_socket_is_handed_over_to_one_process() {
     run_script(
         None,
         "remaining
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn failed_replacements_leave_the_old_process_in_charge() {
+fn failed_replacements_leave_old_process_as_owner() {
     let timeout = "timeout 1\n=> log\n=> no to 1: not ready in time\n=> disconnect 1";
     for end in ["disconnected 1\n=> log", timeout] {
         run_script(
--- a/recovery/tests/recover.rs
+++ b/recovery/tests/recover.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn slow_start_slots_are_restored_until_warm_with_unknown_age_zero() {
+fn slow_start_slots_of_unknown_age_count_as_just_used() {
     let known = list(7, vec![server("s", Phase::Ready, 100)]);
     let slot = |ago: i64| Record::slow_start_slot("s", NOW.saturating_add_signed(-ago * SECOND as i64));
     let slots = |records: &[Record]| recovered(&known, records).slow_start_slots;
