--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -2,12 +2,12 @@
 //! and the single-server membership changes of Ongaro's thesis. "Figure 2" and section numbers in this crate
 //! are those of the paper, "thesis" is "Consensus: Bridging Theory and Practice".
 //!
-//! The crate does no I/O and knows no time: [`Node::step`] takes an [`Event`] and appends the [`Effect`]s
-//! that the host carries out in their order. The host draws the random election timeouts.
+//! The crate does no I/O and reads no clock: [`Node::step`] takes an [`Event`] and appends the [`Effect`]s
+//! that the host carries out in order. The host chooses the random election timeouts.
 //!
 //! A voter is identified by its name and by the incarnation of its disk. A server that lost its disk is a new
-//! voter: its messages count for nothing until the others have added it to the configuration, so it cannot
-//! vote twice in one term or forget an entry that it had acknowledged. `docs/release.md`.
+//! voter. Its messages do not count until the other voters have added it to the configuration, so it can
+//! neither vote twice in one term nor lose an entry that it had acknowledged. See `docs/release.md`.
 #![warn(missing_docs)]
 
 pub mod log;
@@ -26,26 +26,26 @@
 pub type Id = u32;
 /// A term of Raft (section 5.1); 0 is before the first election.
 pub type Term = u64;
-/// The position of an entry in the log; the first entry has 1, 0 is "before the first".
+/// The position of an entry in the log. The first entry has index 1; 0 is the position before it.
 pub type Index = u64;
 
-/// A server with a particular disk: one that lost its disk is another voter.
+/// A server with a particular disk. A server that lost its disk is a different voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// The server's name.
     pub id: Id,
-    /// Identifies its disk. In the recipient of a message, [`ANY_DISK`] stands for whichever it has.
+    /// Identifies the server's disk. In the recipient of a message, [`ANY_DISK`] matches any incarnation.
     pub incarnation: u64,
 }
 
-/// The incarnation that addresses a server whatever its disk.
+/// The incarnation that addresses a server with any disk.
 pub const ANY_DISK: u64 = 0;
 
-/// The longest command that is accepted, in bytes.
+/// Maximum length of a command, in bytes.
 pub const MAX_COMMAND_BYTES: usize = 8 << 10;
-/// The most entries in one AppendEntries message.
+/// Maximum number of entries in one AppendEntries message.
 pub const MAX_BATCH_ENTRIES: usize = 64;
-/// The most bytes of entries in one AppendEntries message.
+/// Maximum size of the entries in one AppendEntries message, in bytes.
 pub const MAX_BATCH_BYTES: usize = 64 << 10;
-/// The most voters of a cluster: a larger quorum is slower and hardly more available.
+/// Maximum number of voters of a cluster: a larger quorum is slower and hardly more available.
 pub const MAX_VOTERS: usize = 7;
--- a/raft/src/log.rs
+++ b/raft/src/log.rs
@@ -1,25 +1,25 @@
-//! The replicated log of one voter: a snapshot and the entries that follow it without a gap.
+//! The replicated log of one voter: a snapshot followed by entries without a gap.
 use crate::{Index, Term, Voter, MAX_BATCH_BYTES, MAX_BATCH_ENTRIES};
 use serde::{Deserialize, Serialize};
 
-/// Bytes that an entry without a command is counted with in a batch.
+/// Size in bytes that a batch accounts for an entry without a command.
 const FIXED_ENTRY_BYTES: usize = 64;
 
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// A leader's first entry, which lets it commit the entries of earlier terms (section 8).
+    /// A leader's first entry. Committing it also commits the entries of earlier terms (section 8).
     Noop,
     /// A command for the state machine.
     Command(Vec<u8>),
-    /// The cluster's voters, in force as soon as the entry is in the log, committed or not (section 6).
+    /// The cluster's voters. They are in force once the entry is in the log, committed or not (section 6).
     Configuration(Vec<Voter>),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position.
+    /// Its position in the log.
     pub index: Index,
     /// The term of the leader that created it.
     pub term: Term,
@@ -27,7 +27,7 @@
     pub payload: Payload,
 }
 
-/// The state machine after an entry, in place of the log up to there (section 7).
+/// The state machine after an entry. It replaces the log up to that entry (section 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Index of the last entry included.
@@ -40,7 +40,7 @@
     pub state: Vec<u8>,
 }
 
-/// The voters in force, and the entry that names them.
+/// The voters in force, and the index of the entry that holds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Configuration<'a> {
     /// Index of the configuration entry, or of the snapshot that holds the configuration.
@@ -49,7 +49,7 @@
     pub voters: &'a [Voter],
 }
 
-/// A snapshot and the entries that follow it without a gap.
+/// A snapshot followed by entries without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Log {
     snapshot: Snapshot,
@@ -57,7 +57,7 @@
 }
 
 impl Log {
-    /// The log as read from a disk. An entry that does not follow on the one before it is left out.
+    /// Creates the log from what was read from disk. Skips an entry that leaves a gap after the previous one.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Log {
         let mut log = Log { snapshot, entries: Vec::new() };
         for entry in entries {
@@ -68,32 +68,32 @@
         log
     }
 
-    /// What the log up to the snapshot's index was replaced with; empty where nothing was compacted.
+    /// The snapshot that replaces the log up to its index; empty if the log was never compacted.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Index of the last entry, or of the snapshot where none follows it.
+    /// Index of the last entry, or of the snapshot if no entry follows it.
     pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as Index
     }
 
-    /// Index of the first entry after the snapshot, whether it exists or not.
+    /// Index of the first entry after the snapshot, whether or not that entry exists.
     pub fn first_index(&self) -> Index {
         self.snapshot.index + 1
     }
 
-    /// Whether there is neither snapshot nor entry.
+    /// Returns whether the log has neither a snapshot nor an entry.
     pub fn is_empty(&self) -> bool {
         self.last_index() == 0
     }
 
-    /// Term of the last entry, or of the snapshot where none follows it.
+    /// Term of the last entry, or of the snapshot if no entry follows it.
     pub fn last_term(&self) -> Term {
         self.entries.last().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Term of the entry at an index; none where the log does not reach there or the entry was compacted.
+    /// Term of the entry at an index; `None` if the index is past the end or the entry was compacted.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -101,7 +101,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entry at an index; none where the log does not reach there or the entry was compacted.
+    /// The entry at an index; `None` if the index is past the end or the entry was compacted.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.first_index())?;
         self.entries.get(offset as usize)
@@ -112,7 +112,7 @@
         &self.entries
     }
 
-    /// Adds an entry, whose index is one past the last.
+    /// Appends an entry. Its index must be one past the last index.
     pub fn append(&mut self, entry: Entry) {
         self.entries.push(entry);
     }
@@ -123,7 +123,7 @@
         self.entries.truncate(kept as usize);
     }
 
-    /// The entries from an index on that fit into one message.
+    /// The entries from an index on, as many as fit into one message.
     pub fn batch_from(&self, index: Index) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.first_index()) as usize;
         let mut bytes = 0;
@@ -152,8 +152,8 @@
         latest.unwrap_or(Configuration { index: self.snapshot.index, voters: &self.snapshot.voters })
     }
 
-    /// Replaces the log up to an index with the state machine's state there. Returns whether it did: the
-    /// entry must be in the log.
+    /// Replaces the log up to an index with the state of the state machine after that entry. Returns whether
+    /// the log was compacted, which requires that it still holds the entry.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) -> bool {
         if index <= self.snapshot.index {
             return false;
@@ -165,8 +165,8 @@
         true
     }
 
-    /// Replaces the log with a leader's snapshot. Entries that follow the snapshot's last entry stay where
-    /// the log holds that entry (figure 13, step 6).
+    /// Replaces the log with a leader's snapshot. If the log holds the snapshot's last entry, the entries
+    /// that follow it are kept (figure 13, step 6).
     pub fn install_snapshot(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.entries.retain(|entry| entry.index > snapshot.index);
@@ -176,8 +176,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Whether a candidate's log is at least as up-to-date as this one (section 5.4.1).
-    pub fn is_covered_by(&self, last_log_index: Index, last_log_term: Term) -> bool {
+    /// Returns whether a candidate's log is at least as up-to-date as this one (section 5.4.1).
+    pub fn is_candidate_up_to_date(&self, last_log_index: Index, last_log_term: Term) -> bool {
         (last_log_term, last_log_index) >= (self.last_term(), self.last_index())
     }
 }
--- a/raft/src/message.rs
+++ b/raft/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between voters: the RPCs of Raft as one-way messages. Their encoding goes by the order of
-//! fields and variants.
+//! The messages between voters. Each RPC of Raft is split into one-way messages. Their encoding depends on the
+//! order of fields and variants, which therefore must not change.
 use crate::{Entry, Index, Snapshot, Term, Voter};
 use serde::{Deserialize, Serialize};
 
@@ -12,31 +12,31 @@
     pub to: Voter,
     /// The sender's current term; for a pre-vote, the term that the sender would campaign in.
     pub term: Term,
-    /// What is requested or answered.
+    /// The request or response.
     pub body: MessageBody,
 }
 
-/// What a message requests or answers.
+/// The request or response that a message carries.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is running and is not a voter as far as it knows.
+    /// The sender is running and, according to its own log, is not a voter.
     Announce {
         /// The sender has neither log nor snapshot.
         uninitialized: bool,
     },
     /// The first configuration of a new cluster, whose voters were all uninitialized.
     Bootstrap {
-        /// The voters, the sender among them.
+        /// The voters, including the sender.
         voters: Vec<Voter>,
     },
-    /// Whether the recipient would vote for the sender (thesis, section 9.6).
+    /// Requests the recipient's pre-vote: whether it would vote for the sender (thesis, section 9.6).
     RequestPreVote {
         /// Index of the sender's last entry.
         last_log_index: Index,
         /// Term of the sender's last entry.
         last_log_term: Term,
     },
-    /// The answer to `RequestPreVote`.
+    /// The response to `RequestPreVote`.
     PreVoteResponse {
         /// The sender would vote for the recipient.
         granted: bool,
@@ -48,21 +48,21 @@
         /// Term of the candidate's last entry.
         last_log_term: Term,
     },
-    /// The answer to `RequestVote`.
+    /// The response to `RequestVote`.
     VoteResponse {
         /// The sender has voted for the recipient in this term.
         granted: bool,
     },
-    /// AppendEntries of figure 2; without entries it is a heartbeat.
+    /// AppendEntries of figure 2. Without entries it is a heartbeat.
     AppendEntries(AppendEntries),
-    /// The answer to `AppendEntries` and `InstallSnapshot`.
+    /// The response to `AppendEntries` and `InstallSnapshot`.
     AppendResponse {
         /// The sender's log matches the leader's up to `index`.
         success: bool,
-        /// Last matching index; after a failure a hint, the `prev_log_index` that the leader should try next.
+        /// Last matching index. After a failure it is the `prev_log_index` that the leader should try next.
         index: Index,
     },
-    /// InstallSnapshot of figure 13, in one piece.
+    /// InstallSnapshot of figure 13, sent as a single chunk.
     InstallSnapshot {
         /// The leader's snapshot.
         snapshot: Snapshot,
@@ -83,8 +83,8 @@
 }
 
 impl MessageBody {
-    /// Whether the message's term is one that the sender is in. A pre-vote and its grant name a term that
-    /// nobody has entered yet, and an announcement comes from no voter.
+    /// Returns whether the message carries the sender's current term. A pre-vote and its grant carry a term
+    /// that no server has entered yet, and an announcement is not sent by a voter.
     pub(crate) fn is_of_current_term(&self) -> bool {
         !matches!(
             self,
--- a/raft/src/node/durability.rs
+++ b/raft/src/node/durability.rs
@@ -1,7 +1,7 @@
 //! Writes that are not durable yet, and the messages that wait for them.
 //!
 //! Figure 2: a server updates its persistent state on stable storage before it responds to RPCs. A message
-//! that states what this server has stored goes out once all writes requested before it are durable.
+//! that depends on the persistent state is sent once all writes requested before it are durable.
 use super::{Effect, Node, Role};
 use crate::{Index, Message, MessageBody, Voter, Write};
 use std::collections::VecDeque;
@@ -9,6 +9,7 @@
 /// A message that waits for a write.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct DelayedMessage {
+    /// The number of the write.
     write: u64,
     message: Message,
 }
@@ -23,35 +24,36 @@
 /// The writes of a voter, numbered from 1.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct PendingWrites {
-    /// The last write requested.
+    /// The number of the last requested write.
     requested: u64,
-    /// The last write that is durable.
+    /// The number of the last durable write.
     durable: u64,
     /// In the order of their writes.
     delayed_messages: VecDeque<DelayedMessage>,
-    /// For each write that is not durable, in order.
+    /// The end of the log after each write that is not durable, in order.
     log_ends: VecDeque<LogEnd>,
-    /// The last index of the log that is durable.
+    /// The last durable index of the log.
     durable_index: Index,
 }
 
 impl PendingWrites {
-    /// Nothing is pending, and the log is durable up to an index.
+    /// No write is pending, and the log is durable up to an index.
     pub(super) fn all_durable(durable_index: Index) -> PendingWrites {
         PendingWrites { durable_index, ..PendingWrites::default() }
     }
 
-    /// The last index of the log that is durable.
+    /// The last durable index of the log.
     pub(super) fn durable_index(&self) -> Index {
         self.durable_index
     }
 
-    /// Whether every write requested is durable.
+    /// Returns whether all requested writes are durable.
     pub(super) fn is_empty(&self) -> bool {
         self.durable == self.requested
     }
 
-    /// The log was truncated from an index on: what is durable of the removed entries counts no more.
+    /// Records that the log was truncated from an index on, so that removed entries no longer count as
+    /// durable.
     pub(super) fn truncate_log(&mut self, from: Index) {
         let last_index = from - 1;
         self.durable_index = self.durable_index.min(last_index);
@@ -60,14 +62,14 @@
         }
     }
 
-    /// Numbers a write, after which the log ends at an index.
+    /// Assigns a number to a write after which the log ends at an index.
     fn request(&mut self, last_index: Index) -> u64 {
         self.requested += 1;
         self.log_ends.push_back(LogEnd { write: self.requested, last_index });
         self.requested
     }
 
-    /// All writes up to a number are durable.
+    /// Records that all writes up to a number are durable.
     fn complete(&mut self, number: u64) {
         self.durable = self.durable.max(number);
         while let Some(end) = self.log_ends.pop_front_if(|end| end.write <= self.durable) {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The next message whose writes are durable.
+    /// Removes and returns the next message whose writes are durable.
     fn next_message(&mut self) -> Option<Message> {
         let delayed = self.delayed_messages.pop_front_if(|delayed| delayed.write <= self.durable)?;
         Some(delayed.message)
@@ -83,7 +85,7 @@
 }
 
 impl Node {
-    /// Requests a write.
+    /// Requests a write to the persistent state.
     pub(super) fn persist(&mut self, write: Write, effects: &mut Vec<Effect>) {
         let number = self.pending_writes.request(self.log.last_index());
         effects.push(Effect::Write { number, write });
@@ -94,7 +96,7 @@
         self.persist(Write::Vote { term: self.term, voted_for: self.voted_for }, effects);
     }
 
-    /// Sends a message in the current term once all writes requested until now are durable.
+    /// Sends a message in the current term once all writes requested so far are durable.
     pub(super) fn send_when_durable(&mut self, to: Voter, body: MessageBody, effects: &mut Vec<Effect>) {
         if self.pending_writes.is_empty() {
             return self.send(to, body, effects);
@@ -107,7 +109,7 @@
     pub(super) fn handle_writes_durable(&mut self, number: u64, effects: &mut Vec<Effect>) {
         self.pending_writes.complete(number);
         while let Some(message) = self.pending_writes.next_message() {
-            // A message of an earlier term has no effect on its recipient.
+            // A message of an earlier term no longer affects its recipient.
             if message.term == self.term {
                 effects.push(Effect::Send(message));
             }
@@ -118,13 +120,13 @@
         }
     }
 
-    /// Whether the writes are numbered from the last durable one, as [`Node::renumber_writes`] leaves them.
+    /// Returns whether the writes are numbered from the last durable one, see [`Node::renumber_writes`].
     pub fn has_renumbered_writes(&self) -> bool {
         self.pending_writes.durable == 0
     }
 
-    /// Numbers the writes from the last durable one. Voters that differ in nothing but the numbers are equal
-    /// after it, which a model checker wants. Returns what was subtracted from each number.
+    /// Renumbers the writes from the last durable one, so that voters which differ only in these numbers
+    /// become equal. The model checker needs this. Returns the amount subtracted from each number.
     pub fn renumber_writes(&mut self) -> u64 {
         let writes = &mut self.pending_writes;
         let base = std::mem::take(&mut writes.durable);
--- a/raft/src/node/election.rs
+++ b/raft/src/node/election.rs
@@ -1,14 +1,14 @@
 //! Leader election: the election timeout, the pre-vote, the vote, and check quorum.
 //!
-//! Invariant "election safety" (figure 3): at most one leader is elected in a term. A voter votes once in a
-//! term, its vote is durable before the answer goes out, and two quorums have a voter in common.
+//! Invariant "election safety" (figure 3): at most one leader is elected in a term. This holds because a
+//! voter votes once per term, its vote is durable before the response is sent, and two quorums overlap.
 use super::role::Trigger;
 use super::{Effect, Node, Role, Timer};
 use crate::{Index, MessageBody, Payload, Term, Voter};
 use std::collections::BTreeSet;
 
 impl Node {
-    /// A leader checks that a quorum answers; any other server that may campaign does (section 5.2).
+    /// A leader checks that a quorum responds. Any other server that may campaign starts to (section 5.2).
     pub(super) fn handle_election_timeout(&mut self, effects: &mut Vec<Effect>) {
         self.leader_timed_out = true;
         effects.push(Effect::SetTimer(Timer::ElectionTimeout));
@@ -17,13 +17,13 @@
         }
         self.leader = None;
         if self.role != Role::Uninitialized && !self.is_voter() {
-            // It was removed, or is not added yet.
+            // This server was removed from the configuration, or has not been added yet.
             return self.announce(effects);
         }
         self.transition(Trigger::ElectionTimeout, effects);
     }
 
-    /// A leader steps down when no quorum has answered since the last election timeout (thesis, section 6.2).
+    /// A leader steps down if no quorum has responded since the last election timeout (thesis, section 6.2).
     fn check_quorum(&mut self, effects: &mut Vec<Effect>) {
         let is_active = |voter: &Voter| {
             *voter == self.own || self.progress.get(voter).is_some_and(|progress| progress.recently_active)
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Asks all voters whether they would vote for this server, without entering a new term.
+    /// Requests pre-votes from all voters without entering a new term.
     pub(super) fn start_pre_vote(&mut self, effects: &mut Vec<Effect>) {
         self.votes_granted = BTreeSet::from([self.own]);
         let request = MessageBody::RequestPreVote {
@@ -51,12 +51,12 @@
         self.check_votes(effects);
     }
 
-    /// Figure 2, "candidates": increment the term, vote for itself, request votes.
+    /// Figure 2, "candidates": increments the term, votes for itself and requests votes.
     pub(super) fn start_election(&mut self, effects: &mut Vec<Effect>) {
         self.term += 1;
         self.voted_for = Some(self.own);
         self.leader = None;
-        // Its own vote counts once it is durable, see `count_own_vote`.
+        // The candidate's own vote counts once it is durable, see `count_own_vote`.
         self.votes_granted = BTreeSet::new();
         self.persist_vote(effects);
         let request = MessageBody::RequestVote {
@@ -69,8 +69,8 @@
         effects.push(Effect::SetTimer(Timer::ElectionTimeout));
     }
 
-    /// The pre-vote is granted while no leader is heard, to a log that is up-to-date. A denial has the
-    /// recipient's term, so that a server with an older term enters it.
+    /// Grants the pre-vote if no leader is active and the candidate's log is up-to-date. A denial carries
+    /// this voter's term, so that a candidate with an older term enters it.
     pub(super) fn handle_request_pre_vote(
         &mut self,
         from: Voter,
@@ -79,12 +79,12 @@
         last_log_term: Term,
         effects: &mut Vec<Effect>,
     ) {
-        let wants_leader = self.leader_timed_out && self.role != Role::Leader;
-        let granted =
-            term > self.term && wants_leader && self.log.is_covered_by(last_log_index, last_log_term);
-        let answered_term = if granted { term } else { self.term };
+        let lacks_leader = self.leader_timed_out && self.role != Role::Leader;
+        let is_up_to_date = self.log.is_candidate_up_to_date(last_log_index, last_log_term);
+        let granted = term > self.term && lacks_leader && is_up_to_date;
+        let response_term = if granted { term } else { self.term };
         let response = MessageBody::PreVoteResponse { granted };
-        effects.push(Effect::Send(self.message(from, answered_term, response)));
+        effects.push(Effect::Send(self.message(from, response_term, response)));
     }
 
     pub(super) fn handle_pre_vote_response(
@@ -100,7 +100,7 @@
         }
     }
 
-    /// RequestVote of figure 2: one vote a term, to a candidate whose log is up-to-date (section 5.4.1).
+    /// RequestVote of figure 2: one vote per term, for a candidate whose log is up-to-date (section 5.4.1).
     pub(super) fn handle_request_vote(
         &mut self,
         from: Voter,
@@ -110,7 +110,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let may_vote = self.voted_for.is_none_or(|voted_for| voted_for == from);
-        let granted = term == self.term && may_vote && self.log.is_covered_by(last_log_index, last_log_term);
+        let is_up_to_date = self.log.is_candidate_up_to_date(last_log_index, last_log_term);
+        let granted = term == self.term && may_vote && is_up_to_date;
         if granted && self.voted_for.is_none() {
             self.voted_for = Some(from);
             self.persist_vote(effects);
@@ -131,7 +132,8 @@
         }
     }
 
-    /// A candidate's own vote counts like any other: once it is durable. Only then is the election decided.
+    /// Counts a candidate's own vote once it is durable, as for any other vote. The election is not decided
+    /// before that.
     pub(super) fn count_own_vote(&mut self, effects: &mut Vec<Effect>) {
         if self.role == Role::Candidate && self.pending_writes.is_empty() {
             self.votes_granted.insert(self.own);
@@ -145,7 +147,7 @@
         }
     }
 
-    /// A new leader adds an entry of its own term, which lets it commit those before it (section 8).
+    /// A new leader appends an entry of its own term. Committing it commits the entries before it (section 8).
     pub(super) fn become_leader(&mut self, effects: &mut Vec<Effect>) {
         self.leader = Some(self.own.id);
         effects.push(Effect::LeadershipChanged { is_leader: true, term: self.term });
@@ -153,7 +155,7 @@
         self.append_entry(Payload::Noop, effects);
     }
 
-    /// Forgets the state of a leader. Proposals that are not committed may be so by a later leader.
+    /// Clears the leader's volatile state. A later leader may still commit the pending proposals.
     pub(super) fn abandon_leadership(&mut self, effects: &mut Vec<Effect>) {
         self.progress.clear();
         for proposal_id in std::mem::take(&mut self.proposals).into_values() {
--- a/raft/src/node/membership.rs
+++ b/raft/src/node/membership.rs
@@ -1,21 +1,21 @@
-//! Cluster membership: the bootstrap of a new cluster, and changes of one voter at a time.
+//! Cluster membership: the bootstrap of a new cluster, and single-server membership changes.
 //!
-//! Invariant (thesis, section 4.1): a configuration differs from the one before it by one voter, so any
-//! quorum of one has a voter in common with any quorum of the other.
+//! Invariant (thesis, section 4.1): a configuration differs from the previous one by one voter, so any quorum
+//! of one overlaps any quorum of the other.
 use super::role::Trigger;
 use super::{Effect, Node, Role};
 use crate::{Entry, Id, MessageBody, Payload, Voter, Write};
 
-/// What a server announced of itself.
+/// The last announcement of a server that is not a voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Announcement {
-    /// Of its disk.
+    /// The incarnation of its disk.
     incarnation: u64,
     uninitialized: bool,
 }
 
 impl Node {
-    /// Tells all other configured servers that this one is running and no voter.
+    /// Announces to all other configured servers that this one is running and is not a voter.
     pub(super) fn announce(&mut self, effects: &mut Vec<Effect>) {
         let uninitialized = self.role == Role::Uninitialized;
         for id in self.configured.clone() {
@@ -43,7 +43,7 @@
         let announcement = Announcement { incarnation: from.incarnation, uninitialized };
         let previous = self.announced.insert(from.id, announcement);
         if self.role == Role::Uninitialized {
-            // Only what was announced to this incarnation counts for the bootstrap.
+            // Only announcements to this incarnation count for the bootstrap.
             if to == self.own {
                 self.bootstrap_if_ready(effects);
             } else if previous.is_none_or(|previous| previous.incarnation != from.incarnation) {
@@ -52,7 +52,7 @@
             return;
         }
         match self.bootstrap_voters() {
-            // The sender is one of the first voters and did not receive the bootstrap.
+            // The sender is one of the initial voters and did not receive the bootstrap message.
             Some(voters) if uninitialized && voters.contains(&from) => {
                 self.send_when_durable(from, MessageBody::Bootstrap { voters }, effects);
             }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The first voters, while the log holds nothing but them.
+    /// The initial voters, while the log holds only the bootstrap entry.
     fn bootstrap_voters(&self) -> Option<Vec<Voter>> {
         if self.log.last_index() != 1 {
             return None;
@@ -72,8 +72,8 @@
     }
 
     /// Creates the cluster once all other configured servers have announced to this incarnation that they
-    /// are uninitialized. Only the server of the smallest name does. Where one server has a log there is a
-    /// cluster already, which adds this server.
+    /// are uninitialized. Only the server with the smallest name creates it. If any server has a log, a
+    /// cluster exists already and adds this server.
     fn bootstrap_if_ready(&mut self, effects: &mut Vec<Effect>) {
         if self.configured.first() != Some(&self.own.id) {
             return;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// All other configured servers; none where one of them has not announced that it is uninitialized.
+    /// All other configured servers; `None` unless each of them has announced that it is uninitialized.
     fn uninitialized_peers(&self) -> Option<Vec<Voter>> {
         let peers = self.configured.iter().copied().filter(|id| *id != self.own.id);
         let uninitialized_voter = |id: Id| {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The first entry of a cluster names its voters. It has term 0, as no leader created it.
+    /// Appends the first entry of a cluster, its voters. The entry has term 0 because no leader created it.
     fn append_bootstrap_entry(&mut self, voters: Vec<Voter>, effects: &mut Vec<Effect>) {
         let entry = Entry { index: 1, term: 0, payload: Payload::Configuration(voters) };
         self.log.append(entry.clone());
@@ -115,8 +115,8 @@
         self.transition(Trigger::Bootstrapped, effects);
     }
 
-    /// A leader brings the voters to the configured servers by one change at a time. Each change waits until
-    /// the one before it and an entry of the leader's own term are committed (thesis, section 4.1).
+    /// A leader changes the voters, one at a time, until they match the configured servers. Each change waits
+    /// until the previous one and an entry of the leader's own term are committed (thesis, section 4.1).
     pub(super) fn reconcile_configuration(&mut self, effects: &mut Vec<Effect>) {
         let configuration_is_committed = self.log.configuration().index <= self.commit_index;
         let own_term_is_committed = self.log.term(self.commit_index) == Some(self.term);
@@ -124,8 +124,8 @@
             return;
         }
         let mut voters = self.voters().to_vec();
-        if let Some(lost) = self.voter_to_remove() {
-            voters.retain(|voter| *voter != lost);
+        if let Some(removed) = self.voter_to_remove() {
+            voters.retain(|voter| *voter != removed);
         } else if let Some(added) = self.voter_to_add() {
             voters.push(added);
             voters.sort_unstable();
@@ -135,7 +135,7 @@
         self.append_entry(Payload::Configuration(voters), effects);
     }
 
-    /// A voter that is not configured any more, or whose server announced another incarnation of its disk.
+    /// A voter that is no longer configured, or whose server announced another incarnation of its disk.
     fn voter_to_remove(&self) -> Option<Voter> {
         let has_lost_disk = |voter: &Voter| {
             let announced = self.announced.get(&voter.id);
@@ -147,7 +147,7 @@
         self.voters().iter().find(is_obsolete).copied()
     }
 
-    /// A configured server that is no voter and has announced itself.
+    /// A configured server that is not a voter and has announced itself.
     fn voter_to_add(&self) -> Option<Voter> {
         let is_voter = |id: Id| self.voters().iter().any(|voter| voter.id == id);
         let missing = self.configured.iter().copied().filter(|id| !is_voter(*id));
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! One voter: its state (figure 2), its events and effects, and the dispatch of messages.
 //!
-//! The rules are in the submodules: [`role`] has the roles and their transitions, `election` the pre-vote
-//! and the vote, `replication` the log and the commit index, `membership` the bootstrap and the changes of
-//! voters, `snapshot` the compaction, `durability` what waits for the disk.
+//! The submodules implement the rules: [`role`] the roles and their transitions, `election` the pre-vote and
+//! the vote, `replication` the log and the commit index, `membership` the bootstrap and the changes of
+//! voters, `snapshot` the log compaction, `durability` the messages that wait for writes.
 mod durability;
 mod election;
 mod membership;
@@ -21,17 +21,17 @@
 use role::Trigger;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The timers of a voter. Setting one replaces the previous one of the same kind.
+/// The timers of a voter. Setting a timer replaces the pending one of the same kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
-    /// The host draws it from one to two times the minimum election timeout (section 5.2). A leader counts
-    /// its followers by it (check quorum).
+    /// The host chooses it randomly between one and two times the minimum election timeout (section 5.2). A
+    /// leader uses it to check that a quorum still responds (check quorum).
     ElectionTimeout,
-    /// The leader's heartbeat interval, several of which fit into the minimum election timeout.
+    /// The leader's heartbeat interval. The minimum election timeout must span several intervals.
     HeartbeatTimeout,
 }
 
-/// What happens to a voter.
+/// The input of [`Node::step`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Event {
     /// A message was received.
@@ -40,14 +40,14 @@
     TimerExpired(Timer),
     /// All writes up to this number are durable.
     WritesDurable(u64),
-    /// A command for the log.
+    /// The host proposes a command for the log.
     Propose {
-        /// Comes back with the command's outcome.
+        /// Returned in the effect that reports the command's outcome.
         proposal_id: u64,
         /// The encoded command, at most `MAX_COMMAND_BYTES`.
         command: Vec<u8>,
     },
-    /// The log up to an applied entry may be replaced with a snapshot.
+    /// The host allows the log up to an applied entry to be replaced with a snapshot.
     Compact {
         /// Index of that entry.
         index: Index,
@@ -56,16 +56,16 @@
     },
 }
 
-/// What the host is to do, in order.
+/// An action that the host must carry out. Effects are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Effect {
     /// Send a message. It may be lost, delayed or duplicated.
     Send(Message),
-    /// Write to the disk and answer with `Event::WritesDurable`.
+    /// Write to disk and report completion with `Event::WritesDurable`.
     Write {
-        /// Numbers writes consecutively from 1.
+        /// The number of the write. Writes are numbered consecutively from 1.
         number: u64,
-        /// What to write.
+        /// The change of the persistent state.
         write: Write,
     },
     /// Set a timer.
@@ -76,7 +76,7 @@
         index: Index,
         /// The encoded command.
         command: Vec<u8>,
-        /// The proposal, where the command was proposed here.
+        /// The proposal, if the command was proposed at this voter.
         proposal_id: Option<u64>,
     },
     /// Replace the state machine with a snapshot.
@@ -84,21 +84,21 @@
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// A proposal was not accepted, because this voter does not lead or the command is too long.
+    /// A proposal was rejected because this voter is not the leader or the command is too long.
     ProposalRejected {
         /// The proposal.
         proposal_id: u64,
-        /// The leader, where it is known.
+        /// The leader, if known.
         leader: Option<Id>,
     },
-    /// A proposal may be committed or not: this voter leads no more.
+    /// A proposal may or may not be committed, because this voter lost leadership before it was decided.
     ProposalOutcomeUnknown {
         /// The proposal.
         proposal_id: u64,
     },
-    /// This voter became leader or stopped being it.
+    /// This voter became leader or stepped down.
     LeadershipChanged {
-        /// Whether it leads now.
+        /// Whether it is the leader now.
         is_leader: bool,
         /// The current term.
         term: Term,
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node {
     own: Voter,
-    /// Names of all servers that are to be voters, sorted.
+    /// Names of all servers that should be voters, sorted.
     configured: Vec<Id>,
     role: Role,
     /// `currentTerm` of figure 2.
@@ -120,22 +120,22 @@
     commit_index: Index,
     last_applied: Index,
     leader: Option<Id>,
-    /// An election timeout has expired since a leader was heard.
+    /// An election timeout has expired since the last message of a leader.
     leader_timed_out: bool,
-    /// Who granted a (pre-)vote to this candidate.
+    /// The voters that granted this candidate or pre-candidate their vote or pre-vote.
     votes_granted: BTreeSet<Voter>,
-    /// The leader's view of the other voters.
+    /// The leader's replication progress of the other voters.
     progress: BTreeMap<Voter, Progress>,
-    /// Servers that announced themselves as no voters.
+    /// Servers that announced that they are not voters.
     announced: BTreeMap<Id, Announcement>,
     pending_writes: PendingWrites,
-    /// Proposals that this leader added to its log, by index.
+    /// Proposals that this leader appended to its log, by index.
     proposals: BTreeMap<Index, u64>,
 }
 
 impl Node {
-    /// A voter as it starts, with what its disk holds. `configured` names all servers that are to be voters,
-    /// this one among them; names beyond `MAX_VOTERS` are ignored.
+    /// Starts a voter from its persistent state. `configured` names all servers that should be voters,
+    /// including this one; names beyond `MAX_VOTERS` are ignored.
     pub fn new(
         own: Voter,
         mut configured: Vec<Id>,
@@ -156,7 +156,7 @@
             last_applied: log.snapshot().index,
             pending_writes: PendingWrites::all_durable(log.last_index()),
             log,
-            // `leader_timed_out` is false: a leader may have been heard just before the restart.
+            // `leader_timed_out` is false: a leader may have been active just before the restart.
             ..Node::default()
         };
         if node.last_applied > 0 {
@@ -166,7 +166,7 @@
         node
     }
 
-    /// Handles one event and appends what the host is to do, in order.
+    /// Handles one event and appends the effects that the host must carry out, in order.
     pub fn step(&mut self, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::MessageReceived(message) => self.handle_message(message, effects),
@@ -188,7 +188,7 @@
         self.term
     }
 
-    /// The leader of the current term, where it is known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<Id> {
         self.leader
     }
@@ -208,17 +208,17 @@
         self.log.configuration().voters
     }
 
-    /// Whether this server is one of the voters in force.
+    /// Returns whether this server is one of the voters in force.
     pub fn is_voter(&self) -> bool {
         self.voters().contains(&self.own)
     }
 
-    /// The voters in force without this one.
+    /// The voters in force except this one.
     fn other_voters(&self) -> Vec<Voter> {
         self.voters().iter().copied().filter(|voter| *voter != self.own).collect()
     }
 
-    /// Whether a predicate holds for a majority of the voters in force.
+    /// Returns whether a predicate holds for a majority of the voters in force.
     fn has_quorum(&self, predicate: impl Fn(&Voter) -> bool) -> bool {
         let voters = self.voters();
         voters.iter().filter(|voter| predicate(voter)).count() * 2 > voters.len()
@@ -228,7 +228,7 @@
         Message { from: self.own, to, term, body }
     }
 
-    /// Sends a message in the current term at once.
+    /// Sends a message in the current term without waiting for pending writes.
     fn send(&self, to: Voter, body: MessageBody, effects: &mut Vec<Effect>) {
         effects.push(Effect::Send(self.message(to, self.term, body)));
     }
@@ -270,22 +270,23 @@
         }
     }
 
-    /// Whether a message is for this server with its present disk, and from another server.
+    /// Returns whether a message is addressed to this server with its current disk and sent by another server.
     fn is_recipient(&self, message: &Message) -> bool {
         let to = message.to;
         let incarnation_matches = to.incarnation == ANY_DISK || to.incarnation == self.own.incarnation;
         to.id == self.own.id && incarnation_matches && message.from.id != self.own.id
     }
 
-    /// Whether a request would depose a working leader: a server that was removed or cut off campaigns in a
-    /// later term. A follower gives no vote while it hears a leader (section 6, thesis 4.2.3). A leader
-    /// itself is not protected by this, but by the followers' pre-votes.
+    /// Returns whether a vote request would depose a working leader, as a removed or partitioned server that
+    /// campaigns in a later term would. A follower ignores vote requests while it receives messages from a
+    /// leader (section 6, thesis 4.2.3). This check does not protect the leader itself: the followers' denied
+    /// pre-votes do.
     fn is_disruptive(&self, body: &MessageBody) -> bool {
         let requests_vote = matches!(body, MessageBody::RequestVote { .. });
         requests_vote && !self.leader_timed_out && self.leader.is_some()
     }
 
-    /// Figure 2, "all servers": a higher term in a message makes the server a follower in that term.
+    /// Figure 2, "all servers": on a message with a higher term, the server becomes a follower in that term.
     fn enter_term(&mut self, term: Term, effects: &mut Vec<Effect>) {
         self.term = term;
         self.voted_for = None;
--- a/raft/src/node/replication.rs
+++ b/raft/src/node/replication.rs
@@ -1,19 +1,19 @@
-//! Log replication: the leader's progress of each voter, AppendEntries on both sides, and the commit index.
+//! Log replication: the leader's progress per voter, AppendEntries on both sides, and the commit index.
 //!
-//! Invariant "log matching" (figure 3): entries of the same index and term are the same, and so are all
-//! before them. Invariant "leader completeness": a committed entry is in the log of every later leader.
+//! Invariant "log matching" (figure 3): if two logs hold an entry with the same index and term, they are
+//! identical up to that entry. Invariant "leader completeness": every later leader has each committed entry.
 use super::role::Trigger;
 use super::{Effect, Node, Role, Timer};
 use crate::{AppendEntries, Entry, Index, MessageBody, Payload, Term, Voter, Write, MAX_COMMAND_BYTES};
 
-/// What a leader knows of another voter's log.
+/// The leader's knowledge of another voter's log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Progress {
     /// `nextIndex` of figure 2.
     pub next_index: Index,
     /// `matchIndex` of figure 2.
     pub match_index: Index,
-    /// It has answered since the leader's last check for a quorum.
+    /// The voter has responded since the leader's last quorum check.
     pub recently_active: bool,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A leader adds a command to its log; any other voter rejects it.
+    /// A leader appends a command to its log. Any other voter rejects the proposal.
     pub(super) fn propose(&mut self, proposal_id: u64, command: Vec<u8>, effects: &mut Vec<Effect>) {
         if self.role != Role::Leader || command.len() > MAX_COMMAND_BYTES {
             return effects.push(Effect::ProposalRejected { proposal_id, leader: self.leader });
@@ -34,7 +34,7 @@
         self.proposals.insert(index, proposal_id);
     }
 
-    /// A leader adds an entry to its log and sends it to all. Returns its index.
+    /// A leader appends an entry to its log and sends it to all other voters. Returns the entry's index.
     pub(super) fn append_entry(&mut self, payload: Payload, effects: &mut Vec<Effect>) -> Index {
         let index = self.log.last_index() + 1;
         let entry = Entry { index, term: self.term, payload };
@@ -45,7 +45,7 @@
     }
 
     fn replicate_to_all(&mut self, effects: &mut Vec<Effect>) {
-        // The first attempt is with the last entry, which a new leader has just added.
+        // `nextIndex` starts at the last entry, which a new leader has just appended.
         let next_index = self.log.last_index();
         for voter in self.other_voters() {
             self.progress.entry(voter).or_insert(Progress { next_index, ..Progress::default() });
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends the entries that a voter lacks, or the snapshot where they were compacted.
+    /// Sends the entries that a voter lacks, or the snapshot if these were compacted.
     fn replicate_to(&self, voter: Voter, effects: &mut Vec<Effect>) {
         let Some(progress) = self.progress.get(&voter) else { return };
         let next_index = progress.next_index.max(1);
@@ -96,25 +96,25 @@
         self.send_when_durable(from, MessageBody::AppendResponse { success: true, index }, effects);
     }
 
-    /// Figure 2, step 1: a request of an earlier term fails. The response carries the current term.
+    /// Figure 2, step 1: rejects a request of an earlier term. The response carries the current term.
     pub(super) fn reject_stale_leader(&self, from: Voter, effects: &mut Vec<Effect>) {
         self.send(from, MessageBody::AppendResponse { success: false, index: 0 }, effects);
     }
 
-    /// Recognizes the sender as the leader of the current term.
+    /// Accepts the sender as the leader of the current term.
     pub(super) fn follow(&mut self, leader: Voter, effects: &mut Vec<Effect>) {
         self.leader = Some(leader.id);
         self.leader_timed_out = false;
         self.transition(Trigger::LeaderContact, effects);
     }
 
-    /// Figure 2, step 2: whether the log has the entry that precedes the leader's. A snapshot holds committed
-    /// entries only, which are the same everywhere.
+    /// Figure 2, step 2: returns whether the log has the entry that precedes the leader's entries. A snapshot
+    /// holds only committed entries, which are the same at each voter.
     fn matches_leader(&self, prev_log_index: Index, prev_log_term: Term) -> bool {
         prev_log_index <= self.log.snapshot().index || self.log.term(prev_log_index) == Some(prev_log_term)
     }
 
-    /// Figure 2, steps 3 and 4: removes what conflicts with the leader's entries and adds those that are new.
+    /// Figure 2, steps 3 and 4: removes entries that conflict with the leader's and appends the new ones.
     /// Returns the index up to which the log matches the leader's.
     fn store_entries(
         &mut self,
@@ -126,7 +126,7 @@
         let mut added = Vec::new();
         for entry in entries {
             if entry.index != match_index + 1 {
-                // No leader sends entries with a gap.
+                // A leader sends consecutive entries, so the rest is invalid.
                 break;
             }
             match_index = entry.index;
@@ -150,7 +150,7 @@
         match_index
     }
 
-    /// Figure 2, "leaders": a success advances the voter's progress, a failure moves its next index back.
+    /// Figure 2, "leaders": a success advances the voter's progress, a failure lowers its next index.
     pub(super) fn handle_append_response(
         &mut self,
         from: Voter,
@@ -167,7 +167,7 @@
         if success {
             self.advance_progress(from, index, effects);
         } else {
-            self.move_progress_back(from, index, effects);
+            self.lower_next_index(from, index, effects);
         }
     }
 
@@ -185,7 +185,7 @@
         }
     }
 
-    fn move_progress_back(&mut self, voter: Voter, index: Index, effects: &mut Vec<Effect>) {
+    fn lower_next_index(&mut self, voter: Voter, index: Index, effects: &mut Vec<Effect>) {
         let Some(progress) = self.progress.get_mut(&voter) else { return };
         let before_current = progress.next_index.saturating_sub(1);
         let next_index = (index + 1).min(before_current).max(progress.match_index + 1);
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Figure 2, "leaders": an entry that a quorum has on its disks is committed, with all before it, if it
-    /// is of the leader's own term (section 5.4.2).
+    /// Figure 2, "leaders": an entry of the leader's own term is committed, with all entries before it, once
+    /// it is durable on a quorum (section 5.4.2).
     pub(super) fn advance_commit_index(&mut self, effects: &mut Vec<Effect>) {
         let quorum_index = self.quorum_index();
         if quorum_index <= self.commit_index || self.log.term(quorum_index) != Some(self.term) {
@@ -214,7 +214,7 @@
         }
     }
 
-    /// The last index, from the commit index on, that a quorum has on its disks.
+    /// The highest index, at least the commit index, that is durable on a quorum.
     fn quorum_index(&self) -> Index {
         let durable_index = |voter: &Voter| {
             if *voter == self.own {
@@ -229,7 +229,7 @@
         index
     }
 
-    /// Figure 2, "all servers": applies what is committed, in the order of the log.
+    /// Figure 2, "all servers": applies the committed entries in log order.
     fn apply_committed(&mut self, effects: &mut Vec<Effect>) {
         while self.last_applied < self.commit_index {
             self.last_applied += 1;
--- a/raft/src/node/role.rs
+++ b/raft/src/node/role.rs
@@ -1,15 +1,15 @@
 //! The roles of a voter and the transitions between them (figure 4, with the pre-vote).
 use super::{Effect, Node, Timer};
 
-/// What a voter is in its term.
+/// The role of a voter in its current term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// It has no log yet and belongs to no cluster.
+    /// It has no log yet and does not belong to a cluster.
     #[default]
     Uninitialized,
-    /// It follows a leader or waits for one.
+    /// It follows a leader, or waits for an election.
     Follower,
-    /// It asks whether it would be voted for (thesis, section 9.6).
+    /// It has requested pre-votes (thesis, section 9.6).
     PreCandidate,
     /// It has requested votes in its term.
     Candidate,
@@ -18,7 +18,7 @@
 }
 
 impl Role {
-    /// The word for the role in operators' answers.
+    /// The name of the role in responses to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Uninitialized => "blank",
@@ -30,24 +30,24 @@
     }
 }
 
-/// What may change the role.
+/// An occurrence that may change the role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Trigger {
-    /// No leader was heard for an election timeout.
+    /// No message of a leader arrived within an election timeout.
     ElectionTimeout,
     /// A quorum granted the pre-vote or the vote.
     VotesGranted,
-    /// A message had a higher term.
+    /// A message with a higher term arrived.
     HigherTerm,
-    /// The leader of the current term was heard.
+    /// A message of the current term's leader arrived.
     LeaderContact,
-    /// The leader did not hear a quorum for an election timeout, or is no voter any more.
+    /// No quorum responded to the leader within an election timeout, or the leader is no longer a voter.
     QuorumLost,
-    /// The log has its first entries or a snapshot.
+    /// The log received its first entries or a snapshot.
     Bootstrapped,
 }
 
-/// What is done on entering a role.
+/// The action on entering a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Action {
     Announce,
@@ -62,7 +62,7 @@
     action: Action,
 }
 
-/// The transition of a role by a trigger; none where the trigger changes nothing.
+/// The transition from a role on a trigger; `None` if the trigger does not apply to the role.
 fn transition(from: Role, trigger: Trigger) -> Option<Transition> {
     use Role::{Candidate, Follower, Leader, PreCandidate, Uninitialized};
     use Trigger::{Bootstrapped, ElectionTimeout, HigherTerm, LeaderContact, QuorumLost, VotesGranted};
@@ -82,7 +82,7 @@
 }
 
 impl Node {
-    /// Takes the transition of the current role by a trigger, where there is one.
+    /// Takes the transition from the current role on a trigger, if there is one.
     pub(super) fn transition(&mut self, trigger: Trigger, effects: &mut Vec<Effect>) {
         let Some(Transition { to, action }) = transition(self.role, trigger) else { return };
         let was_leader = self.role == Role::Leader;
--- a/raft/src/node/snapshot.rs
+++ b/raft/src/node/snapshot.rs
@@ -1,21 +1,21 @@
 //! Log compaction and the installation of a leader's snapshot (section 7).
 //!
-//! Invariant: a snapshot holds committed and applied entries only, so replacing the log up to it loses
-//! nothing.
+//! Invariant: a snapshot covers only committed and applied entries, so replacing the log up to it loses no
+//! entry.
 use super::role::Trigger;
 use super::{Effect, Node};
 use crate::{Index, MessageBody, Snapshot, Term, Voter, Write};
 
 impl Node {
-    /// Replaces the log up to an applied entry with the state machine's state there.
+    /// Replaces the log up to an applied entry with the state of the state machine after that entry.
     pub(super) fn compact(&mut self, index: Index, state: Vec<u8>, effects: &mut Vec<Effect>) {
         if index <= self.last_applied && self.log.compact(index, state) {
             self.persist_snapshot(effects);
         }
     }
 
-    /// InstallSnapshot of figure 13. A snapshot that ends at or before the commit index is acknowledged and
-    /// not used.
+    /// InstallSnapshot of figure 13. A snapshot that ends at or before the commit index is acknowledged but
+    /// not installed.
     pub(super) fn handle_install_snapshot(
         &mut self,
         from: Voter,
--- a/raft/src/storage.rs
+++ b/raft/src/storage.rs
@@ -1,24 +1,24 @@
-//! What a voter keeps on its disk, and the writes that change it.
+//! The persistent state of a voter, and the writes that change it.
 use crate::{Entry, Index, Snapshot, Term, Voter};
 
-/// A change of the persistent state, to be written in the order given. A later write replaces what it covers.
+/// A change of the persistent state. Writes are carried out in order; a later one replaces what it covers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Write {
     /// The current term and the vote given in it.
     Vote {
         /// The current term.
         term: Term,
-        /// Who got the vote in this term.
+        /// The candidate that received the vote in this term.
         voted_for: Option<Voter>,
     },
-    /// All entries from an index on are replaced.
+    /// Replaces all entries from an index on.
     Log {
-        /// Index of the first entry replaced.
+        /// Index of the first entry to be replaced.
         from: Index,
-        /// The entries that follow from there on.
+        /// The new entries from that index on.
         entries: Vec<Entry>,
     },
-    /// The snapshot and all entries are replaced.
+    /// Replaces the snapshot and all entries.
     Snapshot {
         /// The new snapshot.
         snapshot: Snapshot,
@@ -27,14 +27,14 @@
     },
 }
 
-/// The persistent state of figure 2 with the snapshot, as read from a disk.
+/// The persistent state of figure 2 and the snapshot, as read from disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistentState {
     /// The latest term that the server has seen.
     pub term: Term,
-    /// Who got the vote in this term.
+    /// The candidate that received the vote in this term.
     pub voted_for: Option<Voter>,
-    /// The last snapshot; empty where there is none.
+    /// The latest snapshot; empty if there is none.
     pub snapshot: Snapshot,
     /// The entries that follow the snapshot.
     pub entries: Vec<Entry>,
--- a/raft/tests/fixtures.rs
+++ b/raft/tests/fixtures.rs
@@ -1,43 +1,43 @@
-//! The encodings that relays exchange and store, held against bytes that were written once. The bytes stay as
-//! they are; only the names in Rust may change.
+//! Compares the encodings that relays exchange and store with recorded bytes. The bytes must not change; only
+//! the names in Rust may.
 use hallrelay_raft::{AppendEntries, Entry, Message, MessageBody, Payload, Snapshot, Term, Voter};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
 use std::path::PathBuf;
 
-/// Holds lines `name hex` against a file. A file that is missing is written, and the test fails.
+/// Compares lines `name hex` with a recorded file. Writes a missing file and fails.
 fn compare_with_file(file: &str, lines: &[String]) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let text = lines.join("\n") + "\n";
     match std::fs::read_to_string(&path) {
         Ok(recorded) => assert_eq!(recorded, text, "{file}"),
         Err(_) => {
-            std::fs::write(&path, text).expect("the fixture can be written");
-            panic!("{file} was missing and has been written");
+            std::fs::write(&path, text).expect("write the missing fixture");
+            panic!("fixture {file} was missing and has been written from this run; check it and commit it");
         }
     }
 }
 
-/// The bytes of a recorded line; none where there is no such line yet.
+/// The bytes of a recorded line; `None` if there is no such line yet.
 fn recorded_bytes(file: &str, name: &str) -> Option<Vec<u8>> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let text = std::fs::read_to_string(path).ok()?;
     let (_, hex) = text.lines().filter_map(|line| line.split_once(' ')).find(|line| line.0 == name)?;
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("parse two hexadecimal digits");
     Some((0..hex.len()).step_by(2).map(byte).collect())
 }
 
-/// Each value is written as the file has it, and what the file has is read as the value.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
+/// Checks that each value encodes to the recorded bytes, and that these decode to the value.
+fn check_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
     let mut lines = Vec::new();
     for (name, value) in values {
-        let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
+        let bytes = postcard::to_stdvec(value).expect("encode the value with postcard");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         lines.push(format!("{name} {hex}"));
         if let Some(recorded) = recorded_bytes(file, name) {
-            let read: T = postcard::from_bytes(&recorded).expect("the recorded bytes can be decoded");
-            assert_eq!(&read, value, "{file}: {name}");
+            let decoded: T = postcard::from_bytes(&recorded).expect("decode the recorded bytes");
+            assert_eq!(&decoded, value, "{file}: {name}");
         }
     }
     compare_with_file(file, &lines);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn messages_between_relays_keep_their_bytes() {
+fn messages_encode_to_recorded_bytes() {
     let values = [
         ("announce-empty", message(0, MessageBody::Announce { uninitialized: true })),
         ("announce", message(5, MessageBody::Announce { uninitialized: false })),
@@ -111,22 +111,22 @@
         ("snapshot", message(7, MessageBody::InstallSnapshot { snapshot: snapshot() })),
         ("snapshot-empty", message(7, MessageBody::InstallSnapshot { snapshot: Snapshot::default() })),
     ];
-    check("messages.hex", &values);
+    check_encoding("messages.hex", &values);
 }
 
 #[test]
-fn stored_entries_and_snapshots_keep_their_bytes() {
+fn entries_and_snapshots_encode_to_recorded_bytes() {
     let names = ["first-voters", "nothing", "command", "command-empty", "voters-none"];
     let values: Vec<(&str, Entry)> = names.into_iter().zip(entries()).collect();
-    check("entries.hex", &values);
-    check("snapshots.hex", &[("empty", Snapshot::default()), ("some", snapshot())]);
+    check_encoding("entries.hex", &values);
+    check_encoding("snapshots.hex", &[("empty", Snapshot::default()), ("some", snapshot())]);
 }
 
-/// As the store has them: the disk's number, the term and the vote.
+/// The record in the store: the disk's incarnation, the term and the vote.
 type StoredVote = (u64, Term, Option<Voter>);
 
 #[test]
-fn stored_votes_keep_their_bytes() {
+fn stored_votes_encode_to_recorded_bytes() {
     let values: [(&str, StoredVote); 2] = [("none", (u64::MAX, 0, None)), ("given", (7, 300, Some(B)))];
-    check("votes.hex", &values);
+    check_encoding("votes.hex", &values);
 }
--- a/raft/tests/recorded_runs.rs
+++ b/raft/tests/recorded_runs.rs
@@ -1,14 +1,14 @@
-//! Runs of small clusters, drawn by seed: each event and all that comes of it, in a notation of its own, held
-//! against runs that were recorded once. One run stands in full, of the others a hash does.
+//! Compares pseudorandom runs of small clusters with recorded runs. A trace lists each event, its effects and
+//! the state after it. One run is recorded in full, the others as a hash of their trace.
 use hallrelay_raft::{Effect, Event, Message, Node, PersistentState, Timer, Voter, Write, MAX_COMMAND_BYTES};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-/// Numbers by seed (Knuth's MMIX constants, upper half).
-struct Chance(u64);
+/// Linear congruential generator with Knuth's MMIX constants. It uses the upper half of the state.
+struct Random(u64);
 
-impl Chance {
+impl Random {
     fn below(&mut self, limit: usize) -> usize {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as usize % limit
@@ -23,13 +23,13 @@
 }
 
 struct Cluster {
-    chance: Chance,
+    random: Random,
     servers: Vec<Server>,
     network: Vec<Message>,
     proposals: u64,
     trace: String,
-    /// How often each kind of line stands in the trace.
-    seen: BTreeMap<String, usize>,
+    /// Number of lines of each kind in the trace.
+    counts: BTreeMap<String, usize>,
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -40,20 +40,20 @@
 }
 
 fn encoded(value: &impl serde::Serialize) -> String {
-    hex(&postcard::to_stdvec(value).expect("the value can be encoded"))
+    hex(&postcard::to_stdvec(value).expect("encode the value with postcard"))
 }
 
-fn timer_word(timer: Timer) -> &'static str {
+fn timer_name(timer: Timer) -> &'static str {
     match timer {
         Timer::ElectionTimeout => "election",
         Timer::HeartbeatTimeout => "heartbeat",
     }
 }
 
-fn event_words(event: &Event) -> String {
+fn format_event(event: &Event) -> String {
     match event {
         Event::MessageReceived(message) => format!("receive {}", encoded(message)),
-        Event::TimerExpired(timer) => format!("timer {}", timer_word(*timer)),
+        Event::TimerExpired(timer) => format!("timer {}", timer_name(*timer)),
         Event::WritesDurable(number) => format!("durable {number}"),
         Event::Propose { proposal_id, command } if command.len() > MAX_COMMAND_BYTES => {
             format!("propose {proposal_id} {} bytes", command.len())
@@ -63,7 +63,7 @@
     }
 }
 
-fn write_words(write: &Write) -> String {
+fn format_write(write: &Write) -> String {
     match write {
         Write::Vote { term, voted_for } => format!("vote {term} {}", encoded(voted_for)),
         Write::Log { from, entries } => format!("log {from} {}", encoded(entries)),
@@ -77,11 +77,11 @@
     number.map_or("-".to_string(), |number| number.to_string())
 }
 
-fn effect_words(effect: &Effect) -> String {
+fn format_effect(effect: &Effect) -> String {
     match effect {
         Effect::Send(message) => format!("send {}", encoded(message)),
-        Effect::Write { number, write } => format!("write {number} {}", write_words(write)),
-        Effect::SetTimer(timer) => format!("set {}", timer_word(*timer)),
+        Effect::Write { number, write } => format!("write {number} {}", format_write(write)),
+        Effect::SetTimer(timer) => format!("set {}", timer_name(*timer)),
         Effect::Apply { index, command, proposal_id } => {
             format!("apply {index} {} {}", hex(command), optional(*proposal_id))
         }
@@ -96,15 +96,15 @@
 
 impl Cluster {
     fn new(seed: u64) -> Cluster {
-        let chance = Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let random = Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let size = [3, 3, 5, 3, 1, 3, 3, 7][seed as usize % 8];
         let mut cluster = Cluster {
-            chance,
+            random,
             servers: Vec::new(),
             network: Vec::new(),
             proposals: 0,
             trace: String::new(),
-            seen: BTreeMap::new(),
+            counts: BTreeMap::new(),
         };
         for id in 1..=size {
             let mut effects = Vec::new();
@@ -121,26 +121,26 @@
         cluster
     }
 
-    /// Notes an event with its effects and the state after it; carries the effects out.
-    fn record(&mut self, at: usize, event: &str, effects: Vec<Effect>) {
-        let _ = writeln!(self.trace, "{} {event}", at + 1);
+    /// Adds an event, its effects and the state after it to the trace, and carries the effects out.
+    fn record(&mut self, position: usize, event: &str, effects: Vec<Effect>) {
+        let _ = writeln!(self.trace, "{} {event}", position + 1);
         self.count("event", event);
         for effect in effects {
-            let words = effect_words(&effect);
-            let _ = writeln!(self.trace, "  {words}");
-            self.count("effect", &words);
+            let line = format_effect(&effect);
+            let _ = writeln!(self.trace, "  {line}");
+            self.count("effect", &line);
             match effect {
                 Effect::Send(message) => {
-                    // The field that follows on the term tells the kind.
+                    // The first byte of the encoding identifies the variant.
                     let kind = encoded(&message.body)[..2].to_string();
                     self.count("message", &kind);
                     self.network.push(message);
                 }
-                Effect::Write { number, write } => self.servers[at].pending.push_back((number, write)),
+                Effect::Write { number, write } => self.servers[position].pending.push_back((number, write)),
                 _ => {}
             }
         }
-        let node = &self.servers[at].node;
+        let node = &self.servers[position].node;
         let _ = writeln!(
             self.trace,
             "  = {} term {} leader {} commit {} log {}..{} last term {} voters {}",
@@ -155,113 +155,114 @@
         );
         let role = node.role().as_str();
         self.count("role", role);
-        // The oldest are lost.
-        let extra = self.network.len().saturating_sub(60);
-        self.network.drain(..extra);
+        // The network loses the oldest messages beyond 60.
+        let excess = self.network.len().saturating_sub(60);
+        self.network.drain(..excess);
     }
 
-    fn count(&mut self, group: &str, words: &str) {
-        let first = words.split(' ').next().unwrap_or_default();
-        *self.seen.entry(format!("{group} {first}")).or_default() += 1;
+    /// Counts a line of the trace by its first word.
+    fn count(&mut self, group: &str, line: &str) {
+        let kind = line.split(' ').next().unwrap_or_default();
+        *self.counts.entry(format!("{group} {kind}")).or_default() += 1;
     }
 
-    fn step(&mut self, at: usize, event: Event) {
-        let words = event_words(&event);
+    fn step(&mut self, position: usize, event: Event) {
+        let line = format_event(&event);
         let mut effects = Vec::new();
-        self.servers[at].node.step(event, &mut effects);
-        self.record(at, &words, effects);
+        self.servers[position].node.step(event, &mut effects);
+        self.record(position, &line, effects);
     }
 
-    /// A process starts again with what is on its disk, sometimes with one voter fewer configured.
-    fn restart(&mut self, at: usize, words: &str) {
+    /// Restarts a server from its disk, in one of four cases with one configured voter fewer.
+    fn restart(&mut self, position: usize, cause: &str) {
         let size = self.servers.len() as u32;
-        let fewer = u32::from(self.chance.below(4) == 0 && size > 1);
-        let server = &mut self.servers[at];
+        let fewer = u32::from(self.random.below(4) == 0 && size > 1);
+        let server = &mut self.servers[position];
         server.pending.clear();
         let mut effects = Vec::new();
-        let own = Voter { id: at as u32 + 1, incarnation: server.incarnation };
+        let own = Voter { id: position as u32 + 1, incarnation: server.incarnation };
         server.node = Node::new(own, (1..=size - fewer).collect(), server.disk.clone(), &mut effects);
-        self.record(at, &format!("{words} {fewer}"), effects);
+        self.record(position, &format!("{cause} {fewer}"), effects);
     }
 
     fn deliver(&mut self) {
         if self.network.is_empty() {
             return;
         }
-        // Mostly in order.
-        let range = if self.chance.below(3) == 0 { self.network.len() } else { 1 };
-        let which = self.chance.below(range);
-        let message = match self.chance.below(20) {
-            0 => self.network[which].clone(),
-            _ => self.network.remove(which),
+        // Two of three messages are delivered in order; some are duplicated or lost.
+        let range = if self.random.below(3) == 0 { self.network.len() } else { 1 };
+        let chosen = self.random.below(range);
+        let message = match self.random.below(20) {
+            0 => self.network[chosen].clone(),
+            _ => self.network.remove(chosen),
         };
-        if self.chance.below(20) != 0 {
+        if self.random.below(20) != 0 {
             self.step(message.to.id as usize - 1, Event::MessageReceived(message));
         }
     }
 
-    fn sync(&mut self, at: usize) {
-        let server = &mut self.servers[at];
+    fn sync(&mut self, position: usize) {
+        let server = &mut self.servers[position];
         let count = server.pending.len();
         if count == 0 {
             return;
         }
-        let count = self.chance.below(count) + 1;
+        let count = self.random.below(count) + 1;
         let mut last = 0;
         for (number, write) in server.pending.drain(..count) {
             server.disk.apply(write);
             last = number;
         }
-        self.step(at, Event::WritesDurable(last));
+        self.step(position, Event::WritesDurable(last));
     }
 
-    fn propose(&mut self, at: usize) {
+    fn propose(&mut self, position: usize) {
         self.proposals += 1;
-        let length = if self.chance.below(50) == 0 { MAX_COMMAND_BYTES + 1 } else { self.chance.below(6) };
+        let length = if self.random.below(50) == 0 { MAX_COMMAND_BYTES + 1 } else { self.random.below(6) };
         let command = (0..length).map(|i| (self.proposals as usize + i) as u8).collect();
-        self.step(at, Event::Propose { proposal_id: self.proposals, command });
+        self.step(position, Event::Propose { proposal_id: self.proposals, command });
     }
 
-    fn draw(&mut self) {
-        let at = self.chance.below(self.servers.len());
-        match self.chance.below(1000) {
+    fn random_event(&mut self) {
+        let position = self.random.below(self.servers.len());
+        match self.random.below(1000) {
             0..=599 => self.deliver(),
-            600..=829 => self.sync(at),
-            830..=869 => self.step(at, Event::TimerExpired(Timer::ElectionTimeout)),
-            870..=919 => self.step(at, Event::TimerExpired(Timer::HeartbeatTimeout)),
-            920..=979 => self.propose(at),
+            600..=829 => self.sync(position),
+            830..=869 => self.step(position, Event::TimerExpired(Timer::ElectionTimeout)),
+            870..=919 => self.step(position, Event::TimerExpired(Timer::HeartbeatTimeout)),
+            920..=979 => self.propose(position),
             980..=988 => {
-                let index = self.servers[at].node.commit_index();
-                self.step(at, Event::Compact { index, state: index.to_le_bytes().to_vec() });
+                let index = self.servers[position].node.commit_index();
+                self.step(position, Event::Compact { index, state: index.to_le_bytes().to_vec() });
             }
-            989..=996 => self.restart(at, "crash"),
+            989..=996 => self.restart(position, "crash"),
             _ => {
-                self.servers[at].disk = PersistentState::default();
-                self.servers[at].incarnation += 1;
-                self.restart(at, "disk-lost");
+                self.servers[position].disk = PersistentState::default();
+                self.servers[position].incarnation += 1;
+                self.restart(position, "disk-lost");
             }
         }
     }
 }
 
-fn run(seed: u64, draws: usize) -> Cluster {
+fn run(seed: u64, events: usize) -> Cluster {
     let mut cluster = Cluster::new(seed);
-    (0..draws).for_each(|_| cluster.draw());
+    (0..events).for_each(|_| cluster.random_event());
     cluster
 }
 
-/// FNV-1a.
+/// 64-bit FNV-1a hash.
 fn hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// A file that is missing is written, and the test fails.
+/// Compares a text with a recorded file. Writes a missing file and fails.
 fn compare_with_file(file: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let Ok(recorded) = std::fs::read_to_string(&path) else {
-        std::fs::write(&path, text).expect("the fixture can be written");
-        panic!("{file} was missing and has been written");
+        std::fs::write(&path, text).expect("write the missing fixture");
+        panic!("fixture {file} was missing and has been written from this run; check it and commit it");
     };
     for (i, (old, new)) in recorded.lines().zip(text.lines()).enumerate() {
         assert_eq!(old, new, "{file}: line {}", i + 1);
@@ -269,26 +270,26 @@
     assert_eq!(recorded.len(), text.len(), "{file}");
 }
 
-/// Of a seed whose run has nearly every kind of event, effect and message.
+/// The run of this seed has nearly every kind of event, effect and message.
 #[test]
-fn a_run_of_three_is_as_it_was_recorded() {
+fn run_of_three_servers_matches_recording() {
     compare_with_file("run.txt", &run(1574, 700).trace);
 }
 
-/// Hashes of longer runs, and how often each kind of event, effect, message and role stands in them.
+/// Compares the hashes of longer runs, and the number of events, effects, messages and roles of each kind.
 #[test]
-fn longer_runs_are_as_they_were_recorded() {
+fn longer_runs_match_recorded_hashes_and_counts() {
     let mut text = String::new();
-    let mut seen: BTreeMap<String, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 1..=64 {
         let cluster = run(seed, 4_000);
         let _ = writeln!(text, "seed {seed}: {:016x}", hash(&cluster.trace));
-        for (words, count) in cluster.seen {
-            *seen.entry(words).or_default() += count;
+        for (kind, count) in cluster.counts {
+            *counts.entry(kind).or_default() += count;
         }
     }
-    for (words, count) in seen {
-        let _ = writeln!(text, "{words}: {count}");
+    for (kind, count) in counts {
+        let _ = writeln!(text, "{kind}: {count}");
     }
     compare_with_file("runs.txt", &text);
 }
