--- a/disruption/src/analysis.rs
+++ b/disruption/src/analysis.rs
@@ -1,30 +1,32 @@
-//! Analysis of a rollout's wave: sessions at the new build compared with those at the old build meanwhile.
+//! Analysis of a wave of a rollout: compares sessions at the new build with those at the old build during the
+//! same time.
 use serde::{Deserialize, Serialize};
 
-/// How far above the bound the failure rate must be, in standard errors, to end an analysis early.
+/// Number of standard errors by which the failure rate must exceed the bound for an early failure.
 const EARLY_STANDARD_ERRORS: f64 = 3.0;
-/// An analysis may end early once the wanted sessions over this are there.
+/// An analysis may fail early once it has this fraction (1/4) of the required sessions.
 const EARLY_DIVISOR: u64 = 4;
-/// The failure rate from which the standard error is taken stays inside these bounds.
+/// Bounds of the failure rate for the estimate of the standard error.
 const ESTIMATE_BOUNDS: (f64, f64) = (0.01, 0.99);
 
-/// Sessions, and the failed ones among them: refused, failed, or reset after they were established.
+/// Numbers of all sessions and of failed sessions, which were refused, failed, or were reset after they were
+/// established.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionCounts {
-    /// Sessions that got a final answer, or ended after they were established.
+    /// Sessions that received a final response, or ended after they were established.
     pub sessions: u64,
-    /// The failed ones among them.
+    /// The failed sessions among them.
     pub failed: u64,
 }
 
 impl SessionCounts {
-    /// Adds other sessions.
+    /// Adds the counts of other sessions.
     pub fn add(&mut self, other: SessionCounts) {
         self.sessions += other.sessions;
         self.failed += other.failed;
     }
 
-    /// The sessions since an earlier count.
+    /// The counts since an earlier count.
     pub fn since(self, earlier: SessionCounts) -> SessionCounts {
         SessionCounts {
             sessions: self.sessions.saturating_sub(earlier.sessions),
@@ -37,13 +39,14 @@
     }
 }
 
-/// When a wave passes: its failure rate is at most the old build's plus a margin, over enough sessions.
+/// The conditions under which a wave passes: over enough sessions, its failure rate exceeds that of the old
+/// build by at most a margin.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AnalysisPolicy {
-    /// Sessions at the new build that an analysis needs.
+    /// Minimum number of sessions at the new build for an analysis.
     #[serde(rename = "sessions")]
     pub min_sessions: u32,
-    /// The margin over the old build's failure rate, in millionths.
+    /// Allowed margin over the old build's failure rate, in millionths.
     #[serde(rename = "worse")]
     pub margin_ppm: u32,
     /// Seconds, by the leader's clock, after which a wave with fewer sessions fails.
@@ -54,16 +57,16 @@
 /// The result of an analysis.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Whether the rollout may go on.
+    /// Whether the rollout may continue.
     pub passed: bool,
-    /// The counts, for operators.
+    /// The session counts, for operators.
     pub reason: String,
 }
 
-/// Compares the counts of the new and the old build; `elapsed_s` seconds have passed since counting began.
-/// None while there are too few sessions to tell. A new build that is worse beyond chance fails from a
-/// quarter of the sessions on: waiting for the rest would expose more clients to it. A wave without enough
-/// sessions by the deadline fails, and a person decides whether to resume.
+/// Compares the counts of the new and the old build, `elapsed_s` seconds after counting began. Returns `None`
+/// while there are too few sessions for a verdict. A new build that is significantly worse fails from a
+/// quarter of the required sessions on, because waiting for the rest would expose more clients to it. A wave
+/// without enough sessions by the deadline fails, and a person decides whether to resume.
 pub fn analyze(
     policy: &AnalysisPolicy,
     new: SessionCounts,
@@ -84,13 +87,14 @@
     }
     if elapsed_s >= u64::from(policy.deadline_s) {
         let counts = describe(new, old);
-        let reason = format!("{} sessions in {elapsed_s} s, too few to judge: {counts}", new.sessions);
+        let sessions = new.sessions;
+        let reason = format!("only {sessions} of {min_sessions} sessions after {elapsed_s} s; {counts}");
         return Some(Verdict { passed: false, reason });
     }
     None
 }
 
 fn describe(new: SessionCounts, old: SessionCounts) -> String {
-    let part = |counts: SessionCounts| format!("{} of {}", counts.failed, counts.sessions);
-    format!("bad at the new build {}, at the old {}", part(new), part(old))
+    let share = |counts: SessionCounts| format!("{} of {}", counts.failed, counts.sessions);
+    format!("failed sessions at the new build: {}, at the old build: {}", share(new), share(old))
 }
--- a/disruption/src/budget.rs
+++ b/disruption/src/budget.rs
@@ -4,21 +4,21 @@
 
 const PPM: u64 = 1_000_000;
 
-/// The population over which a budget counts.
+/// The population of targets that a budget covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
     /// All targets of the budget's kind.
     Fleet,
-    /// Each zone by itself.
+    /// The targets of each zone separately.
     Zone,
-    /// Each kind of machine by itself.
+    /// The targets of each kind of machine separately.
     Kind,
-    /// Each group by itself.
+    /// The targets of each group separately.
     Group,
 }
 
 impl Scope {
-    /// The word in answers to operators.
+    /// The name of the scope in responses to operators.
     pub fn word(self) -> &'static str {
         match self {
             Scope::Fleet => "fleet",
@@ -29,22 +29,23 @@
     }
 }
 
-/// A bound on unavailable targets. With both bounds the lower one holds; with neither there is no bound.
+/// A bound on unavailable targets. If both a count and a share are set, the lower one applies; if neither is
+/// set, there is no bound.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Budget {
-    /// Which targets it counts.
+    /// The kind of targets that it counts.
     pub target_kind: TargetKind,
-    /// The population over which it counts.
+    /// The population over which targets are counted.
     pub scope: Scope,
-    /// Unavailable targets at most.
+    /// Maximum number of unavailable targets.
     pub max_count: Option<u32>,
-    /// The same as a share of the known targets of the scope, in millionths, rounded down:
-    /// 5% of ten targets are none, so that nothing may go out of service.
+    /// Maximum share of unavailable targets among the known targets of the scope, in millionths. The number
+    /// is rounded down: with 5% of ten targets, no target may go out of service.
     pub max_share_ppm: Option<u32>,
 }
 
 impl Budget {
-    /// How many of a population of this size may be unavailable; `usize::MAX` where there is no bound.
+    /// How many targets of a population of this size may be unavailable; `usize::MAX` if there is no bound.
     pub fn max_unavailable(&self, population: usize) -> usize {
         let share = |ppm: u32| (population as u64 * u64::from(ppm) / PPM) as usize;
         let by_share = self.max_share_ppm.map_or(usize::MAX, share);
@@ -52,7 +53,7 @@
         by_share.min(by_count)
     }
 
-    /// Whether targets in these two domains count against the same bound.
+    /// Returns whether targets in these two failure domains count against the same bound.
     pub fn counts_together(&self, one: &FailureDomain, other: &FailureDomain) -> bool {
         match self.scope {
             Scope::Fleet => true,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The bound in a domain, for operators: `1 relay of zone east`.
+    /// Describes the bound in a failure domain to operators, as in `1 relay of zone east`.
     pub fn describe(&self, domain: &FailureDomain, max_unavailable: usize) -> String {
         let kind = self.target_kind.word();
         match self.scope {
--- a/disruption/src/command.rs
+++ b/disruption/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated log, their encoding, and the outcome of applying one.
+//! The commands of the replicated log, their encoding, and the outcome of applying them.
 use crate::budget::Budget;
 use crate::error::CommandError;
 use crate::limits::{MAX_BUDGETS, MAX_NAME_BYTES, MAX_REASON_BYTES};
@@ -6,158 +6,159 @@
 use crate::target::{FailureDomain, HealthState, Target};
 use serde::{Deserialize, Serialize};
 
-/// Version of the encodings of commands and states, and of what commands do. Raised with each change that an
-/// older voter would apply differently: a voter that meets a later version stops applying, so all voters get
-/// a new build before its new commands are used.
+/// Version of the encoding of commands and states, and of the effect of commands. It must be raised with each
+/// change that an older voter would apply differently. A voter that receives a later version stops applying
+/// commands, so all voters must run a new build before its new commands are used.
 pub const VERSION: u8 = 1;
 
-/// One command of the log.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// Replaces all budgets.
     SetBudgets(Vec<Budget>),
-    /// What the leader observes of a target; `HealthState::Removed` removes it.
+    /// Records the failure domain and the health of a target as the leader observes them.
+    /// `HealthState::Removed` removes the target.
     Observe {
-        /// Who was observed.
+        /// The observed target.
         target: Target,
-        /// Where it is.
+        /// The failure domains that it belongs to.
         domain: FailureDomain,
-        /// How it does.
+        /// Its health.
         health: HealthState,
     },
-    /// Requests a lease. The request id is an idempotency key: a request repeated with it is the same
-    /// request.
+    /// Requests a lease. The request id is an idempotency key: a request repeated with the same id is the
+    /// same request.
     Request {
-        /// What is to go out of service.
+        /// The target to take out of service.
         target: Target,
-        /// The idempotency key; `u64::MAX` is the rollout's.
+        /// The idempotency key; `u64::MAX` is reserved for the rollout.
         request_id: u64,
         /// The person who requests it.
         requested_by: String,
-        /// Why.
+        /// The reason, for operators.
         reason: String,
         /// Whether the budgets are ignored.
         force: bool,
     },
-    /// The requester waits no more.
+    /// Withdraws a request.
     Withdraw {
-        /// What was requested.
+        /// The requested target.
         target: Target,
         /// The request's id.
         request_id: u64,
     },
-    /// The holder goes out of service; it does so once this is committed, and no sooner.
+    /// Begins a granted disruption. The holder goes out of service only once this command is committed.
     Begin {
         /// The holder.
         target: Target,
         /// The grant.
         lease_id: u64,
     },
-    /// A grant that was not begun in time ends.
+    /// Ends a grant whose disruption was not begun in time.
     Expire {
-        /// Its holder.
+        /// The holder.
         target: Target,
         /// The grant.
         lease_id: u64,
     },
     /// Ends a disruption: the target returns to service, or has returned.
     Return {
-        /// Who returns.
+        /// The returning target.
         target: Target,
     },
-    /// A person vouches that the target is not out of service any more.
+    /// Ends a lease because a person confirms that the target is no longer out of service.
     Reclaim {
         /// The target.
         target: Target,
         /// The person, by name.
         requested_by: String,
     },
-    /// Starts a rollout, where none is in progress.
+    /// Starts a rollout if none is in progress.
     StartRollout {
         /// Its plan.
         plan: RolloutPlan,
     },
-    /// A target that was out for the rollout was updated, or could not be.
+    /// Reports that a target that was out for the rollout was updated, or that the update failed.
     MarkDone {
         /// The target.
         target: Target,
-        /// The grant under which it was out.
+        /// The grant under which it was taken out of service.
         lease_id: u64,
-        /// Whether it was updated.
+        /// Whether the update succeeded.
         succeeded: bool,
-        /// Why not; empty where it was.
+        /// Why the update failed; empty if it succeeded.
         reason: String,
     },
-    /// The leader's analysis of a wave.
+    /// Records the verdict of the leader's analysis of a wave.
     RecordAnalysis {
         /// The wave, from 0.
         wave: u64,
-        /// Whether the rollout may go on.
+        /// Whether the rollout may continue.
         passed: bool,
-        /// The counts, for operators.
+        /// The session counts, for operators.
         reason: String,
     },
-    /// Halts the rollout: nothing begins from here on.
+    /// Halts the rollout. It begins no disruption after this command.
     Halt {
         /// The person who halts it.
         requested_by: String,
-        /// Why.
+        /// The reason, for operators.
         reason: String,
     },
-    /// Resumes a halted rollout in the direction it had.
+    /// Resumes a halted rollout, forwards or back as before the halt.
     Resume {
         /// The person who resumes it.
         requested_by: String,
     },
-    /// Rolls back all that was updated, the latest first.
+    /// Rolls back all updated targets, the latest first.
     RollBack {
         /// The person who rolls it back.
         requested_by: String,
     },
 }
 
-/// What came of a command.
+/// The outcome of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Applied.
+    /// The command was applied.
     Done,
     /// The request is granted.
     Granted {
-        /// The grant to begin.
+        /// The grant, which the holder may begin.
         lease_id: u64,
     },
-    /// The target is out of service already, for the same request.
+    /// The target is already out of service for the same request.
     AlreadyOut {
         /// Its grant.
         lease_id: u64,
     },
     /// The target has another request.
     RequestedByAnother {
-        /// Whose it is.
+        /// The person who made the other request.
         requested_by: String,
-        /// Why it was requested.
+        /// The reason of the other request.
         reason: String,
     },
     /// The request waits for a budget.
     Waiting {
         /// The budget without capacity, for operators.
         blocked_by: String,
-        /// Who counts against it, for operators.
+        /// The targets that count against it, for operators.
         unavailable: Vec<String>,
     },
-    /// Not applied.
+    /// The command was not applied.
     Rejected(CommandError),
 }
 
 impl Command {
-    /// The version, then the command as postcard.
+    /// Encodes the version, then the command in postcard.
     pub fn encode(&self) -> Vec<u8> {
-        // Writing to memory can't fail for these types.
+        // Encoding these types to memory cannot fail.
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// Reads what `encode` writes. `UnsupportedVersion` for other bytes, `LimitExceeded` for a command that
-    /// does not [`validate`](Command::validate).
+    /// Decodes the output of `encode`. Fails with `UnsupportedVersion` for other bytes, and with
+    /// `LimitExceeded` for a command that does not pass [`validate`](Command::validate).
     pub fn decode(bytes: &[u8]) -> Result<Command, CommandError> {
         let Some((&VERSION, rest)) = bytes.split_first() else {
             return Err(CommandError::UnsupportedVersion);
--- a/disruption/src/error.rs
+++ b/disruption/src/error.rs
@@ -1,29 +1,43 @@
 //! Why a command or a plan is rejected. The texts are shown to operators.
-use crate::limits::{MAX_NAME_BYTES, MAX_PLAN_NAMES, MAX_WAVES};
+use crate::command::VERSION;
+use crate::limits::{
+    MAX_BUDGETS, MAX_NAME_BYTES, MAX_PLAN_NAMES, MAX_REASON_BYTES, MAX_TARGETS, MAX_WAITING, MAX_WAVES,
+};
 use serde::{Deserialize, Serialize};
 
-/// Why a command was rejected; a rejected command changes nothing.
+/// Why a command was rejected. A rejected command does not change the state.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, thiserror::Error,
 )]
 pub enum CommandError {
     /// The target was never observed, or there is no rollout.
-    #[error("nobody knows it")]
+    #[error(
+        "no such relay or backend is known to the leader or part of a rollout; check the name and the status"
+    )]
     UnknownTarget,
-    /// Too many targets, requests or budgets, or too long a name.
-    #[error("too many wait, or a name is too long")]
+    /// There are too many targets, requests or budgets, or a name or reason is too long.
+    #[error(
+        "limit exceeded; allowed are {MAX_TARGETS} targets, {MAX_WAITING} waiting requests, {MAX_BUDGETS} \
+         budgets, names of 1 to {MAX_NAME_BYTES} bytes and reasons of at most {MAX_REASON_BYTES} bytes"
+    )]
     LimitExceeded,
-    /// The lease id is not the current one, or the command does not apply in the present state.
-    #[error("that means nothing as it stands now")]
+    /// The lease id is not the current one, or the command does not apply in the current state.
+    #[error(
+        "not possible in the current state of the lease or rollout, or for an old grant; check the status"
+    )]
     Stale,
-    /// Bytes that are malformed, or of a version that this voter does not read.
-    #[error("the leader does not read this relay's version")]
+    /// The bytes are malformed, or of a version that this voter does not support.
+    #[error(
+        "the leader cannot decode the command: it is malformed, or the leader does not support this relay's \
+         version {VERSION}; run the same build on all voters"
+    )]
     UnsupportedVersion,
 }
 
-/// A rollout plan that exceeds a limit or has an empty part.
+/// A rollout plan exceeds a limit, or a wave or a required text is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "1 to {MAX_WAVES} waves, {MAX_PLAN_NAMES} names, and names, build and by of 1 to {MAX_NAME_BYTES} bytes"
+    "invalid rollout plan: it must have 1 to {MAX_WAVES} waves that each select a target, at most \
+     {MAX_PLAN_NAMES} names, and names, build and by of 1 to {MAX_NAME_BYTES} bytes"
 )]
 pub struct InvalidPlan;
--- a/disruption/src/lease.rs
+++ b/disruption/src/lease.rs
@@ -1,28 +1,28 @@
-//! The lease of one target: the right to be out of service, from the request to the return.
+//! The lease of one target: the right to be out of service, from the request until the return.
 use crate::error::CommandError;
 use crate::target::{FailureDomain, HealthState};
 use serde::{Deserialize, Serialize};
 use LeaseEvent::{Admitted, Began, Expired, Reclaimed, Requested, Returned, WarmedUp, Withdrawn};
 use LeaseState::{Granted, InService, Out, Returning, Waiting};
 
-/// How far a target is on its path out of service and back.
+/// The stage of a target on its way out of service and back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseState {
-    /// No lease: the target is to serve.
+    /// There is no lease; the target should be serving.
     #[default]
     InService,
-    /// Requested; some budget has no capacity yet.
+    /// The lease is requested, but a budget has no capacity for it.
     Waiting,
-    /// It may go out of service, and has not begun to.
+    /// The holder may go out of service, but has not begun to.
     Granted,
-    /// Out of service.
+    /// The holder is out of service.
     Out,
-    /// It is to serve again, and was not yet observed to be up.
+    /// The holder should be serving again, but has not been observed to be up yet.
     Returning,
 }
 
 impl LeaseState {
-    /// The word in answers to operators.
+    /// The name of the state in responses to operators.
     pub fn word(self) -> &'static str {
         match self {
             InService => "in",
@@ -34,25 +34,25 @@
     }
 }
 
-/// What changes a lease's state.
+/// An event that changes a lease's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseEvent {
     Requested,
     Withdrawn,
-    /// All budgets have capacity for it, or it is forced.
+    /// All budgets have capacity for the request, or it is forced.
     Admitted,
     Began,
-    /// Granted, and not begun in time.
+    /// The grant was not begun in time.
     Expired,
-    /// The target is to serve again.
+    /// The target should be serving again.
     Returned,
-    /// The target was observed to be up.
+    /// The returning target was observed to be up.
     WarmedUp,
-    /// A person vouches that the target is not out.
+    /// A person confirms that the target is not out of service.
     Reclaimed,
 }
 
-/// State, event, next state. An event that is not listed for a state is rejected.
+/// Rows of state, event and next state. An event that is not listed for a state is rejected.
 const TRANSITIONS: &[(LeaseState, LeaseEvent, LeaseState)] = &[
     (InService, Requested, Waiting),
     (InService, Returned, InService),
@@ -73,7 +73,7 @@
     (Returning, Reclaimed, InService),
 ];
 
-/// A request for a lease, from an operator or the rollout.
+/// A request for a lease, made by an operator or the rollout.
 pub(crate) struct LeaseRequest<'a> {
     pub id: u64,
     pub requested_by: &'a str,
@@ -82,7 +82,7 @@
 }
 
 impl LeaseRequest<'_> {
-    /// Enters the request in a lease.
+    /// Writes the request into a lease.
     pub fn write_to(&self, lease: &mut Lease) {
         lease.request_id = self.id;
         lease.requested_by = self.requested_by.to_string();
@@ -90,36 +90,36 @@
     }
 }
 
-/// A target with its health, and its lease where it has one.
+/// The health of a target, and its lease if it has one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Where the target was last observed.
+    /// The failure domains of the target as last observed.
     pub domain: FailureDomain,
-    /// Its health as last observed.
+    /// The health of the target as last observed.
     pub health: HealthState,
-    /// How far it is on its path out of service and back.
+    /// The stage on the way out of service and back.
     pub state: LeaseState,
-    /// Number of the grant, a fencing token that only rises; 0 before a grant.
+    /// Number of the grant, a monotonically increasing fencing token; 0 without a grant.
     pub lease_id: u64,
-    /// Number of the request, its idempotency key; 0 in service.
+    /// Number of the request, its idempotency key; 0 without a request.
     pub request_id: u64,
-    /// The person who requested it.
+    /// The person who requested the lease.
     pub requested_by: String,
-    /// Why it was requested.
+    /// Why the lease was requested.
     pub reason: String,
-    /// Granted past the budgets.
+    /// The lease was granted regardless of the budgets.
     pub forced: bool,
-    /// Position in the queue: lower numbers are older requests; 0 in service.
+    /// Position in the queue; a lower number is an older request. 0 without a request.
     pub queue_number: u64,
 }
 
 impl Lease {
-    /// Whether the target counts against budgets: it may be out of service, or is not up.
+    /// Returns whether the target counts against budgets because it may be out of service or is not up.
     pub fn is_unavailable(&self) -> bool {
         matches!(self.state, Granted | Out | Returning) || self.health != HealthState::Up
     }
 
-    /// Moves to the next state. `Stale` where the event does not apply in this state.
+    /// Moves to the next state. Fails with `Stale` if the event does not apply in the current state.
     pub(crate) fn apply(&mut self, event: LeaseEvent) -> Result<(), CommandError> {
         let applies = |row: &&(LeaseState, LeaseEvent, LeaseState)| (row.0, row.1) == (self.state, event);
         let &(_, _, next) = TRANSITIONS.iter().find(applies).ok_or(CommandError::Stale)?;
--- a/disruption/src/lib.rs
+++ b/disruption/src/lib.rs
@@ -1,8 +1,10 @@
-//! Disruption budgets: how many relays and backends may be unavailable at a time, and rollouts in waves under
-//! those budgets. A deterministic state machine over a replicated log: each voter applies the same
-//! [`Command`]s to the same [`State`], so nothing here reads a clock, a random number or the order of a hash
-//! map. A target that is down, partitioned off or warming up counts as unavailable without having requested a
-//! lease. Settings and operations: `docs/release.md`.
+//! Disruption budgets limit how many relays and backends may be unavailable at a time. Rollouts proceed in
+//! waves under these budgets.
+//!
+//! The crate is a deterministic state machine over a replicated log. Each voter applies the same [`Command`]s
+//! to the same [`State`], so no code here reads a clock, a random number or the order of a hash map. A target
+//! that is down, partitioned or warming up counts as unavailable even without a lease. `docs/release.md`
+//! describes settings and operation.
 #![warn(missing_docs)]
 
 pub mod analysis;
--- a/disruption/src/plan.rs
+++ b/disruption/src/plan.rs
@@ -1,42 +1,43 @@
-//! The plan of a rollout, as operators submit it. Its JSON keys are those of `POST /v1/release/start`.
+//! The plan of a rollout as submitted by operators. Its JSON keys are those of `POST /v1/release/start`.
 use crate::analysis::AnalysisPolicy;
 use crate::error::InvalidPlan;
 use crate::limits::{MAX_NAME_BYTES, MAX_PLAN_NAMES, MAX_WAVES};
 use crate::target::TargetKind;
 use serde::{Deserialize, Serialize};
 
-/// One wave: the named targets, then as many more, by name, as the count and the share add up to.
+/// One wave of a rollout. It has the named targets, and further targets in the order of their names. The
+/// number of further targets is the sum of the count and the share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Wave {
-    /// Targets that belong to this wave.
+    /// Names of targets that belong to this wave.
     pub names: Vec<String>,
-    /// Further targets.
+    /// Number of further targets.
     pub count: u32,
-    /// Further targets as a share of all known ones, in millionths, rounded up.
+    /// Further targets as a share of all known targets, in millionths, rounded up.
     #[serde(rename = "part")]
     pub share_ppm: u32,
 }
 
-/// A rollout of one build over all relays or all backends that its waves select.
+/// A rollout of one build to the relays or backends that its waves select.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RolloutPlan {
-    /// The new build, in the deployer's own words.
+    /// The name of the new build, chosen by the operator.
     pub build: String,
-    /// Which targets are updated.
+    /// The kind of targets to update.
     #[serde(rename = "of")]
     pub target_kind: TargetKind,
-    /// The waves, in their order.
+    /// The waves, in order.
     pub waves: Vec<Wave>,
-    /// When a wave passes.
+    /// The conditions under which a wave passes.
     #[serde(rename = "judge")]
     pub analysis: AnalysisPolicy,
-    /// The person who submits it.
+    /// The person who submits the plan.
     #[serde(rename = "by")]
     pub requested_by: String,
 }
 
 impl RolloutPlan {
-    /// Checks the plan against the limits; each wave must select something.
+    /// Checks the plan against the limits. Each wave must select targets.
     pub fn validate(&self) -> Result<(), InvalidPlan> {
         let fits = |text: &String| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
         let selects = |wave: &Wave| !wave.names.is_empty() || wave.count > 0 || wave.share_ppm > 0;
@@ -50,7 +51,7 @@
         valid.then_some(()).ok_or(InvalidPlan)
     }
 
-    /// Whether any wave names this target.
+    /// Returns whether any wave names this target.
     pub(crate) fn is_named(&self, name: &str) -> bool {
         self.waves.iter().any(|wave| wave.names.iter().any(|named| named == name))
     }
--- a/disruption/src/rollout.rs
+++ b/disruption/src/rollout.rs
@@ -1,33 +1,33 @@
-//! A rollout: waves of relays or backends that are taken out of service, updated by whoever deploys, and
-//! taken back. It advances by commands alone and is part of the replicated state: the death of a relay loses
-//! no step, and after a halt is committed nothing begins.
+//! A rollout takes waves of relays or backends out of service, waits for the deployer to update them, and
+//! returns them to service. It is part of the replicated state and advances only by commands. Therefore a
+//! relay that crashes loses no step, and no disruption begins after a halt is committed.
 use crate::error::CommandError;
 use crate::plan::{RolloutPlan, Wave};
 use crate::target::Target;
 use serde::{Deserialize, Serialize};
 
-/// How far one target is.
+/// The progress of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemState {
-    /// Not begun.
+    /// Its update has not begun.
     #[default]
     Pending,
-    /// Its lease is requested, and it is updated once that is granted.
+    /// Its lease is requested. The deployer updates it once the lease is granted.
     Updating,
-    /// It has the new build, and was not yet observed to be up.
+    /// It has the new build but has not been observed to be up yet.
     Updated,
     /// It has the new build and is in service.
     Complete,
-    /// Its lease is requested to go back to the old build.
+    /// Its lease is requested for the return to the old build.
     RollingBack,
-    /// It has the old build again, and was not yet observed to be up.
+    /// It has the old build again but has not been observed to be up yet.
     Reverted,
     /// It has the old build again and is in service.
     RolledBack,
 }
 
 impl ItemState {
-    /// The word in answers to operators.
+    /// The name of the state in responses to operators.
     pub fn word(self) -> &'static str {
         match self {
             ItemState::Pending => "to do",
@@ -41,28 +41,28 @@
     }
 }
 
-/// The phase of the whole rollout.
+/// The phase of a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// A wave is updated.
+    /// The targets of a wave are being updated.
     #[default]
     Running,
-    /// All of the wave is updated and in service; its analysis is awaited.
+    /// All targets of the wave are updated and in service; the verdict of its analysis is pending.
     Analyzing,
-    /// Halted by a person, a failed update or a failed analysis.
+    /// The rollout was halted by an operator, a failed update or a failed analysis.
     Halted,
-    /// Back to the old build, the latest wave first.
+    /// Targets return to the old build, the latest wave first.
     RollingBack,
-    /// Halted while rolling back.
+    /// The rollback was halted.
     RollbackHalted,
-    /// All waves are updated and passed.
+    /// All waves are updated and have passed their analysis.
     Finished,
     /// All targets have the old build again.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// The word in answers to operators.
+    /// The name of the phase in responses to operators.
     pub fn word(self) -> &'static str {
         match self {
             RolloutPhase::Running => "running",
@@ -75,18 +75,18 @@
         }
     }
 
-    /// Whether another rollout may start.
+    /// Returns whether the rollout has ended, so that another may start.
     pub fn is_over(self) -> bool {
         matches!(self, RolloutPhase::Finished | RolloutPhase::RolledBack)
     }
 }
 
-/// What changes a rollout's phase.
+/// An event that changes a rollout's phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RolloutEvent {
-    /// All of the wave is updated and in service.
+    /// All targets of the wave are updated and in service.
     WaveUpdated,
-    /// The wave passed its analysis, and is not the last.
+    /// A wave other than the last passed its analysis.
     WavePassed,
     /// The last wave passed its analysis.
     LastWavePassed,
@@ -95,11 +95,11 @@
     Halt,
     Resume,
     RollBack,
-    /// No target has the new build any more.
+    /// All targets have the old build again and are in service.
     AllReverted,
 }
 
-/// Phase, event, next phase. An event that is not listed for a phase is rejected.
+/// Rows of phase, event and next phase. An event that is not listed for a phase is rejected.
 const TRANSITIONS: &[(RolloutPhase, RolloutEvent, RolloutPhase)] = &[
     (RolloutPhase::Running, RolloutEvent::WaveUpdated, RolloutPhase::Analyzing),
     (RolloutPhase::Running, RolloutEvent::Failed, RolloutPhase::Halted),
@@ -124,32 +124,32 @@
 /// One target of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RolloutItem {
-    /// What is updated.
+    /// The target to update.
     pub target: Target,
     /// Its wave, from 0.
     pub wave: usize,
-    /// How far it is.
+    /// Its progress.
     pub state: ItemState,
 }
 
 /// The rollout in progress, or the last one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The plan as it was submitted.
+    /// The plan as submitted.
     pub plan: RolloutPlan,
-    /// The phase of the whole.
+    /// The current phase.
     pub phase: RolloutPhase,
-    /// The wave that is updated or rolled back, from 0.
+    /// The wave that is being updated or rolled back, from 0.
     pub wave: usize,
-    /// Why it was halted last.
+    /// The reason of the last halt or rollback.
     pub reason: String,
     /// All targets of all waves, in the order in which they are updated.
     pub items: Vec<RolloutItem>,
 }
 
 impl Rollout {
-    /// Expands the plan over the known targets, in the order of their names. A target that no wave selects is
-    /// left alone.
+    /// Expands the plan over the known targets in the order of their names. A target that no wave selects is
+    /// not updated.
     pub fn new(plan: RolloutPlan, known: &[Target]) -> Rollout {
         let mut items: Vec<RolloutItem> = Vec::new();
         for (wave, selection) in plan.waves.iter().enumerate() {
@@ -163,7 +163,7 @@
         Rollout { plan, phase: RolloutPhase::Running, wave: 0, reason: String::new(), items }
     }
 
-    /// Names in the plan that no known target has.
+    /// Names in the plan that do not belong to a known target.
     pub fn unknown_names(&self) -> Vec<&str> {
         let named = self.plan.waves.iter().flat_map(|wave| &wave.names);
         let known = |name: &&String| self.items.iter().any(|item| item.target.name() == *name);
@@ -179,13 +179,13 @@
         self.items.iter_mut().find(|item| item.target == *target)
     }
 
-    /// The items of the present wave.
+    /// The items of the current wave.
     pub(crate) fn current_wave_mut(&mut self) -> impl DoubleEndedIterator<Item = &mut RolloutItem> {
         let wave = self.wave;
         self.items.iter_mut().filter(move |item| item.wave == wave)
     }
 
-    /// Moves to the next phase. `Stale` where the event does not apply in this phase.
+    /// Moves to the next phase. Fails with `Stale` if the event does not apply in the current phase.
     pub(crate) fn apply(&mut self, event: RolloutEvent) -> Result<(), CommandError> {
         let applies =
             |row: &&(RolloutPhase, RolloutEvent, RolloutPhase)| (row.0, row.1) == (self.phase, event);
@@ -195,13 +195,13 @@
     }
 }
 
-/// The targets of one wave, without those of the waves before it.
-fn select(plan: &RolloutPlan, wave: &Wave, known: &[Target], before: &[RolloutItem]) -> Vec<Target> {
+/// Selects the targets of one wave among those that no earlier wave has selected.
+fn select(plan: &RolloutPlan, wave: &Wave, known: &[Target], selected: &[RolloutItem]) -> Vec<Target> {
     let by_share = (known.len() * wave.share_ppm as usize).div_ceil(1_000_000);
     let further = wave.count as usize + by_share;
-    let available = |target: &&Target| before.iter().all(|item| item.target != **target);
-    let named_here = |target: &&Target| wave.names.iter().any(|name| name == target.name());
-    let named = known.iter().filter(named_here).filter(available);
+    let available = |target: &&Target| selected.iter().all(|item| item.target != **target);
+    let is_named = |target: &&Target| wave.names.iter().any(|name| name == target.name());
+    let named = known.iter().filter(is_named).filter(available);
     let unnamed = known.iter().filter(|target| !plan.is_named(target.name())).filter(available);
     named.chain(unnamed.take(further)).cloned().collect()
 }
--- a/disruption/src/state/leases.rs
+++ b/disruption/src/state/leases.rs
@@ -1,4 +1,4 @@
-//! Leases under budgets: observations, requests, grants and returns.
+//! Leases under disruption budgets: observations, requests, grants and returns.
 use super::{BlockedBy, State};
 use crate::budget::Budget;
 use crate::command::Outcome;
@@ -7,7 +7,7 @@
 use crate::limits::{MAX_TARGETS, MAX_WAITING};
 use crate::target::{FailureDomain, HealthState, Target};
 
-/// Targets that an answer to a waiting request names; status has them all.
+/// Maximum number of unavailable targets in the response to a waiting request. The status lists all of them.
 const MAX_NAMED_UNAVAILABLE: usize = 8;
 
 impl State {
@@ -16,7 +16,8 @@
         self.leases.get_mut(target).ok_or(CommandError::UnknownTarget)?.apply(event)
     }
 
-    /// The same where this grant is the current one: a late command for an earlier grant is stale.
+    /// Applies an event to a target's lease if the grant is the current one. A late command for an earlier
+    /// grant is stale.
     pub(super) fn apply_to_grant(
         &mut self,
         target: &Target,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// A target's lease state; an unknown target counts as out of service.
+    /// The state of a target's lease. An unknown target counts as out of service.
     pub(super) fn lease_state(&self, target: &Target) -> LeaseState {
         self.leases.get(target).map_or(LeaseState::Out, |lease| lease.state)
     }
@@ -55,7 +56,7 @@
         Ok(())
     }
 
-    /// Removes a target without a grant. One with a grant stays, and is down: nobody has observed its return.
+    /// Removes a target without a grant. A target with a grant is kept as down until its return is observed.
     fn remove(&mut self, target: &Target) {
         let Some(lease) = self.leases.get_mut(target) else { return };
         match lease.state {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// A returning target is in service once it is observed to be up.
+    /// Puts a returning target in service if it has been observed to be up.
     fn finish_return(&mut self, target: &Target) {
         let Some(lease) = self.leases.get_mut(target) else { return };
         if lease.state == LeaseState::Returning && lease.health == HealthState::Up {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The target begins its warm-up, or is in service at once where it is up.
+    /// Ends a disruption. The target is in service immediately if it is up, otherwise after it has warmed up.
     pub(super) fn return_to_service(&mut self, target: &Target) -> Result<(), CommandError> {
         let result = self.apply_to_lease(target, LeaseEvent::Returned);
         self.finish_return(target);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Queues a request; a forced one is granted at once, and takes the place of one that waits.
+    /// Queues a request. A forced request is granted immediately and replaces a waiting request.
     pub(super) fn request(&mut self, target: &Target, request: &LeaseRequest) -> Result<(), CommandError> {
         let waiting = self.leases.values().filter(|lease| lease.state == LeaseState::Waiting).count();
         let lease = self.leases.get_mut(target).ok_or(CommandError::UnknownTarget)?;
@@ -98,7 +99,7 @@
         }
         self.last_queue_number += 1;
         if before == LeaseState::Returning {
-            // It may be requested again once it is in service.
+            // The target may be requested again once it is in service.
             return Err(CommandError::Stale);
         }
         if before == LeaseState::InService {
@@ -114,7 +115,7 @@
         Ok(())
     }
 
-    /// The answer to the requester, after all that follows from the request.
+    /// The response to the requester, once all consequences of the request are applied.
     pub(super) fn request_outcome(&self, target: &Target, request_id: u64) -> Outcome {
         let Some(lease) = self.leases.get(target) else {
             return Outcome::Rejected(CommandError::UnknownTarget);
@@ -136,8 +137,8 @@
         }
     }
 
-    /// The first budget without capacity for a target, if there is one. A target that is down counts like any
-    /// other: it may be up again while it is out.
+    /// The first budget without capacity for a target, if there is one. Budgets also apply to a target that
+    /// is down, because it could come up while it is out of service.
     pub fn blocked_by(&self, target: &Target, lease: &Lease) -> Option<BlockedBy> {
         let mut budgets = self.budgets.iter().filter(|budget| budget.target_kind == target.kind());
         budgets.find_map(|budget| self.blocked_by_budget(budget, target, lease))
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Grants what the budgets allow, the oldest request first; one that is blocked does not block the
-    /// others. Whether anything was granted.
+    /// Grants the requests that the budgets allow, the oldest first. A blocked request does not block the
+    /// others. Returns whether a request was granted.
     pub(super) fn grant_waiting(&mut self) -> bool {
         let mut granted = false;
         for target in self.waiting_in_order() {
--- a/disruption/src/state/mod.rs
+++ b/disruption/src/state/mod.rs
@@ -1,5 +1,6 @@
-//! The replicated state, and how a command changes it. The same commands lead to the same state at each
-//! voter.
+//! The replicated state, and the effect of each command on it. The same commands lead to the same state at
+//! each voter. This includes the texts in the state, such as the reason of a rollout: a build that words them
+//! differently needs another [`VERSION`].
 mod leases;
 mod rollout;
 
@@ -12,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All that voters agree on: budgets, every known target with its lease, and the rollout.
+/// The state that voters agree on: the budgets, all known targets with their leases, and the rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct State {
     budgets: Vec<Budget>,
@@ -22,22 +23,22 @@
     rollout: Option<Rollout>,
 }
 
-/// Why a request waits.
+/// Why a request is waiting.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BlockedBy {
-    /// The budget without capacity, for operators: `at most 1 relay of zone east`.
+    /// The budget without capacity, for operators, as in `at most 1 relay of zone east`.
     pub limit: String,
-    /// The first few that count against it, for operators: `relay r1 (out)`.
+    /// The first targets that count against it, for operators, as in `relay r1 (out)`.
     pub unavailable: Vec<String>,
 }
 
 impl State {
-    /// All known targets with their leases, relays first, by name.
+    /// All known targets with their leases: relays, then backends, each in the order of their names.
     pub fn leases(&self) -> impl Iterator<Item = (&Target, &Lease)> {
         self.leases.iter()
     }
 
-    /// One target's lease; none where the target is unknown.
+    /// The lease of a target; `None` if the target is unknown.
     pub fn lease(&self, target: &Target) -> Option<&Lease> {
         self.leases.get(target)
     }
@@ -47,17 +48,17 @@
         &self.budgets
     }
 
-    /// The rollout that is in progress, or was last.
+    /// The rollout in progress, or the last one.
     pub fn rollout(&self) -> Option<&Rollout> {
         self.rollout.as_ref()
     }
 
-    /// The whole state, for a snapshot: the version, then postcard.
+    /// Encodes the state for a snapshot: the version, then the state in postcard.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// Reads what `encode` writes; no bytes are the empty state.
+    /// Decodes the output of `encode`. Empty input is the empty state.
     pub fn decode(bytes: &[u8]) -> Result<State, CommandError> {
         match bytes.split_first() {
             None => Ok(State::default()),
@@ -68,11 +69,11 @@
         }
     }
 
-    /// Applies one command, and then all that follows from it: requests within the budgets are granted, and
-    /// the rollout advances.
+    /// Applies a command and its consequences: requests within the budgets are granted, and the rollout
+    /// advances.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         let result = self.execute(command);
-        // A grant may let the rollout advance, and that may request or free more. Both run each time.
+        // A grant may let the rollout advance, which may request or release leases. Both run in each pass.
         while self.grant_waiting() | self.advance_rollout() {}
         match (command, result) {
             (Command::Request { target, request_id, .. }, Ok(())) => {
@@ -107,11 +108,11 @@
             }
             Command::RecordAnalysis { wave, passed, reason } => self.record_analysis(*wave, *passed, reason),
             Command::Halt { requested_by, reason } => {
-                self.steer_rollout(RolloutEvent::Halt, &format!("by {requested_by}: {reason}"))
+                self.control_rollout(RolloutEvent::Halt, &format!("by {requested_by}: {reason}"))
             }
-            Command::Resume { .. } => self.steer_rollout(RolloutEvent::Resume, ""),
+            Command::Resume { .. } => self.control_rollout(RolloutEvent::Resume, ""),
             Command::RollBack { requested_by } => {
-                self.steer_rollout(RolloutEvent::RollBack, &format!("by {requested_by}: all goes back"))
+                self.control_rollout(RolloutEvent::RollBack, &format!("by {requested_by}: all goes back"))
             }
         }
     }
--- a/disruption/src/state/rollout.rs
+++ b/disruption/src/state/rollout.rs
@@ -1,5 +1,5 @@
-//! The rollout as part of the state: it requests leases in its own name, and advances as they are granted and
-//! as targets return.
+//! The rollout as part of the state. It requests leases under its own request id, and advances as they are
+//! granted and as targets return.
 use super::State;
 use crate::error::CommandError;
 use crate::lease::{Lease, LeaseEvent, LeaseRequest, LeaseState};
@@ -7,12 +7,12 @@
 use crate::rollout::{ItemState, Rollout, RolloutEvent, RolloutItem, RolloutPhase};
 use crate::target::Target;
 
-/// The rollout's request id; no relay's own is as high.
+/// The request id of the rollout. Relays use lower ids.
 const ROLLOUT_REQUEST_ID: u64 = u64::MAX;
 
 impl State {
-    /// `Stale` while another rollout is in progress, `UnknownTarget` for a plan that selects nothing or names
-    /// a target that is not known.
+    /// Starts a rollout. Fails with `Stale` while another rollout is in progress, and with `UnknownTarget` if
+    /// the plan selects no target or names an unknown one.
     pub(super) fn start_rollout(&mut self, plan: &RolloutPlan) -> Result<(), CommandError> {
         if self.rollout.as_ref().is_some_and(|rollout| !rollout.phase.is_over()) {
             return Err(CommandError::Stale);
@@ -27,22 +27,22 @@
         Ok(())
     }
 
-    /// Halts, resumes or rolls back. Nothing that has not begun begins after a halt is committed.
-    pub(super) fn steer_rollout(&mut self, event: RolloutEvent, reason: &str) -> Result<(), CommandError> {
+    /// Halts, resumes or rolls back the rollout. After a halt is committed, no further disruption begins.
+    pub(super) fn control_rollout(&mut self, event: RolloutEvent, reason: &str) -> Result<(), CommandError> {
         let rollout = self.rollout.as_mut().ok_or(CommandError::UnknownTarget)?;
         rollout.apply(event)?;
         if event != RolloutEvent::Resume {
             rollout.reason = reason.to_string();
-            self.withdraw_unbegun();
+            self.withdraw_requests();
         }
         if event == RolloutEvent::RollBack {
-            self.roll_back_begun();
+            self.roll_back_updating();
         }
         Ok(())
     }
 
     /// Withdraws the rollout's requests for targets that are not out of service yet.
-    fn withdraw_unbegun(&mut self) {
+    fn withdraw_requests(&mut self) {
         let Some(rollout) = &mut self.rollout else { return };
         for item in &mut rollout.items {
             let before = match item.state {
@@ -61,16 +61,16 @@
         }
     }
 
-    /// A target that is out for its update may have the new build already: whoever deploys makes sure that it
-    /// gets the old one.
-    fn roll_back_begun(&mut self) {
+    /// Rolls back the targets that are out for their update. They may already have the new build; the
+    /// deployer must install the old one.
+    fn roll_back_updating(&mut self) {
         let Some(rollout) = &mut self.rollout else { return };
         for item in rollout.items.iter_mut().filter(|item| item.state == ItemState::Updating) {
             item.state = ItemState::RollingBack;
         }
     }
 
-    /// A target that was out for the rollout has its build, or could not be changed, which halts the rollout.
+    /// Records that a target that was out for the rollout was changed. A failure halts the rollout.
     pub(super) fn mark_done(
         &mut self,
         target: &Target,
@@ -92,14 +92,14 @@
         }
         if !succeeded {
             let reason = format!("{target} could not be changed: {reason}");
-            return self.steer_rollout(RolloutEvent::Failed, &reason);
+            return self.control_rollout(RolloutEvent::Failed, &reason);
         }
         item.state = next;
-        // It is out, so its return applies.
+        // The target is out, so the return event applies.
         self.return_to_service(target)
     }
 
-    /// `Stale` for the analysis of another wave than the present one.
+    /// Records the verdict of an analysis. Fails with `Stale` unless it is for the current wave.
     pub(super) fn record_analysis(
         &mut self,
         wave: u64,
@@ -111,7 +111,7 @@
             return Err(CommandError::Stale);
         }
         if !passed {
-            return self.steer_rollout(RolloutEvent::Failed, reason);
+            return self.control_rollout(RolloutEvent::Failed, reason);
         }
         if rollout.wave + 1 >= rollout.plan.waves.len() {
             return rollout.apply(RolloutEvent::LastWavePassed);
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// What the rollout does by itself after a command; whether anything changed.
+    /// Advances the rollout as far as possible after a command. Returns whether anything changed.
     pub(super) fn advance_rollout(&mut self) -> bool {
         let Some(mut rollout) = self.rollout.take() else { return false };
         let changed = match rollout.phase {
@@ -135,7 +135,7 @@
         changed
     }
 
-    /// Advances the present wave. Nothing new begins unless the rollout is running.
+    /// Advances the current wave. Begins no disruption unless the rollout is running.
     fn advance_update(&mut self, rollout: &mut Rollout) -> bool {
         let running = rollout.phase == RolloutPhase::Running;
         let requested_by = rollout.plan.requested_by.clone();
@@ -162,7 +162,7 @@
             (ItemState::Updating, LeaseState::Granted) if running => {
                 _ = self.apply_to_lease(&item.target, LeaseEvent::Began);
             }
-            // Reclaimed by a person, or expired: it is requested once more.
+            // The lease was reclaimed by a person or expired, so it is requested again.
             (ItemState::Updating, LeaseState::InService) => item.state = ItemState::Pending,
             (ItemState::Updated, LeaseState::InService) => item.state = ItemState::Complete,
             _ => return false,
@@ -170,7 +170,7 @@
         true
     }
 
-    /// Advances the rollback of the latest wave that has anything to roll back, its last target first.
+    /// Advances the rollback of the latest wave with targets to roll back, its last target first.
     fn advance_rollback(&mut self, rollout: &mut Rollout) -> bool {
         let running = rollout.phase == RolloutPhase::RollingBack;
         let requested_by = rollout.plan.requested_by.clone();
@@ -216,7 +216,7 @@
         true
     }
 
-    /// Whether the target has a request now, the rollout's or an earlier one.
+    /// Requests a lease. Returns whether the target has a request now, the rollout's or an earlier one.
     fn request_for_rollout(&mut self, target: &Target, request: &LeaseRequest) -> bool {
         self.request(target, request).is_ok() && self.lease_state(target) != LeaseState::InService
     }
--- a/disruption/src/target.rs
+++ b/disruption/src/target.rs
@@ -1,7 +1,7 @@
-//! What a disruption is about: a relay or a backend, the failure domains it belongs to, and its health.
+//! The target of a disruption, which is a relay or a backend, with its failure domains and its health.
 use serde::{Deserialize, Serialize};
 
-/// What may be taken out of service, by its name.
+/// A relay or backend that may be taken out of service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Target {
     /// A relay, by its name in the fleet.
@@ -17,7 +17,7 @@
         name
     }
 
-    /// Whether it is a relay or a backend.
+    /// The kind of target.
     pub fn kind(&self) -> TargetKind {
         match self {
             Target::Relay(_) => TargetKind::Relay,
@@ -26,14 +26,14 @@
     }
 }
 
-/// As operators read it: `relay r1`, `backend b-1`.
+/// Formats the target for operators, as in `relay r1` or `backend b-1`.
 impl std::fmt::Display for Target {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{} {}", self.kind().word(), self.name())
     }
 }
 
-/// Relays and backends are counted apart.
+/// The kind of a target. Budgets count relays and backends separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum TargetKind {
     /// Relays of the fleet.
@@ -44,7 +44,7 @@
 }
 
 impl TargetKind {
-    /// The word in answers to operators.
+    /// The name of the kind in responses to operators.
     pub fn word(self) -> &'static str {
         match self {
             TargetKind::Relay => "relay",
@@ -53,12 +53,12 @@
     }
 }
 
-/// The failure domains that a target belongs to; an empty name is a domain like any other.
+/// The failure domains that a target belongs to. An empty name is a valid domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FailureDomain {
-    /// Availability zone.
+    /// The availability zone.
     pub zone: String,
-    /// Kind of machine.
+    /// The kind of machine.
     pub kind: String,
     /// A group of relays, or a backend's cell.
     pub group: String,
@@ -67,19 +67,19 @@
 /// The health of a target as the leader observes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum HealthState {
-    /// Serving at full capacity.
+    /// The target serves at full capacity.
     #[default]
     Up,
-    /// Serving below full capacity after its start.
+    /// The target serves below full capacity after its start.
     WarmingUp,
-    /// Dead, partitioned off, or leaving without a lease.
+    /// The target is dead, partitioned, or leaving without a lease.
     Down,
-    /// In no list any more: its lease is removed unless it holds a grant.
+    /// The target is no longer listed. Its lease is removed unless it holds a grant.
     Removed,
 }
 
 impl HealthState {
-    /// The word in answers to operators.
+    /// The name of the health state in responses to operators.
     pub fn word(self) -> &'static str {
         match self {
             HealthState::Up => "up",
--- a/raft/src/message.rs
+++ b/raft/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between voters. Each RPC of Raft is split into one-way messages. Their encoding depends on the
-//! order of fields and variants, which therefore must not change.
+//! The messages between voters. Each RPC of Raft is split into one-way messages. Their encoding depends on
+//! the order of fields and variants, which therefore must not change.
 use crate::{Entry, Index, Snapshot, Term, Voter};
 use serde::{Deserialize, Serialize};
 
--- a/raft/src/node/election.rs
+++ b/raft/src/node/election.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A new leader appends an entry of its own term. Committing it commits the entries before it (section 8).
+    /// A new leader appends an entry of its term. Committing it commits the entries before it (section 8).
     pub(super) fn become_leader(&mut self, effects: &mut Vec<Effect>) {
         self.leader = Some(self.own.id);
         effects.push(Effect::LeadershipChanged { is_leader: true, term: self.term });
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Returns whether a message is addressed to this server with its current disk and sent by another server.
+    /// Returns whether another server sent a message to this server with its current disk.
     fn is_recipient(&self, message: &Message) -> bool {
         let to = message.to;
         let incarnation_matches = to.incarnation == ANY_DISK || to.incarnation == self.own.incarnation;
