--- a/model_checker/src/cluster/canonical.rs
+++ b/model_checker/src/cluster/canonical.rs
@@ -1,11 +1,11 @@
-//! The canonical form of a state: states whose differences cannot matter become equal.
+//! The canonical form of a state: states with only irrelevant differences become equal.
 use super::state::ClusterState;
 use super::{position_of, ClusterModel};
 use hallrelay_raft::{Message, MessageBody, Node, Term};
 
 impl ClusterModel {
-    /// Numbers the writes of each server from its last durable one, and drops the messages that would change
-    /// nothing but bring a response that nobody heeds.
+    /// Numbers the writes of each server from its last durable one, and drops the messages that would only
+    /// cause a response that the recipient ignores.
     pub(super) fn make_canonical(&self, state: &mut ClusterState) {
         for position in 0..state.servers.len() {
             if state.node(position).is_some_and(|node| !node.has_renumbered_writes()) {
@@ -25,15 +25,15 @@
     }
 }
 
-/// Drops messages of a term before their recipient's, but for those of the membership.
+/// Drops messages of an earlier term than their recipient's, except membership messages.
 fn drop_stale_messages(state: &mut ClusterState) {
     let terms: Vec<Term> =
         state.servers.iter().map(|server| server.node.as_ref().map_or(0, Node::term)).collect();
-    let matters = |message: &Message| {
+    let is_relevant = |message: &Message| {
         let is_membership =
             matches!(message.body, MessageBody::Announce { .. } | MessageBody::Bootstrap { .. });
         is_membership || message.term >= terms[position_of(message.to.id)]
     };
-    state.in_flight.retain(|_, message| matters(message));
-    state.delayed.retain(matters);
+    state.in_flight.retain(|_, message| is_relevant(message));
+    state.delayed.retain(is_relevant);
 }
--- a/model_checker/src/cluster/enabled.rs
+++ b/model_checker/src/cluster/enabled.rs
@@ -1,11 +1,11 @@
-//! The transitions that are enabled in a state.
+//! The enabled transitions of a state.
 use super::execution::is_leader;
 use super::state::{ClusterState, Health};
 use super::{ClusterModel, Transition};
 use hallrelay_raft::Node;
 
 impl ClusterModel {
-    /// All enabled transitions: those of servers, of holders, of messages, in this order.
+    /// All enabled transitions: those of servers, then of holders, then of messages.
     pub(super) fn enabled(&self, state: &ClusterState) -> Vec<Transition> {
         let mut enabled = Vec::new();
         for server in 0..state.servers.len() {
@@ -27,7 +27,7 @@
         node: &Node,
         enabled: &mut Vec<Transition>,
     ) {
-        // With slow disks each server times out once, which leaves a quarter of the states.
+        // With slow disks each server times out only once, which reduces the states to a quarter.
         let may_time_out = !self.slow_disks || state.timed_out & 1 << server == 0;
         if state.limits.election_timeouts > 0 && may_time_out {
             enabled.push(Transition::ElectionTimeout(server));
@@ -38,7 +38,7 @@
         if !state.servers[server].pending_writes.is_empty() {
             enabled.push(Transition::WriteDurable(server));
         }
-        // Without a leader in the initial state the servers are symmetric: one of them stands for all.
+        // Without a leader in the initial state the servers are symmetric, so crashes of one server suffice.
         if state.limits.crashes > 0 && (self.starts_with_leader || server + 1 == self.voters) {
             enabled.push(Transition::Crash(server));
         }
@@ -51,7 +51,7 @@
     }
 }
 
-/// What a leader does on behalf of each holder.
+/// Adds the transitions of a leader on behalf of each holder.
 fn add_leader_transitions(state: &ClusterState, leader: usize, enabled: &mut Vec<Transition>) {
     for (position, holder) in state.holders.iter().enumerate() {
         let is_up = holder.health == Health::Up;
@@ -73,7 +73,7 @@
     }
 }
 
-/// The first holder fails and comes back.
+/// Adds the failure, the start and the warm-up of the first holder.
 fn add_holder_transitions(state: &ClusterState, enabled: &mut Vec<Transition>) {
     let Some(holder) = state.holders.first() else { return };
     match holder.health {
--- a/model_checker/src/cluster/execution.rs
+++ b/model_checker/src/cluster/execution.rs
@@ -1,22 +1,22 @@
-//! Carries out what the voters want done: messages, writes and committed commands.
+//! Carries out the effects of the voters: messages, writes and committed commands.
 use super::initial::request_lease;
 use super::state::{Channel, ClusterState, GrantOwner, MessageKind, PendingWrite};
 use super::{id_of, position_of, ClusterModel, Mutation};
 use hallrelay_disruption::{Command, HealthState, Outcome, State as StateMachine};
 use hallrelay_raft::{Effect, Event, Id, Message, MessageBody, Node, Role, Snapshot, Term, Voter, Write};
 
-/// Proposals are numbered `request * HOLDERS + holder`.
+/// Maximum number of holders. Proposals are numbered `request * HOLDERS + holder`.
 const HOLDERS: u64 = 8;
-/// Messages and writes that are handled at most until nothing is in flight.
+/// Maximum number of messages and writes that are handled until none is pending.
 const MAX_SETTLE_STEPS: usize = 400;
 
-/// Whether a voter leads.
+/// Returns whether a voter is the leader.
 pub(super) fn is_leader(node: &Node) -> bool {
     node.role() == Role::Leader
 }
 
 impl ClusterModel {
-    /// A process starts with what is on its disk.
+    /// Starts a process from its disk.
     pub(super) fn start_server(&self, state: &mut ClusterState, position: usize) {
         let server = state.server_mut(position);
         let is_restart = server.node.is_some();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A voter handles an event.
+    /// Lets a voter handle an event.
     pub(super) fn step(&self, state: &mut ClusterState, position: usize, event: Event) {
         let Some(node) = &mut state.server_mut(position).node else { return };
         let mut effects = Vec::new();
@@ -56,9 +56,9 @@
                 }
                 Effect::RestoreSnapshot { snapshot } => restore_snapshot(state, position, &snapshot),
                 Effect::LeadershipChanged { is_leader: true, term } => {
-                    note_leader(state, id_of(position), term);
+                    record_leader(state, id_of(position), term);
                 }
-                // The search decides on times; a proposal that is not accepted was not made.
+                // The search chooses when timers expire. A rejected proposal has no effect in the model.
                 Effect::LeadershipChanged { .. }
                 | Effect::SetTimer(_)
                 | Effect::ProposalRejected { .. }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The oldest pending write becomes durable.
+    /// Makes the oldest pending write of a server durable.
     pub(super) fn complete_write(&self, state: &mut ClusterState, position: usize) {
         let server = state.server_mut(position);
         let Some(PendingWrite { number, write }) = server.pending_writes.pop_front() else { return };
@@ -85,7 +85,7 @@
         self.step(state, position, Event::WritesDurable(number));
     }
 
-    /// A committed command is applied. Where it was proposed here, the holder learns the outcome.
+    /// Applies a committed command. If it was proposed at this server, the holder receives the outcome.
     fn apply(&self, state: &mut ClusterState, position: usize, command: &[u8], proposal_id: Option<u64>) {
         let Ok(command) = Command::decode(command) else { return };
         let committed_health = committed_health(&command);
@@ -104,7 +104,7 @@
         }
         match (command, outcome) {
             (Command::Request { request_id, .. }, Outcome::Granted { lease_id }) => {
-                self.note_grant(state, lease_id, GrantOwner { holder, request: request_id });
+                self.record_grant(state, lease_id, GrantOwner { holder, request: request_id });
             }
             (Command::Begin { lease_id, .. }, Outcome::Done) => {
                 state.holders[holder].is_out |= state.holders[holder].lease_id == lease_id;
@@ -113,6 +113,7 @@
         }
     }
 
+    /// A command as changed by the mutation.
     fn mutated_command(&self, command: Command) -> Command {
         match (self.mutation, command) {
             (Mutation::ExpiresWhileOut, Command::Expire { target, .. }) => {
@@ -126,11 +127,11 @@
         }
     }
 
-    fn note_grant(&self, state: &mut ClusterState, lease_id: u64, owner: GrantOwner) {
-        // The same grant is answered again to the same request.
+    fn record_grant(&self, state: &mut ClusterState, lease_id: u64, owner: GrantOwner) {
+        // A repeated request receives the same grant again.
         let is_new = !state.grants.contains_key(&lease_id);
         if is_new && state.unhealthy_holders.iter().any(|other| *other != owner.holder) {
-            state.violate("who is down or cold counts as out");
+            state.violate("holders that are not up count as disrupted");
         }
         let holder = &mut state.holders[owner.holder];
         holder.lease_id = lease_id;
@@ -138,11 +139,11 @@
             holder.is_out = true;
         }
         if state.grants.insert(lease_id, owner).is_some_and(|previous| previous != owner) {
-            state.violate("a grant number used once");
+            state.violate("unique lease ids");
         }
     }
 
-    /// A voter is given a command for the log, on behalf of a holder.
+    /// Proposes a command at a voter on behalf of a holder.
     pub(super) fn propose(
         &self,
         state: &mut ClusterState,
@@ -155,7 +156,7 @@
         self.step(state, position, Event::Propose { proposal_id, command: command.encode() });
     }
 
-    /// A message as the mutation changes it.
+    /// A message as changed by the mutation.
     fn mutated_message(&self, message: &Message) -> Message {
         let mut message = message.clone();
         match (self.mutation, &mut message.body) {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Delivers all messages and completes all writes until there are none.
+    /// Delivers messages and completes writes until none is pending.
     pub(super) fn settle(&self, state: &mut ClusterState) {
         for _ in 0..MAX_SETTLE_STEPS {
             let writing = (0..self.voters).find(|server| !state.servers[*server].pending_writes.is_empty());
@@ -202,7 +203,7 @@
         }
     }
 
-    /// A leader answers a request from its own state and proposes the command only then.
+    /// Lets a leader grant a request from its own state, before it proposes the command.
     pub(super) fn grant_without_log(&self, state: &mut ClusterState, position: usize, holder: usize) {
         let request = request_lease(holder, state.holders[holder].request);
         let mut state_machine = state.servers[position].state_machine.clone();
@@ -219,13 +220,13 @@
     }
 }
 
-fn note_leader(state: &mut ClusterState, id: Id, term: Term) {
+fn record_leader(state: &mut ClusterState, id: Id, term: Term) {
     if state.leaders.insert(term, id).is_some_and(|previous| previous != id) {
-        state.violate("one leader a term");
+        state.violate("election safety");
     }
 }
 
-/// The health that a command commits.
+/// The health that a command commits, if any.
 fn committed_health(command: &Command) -> Option<HealthState> {
     match command {
         Command::Observe { health, .. } => Some(*health),
--- a/model_checker/src/cluster/initial.rs
+++ b/model_checker/src/cluster/initial.rs
@@ -1,4 +1,4 @@
-//! The initial state: a bootstrapped cluster whose state machine has the budget and all holders.
+//! The initial state: a bootstrapped cluster whose state machine contains the budget and all holders.
 use super::state::{ClusterState, GrantOwner, Holder, Server};
 use super::{holder_name, ClusterModel, Mutation, BUDGET};
 use hallrelay_disruption::{
@@ -17,7 +17,7 @@
         if self.starts_with_leader {
             self.elect_first(&mut state);
         } else {
-            // No leader was heard for an election timeout.
+            // At each server an election timeout has expired without a leader.
             for server in 0..self.voters {
                 self.step(&mut state, server, Event::TimerExpired(Timer::ElectionTimeout));
             }
@@ -27,7 +27,7 @@
         state
     }
 
-    /// All servers with the same snapshot on their disks, not started.
+    /// A cluster of servers that are not started and have the same snapshot on their disks.
     fn stopped_cluster(&self) -> ClusterState {
         let mut holders = vec![Holder::default(); self.holders];
         let mut grants = BTreeMap::new();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Elects the first server and lets all messages arrive.
+    /// Elects the first server and delivers all messages.
     fn elect_first(&self, state: &mut ClusterState) {
         // A voter grants a pre-vote once its own election timeout has expired.
         for server in (0..self.voters).rev() {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A holder's request of a lease.
+/// The command that requests a lease for a holder.
 pub(super) fn request_lease(holder: usize, request: u64) -> Command {
     Command::Request {
         target: holder_name(holder),
@@ -110,7 +110,7 @@
     }
 }
 
-/// The state machine with the same health of all, other budgets, and no grant ever given.
+/// A state machine with the same targets and health, the given budgets, and no record of grants.
 fn without_grants(state_machine: &StateMachine, budgets: Vec<Budget>) -> StateMachine {
     let mut fresh = StateMachine::default();
     fresh.apply(&Command::SetBudgets(budgets));
--- a/model_checker/src/cluster/invariants.rs
+++ b/model_checker/src/cluster/invariants.rs
@@ -1,32 +1,32 @@
-//! The invariants that each state is held against. Those of a single transition (one leader a term, grant
-//! numbers, unhealthy holders) are noted in the state as it is taken.
+//! The invariants that are checked in each state. Violations of invariants over transitions (election safety,
+//! unique lease ids, unhealthy holders) are recorded in the state when the transition is taken.
 use super::state::{ClusterState, Server};
 use super::BUDGET;
 use hallrelay_disruption::{Lease, LeaseState};
 use hallrelay_raft::Node;
 
-/// The name of an invariant that does not hold.
+/// The name of an invariant that a state violates, if any.
 pub(super) fn violated(state: &ClusterState) -> Option<&'static str> {
     if state.violated.is_some() {
         return state.violated;
     }
     if state.holders.iter().filter(|holder| holder.is_out).count() > BUDGET as usize {
-        return Some("never more out than the budget");
+        return Some("disruptions within the budget");
     }
     if state.servers.iter().any(|server| leases_in_use(server) > BUDGET as usize) {
-        return Some("never more granted than the budget");
+        return Some("granted leases within the budget");
     }
-    violated_by_a_pair(state)
+    violated_by_pair(state)
 }
 
-/// Leases in use by a server's own state machine.
+/// Number of leases in use according to a server's state machine.
 fn leases_in_use(server: &Server) -> usize {
-    // A holder that failed after it was granted a lease is not counted.
+    // A holder that failed after its lease was granted is not counted.
     let is_in_use = |lease: &Lease| matches!(lease.state, LeaseState::Granted | LeaseState::Out);
     server.state_machine.leases().filter(|(_, lease)| is_in_use(lease)).count()
 }
 
-fn violated_by_a_pair(state: &ClusterState) -> Option<&'static str> {
+fn violated_by_pair(state: &ClusterState) -> Option<&'static str> {
     for (position, server) in state.servers.iter().enumerate() {
         for other in &state.servers[position + 1..] {
             let violated = violated_between(server, other);
@@ -41,12 +41,12 @@
 fn violated_between(server: &Server, other: &Server) -> Option<&'static str> {
     let (Some(node), Some(other_node)) = (&server.node, &other.node) else { return None };
     if node.commit_index() == other_node.commit_index() && server.state_machine != other.state_machine {
-        return Some("same log, same state");
+        return Some("equal state at equal commit index");
     }
     violated_between_logs(node, other_node)
 }
 
-/// Log matching and state machine safety (figure 3 of the Raft paper).
+/// Checks log matching and state machine safety (figure 3 of the Raft paper).
 fn violated_between_logs(node: &Node, other: &Node) -> Option<&'static str> {
     let committed = node.commit_index().min(other.commit_index());
     for entry in node.log().entries() {
@@ -55,7 +55,7 @@
             return Some("log matching");
         }
         if entry.index <= committed && entry != other_entry {
-            return Some("agreed is agreed");
+            return Some("state machine safety");
         }
     }
     None
--- a/model_checker/src/cluster/mod.rs
+++ b/model_checker/src/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! A model of a small Raft cluster whose state machine grants disruption leases: voters with their disks, the
-//! messages between them, and lease holders that want to be disrupted.
+//! A model of a small Raft cluster whose state machine grants disruption leases. It consists of voters with
+//! their disks, the messages between them, and lease holders that request disruptions.
 //!
-//! The voters and the state machine are the program's own code. Time is left to the search: an election
-//! timeout may expire in any state, so no property that holds depends on a clock.
+//! The voters and the state machine execute the program's own code. The model has no clock: an election
+//! timeout may expire in any state, so the checked properties do not depend on time.
 mod canonical;
 mod enabled;
 mod execution;
@@ -22,25 +22,26 @@
 use hallrelay_disruption::Target;
 use hallrelay_raft::{Id, Voter};
 
-/// How many lease holders may be disrupted at once.
+/// Maximum number of lease holders that may be disrupted at a time.
 const BUDGET: u32 = 1;
 
 /// The parameters of the model.
 #[derive(Clone, Debug)]
 pub struct ClusterModel {
-    /// The number of voters; their ids are 1 and up.
+    /// The number of voters. Their ids start at 1.
     pub voters: usize,
     /// The number of lease holders, at most 8.
     pub holders: usize,
-    /// How often each kind of event may occur between the initial state and any other.
+    /// How often each kind of event may occur on any path from the initial state.
     pub limits: EventLimits,
     /// The deliberate defect.
     pub mutation: Mutation,
-    /// The first voter leads in the initial state, and no message is in flight.
+    /// Whether the first voter is the leader in the initial state, with no message in flight.
     pub starts_with_leader: bool,
-    /// The first holder is disrupted in the initial state, by a lease that all snapshots hold.
+    /// Whether the first holder is disrupted in the initial state, by a lease that all snapshots contain.
     pub starts_disrupted: bool,
-    /// A write is durable some time after it was requested and may be lost until then; otherwise at once.
+    /// Whether a write becomes durable some time after the request, and may be lost until then. Otherwise it
+    /// is durable immediately.
     pub slow_disks: bool,
 }
 
@@ -54,17 +55,17 @@
     }
 }
 
-/// The id of a server by its position.
+/// The id of the server at a position.
 fn id_of(server: usize) -> Id {
     server as Id + 1
 }
 
-/// The position of a server by its id.
+/// The position of the server with an id.
 fn position_of(id: Id) -> usize {
     id as usize - 1
 }
 
-/// A lease holder as the state machine names it.
+/// The target of a lease holder in the state machine.
 fn holder_name(holder: usize) -> Target {
     Target::Relay(format!("h{holder}"))
 }
--- a/model_checker/src/cluster/mutation.rs
+++ b/model_checker/src/cluster/mutation.rs
@@ -1,34 +1,34 @@
-//! Deliberate defects, to see that the checker finds them (mutation testing). Each is applied around the
-//! program's code and not in it.
+//! Deliberate defects that the checker must find (mutation testing). Each is applied around the program's
+//! code, not in it.
 
 /// A deliberate defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// No defect.
     None,
-    /// A vote is reported as durable and is not written.
+    /// A vote is reported as durable but not written.
     VoteNotSynced,
-    /// Entries are reported as durable and are not written.
+    /// Entries are reported as durable but not written.
     LogNotSynced,
-    /// A server loses its disk and keeps its incarnation.
+    /// A server loses its disk but keeps its incarnation.
     DiskLossUnreported,
-    /// A vote is granted whatever the candidate's log holds.
+    /// A vote is granted without comparing the candidate's log.
     LogNotCompared,
     /// A follower acknowledges one entry more than it has.
     AcknowledgesAhead,
-    /// A restarted server applies the log to the state that it had before.
+    /// A restarted server applies the log to the state that it had before the restart.
     AppliesTwice,
     /// A snapshot lacks the number of the last grant.
     GrantNumbersForgotten,
-    /// A snapshot lacks the budgets too.
+    /// A snapshot lacks the number of the last grant and the budgets.
     BudgetsForgotten,
-    /// A holder is disrupted as soon as it is granted the lease.
+    /// A holder is disrupted immediately after the grant, before the begin command is committed.
     BeginsUncommitted,
-    /// The lease of a holder that is disrupted expires.
+    /// The lease of a disrupted holder expires.
     ExpiresWhileOut,
     /// A holder that warms up counts as up.
     WarmingCountsAsUp,
-    /// A leader grants from its own state, without the log.
+    /// A leader grants a lease from its own state before the request is committed.
     GrantsWithoutLog,
 }
 
--- a/model_checker/src/cluster/next.rs
+++ b/model_checker/src/cluster/next.rs
@@ -1,4 +1,4 @@
-//! The state after a transition.
+//! Takes transitions of the cluster model.
 use super::initial::request_lease;
 use super::state::{Channel, ClusterState, Health, Holder};
 use super::{holder_name, ClusterModel, Mutation, Transition};
@@ -6,7 +6,7 @@
 use hallrelay_raft::{Event, Message, PersistentState, Timer};
 
 impl ClusterModel {
-    /// Takes a transition that is enabled.
+    /// Changes a state by a transition that is enabled in it.
     pub(super) fn take(&self, state: &mut ClusterState, transition: &Transition) {
         match transition {
             Transition::ElectionTimeout(server) => {
@@ -59,12 +59,12 @@
             }
             Transition::DeliverTwice(message) => {
                 state.limits.duplicates -= 1;
-                hold_back(state, message);
+                hold_for_later(state, message);
                 self.deliver(state, message);
             }
             Transition::Delay(message) => {
                 state.limits.delays -= 1;
-                hold_back(state, message);
+                hold_for_later(state, message);
             }
             Transition::DeliverDelayed(message) => {
                 state.delayed.remove(message);
@@ -134,8 +134,8 @@
     }
 }
 
-/// Takes a message out of its channel, to be delivered at any later time.
-fn hold_back(state: &mut ClusterState, message: &Message) {
+/// Moves a message from its channel to the delayed messages.
+fn hold_for_later(state: &mut ClusterState, message: &Message) {
     state.in_flight.remove(&Channel::of(message));
     state.delayed.insert(message.clone());
 }
--- a/model_checker/src/cluster/recovery.rs
+++ b/model_checker/src/cluster/recovery.rs
@@ -1,4 +1,4 @@
-//! Liveness: from any state, once no fault occurs any more, a leader is elected and a lease is granted.
+//! Liveness: once no fault occurs any more, a leader is elected and grants a lease, from any state.
 use super::execution::is_leader;
 use super::initial::request_lease;
 use super::state::{ClusterState, Holder};
@@ -6,14 +6,14 @@
 use hallrelay_disruption::{Command, FailureDomain, HealthState};
 use hallrelay_raft::{Event, Timer};
 
-/// Election timeouts that expire, one server after another, until a cluster counts as stuck.
+/// Maximum number of election timeouts, one server after another, before a cluster counts as stuck.
 const MAX_ROUNDS: usize = 24;
-/// The number of the last request, which no other has.
+/// The id of the last request, which no other request has.
 const FINAL_REQUEST: u64 = 1 << 40;
 
 impl ClusterModel {
-    /// Lets one server after another time out, with all messages delivered and all writes durable, until a
-    /// leader grants a lease.
+    /// Lets the servers time out one after another, with all messages delivered and all writes durable, until
+    /// a leader grants a lease. Returns whether a leader did.
     pub(super) fn recovers(&self, state: &ClusterState) -> bool {
         let mut state = state.clone();
         state.in_flight.clear();
@@ -28,7 +28,7 @@
         false
     }
 
-    /// Whether there is a leader that still leads after a heartbeat and grants a lease.
+    /// Returns whether there is a leader that is still leader after a heartbeat and grants a lease.
     fn leader_grants(&self, state: &mut ClusterState) -> bool {
         let leader = (0..self.voters).find(|server| state.node(*server).is_some_and(is_leader));
         let Some(leader) = leader else { return false };
@@ -37,7 +37,7 @@
         state.node(leader).is_some_and(is_leader) && self.grants_lease(state, leader)
     }
 
-    /// Ends all disruptions, then requests a lease.
+    /// Ends all disruptions and requests a lease. Returns whether it is granted.
     fn grants_lease(&self, state: &mut ClusterState, leader: usize) -> bool {
         for holder in 0..self.holders {
             state.holders[holder] = Holder::default();
@@ -46,8 +46,9 @@
                 Command::Observe { target, domain: FailureDomain::default(), health: HealthState::Up };
             self.propose(state, leader, holder, &is_up);
             self.settle(state);
-            let free = Command::Reclaim { target: holder_name(holder), requested_by: "a person".to_string() };
-            self.propose(state, leader, holder, &free);
+            let reclaim =
+                Command::Reclaim { target: holder_name(holder), requested_by: "a person".to_string() };
+            self.propose(state, leader, holder, &reclaim);
             self.settle(state);
         }
         self.propose(state, leader, 0, &request_lease(0, FINAL_REQUEST));
--- a/model_checker/src/cluster/state.rs
+++ b/model_checker/src/cluster/state.rs
@@ -1,4 +1,4 @@
-//! The states of the model.
+//! The states of the cluster model.
 use hallrelay_disruption::State as StateMachine;
 use hallrelay_raft::{Id, Message, MessageBody, Node, PersistentState, Term, Write};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,21 +9,21 @@
 pub struct EventLimits {
     /// An election timeout expires.
     pub election_timeouts: u8,
-    /// A process dies and starts with what is on its disk.
+    /// A process crashes and restarts from its disk.
     pub crashes: u8,
-    /// A process dies and starts with an empty disk.
+    /// A process crashes and restarts with an empty disk.
     pub disk_losses: u8,
-    /// A message is delivered now and again at any later time.
+    /// A message is delivered, and delivered again at any later time.
     pub duplicates: u8,
-    /// A message is held back and delivered at any later time, maybe after newer ones of its kind.
+    /// A message is delayed and delivered at any later time, possibly after newer messages of its kind.
     pub delays: u8,
-    /// A leader's heartbeat.
+    /// A leader sends heartbeats.
     pub heartbeats: u8,
     /// A holder requests a lease or begins its disruption.
     pub requests: u8,
     /// A leader proposes that a lease expires.
     pub expirations: u8,
-    /// The first holder fails, to be back warming up.
+    /// The first holder fails. It later starts again and warms up.
     pub holder_failures: u8,
     /// A voter compacts its log.
     pub compactions: u8,
@@ -39,16 +39,16 @@
 /// A server: its process, its disk and its state machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Server {
-    /// None until its first start.
+    /// `None` until the first start of the process.
     pub node: Option<Node>,
     pub disk: PersistentState,
     pub incarnation: u64,
-    /// Writes that were requested and are not durable, in order.
+    /// Requested writes that are not durable, in order.
     pub pending_writes: VecDeque<PendingWrite>,
     pub state_machine: StateMachine,
 }
 
-/// The true health of a holder, whatever the state machine holds.
+/// The actual health of a holder, which may differ from that in the state machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) enum Health {
     #[default]
@@ -57,21 +57,21 @@
     WarmingUp,
 }
 
-/// A lease holder: a relay that wants to be disrupted.
+/// A lease holder: a relay that requests its own disruption.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
-    /// Identifies its present request; 0 for none.
+    /// The id of its current request; 0 for none.
     pub request: u64,
-    /// The lease that it was granted; 0 for none.
+    /// The id of the lease granted to it; 0 for none.
     pub lease_id: u64,
-    /// Its disruption has begun.
+    /// Whether its disruption has begun.
     pub is_out: bool,
     pub health: Health,
-    /// The health that a leader has proposed last.
+    /// The health that a leader proposed last.
     pub reported_health: Health,
 }
 
-/// What a message is about. A newer message makes an older one of its channel obsolete.
+/// The kind of a message. A newer message makes an older one of the same channel obsolete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum MessageKind {
     Membership,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The kind of message that a recipient may send back at once. It is delivered in the same transition.
+    /// The kind of message that a recipient may send in response. It is delivered in the same transition.
     pub(super) fn immediate_response(self) -> Option<MessageKind> {
         match self {
             MessageKind::Membership => Some(MessageKind::VoteRequest),
@@ -120,40 +120,40 @@
     }
 }
 
-/// Whom a grant was given to, and for which of its requests.
+/// The holder and the request for which a grant was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantOwner {
     pub holder: usize,
     pub request: u64,
 }
 
-/// A state of the model.
+/// A state of the cluster model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClusterState {
-    /// Shared with other states, as most transitions change one or two of them.
+    /// The servers. States share unchanged ones, because most transitions change one or two servers.
     pub(super) servers: Vec<Arc<Server>>,
-    /// Messages that may be delivered in any order. A newer one replaces an older one of its channel, which
-    /// is lost.
+    /// Messages that may be delivered in any order. A newer message replaces an older one of the same
+    /// channel, which is lost.
     pub(super) in_flight: BTreeMap<Channel, Message>,
-    /// Messages that are held back.
+    /// Messages that may be delivered at any later time, independently of newer ones.
     pub(super) delayed: BTreeSet<Message>,
     pub(super) holders: Vec<Holder>,
     pub(super) limits: EventLimits,
     /// The leader of each term.
     pub(super) leaders: BTreeMap<Term, Id>,
     pub(super) grants: BTreeMap<u64, GrantOwner>,
-    /// Holders whose last committed health was not up.
+    /// Holders whose last committed health is not up.
     pub(super) unhealthy_holders: BTreeSet<usize>,
-    /// Servers whose election timeout has expired, by bits.
+    /// Bit set of the servers whose election timeout has expired.
     pub(super) timed_out: u8,
-    /// The last number given to a request or proposal.
+    /// The last number assigned to a request or proposal.
     pub(super) last_request: u64,
-    /// An invariant that was violated by a transition.
+    /// The first invariant that a transition violated.
     pub(super) violated: Option<&'static str>,
 }
 
 impl ClusterState {
-    /// A server, to be changed.
+    /// Mutable access to a server, which is copied if other states share it.
     pub(super) fn server_mut(&mut self, server: usize) -> &mut Server {
         Arc::make_mut(&mut self.servers[server])
     }
@@ -162,7 +162,7 @@
         self.servers[server].node.as_ref()
     }
 
-    /// Notes a violation, unless there is one already.
+    /// Records a violated invariant, unless another was recorded before.
     pub(super) fn violate(&mut self, invariant: &'static str) {
         self.violated = self.violated.or(Some(invariant));
     }
--- a/model_checker/src/cluster/transition.rs
+++ b/model_checker/src/cluster/transition.rs
@@ -1,34 +1,34 @@
-//! The transitions of the model, and how they are printed in a trace.
+//! The transitions of the cluster model and their text in a trace.
 use hallrelay_disruption::Command;
 use hallrelay_raft::{Message, MessageBody, Payload};
 use std::fmt::{Display, Formatter};
 
-/// A transition of the model. Servers and holders are given by their positions.
+/// A transition of the cluster model. Servers and holders are identified by their positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Transition {
     /// The election timeout of a server expires.
     ElectionTimeout(usize),
     /// The heartbeat timeout of a leader expires.
     HeartbeatTimeout(usize),
-    /// The oldest pending write of a server is durable.
+    /// The oldest pending write of a server becomes durable.
     WriteDurable(usize),
-    /// A process dies and starts with what is on its disk.
+    /// A process crashes and restarts from its disk.
     Crash(usize),
-    /// A process dies and starts with an empty disk.
+    /// A process crashes and restarts with an empty disk.
     DiskLoss(usize),
-    /// A message is delivered, and the response to it too.
+    /// A message and the response to it are delivered.
     Deliver(Message),
-    /// The same, and the message may be delivered once more.
+    /// A message and the response to it are delivered, and the message may be delivered again later.
     DeliverTwice(Message),
-    /// A message is held back.
+    /// A message is delayed.
     Delay(Message),
-    /// A message that was held back is delivered.
+    /// A delayed message is delivered.
     DeliverDelayed(Message),
     /// A holder requests a lease.
     RequestLease {
         /// The holder.
         holder: usize,
-        /// The leader that is asked.
+        /// The leader that receives the request.
         leader: usize,
     },
     /// A holder that was granted a lease begins its disruption.
@@ -54,9 +54,9 @@
     },
     /// A holder fails.
     HolderFails(usize),
-    /// A holder that failed is back and warms up.
+    /// A holder that failed starts again and warms up.
     HolderStarts(usize),
-    /// A holder is warm.
+    /// A holder has warmed up.
     HolderWarmedUp(usize),
     /// A leader proposes the health of a holder.
     ObserveHealth {
@@ -95,7 +95,7 @@
             }
             Transition::HolderFails(holder) => write!(f, "holder {holder} fails"),
             Transition::HolderStarts(holder) => write!(f, "holder {holder} starts"),
-            Transition::HolderWarmedUp(holder) => write!(f, "holder {holder} is warm"),
+            Transition::HolderWarmedUp(holder) => write!(f, "holder {holder} has warmed up"),
             Transition::ObserveHealth { holder, leader } => {
                 write!(f, "the health of holder {holder} is observed at {leader}")
             }
--- a/model_checker/src/lib.rs
+++ b/model_checker/src/lib.rs
@@ -1,6 +1,6 @@
-//! An explicit-state model checker for the replicated state: it visits all orders of events of small models,
-//! breadth first, with the program's own `step` functions. A violation is reported with a shortest
-//! counterexample. `docs/checking.md`.
+//! An explicit-state model checker for the replicated state. It explores all orders of events of small
+//! models, breadth first, and executes the program's own `step` functions. A violation is reported with a
+//! shortest counterexample. See `docs/checking.md`.
 #![warn(missing_docs)]
 
 pub mod cluster;
--- a/model_checker/src/main.rs
+++ b/model_checker/src/main.rs
@@ -1,4 +1,4 @@
-//! `hallrelay-checker`: searches the scenarios named on the command line and prints what was found.
+//! `hallrelay-checker`: searches the scenarios named on the command line and prints the results.
 use clap::Parser;
 use hallrelay_model_checker::cluster::Mutation;
 use hallrelay_model_checker::rollout::{self, RolloutModel};
@@ -7,31 +7,32 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Checks all orders of events of a few voters and lease holders, breadth first, with faults between them.
+/// Checks all orders of events of a few voters and lease holders, breadth first, including faults.
 #[derive(Parser)]
 #[command(name = "hallrelay-checker", version)]
 struct Cli {
     /// The scenes to search: elections, crashes, holders, leaders, disks, unplanned, snapshots, restarts,
-    /// releases. All where none is named.
+    /// releases. All scenes if none is named.
     #[arg(value_name = "SCENE")]
     scenarios: Vec<String>,
-    /// Plants each known defect; the search must find it.
+    /// Plants each known defect in the scenes; the search must find it.
     #[arg(long)]
     planted: bool,
-    /// The most states of a scene.
+    /// Maximum number of states of a scene.
     #[arg(long = "states", value_name = "STATES", default_value_t = 1_000_000)]
     max_states: usize,
-    /// One state in so many is checked for recovery once nothing fails any more; 0 for none.
+    /// Checks one state in this many for recovery once no fault occurs any more; 0 disables the check.
     #[arg(long = "way-on", value_name = "WAY_ON", default_value_t = 16)]
     recovery_sampling: u64,
 }
 
 /// The name of the rollout model on the command line.
 const ROLLOUT: &str = "releases";
-/// Its failures and operators' commands.
+/// Maximum number of failures in the rollout model.
 const ROLLOUT_FAILURES: u8 = 2;
+/// Maximum number of operators' commands in the rollout model.
 const ROLLOUT_COMMANDS: u8 = 4;
-/// The exit status after a wrong command line.
+/// The exit status after an invalid command line.
 const USAGE_ERROR: u8 = 2;
 
 impl Cli {
@@ -57,8 +58,8 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Some(unknown) = cli.unknown_scenario() {
-        let names: Vec<&str> = scenarios::ALL.iter().map(|scenario| scenario.name).collect();
-        eprintln!("hallrelay-checker: no scene {unknown}, wanted one of {}", names.join(", "));
+        let names: Vec<&str> = scenarios::ALL.iter().map(|scenario| scenario.name).chain([ROLLOUT]).collect();
+        eprintln!("hallrelay-checker: unknown scene {unknown}; choose from {}", names.join(", "));
         return ExitCode::from(USAGE_ERROR);
     }
     let bounds = cli.bounds();
@@ -72,7 +73,7 @@
     ExitCode::from(u8::from(!as_expected))
 }
 
-/// Whether every mutation is found, or nothing is where none is wanted.
+/// Returns whether the search finds each planted mutation, or no violation if none is planted.
 fn check_scenario(scenario: &Scenario, planted: bool, bounds: &Bounds) -> bool {
     let mutations = if planted { scenario.mutations } else { &[Mutation::None] };
     let mut as_expected = true;
@@ -105,7 +106,7 @@
     let report = search(model, bounds);
     let extent = if report.exhaustive { "all" } else { "the first" };
     println!(
-        "{name}, {mutation}: {extent} {} states, {} steps, {} deep, {} looked at for a way on, {:.1} s",
+        "{name}, {mutation}: {extent} {} states, {} transitions, depth {}, {} checked for recovery, {:.1} s",
         report.states,
         report.transitions,
         report.depth,
@@ -113,7 +114,8 @@
         started.elapsed().as_secs_f64()
     );
     if let Some(counterexample) = &report.counterexample {
-        println!("  broken: {}, after {} steps", counterexample.property, counterexample.trace.len());
+        let steps = counterexample.trace.len();
+        println!("  violated: {}, after {steps} transitions", counterexample.property);
         for transition in &counterexample.trace {
             println!("    {transition}");
         }
--- a/model_checker/src/rollout/mod.rs
+++ b/model_checker/src/rollout/mod.rs
@@ -1,6 +1,6 @@
-//! A model of a rollout over the replicated state machine: all orders of what deployers, leaders and
-//! operators do, with failures. One state machine stands for all voters; that they have the same is checked
-//! by [`crate::cluster`].
+//! A model of a rollout over the replicated state machine. It explores all orders of the actions of
+//! deployers, leaders and operators, with failures. A single state machine represents all voters, because
+//! [`crate::cluster`] checks that their state machines are equal.
 mod state;
 mod transition;
 
@@ -14,13 +14,13 @@
 };
 use state::{backend_name, backends_out};
 
-/// Backends: two waves of one and two, and one that is in no wave.
+/// Number of backends: one in the first wave, two in the second, and one that is in no wave.
 const BACKENDS: usize = 4;
-/// The backend that is in no wave.
+/// The position of the backend that is in no wave.
 const UNPLANNED_BACKEND: usize = 3;
-/// How many backends may be out at once.
+/// Maximum number of backends that may be out of service at a time.
 const BUDGET: usize = 2;
-/// Transitions within which a rollback must be finished once no fault occurs any more.
+/// Maximum number of transitions until a rollback is finished once no fault occurs any more.
 const MAX_RECOVERY_STEPS: usize = 64;
 
 /// A deliberate defect.
@@ -28,9 +28,9 @@
 pub enum Mutation {
     /// No defect.
     None,
-    /// A new leader goes on with the state before a halt.
+    /// A new leader continues from the state before a halt.
     HaltForgotten,
-    /// A rollback resumes the rollout.
+    /// A rollback command resumes the rollout.
     RollbackResumes,
 }
 
@@ -53,9 +53,9 @@
 pub struct RolloutModel {
     /// The deliberate defect.
     pub mutation: Mutation,
-    /// Failures between the initial state and any other.
+    /// Maximum number of failures on any path from the initial state.
     pub failures: u8,
-    /// Commands of operators between the initial state and any other.
+    /// Maximum number of operators' commands on any path from the initial state.
     pub operator_commands: u8,
 }
 
@@ -127,7 +127,7 @@
                 self.take_operator_transition(state, transition);
             }
         }
-        note_halt(state, transition);
+        track_halt(state, transition);
     }
 
     fn take_operator_transition(&self, state: &mut RolloutState, transition: &Transition) {
@@ -141,7 +141,7 @@
                 state.apply(&Command::Resume { requested_by: operator() });
             }
             Transition::RollBack => {
-                // What begins with a rollback was allowed by it.
+                // The rollback permits the disruptions that begin with it.
                 state.is_halted = false;
                 let command = match self.mutation {
                     Mutation::RollbackResumes => Command::Resume { requested_by: operator() },
@@ -173,8 +173,8 @@
     }
 }
 
-/// Keeps whether the last thing that was said or found is a halt.
-fn note_halt(state: &mut RolloutState, transition: &Transition) {
+/// Updates whether the rollout is halted, by an operator or by a failure.
+fn track_halt(state: &mut RolloutState, transition: &Transition) {
     state.is_halted = match transition {
         Transition::Halt => state.has_halted_phase(),
         Transition::Resume | Transition::RollBack => false,
@@ -224,11 +224,12 @@
         if state.violated.is_some() {
             return state.violated;
         }
-        // A backend that is down is not counted: the state machine did not let it out.
-        (backends_out(&state.state_machine) > BUDGET).then_some("never more out than the budget")
+        // A backend that is down is not counted, because the state machine did not grant it a lease.
+        (backends_out(&state.state_machine) > BUDGET).then_some("disruptions within the budget")
     }
 
-    /// Once nothing fails any more and deployers do their steps, the rollout can be halted and rolled back.
+    /// Once no fault occurs any more and deployers complete their steps, the rollout can be halted and rolled
+    /// back.
     fn can_recover(&self, state: &RolloutState) -> bool {
         if state.is_over() {
             return true;
@@ -251,7 +252,7 @@
     }
 }
 
-/// Whether a transition is taken without any fault or operator.
+/// Returns whether a transition occurs without a fault or an operator's command.
 fn is_recovery_step(transition: &Transition) -> bool {
     matches!(
         transition,
--- a/model_checker/src/rollout/state.rs
+++ b/model_checker/src/rollout/state.rs
@@ -11,22 +11,22 @@
     pub(super) state_machine: StateMachine,
     /// The state before the last halt, until the leader changes.
     pub(super) before_halt: Option<StateMachine>,
-    /// The rollout is halted, and nobody has resumed it or rolled it back since.
+    /// The rollout is halted, and no operator has resumed it or rolled it back since.
     pub(super) is_halted: bool,
     /// Failures that may still occur.
     pub(super) failures: u8,
     /// Commands that operators may still give.
     pub(super) operator_commands: u8,
-    /// An invariant that was violated by a transition.
+    /// The first invariant that a transition violated.
     pub(super) violated: Option<&'static str>,
 }
 
-/// A backend as the state machine names it.
+/// The target of a backend in the state machine.
 pub(super) fn backend_name(backend: usize) -> Target {
     Target::Backend(format!("s{backend}"))
 }
 
-/// Backends that count against the budget.
+/// Number of backends that hold a lease and count against the budget.
 pub(super) fn backends_out(state_machine: &StateMachine) -> usize {
     let is_out = |state| matches!(state, LeaseState::Granted | LeaseState::Out | LeaseState::Returning);
     state_machine.leases().filter(|(_, lease)| is_out(lease.state)).count()
@@ -65,15 +65,15 @@
         let before = disrupted_backends(&self.state_machine);
         self.state_machine.apply(command);
         let begins = disrupted_backends(&self.state_machine).iter().any(|backend| !before.contains(backend));
-        // What was requested by hand may begin while the rollout is halted.
-        let is_requested = matches!(command, Command::Begin { .. });
-        if self.is_halted && begins && !is_requested {
-            self.violated = Some("no step begins after a halt");
+        // A disruption that an operator requested may begin while the rollout is halted.
+        let is_by_operator = matches!(command, Command::Begin { .. });
+        if self.is_halted && begins && !is_by_operator {
+            self.violated = Some("no disruption begins after a halt");
         }
     }
 
-    /// Whether a deployer has a step of the rollout to do on a backend.
-    pub(super) fn has_step_to_do(&self, backend: usize) -> bool {
+    /// Returns whether a deployer has to complete a step of the rollout at a backend.
+    pub(super) fn has_pending_step(&self, backend: usize) -> bool {
         let Some(rollout) = self.rollout() else { return false };
         let item = rollout.items.iter().find(|item| item.target == backend_name(backend));
         let is_due =
@@ -83,7 +83,7 @@
 
     pub(super) fn add_backend_transitions(&self, backend: usize, enabled: &mut Vec<Transition>) {
         let Some(lease) = self.state_machine.lease(&backend_name(backend)) else { return };
-        if self.has_step_to_do(backend) {
+        if self.has_pending_step(backend) {
             enabled.push(Transition::ReportStep { backend, succeeded: true });
             if self.failures > 0 {
                 enabled.push(Transition::ReportStep { backend, succeeded: false });
--- a/model_checker/src/rollout/transition.rs
+++ b/model_checker/src/rollout/transition.rs
@@ -1,15 +1,15 @@
-//! The transitions of the model.
+//! The transitions of the rollout model.
 use hallrelay_disruption::HealthState;
 use std::fmt::{Display, Formatter};
 
-/// A transition of the model. Backends are given by their positions.
+/// A transition of the rollout model. Backends are identified by their positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// A deployer reports a step as done or failed.
+    /// A deployer reports the result of a step.
     ReportStep {
         /// The backend.
         backend: usize,
-        /// The step is done.
+        /// Whether the step succeeded.
         succeeded: bool,
     },
     /// The leader observes the health of a backend.
@@ -19,9 +19,9 @@
         /// Its health.
         health: HealthState,
     },
-    /// The leader has analyzed a wave.
+    /// The leader analyzes a wave.
     Analyze {
-        /// The wave is as good as before.
+        /// Whether the wave passes.
         passed: bool,
     },
     /// An operator halts the rollout.
@@ -30,9 +30,9 @@
     Resume,
     /// An operator rolls the rollout back.
     RollBack,
-    /// An operator takes out the backend that is in no wave.
+    /// An operator takes the backend that is in no wave out of service.
     TakeOut,
-    /// The backend that is in no wave is back.
+    /// The backend that is in no wave returns to service.
     Return,
     /// The leader changes.
     LeaderChange,
--- a/model_checker/src/scenarios.rs
+++ b/model_checker/src/scenarios.rs
@@ -1,19 +1,19 @@
-//! The scenarios of the cluster model that are searched: how many voters and lease holders, and how often
-//! each kind of event may occur.
+//! The scenarios of the cluster model. Each sets the number of voters and lease holders, and how often each
+//! kind of event may occur.
 use crate::cluster::{ClusterModel, EventLimits, Mutation};
 
-/// A scenario of the cluster model; "scene" on the command line.
+/// A scenario of the cluster model, called "scene" on the command line.
 pub struct Scenario {
-    /// The name on the command line.
+    /// Its name on the command line.
     pub name: &'static str,
-    /// The parameters, without a mutation.
+    /// The parameters without a mutation.
     model: ClusterModel,
-    /// The mutations that its search must find.
+    /// The mutations that a search of this scenario must find.
     pub mutations: &'static [Mutation],
 }
 
 impl Scenario {
-    /// The model with a deliberate defect.
+    /// The model of this scenario with a deliberate defect.
     pub fn with_mutation(&self, mutation: Mutation) -> ClusterModel {
         ClusterModel { mutation, ..self.model.clone() }
     }
@@ -32,7 +32,7 @@
     compactions: 0,
 };
 
-/// Three voters, the first of which leads, and one holder.
+/// Three voters, of which the first is the leader, and one holder.
 const BASE: ClusterModel = ClusterModel {
     voters: 3,
     holders: 1,
@@ -45,7 +45,7 @@
 
 /// All scenarios, in the order in which they are searched.
 pub const ALL: [Scenario; 8] = [
-    // Elections, with messages that are delayed and duplicated.
+    // Elections with delayed and duplicated messages.
     Scenario {
         name: "elections",
         model: ClusterModel {
@@ -55,7 +55,7 @@
         },
         mutations: &[],
     },
-    // Processes that die between a write and its durability.
+    // Processes that crash after a write and before it is durable.
     Scenario {
         name: "crashes",
         model: ClusterModel {
@@ -66,7 +66,7 @@
         },
         mutations: &[Mutation::VoteNotSynced],
     },
-    // Two holders that want to be disrupted where one may.
+    // Two holders request a lease, and the budget allows one.
     Scenario {
         name: "holders",
         model: ClusterModel {
@@ -76,7 +76,7 @@
         },
         mutations: &[Mutation::BeginsUncommitted, Mutation::ExpiresWhileOut],
     },
-    // The same while the leader changes.
+    // Two holders request a lease while the leader changes.
     Scenario {
         name: "leaders",
         model: ClusterModel {
@@ -86,7 +86,7 @@
         },
         mutations: &[Mutation::AcknowledgesAhead, Mutation::LogNotCompared],
     },
-    // Disks that are lost, and entries that were never durable.
+    // Disk losses, and entries that never became durable.
     Scenario {
         name: "disks",
         model: ClusterModel {
@@ -102,7 +102,7 @@
         },
         mutations: &[Mutation::DiskLossUnreported, Mutation::LogNotSynced],
     },
-    // A holder that fails, and warms up while another requests a lease.
+    // A holder fails and warms up while another requests a lease.
     Scenario {
         name: "unplanned",
         model: ClusterModel {
@@ -112,7 +112,7 @@
         },
         mutations: &[Mutation::WarmingCountsAsUp, Mutation::GrantsWithoutLog],
     },
-    // Logs that are compacted while a holder is disrupted, by voters that restarted from a snapshot.
+    // Voters that restarted from a snapshot compact their logs while a holder is disrupted.
     Scenario {
         name: "snapshots",
         model: ClusterModel {
@@ -129,7 +129,7 @@
         },
         mutations: &[Mutation::GrantNumbersForgotten, Mutation::BudgetsForgotten],
     },
-    // A voter that restarts and is sent all entries again.
+    // A voter restarts and receives all entries again.
     Scenario {
         name: "restarts",
         model: ClusterModel {
--- a/model_checker/src/search.rs
+++ b/model_checker/src/search.rs
@@ -1,7 +1,7 @@
-//! Explicit-state breadth-first search of a model, one level of depth after another on all cores.
+//! Explicit-state breadth-first search of a model, level by level on all cores.
 //!
-//! The states of a level are numbered by their order and merged in it, so a search visits the same states and
-//! reports the same counts each time, and a counterexample is a shortest one.
+//! The successors of a level are merged in a fixed order. Therefore each search of a model visits the same
+//! states and reports the same counts, and a counterexample is a shortest one.
 use std::collections::{HashMap, HashSet};
 use std::fmt::Display;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,44 +9,45 @@
 use std::sync::Mutex;
 
 /// The name of the property that [`Model::can_recover`] checks.
-const RECOVERY: &str = "a way on once links heal";
-/// States whose successors are merged at once. What many states lead to is held once per batch.
+const RECOVERY: &str = "recovery once no fault occurs";
+/// Number of states whose successors are merged at once. This bounds the memory for successors that several
+/// threads find, because duplicates are dropped after each batch.
 const BATCH_STATES: usize = 1 << 13;
-/// States that a thread expands before it takes the next ones.
+/// Number of states in the task of a thread.
 const TASK_STATES: usize = 256;
 
 /// A transition system with invariants.
 pub trait Model: Sync {
-    /// A state, in a canonical form: equivalent states are equal.
+    /// A state in canonical form: equivalent states are equal.
     type State: Clone + Hash + Send + Sync;
     /// A transition from one state to another.
     type Transition: Clone + Send + Sync + Display;
 
-    /// The state that the search begins with.
+    /// The initial state of the search.
     fn initial_state(&self) -> Self::State;
 
-    /// All transitions that are enabled in a state, always in the same order.
+    /// All transitions that are enabled in a state, in a deterministic order.
     fn transitions(&self, state: &Self::State) -> Vec<Self::Transition>;
 
     /// The state after a transition.
     fn next_state(&self, state: &Self::State, transition: &Self::Transition) -> Self::State;
 
-    /// The name of an invariant that a state violates.
+    /// The name of an invariant that a state violates, if any.
     fn violated_invariant(&self, state: &Self::State) -> Option<&'static str>;
 
-    /// Liveness: whether the system makes progress from a state once no fault occurs any more. Checked for a
-    /// sample of the states.
+    /// Liveness: returns whether the system makes progress from a state once no fault occurs any more. The
+    /// search checks a sample of the states.
     fn can_recover(&self, state: &Self::State) -> bool;
 }
 
-/// Where a search stops.
+/// The limits of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Distinct states, checked after each batch.
+    /// Maximum number of distinct states, checked after each batch.
     pub max_states: usize,
-    /// Transitions from the initial state.
+    /// Maximum number of transitions from the initial state.
     pub max_depth: usize,
-    /// One state in so many is checked for recovery; 0 for none.
+    /// One state in this many is checked for recovery; 0 disables the check.
     pub recovery_sampling: u64,
 }
 
@@ -55,7 +56,7 @@
 pub struct Counterexample {
     /// The name of the property.
     pub property: &'static str,
-    /// The transitions from the initial state on, printed.
+    /// The text of each transition, starting at the initial state.
     pub trace: Vec<String>,
 }
 
@@ -64,19 +65,19 @@
 pub struct SearchReport {
     /// Distinct states visited.
     pub states: usize,
-    /// Transitions taken between them.
+    /// Transitions taken between these states.
     pub transitions: usize,
-    /// The greatest distance of a visited state from the initial one.
+    /// The greatest distance of a visited state from the initial state.
     pub depth: usize,
     /// States that were checked for recovery.
     pub recovery_checks: usize,
-    /// Every reachable state was visited.
+    /// Whether all reachable states were visited.
     pub exhaustive: bool,
     /// The first violation found.
     pub counterexample: Option<Counterexample>,
 }
 
-/// Identifies a state: two 64-bit hashes. Two of a million states share one with a probability of 1e-26.
+/// Identifies a state by two 64-bit hashes. The probability of a collision among a million states is 1e-26.
 type Fingerprint = u128;
 
 fn fingerprint<T: Hash>(state: &T) -> Fingerprint {
@@ -89,15 +90,15 @@
     u128::from(hash_with(1)) << 64 | u128::from(hash_with(2))
 }
 
-/// How a state was reached first.
+/// The first transition that reached a state.
 #[derive(Clone, Copy)]
 struct Edge {
     parent: Fingerprint,
-    /// The position among the parent's transitions.
+    /// Its position among the parent's transitions.
     transition: u32,
 }
 
-/// All visited states, with the edge to each.
+/// All visited states, with the first edge to each.
 type Visited = HashMap<Fingerprint, Edge>;
 
 struct FingerprintedState<S> {
@@ -116,7 +117,7 @@
     state: Fingerprint,
 }
 
-/// The successors of some states, in their order.
+/// The successors of a sequence of states, in order.
 struct Expansion<S> {
     successors: Vec<Successor<S>>,
     transitions: usize,
@@ -138,7 +139,7 @@
     }
 }
 
-/// The next level of a search.
+/// The newly found states at the next depth.
 struct Level<S> {
     states: Vec<FingerprintedState<S>>,
     violation: Option<Violation>,
@@ -187,8 +188,8 @@
         self.report
     }
 
-    /// The states that a level leads to and that were not visited before. A state of the level that cannot
-    /// recover ends the search at once, a new state that violates an invariant ends it after the level.
+    /// Visits the successors of a level that were not visited before. A state of the level that cannot
+    /// recover ends the search immediately. A new state that violates an invariant ends it after the level.
     fn next_level(&mut self, level: &[FingerprintedState<M::State>]) -> Result<Level<M::State>, Violation> {
         let mut next = Level { states: Vec::new(), violation: None };
         for batch in level.chunks(BATCH_STATES) {
@@ -227,7 +228,7 @@
         self.report
     }
 
-    /// The transitions that lead from the initial state to a visited one, printed.
+    /// The text of the transitions that lead from the initial state to a visited state.
     fn trace(&self, target: Fingerprint) -> Vec<String> {
         let mut positions = Vec::new();
         let mut current = target;
@@ -248,7 +249,7 @@
     }
 }
 
-/// Expands states on all cores. The result is in the order of the states.
+/// Expands states on all cores. The successors are in the order of the states.
 fn expand<M: Model>(
     model: &M,
     states: &[FingerprintedState<M::State>],
@@ -286,7 +287,7 @@
     bounds: &Bounds,
 ) -> Expansion<M::State> {
     let mut expansion = Expansion::new();
-    let mut found_here = HashSet::new();
+    let mut found_in_task = HashSet::new();
     for FingerprintedState { fingerprint: parent, state } in states {
         if is_sampled(*parent, bounds) {
             expansion.recovery_checks += 1;
@@ -298,7 +299,7 @@
             expansion.transitions += 1;
             let state = model.next_state(state, &transition);
             let fingerprint = fingerprint(&state);
-            if visited.contains_key(&fingerprint) || !found_here.insert(fingerprint) {
+            if visited.contains_key(&fingerprint) || !found_in_task.insert(fingerprint) {
                 continue;
             }
             let violated = model.violated_invariant(&state);
