--- a/disruption/src/rollout.rs
+++ b/disruption/src/rollout.rs
@@ -95,7 +95,7 @@
     Halt,
     Resume,
     RollBack,
-    /// All targets have the old build again and are in service.
+    /// No target has the new build any more.
     AllReverted,
 }
 
--- a/model_checker/src/search.rs
+++ b/model_checker/src/search.rs
@@ -13,7 +13,7 @@
 /// Number of states whose successors are merged at once. This bounds the memory for successors that several
 /// threads find, because duplicates are dropped after each batch.
 const BATCH_STATES: usize = 1 << 13;
-/// Number of states in the task of a thread.
+/// Number of states that a thread expands per task.
 const TASK_STATES: usize = 256;
 
 /// A transition system with invariants.
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -124,7 +124,7 @@
     leader_timed_out: bool,
     /// The voters that granted this candidate or pre-candidate their vote or pre-vote.
     votes_granted: BTreeSet<Voter>,
-    /// The leader's replication progress of the other voters.
+    /// The leader's knowledge of the logs of the other voters.
     progress: BTreeMap<Voter, Progress>,
     /// Servers that announced that they are not voters.
     announced: BTreeMap<Id, Announcement>,
