--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -1,8 +1,8 @@
-//! A session whose client waits for its final answer: the task carries out dials until the reducer commands
-//! a final answer, or a backend accepts the session.
+//! A session whose client waits for its final answer. The task dials backends as the reducer commands, until
+//! the reducer commands a final answer or a backend accepts the session.
 //!
-//! Whatever the order of events, it ends by a line that the reducer commanded or that a backend sent.
-//! Commands that were meant for the connection before it was a session are skipped.
+//! In every order of events the wait ends with a line that the reducer commanded or that a backend sent.
+//! Commands that were sent before the connection became a session do not end it.
 use super::dial::{self, DialOutcome, DialRequest};
 use super::read::ClientState;
 use super::{close, proxy, Command, Hub};
@@ -16,20 +16,20 @@
 
 /// The client's first line, held until a backend has answered it.
 pub struct ClientRequest {
-    /// The line without its end.
+    /// The line without its line ending.
     pub line: Vec<u8>,
-    /// Where in it the client's timeout stands, which each dial rewrites.
+    /// Position of the client's timeout in the line; each dial rewrites it.
     pub timeout_range: Range<usize>,
 }
 
-/// What ends a dial's wait.
+/// What ended the wait for a dial.
 enum DialWait {
     Ended(DialOutcome),
     Client(ClientState),
     Command(Option<Command>),
 }
 
-/// The connection of a session that waits.
+/// The connection of a session that waits for its final answer.
 struct WaitingSession<'a> {
     connection_id: SessionId,
     client: TcpStream,
@@ -39,7 +39,7 @@
     hub: &'a Hub,
 }
 
-/// Serves a session from its request to its end.
+/// Serves a session from its first line to its end.
 pub async fn run(
     connection_id: SessionId,
     client: TcpStream,
@@ -56,18 +56,18 @@
         loop {
             let command = tokio::select! {
                 biased;
-                // A client that has left goes before a dial that was decided without knowing it.
+                // The client's state comes first: a dial may have been decided before the client left.
                 state = client_stops_waiting(&self.client, &mut self.buffer) => {
                     return self.client_gone(state).await;
                 }
                 command = next_command(&self.client, &mut self.commands, self.hub) => command,
             };
             let (dial, wait) = match command {
-                Some(Command::Dial { dial, addr, timeout: wait, conditions: terms }) => {
-                    let timeout_ms = wait / 1000;
+                Some(Command::Dial { dial, addr, timeout, conditions }) => {
+                    let timeout_ms = timeout / 1000;
                     let line =
                         lines::rewrite_timeout(&self.request.line, &self.request.timeout_range, timeout_ms);
-                    let request = DialRequest { addr, line: &line, timeout: wait, conditions: terms };
+                    let request = DialRequest { addr, line: &line, timeout, conditions };
                     (dial, self.dial(request).await)
                 }
                 Some(Command::FinalAnswer(line)) => return self.answer(&line).await,
@@ -99,20 +99,20 @@
         }
     }
 
-    /// Waits for a dial. Returning drops it, which gives it up.
+    /// Waits for a dial. A return for any other reason drops the dial, which cancels it.
     async fn dial(&mut self, request: DialRequest<'_>) -> DialWait {
         tokio::select! {
             biased;
-            // The client first, as above; then a command, which holds whatever the backend answers by now:
-            // the reducer has ended the session.
+            // The client first, as in `run`. Then a command: by then the reducer has ended the session, so
+            // the command holds even if the backend's answer has arrived.
             state = client_stops_waiting(&self.client, &mut self.buffer) => DialWait::Client(state),
             command = next_command(&self.client, &mut self.commands, self.hub) => DialWait::Command(command),
             outcome = dial::run(request, &self.client, self.hub) => DialWait::Ended(outcome),
         }
     }
 
-    /// A backend accepted the session. It is proxied unless the reducer gave up on it as the answer was read:
-    /// then a final answer is queued, and the backend's is not used.
+    /// A backend accepted the session. It is proxied unless the reducer has meanwhile ended it: then a final
+    /// answer is already queued, and the backend's answer is discarded.
     async fn accepted(mut self, dial: u32, backend: dial::Backend) {
         self.hub.notify(Event::SessionEstablished { session_id: self.connection_id, dial }).await;
         match next_command(&self.client, &mut self.commands, self.hub).await {
@@ -132,8 +132,8 @@
         close::send_final_answer(self.client, line, &mut self.commands, self.hub).await;
     }
 
-    /// The client does not wait any more. A close alone does not show whether it has left or reads on: the
-    /// final answer is written, and nothing is forwarded.
+    /// The client closed its sending side or sent more data. After a close the client may have left or may
+    /// still read, so the final answer is written, but nothing is forwarded.
     async fn client_gone(mut self, state: ClientState) {
         if state == ClientState::SentMore {
             return reject_protocol_violation(self.connection_id, self.client, self.commands, self.hub).await;
@@ -143,8 +143,9 @@
     }
 }
 
-/// The next command for a waiting session. Commands for the connection before it was a session end nothing:
-/// a `PONG` is written, the rest is skipped. While a dial is out, only an end can be commanded.
+/// Returns the next command for a waiting session. Commands that were sent before the connection became a
+/// session do not end it: a `PONG` is written, the others are skipped. During a dial, the reducer commands
+/// only the end of the session.
 async fn next_command(client: &TcpStream, commands: &mut Receiver<Command>, hub: &Hub) -> Option<Command> {
     loop {
         match commands.recv().await {
@@ -155,7 +156,7 @@
     }
 }
 
-/// Completes when the client closes or sends more, neither of which it may do before its answer.
+/// Completes when the client closes or sends more data, neither of which is allowed before its answer.
 async fn client_stops_waiting(client: &TcpStream, buffer: &mut Buffer) -> ClientState {
     match buffer.fill(client).await {
         Ok(1..) => ClientState::SentMore,
@@ -163,7 +164,7 @@
     }
 }
 
-/// Reports a connection that violates the protocol, and carries out its final answer.
+/// Reports a connection that violates the protocol, and sends the final answer that the reducer commands.
 pub async fn reject_protocol_violation(
     connection_id: SessionId,
     client: TcpStream,
@@ -174,7 +175,7 @@
     await_final_answer(client, &mut commands, hub).await;
 }
 
-/// Sends the final answer that the reducer commands next; commands that were queued before it are skipped.
+/// Waits for the reducer's final answer and sends it. Commands that were queued before it are skipped.
 async fn await_final_answer(client: TcpStream, commands: &mut Receiver<Command>, hub: &Hub) {
     while let Some(command) = commands.recv().await {
         match command {
--- a/relay/src/net/close.rs
+++ b/relay/src/net/close.rs
@@ -1,5 +1,5 @@
-//! Final answers and the end of connections: an answer is written whole, then the connection is shut down so
-//! that the other side can still read it.
+//! Final answers and the close of connections. An answer is written completely, then the connection is shut
+//! down so that the other side can still read the answer.
 use super::{Command, Hub};
 use crate::clock::span;
 use crate::socket;
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::timeout;
 
-/// Writes a final answer and closes gracefully, or at once when the reducer sheds the connection.
+/// Writes a final answer and closes gracefully, or immediately when the reducer sheds the connection.
 pub async fn send_final_answer(
     client: TcpStream,
     answer: &[u8],
@@ -23,8 +23,8 @@
     if !write_all(&client, answer, hub.limits().close_timeout).await {
         return;
     }
-    // The answer is out: shedding loses only the graceful close. Other commands that were queued before
-    // have no meaning any more; closing on them would cut off a session that ended as it was to migrate.
+    // The answer is written, so shedding skips only the graceful close. Other commands that are still queued
+    // are ignored: closing on them would cut off a session that ended while it was about to migrate.
     let shed = async { while !matches!(commands.recv().await, Some(Command::Shed) | None) {} };
     tokio::select! {
         biased;
@@ -33,12 +33,12 @@
     }
 }
 
-/// Writes as much of an answer as the system takes at once, and closes.
+/// Writes as much of an answer as the socket accepts without waiting, and closes.
 pub fn send_without_waiting(client: TcpStream, answer: &[u8]) {
     _ = socket::try_write(&client, answer);
 }
 
-/// Writes all bytes within a time in microseconds; false where it could not.
+/// Writes all bytes within the given time in microseconds. Returns false on failure or timeout.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8], within: Micros) -> bool {
     let write = async {
         while !bytes.is_empty() {
@@ -54,8 +54,8 @@
     matches!(timeout(span(within), write).await, Ok(Ok(())))
 }
 
-/// Ends the sending and discards what still arrives until the other side ends too: closing over unread bytes
-/// would reset the connection, and the answer could be lost with it.
+/// Shuts down the sending side and discards received bytes until the other side closes too. Closing with
+/// unread bytes would reset the connection, and the answer could be lost.
 pub async fn close_gracefully(stream: TcpStream, hub: &Hub) {
     if SockRef::from(&stream).shutdown(Shutdown::Write).is_err() {
         return;
@@ -72,20 +72,20 @@
     _ = timeout(span(hub.limits().close_timeout), drain).await;
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 pub fn reset(stream: TcpStream) {
     _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// The kernel's `TCP_INFO` of a connection.
+/// Returns the kernel's `TCP_INFO` of a connection.
 pub fn tcp_info(stream: &TcpStream) -> Option<libc::tcp_info> {
-    // SAFETY: the buffer is a plain struct of the size that is handed over, and outlives the call.
+    // SAFETY: the buffer is a plain struct of the size passed to the call, and outlives the call.
     unsafe {
         let mut info: libc::tcp_info = std::mem::zeroed();
         let mut size = size_of::<libc::tcp_info>() as libc::socklen_t;
-        let place = (&raw mut info).cast();
+        let buffer = (&raw mut info).cast();
         let fd = stream.as_raw_fd();
-        let done = libc::getsockopt(fd, libc::IPPROTO_TCP, libc::TCP_INFO, place, &raw mut size);
-        (done == 0).then_some(info)
+        let result = libc::getsockopt(fd, libc::IPPROTO_TCP, libc::TCP_INFO, buffer, &raw mut size);
+        (result == 0).then_some(info)
     }
 }
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -1,5 +1,5 @@
-//! One dial: connect, send the first line, wait for the backend's first answer. Dropping the future cancels
-//! it.
+//! One dial: connects, sends the first line, and waits for the backend's first answer. Dropping the future
+//! cancels the dial.
 use super::dial_permit::{self, Denied, DialConditions, DialPermit};
 use super::read::{self, ClientState};
 use super::{close, Hub};
@@ -18,19 +18,19 @@
 pub struct Backend {
     /// The connection to it.
     pub stream: TcpStream,
-    /// What was read behind the answer.
+    /// Bytes that were read after the answer.
     pub buffer: Buffer,
-    /// The line with which it accepted the session, with its end, for the client.
+    /// The line with which it accepted the session, with its line ending; it is forwarded to the client.
     pub acceptance: Vec<u8>,
 }
 
-/// What a dial needs.
+/// The parameters of a dial.
 pub struct DialRequest<'a> {
     /// The backend's address.
     pub addr: SocketAddr,
-    /// The first line as it is forwarded, with its end.
+    /// The first line as it is forwarded, with its line ending.
     pub line: &'a [u8],
-    /// How long the whole dial may take, in microseconds.
+    /// Timeout of the complete dial, in microseconds.
     pub timeout: Micros,
     /// Checked before the connect and before the first byte.
     pub conditions: DialConditions,
@@ -40,13 +40,13 @@
 pub enum DialOutcome {
     /// The backend accepted the session.
     Accepted(Backend),
-    /// The backend served the session to its end with this line; its load report, where it gave one.
+    /// The backend answered with its last line, so the session is complete; its load report, if it sent one.
     Completed { line: Vec<u8>, report: Option<LoadReport> },
-    /// It failed, and how.
+    /// The dial failed: how, and the backend's load report, if it sent one.
     Failed(DialEnd, Option<LoadReport>),
-    /// Not started, for no fault of the backend's: this machine could not, or the backend drains.
+    /// Not started, without a fault of the backend: this machine cannot connect, or the backend drains.
     NotStarted,
-    /// Not started: the client does not wait any more.
+    /// Not started: the client no longer waits.
     ClientGone(ClientState),
 }
 
@@ -60,7 +60,8 @@
     }
 }
 
-/// Runs one dial to its outcome. It may have run only where the last byte of the line was written.
+/// Runs one dial to its outcome. The backend may have run the request only if the last byte of the line was
+/// written.
 pub async fn run(request: DialRequest<'_>, client: &TcpStream, hub: &Hub) -> DialOutcome {
     let limits = hub.limits();
     let deadline = Instant::now() + span(request.timeout);
@@ -72,7 +73,7 @@
     receive_answer(stream, deadline, &limits, hub).await
 }
 
-/// Connects and writes the first line; the outcome where either is not done.
+/// Connects and writes the first line. Returns the dial's outcome if either fails.
 async fn send_first_line(
     request: &DialRequest<'_>,
     deadline: Instant,
@@ -85,7 +86,8 @@
     let stream = match hub.connect(request.addr, connect_by).await {
         Ok(stream) => stream,
         Err(ConnectError::Local(error)) => {
-            slog::warn!(hub.log, "this machine can't connect"; "error" => %error);
+            let addr = request.addr;
+            slog::warn!(hub.log, "dial to {} not started: cannot connect", addr; "error" => %error);
             return Err(DialOutcome::NotStarted);
         }
         Err(ConnectError::Remote(_) | ConnectError::TimedOut) => {
@@ -99,7 +101,7 @@
     Ok(stream)
 }
 
-/// Writes a first line, which takes a permit that was made just now.
+/// Writes a first line. It consumes a permit, so the conditions were checked just before.
 async fn write_permitted(stream: &TcpStream, request: &DialRequest<'_>, _permit: DialPermit) -> bool {
     close::write_all(stream, request.line, request.timeout).await
 }
@@ -123,7 +125,7 @@
         BackendReply::Move => DialOutcome::Failed(DialEnd::Cancelled, None),
         BackendReply::Busy(report) => DialOutcome::Failed(DialEnd::Full, report),
         BackendReply::Error(report) => DialOutcome::Failed(DialEnd::Error, report),
-        // No backend of this protocol sends another line first: the dial may have run.
+        // The protocol allows no other first answer: the request may have run.
         _ => DialOutcome::Failed(DialEnd::Error, None),
     }
 }
--- a/relay/src/net/dial_permit.rs
+++ b/relay/src/net/dial_permit.rs
@@ -1,21 +1,21 @@
-//! The one place that decides whether a dial may start now.
+//! Decides whether a dial may start now; no other module does.
 //!
-//! A dial is checked before the connect and again just before the first byte. The first line is written only
-//! with a `DialPermit` in hand. Each denial is counted by its reason.
+//! The conditions are checked before the connect and again just before the first byte. Writing the first line
+//! requires a `DialPermit`. Each denial is counted by its reason.
 use super::read::{self, ClientState};
 use super::Hub;
 use hallrelay_balancer::types::{Micros, ServerId};
 use std::cell::Cell;
 use tokio::net::TcpStream;
 
-/// Proof that all conditions held when it was made; consumed by the write that it allows.
+/// Proof that all conditions held when it was created. The write of the first line consumes it.
 pub struct DialPermit(());
 
 /// The conditions under which a dial was decided.
 #[derive(Clone, Copy, Debug)]
 pub struct DialConditions {
-    /// The backend; `None` for a session that was open there before this process started and may go nowhere
-    /// else.
+    /// The backend; `None` for a session that was open there before this process started and must not be sent
+    /// to another one.
     pub server: Option<ServerId>,
     /// The latest start, by the relay's clock in microseconds.
     pub start_by: Micros,
@@ -24,9 +24,9 @@
 /// Why a dial may not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// The client has closed, left, or sent more.
+    /// The client has closed, left, or sent more data.
     Client(ClientState),
-    /// The dial was decided too long ago, since the process was not scheduled meanwhile.
+    /// The dial was decided too long ago, because the process was not scheduled in between.
     Late,
     /// The backend drains or has left the endpoint list.
     Draining,
@@ -35,7 +35,7 @@
 /// Denied dials by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Denials {
-    /// The client did not wait any more.
+    /// The client no longer waited.
     pub client: u64,
     /// The decision was too old.
     pub late: u64,
@@ -48,7 +48,7 @@
 pub struct DenialCounter(Cell<Denials>);
 
 impl DenialCounter {
-    /// The counts so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Denials {
         self.0.get()
     }
@@ -64,18 +64,18 @@
     }
 }
 
-/// Checks the conditions of a dial against what is known at this moment.
+/// Checks the conditions of a dial against the current state.
 ///
 /// # Errors
-/// The first condition that does not hold; it is counted, and logged at debug.
+/// The first condition that does not hold. The denial is counted, and logged at debug level.
 pub(super) fn check(conditions: DialConditions, client: &TcpStream, hub: &Hub) -> Result<DialPermit, Denied> {
     let Some(reason) = violated(conditions, client, hub) else { return Ok(DialPermit(())) };
     hub.denials.add(reason);
-    slog::debug!(hub.log, "a dial is not begun"; "server" => conditions.server, "why" => ?reason);
+    slog::debug!(hub.log, "dial not started"; "server" => conditions.server, "why" => ?reason);
     Err(reason)
 }
 
-/// The first condition that does not hold.
+/// Returns the first condition that does not hold.
 fn violated(conditions: DialConditions, client: &TcpStream, hub: &Hub) -> Option<Denied> {
     let state = read::client_state(client);
     if state != ClientState::Waiting {
@@ -84,6 +84,6 @@
     if conditions.server.is_some_and(|server| hub.draining.borrow().contains(&server)) {
         return Some(Denied::Draining);
     }
-    // A process that was not scheduled for a while must not exceed a drain's grace.
+    // After a time in which the process was not scheduled, the dial could exceed the grace period of a drain.
     (hub.clock.now() > conditions.start_by).then_some(Denied::Late)
 }
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -1,7 +1,7 @@
-//! The watch on the endpoint list: one HTTP call that stays open and brings a JSON value for each change.
+//! Watches the endpoint list with one HTTP call that stays open and returns a JSON value for each change.
 //!
-//! Where no version of the list is known, a call for the complete list comes first. A watch that is silent
-//! for too long is doubted, and the next one is opened beside it: whichever brings something first goes on.
+//! If no version of the list is known, a call for the complete list comes first. If a watch is silent for too
+//! long, a second call is opened in parallel; the call that first returns data is kept, the other is dropped.
 use super::Hub;
 use crate::clock::span;
 use crate::reducer::Event;
@@ -24,40 +24,40 @@
 
 const LIST_PATH: &str = "/registry/instances";
 
-/// The callers' limit on a whole call is the shorter one.
+/// Upper bound for the connect alone; the callers' timeout for the complete call is shorter.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a watch is over. Its text goes to the log.
+/// Why a watch ended. The text goes to the log.
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("{0}")]
+    #[error("connect to discovery: {0}")]
     Connect(#[from] ConnectError),
-    #[error("{0}")]
+    #[error("HTTP exchange with discovery: {0}")]
     Http(#[from] hyper::Error),
-    #[error("{0}")]
+    #[error("build the request to discovery: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The body of the whole list is broken or too large.
-    #[error("{0}")]
+    /// The body with the complete list is truncated or too large.
+    #[error("read the complete list from discovery: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("discovery answered {0}")]
+    #[error("discovery answered with status {0}, expected 200 OK")]
     Status(StatusCode),
-    /// What discovery sent is no list.
-    #[error("{0}")]
+    /// Discovery sent a value that is not a list.
+    #[error("discovery sent an invalid endpoint list: {0}")]
     List(#[from] ConfigError),
-    #[error("{0}")]
+    #[error("discovery sent an invalid stream of values: {0}")]
     Stream(#[from] ValuesError),
-    #[error("discovery ended it")]
+    #[error("discovery closed the watch")]
     Ended,
-    #[error("discovery did not answer in time")]
-    NoAnswer,
-    #[error("discovery did not tell the whole list in time")]
-    NoList,
+    #[error("discovery sent no data on a new watch within {0:?}")]
+    NoAnswer(Duration),
+    #[error("discovery did not send the complete list within {0:?}")]
+    NoList(Duration),
 }
 
-/// Watches the list until the watch fails, and reports that.
+/// Watches the list until the watch fails, then reports the failure.
 pub async fn run(id: u32, addr: SocketAddr, since: Option<u64>, hub: Hub) {
     let Err(error) = Watch { id, addr, hub: &hub }.run(since).await;
-    slog::info!(hub.log, "the watch of the list is over"; "at" => %addr, "why" => %error);
+    slog::info!(hub.log, "watch {} of the endpoint list ended", id; "at" => %addr, "why" => %error);
     hub.notify(Event::EndpointWatchFailed { watch: id }).await;
 }
 
@@ -66,17 +66,17 @@
     Ok(list::parse(&body.map_err(WatchError::Body)?.to_bytes())?)
 }
 
-/// One GET; the body of its answer.
+/// Sends one GET request and returns the body of the response.
 async fn call(addr: SocketAddr, path: &str) -> Result<Incoming, WatchError> {
     let stream = socket::connect(addr, Instant::now() + CONNECT_TIMEOUT, |_| false).await?;
     let stream = TokioIo::new(RetryingStream(stream));
     let (mut sender, connection) = http1::handshake(stream).await?;
-    // It ends with the answer's body, or as the sender is dropped.
+    // The task ends with the response body, or when the sender is dropped.
     tokio::task::spawn_local(connection);
     let request = Request::get(path).header(header::HOST, addr.to_string()).body(Empty::<Bytes>::new())?;
-    let answer = sender.send_request(request).await?;
-    match answer.status() {
-        StatusCode::OK => Ok(answer.into_body()),
+    let response = sender.send_request(request).await?;
+    match response.status() {
+        StatusCode::OK => Ok(response.into_body()),
         status => Err(WatchError::Status(status)),
     }
 }
@@ -88,7 +88,7 @@
 }
 
 impl OpenCall {
-    /// The next list that it brings; `None` where it only shows that it is alive.
+    /// Returns the next list; `None` for a blank line, which only shows that the call is alive.
     async fn next(&mut self, max_bytes: usize) -> Result<Option<List>, WatchError> {
         loop {
             match self.values.next(max_bytes)? {
@@ -104,7 +104,7 @@
     }
 }
 
-/// The next list of an open call; never completes where there is none.
+/// Returns the next list of an open call; never completes if there is no call.
 async fn next_list(call: &mut Option<OpenCall>, max_bytes: usize) -> Result<Option<List>, WatchError> {
     match call {
         Some(call) => call.next(max_bytes).await,
@@ -112,21 +112,21 @@
     }
 }
 
-/// The call that is being opened; never completes where there is none.
-async fn completed(opening: &mut Option<Opening>) -> Result<Opened, WatchError> {
+/// Waits for the call that is being opened; never completes if there is none.
+async fn opened(opening: &mut Option<Opening>) -> Result<Opened, WatchError> {
     match opening {
         Some(opening) => opening.await,
         None => pending().await,
     }
 }
 
-/// A call that was just opened, with the first value or blank line that it brought.
+/// A call that was just opened, with the first value that it returned; `None` after a blank line.
 struct Opened {
     call: OpenCall,
     list: Option<List>,
 }
 
-/// Opens a call from a version on, and waits for what it brings first.
+/// Opens a call for changes since a version, and waits for its first value or blank line.
 async fn open(addr: SocketAddr, since: u64, hub: Hub) -> Result<Opened, WatchError> {
     let limits = hub.limits();
     let path = format!("{LIST_PATH}?follow=1&since={since}");
@@ -135,12 +135,13 @@
         let list = call.next(limits.max_list_line_bytes).await?;
         Ok(Opened { call, list })
     };
-    timeout(span(limits.discovery_answer_timeout), first).await.unwrap_or(Err(WatchError::NoAnswer))
+    let limit = span(limits.discovery_answer_timeout);
+    timeout(limit, first).await.unwrap_or(Err(WatchError::NoAnswer(limit)))
 }
 
 type Opening = Pin<Box<dyn Future<Output = Result<Opened, WatchError>>>>;
 
-/// A watch with the number by which the reducer knows it.
+/// A watch, with its number in the reducer.
 struct Watch<'a> {
     id: u32,
     addr: SocketAddr,
@@ -153,20 +154,21 @@
         let watch_timeout = span(limits.discovery_watch_timeout);
         let mut since = match since {
             Some(since) => since,
-            None => self.whole_list().await?,
+            None => self.complete_list().await?,
         };
         let mut current: Option<OpenCall> = None;
         let mut opening = Some(self.open(since));
-        // When a complete value or a blank line came last: bytes of a value that never ends prove nothing.
+        // Time of the last complete value or blank line. Parts of a value do not count: a value that never
+        // ends does not show that the watch works.
         let mut last_received_at = Instant::now();
         loop {
             let (call, list) = tokio::select! {
                 biased;
-                // What the open call brings settles any doubt about it.
+                // Data on the open call shows that it works, so a second call is dropped.
                 next = next_list(&mut current, limits.max_list_line_bytes), if current.is_some() => {
                     match next {
                         Ok(list) => (current.take(), list),
-                        // Another one is being opened already.
+                        // A second call is already being opened.
                         Err(_) if opening.is_some() => {
                             current = None;
                             continue;
@@ -174,14 +176,17 @@
                         Err(error) => return Err(error),
                     }
                 }
-                opened = completed(&mut opening), if opening.is_some() => {
-                    let Opened { call, list } = opened?;
+                result = opened(&mut opening), if opening.is_some() => {
+                    let Opened { call, list } = result?;
                     (Some(call), list)
                 }
-                // One that is silent for too long is doubted: it may miss changes. The next is opened beside
-                // it, from the version that was received last.
+                // A call that is silent for too long may miss changes. A second one is opened in parallel,
+                // from the last version received.
                 () = sleep_until(last_received_at + watch_timeout), if opening.is_none() => {
-                    slog::debug!(self.hub.log, "the watch of the list is doubted"; "at" => %self.addr);
+                    slog::debug!(
+                        self.hub.log, "endpoint watch {} silent for {:?}; opening a second call", self.id,
+                        watch_timeout; "at" => %self.addr
+                    );
                     opening = Some(self.open(since));
                     continue;
                 }
@@ -200,13 +205,12 @@
         Box::pin(open(self.addr, since, self.hub.clone()))
     }
 
-    /// Fetches and reports the whole list; returns its version.
-    async fn whole_list(&self) -> Result<u64, WatchError> {
+    /// Fetches and reports the complete list; returns its version.
+    async fn complete_list(&self) -> Result<u64, WatchError> {
         let limits = self.hub.limits();
-        let fetched =
-            timeout(span(limits.discovery_answer_timeout), fetch_list(self.addr, limits.max_list_line_bytes))
-                .await;
-        let list = fetched.unwrap_or(Err(WatchError::NoList))?;
+        let limit = span(limits.discovery_answer_timeout);
+        let fetched = timeout(limit, fetch_list(self.addr, limits.max_list_line_bytes)).await;
+        let list = fetched.unwrap_or(Err(WatchError::NoList(limit)))?;
         let since = list.generation;
         let list = List { is_complete: true, ..list };
         self.hub.notify(Event::EndpointListReceived { watch: self.id, list }).await;
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -1,5 +1,5 @@
-//! Carries out the reducer's effects: commands to connections, timers, health checks, watches, the store,
-//! other processes and operators' replies.
+//! Carries out the reducer's effects: commands to connections, timers, health checks, endpoint watches,
+//! writes to the store, messages to other processes, and replies to operators.
 use super::dial_permit::DialConditions;
 use super::membership::MembershipSockets;
 use super::operator::OperatorCall;
@@ -24,18 +24,18 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 
-/// When a timer expires, and its place among those of the same moment.
+/// When a timer expires, and a number that orders timers with the same expiry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at: Micros,
     number: u64,
 }
 
-/// A dial that waits until a record is durable.
+/// A dial that waits until a record is durable in the store.
 struct WaitingDial {
     /// The record's number in the store.
     ticket: u64,
-    /// It waits no longer than this: service does not depend on a disk.
+    /// The dial is sent at this time in any case, so that service does not depend on a disk.
     until: Micros,
     session_id: SessionId,
     command: Command,
@@ -49,30 +49,30 @@
     number: u64,
 }
 
-/// Where the next process may connect, and the listening socket that it is offered.
+/// The path to which a successor connects, and the listening socket that it is offered.
 pub(super) struct TakeoverSocket {
     pub path: PathBuf,
     pub listening_socket: Rc<TcpListener>,
-    /// The task that accepts processes, while it runs.
+    /// The task that accepts connections of processes, while it runs.
     pub task: Option<AbortHandle>,
 }
 
-/// What carrying out effects needs to know.
+/// The state that carrying out effects requires.
 pub(super) struct EffectRunner {
     hub: Hub,
     timers: BTreeMap<TimerKey, Timer>,
-    /// The last number that was given to a timer or an operator's call.
+    /// The last number that was assigned to a timer or an operator's call.
     last_number: u64,
     health_checks: BTreeMap<ServerId, mpsc::Sender<SocketAddr>>,
     watches: BTreeMap<u32, AbortHandle>,
     /// Operators' calls that are not answered yet.
     calls: BTreeMap<u32, oneshot::Sender<OperatorReply>>,
-    /// Whether clients' connections are accepted here.
+    /// Whether this process accepts clients' connections.
     accepting: watch::Sender<bool>,
     takeover: Option<TakeoverSocket>,
     membership_sockets: Option<MembershipSockets>,
     state_store: Option<StateStore>,
-    /// By session the record that its next dial waits for.
+    /// For each session, the record that its next dial waits for.
     records_before_dials: BTreeMap<SessionId, u64>,
     waiting_dials: VecDeque<WaitingDial>,
     pending_voter_writes: VecDeque<PendingVoterWrite>,
@@ -105,29 +105,29 @@
         }
     }
 
-    /// Whether the process is to end, and how.
+    /// Takes the result with which the process is to end, if it is to end.
     pub fn take_exit(&mut self) -> Option<io::Result<()>> {
         self.exit.take()
     }
 
-    /// Whether the process goes on.
+    /// Returns true until the process is to end.
     pub fn is_running(&self) -> bool {
         self.exit.is_none()
     }
 
-    /// When a timer expires or a dial has waited long enough, whichever is first.
+    /// Returns when the next timer or waiting dial is due.
     pub fn next_wake(&self) -> Micros {
         let timer = self.timers.first_key_value().map_or(Micros::MAX / 2, |(key, _)| key.at);
         self.waiting_dials.front().map_or(timer, |dial| dial.until.min(timer))
     }
 
-    /// Removes the next timer that has expired by now.
+    /// Removes and returns the next timer that has expired by `now`.
     pub fn expired_timer(&mut self, now: Micros) -> Option<Timer> {
         let first = self.timers.first_entry().filter(|first| first.key().at <= now)?;
         Some(first.remove())
     }
 
-    /// Registers where an operator's reply goes; the event for the reducer.
+    /// Registers the reply channel of an operator's call; returns the event for the reducer.
     pub fn register_call(&mut self, call: OperatorCall) -> Event {
         self.last_number += 1;
         let id = self.last_number as u32;
@@ -135,22 +135,23 @@
         Event::OperatorCall { call: id, request: call.request }
     }
 
-    /// Logs how writing to the store goes; the event for the reducer.
+    /// Logs an error of the store's writer; returns the event for the reducer.
     pub fn store_health_changed(&mut self, health: WriterHealth) -> Event {
         if let Some(error) = &health.last_error {
-            slog::warn!(self.hub.log, "the state can't be written"; "error" => error);
+            let failures = health.failures;
+            slog::warn!(self.hub.log, "state not stored, {} failures so far", failures; "error" => error);
         }
         Event::StoreHealth(Box::new(health))
     }
 
-    /// The event for a write of the voter that has become durable.
+    /// Removes the next write of the voter that is durable; returns the event for the reducer.
     pub fn durable_voter_write(&mut self) -> Option<Event> {
         let durable = self.state_store.as_ref()?.durable_ticket();
         let write = self.pending_voter_writes.pop_front_if(|write| write.ticket <= durable)?;
         Some(Event::VoterWritesDurable { voter_start: write.voter_start, number: write.number })
     }
 
-    /// Sends the dials whose record is settled, or that have waited long enough.
+    /// Sends the dials whose record is settled or whose waiting time is over.
     pub fn send_waiting_dials(&mut self, now: Micros) {
         let Some(store) = &self.state_store else { return };
         let is_ready = |dial: &mut WaitingDial| dial.until <= now || store.is_settled(dial.ticket);
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Carries out effects in their order.
+    /// Carries out effects in order.
     pub fn carry_out_all(&mut self, effects: &mut Vec<Effect>) {
         for effect in effects.drain(..) {
             slog::trace!(self.hub.log, "effect"; "what" => ?effect);
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Ends what outlives the loop: the path at which nobody answers any more, and the store.
+    /// Cleans up after the event loop: removes the takeover socket's path, at which this process no longer
+    /// answers, and closes the store.
     pub fn finish(&mut self) {
         if let Some(takeover) = self.takeover.take().filter(|takeover| takeover.task.is_some()) {
             _ = std::fs::remove_file(takeover.path);
@@ -210,12 +212,12 @@
             Effect::StopWatch { watch } => _ = self.watches.remove(&watch).inspect(AbortHandle::abort),
             Effect::ApplyTuning { limits, order } => self.apply_tuning(*limits, order),
             Effect::RestartRequired { key } => {
-                slog::warn!(self.hub.log, "a change that only a new start brings"; "key" => key);
+                slog::warn!(self.hub.log, "changed setting takes effect only after a restart"; "key" => key);
             }
             Effect::StartTimer { after, timer } => self.start_timer(after, timer),
             Effect::SetAccepting { accepting } => _ = self.accepting.send(accepting),
             Effect::SendToProcess { peer: process, message } => self.send_to_process(process, message),
-            // What was sent before goes out first.
+            // Messages that are already queued are still sent.
             Effect::DisconnectProcess { peer: process } => {
                 _ = self.hub.processes.borrow_mut().remove(&process)
             }
@@ -238,7 +240,7 @@
         if let OperatorReply::Metrics(metrics) = &mut reply {
             metrics.denials = self.hub.denials.counts();
         }
-        // The caller may be gone by now.
+        // The caller may have disconnected.
         _ = self.calls.remove(&call).map(|caller| caller.send(reply));
     }
 
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Sends a dial, once the record that it waits for is durable.
+    /// Sends a dial, or queues it until the record that it waits for is durable.
     fn dial(&mut self, session_id: SessionId, command: Command) {
         let ticket = self.records_before_dials.remove(&session_id);
         let is_pending = |ticket: &u64| self.state_store.as_ref().is_some_and(|s| !s.is_settled(*ticket));
@@ -264,13 +266,14 @@
         }
     }
 
-    /// Sends a final answer, after which nothing is sent for the session.
+    /// Sends a final answer. A dial that still waits for its record is dropped: after the final answer
+    /// nothing may be sent for the session.
     fn final_answer(&mut self, session_id: SessionId, line: Vec<u8>) {
         self.cancel_waiting_dial(session_id);
         self.hub.command(session_id, Command::FinalAnswer(line));
     }
 
-    /// Closes a connection without an answer; no dial is sent for it any more.
+    /// Closes a connection without an answer, and drops a dial of it that still waits for its record.
     fn close_client(&mut self, session_id: SessionId) {
         self.cancel_waiting_dial(session_id);
         self.hub.command(session_id, Command::Close);
@@ -283,13 +286,13 @@
     fn check_health(&mut self, server: ServerId, addr: SocketAddr) {
         let keep_connection = self.health_checks.len() < self.hub.limits().max_probe_connections;
         let requests = self.health_checks.entry(server).or_insert_with(|| {
-            // The balancer requests one check of a server at a time.
+            // The balancer requests one check per server at a time.
             let (to, requests) = mpsc::channel(1);
             tokio::task::spawn_local(health_check::run(server, keep_connection, requests, self.hub.clone()));
             to
         });
         if requests.try_send(addr).is_err() {
-            slog::warn!(self.hub.log, "a health check was requested while one is out"; "server" => server);
+            slog::warn!(self.hub.log, "health check skipped: another is still running"; "server" => server);
         }
     }
 
@@ -312,7 +315,7 @@
         let processes = self.hub.processes.borrow();
         let command = ProcessCommand::Send(message);
         if processes.get(&process).is_none_or(|channel| channel.try_send(command).is_err()) {
-            slog::warn!(self.hub.log, "a message to another process was dropped"; "peer" => process);
+            slog::warn!(self.hub.log, "hot restart message dropped: disconnected or queue full"; "peer" => process);
         }
     }
 
@@ -324,7 +327,7 @@
         takeover.task.replace(task).inspect(AbortHandle::abort);
     }
 
-    /// Stops accepting processes. The path is the other process's to take.
+    /// Stops accepting processes. The path stays, because the other process binds it from now on.
     fn stop_takeover_listener(&mut self) {
         let task = self.takeover.as_mut().and_then(|takeover| takeover.task.take());
         task.inspect(AbortHandle::abort);
@@ -340,14 +343,15 @@
     fn persist_voter_writes(&mut self, voter_start: u32, number: u64, records: Vec<Record>) {
         let Some(store) = &self.state_store else { return };
         let tickets: Vec<Option<u64>> = records.into_iter().map(|record| store.persist(record)).collect();
-        // A record that is not taken is never reported as durable: the voter waits, and votes no more.
+        // A record that the store does not accept is never reported as durable. The voter then waits and does
+        // not vote, as a vote that is not durable could be given twice.
         if let Some(tickets) = tickets.into_iter().collect::<Option<Vec<u64>>>() {
             let ticket = tickets.into_iter().max().unwrap_or(0);
             self.pending_voter_writes.push_back(PendingVoterWrite { ticket, voter_start, number });
         }
     }
 
-    /// Opens the store as this process's own. Most of what it holds this process knows by now.
+    /// Opens the store, which this process now owns. Most of its content is already known to this process.
     fn open_store(&mut self) {
         let Some(store) = &mut self.state_store else { return };
         let opened = store.open();
@@ -363,9 +367,9 @@
         self.state_store.iter_mut().for_each(StateStore::close);
     }
 
-    /// Ends this process, which does not take over.
+    /// Ends this process, whose takeover failed.
     fn abort(&mut self, reason: &str) {
-        let reason = format!("the running process keeps its place: {reason}");
+        let reason = format!("takeover failed, the running process continues to serve: {reason}");
         self.exit = Some(Err(io::Error::other(reason)));
     }
 
@@ -376,7 +380,7 @@
             MembershipEffect::SendDatagram { to, bytes } => sockets.send_datagram(to, &bytes),
             MembershipEffect::OpenStream { to, bytes } => sockets.open_stream(to, bytes),
             MembershipEffect::ReplyOnStream { stream, bytes } => sockets.reply(stream, bytes),
-            // The reducer has carried these out.
+            // The reducer has already carried these out.
             MembershipEffect::SetTimer { .. }
             | MembershipEffect::Log { .. }
             | MembershipEffect::MemberChanged { .. }
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -1,5 +1,5 @@
-//! Reads a connection's first line within a bounded time. What does not follow the protocol gets an error and
-//! ends that connection alone.
+//! Reads a connection's first line within a bounded time. A protocol violation is answered with an error and
+//! ends only that connection.
 use super::await_answer::{self, ClientRequest};
 use super::read::{self, ReadError};
 use super::{close, Command, Hub};
@@ -14,31 +14,31 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{sleep_until, Instant};
 
-/// What the connection brought next.
+/// The next input of a connection that waits for its first line.
 enum Input {
     Line(Vec<u8>),
     /// Some bytes of a line.
     Part,
-    /// The other side ended its sending before a line was complete.
+    /// The client closed its sending side before a line was complete.
     Closed,
     Broken,
-    /// A line that is too long, or none in time.
+    /// The line is too long, or was not complete by the deadline.
     Invalid,
     Command(Option<Command>),
 }
 
-/// What is done about an input.
+/// How the task handles an input.
 enum Step {
     Continue,
     Parse(Vec<u8>),
-    /// The connection is over; nothing more is sent.
+    /// Closes the connection without sending anything.
     Close,
-    /// The connection is over after a rejection, as far as it can be written at once.
+    /// Closes the connection after a rejection, of which only what the socket accepts immediately is sent.
     Reject,
     ReportViolation,
 }
 
-/// A connection whose first line is awaited.
+/// A connection that waits for its first line.
 struct NewConnection<'a> {
     connection_id: SessionId,
     client: TcpStream,
@@ -46,18 +46,19 @@
     hub: &'a Hub,
     limits: Rc<Limits>,
     connected_at: Instant,
-    /// The first line has to be complete by then.
+    /// The first line must be complete by this time.
     deadline: Instant,
-    /// Answers to `PING` that are still due. Their commands take places in this task's bounded queue, in
-    /// which the final answer must find one: no more is read while half of the places may be taken.
+    /// `PING`s that are not answered yet. Their answers pass through this task's bounded command queue, which
+    /// must keep room for the final answer. Reading stops while they could fill half of it; otherwise a
+    /// client that pings without end could fill the queue, and the final answer would be lost.
     pending_pongs: usize,
 }
 
 /// Serves a new connection to its end.
 pub async fn run(connection_id: SessionId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
     let limits = hub.limits();
-    // One time for all that comes before the session: a client that sends a little now and then would stay
-    // for ever.
+    // One deadline for all that precedes the session. With a timeout per read, a client that sends a few
+    // bytes now and then would stay connected forever.
     let connected_at = Instant::now();
     let deadline = connected_at + span(limits.first_line_timeout);
     let buffer = Buffer::new(limits.initial_buffer_bytes, limits.max_buffer_bytes);
@@ -76,16 +77,16 @@
                 Step::Continue => continue,
                 Step::Parse(line) => line,
                 Step::Close => return,
-                // Nothing of it ran, so the client may come again.
+                // Nothing was forwarded, so the client may retry.
                 Step::Reject => return close::send_without_waiting(self.client, &lines::busy(0)),
                 Step::ReportViolation => return self.report_violation(commands).await,
             };
             match lines::parse_first_line(&line) {
-                // A client that sends more before it is answered does not speak this protocol.
+                // Sending more data before the answer violates the protocol.
                 Some(FirstLine::Open(request)) if !self.buffer.holds_more(&self.client) => {
                     return self.open_session(line, request, commands).await;
                 }
-                // A client that pings for ever is ended by the deadline.
+                // The deadline also ends a client that pings without end.
                 Some(FirstLine::Ping) if Instant::now() < self.deadline => {
                     self.pending_pongs += 1;
                     self.hub.notify(Event::Ping { connection_id: self.connection_id }).await;
@@ -93,7 +94,10 @@
                 _ => {
                     let bytes = line.len();
                     let id = self.connection_id;
-                    slog::debug!(self.hub.log, "invalid first line"; "connection" => id, "bytes" => bytes);
+                    slog::debug!(
+                        self.hub.log, "first line invalid, late, or followed by more data";
+                        "connection" => id, "bytes" => bytes
+                    );
                     return self.report_violation(commands).await;
                 }
             }
@@ -105,8 +109,8 @@
         let max_line_bytes = self.limits.max_line_bytes;
         tokio::select! {
             biased;
-            // A line that is there goes before a command to shed the connection, and before its deadline: the
-            // process may not have been scheduled while the line lay there.
+            // A line that has arrived comes before a command to shed the connection and before the deadline:
+            // the process may not have been scheduled when the line arrived.
             read = read::read_some(&self.client, &mut self.buffer, max_line_bytes), if may_read => {
                 match read {
                     Ok(Some(line)) => Input::Line(line),
@@ -133,7 +137,7 @@
             Input::Broken => Step::Reject,
             Input::Invalid => Step::ReportViolation,
             Input::Command(Some(Command::Shed)) => {
-                // The line may lie there unread, in more than one read: then it is a session like others.
+                // A complete line may be unread, and may take more than one read. It then becomes a session.
                 while matches!(self.buffer.read_now(&self.client), Ok(1..)) {}
                 self.buffer.take_line().map_or(Step::Reject, Step::Parse)
             }
@@ -146,13 +150,14 @@
                     Step::Close
                 }
             }
-            // It is meant for open sessions; the other commands answer what this task has not reported.
+            // `SetSuspect` concerns only open sessions. The other commands concern sessions, which this
+            // connection is not yet.
             Input::Command(Some(Command::SetSuspect(_))) => Step::Continue,
             Input::Command(_) => Step::Close,
         }
     }
 
-    /// A slow client has a little more time for as long as its line grows.
+    /// Gives a slow client a little more time whenever its line grows, up to `max_first_line_timeout`.
     fn extend_deadline(&mut self) {
         let pause_ends = Instant::now() + span(self.limits.first_line_pause_timeout);
         let latest = self.connected_at + span(self.limits.max_first_line_timeout);
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of one backend, one at a time, on a connection that stays open for the next one.
+//! Health checks of one backend, one at a time, on a connection that stays open between checks.
 use super::{close, read, Hub};
 use crate::buffer::Buffer;
 use crate::clock::span;
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{timeout, Instant};
 
-/// A connection for health checks, with what was read from it.
+/// A connection for health checks, and the bytes read from it.
 struct Connection {
     addr: SocketAddr,
     stream: TcpStream,
@@ -22,7 +22,7 @@
 /// Why a check failed.
 struct CheckFailure {
     end: DialEnd,
-    /// What the backend reported beside its refusal.
+    /// The load report that the backend sent with its refusal.
     report: Option<LoadReport>,
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// Runs the checks that are requested until no more can be. `keep_connection` is whether a connection stays
-/// open between two.
+/// Runs the requested checks until the channel of requests closes. `keep_connection` says whether the
+/// connection stays open between two checks.
 pub async fn run(server: ServerId, keep_connection: bool, mut requests: Receiver<SocketAddr>, hub: Hub) {
     let mut idle: Option<Connection> = None;
     loop {
@@ -62,10 +62,11 @@
     }
 }
 
-/// One check, on the idle connection where there is one.
+/// Runs one check, on the idle connection if there is one.
 ///
-/// Backends may close or forget idle connections: one that resets as it is used, or stays silent for half of
-/// the time, is no failure. The check is repeated on a new connection within the same time.
+/// A backend may close an idle connection or lose its state. A reset of that connection, or silence for half
+/// of the timeout, is therefore no failure: the check is repeated on a new connection within the same
+/// timeout.
 async fn check(
     addr: SocketAddr,
     idle: Option<Connection>,
@@ -85,7 +86,7 @@
     Ok((report, connection))
 }
 
-/// Whether a connection of an earlier check is still open and silent.
+/// Returns whether the connection of an earlier check is still open and has no unread bytes.
 fn is_idle(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(socket::try_read(stream, &mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
@@ -94,13 +95,13 @@
 async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, CheckFailure> {
     let deadline = Instant::now() + span(hub.limits().connect_timeout);
     hub.connect(addr, deadline).await.map_err(|error| match error {
-        // A fault of this machine shows nothing of the backend.
+        // A fault of this machine says nothing about the backend.
         ConnectError::Local(_) => DialEnd::NotSent.into(),
         ConnectError::Remote(_) | ConnectError::TimedOut => DialEnd::Unconnected.into(),
     })
 }
 
-/// Requests a load report; `None` where the backend is healthy and reports no load.
+/// Requests a load report. Returns `None` if the backend is healthy and reports no load.
 async fn request_report(connection: &mut Connection, hub: &Hub) -> Result<Option<LoadReport>, CheckFailure> {
     let limits = hub.limits();
     let Connection { stream, buffer, .. } = connection;
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -1,6 +1,6 @@
-//! The Unix socket over which a process hands over to the next one. It lies in `$TMPDIR` and is open to its
-//! owner alone. A message is a line of JSON; the listening socket is attached to the offer, and a session's
-//! sockets with the session.
+//! The Unix socket over which a process hands over to its successor. It is created in `$TMPDIR` and is
+//! accessible only to its owner. A message is a line of JSON. The listening socket is attached to the offer,
+//! and the two sockets of a session to the message about the session.
 use super::processes::{ProcessCommand, SessionHandover, SessionSockets};
 use super::{accept, proxy, Hub};
 use crate::clock::span;
@@ -30,74 +30,74 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::timeout;
 
-/// The predecessor, as the reducer knows it; processes that connect later are counted from here.
+/// The id of the predecessor. Processes that connect to this one are numbered from the next id.
 const PREDECESSOR: ProcessId = 0;
-/// The most sockets that are attached to one message: a session's client and its backend.
+/// Most sockets attached to one message: those of a session's client and of its backend.
 const MAX_SOCKETS: usize = 2;
-/// What the system allows for the path of a Unix socket, without its terminating zero.
+/// The system's limit for the path of a Unix socket, without the terminating zero byte.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
-/// Bytes that are read at once.
+/// Most bytes per read.
 const READ_BYTES: usize = 16_384;
 
-/// Why there is no path for the socket.
+/// Why the socket has no path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    #[error("TMPDIR is not set")]
+    #[error("no directory for the takeover socket: TMPDIR is not set or empty")]
     NoDirectory,
-    #[error("the path of TMPDIR is too long")]
-    TooLong,
+    #[error("path of the takeover socket is too long: {bytes} bytes, at most {MAX_SOCKET_PATH_BYTES}")]
+    TooLong { bytes: usize },
 }
 
-/// Why the running process can't be taken over from.
+/// Why this process cannot take over from the running process.
 #[derive(Debug, thiserror::Error)]
 pub enum TakeoverError {
-    #[error("{}: {source}", .path.display())]
+    #[error("set the read timeout of takeover socket {}: {source}", .path.display())]
     Socket { path: PathBuf, source: io::Error },
     #[error(transparent)]
     Message(#[from] MessageError),
-    #[error("the running process says too much")]
-    AnswerTooLong,
-    #[error("the running process keeps its place: {reason}")]
+    #[error("answer of the running process is too long: {bytes} bytes, at most {MAX_MESSAGE_BYTES}")]
+    AnswerTooLong { bytes: usize },
+    #[error("the running process refused the takeover and continues to serve: {reason}")]
     Rejected { reason: String },
-    #[error("the offer came without a socket")]
+    #[error("the running process sent its offer without the listening socket")]
     NoSocket,
-    #[error("the running process does not listen on {0}")]
+    #[error("the running process does not listen on the configured address {0}")]
     OtherAddress(SocketAddr),
-    #[error("the running process answers {0:?}")]
+    #[error("the running process sent an unexpected answer, wanted an offer or a rejection: {0:?}")]
     Unexpected(Box<Message>),
 }
 
-/// Why another process' messages are not understood.
+/// Why input from another process is invalid.
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
     #[error(transparent)]
     Message(#[from] MessageError),
-    #[error("a session came without its sockets")]
+    #[error("session received without its two sockets")]
     NoSockets,
-    #[error("a session's socket: {0}")]
+    #[error("use a received socket of a session: {0}")]
     Socket(#[from] io::Error),
 }
 
-/// Where processes of one relay meet.
+/// Returns the path of the socket through which processes of one relay connect.
 pub fn socket_path(node: &Node) -> Result<PathBuf, PathError> {
     let directory =
         std::env::var_os("TMPDIR").filter(|path| !path.is_empty()).ok_or(PathError::NoDirectory)?;
     let path = Path::new(&directory).join(format!("hallrelay-{:.64}.sock", sanitize(&node.name)));
     if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
-        return Err(PathError::TooLong);
+        return Err(PathError::TooLong { bytes: path.as_os_str().len() });
     }
     Ok(path)
 }
 
-/// What a running process offers.
+/// An offer of the running process: the connection to it, and its listening socket.
 pub struct Offer {
     pub stream: std::os::unix::net::UnixStream,
     pub listening_socket: std::net::TcpListener,
 }
 
-/// Requests a running process to hand over; `None` where there is none, or it does not answer.
+/// Asks the running process to hand over. Returns `None` if no process runs, or if it does not answer.
 pub fn request_takeover(path: &Path, node: &Node) -> Result<Option<Offer>, TakeoverError> {
-    // Nobody listens there, or nobody ever did.
+    // No process listens at the path, or the path does not exist.
     let Ok(stream) = uninterrupted(|| std::os::unix::net::UnixStream::connect(path)) else {
         return Ok(None);
     };
@@ -112,8 +112,9 @@
     while !incoming.bytes.ends_with(b"\n") {
         match incoming.receive(stream.as_fd()) {
             Ok(1..) if incoming.bytes.len() <= MAX_MESSAGE_BYTES => {}
-            Ok(1..) => return Err(TakeoverError::AnswerTooLong),
-            // It died or hangs: this is an ordinary start, which fails where the address is in use.
+            Ok(1..) => return Err(TakeoverError::AnswerTooLong { bytes: incoming.bytes.len() }),
+            // The other process ended or hangs. This becomes an ordinary start, which fails if the address is
+            // in use.
             _ => return Ok(None),
         }
     }
@@ -131,16 +132,16 @@
     }
 }
 
-/// What was read and not yet used.
+/// Bytes and sockets that were received and not yet used.
 #[derive(Default)]
 struct Incoming {
     bytes: Vec<u8>,
-    /// The sockets that were received, in their order.
+    /// The received sockets, in order.
     sockets: VecDeque<OwnedFd>,
 }
 
 impl Incoming {
-    /// Reads once; the count of bytes.
+    /// Reads once; returns the number of bytes.
     fn receive(&mut self, from: BorrowedFd) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
@@ -158,7 +159,7 @@
         Ok(received.bytes)
     }
 
-    /// Takes a complete message off the front; `None` where there is none yet.
+    /// Removes and returns the first message; `None` if it is not complete yet.
     fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') else {
             return match self.bytes.len() {
@@ -179,7 +180,7 @@
     }
 }
 
-/// Writes once; the sockets are attached to the first byte.
+/// Writes once; the sockets travel with the first byte.
 fn send_with_sockets(to: BorrowedFd, bytes: &[u8], sockets: &[BorrowedFd]) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -187,7 +188,7 @@
     uninterrupted(|| Ok(sendmsg(to, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?))
 }
 
-/// Sends a line within the time in which a process must read; whether it was sent completely.
+/// Sends a line within `listener_offer_timeout`. Returns whether the line was sent completely.
 async fn send_line(stream: &UnixStream, line: &[u8], sockets: &[BorrowedFd<'_>], hub: &Hub) -> bool {
     let send = async {
         let mut sent = 0;
@@ -209,12 +210,14 @@
     matches!(timeout(span(hub.limits().listener_offer_timeout), send).await, Ok(Ok(())))
 }
 
-/// Accepts processes that request to take over, until it is dropped.
+/// Accepts connections of processes that request a takeover, until the future is dropped.
 pub async fn accept_processes(path: PathBuf, listening_socket: Rc<TcpListener>, hub: Hub) {
     let takeover_listener = match bind(&path) {
         Ok(bound) => bound,
         Err(e) => {
-            slog::warn!(hub.log, "no other process can take over from this one"; "error" => %e);
+            slog::warn!(
+                hub.log, "hot restart unavailable: cannot listen on {}", path.display(); "error" => %e
+            );
             return;
         }
     };
@@ -224,15 +227,16 @@
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
         let stream = match takeover_listener.accept().await {
             Ok((stream, _)) => stream,
-            // A passing failure: the socket stays for whoever connects next.
+            // The failure may be temporary, so the socket stays open for later connections.
             Err(e) => {
-                slog::warn!(hub.log, "a process that wants to take over was not accepted"; "error" => %e);
+                let delay_ms = accept::ACCEPT_BACKOFF.as_millis();
+                slog::warn!(hub.log, "takeover accept failed; retrying in {} ms", delay_ms; "error" => %e);
                 tokio::time::sleep(accept::ACCEPT_BACKOFF).await;
                 continue;
             }
         };
         if !is_same_user(&stream) {
-            slog::warn!(hub.log, "a process of another user wants to take over");
+            slog::warn!(hub.log, "takeover connection closed: the process does not run as the relay's user");
             continue;
         }
         last_process = last_process.wrapping_add(1).max(PREDECESSOR + 1);
@@ -245,16 +249,16 @@
 }
 
 fn is_same_user(stream: &UnixStream) -> bool {
-    // SAFETY: geteuid reads a number and can't fail.
+    // SAFETY: geteuid has no preconditions and cannot fail.
     let own = unsafe { libc::geteuid() };
     stream.peer_cred().is_ok_and(|process| process.uid() == own)
 }
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
     match std::fs::symlink_metadata(path) {
-        // Left by a process that died or has handed over.
+        // Left by a process that crashed or has handed over.
         Ok(existing) if existing.file_type().is_socket() => std::fs::remove_file(path)?,
-        Ok(_) => return Err(io::Error::other(format!("{} is no socket", path.display()))),
+        Ok(_) => return Err(io::Error::other(format!("{} exists and is not a socket", path.display()))),
         Err(_) => {}
     }
     let unix_listener = UnixListener::bind(path)?;
@@ -262,8 +266,8 @@
     Ok(unix_listener)
 }
 
-/// Exchanges messages with another process until either side disconnects. From the call on, messages to it
-/// are queued.
+/// Exchanges messages with another process until either side disconnects. Messages to that process are queued
+/// from this call on, before the future is first polled.
 fn exchange(
     process: ProcessId,
     stream: UnixStream,
@@ -278,7 +282,7 @@
 struct Exchange {
     process: ProcessId,
     stream: UnixStream,
-    /// Attached to an offer.
+    /// The socket that is attached to an offer.
     listening_socket: Option<Rc<TcpListener>>,
     hub: Hub,
 }
@@ -289,15 +293,15 @@
         loop {
             let continues = tokio::select! {
                 biased;
-                // A message of the other process may change what is sent to it.
+                // Reads come first: a message of the other process may change what is to be sent to it.
                 ready = self.stream.readable() => self.read(ready, &mut incoming).await,
-                out = outgoing.recv() => match out {
+                command = outgoing.recv() => match command {
                     None => false,
                     Some(ProcessCommand::Send(message)) => self.send(&message).await,
                     Some(ProcessCommand::HandOver(SessionHandover { message, sockets, result })) => {
                         let attached = [sockets.client.as_fd(), sockets.backend.as_fd()];
                         let is_sent = send_line(&self.stream, &message, &attached, &self.hub).await;
-                        // The task that waits for the result is of this process, and still runs.
+                        // The receiver is a task of this process and still runs.
                         _ = result.send(if is_sent { Ok(()) } else { Err(sockets) });
                         is_sent
                     }
@@ -312,7 +316,7 @@
         self.hub.notify(Event::HotRestart(OwnershipEvent::Disconnected { peer: self.process })).await;
     }
 
-    /// Reads once and handles the complete messages; whether the exchange goes on.
+    /// Reads once and handles the complete messages. Returns false if the exchange is to end.
     async fn read(&self, ready: io::Result<()>, incoming: &mut Incoming) -> bool {
         let received = ready
             .and_then(|()| self.stream.try_io(Interest::READABLE, || incoming.receive(self.stream.as_fd())));
@@ -322,7 +326,7 @@
             _ => return false,
         }
         let Err(error) = self.handle_messages(incoming).await else { return true };
-        slog::warn!(self.hub.log, "another process is not understood"; "error" => %error);
+        slog::warn!(self.hub.log, "invalid hot restart message"; "peer" => self.process, "error" => %error);
         let rejection = encode(&Message::Rejected { reason: error.to_string() }).unwrap_or_default();
         send_line(&self.stream, &rejection, &[], &self.hub).await;
         false
@@ -345,7 +349,7 @@
         Ok(())
     }
 
-    /// Sends a message; whether the exchange goes on.
+    /// Sends a message. Returns false if the exchange is to end.
     async fn send(&self, message: &Message) -> bool {
         let Ok(line) = encode(message) else { return false };
         let is_offer = matches!(message, Message::Offer { .. });
@@ -356,17 +360,17 @@
     }
 }
 
-/// Sessions that were still to be handed over go back to their tasks.
+/// Returns the sockets of sessions that were not sent to the tasks of these sessions.
 async fn return_sessions(mut outgoing: mpsc::Receiver<ProcessCommand>) {
     outgoing.close();
-    while let Some(out) = outgoing.recv().await {
-        if let ProcessCommand::HandOver(SessionHandover { sockets, result, .. }) = out {
+    while let Some(command) = outgoing.recv().await {
+        if let ProcessCommand::HandOver(SessionHandover { sockets, result, .. }) = command {
             _ = result.send(Err(sockets));
         }
     }
 }
 
-/// Runs a task for a session of the predecessor.
+/// Starts a task for a session that the predecessor handed over.
 fn adopt(session: Box<SessionState>, sockets: SessionSockets, hub: Hub) {
     tokio::task::spawn_local(async move {
         let (connection_id, commands) = hub.register();
@@ -376,7 +380,7 @@
     });
 }
 
-/// Exchanges messages with the predecessor from now on.
+/// Starts the exchange of messages with the predecessor.
 pub fn begin(stream: std::os::unix::net::UnixStream, hub: &Hub) -> io::Result<ProcessId> {
     stream.set_nonblocking(true)?;
     let stream = UnixStream::from_std(stream)?;
--- a/relay/src/net/listening_socket.rs
+++ b/relay/src/net/listening_socket.rs
@@ -1,15 +1,15 @@
-//! Binds the listening sockets of this process: for clients, operators and other relays.
+//! Binds the listening sockets of this process, for clients, operators and other relays.
 use crate::socket;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Binds an address; waits while this machine is short of descriptors or memory.
+/// Binds an address. Retries for a while if this machine is short of file descriptors or memory.
 ///
 /// # Errors
-/// That of the call which failed, with the address.
+/// The error of the call that failed, with the address.
 pub async fn bind(addr: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let with_addr = |e: io::Error| io::Error::new(e.kind(), format!("{addr}: {e}"));
+    let with_addr = |e: io::Error| io::Error::new(e.kind(), format!("listen on {addr}: {e}"));
     socket::retry_without_resources(|| async { bind_now(addr, backlog) }).await.map_err(with_addr)
 }
 
@@ -20,10 +20,10 @@
     socket.listen(backlog)
 }
 
-/// A listening socket that the process before this one handed over.
+/// Converts a listening socket that the predecessor handed over.
 ///
 /// # Errors
-/// That of the call which failed.
+/// The error of the call that failed.
 pub fn from_std(listening_socket: std::net::TcpListener) -> io::Result<TcpListener> {
     listening_socket.set_nonblocking(true)?;
     TcpListener::from_std(listening_socket)
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -1,6 +1,6 @@
-//! Membership's sockets: a UDP socket for datagrams, and a listening socket on the same port for streams that
-//! carry whole tables. What is no packet of this fleet is dropped and counted here, and the datagrams read in
-//! a second are bounded, so that other senders cannot delay sessions.
+//! The sockets of membership: a UDP socket for datagrams, and a listening socket on the same port for streams
+//! that carry complete tables. Input that is not a valid packet of this fleet is dropped and counted, and the
+//! number of datagrams read per second is bounded, so that other senders cannot delay sessions.
 use super::{accept, listening_socket, Hub};
 use crate::clock::span;
 use crate::reducer::Event;
@@ -26,13 +26,13 @@
 use tokio_util::bytes::{Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Streams of other relays that wait to be accepted.
+/// Streams of other relays that the system queues until they are accepted.
 const BACKLOG: u32 = 64;
-/// Between two attempts to bind a port that the process before this one has still: it closes it within
-/// moments of handing over.
+/// Delay between attempts to bind a port that the predecessor still holds. It closes the port soon after the
+/// handover.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// The read limit of a second is divided into so many slots: a flood stops reading for the rest of one slot,
-/// less than after which a ping is sent again.
+/// Number of slots among which the read limit of a second is divided. A flood stops reading for at most one
+/// slot, which is shorter than the interval after which a ping is repeated.
 const SLOTS_PER_SECOND: u32 = 20;
 
 /// Both sockets, on one port.
@@ -44,7 +44,7 @@
 /// Binds both sockets.
 ///
 /// # Errors
-/// That of the bind that failed, with the address and its key in the configuration.
+/// The error of the bind that failed, with the address and its configuration key.
 pub async fn bind(addr: SocketAddr) -> io::Result<BoundSockets> {
     let with_key = |e: io::Error| io::Error::new(e.kind(), format!("fleet.listen {addr}: {e}"));
     let datagrams = socket::retry_without_resources(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
@@ -52,17 +52,17 @@
     Ok(BoundSockets { datagrams, streams })
 }
 
-/// The socket that datagrams are sent from; none while it is closed.
+/// The socket from which datagrams are sent; `None` while it is closed.
 type SharedSocket = Rc<RefCell<Option<Rc<UdpSocket>>>>;
 
-/// Streams of other relays that wait for their answer, by number.
+/// Reply channels of streams that other relays opened, by stream number.
 type PendingReplies = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Option<Vec<u8>>>>>>;
 
 /// Carries out membership's effects.
 pub struct MembershipSockets {
     config: Rc<FleetConfig>,
     hub: Hub,
-    /// Bound at the start; none where another process has the port still.
+    /// Sockets that were bound at the start; `None` if another process still holds the port.
     bound: Option<BoundSockets>,
     socket: SharedSocket,
     task: Option<AbortHandle>,
@@ -72,7 +72,8 @@
 }
 
 impl MembershipSockets {
-    /// Closed until [`MembershipSockets::set_listening`]; `bound` are sockets that are bound already.
+    /// Creates closed sockets, which [`MembershipSockets::set_listening`] opens. `bound` are sockets that are
+    /// already bound.
     pub fn new(config: FleetConfig, bound: Option<BoundSockets>, hub: Hub) -> MembershipSockets {
         let outbound_streams = Arc::new(Semaphore::new(hub.limits().max_fleet_streams));
         MembershipSockets {
@@ -102,17 +103,17 @@
         }
     }
 
-    /// Sends a datagram. One that the socket does not take at once is dropped, as if the network had lost
-    /// it.
+    /// Sends a datagram. It is dropped if the socket does not accept it immediately, as if the network had
+    /// lost it.
     pub fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = self.socket.borrow().as_ref() {
             if let Err(e) = socket.try_send_to(bytes, to) {
-                slog::debug!(self.hub.log, "a datagram did not go"; "to" => %to, "error" => %e);
+                slog::debug!(self.hub.log, "membership datagram not sent"; "to" => %to, "error" => %e);
             }
         }
     }
 
-    /// Sends a frame on a new stream, and reports its answer. Where all streams are in use nothing is sent.
+    /// Sends a frame on a new stream and reports the answer. Nothing is sent if all streams are in use.
     pub fn open_stream(&self, to: SocketAddr, bytes: Vec<u8>) {
         let Ok(permit) = self.outbound_streams.clone().try_acquire_owned() else { return };
         let config = self.config.clone();
@@ -125,14 +126,16 @@
                     hub.notify(Event::Membership(MembershipEvent::StreamResponse { packet })).await;
                 }
                 Ok(Ok(Err(error))) => report_dropped(&hub, error.into(), 1).await,
-                Ok(Err(e)) => slog::debug!(hub.log, "a relay is not reached"; "at" => %to, "error" => %e),
-                Err(_) => slog::debug!(hub.log, "a relay does not answer"; "at" => %to),
+                Ok(Err(e)) => slog::debug!(hub.log, "membership stream failed"; "at" => %to, "error" => %e),
+                Err(_) => {
+                    slog::debug!(hub.log, "membership stream: no answer within {:?}", limit; "at" => %to)
+                }
             }
             drop(permit);
         });
     }
 
-    /// Ends a stream that another relay opened, with the answer if there is one.
+    /// Ends a stream that another relay opened, with an answer if there is one.
     pub fn reply(&self, stream: u64, bytes: Option<Vec<u8>>) {
         if let Some(reply) = self.replies.borrow_mut().remove(&stream) {
             // The stream may have timed out.
@@ -145,7 +148,7 @@
     hub.notify(Event::Membership(MembershipEvent::PacketsDropped { reason, count })).await;
 }
 
-/// Binds the sockets unless they are bound, and reads both until the task is aborted.
+/// Binds the sockets if necessary, and reads both until the task is aborted.
 async fn serve(
     bound: Option<BoundSockets>,
     config: Rc<FleetConfig>,
@@ -164,7 +167,7 @@
     tokio::join!(read, accept);
 }
 
-/// Binds once the process before this one has closed the port.
+/// Retries the bind until the predecessor has closed the port.
 async fn bind_when_free(addr: SocketAddr, hub: &Hub) -> BoundSockets {
     let mut logged = false;
     loop {
@@ -172,7 +175,7 @@
             Ok(bound) => return bound,
             Err(e) if !logged => {
                 logged = true;
-                slog::info!(hub.log, "waiting for the fleet's port"; "error" => %e);
+                slog::info!(hub.log, "cannot bind fleet.listen {} yet; retrying", addr; "error" => %e);
             }
             Err(_) => {}
         }
@@ -180,7 +183,7 @@
     }
 }
 
-/// Reads as many datagrams as a slot allows, and reports what was dropped once a second.
+/// Reads at most as many datagrams per slot as the limit allows. Reports dropped packets once per second.
 async fn read_datagrams(socket: Rc<UdpSocket>, config: &FleetConfig, hub: &Hub) {
     let mut slot = tokio::time::interval(Duration::from_secs(1) / SLOTS_PER_SECOND);
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
@@ -200,7 +203,7 @@
                 }
             }
             received = socket.recv_from(&mut buffer), if left_in_slot > 0 => {
-                // An error here is of a datagram that was sent before; the next read may succeed.
+                // An error concerns a datagram that was sent earlier; the next read may succeed.
                 let Ok((length, from)) = received else { continue };
                 left_in_slot -= 1;
                 if left_in_slot == 0 {
@@ -219,7 +222,7 @@
     }
 }
 
-/// Accepts other relays' streams; each is served by a task of its own.
+/// Accepts other relays' streams; each is served by its own task.
 async fn accept_streams(
     listening_socket: TcpListener,
     config: &FleetConfig,
@@ -229,8 +232,8 @@
     let inbound_streams = Arc::new(Semaphore::new(hub.limits().max_fleet_streams));
     let mut last_number = 0;
     loop {
-        let stream = accept::next(&listening_socket, "another relay's stream", hub).await;
-        // A stream over the limit is closed at once: the other relay tries again.
+        let stream = accept::next(&listening_socket, "a membership stream", hub).await;
+        // A stream over the limit is closed immediately; the other relay retries.
         let Ok(permit) = inbound_streams.clone().try_acquire_owned() else { continue };
         last_number += 1;
         let number = last_number;
@@ -240,7 +243,7 @@
         tokio::task::spawn_local(async move {
             let limit = span(hub.limits().fleet_stream_timeout);
             if timeout(limit, serve_stream(number, stream, &fleet, &replies, &hub)).await.is_err() {
-                slog::debug!(hub.log, "another relay's stream was not whole in time");
+                slog::debug!(hub.log, "membership stream {} not served within {:?}", number, limit);
             }
             replies.borrow_mut().remove(&number);
             drop(permit);
@@ -248,7 +251,7 @@
     }
 }
 
-/// Reads one frame, and writes the answer to it.
+/// Reads one frame and writes the answer to it.
 async fn serve_stream(number: u64, stream: TcpStream, fleet: &str, replies: &PendingReplies, hub: &Hub) {
     let Ok(from) = stream.peer_addr() else { return };
     let mut stream = RetryingStream(stream);
@@ -266,8 +269,8 @@
     }
 }
 
-/// Sends a frame on a new stream and reads the answer. The stream comes from the address that this relay
-/// listens on, as the other checks it against the address that is reported.
+/// Sends a frame on a new stream and reads the answer. The stream originates from the address on which this
+/// relay listens, because the other relay compares its source with the reported address.
 async fn exchange_frames(
     config: &FleetConfig,
     to: SocketAddr,
@@ -284,7 +287,7 @@
     Ok(decode(&config.name, &frame, MAX_FRAME_BYTES))
 }
 
-/// Frames have their length before them, four bytes, most significant first.
+/// The codec of frames: a length prefix of four bytes, most significant first.
 fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The tasks that carry out the reducer's effects; they own sockets and decide nothing.
+//! The tasks that carry out the reducer's effects. They own the sockets and make no decisions.
 //!
-//! A connection goes through `accept`, `first_line`, `await_answer` with `dial`, `proxy` and `close`. Beside
-//! it run `health_check`, `discovery`, `operator`, `membership`, `hot_restart` and `signals`. `serve` runs
-//! the reducer.
+//! A connection passes through `accept`, `first_line`, `await_answer` with `dial`, `proxy` and `close`. The
+//! other tasks are `health_check`, `discovery`, `operator`, `membership`, `hot_restart` and `signals`.
+//! `serve` runs the reducer.
 mod accept;
 mod await_answer;
 mod close;
@@ -50,7 +50,7 @@
         /// The dial's number within the session.
         dial: u32,
         addr: SocketAddr,
-        /// How long the whole dial may take, in microseconds.
+        /// Timeout of the complete dial, in microseconds.
         timeout: Micros,
         conditions: dial_permit::DialConditions,
     },
@@ -64,32 +64,32 @@
     HandOver(ProcessId, Box<SessionState>),
     /// Closes without an answer.
     Close,
-    /// Whether the backend fails its health checks, so that an unanswered message counts as lost sooner.
+    /// Says whether the backend fails its health checks; if so, an unanswered message counts as lost sooner.
     SetSuspect(bool),
-    /// Closes, unless the connection is a session by now.
+    /// Closes the connection, unless it has become a session.
     Shed,
 }
 
-/// What tasks take from the configuration in force.
+/// The settings that tasks read from the current configuration.
 struct Tuning {
     limits: Rc<Limits>,
-    /// How the fields of load reports are read.
+    /// Order of the fields in load reports.
     report_order: ReportOrder,
 }
 
-/// What all tasks share: channels to the reducer and from it, limits, time and the log. It holds no state of
-/// sessions.
+/// What all tasks share: channels to and from the reducer, limits, the clock and the log. It holds no session
+/// state.
 #[derive(Clone)]
 struct Hub {
     events: mpsc::Sender<Event>,
     connections: Rc<RefCell<BTreeMap<SessionId, mpsc::Sender<Command>>>>,
-    /// Scratch space for bytes that are read and dropped.
+    /// Scratch space for bytes that are read and discarded.
     discarded: Rc<RefCell<Vec<u8>>>,
     last_connection_id: Rc<Cell<SessionId>>,
-    /// Servers to which nothing new may be sent.
+    /// Servers to which no new dials may be sent.
     draining: Rc<RefCell<BTreeSet<ServerId>>>,
     denials: Rc<dial_permit::DenialCounter>,
-    /// When a connection to any server was established last.
+    /// When the last connection to any server was established.
     last_connected_at: Rc<Cell<Micros>>,
     /// Channels to other processes of this relay.
     processes: Rc<RefCell<BTreeMap<ProcessId, mpsc::Sender<processes::ProcessCommand>>>>,
@@ -99,13 +99,13 @@
 }
 
 impl Hub {
-    /// A hub, and the channel on which its tasks' events arrive.
+    /// Creates a hub, and the channel on which events from tasks arrive.
     fn new(limits: Limits, order: ReportOrder, log: slog::Logger) -> (Hub, mpsc::Receiver<Event>) {
         let (events, arriving) = mpsc::channel(limits.max_queued_events);
         let hub = Hub {
             events,
             connections: Rc::new(RefCell::new(BTreeMap::new())),
-            // Enough for what a peer sends at full speed between two reads.
+            // Large enough for what a peer sends at full speed between two reads.
             discarded: Rc::new(RefCell::new(vec![0; 1 << 16])),
             last_connection_id: Rc::new(Cell::new(0)),
             draining: Rc::default(),
@@ -128,11 +128,12 @@
     }
 
     async fn notify(&self, event: Event) {
-        // The channel closes only with the process.
+        // The channel closes only when the process ends.
         _ = self.events.send(event).await;
     }
 
-    /// A new connection's id: counted up, and not one that is in use after the count went round.
+    /// Registers a new connection and assigns the next id. Ids that are still in use are skipped, because the
+    /// counter may have wrapped around.
     fn register(&self) -> (SessionId, mpsc::Receiver<Command>) {
         let mut connections = self.connections.borrow_mut();
         let mut id = self.last_connection_id.get().wrapping_add(1);
@@ -145,8 +146,8 @@
         (id, commands)
     }
 
-    /// Connects to a server. Where a route is missing to this one alone, as connections to others are
-    /// established meanwhile, the fault is the server's and not this machine's.
+    /// Connects to a server. If there is no route to this server while connections to others are established,
+    /// the failure counts against the server and not against this machine.
     async fn connect(&self, addr: SocketAddr, by: Instant) -> Result<TcpStream, ConnectError> {
         let started_at = self.clock.now();
         let others_connect = || self.last_connected_at.get() >= started_at;
@@ -159,7 +160,10 @@
     fn command(&self, connection_id: SessionId, command: Command) {
         if let Some(to) = self.connections.borrow().get(&connection_id) {
             if to.try_send(command).is_err() {
-                slog::debug!(self.log, "a command came too late"; "connection" => connection_id);
+                slog::debug!(
+                    self.log, "command dropped: the task has ended or its queue is full";
+                    "connection" => connection_id
+                );
             }
         }
     }
--- a/relay/src/net/operator/mod.rs
+++ b/relay/src/net/operator/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' address: HTTP/1.1, one call a connection.
+//! Serves the operators' address: HTTP/1.1, one call per connection.
 //!
-//! Requests go to the reducer ahead of all that waits from sessions. Connections here have places of their
-//! own, and the oldest one gives its place up to a new one where all are taken.
+//! The reducer gets requests before all queued events of sessions. The connections have their own limit; when
+//! it is reached, the oldest connection is closed for a new one.
 mod response;
 mod routes;
 
@@ -23,7 +23,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A request with the place where its reply goes.
+/// A request and the channel for its reply.
 pub(super) struct OperatorCall {
     pub request: OperatorRequest,
     pub reply: oneshot::Sender<OperatorReply>,
@@ -31,14 +31,14 @@
 
 type Calls = mpsc::Sender<OperatorCall>;
 
-/// Serves operators for as long as the process runs.
+/// Serves operators until the process ends.
 pub(super) async fn run(listening_socket: TcpListener, calls: Calls, hub: Hub) {
     let mut open: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
-        let stream = accept::next(&listening_socket, "an operator's connection", &hub).await;
+        let stream = accept::next(&listening_socket, "an operator connection", &hub).await;
         open.retain(|task| !task.is_finished());
         if open.len() >= hub.limits().max_operator_connections {
-            // Connections that take a place and never complete a call must not block others.
+            // Connections that never complete a call must not block others.
             open.pop_front().inspect(JoinHandle::abort);
         }
         open.push_back(tokio::task::spawn_local(serve(stream, calls.clone(), hub.clone())));
@@ -57,17 +57,18 @@
         .header_read_timeout(span(limits.operator_request_timeout))
         .max_buf_size(limits.max_operator_head_bytes)
         .serve_connection(TokioIo::new(RetryingStream(stream)), service);
-    // One time for the whole call, so that a body that never ends is cut off as well.
-    match timeout(span(limits.operator_request_timeout), served).await {
+    // One timeout for the complete call, so that a body that never ends is cut off too.
+    let limit = span(limits.operator_request_timeout);
+    match timeout(limit, served).await {
         Ok(Ok(())) => {}
-        Ok(Err(e)) => slog::debug!(hub.log, "an operator's call is broken"; "error" => %e),
-        Err(_) => slog::debug!(hub.log, "an operator's call was not whole in time"),
+        Ok(Err(e)) => slog::debug!(hub.log, "operator connection failed"; "error" => %e),
+        Err(_) => slog::debug!(hub.log, "operator call not completed within {:?}", limit),
     }
 }
 
 async fn respond(request: Request<Incoming>, calls: &Calls, max_body: usize) -> Response<Full<Bytes>> {
     let Some(route) = Route::find(request.uri().path()) else {
-        return response::text(StatusCode::NOT_FOUND, "no such call");
+        return response::text(StatusCode::NOT_FOUND, "no operator call at this path");
     };
     if request.method() != route.method {
         return response::method_not_allowed(route.method);
@@ -75,9 +76,10 @@
     let body = match Limited::new(request.into_body(), max_body).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<LengthLimitError>() => {
-            return response::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+            let text = format!("the body is too large: at most {max_body} bytes");
+            return response::text(StatusCode::PAYLOAD_TOO_LARGE, text);
         }
-        Err(_) => return response::text(StatusCode::BAD_REQUEST, "the body is not whole"),
+        Err(_) => return response::text(StatusCode::BAD_REQUEST, "the body is incomplete"),
     };
     match route.request(&body) {
         Ok(request) => call(request, calls).await,
--- a/relay/src/net/operator/response.rs
+++ b/relay/src/net/operator/response.rs
@@ -1,4 +1,4 @@
-//! HTTP answers to operators' calls.
+//! HTTP responses to operators' calls.
 use crate::metrics;
 use crate::reducer::OperatorReply;
 use http_body_util::Full;
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The answer with a text, which ends with a line end.
+/// Returns a response with a text, to which a line ending is added if it is missing.
 pub fn text(status: StatusCode, text: impl Into<String>) -> Response<Full<Bytes>> {
     let mut text = text.into();
     if !text.ends_with('\n') {
@@ -25,14 +25,14 @@
     response
 }
 
-/// The answer to a call with a wrong method; `allowed` is the right one.
+/// Returns the response to a call with a wrong method; `allowed` is the right one.
 pub fn method_not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
-    let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "this call has another method");
+    let mut response = text(StatusCode::METHOD_NOT_ALLOWED, format!("this call requires {allowed}"));
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-/// The answer of a process that stops before it could reply.
+/// Returns the response of a process that stops before it can reply.
 pub fn stopping() -> Response<Full<Bytes>> {
     text(StatusCode::SERVICE_UNAVAILABLE, "stopping")
 }
@@ -43,7 +43,7 @@
     response
 }
 
-/// The answer that a reply of the reducer stands for.
+/// Converts a reply of the reducer to a response.
 pub fn from_reply(reply: OperatorReply) -> Response<Full<Bytes>> {
     match reply {
         OperatorReply::Accepted(status) => text(StatusCode::OK, status.label()),
@@ -51,12 +51,14 @@
         OperatorReply::Conflict(status) => text(StatusCode::CONFLICT, status.label()),
         OperatorReply::Blocked(reason) => text(StatusCode::CONFLICT, reason),
         OperatorReply::Committed(confirmation) => text(StatusCode::OK, confirmation),
-        OperatorReply::Leases(None) => text(StatusCode::NOT_FOUND, "nothing of it is agreed here"),
+        OperatorReply::Leases(None) => {
+            text(StatusCode::NOT_FOUND, "no leases or rollouts here: fleet.voters is not configured")
+        }
         OperatorReply::Leases(Some(leases)) => json(leases),
         OperatorReply::Membership(None) => text(StatusCode::NOT_FOUND, "fleet is not configured here"),
         OperatorReply::Membership(Some(status)) => match serde_json::to_string(&status) {
             Ok(status) => json(status),
-            Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the status can't be written"),
+            Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "cannot encode the fleet status as JSON"),
         },
         OperatorReply::Metrics(metrics) => text(StatusCode::OK, metrics::text(&metrics)),
     }
--- a/relay/src/net/operator/routes.rs
+++ b/relay/src/net/operator/routes.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: paths, methods, bodies, and the request that each stands for.
+//! The operators' calls: paths, methods, bodies, and the request to which each is converted.
 use crate::reducer::{DrainRequest, OperatorRequest};
 use hallrelay_disruption::{Command, RolloutPlan, Target};
 use hyper::body::Bytes;
@@ -8,35 +8,35 @@
 /// The path whose body is a rollout plan.
 const START_ROLLOUT: &str = "/v1/release/start";
 
-/// Calls whose body has to be valid. The other calls ignore what is sent with them, as earlier versions did.
+/// Calls whose body must be valid. The other calls ignore an invalid body, as earlier versions did.
 const STRICT_PREFIXES: [&str; 3] = ["/v1/backend/", "/v1/free", "/v1/release/"];
 
-/// Why a call is answered with `400 Bad Request`. The texts are the answers.
+/// Why a call is answered with `400 Bad Request`. The texts are sent as the response bodies.
 #[derive(Debug, Error)]
 pub enum BadRequest {
-    /// The body is no JSON of the call's form.
-    #[error("the body: {0}")]
+    /// The body is not valid JSON for the call.
+    #[error("invalid body: {0}")]
     Body(#[from] serde_json::Error),
-    /// The call is about a backend and names none.
-    #[error("backend is left out")]
-    NoBackend,
-    /// The call needs one relay or one backend.
-    #[error("wanted a relay or a backend")]
+    /// The call requires a backend, and the body names none.
+    #[error("key \"backend\" is missing: name the backend")]
+    MissingBackend,
+    /// The call requires either a relay or a backend, and the body names none or both.
+    #[error("name either a relay (key \"relay\") or a backend (key \"backend\")")]
     NoTarget,
-    /// Nobody vouches for a reclaimed lease.
-    #[error("by is left out: who vouches for it?")]
-    NoVoucher,
-    /// The call is about a lease and names none.
-    #[error("grant is left out")]
-    NoLease,
+    /// The body of a reclaim does not name who confirms that the lease may be reclaimed.
+    #[error("key \"by\" is missing: name who confirms that the lease may be reclaimed")]
+    MissingRequestedBy,
+    /// The call requires a lease, and the body names none.
+    #[error("key \"grant\" is missing: give the id of the lease")]
+    MissingLease,
     /// The rollout plan is missing or invalid.
-    #[error("no sound plan")]
-    NoPlan,
+    #[error("the rollout plan is missing or invalid")]
+    InvalidPlan,
 }
 
 /// One call that operators can make.
 pub struct Route {
-    /// The whole path.
+    /// The complete path.
     pub path: &'static str,
     /// `GET` or `POST`.
     pub method: &'static str,
@@ -44,15 +44,15 @@
 }
 
 impl Route {
-    /// The route of a path.
+    /// Returns the route of a path.
     pub fn find(path: &str) -> Option<&'static Route> {
         ROUTES.iter().find(|route| route.path == path)
     }
 
-    /// The request that a call with this body stands for.
+    /// Converts a call with this body to a request.
     ///
     /// # Errors
-    /// A body that the call can't have; it lacks or contradicts what the call needs.
+    /// The body is invalid, or lacks or contradicts what the call requires.
     pub fn request(&self, body: &Bytes) -> Result<OperatorRequest, BadRequest> {
         (self.request)(self.parse_body(body)?)
     }
@@ -87,9 +87,9 @@
     force: bool,
     #[serde(rename = "grant")]
     lease_id: Option<u64>,
-    /// Why a change failed; none where it succeeded.
+    /// Why a change failed; `None` if it succeeded.
     failed: Option<String>,
-    /// The whole body of a call that starts a rollout.
+    /// The complete body of a call that starts a rollout.
     #[serde(skip)]
     plan: Option<RolloutPlan>,
 }
@@ -100,7 +100,7 @@
     }
 
     fn backend(&self) -> Result<String, BadRequest> {
-        self.backend.clone().ok_or(BadRequest::NoBackend)
+        self.backend.clone().ok_or(BadRequest::MissingBackend)
     }
 
     fn target(&self) -> Result<Target, BadRequest> {
@@ -136,7 +136,7 @@
     Route { path: "/v1/release/back", method: "POST", request: roll_back },
 ];
 
-/// A command that is to be agreed as it stands; `confirmation` is the answer once it is.
+/// Returns the request to commit a command; `confirmation` is the answer once it is committed.
 fn propose(confirmation: String, command: Command) -> OperatorRequest {
     OperatorRequest::Propose { command: Box::new(command), confirmation }
 }
@@ -153,18 +153,18 @@
 
 fn reclaim(body: CallBody) -> Result<OperatorRequest, BadRequest> {
     let target = body.target()?;
-    let requested_by = body.requested_by.filter(|by| !by.is_empty()).ok_or(BadRequest::NoVoucher)?;
+    let requested_by = body.requested_by.filter(|by| !by.is_empty()).ok_or(BadRequest::MissingRequestedBy)?;
     Ok(propose(format!("{target} is freed"), Command::Reclaim { target, requested_by }))
 }
 
 fn start_rollout(body: CallBody) -> Result<OperatorRequest, BadRequest> {
-    let plan = body.plan.filter(|plan| plan.validate().is_ok()).ok_or(BadRequest::NoPlan)?;
+    let plan = body.plan.filter(|plan| plan.validate().is_ok()).ok_or(BadRequest::InvalidPlan)?;
     Ok(propose(format!("release of {} begins", plan.build), Command::StartRollout { plan }))
 }
 
 fn mark_done(body: CallBody) -> Result<OperatorRequest, BadRequest> {
     let target = body.target()?;
-    let lease_id = body.lease_id.ok_or(BadRequest::NoLease)?;
+    let lease_id = body.lease_id.ok_or(BadRequest::MissingLease)?;
     let succeeded = body.failed.is_none();
     let reason = body.failed.unwrap_or_default();
     let confirmation = format!("{target} is changed");
--- a/relay/src/net/processes.rs
+++ b/relay/src/net/processes.rs
@@ -1,11 +1,11 @@
-//! Channels to other processes of this relay during a hot restart, and the handover of one session through
-//! them.
+//! Channels to other processes of this relay during a hot restart, and the handover of a session through such
+//! a channel.
 use super::Hub;
 use hallrelay_hot_restart::{encode, Message, ProcessId, SessionState};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 
-/// What the task of another process's connection is to do.
+/// A command for the task that is connected to another process.
 pub enum ProcessCommand {
     /// Sends a message.
     Send(Message),
@@ -13,13 +13,13 @@
     HandOver(SessionHandover),
 }
 
-/// A session that is being sent to another process.
+/// A session to send to another process.
 pub struct SessionHandover {
     /// The encoded message.
     pub message: Vec<u8>,
-    /// Its sockets.
+    /// The session's sockets.
     pub sockets: SessionSockets,
-    /// Whether the other process has it; the sockets come back where it could not be sent.
+    /// Receives `Ok` once the session is sent, or its sockets if it could not be sent.
     pub result: oneshot::Sender<Result<(), SessionSockets>>,
 }
 
@@ -34,8 +34,8 @@
 /// Hands a session over to another process.
 ///
 /// # Errors
-/// The sockets, where that process is gone or the session cannot be encoded; none where they are lost with
-/// its connection.
+/// The sockets, if that process has disconnected or the session cannot be encoded; `None` if the sockets were
+/// lost with its connection.
 pub async fn hand_over_session(
     process: ProcessId,
     session: Box<SessionState>,
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -1,5 +1,5 @@
-//! An open session: lines pass both ways unchanged, and what they show of load and latency is reported to
-//! the reducer.
+//! Proxies an open session: lines pass both ways unchanged, and the load and latency that they show are
+//! reported to the reducer.
 use super::dial::Backend;
 use super::processes::{hand_over_session, SessionSockets};
 use super::{close, Command, Hub};
@@ -14,20 +14,20 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::sleep_until;
 
-/// The extra time for an answer that may lie unread, in microseconds: long enough to read it, short against
-/// the silence after which a message counts as lost.
+/// Extra time for an answer that may have arrived unread, in microseconds. Long enough to read it; short
+/// against the silence after which a message counts as lost.
 const UNREAD_GRACE: Micros = 20_000;
 
-/// How an open session ends, as its task sees it.
+/// How an open session ends for its task.
 enum SessionEnd {
     ClientClosed,
-    /// The client's connection failed, or it violates the protocol.
+    /// The client's connection failed, or the client violated the protocol.
     ClientBroken,
-    /// The backend ended it.
+    /// The backend ended the session.
     Backend(BackendEnd),
-    /// The reducer migrates it.
+    /// The reducer migrates the session.
     Migrated,
-    /// Another process takes it over.
+    /// The reducer hands the session over to another process.
     HandedOver(ProcessId, Box<SessionState>),
     Closed,
 }
@@ -40,16 +40,16 @@
 }
 
 impl BackendEnd {
-    /// Without a last line.
+    /// The connection ended without a last line.
     const RESET: BackendEnd = BackendEnd { end: DialEnd::Reset, report: None };
 }
 
 /// A message that has waited too long for its answer.
 #[derive(Clone, Copy)]
 struct OverdueMessage {
-    /// When it was sent, in microseconds.
+    /// When the message was sent, in microseconds.
     sent_at: Micros,
-    /// Until then its answer may still lie unread.
+    /// End of the extra time in which an unread answer is read, in microseconds.
     grace_ends: Micros,
 }
 
@@ -57,12 +57,12 @@
 struct LineObserver<'a> {
     connection_id: SessionId,
     hub: &'a Hub,
-    /// When the client sent the messages whose answers are awaited, oldest first.
+    /// When the client sent its unanswered messages, oldest first.
     unanswered: VecDeque<Micros>,
     overdue: Option<OverdueMessage>,
     /// The longest wait for an answer, in microseconds.
     answer_timeout: Micros,
-    /// The backend's last line, once it was read.
+    /// The backend's last line, once it is read.
     backend_end: Option<BackendEnd>,
 }
 
@@ -73,7 +73,7 @@
         LineObserver { connection_id, hub, unanswered, overdue: None, answer_timeout, backend_end: None }
     }
 
-    /// Takes complete lines from the client; false where one is too long.
+    /// Processes complete lines from the client. Returns false if one is too long.
     fn client_lines(&mut self, lines: &[u8]) -> bool {
         let now = self.hub.clock.now();
         let limits = self.hub.limits();
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Takes complete lines from the backend; false where one is too long.
+    /// Processes complete lines from the backend. Returns false if one is too long.
     async fn backend_lines(&mut self, lines: &[u8]) -> bool {
         let max_bytes = self.hub.limits().max_line_bytes;
         let report_order = self.hub.report_order();
@@ -109,8 +109,8 @@
         true
     }
 
-    /// Takes what a read from the client brought; how the session ends by it, where it does. `max_partial`
-    /// is the most bytes of an incomplete line.
+    /// Processes the result of a read from the client. Returns how the session ends, if it ends.
+    /// `max_partial` is the most bytes of an incomplete line.
     fn client_read(
         &mut self,
         count: io::Result<usize>,
@@ -120,12 +120,12 @@
         match count {
             Ok(0) => Some(SessionEnd::ClientClosed),
             Ok(_) if self.client_lines(from_client.fresh()) && from_client.partial() <= max_partial => None,
-            // A line that is too long ends the session as a failed connection does.
+            // A line that is too long ends the session like a failed connection.
             _ => Some(SessionEnd::ClientBroken),
         }
     }
 
-    /// The same of a read from the backend. Lines that end the session are not forwarded.
+    /// Does the same for a read from the backend. Invalid lines end the session and are not forwarded.
     async fn backend_read(
         &mut self,
         count: io::Result<usize>,
@@ -143,8 +143,8 @@
         Some(SessionEnd::Backend(BackendEnd::RESET))
     }
 
-    /// The deadline of a stalled client or of the backend's answer has passed. Returns how that ends the
-    /// session, where it does.
+    /// Handles the passed deadline of a stalled client or of the backend's answer. Returns how the session
+    /// ends, if it ends.
     fn time_expired(&mut self, client_is_stalled: bool) -> Option<SessionEnd> {
         if client_is_stalled {
             return Some(SessionEnd::ClientBroken);
@@ -152,7 +152,7 @@
         self.is_lost().then_some(SessionEnd::Backend(BackendEnd::RESET))
     }
 
-    /// A line of the backend answers the oldest message.
+    /// Takes a line of the backend as the answer to the oldest message.
     async fn answered(&mut self) {
         if let Some(sent_at) = self.unanswered.pop_front() {
             let time = self.hub.clock.now() - sent_at;
@@ -160,46 +160,46 @@
         }
     }
 
-    /// When the oldest message counts as lost.
+    /// Returns when the oldest message counts as lost.
     fn answer_deadline(&self) -> Option<Micros> {
         let sent_at = *self.unanswered.front()?;
         let overdue = self.overdue.filter(|overdue| overdue.sent_at == sent_at);
         Some(overdue.map_or(sent_at + self.answer_timeout, |overdue| overdue.grace_ends))
     }
 
-    /// Whether the oldest message is lost. It gets one grace first, in which an answer is read that arrived
-    /// while this process was not scheduled.
+    /// Returns whether the oldest message is lost. The first call grants it `UNREAD_GRACE`, because its
+    /// answer may have arrived while this process was not scheduled.
     fn is_lost(&mut self) -> bool {
         let Some(&sent_at) = self.unanswered.front() else { return false };
         let grace_ends = self.hub.clock.now() + UNREAD_GRACE;
-        let before = self.overdue.replace(OverdueMessage { sent_at, grace_ends });
-        before.is_some_and(|overdue| overdue.sent_at == sent_at)
+        let previous = self.overdue.replace(OverdueMessage { sent_at, grace_ends });
+        previous.is_some_and(|overdue| overdue.sent_at == sent_at)
     }
 
-    /// Carries out a command; how the session ends by it, where it does.
+    /// Carries out a command. Returns how the session ends, if it ends.
     fn command(&mut self, command: Option<Command>) -> Option<SessionEnd> {
         match command {
             Some(Command::Migrate) => Some(SessionEnd::Migrated),
             Some(Command::HandOver(process, session)) => Some(SessionEnd::HandedOver(process, session)),
             Some(Command::SetSuspect(suspect)) => {
                 let limits = self.hub.limits();
-                // Where the backend fails its health checks, a message gets no more time than a health check.
+                // While the backend fails its health checks, a message gets only the time of a health check.
                 self.answer_timeout = if suspect { limits.probe_timeout } else { limits.silence_timeout };
                 None
             }
-            // Meant for the connection before it was a session.
+            // These were sent before the connection became a session.
             Some(Command::Pong(_) | Command::Shed) => None,
             _ => Some(SessionEnd::Closed),
         }
     }
 
-    /// The backend's connection is over: with its last line, or without one.
+    /// Ends the session for a closed backend connection, with the backend's last line or without one.
     fn backend_closed(&mut self) -> SessionEnd {
         SessionEnd::Backend(self.backend_end.take().unwrap_or(BackendEnd::RESET))
     }
 }
 
-/// Proxies a session that a backend has accepted, from the acceptance line to the end.
+/// Proxies a session that a backend has accepted, from the acceptance line to its end.
 pub async fn run(
     connection_id: SessionId,
     client: TcpStream,
@@ -220,7 +220,7 @@
     OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
 }
 
-/// Continues a session of another process, once the reducer has adopted it.
+/// Continues a session that another process handed over, once the reducer has adopted it.
 pub async fn resume(
     connection_id: SessionId,
     session: Box<SessionState>,
@@ -236,15 +236,15 @@
         Buffer::holding(&session.to_client, limits.initial_buffer_bytes, limits.max_buffer_bytes);
     let mut observer = LineObserver::new(connection_id, hub);
     let now = hub.clock.now();
-    observer.unanswered = session.unanswered_ages.iter().map(|ago| now.saturating_sub(*ago)).collect();
+    observer.unanswered = session.unanswered_ages.iter().map(|age| now.saturating_sub(*age)).collect();
     hub.notify(Event::SessionAdopted { session_id: connection_id, state: session }).await;
-    // No other command can come first: the reducer did not know this session before.
+    // No other command can precede it, because the session is new to the reducer.
     if let Some(Command::StartProxying) = commands.recv().await {
         OpenSession { client, from_client, backend, from_backend, observer }.run(commands).await;
     }
 }
 
-/// Both connections of an open session, and what was read from each and not yet written to the other.
+/// Both connections of an open session, and the bytes read from each that are not yet written to the other.
 struct OpenSession<'a> {
     client: TcpStream,
     from_client: Buffer,
@@ -259,7 +259,7 @@
         let hub = self.observer.hub;
         loop {
             match self.proxy(&mut commands).await {
-                // A session whose last line was read ends here, at once.
+                // A session whose last line was read is not handed over, as it ends immediately.
                 SessionEnd::HandedOver(process, session) if self.observer.backend_end.is_none() => {
                     match self.hand_over(process, session).await {
                         Some(session) => self = session,
@@ -273,14 +273,14 @@
                 SessionEnd::ClientClosed => return self.client_closed().await,
                 SessionEnd::ClientBroken => {
                     close::reset(self.backend);
-                    // The client may be there still: it gets the line as far as it can be written.
+                    // The client may still read, so the last line is sent if possible.
                     return send_last_line(self.client, &self.from_backend, lines::MOVE, &mut commands, hub)
                         .await;
                 }
                 SessionEnd::Closed => return,
                 SessionEnd::Backend(BackendEnd { end, report }) => {
                     hub.notify(Event::SessionEnded { session_id: connection_id, end, report }).await;
-                    // A client that got no last line is to come again.
+                    // `MOVE` makes a client that got no last line connect again.
                     let last_line: &[u8] = if end == DialEnd::Reset { lines::MOVE } else { b"" };
                     drop(self.backend);
                     return send_last_line(self.client, &self.from_backend, last_line, &mut commands, hub)
@@ -297,8 +297,8 @@
         }
     }
 
-    /// Hands the session over to another process; returns it where that could not take it, and `None` where
-    /// it is over for this process.
+    /// Hands the session over to another process. Returns the session if it could not be sent, and `None` if
+    /// it has ended for this process.
     async fn hand_over(self, process: ProcessId, session: Box<SessionState>) -> Option<Self> {
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let hub = observer.hub;
@@ -317,12 +317,12 @@
             Err(Some(SessionSockets { client, backend })) => {
                 Some(OpenSession { client, from_client, backend, from_backend, observer })
             }
-            // Its sockets are of no use to this process any more.
+            // The sockets are lost, so this process cannot continue the session.
             Err(None) => None,
         }
     }
 
-    /// The client has closed: what it sent still goes to the backend.
+    /// The client has closed: forwards the lines that it sent before, then closes the backend's connection.
     async fn client_closed(self) {
         let hub = self.observer.hub;
         hub.notify(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
@@ -331,27 +331,27 @@
         }
     }
 
-    /// Passes lines until the session ends or is to be handed over.
+    /// Proxies lines until the session ends or is to be handed over.
     async fn proxy(&mut self, commands: &mut Receiver<Command>) -> SessionEnd {
         let OpenSession { client, from_client, backend, from_backend, observer } = self;
         let limits = observer.hub.limits();
         let clock = observer.hub.clock;
         let max_partial = limits.max_line_bytes + lines::END.len();
-        // Since when the client has taken nothing of what waits for it.
+        // Since when the client has accepted none of the bytes that wait for it.
         let mut stalled_since: Option<Micros> = None;
         loop {
             let to_client = !from_backend.lines().is_empty();
             let to_backend = !from_client.lines().is_empty();
             stalled_since = if to_client { stalled_since.or(Some(clock.now())) } else { None };
             let stalled_until = stalled_since.map(|since| since + limits.stalled_client_timeout);
-            // While the client takes nothing, the backend's silence is the client's doing.
+            // While the client is stalled, the backend's silence does not count against the backend.
             let wake = stalled_until.or(observer.answer_deadline());
             let wake_at = clock.at(wake.unwrap_or_default());
             tokio::select! {
                 biased;
-                // Commands first: they are few, and a busy session would delay them. Then reads, the
-                // backend's first, since they tell of its end; then writes. Deadlines last, so that unread
-                // lines count.
+                // Commands come first: they are rare, and a busy session would delay them. Then reads, from
+                // the backend first, because they show its end; then writes. Deadlines come last, so that
+                // unread lines are processed before them.
                 command = commands.recv() => {
                     if let Some(end) = observer.command(command) {
                         return end;
@@ -389,7 +389,7 @@
     }
 }
 
-/// Sends the complete lines that wait, then a last one, and closes.
+/// Sends the complete lines that are still buffered, then a last line, and closes.
 async fn send_last_line(
     client: TcpStream,
     from_backend: &Buffer,
@@ -401,7 +401,7 @@
     close::send_final_answer(client, &answer, commands, hub).await;
 }
 
-/// Writes as much of the complete lines as the system takes.
+/// Writes as much of the complete lines as the socket accepts without waiting.
 fn write_some(buffer: &mut Buffer, stream: &TcpStream) -> io::Result<usize> {
     match buffer.write(stream) {
         Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(0),
--- a/relay/src/net/read.rs
+++ b/relay/src/net/read.rs
@@ -1,4 +1,4 @@
-//! Reading a client's or backend's connection: its next line, and what the system holds unread right now.
+//! Reads the next line of a client's or backend's connection, and checks for unread input without waiting.
 use super::close;
 use crate::buffer::Buffer;
 use crate::lines;
@@ -8,10 +8,10 @@
 use std::io::{ErrorKind, Read};
 use tokio::net::TcpStream;
 
-/// Why there is no next line.
+/// Why the next line could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The other side has ended its sending before a line was complete.
+    /// The other side closed its sending side before a line was complete.
     Closed,
     /// The connection failed.
     Broken,
@@ -19,21 +19,22 @@
     TooLong,
 }
 
-/// What a client does that waits for its final answer.
+/// The state of a client that is to wait for its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
-    /// It is connected and silent, as the protocol wants it.
+    /// The client is connected and silent, as the protocol requires.
     Waiting,
-    /// It has sent more before it was answered.
+    /// The client has sent more data before its answer.
     SentMore,
-    /// It has ended its sending, or its connection failed.
+    /// The client has closed its sending side, or its connection failed.
     Closed,
 }
 
-/// What the system knows of a waiting client at this moment.
+/// Returns the state of a waiting client by reading its socket directly.
 ///
-/// The runtime learns of a closed connection only when it polls all sockets next, which may be after the dial
-/// that the close has to prevent. A byte that is read here is lost: a client that sends early is not served.
+/// The runtime notices a closed connection only when it next polls all sockets, which may be after the dial
+/// that the close must prevent. A byte that is read here is lost, because a client that sends early is not
+/// served.
 pub fn client_state(stream: &TcpStream) -> ClientState {
     match socket::uninterrupted(|| (&*SockRef::from(stream)).read(&mut [0])) {
         Ok(1..) => ClientState::SentMore,
@@ -42,10 +43,10 @@
     }
 }
 
-/// Waits for the next complete line and returns it without its end.
+/// Waits for the next complete line and returns it without its line ending.
 ///
 /// # Errors
-/// `TooLong` for a line of more than `max_bytes`; the others as the connection ends.
+/// `TooLong` if the line has more than `max_bytes`, `Closed` or `Broken` if the connection ends before it.
 pub async fn read_line(
     stream: &TcpStream,
     buffer: &mut Buffer,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads once where no line is buffered; returns the next line, or `None` where only a part of it has come.
+/// Reads once if no line is buffered. Returns the next line, or `None` if it is still incomplete.
 ///
 /// # Errors
 /// As `read_line`.
@@ -82,7 +83,7 @@
     }
 }
 
-/// Time since the system received the last bytes, in microseconds: a busy relay reads late.
+/// Returns the time since the system received the last bytes, in microseconds; a busy relay reads them late.
 pub fn age_of_last_bytes(stream: &TcpStream) -> Micros {
     close::tcp_info(stream).map_or(0, |info| u64::from(info.tcpi_last_data_recv) * 1000)
 }
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the relay: events go to the reducer in order of arrival, its effects to the runner.
+//! Runs the relay: passes events to the reducer in order of arrival, and its effects to the runner.
 use super::effect_runner::{EffectRunner, TakeoverSocket};
 use super::membership::MembershipSockets;
 use super::operator::OperatorCall;
@@ -17,14 +17,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, timeout};
 
-/// Connections that the system holds until they are accepted: a wave of clients that return at once, and
-/// operators behind it, must not have to wait for their own next attempt.
+/// Connections that the system queues until they are accepted. When the accept queue is full, the system
+/// drops a connection's first packet and the caller retries only after a second. The queue must hold a crowd
+/// of clients that reconnect together, so that an operator's call behind them is answered within a second.
 const BACKLOG: u32 = 1024;
 
-/// Serves until a stop was requested and all sessions are gone.
+/// Serves until a stop is requested and all sessions have ended.
 ///
 /// # Errors
-/// A start that fails, or an end that the reducer commands with an error.
+/// The start fails, or the reducer ends the process with an error.
 pub async fn run<E: Display + 'static>(
     node: Node,
     read_configuration: impl Fn() -> Result<Node, E> + 'static,
@@ -34,9 +35,9 @@
     signals::unblock();
     let limits = node.limits;
     let (hub, events) = Hub::new(limits, node.site.report, log.clone());
-    // Only with an operators' address: without it nobody could see when a new process is ready.
+    // Hot restart requires an operators' address, without which no one could see when a new process is ready.
     let no_path = |error: &hot_restart::PathError| {
-        slog::warn!(log, "no other process can take over from this one"; "error" => %error);
+        slog::warn!(log, "hot restart unavailable: no path for the takeover socket"; "error" => %error);
     };
     let takeover_path = node.operator.and_then(|_| hot_restart::socket_path(&node).inspect_err(no_path).ok());
     let offer = takeover_path.as_deref().map_or(Ok(None), |path| hot_restart::request_takeover(path, &node));
@@ -76,7 +77,8 @@
     event_loop.run(events, calls, health).await
 }
 
-/// The sockets of membership, where a fleet is configured. A predecessor has its port until it hands over.
+/// Returns the sockets of membership, if a fleet is configured. They are not bound while a predecessor still
+/// holds the port.
 async fn membership_sockets(
     node: &Node,
     has_predecessor: bool,
@@ -90,16 +92,17 @@
     Ok(Some(MembershipSockets::new(config.clone(), bound, hub.clone())))
 }
 
-/// What the store holds; `None` where it was not opened within the limit.
+/// Opens the store and returns its content; `None` if it was not opened within the limit.
 async fn open_in_time(store: &mut StateStore, hub: &Hub) -> Option<StoredState> {
-    let stored = timeout(span(hub.limits().state_open_timeout), store.open()).await.ok().and_then(Result::ok);
+    let limit = span(hub.limits().state_open_timeout);
+    let stored = timeout(limit, store.open()).await.ok().and_then(Result::ok);
     if stored.is_none() {
-        slog::warn!(hub.log, "the state store was not opened in time: this relay starts without its state");
+        slog::warn!(hub.log, "state store not opened within {:?}; starting without stored state", limit);
     }
     stored
 }
 
-/// The reducer, and what carries its effects out.
+/// The reducer, and the runner that carries out its effects.
 struct EventLoop {
     reducer: Reducer,
     runner: EffectRunner,
@@ -125,7 +128,7 @@
             let wake_at = clock.at(self.runner.next_wake());
             let event = tokio::select! {
                 biased;
-                // Operators go before all that waits from sessions.
+                // Operators' calls come before queued events of sessions.
                 Some(call) = calls.recv() => Some(self.runner.register_call(call)),
                 event = events.recv() => event,
                 Some(health) = health_change(&mut health) => Some(self.runner.store_health_changed(health)),
@@ -133,13 +136,13 @@
             };
             self.handle(event);
         }
-        let ended = self.runner.take_exit().unwrap_or(Ok(()));
-        slog::info!(self.hub.log, "stopping"; "well" => ended.is_ok());
+        let result = self.runner.take_exit().unwrap_or(Ok(()));
+        slog::info!(self.hub.log, "stopping"; "well" => result.is_ok());
         self.runner.finish();
-        ended
+        result
     }
 
-    /// Handles an event, and what became due meanwhile.
+    /// Handles an event, then the dials, durable writes and timers that are due.
     fn handle(&mut self, event: Option<Event>) {
         let now = self.hub.clock.now();
         self.runner.send_waiting_dials(now);
@@ -161,10 +164,10 @@
     }
 }
 
-/// How writing to the store goes, as that changes; never completes without a store.
+/// Waits for a change in the health of the store's writer; never completes without a store.
 async fn health_change(health: &mut Option<watch::Receiver<WriterHealth>>) -> Option<WriterHealth> {
     let Some(health) = health else { return pending().await };
-    // The store's sender exists as long as the process.
+    // The store keeps its sender until the process ends.
     health.changed().await.ok()?;
     Some(health.borrow_and_update().clone())
 }
--- a/relay/src/net/signals.rs
+++ b/relay/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT request a graceful stop, SIGHUP a reload of the configuration.
+//! Handles signals: SIGTERM and SIGINT request a graceful stop, SIGHUP a reload of the configuration.
 use super::Hub;
 use crate::reducer::Event;
 use hallrelay_config::node::Node;
@@ -13,10 +13,10 @@
 }
 
 impl Signals {
-    /// Installs the handlers: from here on none of the signals ends the process by itself.
+    /// Installs the handlers. From now on these signals no longer end the process by default.
     ///
     /// # Errors
-    /// A handler that the system refuses.
+    /// The system refuses a handler.
     pub fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -27,7 +27,7 @@
 }
 
 fn handled_signals() -> Option<libc::sigset_t> {
-    // SAFETY: the set is a plain struct that the first call fills; the others change it alone.
+    // SAFETY: the set is a plain struct that the first call initializes; the other calls change only the set.
     unsafe {
         let mut set: libc::sigset_t = std::mem::zeroed();
         let filled = libc::sigemptyset(&raw mut set) == 0
@@ -40,23 +40,23 @@
 
 fn change_mask(how: libc::c_int) {
     if let Some(set) = handled_signals() {
-        // SAFETY: it reads the set and changes this thread's mask alone.
+        // SAFETY: the call reads the set and changes only this thread's mask.
         unsafe { libc::pthread_sigmask(how, &raw const set, std::ptr::null_mut()) };
     }
 }
 
-/// Blocks the handled signals until the handlers are installed: a reload in the first milliseconds of a start
-/// would end the process.
+/// Blocks the handled signals until the handlers are installed. Otherwise a reload request in the first
+/// milliseconds of a start would end the process.
 pub fn block() {
     change_mask(libc::SIG_BLOCK);
 }
 
-/// Delivers signals that were blocked.
+/// Unblocks the handled signals; those that arrived meanwhile are delivered.
 pub fn unblock() {
     change_mask(libc::SIG_UNBLOCK);
 }
 
-/// Reports signals to the reducer for as long as the process runs.
+/// Reports signals to the reducer until the process ends.
 pub(super) async fn run<E: Display>(
     signals: Signals,
     read_configuration: impl Fn() -> Result<Node, E>,
@@ -66,7 +66,7 @@
     loop {
         tokio::select! {
             biased;
-            // A stop goes before a reload that is pending too: reading a file must not delay it.
+            // A stop comes before a pending reload, so that reading a file does not delay it.
             _ = terminate.recv() => stop(&hub).await,
             _ = interrupt.recv() => stop(&hub).await,
             _ = reload.recv() => reload_configuration(&read_configuration, &hub).await,
@@ -75,7 +75,7 @@
 }
 
 async fn stop(hub: &Hub) {
-    slog::info!(hub.log, "stop requested by a signal");
+    slog::info!(hub.log, "stop requested by SIGTERM or SIGINT");
     hub.notify(Event::StopRequested).await;
 }
 
@@ -86,7 +86,7 @@
             hub.notify(Event::ConfigurationReloaded(Box::new(node))).await;
         }
         Err(error) => {
-            slog::error!(hub.log, "the new configuration is not used"; "why" => %error);
+            slog::error!(hub.log, "reload failed; the previous configuration stays in use"; "why" => %error);
             hub.notify(Event::ConfigurationRejected).await;
         }
     }
--- a/relay/src/net/state_store.rs
+++ b/relay/src/net/state_store.rs
@@ -1,5 +1,5 @@
-//! The relay's state store: opened on a thread of its own, retried where that fails, and closed as another
-//! process takes over. Nothing here makes the relay wait longer than its limits allow.
+//! The relay's state store. It is opened on a separate thread, which retries after a failure, and closed when
+//! another process takes over. The relay never waits for it longer than its limits allow.
 use hallrelay_recovery::record::VERSION;
 use hallrelay_recovery::{Record, StoredState};
 use hallrelay_store::writer::{Writer, WriterHealth};
@@ -12,30 +12,30 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// The first pause after the store could not be opened: the process before this one releases its lock within
-/// moments.
+/// Delay after the first failure to open the store. The predecessor releases its lock soon after the
+/// handover.
 const MIN_OPEN_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest pause after the store could not be opened; the pause doubles up to it.
+/// Longest delay after a failure to open the store; the delay doubles up to this value.
 const MAX_OPEN_BACKOFF: Duration = Duration::from_secs(5);
-/// Records that may wait for the store to be opened; a further one is dropped.
+/// Most records that wait until the store is open; further ones are dropped.
 const MAX_EARLY_RECORDS: usize = 65_536;
-/// How long the end of the process waits for the last write, which is longer than a slow sync takes.
+/// How long the process waits for the last write before it ends. Longer than a slow sync takes.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Why the store could not be opened.
 #[derive(Debug, thiserror::Error)]
 enum OpenError {
-    #[error("{}: another process has it", .0.display())]
+    #[error("open state directory {}: another process holds its lock", .0.display())]
     Locked(PathBuf),
-    #[error("{}: {source}", .path.display())]
+    #[error("open state directory {}: {source}", .path.display())]
     Directory { path: PathBuf, source: io::Error },
-    #[error("{}: {source}", .path.display())]
+    #[error("read the store in {}: {source}", .path.display())]
     Store { path: PathBuf, source: StoreError },
-    #[error(transparent)]
+    #[error("start the thread that writes the store: {0}")]
     Thread(#[from] io::Error),
 }
 
-/// The writer, or what it is to write once there is one.
+/// The writer, or the records that it will write once the store is open.
 enum WriterSlot {
     Opening(BTreeMap<Key, Option<Value>>),
     Open(Writer),
@@ -48,7 +48,7 @@
     }
 }
 
-/// One opening of the store, shared with the thread that does it.
+/// One opening of the store, shared with the thread that opens it.
 #[derive(Clone)]
 struct Opening {
     slot: Arc<Mutex<WriterSlot>>,
@@ -69,13 +69,13 @@
 /// The store of a state directory. It may be opened and closed several times.
 pub struct StateStore {
     path: PathBuf,
-    /// Bytes that the log file may have.
+    /// Largest size of the log file, in bytes.
     capacity: u64,
     current: Opening,
     health: watch::Sender<WriterHealth>,
 }
 
-/// The store of a directory and all that it holds.
+/// Opens the store of a directory and reads its complete content.
 fn open_store(path: &Path, capacity: u64) -> Result<(Store<Directory>, StoredState), OpenError> {
     let directory = Directory::open(path).map_err(|source| match source.kind() {
         io::ErrorKind::WouldBlock => OpenError::Locked(path.to_path_buf()),
@@ -91,19 +91,19 @@
 }
 
 impl StateStore {
-    /// Of a directory and a capacity in bytes; not opened yet.
+    /// Creates a closed store for a directory, with a capacity in bytes.
     pub fn new(path: &Path, capacity: u64) -> StateStore {
         let health = watch::channel(WriterHealth::default()).0;
         StateStore { path: path.to_path_buf(), capacity, current: Opening::new(), health }
     }
 
-    /// Follows how the writing goes.
+    /// Returns a channel that follows the health of the writer.
     pub fn watch_health(&self) -> watch::Receiver<WriterHealth> {
         self.health.subscribe()
     }
 
-    /// Opens the store on a thread of its own, which retries until that succeeds or the store is closed. What
-    /// the store held is sent once.
+    /// Opens the store on a separate thread, which retries until it succeeds or the store is closed. The
+    /// content of the store is sent once.
     pub fn open(&mut self) -> oneshot::Receiver<StoredState> {
         let (send_stored, stored) = oneshot::channel();
         self.current = Opening::new();
@@ -113,23 +113,25 @@
         let capacity = self.capacity;
         let open = move || open_with_retries(&path, capacity, &opening, &health, send_stored);
         if let Err(e) = std::thread::Builder::new().name("store-open".to_string()).spawn(open) {
-            self.health.send_modify(|health| health.last_error = Some(format!("no thread: {e}")));
+            self.health.send_modify(|health| {
+                health.last_error = Some(format!("start the thread that opens the store: {e}"))
+            });
         }
         stored
     }
 
-    /// Closes the store, with what is queued written; does not wait for it.
+    /// Closes the store after the queued records are written; does not wait for that.
     pub fn close(&mut self) {
         _ = self.begin_close();
     }
 
-    /// Closes the store at the end of the process, and waits for the last write, but not for a disk that
-    /// hangs.
+    /// Closes the store at the end of the process. Waits for the last write, but not for a disk that does not
+    /// respond.
     pub fn finish(&mut self) {
         _ = self.begin_close().recv_timeout(FINAL_WRITE_TIMEOUT);
     }
 
-    /// Closes on a thread of its own, which sends on the receiver's channel as that is done.
+    /// Closes the store on a separate thread. The returned receiver gets a message when it is closed.
     fn begin_close(&mut self) -> std::sync::mpsc::Receiver<()> {
         self.current.is_closed.store(true, Ordering::Relaxed);
         let writer = self.current.lock().close();
@@ -142,8 +144,8 @@
         done
     }
 
-    /// Stores a record. Returns the ticket that `durable_ticket` reaches once it is durable; `None` where
-    /// that is not to be waited for: the store is being opened, is closed, or rejected the record.
+    /// Stores a record. Returns the ticket that `durable_ticket` reaches once the record is durable. Returns
+    /// `None` if there is nothing to wait for: the store is being opened, is closed, or rejected the record.
     pub fn persist(&self, record: Record) -> Option<u64> {
         let key = Key { kind: record.kind.number(), name: record.name.into_bytes() };
         let value = record.bytes.map(|bytes| Value { version: VERSION, bytes });
@@ -159,12 +161,12 @@
         }
     }
 
-    /// All records up to this ticket are durable.
+    /// Returns the ticket up to which all records are durable.
     pub fn durable_ticket(&self) -> u64 {
         self.health.borrow().durable_ticket
     }
 
-    /// Whether nothing is to be waited for any more: the record of a ticket is durable, or the disk fails.
+    /// Returns whether waiting for a ticket is over: its record is durable, or the store reports an error.
     pub fn is_settled(&self, ticket: u64) -> bool {
         let health = self.health.borrow();
         health.durable_ticket >= ticket || health.last_error.is_some()
@@ -208,7 +210,7 @@
     Ok((writer, stored))
 }
 
-/// Hands the writer what was to be written meanwhile, unless the store was closed.
+/// Passes the records that waited for the store to its writer, unless the store was closed meanwhile.
 fn install_writer(writer: Writer, opening: &Opening) {
     let mut slot = opening.lock();
     if let WriterSlot::Opening(early) = &mut *slot {
