--- a/relay/src/net/close.rs
+++ b/relay/src/net/close.rs
@@ -1,5 +1,5 @@
-//! Final answers and the close of connections. An answer is written completely, then the connection is shut
-//! down so that the other side can still read the answer.
+//! Sends final answers and closes connections. An answer is written completely, then only the sending side is
+//! closed, so that the other side can still read the answer.
 use super::{Command, Hub};
 use crate::clock::span;
 use crate::socket;
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -1,6 +1,6 @@
 //! Watches the endpoint list with one HTTP call that stays open and returns a JSON value for each change.
 //!
-//! If no version of the list is known, a call for the complete list comes first. If a watch is silent for too
+//! A call for the complete list comes first if no version of the list is known. If a watch is silent for too
 //! long, a second call is opened in parallel; the call that first returns data is kept, the other is dropped.
 use super::Hub;
 use crate::clock::span;
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -315,7 +315,7 @@
         let processes = self.hub.processes.borrow();
         let command = ProcessCommand::Send(message);
         if processes.get(&process).is_none_or(|channel| channel.try_send(command).is_err()) {
-            slog::warn!(self.hub.log, "hot restart message dropped: disconnected or queue full"; "peer" => process);
+            slog::warn!(self.hub.log, "hot restart message dropped: queue closed or full"; "peer" => process);
         }
     }
 
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -57,8 +57,8 @@
 /// Serves a new connection to its end.
 pub async fn run(connection_id: SessionId, client: TcpStream, commands: Receiver<Command>, hub: &Hub) {
     let limits = hub.limits();
-    // One deadline for all that precedes the session. With a timeout per read, a client that sends a few
-    // bytes now and then would stay connected forever.
+    // A single deadline covers everything before the session. With a timeout per read, a client that sends a
+    // few bytes now and then would stay connected forever.
     let connected_at = Instant::now();
     let deadline = connected_at + span(limits.first_line_timeout);
     let buffer = Buffer::new(limits.initial_buffer_bytes, limits.max_buffer_bytes);
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Runs the requested checks until the channel of requests closes. `keep_connection` says whether the
-/// connection stays open between two checks.
+/// Runs the requested checks until the channel of requests closes. If `keep_connection` is true,
+/// the connection stays open between two checks.
 pub async fn run(server: ServerId, keep_connection: bool, mut requests: Receiver<SocketAddr>, hub: Hub) {
     let mut idle: Option<Connection> = None;
     loop {
@@ -95,7 +95,7 @@
 async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, CheckFailure> {
     let deadline = Instant::now() + span(hub.limits().connect_timeout);
     hub.connect(addr, deadline).await.map_err(|error| match error {
-        // A fault of this machine says nothing about the backend.
+        // A fault of this machine is no evidence against the backend.
         ConnectError::Local(_) => DialEnd::NotSent.into(),
         ConnectError::Remote(_) | ConnectError::TimedOut => DialEnd::Unconnected.into(),
     })
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -95,7 +95,7 @@
     pub listening_socket: std::net::TcpListener,
 }
 
-/// Asks the running process to hand over. Returns `None` if no process runs, or if it does not answer.
+/// Requests the running process to hand over. Returns `None` if no process runs, or if it does not answer.
 pub fn request_takeover(path: &Path, node: &Node) -> Result<Option<Offer>, TakeoverError> {
     // No process listens at the path, or the path does not exist.
     let Ok(stream) = uninterrupted(|| std::os::unix::net::UnixStream::connect(path)) else {
--- /dev/null
+++ b/relay/src/net/interleaving_tests/health_checks.rs
@@ -0,0 +1,94 @@
+//! Health checks on a connection that stays open between checks while its backend closes it or loses its
+//! state.
+use super::{accept_dial, await_soon, bind_local, hub, run_test};
+use crate::net::health_check;
+use crate::reducer::Event;
+use hallrelay_balancer::types::DialEnd;
+use tokio::sync::mpsc;
+
+/// Guards against a false failure: the backend closes the idle connection after the request, or before the
+/// runtime notices the close. The check is repeated on a new connection, and fails only if that closes too.
+#[test]
+fn check_on_closed_idle_connection_is_repeated() {
+    for read_first in [true, false] {
+        run_test(|mut harness| async move {
+            let backend = bind_local().await;
+            let addr = backend.local_addr().expect("read the local address");
+            let (requests, receiver) = mpsc::channel(1);
+            tokio::task::spawn_local(health_check::run(7, true, receiver, harness.hub.clone()));
+            requests.send(addr).await.expect("request a health check");
+            let mut first = accept_dial(&backend).await;
+            assert_eq!(first.read_line().await, "STATS\r\n");
+            first.send("PONG x0=0.5\r\n").await;
+            assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+            if read_first {
+                requests.send(addr).await.expect("request a health check");
+                assert_eq!(first.read_line().await, "STATS\r\n");
+                drop(first);
+            } else {
+                drop(first);
+                requests.send(addr).await.expect("request a health check");
+            }
+            let mut second = accept_dial(&backend).await;
+            assert_eq!(second.read_line().await, "STATS\r\n");
+            second.send("PONG x0=0.5\r\n").await;
+            assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+            requests.send(addr).await.expect("request a health check");
+            second.read_line().await;
+            drop(second);
+            drop(accept_dial(&backend).await);
+            assert!(matches!(
+                harness.next_event().await,
+                Event::HealthCheckEnded { end: DialEnd::Reset, .. }
+            ));
+        });
+    }
+}
+
+/// Guards against a false failure: the backend, or a device on the path, has lost the state of the idle
+/// connection, so not even a reset returns. The check is repeated on a new connection within its timeout.
+#[test]
+fn check_on_silent_idle_connection_is_repeated() {
+    run_test(|mut harness| async move {
+        let backend = bind_local().await;
+        let addr = backend.local_addr().expect("read the local address");
+        let (requests, receiver) = mpsc::channel(1);
+        tokio::task::spawn_local(health_check::run(7, true, receiver, harness.hub.clone()));
+        requests.send(addr).await.expect("request a health check");
+        let mut first = accept_dial(&backend).await;
+        first.read_line().await;
+        first.send("PONG x0=0.5\r\n").await;
+        assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+        requests.send(addr).await.expect("request a health check");
+        // The backend no longer answers on the first connection.
+        let mut second = accept_dial(&backend).await;
+        assert_eq!(second.read_line().await, "STATS\r\n");
+        second.send("PONG x0=0.5\r\n").await;
+        assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+        // A check without an answer on the new connection either has timed out.
+        requests.send(addr).await.expect("request a health check");
+        let _third = accept_dial(&backend).await;
+        assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Timeout, .. }));
+    });
+}
+
+/// A connection without checks for `probe_idle_timeout` is closed.
+#[test]
+fn idle_connection_is_closed_after_timeout() {
+    run_test(|_| async {
+        let (hub, mut events) = hub(|limits| limits.probe_idle_timeout = 20_000);
+        let backend = bind_local().await;
+        let (requests, receiver) = mpsc::channel(1);
+        tokio::task::spawn_local(health_check::run(7, true, receiver, hub));
+        let addr = backend.local_addr().expect("read the local address");
+        requests.send(addr).await.expect("request a health check");
+        let mut server = accept_dial(&backend).await;
+        server.read_line().await;
+        server.send("PONG\r\n").await;
+        assert!(matches!(
+            await_soon("health check", events.recv()).await,
+            Some(Event::HealthCheckEnded { end: DialEnd::Ok, .. })
+        ));
+        assert_eq!(server.read_line().await, "");
+    });
+}
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -1,10 +1,10 @@
-//! The tasks alone, on real connections. A test plays the reducer, the client, the backends and discovery,
-//! and so forces each order of two events: what a task is told comes when the test says so, and bytes, ends
-//! and resets are waited for in the system's own queues, while no task runs, before it is let go on.
-mod lists;
-mod passing;
-mod probes;
-mod waiting;
+//! Tests of the tasks without the reducer, on real connections. A test acts as the reducer, the client, the
+//! backends and discovery, and so forces each order of two events: it decides when a task gets a command, and
+//! before it lets the tasks run it waits until bytes, closes and resets have arrived in the system's queues.
+mod endpoint_watch;
+mod health_checks;
+mod open_session;
+mod waiting_session;
 
 use super::dial_permit::DialConditions;
 use super::{first_line, Command, Hub};
@@ -22,139 +22,144 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How long is waited for what must come.
-const SOON: Duration = Duration::from_secs(10);
-/// A connect's time, where that does not matter.
+/// Timeout for an event that must occur.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time within which a dial must start, in microseconds, for tests in which it does not matter.
 const LONG: Micros = 10_000_000;
-/// The server that dials here go to.
+/// The server of all dials.
 const SERVER: ServerId = 7;
 const LINE: &str = "OPEN 0000000000000001 0000000000000002 c=nomination,d=2000\r\n";
 
-/// The reducer's end of the tasks.
-struct Play {
+/// The reducer's side of the tasks.
+struct Harness {
     hub: Hub,
     events: mpsc::Receiver<Event>,
 }
 
-/// Plays a test on a thread of its own, as the program has one.
-fn play<F: Future<Output = ()>>(test: impl FnOnce(Play) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+/// Runs a test on a single-threaded runtime, like the program.
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce(Harness) -> F) {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build the runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (hub, events) = hub(|_| {});
-        test(Play { hub, events }).await;
+        test(Harness { hub, events }).await;
     });
 }
 
 fn hub(tune: impl FnOnce(&mut Limits)) -> (Hub, mpsc::Receiver<Event>) {
     let text = include_bytes!("../../../../deploy/example/relay.json");
-    let node = node::parse(text, &Overrides::default()).expect("the example is sound");
+    let node = node::parse(text, &Overrides::default()).expect("parse the example configuration");
     let mut limits = node.limits;
     tune(&mut limits);
     Hub::new(limits, node.site.report, slog::Logger::root(slog::Discard, slog::o!()))
 }
 
-async fn bound() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").await.expect("a port")
+async fn bind_local() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.expect("bind a free port")
 }
 
-async fn soon<T>(what: &str, it: impl Future<Output = T>) -> T {
-    timeout(SOON, it).await.unwrap_or_else(|_| panic!("waited in vain: {what}"))
+/// Waits for a future that must complete; `what` names what is awaited.
+async fn await_soon<T>(what: &str, future: impl Future<Output = T>) -> T {
+    timeout(EVENT_TIMEOUT, future).await.unwrap_or_else(|_| panic!("no {what} within {EVENT_TIMEOUT:?}"))
 }
 
-/// One end of a connection that the test holds.
+/// The test's end of a connection.
 struct Peer {
     stream: BufReader<TcpStream>,
-    /// The program's end of it, to see what lies there.
-    eye: Option<Socket>,
+    /// A handle to the program's end, to inspect its unread input.
+    program_end: Option<Socket>,
 }
 
 impl Peer {
-    fn new(stream: TcpStream, eye: Option<Socket>) -> Peer {
-        stream.set_nodelay(true).expect("an option");
-        Peer { stream: BufReader::new(stream), eye }
+    fn new(stream: TcpStream, program_end: Option<Socket>) -> Peer {
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
+        Peer { stream: BufReader::new(stream), program_end }
     }
 
-    async fn says(&mut self, text: &str) {
-        self.stream.get_mut().write_all(text.as_bytes()).await.expect("it goes");
+    async fn send(&mut self, text: &str) {
+        self.stream.get_mut().write_all(text.as_bytes()).await.expect("write to the connection");
     }
 
-    /// The next line with its end; an empty one is the end of the connection.
-    async fn hears(&mut self) -> String {
+    /// Returns the next line with its line ending; an empty line is the end of the connection.
+    async fn read_line(&mut self) -> String {
         let mut line = String::new();
-        match soon("a line", self.stream.read_line(&mut line)).await {
+        match await_soon("line", self.stream.read_line(&mut line)).await {
             Err(e) if e.kind() == ErrorKind::ConnectionReset => "reset".to_string(),
-            heard => {
-                heard.expect("a line or an end");
+            result => {
+                result.expect("read a line or the end of the connection");
                 line
             }
         }
     }
 
-    fn shuts(&self) {
-        SockRef::from(self.stream.get_ref()).shutdown(Shutdown::Write).expect("it shuts");
+    fn shutdown_write(&self) {
+        SockRef::from(self.stream.get_ref()).shutdown(Shutdown::Write).expect("shut down the sending side");
     }
 
-    fn resets(self) {
-        SockRef::from(self.stream.get_ref()).set_linger(Some(Duration::ZERO)).expect("an option");
+    fn reset(self) {
+        SockRef::from(self.stream.get_ref()).set_linger(Some(Duration::ZERO)).expect("set SO_LINGER");
     }
 
-    /// Waits till what was done to this end lies at the program's; nothing of the program runs meanwhile.
-    fn lies(&self, what: Lies) {
-        let eye = self.eye.as_ref().expect("the program's end is known");
+    /// Blocks until the effect of this end has arrived at the program's end; no task runs meanwhile.
+    fn wait_for_unread(&self, expected: Unread) {
+        let program_end = self.program_end.as_ref().expect("a handle to the program's end");
         let started = Instant::now();
         loop {
             let mut byte = [std::mem::MaybeUninit::uninit()];
-            let there = match eye.peek(&mut byte) {
-                Ok(0) => Some(Lies::End),
-                Ok(_) => Some(Lies::Bytes),
+            let unread = match program_end.peek(&mut byte) {
+                Ok(0) => Some(Unread::End),
+                Ok(_) => Some(Unread::Bytes),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => None,
-                Err(_) => Some(Lies::Reset),
+                Err(_) => Some(Unread::Reset),
             };
-            if there == Some(what) {
+            if unread == Some(expected) {
                 return;
             }
-            assert!(started.elapsed() < SOON, "waited in vain: {what:?} lies there");
+            assert!(started.elapsed() < EVENT_TIMEOUT, "{expected:?} not received within {EVENT_TIMEOUT:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 }
 
+/// The kind of unread input at the program's end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Lies {
+enum Unread {
     Bytes,
     End,
     Reset,
 }
 
-impl Play {
-    /// A client whose connection is taken, as `accept` does; its task runs as the test waits for something.
+impl Harness {
+    /// Connects a client and accepts it as `accept` does; its task runs when the test next waits.
     async fn client(&self) -> Peer {
         self.client_with("").await
     }
 
-    /// The same, with bytes that lie there as it is taken.
+    /// Connects a client whose first bytes have arrived before its connection is accepted.
     async fn client_with(&self, text: &str) -> Peer {
-        let mut peer = self.queued(text).await;
-        self.taken(&mut peer);
+        let mut peer = self.connect_unserved(text).await;
+        self.serve(&mut peer);
         peer.1
     }
 
-    async fn queued(&self, text: &str) -> (Option<TcpStream>, Peer) {
-        let listener = bound().await;
-        let stream =
-            TcpStream::connect(listener.local_addr().expect("its address")).await.expect("it listens");
-        let (taken, _) = listener.accept().await.expect("it came");
-        let eye = SockRef::from(&taken).try_clone().expect("a handle");
-        let mut peer = Peer::new(stream, Some(eye));
+    /// Connects a client, sends a text and waits until it has arrived; no task serves the client yet.
+    async fn connect_unserved(&self, text: &str) -> (Option<TcpStream>, Peer) {
+        let listener = bind_local().await;
+        let addr = listener.local_addr().expect("read the local address");
+        let stream = TcpStream::connect(addr).await.expect("connect a client");
+        let (accepted, _) = listener.accept().await.expect("accept the client");
+        let program_end = SockRef::from(&accepted).try_clone().expect("duplicate the socket");
+        let mut peer = Peer::new(stream, Some(program_end));
         if !text.is_empty() {
-            peer.says(text).await;
-            peer.lies(Lies::Bytes);
+            peer.send(text).await;
+            peer.wait_for_unread(Unread::Bytes);
         }
-        (Some(taken), peer)
+        (Some(accepted), peer)
     }
 
-    fn taken(&self, queued: &mut (Option<TcpStream>, Peer)) {
-        let (stream, hub) = (queued.0.take().expect("it was not taken"), self.hub.clone());
+    /// Starts the task that serves a client.
+    fn serve(&self, unserved: &mut (Option<TcpStream>, Peer)) {
+        let (stream, hub) = (unserved.0.take().expect("the client is not served yet"), self.hub.clone());
         tokio::task::spawn_local(async move {
             let (connection_id, commands) = hub.register();
             first_line::run(connection_id, stream, commands, &hub).await;
@@ -163,10 +168,10 @@
         });
     }
 
-    /// The next event that matters here.
-    async fn event(&mut self) -> Event {
+    /// Returns the next event that is relevant to these tests.
+    async fn next_event(&mut self) -> Event {
         loop {
-            let event = soon("an event", self.events.recv()).await.expect("tasks can tell");
+            let event = await_soon("event", self.events.recv()).await.expect("the event channel is open");
             if !matches!(
                 event,
                 Event::ClientConnected { .. } | Event::FirstLineStarted { .. } | Event::FirstLineForwarded
@@ -176,75 +181,80 @@
         }
     }
 
-    /// A session's line is told: its connection's number.
-    async fn opened(&mut self) -> SessionId {
-        match self.event().await {
+    /// Waits for the first line of a session and returns the session's id.
+    async fn next_session(&mut self) -> SessionId {
+        match self.next_event().await {
             Event::SessionRequested { session_id, .. } => session_id,
-            other => panic!("{other:?} in place of a session"),
+            other => panic!("{other:?}, expected SessionRequested"),
         }
     }
 
-    /// No event that matters, though all tasks had their turns.
-    async fn quiet(&mut self) {
-        self.turns().await;
+    /// Asserts that no relevant event arrives after all tasks have run.
+    async fn assert_no_events(&mut self) {
+        self.run_tasks().await;
         while let Ok(event) = self.events.try_recv() {
-            let odd = !matches!(
+            let is_relevant = !matches!(
                 event,
                 Event::ClientConnected { .. } | Event::FirstLineStarted { .. } | Event::FirstLineForwarded
             );
-            assert!(!odd, "{event:?}");
+            assert!(!is_relevant, "unexpected event {event:?}");
         }
     }
 
-    /// Lets every task go on as far as it can.
-    async fn turns(&self) {
-        // The runtime looks at its sockets between turns of its tasks.
+    /// Runs every task until it waits.
+    async fn run_tasks(&self) {
+        // The runtime polls its sockets only between runs of its tasks, so one yield is not enough.
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
     }
 
-    fn says(&self, connection_id: SessionId, command: Command) {
-        assert!(self.hub.connections.borrow().contains_key(&connection_id), "{command:?} goes to nobody");
+    fn command(&self, connection_id: SessionId, command: Command) {
+        let is_registered = self.hub.connections.borrow().contains_key(&connection_id);
+        assert!(is_registered, "{command:?} for unknown connection {connection_id}");
         self.hub.command(connection_id, command);
     }
 
-    fn answers(&self, connection_id: SessionId, line: &str) {
-        self.says(connection_id, Command::FinalAnswer(line.as_bytes().to_vec()));
+    fn send_final_answer(&self, connection_id: SessionId, line: &str) {
+        self.command(connection_id, Command::FinalAnswer(line.as_bytes().to_vec()));
     }
 
-    fn dials(&self, connection_id: SessionId, dial: u32, at: &TcpListener, within: Micros) {
-        let addr = at.local_addr().expect("its address");
-        let terms = DialConditions { server: Some(SERVER), start_by: self.hub.clock.now() + within };
-        self.says(connection_id, Command::Dial { dial, addr, timeout: 1_500_000, conditions: terms });
+    /// Commands a dial that must start within a time in microseconds.
+    fn dial(&self, connection_id: SessionId, dial: u32, backend: &TcpListener, start_within: Micros) {
+        let addr = backend.local_addr().expect("read the local address");
+        let start_by = self.hub.clock.now() + start_within;
+        let conditions = DialConditions { server: Some(SERVER), start_by };
+        self.command(connection_id, Command::Dial { dial, addr, timeout: 1_500_000, conditions });
     }
-}
 
-impl Play {
-    /// A session whose first dial's line has come: its number, its client and its backend.
-    async fn dialled(&mut self) -> (SessionId, Peer, Peer) {
-        let (backend, client) = (bound().await, self.client_with(LINE).await);
-        let connection_id = self.opened().await;
-        self.dials(connection_id, 0, &backend, LONG);
-        let mut server = taken(&backend).await;
-        assert!(server.hears().await.starts_with("OPEN "));
+    /// Starts a session whose first line has arrived at the backend: its id, client and backend.
+    async fn dialed_session(&mut self) -> (SessionId, Peer, Peer) {
+        let (backend, client) = (bind_local().await, self.client_with(LINE).await);
+        let connection_id = self.next_session().await;
+        self.dial(connection_id, 0, &backend, LONG);
+        let mut server = accept_dial(&backend).await;
+        assert!(server.read_line().await.starts_with("OPEN "));
         (connection_id, client, server)
     }
 }
 
-/// A backend that takes the next connection.
-async fn taken(listener: &TcpListener) -> Peer {
-    Peer::new(soon("a dial", listener.accept()).await.expect("it came").0, None)
+/// Accepts the next connection to a backend.
+async fn accept_dial(listener: &TcpListener) -> Peer {
+    Peer::new(await_soon("dial", listener.accept()).await.expect("accept a dial").0, None)
 }
 
-/// Nobody has come by now, nor said anything who came.
-async fn untouched(listener: &TcpListener) {
+/// Asserts that no connection to a backend has sent any bytes.
+async fn assert_nothing_sent(listener: &TcpListener) {
     while let Ok(Ok((stream, _))) = timeout(Duration::from_millis(50), listener.accept()).await {
-        let mut heard = [0; 64];
-        let got = timeout(Duration::from_millis(50), async {
-            stream.readable().await.expect("a state");
-            stream.try_read(&mut heard)
+        let mut bytes = [0; 64];
+        let read = timeout(Duration::from_millis(50), async {
+            stream.readable().await.expect("wait until the connection is readable");
+            stream.try_read(&mut bytes)
         });
-        assert!(!matches!(got.await, Ok(Ok(1..))), "sent on: {}", String::from_utf8_lossy(&heard));
+        assert!(
+            !matches!(read.await, Ok(Ok(1..))),
+            "bytes sent to the backend: {}",
+            String::from_utf8_lossy(&bytes)
+        );
     }
 }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -64,7 +64,7 @@
     HandOver(ProcessId, Box<SessionState>),
     /// Closes without an answer.
     Close,
-    /// Says whether the backend fails its health checks; if so, an unanswered message counts as lost sooner.
+    /// Sets whether the backend fails its health checks; if so, an unanswered message counts as lost sooner.
     SetSuspect(bool),
     /// Closes the connection, unless it has become a session.
     Shed,
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -18,8 +18,8 @@
 use tokio::time::{sleep_until, timeout};
 
 /// Connections that the system queues until they are accepted. When the accept queue is full, the system
-/// drops a connection's first packet and the caller retries only after a second. The queue must hold a crowd
-/// of clients that reconnect together, so that an operator's call behind them is answered within a second.
+/// drops a connection's first packet and the caller retries only after a second. The queue must hold many
+/// clients that reconnect together, so that an operator's call behind them is answered within a second.
 const BACKLOG: u32 = 1024;
 
 /// Serves until a stop is requested and all sessions have ended.
