--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -103,8 +103,8 @@
     async fn dial(&mut self, request: DialRequest<'_>) -> DialWait {
         tokio::select! {
             biased;
-            // The client first, as in `run`. Then a command: by then the reducer has ended the session, so
-            // the command holds even if the backend's answer has arrived.
+            // The client comes first, as in `run`. Then a command: by then the reducer has ended the session,
+            // so the command holds even if the backend's answer has arrived.
             state = client_stops_waiting(&self.client, &mut self.buffer) => DialWait::Client(state),
             command = next_command(&self.client, &mut self.commands, self.hub) => DialWait::Command(command),
             outcome = dial::run(request, &self.client, self.hub) => DialWait::Ended(outcome),
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -40,7 +40,7 @@
 pub enum DialOutcome {
     /// The backend accepted the session.
     Accepted(Backend),
-    /// The backend answered with its last line, so the session is complete; its load report, if it sent one.
+    /// The backend served the complete session and answered with this line; its load report, if it sent one.
     Completed { line: Vec<u8>, report: Option<LoadReport> },
     /// The dial failed: how, and the backend's load report, if it sent one.
     Failed(DialEnd, Option<LoadReport>),
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -150,8 +150,8 @@
                     Step::Close
                 }
             }
-            // `SetSuspect` concerns only open sessions. The other commands concern sessions, which this
-            // connection is not yet.
+            // `SetSuspect` is meant only for open sessions. The remaining commands answer events that this
+            // task has not reported, so the connection is closed.
             Input::Command(Some(Command::SetSuspect(_))) => Step::Continue,
             Input::Command(_) => Step::Close,
         }
--- a/relay/src/net/interleaving_tests/endpoint_watch.rs
+++ b/relay/src/net/interleaving_tests/endpoint_watch.rs
@@ -63,7 +63,7 @@
             let (mut events, mut call) = watch(&service).await;
             let text = format!("{INDENTED}\n{}", line(5));
             for piece in text.as_bytes().chunks(size) {
-                call.send(&chunk(std::str::from_utf8(piece).expect("ASCII"))).await;
+                call.send(&chunk(std::str::from_utf8(piece).expect("the text is ASCII"))).await;
             }
             let list = next_list(&mut events).await;
             assert_eq!((list.generation, list.instances.len()), (4, 1));
@@ -93,7 +93,7 @@
     });
 }
 
-/// Data on the first call after the second is opened: the first is kept and the second dropped.
+/// The first call returns data after the second is opened: the first is kept, and the second is dropped.
 #[test]
 fn late_data_keeps_first_call_and_drops_second() {
     run_test(|_| async {
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Does the same for a read from the backend. Invalid lines end the session and are not forwarded.
+    /// Processes the result of a read from the backend, like `client_read`. Invalid lines end the session and
+    /// are not forwarded.
     async fn backend_read(
         &mut self,
         count: io::Result<usize>,
@@ -143,8 +144,8 @@
         Some(SessionEnd::Backend(BackendEnd::RESET))
     }
 
-    /// Handles the passed deadline of a stalled client or of the backend's answer. Returns how the session
-    /// ends, if it ends.
+    /// Called when the deadline of a stalled client or of the backend's answer has passed. Returns how the
+    /// session ends, if it ends.
     fn time_expired(&mut self, client_is_stalled: bool) -> Option<SessionEnd> {
         if client_is_stalled {
             return Some(SessionEnd::ClientBroken);
