--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, for `hallrelay` itself and for programs that start a relay of their own.
+//! The command line, for `hallrelay` itself and for other programs that run a relay.
 use crate::drain_command::{self, DrainCommand};
 use crate::fleet_table;
 use crate::net::{serve, signals};
@@ -21,7 +21,7 @@
 #[derive(Parser)]
 #[command(name = "hallrelay", version)]
 pub struct Cli {
-    /// What to do.
+    /// The subcommand.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -29,42 +29,42 @@
 /// The subcommands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run one relay, until it is told to stop and is empty.
+    /// Run one relay until it is stopped and its sessions have ended or moved.
     Serve {
         /// The configuration.
         #[command(flatten)]
         run_args: RunArgs,
-        /// Log more: what is rejected or comes too late; given twice, every event and effect.
+        /// Log more. Once: also what is rejected or too late; twice: every event and effect.
         #[arg(long, short, action = clap::ArgAction::Count)]
         verbose: u8,
     },
-    /// Read and check a relay's configuration, say what it holds, and do nothing else.
+    /// Check a relay's configuration and print a summary of it.
     Check {
         /// The configuration.
         #[command(flatten)]
         run_args: RunArgs,
     },
-    /// Ask a relay about the fleet that it belongs to.
+    /// Query a relay about its fleet.
     Fleet {
-        /// What to ask.
+        /// The subcommand.
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// What may be out, as it is agreed across the fleet: let out, bring back, see.
+    /// Drain relays and backends within the fleet's disruption budgets, return them, or show the grants.
     Drain {
-        /// What to do.
+        /// The subcommand.
         #[command(subcommand)]
         command: DrainCommand,
     },
-    /// A release in waves over what is agreed: begin, halt, go on, go back.
+    /// Roll out a release in waves within the disruption budgets: start, halt, resume, roll back.
     Release {
-        /// What to do.
+        /// The subcommand.
         #[command(subcommand)]
         command: ReleaseCommand,
     },
-    /// Look at the store that a relay keeps in its state folder.
+    /// Inspect, verify, compact or export the store in a relay's state directory.
     Store {
-        /// What to do.
+        /// The subcommand.
         #[command(subcommand)]
         command: StoreCommand,
     },
@@ -75,33 +75,34 @@
 /// The subcommands of `fleet`.
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// Each relay as the asked one knows it. Exit 0: whole; 1: parts are missing; 2: no answer.
+    /// Show each relay of the fleet as the called one sees it. Exit status 0: all are reachable; 1: some are
+    /// missing; 2: no answer.
     Status {
-        /// The asked relay's second address (`operator` of its configuration).
+        /// Operator address of the relay to call (`operator` in its configuration).
         #[arg(long, env = "NODE_OPERATOR")]
         at: SocketAddr,
-        /// The whole answer as JSON.
+        /// Print the complete answer as JSON.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Where the configuration is, and what overrides its keys.
+/// The configuration file, and options that override its keys.
 #[derive(clap::Args)]
 pub struct RunArgs {
-    /// The relay's configuration, JSON.
+    /// The relay's configuration file, JSON.
     #[arg(long, env = "NODE_CONFIG")]
     config: PathBuf,
-    /// The relay's name, in place of the configuration's.
+    /// The relay's name. Overrides the configuration file.
     #[arg(long, env = "NODE_NAME")]
     name: Option<String>,
-    /// Where clients connect, in place of the configuration's.
+    /// Address for clients. Overrides the configuration file.
     #[arg(long, env = "NODE_LISTEN")]
     listen: Option<String>,
-    /// Where discovery listens, in place of the configuration's.
+    /// Address of the discovery service. Overrides the configuration file.
     #[arg(long, env = "NODE_DISCOVERY")]
     discovery: Option<String>,
-    /// Where operators' calls come, in place of the configuration's.
+    /// Address for operators' calls. Overrides the configuration file.
     #[arg(long, env = "NODE_OPERATOR")]
     operator: Option<String>,
 }
@@ -110,29 +111,29 @@
 #[derive(Debug, Error)]
 pub enum CliError {
     /// The configuration can't be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read the configuration {}: {source}", path.display())]
     Unreadable {
-        /// The configuration's file.
+        /// The configuration file.
         path: PathBuf,
-        /// What the system answered.
+        /// The system's error.
         source: io::Error,
     },
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error("{}: {source}", path.display())]
     Configuration {
-        /// The configuration's file.
+        /// The configuration file.
         path: PathBuf,
         /// The key at fault, and what it may hold.
         source: ConfigError,
     },
-    /// The async runtime does not start.
-    #[error("the runtime does not start: {0}")]
+    /// The async runtime could not be started.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The relay could not start or go on.
+    /// The relay could not start, or failed while it served.
     #[error("cannot serve: {0}")]
     Serve(#[source] io::Error),
-    /// An answer can't be written as JSON.
-    #[error("{0}")]
+    /// The answer can't be encoded as JSON.
+    #[error("cannot encode the answer as JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
 
@@ -154,18 +155,18 @@
     }
 }
 
-/// A runtime for one thread, as every command uses it.
+/// The single-threaded runtime that every command uses.
 ///
 /// # Errors
-/// What the system refuses to it.
+/// The system refuses the resources that the runtime needs.
 pub(crate) fn runtime() -> Result<Runtime, CliError> {
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::Runtime)
 }
 
-/// Runs a command to its end; the exit status where it could be carried out.
+/// Runs a command to its end and returns its exit status.
 ///
 /// # Errors
-/// Why it was not carried out.
+/// The command could not be carried out.
 pub fn run(command: Command) -> Result<u8, CliError> {
     // The process may have blocked signals at its start, and only a relay that serves handles them.
     if !matches!(command, Command::Serve { .. }) {
@@ -196,8 +197,8 @@
     Ok(0)
 }
 
-/// The log, on standard error. `verbose` counts the flags `-v`; a thread of its own writes at most
-/// `max_lines` behind, and lines beyond are dropped and counted.
+/// The log, on standard error. `verbose` is the number of `-v` flags. A separate thread writes the log: at
+/// most `max_lines` lines are queued for it, and further lines are dropped and counted.
 fn logger(verbose: u8, max_lines: usize) -> slog::Logger {
     let level = match verbose {
         0 => slog::Level::Info,
@@ -217,14 +218,14 @@
     let node = run_args.read(&run_args.overrides())?;
     println!("{} on {}, discovery at {}", node.name, node.listen, node.discovery);
     match node.operator {
-        Some(addr) => println!("operators call at {addr}"),
-        None => println!("operators have nowhere to call: operator is not given"),
+        Some(addr) => println!("operator address {addr}"),
+        None => println!("no operator address: `operator` is not configured"),
     }
     if let Some(fleet) = &node.fleet {
         print_fleet(fleet);
     }
     if let Some(state) = &node.state {
-        println!("what it keeps is in {}", state.display());
+        println!("state directory {}", state.display());
     }
     println!("listeners {:?}, zones {:?}", node.site.listeners, node.site.zones);
     println!("{} backends known, list version {}", node.known.instances.len(), node.known.generation);
@@ -250,9 +251,9 @@
 
 fn print_fleet(fleet: &FleetConfig) {
     let FleetConfig { name, listen, advertise, peers, coordination } = fleet;
-    println!("fleet {name} on {listen}, reached at {advertise}, {} addresses of others", peers.len());
+    println!("fleet {name}: listens on {listen}, advertises {advertise}, {} peer addresses", peers.len());
     if let Some(config) = coordination {
         let voters = config.voters.join(", ");
-        println!("what may be out is agreed by {voters}, {} budgets", config.budgets.len());
+        println!("{} disruption budgets, coordinated by the voters {voters}", config.budgets.len());
     }
 }
--- a/relay/src/drain_command.rs
+++ b/relay/src/drain_command.rs
@@ -1,5 +1,5 @@
-//! `hallrelay drain`: has a relay take a target out of service within the disruption budgets, and
-//! prints the answer.
+//! `hallrelay drain`: requests a relay to take a target out of service within the disruption budgets, and
+//! prints its answer.
 use crate::cli::{self, CliError};
 use crate::operator_client::{get, post, Answer, CallError};
 use serde_json::json;
@@ -7,45 +7,49 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The HTTP status of a request that is not granted.
+/// The HTTP status of a request that was not granted.
 const CONFLICT: u16 = 409;
-/// Pause between attempts; each call waits for a grant itself.
+/// Pause between requests. It may be short, since the relay itself holds each request open for a while.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-// The comments of subcommands and arguments here are the help texts.
+// The doc comments of subcommands and arguments are their help texts.
 
 #[derive(clap::Subcommand)]
 pub enum DrainCommand {
-    /// The relay that is asked: exit 0 as it drains, 1 where it is not let out in time, 2 without an answer.
+    /// Drain the called relay. Exit status 0: it is draining; 1: not granted in time; 2: no answer.
     Relay {
         #[command(flatten)]
         request: DrainArgs,
     },
-    /// A backend, for the whole fleet: no relay places anything new there, and its sessions are moved.
+    /// Drain a backend: no relay of the fleet places new sessions there, and its open ones are migrated.
     Backend {
         id: String,
         #[command(flatten)]
         request: DrainArgs,
     },
-    /// A backend is to serve again; it counts as out till it is warm.
+    /// Return a backend to service. It counts as out of service until it has warmed up.
     #[command(name = "back")]
     Return {
         id: String,
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// Something is not out any more, though nobody has seen it in: you vouch for it by name.
+    /// Reclaim the grant of a target that is back in service, but that the leader has not observed to be.
+    /// You vouch for that with your name.
     #[command(name = "free")]
     Reclaim {
-        /// `relay NAME` or `backend ID`.
+        /// The kind of the target.
         kind: KindArg,
+        /// The relay's name or the backend's id.
         name: String,
+        /// Your name.
         #[arg(long = "by", value_name = "BY")]
         requested_by: String,
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// Who is out, who waits and why, as JSON. A voter knows it at once.
+    /// Show which targets are out of service or waiting, and why, as JSON. Call a voter: only voters hold
+    /// this state.
     Status {
         #[command(flatten)]
         at: OperatorAddr,
@@ -60,7 +64,7 @@
 
 #[derive(clap::Args)]
 pub struct OperatorAddr {
-    /// The asked relay's second address (`operator` of its configuration).
+    /// Operator address of the relay to call (`operator` in its configuration).
     #[arg(long = "at", value_name = "AT", env = "NODE_OPERATOR")]
     pub addr: SocketAddr,
 }
@@ -69,9 +73,10 @@
 pub struct RequestArgs {
     #[command(flatten)]
     pub at: OperatorAddr,
-    /// Who asks; status tells it.
+    /// Who makes the request. The status shows it.
     #[arg(long = "by", value_name = "BY", env = "USER", default_value = "an operator")]
     pub requested_by: String,
+    /// Why the request is made. The status shows it.
     #[arg(long = "why", value_name = "WHY", default_value = "")]
     pub reason: String,
 }
@@ -80,10 +85,10 @@
 pub struct DrainArgs {
     #[command(flatten)]
     request: RequestArgs,
-    /// Past the budgets; said in status and in the log.
+    /// Ignore the disruption budgets. The status and the log show that the drain was forced.
     #[arg(long)]
     force: bool,
-    /// Seconds that it may wait for its turn.
+    /// How long to wait for the grant, in seconds.
     #[arg(long = "wait", value_name = "WAIT", default_value_t = 0)]
     wait_s: u64,
 }
@@ -100,7 +105,7 @@
 }
 
 impl KindArg {
-    /// The key of a target's name in a call's body.
+    /// The JSON key of the target's name in the body of a call.
     pub fn key(self) -> &'static str {
         match self {
             KindArg::Relay => "relay",
@@ -109,12 +114,13 @@
     }
 }
 
-/// Runs the command; its exit status.
+/// Runs the command and returns its exit status.
 pub fn run(command: DrainCommand) -> Result<u8, CliError> {
     print_answer(call(command))
 }
 
-/// Prints a relay's answer: exit 0 for HTTP status 200, 1 for another, 2 without an answer.
+/// Prints a relay's answer and returns the exit status: 0 for HTTP status 200, 1 for any other, 2 without an
+/// answer.
 pub fn print_answer<E: std::fmt::Display>(
     call: impl Future<Output = Result<Answer, E>>,
 ) -> Result<u8, CliError> {
@@ -152,7 +158,7 @@
     }
 }
 
-/// Requests a drain until it is granted or the time is up.
+/// Repeats the request until the drain is granted or `wait_s` seconds have passed.
 async fn request_drain(args: &DrainArgs, path: &'static str, body: String) -> Result<Answer, CallError> {
     let deadline = Instant::now() + Duration::from_secs(args.wait_s);
     loop {
--- a/relay/src/fleet_table.rs
+++ b/relay/src/fleet_table.rs
@@ -1,8 +1,8 @@
-//! The text that `hallrelay fleet status` prints: some lines on the whole view, then a table of the members.
+//! The text that `hallrelay fleet status` prints: a summary of the relay's view, then a table of the members.
 use hallrelay_membership::status::{MemberStatus, Status};
 use std::fmt::Write;
 
-/// The table's columns.
+/// The table's columns, named like the keys of the JSON answer.
 const HEADER: [&str; COLUMNS] =
     ["relay", "state", "since", "heard", "duty", "sessions", "version", "settings", "address"];
 const COLUMNS: usize = 9;
@@ -27,17 +27,17 @@
 /// The lines before the table.
 fn summary(status: &Status) -> String {
     let mut text = format!(
-        "fleet {}, as {} believes: {}; it hears {} of {} configured (itself among them)\n",
+        "fleet {}, as seen by {}: {}; {} of {} configured relays are reachable, itself included\n",
         status.fleet, status.name, status.view, status.reachable_relays, status.configured_relays
     );
     if !status.recovery_stage.is_empty() && status.recovery_stage != "open" {
-        _ = writeln!(text, "its service is on its way back: {}", status.recovery_stage);
+        _ = writeln!(text, "recovery after the start is in progress: {}", status.recovery_stage);
     }
     if let Some(conflict) = &status.name_conflict {
-        let holder = if conflict.holds_name { "that one" } else { "this one" };
+        let holder = if conflict.holds_name { "that relay" } else { "this relay" };
         _ = writeln!(
             text,
-            "another relay at {} has this one's name; {holder} holds the name, as the later start",
+            "another relay at {} has the same name; {holder} holds the name, because it started later",
             conflict.addr
         );
     }
@@ -48,7 +48,10 @@
     }
     if status.local_health > 0 {
         let health = status.local_health;
-        _ = writeln!(text, "it doubts itself {health} of 8: it was late, or is told that it was");
+        _ = writeln!(
+            text,
+            "local health score {health} (0 healthy, 8 worst): this relay was late, or others report that it was"
+        );
     }
     text
 }
@@ -56,7 +59,7 @@
 fn row(member: &MemberStatus, is_local: bool) -> Row {
     let state = match member.suspected_by.as_slice() {
         [] => member.state.clone(),
-        reporters => format!("{}, says {}", member.state, reporters.join(" and ")),
+        reporters => format!("{}, reported by {}", member.state, reporters.join(" and ")),
     };
     let since = if is_local { "-".to_string() } else { duration(member.since_ms) };
     [
--- a/relay/src/operator_client.rs
+++ b/relay/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! A client of a relay's operator address: one HTTP/1.1 call a connection, bounded in time and size.
+//! A client for a relay's operator address: one HTTP/1.1 call per connection, limited in time and size.
 use hallrelay_membership::status::Status;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -9,23 +9,23 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long a call may take, answer included.
+/// Timeout of a call, including its answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of an answer: enough for a thousand members.
+/// Largest answer: enough for a thousand members.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Why a call has no answer, or none that can be used.
+/// Why a call has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection, or one that broke.
-    #[error("{addr}: {reason}")]
+    /// The connection failed or broke.
+    #[error("call to {addr} failed: {reason}")]
     Failed {
         /// The called relay.
         addr: SocketAddr,
-        /// What went wrong.
+        /// The error.
         reason: String,
     },
-    /// No answer in time.
+    /// The answer did not arrive in time.
     #[error("{addr}: no answer within {} s", CALL_TIMEOUT.as_secs())]
     Timeout {
         /// The called relay.
@@ -39,17 +39,17 @@
         /// Its answer.
         text: String,
     },
-    /// The answer is not of the form expected.
-    #[error("{addr}: an answer that is no status: {source}")]
+    /// The answer is not a fleet status.
+    #[error("{addr}: the answer is not a fleet status: {source}")]
     Malformed {
         /// The called relay.
         addr: SocketAddr,
-        /// What is wrong with it.
+        /// The error of the JSON decoder.
         source: serde_json::Error,
     },
 }
 
-/// What a relay answered.
+/// A relay's answer.
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
@@ -59,7 +59,7 @@
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The answer to a call; one with a body is a `POST`.
+/// Makes a call: a `POST` if there is a body, else a `GET`.
 async fn call(
     addr: SocketAddr,
     path: &'static str,
@@ -91,18 +91,18 @@
     };
     tokio::select! {
         biased;
-        // A complete answer counts, however the connection ends.
+        // A complete answer is used even if the connection then fails.
         answer = answered => answer,
         Err(e) = connection => Err(e.into()),
     }
 }
 
-/// A relay's answer to a `GET`.
+/// Makes a `GET` call.
 pub async fn get(addr: SocketAddr, path: &'static str) -> Result<Answer, CallError> {
     call(addr, path, None).await.map(text_answer)
 }
 
-/// A relay's answer to a `POST`.
+/// Makes a `POST` call.
 pub async fn post(addr: SocketAddr, path: &'static str, body: String) -> Result<Answer, CallError> {
     call(addr, path, Some(body)).await.map(text_answer)
 }
@@ -112,7 +112,7 @@
     Answer { status, text: String::from_utf8_lossy(answer.body()).into_owned() }
 }
 
-/// A relay's view of its fleet.
+/// Fetches a relay's view of its fleet.
 pub async fn fleet_status(addr: SocketAddr) -> Result<Status, CallError> {
     let answer = call(addr, "/v1/fleet", None).await?;
     if answer.status() != StatusCode::OK {
@@ -122,7 +122,7 @@
     serde_json::from_slice(answer.body()).map_err(|source| CallError::Malformed { addr, source })
 }
 
-/// Whether a relay answers that it takes sessions.
+/// Whether a relay answers that it is ready for sessions.
 pub async fn is_ready(addr: SocketAddr) -> bool {
     call(addr, "/v1/readyz", None).await.is_ok_and(|answer| answer.status() == StatusCode::OK)
 }
--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -1,6 +1,6 @@
-//! The JSON answers of `GET /v1/grants` and `GET /v1/release`: leases, budgets and the voter's part in
-//! them, and the rollout with what is due to whoever deploys. JSON keys that are older terms are renamed
-//! here.
+//! The JSON answers of `GET /v1/grants` and `GET /v1/release`. The first has the leases, the budgets and this
+//! relay's role as a voter; the second has the rollout and the targets that are due for an update. The JSON
+//! keys use older terms, so that operators' tools can read them: fields carry them as `rename`.
 use super::coordination::Coordination;
 use super::leader_review::EXCLUSION_DELAY;
 use super::Reducer;
@@ -21,10 +21,10 @@
     applied_index: u64,
     voters: usize,
     budgets: Vec<String>,
-    /// Targets that are out, wait, or are not up.
+    /// Targets that are out of service, waiting for a lease, or not up.
     #[serde(rename = "things")]
     targets: Vec<LeaseRow<'a>>,
-    /// All targets of the log, those in service among them.
+    /// Number of all targets in the replicated state, including those in service.
     #[serde(rename = "known")]
     known_targets: usize,
 }
@@ -44,7 +44,7 @@
     #[serde(rename = "why")]
     reason: &'a str,
     forced: bool,
-    /// Sessions that relays reported there; for backends that are out.
+    /// Sessions that relays reported there; only for backends that are out of service.
     #[serde(rename = "left")]
     remaining_sessions: Option<u32>,
     #[serde(rename = "held_by")]
@@ -61,14 +61,14 @@
     phase: &'static str,
     #[serde(rename = "why")]
     reason: &'a str,
-    /// From 1.
+    /// Number of the wave, from 1.
     wave: usize,
     waves: usize,
-    /// Sessions and failed ones of the wave so far, at the new build and at the old.
+    /// All sessions and failed sessions during the wave so far, at the new build and at the old build.
     new: [u64; 2],
     old: [u64; 2],
     items: Vec<ItemRow>,
-    /// Out, without sessions, and to be changed now.
+    /// Targets that are out of service, have no sessions, and are to be updated now.
     due: Vec<DueRow<'a>>,
 }
 
@@ -76,13 +76,13 @@
 struct ItemRow {
     #[serde(rename = "what")]
     target: String,
-    /// From 1.
+    /// Number of the wave, from 1.
     wave: usize,
     #[serde(rename = "step")]
     item_state: &'static str,
     #[serde(rename = "stage")]
     lease_state: &'static str,
-    /// Why it is not granted yet.
+    /// The budget because of which the lease is not granted yet.
     #[serde(rename = "held_by")]
     blocked_by: Option<String>,
 }
@@ -91,14 +91,14 @@
 struct DueRow<'a> {
     kind: &'static str,
     name: &'a str,
-    /// None is the build that it had before.
+    /// The build to install; `None` for the build that the target had before the rollout.
     build: Option<&'a str>,
     #[serde(rename = "grant")]
     lease_id: u64,
 }
 
 impl Reducer {
-    /// Leases and budgets as JSON; none where nothing is coordinated.
+    /// Leases and budgets as JSON; `None` if no voters are configured.
     pub(super) fn leases_answer(&self) -> Option<String> {
         let coordination = self.coordination.as_ref()?;
         let node = coordination.voter.node();
@@ -119,7 +119,7 @@
         serde_json::to_string(&answer).ok()
     }
 
-    /// The rollout as JSON; none where there is none, or nothing is coordinated.
+    /// The rollout as JSON; `None` if there is none, or no voters are configured.
     pub(super) fn rollout_answer(&self) -> Option<String> {
         let coordination = self.coordination.as_ref()?;
         let rollout = coordination.state.rollout()?;
@@ -142,7 +142,7 @@
     }
 }
 
-/// `backend zone: 2 50 in 100`: the count, and the share in percent.
+/// A budget as text: `backend zone: 2 50 in 100` has a count of 2 and a share of 50 percent.
 fn budget_text(budget: &Budget) -> String {
     let count = budget.max_count.map(|count| format!(" {count}")).unwrap_or_default();
     let percent = |ppm: u32| format!(" {} in 100", f64::from(ppm) / 1e4);
@@ -165,7 +165,7 @@
     }
 }
 
-/// The budget that a waiting request waits for.
+/// The budget without capacity because of which a waiting lease is not granted.
 fn blocking_budget(coordination: &Coordination, target: &Target, lease: &Lease) -> Option<String> {
     let blocked_by =
         (lease.state == LeaseState::Waiting).then(|| coordination.state.blocked_by(target, lease));
@@ -183,7 +183,7 @@
     }
 }
 
-/// A target that is to be changed now: it is out, and a backend has no sessions left.
+/// The row of a target that is to be updated now: it is out of service, and a backend has no sessions left.
 fn due_row<'a>(
     coordination: &Coordination,
     rollout: &'a Rollout,
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -1,51 +1,52 @@
-//! Operators' requests that need a commit: drains, returns, commands of a rollout. A request is proposed to
-//! the leader again and again until it is answered or its time is up; a granted drain begins only once its
-//! beginning is committed. Times in microseconds.
+//! Operators' requests that need a commit: drains, returns, and commands of a rollout. A request is proposed
+//! to the leader repeatedly until it is answered or times out. A granted drain begins only once its beginning
+//! is committed. Times in microseconds.
 use super::lifecycle::{LifecycleEvent, LifecycleStatus};
 use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::control_message::{ControlMessage, ProposalResult};
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Command, CommandError, Outcome, Target};
 
-/// An operator's call takes 2 s in all; a request that is not granted by then is answered as blocked.
+/// A request that is not granted within this time is answered as blocked. An operator's call may take 2 s.
 const REQUEST_TIMEOUT: Micros = 1_500_000;
-/// An answer takes a round trip to the leader and a write on most voters' disks.
+/// Delay between proposals of a request. Until it is answered, a request takes a round trip to the leader and
+/// a write to the disks of most voters.
 const RETRY_INTERVAL: Micros = 200_000;
 
 /// A drain that an operator requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrainRequest {
-    /// The backend to drain for the whole fleet; none is this relay itself.
+    /// The backend to drain for the entire fleet; `None` to drain this relay.
     pub backend: Option<String>,
-    /// The person.
+    /// The operator, by name.
     pub requested_by: String,
-    /// Why.
+    /// The operator's reason.
     pub reason: String,
-    /// Past the budgets.
+    /// Whether to ignore the disruption budgets.
     pub force: bool,
 }
 
 /// What a pending request waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum RequestStep {
-    /// A lease of this target.
+    /// The lease of this target.
     Lease(Target),
-    /// The commit of its beginning.
+    /// The commit of the drain's beginning.
     Begin(Target),
-    /// The commit of a command that is complete by itself.
+    /// The commit of a command that needs no lease.
     Commit,
 }
 
-/// A request that is not answered yet.
+/// A request that has not been answered yet.
 pub(super) struct PendingRequest {
-    /// The number that the leader knows the present step by.
+    /// The id with which the current step is proposed.
     request_id: u64,
-    /// For operators.
+    /// What is requested, in answers to operators.
     description: String,
     step: RequestStep,
     command: Command,
     deadline: Micros,
-    /// Why it is not granted yet, for operators.
+    /// Why the request is not granted yet, in answers to operators.
     blocked_by: String,
 }
 
@@ -57,7 +58,7 @@
         description: String,
         now: Micros,
     ) -> PendingRequest {
-        let blocked_by = "no voter leads, or none is heard".to_string();
+        let blocked_by = "no voter is leader, or no voter is reachable".to_string();
         let deadline = now + REQUEST_TIMEOUT;
         PendingRequest { request_id, description, step, command, deadline, blocked_by }
     }
@@ -87,7 +88,7 @@
         self.add_request(call, request, out);
     }
 
-    /// One command as it stands; its description is the answer.
+    /// Has one command committed. Its description is the answer.
     pub(super) fn request_commit(
         &mut self,
         call: u32,
@@ -107,7 +108,7 @@
         self.retry_request(call, out);
     }
 
-    /// Proposes a request once more, or answers it as its time is up.
+    /// Proposes a request once more, or answers it if it has timed out.
     pub(super) fn retry_request(&mut self, call: u32, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(coordination) = &mut self.coordination else { return };
@@ -135,7 +136,8 @@
         self.send_control(&to, &ControlMessage::Propose { request_id, command }, out);
     }
 
-    /// Nobody waits for it any more: it is withdrawn, and expires where the withdrawal is lost.
+    /// Answers a request that has timed out. A lease that was requested is withdrawn, and expires if the
+    /// withdrawal is lost.
     fn give_up_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
         if let RequestStep::Lease(target) = request.step {
             let withdrawal = Command::Withdraw { target, request_id: request.request_id }.encode();
@@ -143,12 +145,11 @@
             let request_id = coordination.next_request_id();
             self.propose_to_leader(request_id, withdrawal, out);
         }
-        let reply =
-            OperatorReply::Blocked(format!("{}: not agreed: {}", request.description, request.blocked_by));
-        out.push(Effect::Reply { call, reply });
+        let reason = format!("{}: not granted in time: {}", request.description, request.blocked_by);
+        out.push(Effect::Reply { call, reply: OperatorReply::Blocked(reason) });
     }
 
-    /// The answer of the leader, or of a voter that is none.
+    /// Handles the result of a proposal, from the leader or from a voter that is not the leader.
     pub(super) fn request_answered(
         &mut self,
         request_id: u64,
@@ -159,12 +160,12 @@
         let pending = coordination.requests.iter_mut().find(|(_, request)| request.request_id == request_id);
         let Some((&call, request)) = pending else { return };
         match result {
-            ProposalResult::NotLeader(None) => request.blocked_by = "no voter leads".to_string(),
+            ProposalResult::NotLeader(None) => request.blocked_by = "no voter is leader".to_string(),
             ProposalResult::NotLeader(Some(leader)) => {
                 coordination.leader =
                     Some(leader.as_str().into()).filter(|leader| *leader != coordination.own_name);
             }
-            // It is proposed again under the same id, which is the same request.
+            // It is proposed again with the same id, so that it is recognized as the same request.
             ProposalResult::Unknown => {}
             ProposalResult::Applied(outcome) => self.request_applied(call, outcome, out),
         }
@@ -184,13 +185,13 @@
             (Outcome::Waiting { blocked_by, unavailable }, _) => {
                 request.blocked_by = match unavailable.as_slice() {
                     [] => blocked_by,
-                    names => format!("{blocked_by}; out: {}", names.join(", ")),
+                    names => format!("{blocked_by}; unavailable: {}", names.join(", ")),
                 };
                 return;
             }
             (Outcome::Rejected(CommandError::UnknownTarget), RequestStep::Lease(_)) => {
-                // The leader reviews the fleet once a second.
-                request.blocked_by = "no leader has seen it yet".to_string();
+                // The leader reviews the fleet once a second, so it may observe the target before the timeout.
+                request.blocked_by = "the leader has not observed this target yet".to_string();
                 return;
             }
             (Outcome::Done, RequestStep::Begin(target)) => {
@@ -200,12 +201,12 @@
                 return out.push(Effect::Reply { call, reply });
             }
             (Outcome::Done, RequestStep::Commit) => {
-                OperatorReply::Committed(format!("agreed: {}", request.description))
+                OperatorReply::Committed(format!("committed: {}", request.description))
             }
             (Outcome::RequestedByAnother { requested_by, reason }, _) => {
                 let description = &request.description;
                 OperatorReply::Blocked(format!(
-                    "{description} is asked for by {requested_by} already: {reason}"
+                    "{description} has already been requested by {requested_by}: {reason}"
                 ))
             }
             (Outcome::Rejected(error), _) => {
@@ -217,7 +218,7 @@
         out.push(Effect::Reply { call, reply });
     }
 
-    /// Granted: its beginning is proposed under a request id of its own.
+    /// The lease is granted: proposes the drain's beginning, with a new request id.
     fn begin_granted(&mut self, call: u32, target: Target, lease_id: u64, out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
         let request_id = coordination.next_request_id();
@@ -228,14 +229,14 @@
         self.propose_request(call, out);
     }
 
-    /// Its beginning is committed: it is out of service from now on.
+    /// The drain's beginning is committed: the target is out of service from now on.
     fn begin_drain(&mut self, target: &Target, out: &mut Vec<Effect>) -> OperatorReply {
         match target {
             Target::Relay(_) => {
                 self.apply_lifecycle_event(LifecycleEvent::Drain, out);
                 OperatorReply::Accepted(LifecycleStatus::Draining)
             }
-            Target::Backend(id) => OperatorReply::Committed(format!("backend {id} drains")),
+            Target::Backend(id) => OperatorReply::Committed(format!("backend {id} is draining")),
         }
     }
 }
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -1,9 +1,11 @@
-//! Operators' requests: most are answered at once, those that need the replicated log once it has decided.
+//! Operators' requests. Most are answered immediately; those that need the replicated log are answered once
+//! their command is committed.
 use super::lifecycle::{Lifecycle, LifecycleAction, LifecycleEvent, LifecycleStatus};
 use super::{Effect, OperatorReply, OperatorRequest, Reducer};
 
-/// The answer to requests that need the replicated log, where there is none.
-const NO_VOTERS: &str = "fleet.voters is not configured here: backends drain by their list";
+/// The answer to requests that need the replicated log, if the relay has none.
+const NO_VOTERS: &str =
+    "fleet.voters is not configured on this relay: backends can be drained only in the endpoint list";
 
 impl Reducer {
     pub(super) fn operator_call(&mut self, call: u32, request: OperatorRequest, out: &mut Vec<Effect>) {
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -1,5 +1,5 @@
-//! `hallrelay release`: has a relay start, halt, resume or roll back a rollout, and prints
-//! its status.
+//! `hallrelay release`: requests a relay to start, halt, resume or roll back a rollout, or to show its
+//! status, and prints the answer.
 use crate::cli::CliError;
 use crate::drain_command::{print_answer, KindArg, OperatorAddr, RequestArgs};
 use crate::operator_client::{get, post, Answer, CallError};
@@ -7,45 +7,50 @@
 use serde_json::json;
 use std::path::PathBuf;
 
-// The comments of subcommands and arguments here are the help texts.
+// The doc comments of subcommands and arguments are their help texts.
 
 #[derive(clap::Subcommand)]
 pub enum ReleaseCommand {
-    /// Begins a release by its plan, where none is under way.
+    /// Start a release, unless one is in progress.
     Start {
+        /// The file of the release plan.
         plan: PathBuf,
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// How it stands, and what is to be done by whoever deploys, as JSON; on a voter.
+    /// Show the progress of the release, and which targets the deployer is to update now, as JSON. Call a
+    /// voter: only voters hold this state.
     Status {
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// What was due is done, or could not be: `relay NAME` or `backend ID`, under the grant that was due.
+    /// Report that a target that was due has been updated, or could not be.
     #[command(name = "did")]
     MarkDone {
+        /// The kind of the target.
         kind: KindArg,
+        /// The relay's name or the backend's id.
         name: String,
+        /// The number of the grant with which the status listed the target as due.
         #[arg(long = "grant", value_name = "GRANT")]
         lease_id: u64,
-        /// It could not be changed, and why: the release halts.
+        /// Why the target could not be updated. The release halts.
         #[arg(long)]
         failed: Option<String>,
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// Nothing begins from now on; what has begun goes to its end.
+    /// Halt the release: no further target is taken out of service, and updates in progress are completed.
     Halt {
         #[command(flatten)]
         request: RequestArgs,
     },
-    /// On from a halt, the same way.
+    /// Resume a halted release in the direction that it had: forward, or rolling back.
     Resume {
         #[command(flatten)]
         request: RequestArgs,
     },
-    /// All that was changed goes back, the latest first.
+    /// Roll back all updated targets, the most recent one first.
     #[command(name = "back")]
     RollBack {
         #[command(flatten)]
@@ -53,7 +58,7 @@
     },
 }
 
-/// Why a command got no answer.
+/// Why a command has no answer.
 #[derive(Debug, thiserror::Error)]
 enum ReleaseError {
     #[error(transparent)]
@@ -64,7 +69,7 @@
     Call(#[from] CallError),
 }
 
-/// Runs the command; its exit status.
+/// Runs the command and returns its exit status.
 pub fn run(command: ReleaseCommand) -> Result<u8, CliError> {
     print_answer(call(command))
 }
@@ -80,13 +85,14 @@
             let body = json!({kind.key(): name, "grant": lease_id, "failed": failed});
             Ok(post(at.addr, "/v1/release/did", body.to_string()).await?)
         }
-        ReleaseCommand::Halt { request } => steer(&request, "/v1/release/halt").await,
-        ReleaseCommand::Resume { request } => steer(&request, "/v1/release/resume").await,
-        ReleaseCommand::RollBack { request } => steer(&request, "/v1/release/back").await,
+        ReleaseCommand::Halt { request } => control_rollout(&request, "/v1/release/halt").await,
+        ReleaseCommand::Resume { request } => control_rollout(&request, "/v1/release/resume").await,
+        ReleaseCommand::RollBack { request } => control_rollout(&request, "/v1/release/back").await,
     }
 }
 
-async fn steer(request: &RequestArgs, path: &'static str) -> Result<Answer, ReleaseError> {
+/// Halts, resumes or rolls back the rollout, depending on the path.
+async fn control_rollout(request: &RequestArgs, path: &'static str) -> Result<Answer, ReleaseError> {
     let RequestArgs { at, requested_by, reason } = request;
     let body = json!({"by": requested_by, "why": reason}).to_string();
     Ok(post(at.addr, path, body).await?)
--- a/relay/src/store_command.rs
+++ b/relay/src/store_command.rs
@@ -1,4 +1,4 @@
-//! The command `hallrelay store`: inspects a relay's state directory, and compacts its log.
+//! `hallrelay store`: inspects, verifies, compacts or exports the store in a relay's state directory.
 use hallrelay_recovery::RecordKind;
 use hallrelay_store::format::{inspect, Inspection};
 use hallrelay_store::log::LOG_FILE;
@@ -10,34 +10,34 @@
 /// The subcommands of `hallrelay store`.
 #[derive(clap::Subcommand)]
 pub enum StoreCommand {
-    /// What the store holds, by kind. It may be in use meanwhile.
+    /// Summarize the contents of the store by kind. A relay may be using it.
     Inspect {
         /// The relay's state directory.
         folder: PathBuf,
     },
-    /// Exit 0 where all of it is whole, 1 where its end is torn, 2 where it can't be read.
+    /// Check the store. Exit status 0: intact; 1: it ends with an incomplete record; 2: unreadable.
     Verify {
         /// The relay's state directory.
         folder: PathBuf,
     },
-    /// Writes what it holds anew, without what is overtaken; no relay may use it meanwhile.
+    /// Rewrite the log without obsolete records. No relay may be using the store.
     Compact {
         /// The relay's state directory.
         folder: PathBuf,
     },
-    /// Each record as a line of JSON, in the order in which they were written.
+    /// Print each record as one line of JSON, in the order in which they were written.
     Export {
         /// The relay's state directory.
         folder: PathBuf,
     },
 }
 
-/// Bytes of a log file that are read at most.
+/// Largest log file that is read.
 const MAX_LOG_BYTES: u64 = 4 << 30;
 
-/// The exit status where the end of the log is torn.
+/// Exit status if the log ends with an incomplete record.
 const EXIT_TORN: u8 = 1;
-/// The exit status where the store can't be read or written.
+/// Exit status if the store can't be read or written.
 const EXIT_FAILED: u8 = 2;
 
 /// Why a command failed.
@@ -47,15 +47,15 @@
     File { path: PathBuf, source: io::Error },
     #[error("{}: {source}", .path.display())]
     Store { path: PathBuf, source: StoreError },
-    #[error("{}: {bytes} bytes, {MAX_LOG_BYTES} at most", .path.display())]
+    #[error("{}: the log has {bytes} bytes, and at most {MAX_LOG_BYTES} can be read", .path.display())]
     TooLarge { path: PathBuf, bytes: u64 },
-    #[error("{}: no store is there", .0.display())]
+    #[error("{}: this directory has no store ({LOG_FILE})", .0.display())]
     NoStore(PathBuf),
-    #[error("{}: a relay uses it", .0.display())]
+    #[error("{}: the store is in use by a running relay", .0.display())]
     InUse(PathBuf),
 }
 
-/// Runs a command; the exit status. An error is printed and is 2.
+/// Runs a command and returns its exit status: an error is printed, and its status is 2.
 pub fn run(command: &StoreCommand) -> u8 {
     let result = match command {
         StoreCommand::Inspect { folder } => print_summary(folder),
@@ -80,12 +80,12 @@
     inspect(&contents).map_err(|source| CommandError::Store { path, source })
 }
 
-/// The name of a kind of records in the output.
+/// The name of a kind of record in the output.
 fn kind_label(kind: u8) -> String {
     RecordKind::from_number(kind).map_or(format!("kind {kind}"), |kind| kind.label().to_string())
 }
 
-/// How much of one kind a store holds.
+/// The live records of one kind.
 #[derive(Default)]
 struct KindSize {
     records: usize,
@@ -95,7 +95,7 @@
 fn print_summary(folder: &Path) -> Result<u8, CommandError> {
     let Inspection { summary, changes } = read(folder)?;
     println!(
-        "{} records, {} bytes torn, compacted {} times",
+        "{} records, incomplete record of {} bytes at the end, compacted {} times",
         summary.records, summary.torn_bytes, summary.generation
     );
     let values: BTreeMap<Key, Option<Value>> =
@@ -109,7 +109,7 @@
         }
     }
     for (kind, size) in kinds {
-        println!("{}: {} facts, {} bytes", kind_label(kind), size.records, size.bytes);
+        println!("{}: {} live records, {} bytes", kind_label(kind), size.records, size.bytes);
     }
     Ok(0)
 }
@@ -117,10 +117,13 @@
 fn verify(folder: &Path) -> Result<u8, CommandError> {
     let summary = read(folder)?.summary;
     if summary.torn_bytes > 0 {
-        println!("torn: {} whole records, then {} bytes that are none", summary.records, summary.torn_bytes);
+        println!(
+            "incomplete: {} records, then {} bytes that are not a complete record",
+            summary.records, summary.torn_bytes
+        );
         return Ok(EXIT_TORN);
     }
-    println!("whole: {} records", summary.records);
+    println!("intact: {} records", summary.records);
     Ok(0)
 }
 
@@ -137,7 +140,7 @@
     let mut store = Store::open(directory, MAX_LOG_BYTES).map_err(store_error)?;
     let bytes_before = store.size().file_bytes;
     store.compact().map_err(store_error)?;
-    println!("{bytes_before} bytes, {} now", store.size().file_bytes);
+    println!("compacted from {bytes_before} to {} bytes", store.size().file_bytes);
     Ok(0)
 }
 
@@ -150,7 +153,7 @@
     Ok(0)
 }
 
-/// A value that is JSON as it stands; of others the version and the length.
+/// A value that is JSON as it is; the version and length of any other value.
 fn exported_value(value: &Value) -> serde_json::Value {
     serde_json::from_slice(&value.bytes)
         .unwrap_or_else(|_| serde_json::json!({"bytes": value.bytes.len(), "version": value.version}))
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -150,10 +150,10 @@
     assert!(there > 0);
     let (code, text) =
         run_drain_command(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
-    assert_eq!((code, text.trim()), (Some(0), "backend b-1 drains"));
+    assert_eq!((code, text.trim()), (Some(0), "backend b-1 is draining"));
     let (code, text) = run_drain_command(fleet.relay(1), &["backend", "b-0"]);
     assert!(
-        code == Some(1) && text.contains("at most 1 backend of the fleet; out: backend b-1 (out)"),
+        code == Some(1) && text.contains("at most 1 backend of the fleet; unavailable: backend b-1 (out)"),
         "{text}"
     );
     // All relays, followers included, apply it within 2.5 s.
@@ -176,7 +176,7 @@
     });
     fleet.wait_until_all_in_service(3);
     let (code, text) = run_drain_command(fleet.relay(2), &["backend", "b-9"]);
-    assert!(code == Some(1) && text.contains("no leader has seen it yet"), "{text}");
+    assert!(code == Some(1) && text.contains("the leader has not observed this target yet"), "{text}");
 }
 
 /// A relay that dies while it is out counts as out until its lease is reclaimed, and as down until it is up.
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -76,7 +76,8 @@
     fleet.wait_until_whole();
     let (code, text) = run_status_command(fleet.relays[0].operator_address, &[]);
     assert_eq!(code, Some(0), "{text}");
-    assert!(text.contains("as r0 believes: whole; it hears 3 of 3") && text.contains("r2 "), "{text}");
+    let summary = "as seen by r0: whole; 3 of 3 configured relays are reachable";
+    assert!(text.contains(summary) && text.contains("r2 "), "{text}");
     let first = member(&fleet.relays[0], "r2").expect("a member");
     assert_eq!((first.lifecycle.as_str(), first.version.as_str()), ("serving", env!("CARGO_PKG_VERSION")));
     assert_eq!(first.settings_digest, status(&fleet.relays[0]).expect("a status").members[0].settings_digest);
@@ -224,7 +225,7 @@
     assert!(!later.has_exited() && !fleet.relays[1].has_exited());
     assert!(run_status_command(fleet.relays[1].operator_address, &[])
         .1
-        .contains("has this one's name; that one holds the name"));
+        .contains("has the same name; that relay holds the name"));
 }
 
 /// A flood of malformed datagrams at the membership port while clients are served.
--- a/relay/tests/recovery.rs
+++ b/relay/tests/recovery.rs
@@ -205,7 +205,9 @@
         endpoint("s-0", &fixture.servers[0], "up", 0),
         endpoint("s-1", &fixture.servers[1], "up", 0),
     ]);
-    wait_until("it writes", || run_store_command("inspect", &fixture.state).1.contains("list: 1 facts"));
+    wait_until("it writes", || {
+        run_store_command("inspect", &fixture.state).1.contains("list: 1 live records")
+    });
     kill(relay);
     // Damaged in the middle: the records before the damage are used.
     let log = fixture.state.join("log");
