--- a/relay/src/buffer.rs
+++ b/relay/src/buffer.rs
@@ -1,30 +1,32 @@
-//! The read buffer of a connection: empty until bytes come, grown as lines need it, compacted in place.
+//! The read buffer of a connection. It allocates nothing until bytes arrive, grows as lines need it, and is
+//! compacted in place.
 use crate::socket;
 use socket2::SockRef;
 use std::io::{self, Read};
 use tokio::net::TcpStream;
 
-/// Bytes that were read from one connection and not yet taken.
+/// Bytes that were read from one connection and not yet taken. Positions are indices into `bytes`.
 pub struct Buffer {
     bytes: Vec<u8>,
-    /// Where the bytes begin that are not taken yet.
+    /// Start of the bytes that have not been taken yet.
     start: usize,
-    /// Where they end.
+    /// End of the bytes that were read.
     end: usize,
-    /// How far they were searched for line ends.
+    /// End of the bytes that were searched for line ends.
     searched: usize,
-    /// The end of the last complete line.
+    /// End of the last complete line.
     complete: usize,
-    /// Where the lines begin that the last read completed.
+    /// Start of the lines that the last read completed.
     fresh: usize,
-    /// Bytes that are allocated first.
+    /// Size of the first allocation, in bytes.
     initial_capacity: usize,
-    /// Bytes that may be held.
+    /// Largest size, in bytes.
     max_capacity: usize,
 }
 
 impl Buffer {
-    /// An empty buffer. It takes `initial_capacity` bytes with the first read, and at most `max_capacity`.
+    /// An empty buffer. It allocates `initial_capacity` bytes with the first read, and `max_capacity` at
+    /// most.
     pub fn new(initial_capacity: usize, max_capacity: usize) -> Buffer {
         Buffer {
             bytes: Vec::new(),
@@ -38,7 +40,7 @@
         }
     }
 
-    /// A buffer that goes on with what another process had read and not yet written.
+    /// A buffer that continues with the bytes that another process had read and not yet written.
     pub fn holding(bytes: &[u8], initial_capacity: usize, max_capacity: usize) -> Buffer {
         let mut buffer = Buffer::new(initial_capacity, max_capacity.max(bytes.len()));
         (buffer.bytes, buffer.end) = (bytes.to_vec(), bytes.len());
@@ -47,27 +49,27 @@
         buffer
     }
 
-    /// All that is not taken, complete lines or not.
+    /// All bytes that have not been taken, in complete lines or not.
     pub fn rest(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Whether it takes more bytes before some are taken.
+    /// Whether more bytes can be read before any are taken.
     pub fn has_capacity(&self) -> bool {
         self.end - self.start < self.max_capacity
     }
 
-    /// How many bytes there are behind the last complete line.
+    /// Number of bytes after the last complete line.
     pub fn partial(&self) -> usize {
         self.end - self.complete
     }
 
-    /// Complete lines that are not yet taken, with their ends.
+    /// The complete lines that have not been taken yet, with their line ends.
     pub fn lines(&self) -> &[u8] {
         &self.bytes[self.start..self.complete]
     }
 
-    /// Drops the first `count` bytes, which were used.
+    /// Takes the first `count` bytes: they are dropped.
     pub fn take(&mut self, count: usize) {
         self.start += count;
         if self.start == self.end {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes the first complete line; it is returned without its end.
+    /// Takes the first complete line and returns it without its line end.
     pub fn take_line(&mut self) -> Option<Vec<u8>> {
         let at = self.lines().windows(2).position(|w| w == b"\r\n")?;
         let line = self.lines()[..at].to_vec();
@@ -87,7 +89,7 @@
         Some(line)
     }
 
-    /// Makes place behind the last byte: by compaction, else by growth.
+    /// Makes room after the last byte, by compaction if that is possible, else by growth.
     fn reserve(&mut self) {
         if self.end < self.bytes.len() {
             return;
@@ -103,13 +105,13 @@
         }
     }
 
-    /// Reads once what is there, as far as the runtime knows of it.
+    /// Reads once, if the runtime knows that the stream is readable.
     pub fn read(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.read_with(|bytes| socket::try_read(stream, bytes))
     }
 
-    /// Reads once what is there, also what the runtime does not know of yet: it learns of bytes as it next
-    /// polls all sockets.
+    /// Reads once, even if the runtime does not know yet that the stream is readable. It learns that only
+    /// when it next polls all sockets.
     pub fn read_now(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.read_with(|bytes| socket::uninterrupted(|| (&*SockRef::from(stream)).read(bytes)))
     }
@@ -130,16 +132,17 @@
             self.complete = self.searched + at + 2;
         }
         self.complete = self.complete.max(self.start);
-        // A line's end may come in two parts.
+        // A line end may be split between two reads.
         self.searched = self.complete.max(self.end.saturating_sub(1));
     }
 
-    /// Whether bytes follow what was taken, here or on the stream. It may read from the stream.
+    /// Whether more bytes follow, in the buffer or on the stream. This may read from the stream.
     pub fn holds_more(&mut self, stream: &TcpStream) -> bool {
         self.end > self.start || matches!(self.read(stream), Ok(1..))
     }
 
-    /// Waits for bytes and reads them; 0 is the stream's end. Cancelled while it waits, it has read nothing.
+    /// Waits for bytes and reads them; 0 is the end of the stream. If it is cancelled while it waits, no byte
+    /// has been read.
     pub async fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             stream.readable().await?;
@@ -155,19 +158,19 @@
         &self.bytes[self.fresh..self.complete]
     }
 
-    /// Takes the lines that the last read completed out of what is forwarded.
+    /// Excludes the lines that the last read completed from forwarding.
     pub fn reject_fresh(&mut self) {
         self.complete = self.fresh;
     }
 
-    /// Writes what it can of the complete lines and takes it; the count of bytes.
+    /// Writes as much of the complete lines as the stream accepts, takes it, and returns the number of bytes.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let count = socket::try_write(stream, self.lines())?;
         self.take(count);
         Ok(count)
     }
 
-    /// Frees the memory of an empty buffer that has grown.
+    /// Frees the memory if the buffer is empty and has grown.
     pub fn shrink(&mut self) {
         if self.start == self.end && self.bytes.len() > self.initial_capacity {
             self.bytes = Vec::new();
--- a/relay/src/clock.rs
+++ b/relay/src/clock.rs
@@ -1,8 +1,9 @@
-//! Unix time in microseconds that only advances: the system's clock is read once, at the start.
+//! Unix time in microseconds that never goes back: the system clock is read only once, at the start.
 use hallrelay_balancer::types::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that is anchored at the system's time of its creation; steps of that one do not change it.
+/// A monotonic clock, anchored at the system time of its creation. Later steps of the system clock do not
+/// change it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -11,7 +12,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at the system's time.
+    /// A clock that starts at the system time.
     pub fn anchored() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix: unix.as_micros() as Micros }
@@ -22,9 +23,9 @@
         self.unix + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The runtime's instant of a Unix time; the clock's start for earlier ones.
-    pub fn at(&self, then: Micros) -> tokio::time::Instant {
-        let since = then.saturating_sub(self.unix);
+    /// The runtime's instant for a Unix time. A time before the clock's start gives the start.
+    pub fn at(&self, time: Micros) -> tokio::time::Instant {
+        let since = time.saturating_sub(self.unix);
         (self.start + Duration::from_micros(since)).into()
     }
 }
--- a/relay/src/drain_command.rs
+++ b/relay/src/drain_command.rs
@@ -34,8 +34,8 @@
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// Reclaim the grant of a target that is back in service, but that the leader has not observed to be.
-    /// You vouch for that with your name.
+    /// End the grant of a target that is back in service although the leader has not observed it. You vouch
+    /// for that with your name.
     #[command(name = "free")]
     Reclaim {
         /// The kind of the target.
--- a/relay/src/fleet_table.rs
+++ b/relay/src/fleet_table.rs
@@ -50,7 +50,7 @@
         let health = status.local_health;
         _ = writeln!(
             text,
-            "local health score {health} (0 healthy, 8 worst): this relay was late, or others report that it was"
+            "local health score {health} (0 to 8, 0 is healthy): it was late, or others reported that it was"
         );
     }
     text
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,4 +1,4 @@
-//! The relay on sockets: one reducer owns the state, and tasks by stage carry out its effects.
+//! The relay: one reducer owns all state, and tasks carry out its effects on sockets.
 #![warn(missing_docs)]
 
 pub mod buffer;
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -1,4 +1,4 @@
-//! The lines of the protocol, as parsers. Nothing here reads a socket or decides.
+//! Parsers for the lines of the protocol. They read no sockets and make no decisions.
 use hallrelay_balancer::types::LoadReport;
 use hallrelay_config::facts::ReportOrder;
 use std::ops::Range;
@@ -7,22 +7,23 @@
 use winnow::prelude::*;
 use winnow::token::{rest, take_while};
 
-/// The end of every line.
+/// The line end.
 pub const END: &[u8] = b"\r\n";
-/// To a client or from a backend: come again with the same key; the session goes on elsewhere.
+/// To a client or from a backend: the client is to reconnect with the same key, and its session continues
+/// elsewhere.
 pub const MOVE: &[u8] = b"MOVE\r\n";
-/// The answer to `PING`: ready.
+/// The answer to `PING` of a ready relay.
 pub const PONG: &[u8] = b"PONG\r\n";
-/// Rejected, without a time to come back after.
+/// A rejection without a delay after which the client may retry.
 pub const BUSY: &[u8] = b"BUSY\r\n";
 /// The final answer of a session that failed after its first line was forwarded.
 pub const FAIL: &[u8] = b"FAIL\r\n";
-/// The answer to a line that is not of the protocol.
+/// The answer to a line that violates the protocol.
 pub const ERROR: &[u8] = b"ERR\r\n";
-/// Asks a backend for its load report.
+/// A request to a backend for its load report.
 pub const STATS: &[u8] = b"STATS\r\n";
 
-/// The whole lines among some bytes, without their ends.
+/// The complete lines in `bytes`, without their line ends.
 pub fn complete_lines(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut left = bytes;
     std::iter::from_fn(move || {
@@ -33,12 +34,12 @@
     })
 }
 
-/// What a client's first line says.
+/// A client's first line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FirstLine {
-    /// `PING`: is this relay ready?
+    /// `PING`: the client asks whether this relay is ready.
     Ping,
-    /// `OPEN`: a session is requested.
+    /// `OPEN`: the client requests a session.
     Open(SessionRequest),
 }
 
@@ -49,15 +50,15 @@
     pub id: u64,
     /// The listener's name; never empty.
     pub listener: String,
-    /// The client's own identifier, the same when it returns; 0 is none.
+    /// The client's own identifier, the same when it reconnects; 0 for none.
     pub key: u64,
-    /// The group of keys; 0 where none is given.
+    /// The group of keys; 0 for none.
     pub group: u64,
-    /// Whether the client comes back with a session that was open before.
+    /// Whether the client reconnects for a session that was open before.
     pub returned: bool,
-    /// How long the client waits, in milliseconds.
+    /// The client's timeout in milliseconds.
     pub wait_ms: u64,
-    /// Where in the line that number stands, in bytes.
+    /// The position of the timeout within the line, in bytes.
     pub wait_at: Range<usize>,
     /// The id of the backend at which this session was open before.
     pub at: Option<String>,
@@ -81,7 +82,7 @@
     separated(1.., separated_pair(name, '=', value), ',').parse_next(input)
 }
 
-/// A first line without its end; none where it is not of the protocol's form.
+/// Parses a first line without its line end; `None` if it violates the protocol.
 pub fn parse_first_line(line: &[u8]) -> Option<FirstLine> {
     let text = std::str::from_utf8(line).ok()?;
     if text == "PING" {
@@ -100,8 +101,8 @@
             "c" => open.listener = value.to_string(),
             "d" => {
                 let at = value.as_ptr() as usize - text.as_ptr() as usize;
-                let whole = value.bytes().all(|b| b.is_ascii_digit());
-                wait = Some((value.parse().ok().filter(|_| whole)?, at..at + value.len()));
+                let is_integer = value.bytes().all(|b| b.is_ascii_digit());
+                wait = Some((value.parse().ok().filter(|_| is_integer)?, at..at + value.len()));
             }
             "g" => open.group = u64::from_str_radix(value, 16).ok()?,
             "again" => open.returned = flag(value)?,
@@ -118,28 +119,28 @@
     ["0", "1"].iter().position(|v| *v == value).map(|i| i == 1)
 }
 
-/// A backend's line: the first of its answer, or a later one.
+/// A line from a backend: the first line of its answer, or a later one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendReply {
     /// The session is established.
     Up,
-    /// The session ended in order.
+    /// The session ended normally.
     Bye(Option<LoadReport>),
-    /// The client is to come again; the session goes on elsewhere.
+    /// The client is to reconnect, and its session continues elsewhere.
     Move,
-    /// The backend failed on the session.
+    /// The session failed at the backend.
     Error(Option<LoadReport>),
-    /// Rejected; nothing ran.
+    /// The session was rejected, and nothing ran.
     Busy(Option<LoadReport>),
     /// The answer to a health check.
     Pong(Option<LoadReport>),
     /// The load of an open session, or its message delay in milliseconds; never negative.
     Load(f64),
-    /// Any other line, malformed ones among them; it is passed on.
+    /// Any other line, including malformed ones; it is forwarded.
     Other,
 }
 
-/// A backend's line without its end. `order` names the fields of its load report.
+/// Parses a backend's line without its line end. `order` names the fields of its load report.
 pub fn parse_backend_reply(line: &[u8], order: ReportOrder) -> BackendReply {
     let Ok(text) = std::str::from_utf8(line) else { return BackendReply::Other };
     let Ok((word, tail)) = split.parse(text) else { return BackendReply::Other };
@@ -152,7 +153,8 @@
         "BYE" => BackendReply::Bye(report()),
         "MOVE" => BackendReply::Move,
         "ERR" => BackendReply::Error(report()),
-        // It tells that the dial did not run, which must not be guessed: only a well-formed line counts.
+        // `BUSY` means that the dial did not run. This must not be guessed, so only a well-formed line
+        // counts.
         "BUSY" if tail.is_none() || tail.is_some_and(is_rejection_detail) => BackendReply::Busy(report()),
         "PONG" => BackendReply::Pong(report()),
         "LOAD" => tail.and_then(non_negative_number).map_or(BackendReply::Other, BackendReply::Load),
@@ -160,7 +162,7 @@
     }
 }
 
-/// What may stand behind a backend's rejection: a time to come back after, or a load report.
+/// Whether `tail` may follow `BUSY` in a backend's line: a retry delay or a load report.
 fn is_rejection_detail(tail: &str) -> bool {
     non_negative_number(tail).is_some() || pairs.parse(tail).is_ok()
 }
@@ -174,7 +176,7 @@
     number.parse(text).ok().filter(|x| x.is_finite() && *x >= 0.0)
 }
 
-/// A rejection; with the milliseconds after which to come back, unless they are 0.
+/// A rejection, with the delay in milliseconds after which the client may retry, unless it is 0.
 pub fn busy(after_ms: u64) -> Vec<u8> {
     match after_ms {
         0 => BUSY.to_vec(),
@@ -184,11 +186,12 @@
 
 /// The name with `_` for each character that metrics or paths could take for a separator.
 pub fn sanitize(name: &str) -> String {
-    let fit = |c: char| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' };
-    name.chars().map(fit).collect()
+    let replace = |c: char| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' };
+    name.chars().map(replace).collect()
 }
 
-/// The client's first line as it is forwarded: unchanged but for the time that the relay waits.
+/// The client's first line as it is forwarded: its timeout is replaced by the time that the relay waits, and
+/// the rest is unchanged.
 pub fn rewrite_timeout(line: &[u8], wait_at: &Range<usize>, wait_ms: u64) -> Vec<u8> {
     [&line[..wait_at.start], wait_ms.to_string().as_bytes(), &line[wait_at.end..], END].concat()
 }
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -1,10 +1,11 @@
-//! The text of `/v1/metrics`: a line `NAME:VALUE|KIND` for each metric, `c` for counters and `g` for gauges.
+//! The text of `/v1/metrics`: one line `NAME:VALUE|KIND` per metric, where the kind is `c` for counters and
+//! `g` for gauges.
 use crate::lines::sanitize;
 use crate::reducer::Metrics;
 use hallrelay_membership::MemberState;
 use std::fmt::Write;
 
-/// All metrics as text. Names keep the older terms, since operators' tools read them.
+/// All metrics as text. Their names keep older terms, because operators' tools read them.
 pub fn text(metrics: &Metrics) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: u64, kind: char| _ = writeln!(text, "node.{name}:{value}|{kind}");
--- a/relay/src/socket.rs
+++ b/relay/src/socket.rs
@@ -1,5 +1,5 @@
-//! Socket calls as Linux documents them: interrupted calls are repeated, and a failure to connect is
-//! attributed to this machine or to the other side.
+//! Socket calls with the error handling that Linux documents: interrupted calls are repeated, and a failure
+//! to connect is attributed to this machine or to the remote side.
 use std::future::Future;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Repeats a call for as long as it is interrupted (EINTR), when nothing was done.
+/// Repeats a call while it is interrupted (`EINTR`); an interrupted call has done nothing.
 ///
 /// # Errors
-/// All others of the call.
+/// All other errors of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -24,52 +24,52 @@
     }
 }
 
-/// Reads what the runtime knows to be there.
+/// Reads if the runtime knows that the stream is readable.
 ///
 /// # Errors
-/// `WouldBlock` where nothing is; any other error means that the connection is over.
+/// `WouldBlock` if there is nothing to read; any other error means that the connection has ended.
 pub fn try_read(stream: &TcpStream, to: &mut [u8]) -> io::Result<usize> {
     uninterrupted(|| stream.try_read(to))
 }
 
-/// Writes as much as the system takes.
+/// Writes as many bytes as the system accepts.
 ///
 /// # Errors
-/// `WouldBlock` where it takes nothing; any other error means that the connection is over.
+/// `WouldBlock` if it accepts none; any other error means that the connection has ended.
 pub fn try_write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     uninterrupted(|| stream.try_write(bytes))
 }
 
-/// Why there is no connection.
+/// Why a connection was not established.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine could not begin one: no descriptor, port, memory or route just now. It shows nothing of
-    /// the other side.
+    /// This machine could not start to connect, since it has no free descriptor, port, memory or route at the
+    /// moment. This says nothing about the remote side.
     #[error("this machine can't connect: {0}")]
     Local(#[source] io::Error),
-    /// The other side refused it, or can't be reached.
+    /// The remote side refused the connection, or is unreachable.
     #[error("{0}")]
     Remote(#[source] io::Error),
-    /// It was not established in time.
-    #[error("no connection came up in time")]
+    /// The connection was not established in time.
+    #[error("the connection was not established in time")]
     TimedOut,
 }
 
-/// How long a start waits for the machine's resources, of the 10 s in which a relay has to be ready.
+/// How long a start retries while the machine lacks resources. A relay has to be ready within 10 s.
 const RESOURCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Between two attempts to open a socket at a start.
+/// Delay between attempts to open a socket at a start.
 const RESOURCE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two attempts to connect while this machine can't: seldom enough not to spin, often against the
-/// shortest connect timeout (40 ms).
+/// Delay between attempts to connect while this machine cannot. Long enough not to spin, short enough for
+/// several attempts within the shortest connect timeout (40 ms).
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Opens a socket at a start, and retries for 5 s while the machine has no descriptors, buffers or memory for
-/// it.
+/// Opens a socket at a start, and retries for 5 s while the machine lacks the descriptors, buffers or memory
+/// for it.
 ///
 /// # Errors
-/// Any other error at once; the last one after that time.
+/// Any other error immediately; after 5 s, the last error.
 pub async fn retry_without_resources<T, F>(mut open: impl FnMut() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
@@ -89,12 +89,12 @@
     }
 }
 
-/// Whether a local failure may concern the route to one address alone.
+/// Whether a local failure may affect only the route to one address.
 pub fn may_concern_one_route(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|number| [libc::ENETUNREACH, libc::EADDRNOTAVAIL].contains(&number))
 }
 
-/// Whether a failure to connect lies at this machine.
+/// Whether a failure to connect was caused by this machine.
 fn is_local(error: &io::Error) -> bool {
     const LOCAL: [i32; 9] = [
         libc::EMFILE,
@@ -110,8 +110,8 @@
     error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
 }
 
-/// Connects before a deadline. While this machine can't, it retries, unless by `is_remote` the error lies
-/// at the other side after all.
+/// Connects before a deadline. It retries after local errors, except for those that `is_remote` attributes to
+/// the remote side.
 ///
 /// # Errors
 /// See `ConnectError`.
@@ -132,7 +132,7 @@
     };
     match timeout_at(deadline, attempts).await {
         Ok(Ok(stream)) => {
-            // Lines are short and must not be delayed.
+            // Lines are short, and Nagle's algorithm would delay them.
             _ = stream.set_nodelay(true);
             Ok(stream)
         }
@@ -141,10 +141,10 @@
     }
 }
 
-/// A connection for code that takes an interrupted call for the end of the stream.
+/// A connection for code that would treat an interrupted call as the end of the stream.
 ///
-/// A short read or write is followed by the next one at once: the runtime's own streams wait for readiness
-/// after it, which the system signals only as more arrives.
+/// After a short read or write, the next one is attempted immediately. The runtime's own streams would first
+/// wait for readiness, which the system signals only when more arrives.
 pub struct RetryingStream(pub TcpStream);
 
 impl AsyncRead for RetryingStream {
