--- a/relay/src/reducer/balancer_effects.rs
+++ b/relay/src/reducer/balancer_effects.rs
@@ -1,4 +1,4 @@
-//! The balancer inside the reducer: its inputs, and its effects in the relay's terms.
+//! The balancer inside the reducer: steps it, and maps its effects to those of the relay.
 use super::session::SessionStage;
 use super::{Effect, Reducer, Timer};
 use hallrelay_balancer::types::{self as balancer, DialEnd, Input, Micros};
@@ -12,7 +12,7 @@
         self.balancer_effects = effects;
     }
 
-    /// Applies an effect of the balancer in the relay's terms.
+    /// Maps an effect of the balancer to the relay's own effects.
     fn apply_balancer_effect(&mut self, effect: balancer::Effect, out: &mut Vec<Effect>) {
         match effect {
             balancer::Effect::Dial { session: session_id, server, timeout, send_within } => {
--- a/relay/src/reducer/control.rs
+++ b/relay/src/reducer/control.rs
@@ -1,4 +1,4 @@
-//! Control messages as they come in and go out. Only voters' words on what is committed count.
+//! Sends and receives control messages. What is committed is learned from voters only.
 use super::coordination::PeerReport;
 use super::{Effect, Reducer};
 use crate::control_message::{ControlMessage, ProposalResult, RelayStatus};
@@ -17,7 +17,7 @@
         self.step_membership(event, out);
     }
 
-    /// A member's message.
+    /// Handles a member's message.
     pub(super) fn receive_control(&mut self, from: &Rc<str>, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
         let Some(message) = ControlMessage::decode(bytes) else { return };
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A relay's report of itself, this relay's own among them.
+    /// Handles a relay's report on itself, including this relay's own.
     pub(super) fn receive_status(&mut self, from: Rc<str>, status: RelayStatus) {
         let received_at = self.now;
         let Some(coordination) = &mut self.coordination else { return };
--- a/relay/src/reducer/coordination.rs
+++ b/relay/src/reducer/coordination.rs
@@ -1,6 +1,5 @@
-//! What a relay holds of the fleet's coordination: the replicated state and the voter behind it, who leads,
-//! requests of operators that wait, reports of other relays, and the backends excluded. Times in
-//! microseconds.
+//! A relay's state in the coordination of disruptions: the replicated state and its Raft voter, the leader,
+//! pending requests of operators, reports of other relays, and the excluded backends. Times in microseconds.
 use super::drain_requests::PendingRequest;
 use super::outcome_counts::OutcomeCounts;
 use super::servers::server_id;
@@ -13,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What a relay reported last.
+/// The last report of a relay.
 pub(super) struct PeerReport {
     pub received_at: Micros,
     pub domain: FailureDomain,
@@ -21,40 +20,39 @@
     pub remaining_sessions: Vec<RemainingSessions>,
 }
 
-/// A lease, and when this process first saw it granted.
+/// A granted lease, and when this process first saw it.
 #[derive(Clone, Copy)]
 pub(super) struct LeaseSeen {
     pub lease_id: u64,
     pub since: Micros,
 }
 
-/// Backends out of service by the log up to an index.
+/// The backends that are out of service according to the log up to an index.
 #[derive(Default)]
 pub(super) struct ExcludedBackends {
     pub index: Index,
     pub ids: BTreeSet<String>,
 }
 
-/// This relay's part in the coordination of disruptions.
+/// This relay's state in the coordination of disruptions.
 pub(super) struct Coordination {
     pub own_name: Rc<str>,
-    /// As configured.
     pub config: CoordinationConfig,
     pub voter_names: BTreeMap<Id, Rc<str>>,
     pub voter: RaftVoter,
     pub state: State,
     pub applied_index: Index,
-    /// As this relay learned last; `None` where no leader is known.
+    /// The leader that this relay learned of last; `None` if no leader is known.
     pub leader: Option<Rc<str>>,
     /// Counts proposals without a known leader: each goes to the next voter.
     next_voter: usize,
-    /// Requests of operators that wait, by the number of their call.
+    /// Pending requests of operators, by the number of their call.
     pub requests: BTreeMap<u32, PendingRequest>,
     last_request_id: u64,
     pub excluded: ExcludedBackends,
-    /// Sessions that the whole fleet migrates off excluded backends in a second.
+    /// Sessions that all relays together migrate off excluded backends per second.
     pub moves_per_s: u32,
-    /// This relay's part of those that is still to be migrated, in thousandths of a session.
+    /// This relay's share of these that it has not migrated yet, in thousandths of a session.
     pub pending_moves_milli: u64,
     pub reports: BTreeMap<Rc<str>, PeerReport>,
     pub outcome_counts: OutcomeCounts,
@@ -74,7 +72,7 @@
             leader: None,
             next_voter: 0,
             requests: BTreeMap::new(),
-            // Above all request ids of earlier processes of this relay.
+            // This is above all request ids of earlier processes of this relay.
             last_request_id: now,
             excluded: ExcludedBackends::default(),
             moves_per_s: config.moves_per_s,
@@ -103,7 +101,8 @@
         self.last_request_id
     }
 
-    /// Where a proposal goes: to the leader, or to one voter after another until one names the leader.
+    /// The recipient of a proposal: the leader, or if that is unknown, one voter after another until one
+    /// names the leader.
     pub fn proposal_recipient(&mut self) -> Option<Rc<str>> {
         if self.is_leader() {
             return Some(self.own_name.clone());
@@ -117,13 +116,13 @@
         others.get(self.next_voter % others.len().max(1)).map(|name| Rc::clone(name))
     }
 
-    /// The known leader, where that is another relay.
+    /// The known leader, if that is another relay.
     pub fn other_leader(&self) -> Option<Rc<str>> {
         self.leader.clone().filter(|leader| *leader != self.own_name)
     }
 
-    /// Notes newly granted leases with the present time, and forgets those that are over.
-    pub fn note_leases(&mut self, now: Micros) {
+    /// Records when newly granted leases were first seen, and drops leases that have ended.
+    pub fn track_leases(&mut self, now: Micros) {
         let granted: BTreeMap<Target, u64> = self
             .state
             .leases()
@@ -136,12 +135,12 @@
         }
     }
 
-    /// Since when this process has seen the present lease; now where it has not.
+    /// When this process first saw the current lease of a target; `now` if it has seen none.
     pub fn granted_since(&self, target: &Target, now: Micros) -> Micros {
         self.leases_seen.get(target).map_or(now, |seen| seen.since)
     }
 
-    /// Backends out of service by this voter's own state.
+    /// The backends that are out of service according to this voter's own state.
     pub fn backends_out(&self) -> BTreeSet<String> {
         let out = self.state.leases().filter(|(_, lease)| lease.state == LeaseState::Out);
         let backends = out.filter_map(|(target, _)| match target {
@@ -151,7 +150,7 @@
         backends.collect()
     }
 
-    /// Sessions of all relays left at an excluded backend, as reported last.
+    /// Number of sessions of all relays that remain at an excluded backend, by their last reports.
     pub fn remaining_sessions(&self, backend: &str) -> u32 {
         let reported = self.reports.values().flat_map(|report| &report.remaining_sessions);
         reported.filter(|remaining| remaining.backend == backend).map(|remaining| remaining.sessions).sum()
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -9,8 +9,8 @@
 
 /// A request that is not granted within this time is answered as blocked. An operator's call may take 2 s.
 const REQUEST_TIMEOUT: Micros = 1_500_000;
-/// Delay between proposals of a request. Until it is answered, a request takes a round trip to the leader and
-/// a write to the disks of most voters.
+/// Delay between proposals of a request. The answer to one takes a round trip to the leader and a write to
+/// the disks of most voters.
 const RETRY_INTERVAL: Micros = 200_000;
 
 /// A drain that an operator requests.
@@ -88,7 +88,7 @@
         self.add_request(call, request, out);
     }
 
-    /// Has one command committed. Its description is the answer.
+    /// Proposes one command. Its description is the answer once the command is committed.
     pub(super) fn request_commit(
         &mut self,
         call: u32,
@@ -190,7 +190,8 @@
                 return;
             }
             (Outcome::Rejected(CommandError::UnknownTarget), RequestStep::Lease(_)) => {
-                // The leader reviews the fleet once a second, so it may observe the target before the timeout.
+                // The leader reviews the fleet once a second, so it may observe the target before the
+                // timeout.
                 request.blocked_by = "the leader has not observed this target yet".to_string();
                 return;
             }
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -1,9 +1,9 @@
-//! The reducer's interface: the events that it is stepped with, its effects, and the requests and replies
-//! of operators. Times are spans in microseconds unless a field says otherwise.
+//! The reducer's interface: its events, its effects, and the requests and replies of operators. Times are
+//! durations in microseconds unless a field is documented otherwise.
 //!
 //! `session_id` and `connection_id` number clients' connections in one sequence: a connection keeps its
-//! number when it becomes a session. The `Debug` form of events and effects stands in the log at `-vv`, where
-//! `hallrelay-lab losses` reads it.
+//! number when it becomes a session. With `-vv` the log has the `Debug` form of events and effects, which
+//! `hallrelay-lab losses` parses.
 use super::{DrainRequest, LifecycleStatus, Metrics};
 use crate::lines::SessionRequest;
 use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, ServerId, SessionId};
@@ -18,96 +18,96 @@
 use hallrelay_store::writer::WriterHealth;
 use std::net::SocketAddr;
 
-/// What an operator requests.
+/// An operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
-    /// Whether this relay is ready for sessions.
+    /// Is this relay ready for sessions?
     Readiness,
     /// The metrics of this process.
     Metrics,
     /// The members of the fleet as this relay sees them.
     Membership,
-    /// The leases of disruption budgets.
+    /// The leases and the disruption budgets.
     Leases,
-    /// To drain this relay, or a backend for the whole fleet.
+    /// Drain this relay, or a backend for the entire fleet.
     Drain(Box<DrainRequest>),
-    /// To end this relay's drain.
+    /// End this relay's drain.
     Activate,
-    /// To agree on a command across the fleet.
+    /// Commit a command to the replicated log.
     Propose {
         /// The command.
         command: Box<Command>,
-        /// The answer once it is agreed.
+        /// The answer once the command is committed.
         confirmation: String,
     },
-    /// How the rollout stands.
+    /// The status of the rollout.
     Rollout,
 }
 
 /// The reply to an operator's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorReply {
-    /// Done, or the answer is yes.
+    /// The request was carried out, or the answer is yes.
     Accepted(LifecycleStatus),
-    /// Not now.
+    /// The relay is not ready at the moment.
     Unavailable(LifecycleStatus),
-    /// Not possible in this state of the relay.
+    /// The request is not possible in this state of the relay.
     Conflict(LifecycleStatus),
-    /// The disruption budgets do not allow it; the reason.
+    /// The request was not granted or not committed; the reason.
     Blocked(String),
-    /// The command is agreed; its confirmation.
+    /// The command is committed; its confirmation.
     Committed(String),
-    /// The leases or the rollout as JSON; `None` where no voters are configured.
+    /// The leases or the rollout as JSON; `None` if no voters are configured, or there is no rollout.
     Leases(Option<String>),
     /// The metrics.
     Metrics(Box<Metrics>),
-    /// The fleet's status; `None` where no fleet is configured.
+    /// The fleet's status; `None` if no fleet is configured.
     Membership(Option<Box<Status>>),
 }
 
-/// What happened.
+/// An input of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client connected.
     ClientConnected {
-        /// Its connection.
+        /// The client's connection.
         connection_id: SessionId,
     },
-    /// A part of a first line has come.
+    /// A part of a client's first line was received.
     FirstLineStarted {
         /// The client's connection.
         connection_id: SessionId,
     },
-    /// A client sent `PING`: is this relay ready?
+    /// A client sent `PING` to learn whether this relay is ready.
     Ping {
         /// The connection.
         connection_id: SessionId,
     },
     /// A client's first line is complete.
     SessionRequested {
-        /// The session from now on.
+        /// The session that the connection becomes.
         session_id: SessionId,
         /// The parsed line.
         open: SessionRequest,
-        /// What is left of the client's timeout.
+        /// The rest of the client's timeout.
         time_remaining: Micros,
     },
-    /// A connection sends what is not of the protocol, or nothing in time.
+    /// A client violated the protocol, or did not send its first line in time.
     ProtocolViolation {
         /// The connection.
         connection_id: SessionId,
     },
-    /// A client's connection is over.
+    /// A client's connection has ended.
     ClientDisconnected {
-        /// The connection, a session or not.
+        /// The connection, which may or may not be a session.
         session_id: SessionId,
     },
-    /// A client ended its sending while it waited for its final answer: it has left, or still reads.
+    /// A client closed its sending side while it waited for its final answer. It has left, or still reads.
     ClientHalfClosed {
         /// The session.
         session_id: SessionId,
     },
-    /// The first line of a dial is written to the backend, so the dial may run.
+    /// The first line of a dial was written to the backend, so the session may run there.
     FirstLineForwarded,
     /// A backend accepted a session.
     SessionEstablished {
@@ -116,7 +116,7 @@
         /// The dial's number within the session, from 0.
         dial: u32,
     },
-    /// This machine could not start a dial, or its backend drains: it does not count as one.
+    /// A dial was not started, since this machine could not, or since the backend drains. It does not count.
     DialNotStarted {
         /// The session.
         session_id: SessionId,
@@ -129,32 +129,32 @@
         session_id: SessionId,
         /// The dial's number within the session.
         dial: u32,
-        /// How it ended; `Ok` where the backend served the session to its end at once.
+        /// How it ended; `Ok` if the backend served the session to its end immediately.
         end: DialEnd,
-        /// The backend's load report, where it gave one.
+        /// The backend's load report, if it sent one.
         report: Option<LoadReport>,
     },
-    /// An open session ended at its backend's side.
+    /// The backend ended an open session.
     SessionEnded {
         /// The session.
         session_id: SessionId,
         /// How it ended.
         end: DialEnd,
-        /// The backend's load report, where it gave one.
+        /// The backend's load report, if it sent one.
         report: Option<LoadReport>,
     },
     /// A backend reported a load within an open session.
     LoadReported {
         /// The session.
         session_id: SessionId,
-        /// The session's load, or a message delay in milliseconds: backends use one word for both.
+        /// The session's load, or its message delay in milliseconds: backends use the same word for both.
         load: f64,
     },
     /// A message of an open session was answered.
     MessageLatency {
         /// The session.
         session_id: SessionId,
-        /// From the message to its answer.
+        /// The time from the message to its answer.
         time: Micros,
     },
     /// A health check ended.
@@ -163,24 +163,24 @@
         server: ServerId,
         /// How it ended.
         end: DialEnd,
-        /// The backend's load report, where it gave one.
+        /// The backend's load report, if it sent one.
         report: Option<LoadReport>,
     },
-    /// A watch brought an endpoint list or changes of it.
+    /// A watch delivered an endpoint list, or changes to it.
     EndpointListReceived {
         /// The watch's number.
         watch: u32,
-        /// The list, or its changes.
+        /// The list, or the changes.
         list: List,
     },
-    /// A watch on the endpoint list is over.
+    /// A watch on the endpoint list has ended.
     EndpointWatchFailed {
         /// The watch's number.
         watch: u32,
     },
-    /// The configuration was read anew and is valid.
+    /// The configuration was reloaded and is valid.
     ConfigurationReloaded(Box<Node>),
-    /// The configuration was read anew and is invalid, so it is not used.
+    /// The configuration was reloaded and is invalid, so it is not used.
     ConfigurationRejected,
     /// An operator's request.
     OperatorCall {
@@ -194,7 +194,7 @@
         /// The session.
         session_id: SessionId,
     },
-    /// Another process could not take over a session, which goes on here.
+    /// Another process could not take over a session, which continues in this process.
     SessionHandoverFailed {
         /// The session.
         session_id: SessionId,
@@ -203,23 +203,23 @@
     SessionAdopted {
         /// The session's number here.
         session_id: SessionId,
-        /// What the predecessor knew of it.
+        /// The predecessor's state of the session.
         state: Box<SessionState>,
     },
-    /// A message or a change of the predecessor or the successor in a hot restart.
+    /// An event of a hot restart, concerning the predecessor or the successor.
     HotRestart(OwnershipEvent),
     /// A datagram, stream or timer of membership.
     Membership(hallrelay_membership::Event),
     /// Writes of the voter are durable.
     VoterWritesDurable {
-        /// Which start of the voter in this process wrote them.
+        /// The start of the voter, counted in this process, that made the writes.
         voter_start: u32,
-        /// All of its writes up to this number.
+        /// The number of the last write that is durable; all earlier ones are as well.
         number: u64,
     },
-    /// The store was opened again, and what it holds.
+    /// The store was reopened; its content.
     StoreReopened(Box<StoredState>),
-    /// How writing to the store goes, as it changes.
+    /// The health of writes to the store has changed.
     StoreHealth(Box<WriterHealth>),
     /// A timer expired.
     Timer(Timer),
@@ -234,29 +234,29 @@
     Balancer(u32),
     /// The final answer of a session is due.
     AnswerDeadline(SessionId),
-    /// A session that is to be resumed is dialled at its backend again.
+    /// The next dial to the backend of a session that is to be resumed is due.
     DialResumingSession(SessionId),
-    /// The next batch of sessions migrates, in the drain or stop of this number.
+    /// The next batch of sessions is to be migrated, in the drain or stop with this number.
     MigrateBatch(u32),
     /// A process that was offered the listening socket was not ready in time.
     HandoverOffer(ProcessId),
-    /// What remains here is reported to the successor.
+    /// The next report to the successor on what remains in this process is due.
     HandoverProgress,
-    /// Something of membership is due.
+    /// Membership's next step is due.
     Membership,
     /// A timer of the voter, and the round in which it was started.
     Voter(hallrelay_raft::Timer, u32),
-    /// This relay reports its status to the leader, or reviews the fleet as the leader.
+    /// This relay's next report to the voters is due, and its next review of the fleet if it is the leader.
     LeaderReview,
-    /// A pending request of an operator, by its number, is retried.
+    /// The next proposal of an operator's pending request is due, by the number of the call.
     PendingRequest(u32),
-    /// The endpoint list is watched again where the balancer does not request it.
+    /// The endpoint list is to be watched again, if the balancer does not request that itself.
     RequestEndpointList,
-    /// Other relays are polled for the endpoint list while discovery is unavailable.
+    /// The next poll of other relays for the endpoint list is due, while discovery is unavailable.
     PollPeers,
 }
 
-/// What the tasks carry out for the reducer, in order.
+/// An output of the reducer. The tasks carry out effects in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Answers a ping: this relay is ready.
@@ -276,11 +276,11 @@
         /// The reply.
         reply: OperatorReply,
     },
-    /// Nothing new may be sent to a backend from now on, or it may again.
+    /// Forbids to send anything new to a backend, or allows it again.
     SetDraining {
         /// The backend.
         server: ServerId,
-        /// Whether it drains or is removed.
+        /// Whether the backend drains or is removed.
         draining: bool,
     },
     /// Dials a backend for a session.
@@ -293,24 +293,24 @@
         server: Option<ServerId>,
         /// The backend's address.
         addr: SocketAddr,
-        /// How long the whole dial may take.
+        /// The timeout of the complete dial.
         timeout: Micros,
-        /// Within this time its first line must start to go out.
+        /// The time within which the first line must begin to be sent.
         start_within: Micros,
     },
-    /// Proxies lines both ways from now on.
+    /// Starts to proxy lines in both directions.
     StartProxying {
         /// The session.
         session_id: SessionId,
     },
-    /// The final answer of a session that was never forwarded.
+    /// Sends the final answer of a session that was never forwarded.
     Reject {
         /// The session.
         session_id: SessionId,
-        /// When the client may come again; at 0 the answer names no time.
+        /// The delay after which the client may retry; 0 to name none.
         retry_after: Micros,
     },
-    /// The final answer of a session that failed; it may have run.
+    /// Sends the final answer of a session that failed and may have run.
     TearDown {
         /// The session.
         session_id: SessionId,
@@ -326,7 +326,7 @@
         session_id: SessionId,
         /// The process.
         peer: ProcessId,
-        /// What the process has to know of it.
+        /// The session's state for that process.
         state: Box<SessionState>,
     },
     /// Answers a protocol violation with an error.
@@ -334,13 +334,13 @@
         /// The connection.
         connection_id: SessionId,
     },
-    /// Ends a connection that is no session, for the place that it takes.
+    /// Ends a connection that is not a session, to make room for others.
     ShedConnection {
         /// The connection.
         connection_id: SessionId,
     },
-    /// The backend of an open session fails its health checks, or answers them again: while it is suspect, an
-    /// unanswered message counts as lost sooner.
+    /// Marks the backend of an open session as suspect, since it fails its health checks, or clears the mark.
+    /// While the backend is suspect, an unanswered message counts as lost sooner.
     SetSuspect {
         /// The session.
         session_id: SessionId,
@@ -359,7 +359,7 @@
         /// Its address.
         addr: SocketAddr,
     },
-    /// A backend is no longer known: its task for health checks ends.
+    /// Ends the health checks of a backend that was removed.
     ForgetServer {
         /// The backend.
         server: ServerId,
@@ -368,9 +368,9 @@
     WatchEndpoints {
         /// The watch's number.
         watch: u32,
-        /// Where discovery is.
+        /// The address of the discovery service.
         addr: SocketAddr,
-        /// The version that is known; `None` to fetch the whole list first.
+        /// The known version; `None` to fetch the complete list first.
         since: Option<u64>,
     },
     /// Ends a watch.
@@ -380,7 +380,7 @@
     },
     /// Accepts connections, or leaves them to another process.
     SetAccepting {
-        /// Whether they are accepted here.
+        /// Whether this process accepts them.
         accepting: bool,
     },
     /// Sends a message to another process of this relay.
@@ -390,35 +390,35 @@
         /// The message.
         message: Message,
     },
-    /// Ends the connection to another process, after what was sent.
+    /// Ends the connection to another process after all messages were sent.
     DisconnectProcess {
         /// The process.
         peer: ProcessId,
     },
-    /// Lets other processes request a takeover, or no longer.
+    /// Allows or forbids other processes to request a takeover.
     SetTakeoverListener {
-        /// Whether they may.
+        /// Whether requests are accepted.
         open: bool,
     },
     /// Writes a record to the store.
     Persist {
         /// The record.
         record: Record,
-        /// The session whose dial waits until the record is durable, or for as long as the limits allow.
+        /// The session whose dial waits until the record is durable, or until the limit for that is reached.
         before: Option<SessionId>,
     },
-    /// Writes records of the voter; `VoterWritesDurable` reports when all of them are durable.
+    /// Writes records of the voter. `VoterWritesDurable` reports when all of them are durable.
     PersistVoterWrites {
-        /// Which start of the voter in this process writes them.
+        /// The start of the voter, counted in this process, that makes the write.
         voter_start: u32,
         /// The number of the write.
         number: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// Opens the store as this process's own, or leaves it to another process.
+    /// Opens the store for this process, or leaves it to another one.
     SetStoreOwnership {
-        /// Whether this process owns it.
+        /// Whether this process owns the store.
         owned: bool,
     },
     /// An effect of membership.
@@ -430,24 +430,24 @@
     },
     /// Ends the process with an error.
     Abort {
-        /// Why.
+        /// The error.
         reason: String,
     },
-    /// The limits and the order of report fields that tasks use from now on.
+    /// Sets the limits and the order of report fields for all tasks.
     ApplyTuning {
         /// The limits.
         limits: Box<Limits>,
-        /// How the fields of load reports are read.
+        /// The names of the fields in load reports.
         order: ReportOrder,
     },
-    /// A key changed in the reloaded configuration, and takes effect at the next start only.
+    /// Logs that a key changed in the reloaded configuration and takes effect only at the next start.
     RestartRequired {
         /// The key's path.
         key: &'static str,
     },
     /// Starts a timer.
     StartTimer {
-        /// When it expires, from now.
+        /// The time until it expires.
         after: Micros,
         /// The timer.
         timer: Timer,
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,5 +1,6 @@
-//! Backends excluded by the log: nothing new goes there, and the whole fleet migrates their sessions at one
-//! rate. What was received last holds until a later message, so a relay without a leader readmits none.
+//! Backends that the replicated log excludes: they get no new sessions, and all relays together migrate their
+//! open sessions at one rate. The exclusions received last hold until a later message, so a relay without a
+//! leader readmits no backend.
 use super::coordination::ExcludedBackends;
 use super::{log, Effect, Reducer, SessionStage};
 use crate::control_message::RemainingSessions;
@@ -16,15 +17,14 @@
 }
 
 impl Reducer {
-    /// As this voter's own state has it.
+    /// Excludes the backends that are out of service according to this voter's own state.
     pub(super) fn exclude_by_own_state(&mut self, out: &mut Vec<Effect>) {
         let Some(coordination) = &self.coordination else { return };
         let (index, ids) = (coordination.applied_index, coordination.backends_out());
         self.exclude_backends(index, ids, out);
     }
 
-    /// Takes over the excluded backends as of an index; an earlier index than the known one counts for
-    /// nothing.
+    /// Replaces the excluded backends by those at a log index. An index below the known one is ignored.
     pub(super) fn exclude_backends(&mut self, index: Index, ids: BTreeSet<String>, out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
         if index < coordination.excluded.index || coordination.excluded.ids == ids {
@@ -35,12 +35,12 @@
         if self.node.state.is_some() {
             out.push(Effect::Persist { record: Record::exclusions(index, &ids), before: None });
         }
-        log(format!("by what is agreed {} backends are out", ids.len()), out);
+        log(format!("{} backends are excluded by the replicated log at index {index}", ids.len()), out);
         coordination.excluded = ExcludedBackends { index, ids };
         self.apply_exclusion(&changed, out);
     }
 
-    /// The list's entries of these backends are taken once more, with the phase that they have now.
+    /// Applies the list's entries of these backends once more, with the phase that they have now.
     fn apply_exclusion(&mut self, changed: &[String], out: &mut Vec<Effect>) {
         let listed = changed.iter().filter_map(|id| self.servers.get(self.ids.get(id)?));
         let instances: Vec<Instance> = listed.map(|server| server.instance.clone()).collect();
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A backend's phase for this relay: an excluded one drains, whatever discovery has.
+    /// A backend's phase for this relay: an excluded one drains, even if it is ready according to discovery.
     pub(super) fn phase(&self, backend: &Instance) -> Phase {
         let is_excluded = self
             .coordination
@@ -81,19 +81,19 @@
         to_migrate.collect()
     }
 
-    /// How many are left at each excluded backend that has any.
+    /// Number of this relay's sessions that remain at each excluded backend with any.
     pub(super) fn own_remaining_sessions(&self) -> Vec<RemainingSessions> {
         let mut remaining: Vec<RemainingSessions> = Vec::new();
         for SessionToMigrate { backend, .. } in self.sessions_to_migrate() {
-            match remaining.iter_mut().find(|one| one.backend == backend) {
-                Some(one) => one.sessions += 1,
+            match remaining.iter_mut().find(|entry| entry.backend == backend) {
+                Some(entry) => entry.sessions += 1,
                 None => remaining.push(RemainingSessions { backend, sessions: 1 }),
             }
         }
         remaining
     }
 
-    /// Migrates this relay's part of a second's moves. A part of less than a session is saved up.
+    /// Migrates this relay's share of one second's migrations. A fraction of a session is carried over.
     pub(super) fn migrate_excluded(&mut self, out: &mut Vec<Effect>) {
         let sessions = self.sessions_to_migrate();
         let relays = u64::from(self.node.site.facts.relay_count.max(1));
@@ -103,8 +103,8 @@
             return;
         }
         coordination.pending_moves_milli += u64::from(coordination.moves_per_s) * 1000 / relays;
-        let part = (coordination.pending_moves_milli / 1000) as usize;
+        let count = (coordination.pending_moves_milli / 1000) as usize;
         coordination.pending_moves_milli %= 1000;
-        sessions.into_iter().take(part).for_each(|one| self.migrate_session(one.session_id, out));
+        sessions.into_iter().take(count).for_each(|session| self.migrate_session(session.session_id, out));
     }
 }
--- a/relay/src/reducer/idle_connections.rs
+++ b/relay/src/reducer/idle_connections.rs
@@ -1,16 +1,17 @@
-//! Clients' connections that are no session: their first line is awaited, or their final answer is being
+//! Clients' connections that are not sessions: their first line is awaited, or their final answer is being
 //! sent.
 //!
-//! Sessions and these share the places that the limits allow. Where there is none left, clients that
-//! connect and stay silent must not block others.
+//! These connections and the sessions share one limit. Shedding guards clients against others that connect
+//! and send nothing, or that stop in the middle of a line: at the limit, such connections make room for new
+//! ones.
 use super::{Effect, Reducer};
 use hallrelay_balancer::types::SessionId;
 
-/// One connection that is no session.
+/// A connection that is not a session.
 #[derive(Clone, Copy)]
 pub(super) struct IdleConnection {
     pub connection_id: SessionId,
-    /// A part of its first line was read.
+    /// Whether a part of its first line was read.
     pub line_started: bool,
 }
 
@@ -24,8 +25,8 @@
         self.idle_connections.retain(|idle| idle.connection_id != connection_id);
     }
 
-    /// A client connected. Where that is one over the limit, the longest silent connection is shed, or else
-    /// the one whose first line has paused longest.
+    /// Handles a new connection. If it exceeds the limit, the connection that has been silent for longest is
+    /// shed, or if there is none, the one whose first line has made no progress for longest.
     pub(super) fn client_connected(&mut self, connection_id: SessionId, out: &mut Vec<Effect>) {
         self.add_idle_connection(connection_id);
         let remaining = self.predecessor_remaining.connections as usize;
@@ -40,7 +41,8 @@
         }
     }
 
-    /// A connection whose first line makes progress is shed after those whose line does not.
+    /// Marks a connection as the most recently active one: those whose first line makes no progress are shed
+    /// before it.
     pub(super) fn first_line_started(&mut self, connection_id: SessionId) {
         let position = self.idle_connections.iter().position(|idle| idle.connection_id == connection_id);
         if let Some(position) = position {
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -1,26 +1,28 @@
-//! What backends report and messages show of load and latency within open sessions.
+//! Load and latency within open sessions: the values that backends report, and the times that answers take.
 use super::{Effect, LatencyReport, Reducer};
 use hallrelay_balancer::types::{Input, Micros, SessionId};
 
-/// Backends report message delays once in this time on a session; loads come at other times.
+/// Interval at which a backend reports the message delay of a session. Loads come at irregular times.
 const DELAY_REPORT_INTERVAL: Micros = 1_000_000;
 
-/// How far a report may be off that interval and still count as a delay: a busy relay reads a little late,
-/// and with more load reports would count.
+/// Largest deviation from that interval at which a value still counts as a delay. Of 87 values that came a
+/// second apart to within 10 ms, 84 were a second apart to the millisecond. The tolerance allows for a busy
+/// relay that reads a little late; with a larger one, more loads would count as delays.
 const DELAY_REPORT_TOLERANCE: Micros = 5_000;
 
-/// Message latency is reported to the balancer at most once in this time for each server.
+/// Shortest interval between reports of a server's message latency to the balancer.
 const LATENCY_REPORT_INTERVAL: Micros = 1_000_000;
 
-/// The latency objective where no listener has one.
+/// The latency objective if no listener has one.
 const DEFAULT_MESSAGE_TARGET: Micros = 1_000_000;
 
-/// Latency below this part of the smallest objective is not reported.
+/// Latency below this fraction (a third) of the smallest objective is not reported: no client notices it.
 const LATENCY_OBJECTIVE_DIVISOR: Micros = 3;
 
 impl Reducer {
-    /// A value that a backend reported within a session. Backends use one word for a session's load and for
-    /// its message delay in milliseconds: a value that comes one interval after the last is a delay.
+    /// Handles a value that a backend reported within a session. Backends use the same word for the session's
+    /// load and for its message delay in milliseconds: a value that comes one interval after the last one is
+    /// a delay. A delay misread as a load would make a slow backend look like one with light sessions.
     pub(super) fn load_reported(&mut self, session_id: SessionId, load: f64, out: &mut Vec<Effect>) {
         if !self.is_proxying(session_id) {
             return;
@@ -30,7 +32,7 @@
         let is_periodic = last
             .is_some_and(|last| (self.now - last).abs_diff(DELAY_REPORT_INTERVAL) <= DELAY_REPORT_TOLERANCE);
         let delay = load / 1e3;
-        // A message that takes longer than this counts as lost, not as late.
+        // A message that takes longer counts as lost, not as late.
         let max_delay = self.node.limits.silence_timeout as f64 / 1e6;
         let input = if self.node.site.tells_delay && is_periodic && delay <= max_delay {
             Input::MessageDelay { session: session_id, delay }
@@ -40,8 +42,8 @@
         self.step_balancer(input, out);
     }
 
-    /// A message of a session took this long. The balancer is notified while a server's messages are slow,
-    /// and once more when that is over.
+    /// Handles the time that a message of a session took to be answered. The balancer is notified while a
+    /// server's messages are slow, and once more when they no longer are.
     pub(super) fn latency_measured(&mut self, session_id: SessionId, time: Micros, out: &mut Vec<Effect>) {
         if !self.is_proxying(session_id) {
             return;
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -1,27 +1,30 @@
-//! Once a second each relay reports itself to the voters, and the leader reviews the fleet: it commits what
-//! it observes of relays and backends, expires leases that nobody began, notes who serves again, and
-//! notifies all relays which backends are excluded. Times in microseconds.
+//! Each relay reports its status to the voters once a second. The leader then reviews the fleet: it commits
+//! its observations of relays and backends, expires granted leases that were not begun, returns relays that
+//! serve again, and notifies all relays which backends are excluded. Times in microseconds.
 use super::{Effect, Reducer, Server, Timer};
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_disruption::{Command, FailureDomain, HealthState, ItemState, Lease, LeaseState, Target};
 use hallrelay_membership::{MemberState, ReportedLifecycle};
 
-/// A committed drain reaches all relays within this time, and a failure uses up its budget as soon.
+/// Interval between reviews. Within it, a committed drain reaches all relays, and a failed target counts
+/// against its budget.
 const REVIEW_INTERVAL: Micros = 1_000_000;
-/// Commands of one review: after a partition of a thousand all are committed within some seconds.
+/// Largest number of commands per review. After a partition that affects a thousand targets, all commands are
+/// committed within a few seconds.
 const MAX_COMMANDS: usize = 64;
-/// A relay that began to drain has reported it by then.
+/// Time after the grant from which a relay's report that it serves is believed. A relay that began to drain
+/// has reported that by then.
 const SERVING_AGAIN_DELAY: Micros = 3 * REVIEW_INTERVAL;
 /// Reports received this long after a lease was granted were sent after the relay was notified that the
 /// backend is excluded.
 pub(super) const EXCLUSION_DELAY: Micros = 3 * REVIEW_INTERVAL;
-/// Probes or connections in a row without an answer, from which a backend is down.
+/// Number of consecutive health checks or connects without an answer after which a backend is down.
 const MAX_MISSES: u32 = 2;
-/// Nobody waits for the answer to a review's commands.
+/// Request id of a review's commands: no request waits for their result.
 const NO_REQUEST: u64 = 0;
 
-/// A target as the leader sees it.
+/// The leader's observation of a target.
 struct Observation {
     target: Target,
     domain: FailureDomain,
@@ -45,7 +48,7 @@
         self.leader_review(out);
     }
 
-    /// Reports this relay to all voters.
+    /// Reports this relay's status to all voters.
     fn report_status(&mut self, out: &mut Vec<Effect>) {
         let remaining_sessions = self.own_remaining_sessions();
         let session_counts = self.take_session_counts();
@@ -88,7 +91,8 @@
         }
     }
 
-    /// What the log does not have yet of what this leader sees.
+    /// The commands for all changes that this leader observes and that the replicated state does not have
+    /// yet.
     fn review_commands(&self) -> Vec<Command> {
         let Some(coordination) = &self.coordination else { return Vec::new() };
         let mut commands = Vec::new();
@@ -96,7 +100,7 @@
             commands.push(Command::SetBudgets(coordination.config.budgets.clone()));
         }
         let observations = self.observed_relays().into_iter().chain(self.observed_backends());
-        commands.extend(observations.filter_map(|one| self.observation_command(one)));
+        commands.extend(observations.filter_map(|observation| self.observation_command(observation)));
         for (target, lease) in coordination.state.leases() {
             commands.extend(self.expiry(target, lease));
             commands.extend(self.relay_return(target, lease));
@@ -105,7 +109,7 @@
         commands
     }
 
-    /// None where the log has it already.
+    /// The command for an observation; `None` if the replicated state has it already.
     fn observation_command(&self, observation: Observation) -> Option<Command> {
         let Observation { target, domain, health } = observation;
         let is_new = match self.coordination.as_ref()?.state.lease(&target) {
@@ -115,7 +119,7 @@
         is_new.then_some(Command::Observe { target, domain, health })
     }
 
-    /// Expires a granted lease that was not begun in time.
+    /// The command that expires a granted lease, if its drain was not begun in time.
     fn expiry(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let coordination = self.coordination.as_ref()?;
         let is_late = self.now
@@ -124,16 +128,17 @@
             .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
     }
 
-    /// A relay that is out and reports that it serves is back, or never began. One that is out for the
-    /// rollout serves on: whoever deploys reports when it is updated.
+    /// The command that returns a relay which is out of service, but reports that it serves: it is back, or
+    /// never began to drain. A relay that is out for the rollout continues to serve, and the deployer reports
+    /// when it is updated.
     fn relay_return(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let coordination = self.coordination.as_ref()?;
         let Target::Relay(name) = target else { return None };
-        let believed_from = coordination.granted_since(target, self.now) + SERVING_AGAIN_DELAY;
+        let valid_from = coordination.granted_since(target, self.now) + SERVING_AGAIN_DELAY;
         let serves = coordination
             .reports
             .get(name.as_str())
-            .is_some_and(|r| r.serving && r.received_at > believed_from);
+            .is_some_and(|report| report.serving && report.received_at > valid_from);
         let item = coordination.state.rollout().and_then(|rollout| rollout.item(target));
         let in_rollout =
             item.is_some_and(|item| matches!(item.state, ItemState::Updating | ItemState::RollingBack));
@@ -141,7 +146,7 @@
             .then(|| Command::Return { target: target.clone() })
     }
 
-    /// The other relays as membership has them, and this one.
+    /// Observations of the other relays, by membership, and of this one.
     fn observed_relays(&self) -> Vec<Observation> {
         let (Some(coordination), Some(membership)) = (&self.coordination, &self.membership) else {
             return Vec::new();
@@ -164,7 +169,8 @@
         observed
     }
 
-    /// Backends as discovery and this relay's own probes have them, and those that left discovery.
+    /// Observations of backends, by discovery and this relay's own health checks, and of backends that
+    /// discovery removed.
     fn observed_backends(&self) -> Vec<Observation> {
         let listed = self.servers.values().filter(|server| server.instance.phase != Phase::Gone);
         let mut observed: Vec<_> = listed
@@ -195,8 +201,8 @@
         }
     }
 
-    /// Backends of the log that discovery does not have. None from a leader that discovery never answered:
-    /// its list may be old.
+    /// Observations of backends in the replicated state that discovery no longer lists. There are none while
+    /// discovery has not answered this leader, whose list may then be old.
     fn removed_backends(&self) -> Vec<Observation> {
         let Some(coordination) =
             self.coordination.as_ref().filter(|_| self.last_discovery_answer_at.is_some())
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -1,5 +1,5 @@
 //! The lifecycle of this process: whether it serves, drains, stops, or has been replaced by another process.
-//! One table decides what each command, signal and handover does in each state.
+//! One table defines the effect of each command, signal and handover in each state.
 use super::{log, Effect, Reducer};
 use hallrelay_balancer::types::{Micros, SessionId};
 use hallrelay_config::limits::Limits;
@@ -8,55 +8,55 @@
 /// The state of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Lifecycle {
-    /// Its predecessor still owns the listening socket.
+    /// The predecessor still owns the listening socket.
     AwaitingTakeover,
     #[default]
     Serving,
     Draining,
     Stopping,
-    /// Its successor owns the listening socket; sessions that are left here go on.
+    /// The successor owns the listening socket. Sessions that remain in this process continue.
     HandedOver,
-    /// The same, while a drain goes on.
+    /// `HandedOver`, while a drain is in progress.
     HandedOverDraining,
-    /// The same, while a stop goes on.
+    /// `HandedOver`, while a stop is in progress.
     HandedOverStopping,
 }
 
-/// What changes the state.
+/// An event that may change the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LifecycleEvent {
-    /// An operator's command: migrate the sessions and accept none.
+    /// An operator's command to migrate all sessions and accept none.
     Drain,
-    /// An operator's command: end the drain.
+    /// An operator's command to end the drain.
     Activate,
     /// SIGTERM.
     Stop,
     /// This process takes over from its predecessor.
     TakeOver,
-    /// The same, from one that was draining.
+    /// This process takes over from a predecessor that was draining.
     TakeOverDraining,
     /// The successor takes over.
     HandOver,
-    /// The successor died.
-    SuccessorDied,
+    /// The successor exited, in whatever way.
+    SuccessorExited,
 }
 
-/// What a change of state does.
+/// The action of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LifecycleAction {
-    /// Connections are accepted.
+    /// Accept connections.
     StartAccepting,
-    /// Sessions are migrated, batch by batch.
+    /// Migrate the sessions in batches.
     StartDraining,
-    /// Both.
+    /// Accept connections and migrate the sessions in batches.
     StartAcceptingAndDraining,
-    /// Sessions that were not migrated stay, and `PING` is answered again.
+    /// Keep the sessions that were not migrated, and answer `PING` with ready again.
     StopDraining,
-    /// No connection is accepted any more.
+    /// Accept no more connections.
     StopAccepting,
-    /// Nothing; the command is confirmed.
+    /// Confirm the command without any change.
     Confirm,
-    /// Nothing; the command is rejected.
+    /// Reject the command.
     Reject,
 }
 
@@ -72,7 +72,7 @@
     Transition { from, event, to, action }
 }
 
-/// An event that is not listed for a state changes nothing and is confirmed.
+/// All transitions. An event that is not listed for a state changes nothing and is confirmed.
 const TRANSITIONS: &[Transition] = {
     use Lifecycle::*;
     use LifecycleAction::*;
@@ -82,7 +82,7 @@
         row(AwaitingTakeover, TakeOverDraining, Draining, StartAcceptingAndDraining),
         row(AwaitingTakeover, Drain, AwaitingTakeover, Reject),
         row(AwaitingTakeover, Activate, AwaitingTakeover, Reject),
-        // The predecessor keeps the listening socket, so this process stops as one that gave it away.
+        // The predecessor keeps the listening socket, so this process stops as if it had handed it over.
         row(AwaitingTakeover, Stop, HandedOverStopping, StartDraining),
         row(Serving, Drain, Draining, StartDraining),
         row(Serving, Stop, Stopping, StartDraining),
@@ -95,11 +95,11 @@
         row(HandedOver, Drain, HandedOver, Reject),
         row(HandedOver, Activate, HandedOver, Reject),
         row(HandedOver, Stop, HandedOverStopping, StartDraining),
-        row(HandedOver, SuccessorDied, Serving, StartAccepting),
+        row(HandedOver, SuccessorExited, Serving, StartAccepting),
         row(HandedOverDraining, Drain, HandedOverDraining, Reject),
         row(HandedOverDraining, Activate, HandedOverDraining, Reject),
         row(HandedOverDraining, Stop, HandedOverStopping, StartDraining),
-        row(HandedOverDraining, SuccessorDied, Draining, StartAccepting),
+        row(HandedOverDraining, SuccessorExited, Draining, StartAccepting),
         row(HandedOverStopping, Drain, HandedOverStopping, Reject),
         row(HandedOverStopping, Activate, HandedOverStopping, Reject),
     ]
@@ -110,18 +110,18 @@
 pub enum LifecycleStatus {
     /// The process does not accept connections yet, or knows no server.
     Starting,
-    /// It accepts connections.
+    /// The process accepts connections.
     Serving,
-    /// It moves its sessions to other relays, on an operator's command.
+    /// The process migrates its sessions to other relays on an operator's command.
     Draining,
-    /// It moves its sessions to other relays and ends.
+    /// The process migrates its sessions to other relays and then exits.
     Stopping,
     /// Another process owns the listening socket.
     Replaced,
 }
 
 impl LifecycleStatus {
-    /// The word in operators' answers and in the log.
+    /// The word for the state in answers to operators and in the log.
     pub fn label(self) -> &'static str {
         match self {
             LifecycleStatus::Starting => "starting",
@@ -139,11 +139,11 @@
     }
 }
 
-/// When sessions are moved, in microseconds after the state was entered.
+/// When sessions are migrated, in microseconds after the state was entered.
 pub(super) struct MigrationSchedule {
-    /// When the first ones are moved.
+    /// When the first batch is migrated.
     pub start: Micros,
-    /// When none is left.
+    /// When the last batch is migrated.
     pub end: Micros,
 }
 
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Whether a drain or a stop goes on in the next state, counted from its first moment.
+    /// Whether a drain or a stop continues in the next state, so that its times still count from its start.
     fn continues_in(self, next: Lifecycle) -> bool {
         matches!(
             (self, next),
@@ -203,7 +203,7 @@
         let action = row.map_or(LifecycleAction::Confirm, |row| row.action);
         self.lifecycle = to;
         if from != to {
-            // The experiment tool reads this line.
+            // `hallrelay-lab losses` parses this line.
             log(format!("from {} to {}", from.status(), to.status()), out);
             if !from.continues_in(to) {
                 self.begin_migration_round();
@@ -241,7 +241,7 @@
         matches!(self.lifecycle, Lifecycle::Stopping | Lifecycle::HandedOverStopping)
     }
 
-    /// When the drain that is in force began.
+    /// When the current drain began; `None` if there is none.
     pub(super) fn draining_since(&self) -> Option<Micros> {
         let is_draining = matches!(self.lifecycle, Lifecycle::Draining | Lifecycle::HandedOverDraining);
         is_draining.then_some(self.lifecycle_since)
@@ -252,7 +252,7 @@
         self.lifecycle == Lifecycle::Serving && self.has_servers()
     }
 
-    /// Whether the list names a server to place sessions on.
+    /// Whether any server is known.
     pub(super) fn has_servers(&self) -> bool {
         !self.servers.is_empty()
     }
@@ -262,12 +262,14 @@
         self.answer_pings(out);
     }
 
-    /// Answers the connections that sent `PING`: `PONG` while this process or its successor serves, a
-    /// rejection while it drains. They wait while it starts, knows no server, or stops without a successor.
+    /// Answers the connections that sent `PING`: with `PONG` while this process or its successor serves, with
+    /// a rejection while it drains. They wait while this process starts, knows no server, or stops without a
+    /// successor.
     pub(super) fn answer_pings(&mut self, out: &mut Vec<Effect>) {
         let accepts = match self.lifecycle {
             Lifecycle::Serving if self.has_servers() => true,
-            // They were accepted before the handover: both processes are one relay, and that serves.
+            // These connections were accepted before the handover. Both processes are one relay, which
+            // serves.
             Lifecycle::HandedOver | Lifecycle::HandedOverStopping => true,
             Lifecycle::Draining | Lifecycle::HandedOverDraining => false,
             Lifecycle::AwaitingTakeover | Lifecycle::Serving | Lifecycle::Stopping => return,
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -1,5 +1,5 @@
 //! Hot restart in the reducer: this process takes over from its predecessor, or hands over to its successor.
-//! The state machine is the package `hot_restart`; this carries its actions out.
+//! The state machine is in the package `hot_restart`; its actions are carried out here.
 use super::lifecycle::LifecycleEvent;
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{
@@ -13,20 +13,20 @@
 };
 use hallrelay_membership::{Event as MembershipEvent, Membership};
 
-/// Connections and sessions that one process of the relay still has.
+/// Connections and sessions that remain in one process of the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Remaining {
-    /// Connections of clients, those with a session included.
+    /// Connections of clients, including those with a session.
     pub connections: u32,
     pub sessions: u32,
 }
 
-/// How often the successor gets a report of what remains here, so that it can use the capacity before
-/// clients return.
+/// Interval of reports to the successor on what remains in this process. They are frequent, so that the
+/// successor can use the freed capacity before clients return.
 const PROGRESS_INTERVAL: Micros = 100_000;
 
 impl Reducer {
-    /// The start is over. Without a predecessor this process owns the listening socket; else it reports to
+    /// Ends the start. Without a predecessor this process owns the listening socket; otherwise it notifies
     /// the predecessor that it is ready.
     pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
         match self.ownership.awaited_predecessor() {
@@ -44,11 +44,11 @@
         let mut actions = Vec::new();
         self.ownership.step(event, &mut actions);
         for action in actions {
-            self.carry_out_ownership(action, out);
+            self.apply_ownership_action(action, out);
         }
     }
 
-    fn carry_out_ownership(&mut self, action: OwnershipAction, out: &mut Vec<Effect>) {
+    fn apply_ownership_action(&mut self, action: OwnershipAction, out: &mut Vec<Effect>) {
         match action {
             OwnershipAction::Send { process, message } => {
                 out.push(Effect::SendToProcess { peer: process, message })
@@ -61,9 +61,12 @@
             OwnershipAction::Resume => self.resume_ownership(out),
             OwnershipAction::TakeOver(Some(state)) => self.take_over(*state, out),
             OwnershipAction::TakeOver(None) => {
-                log("the predecessor died before it handed over", out);
+                log(
+                    "the predecessor exited before the handover: this process takes over without its state",
+                    out,
+                );
                 self.apply_lifecycle_event(LifecycleEvent::TakeOver, out);
-                self.begin_to_speak_for_relay(out);
+                self.acquire_store_and_membership(out);
                 out.push(Effect::SetTakeoverListener { open: true });
             }
             OwnershipAction::Abort { reason } => out.push(Effect::Abort { reason }),
@@ -78,13 +81,14 @@
         }
     }
 
-    /// The store and the relay's membership are this process' from now on.
-    fn begin_to_speak_for_relay(&mut self, out: &mut Vec<Effect>) {
+    /// Makes this process the one that owns the store and takes part in membership.
+    fn acquire_store_and_membership(&mut self, out: &mut Vec<Effect>) {
         out.push(Effect::SetStoreOwnership { owned: true });
         self.step_membership(MembershipEvent::Activate, out);
     }
 
-    /// In one step: from here on the successor accepts connections, and knows what this process knew.
+    /// Hands over to the successor in one step: from now on it accepts connections, and has the state of this
+    /// process.
     fn hand_over_to(&mut self, process: ProcessId, out: &mut Vec<Effect>) {
         let state = Box::new(self.relay_state());
         self.reported_remaining =
@@ -92,7 +96,7 @@
         log("the successor takes over from this process", out);
         out.push(Effect::SetTakeoverListener { open: false });
         self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
-        // One process speaks for the relay: this one goes silent before the other can begin.
+        // Only one process may take part in membership for the relay: this one stops before the other starts.
         self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { owned: false });
@@ -103,13 +107,13 @@
     }
 
     fn resume_ownership(&mut self, out: &mut Vec<Effect>) {
-        log("the successor died: this process accepts connections again", out);
-        self.apply_lifecycle_event(LifecycleEvent::SuccessorDied, out);
-        self.begin_to_speak_for_relay(out);
+        log("the successor exited: this process accepts connections again", out);
+        self.apply_lifecycle_event(LifecycleEvent::SuccessorExited, out);
+        self.acquire_store_and_membership(out);
         out.push(Effect::SetTakeoverListener { open: true });
     }
 
-    /// What the successor is to know.
+    /// The state that the successor gets.
     fn relay_state(&self) -> RelayState {
         let Snapshot { session_load, servers } = self.balancer.snapshot(self.now);
         RelayState {
@@ -144,10 +148,12 @@
         })
     }
 
-    /// This process owns the listening socket from now on, and goes on with what its predecessor knew.
+    /// Takes over: this process owns the listening socket from now on, and continues with the predecessor's
+    /// state.
     fn take_over(&mut self, state: RelayState, out: &mut Vec<Effect>) {
         log("this process takes over from its predecessor", out);
-        // This process' own watch may have received more by now. A list that can't be read stops nothing.
+        // This process's own watch may have received a newer list by now. A list that can't be parsed is
+        // ignored.
         let list = state.endpoint_list.and_then(|list| list::parse(list.to_string().as_bytes()).ok());
         if let Some(list) = list {
             if self.list_version.is_none_or(|own| own < list.generation) {
@@ -170,7 +176,7 @@
                 self.lifecycle_since = self.now.saturating_sub(age);
             }
         }
-        self.begin_to_speak_for_relay(out);
+        self.acquire_store_and_membership(out);
         out.push(Effect::SetTakeoverListener { open: true });
     }
 
@@ -193,7 +199,7 @@
         })
     }
 
-    /// Sends the successor what discovery sent this process: the successor's own watch may not be open.
+    /// Forwards a list of discovery to the successor, whose own watch may not be open.
     pub(super) fn send_list_to_successor(&mut self, list: &List, out: &mut Vec<Effect>) {
         if self.ownership.successor().is_some() {
             let list = list::encode(list.generation, list.is_complete, list.instances.iter());
@@ -201,15 +207,15 @@
         }
     }
 
-    /// What discovery sent the predecessor. Until discovery has answered this process it counts like a list
-    /// of its own; afterwards only newer drains and removals count.
+    /// Handles a list that discovery sent the predecessor. Until discovery has answered this process, it is
+    /// used like a list of its own; afterwards only newer drains and removals are used.
     fn receive_predecessor_list(&mut self, list: &serde_json::Value, out: &mut Vec<Effect>) {
         let Ok(mut list) = list::parse(list.to_string().as_bytes()) else { return };
         if self.list_version.is_some_and(|own| own >= list.generation) {
             return;
         }
         if self.last_discovery_answer_at.is_some() {
-            list.instances.retain(|one| one.phase != Phase::Ready);
+            list.instances.retain(|instance| instance.phase != Phase::Ready);
             list.is_complete = false;
         }
         self.persist_list(&list, out);
@@ -217,7 +223,7 @@
         self.apply_list(list, out);
     }
 
-    /// Reports to the successor what remains here, as it changes.
+    /// Reports to the successor what remains in this process, if that has changed.
     pub(super) fn report_remaining(&mut self, out: &mut Vec<Effect>) {
         if self.ownership.is_owner() {
             return;
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -1,6 +1,6 @@
-//! Membership within a relay's state: what the relay reports of itself, when its process speaks for it, and
-//! what becomes of membership's effects. Nothing here goes to the balancer: it reckons with the configured
-//! number of relays, however many are reachable.
+//! Membership in the reducer: the metadata that the relay reports, when this process takes part, and the
+//! handling of membership's effects. The balancer gets nothing from here: it uses the configured number of
+//! relays, however many are reachable.
 use super::lifecycle::Lifecycle;
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::Micros;
@@ -13,20 +13,20 @@
 };
 use std::rc::Rc;
 
-/// Metrics of the other relays, where there are any by configuration.
+/// Metrics of membership.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipMetrics {
-    /// Membership's own counters.
+    /// The counters of membership itself.
     pub counters: Counters,
     /// Members in each state, in the order of [`MemberState::ALL`]; this relay itself counts as alive.
     pub members_by_state: [usize; 4],
-    /// Relays that this one received from lately, itself included.
+    /// Number of relays that this one has received from recently, including itself.
     pub reachable_relays: usize,
     /// Endpoint lists accepted from other relays while discovery was unavailable.
     pub peer_lists_accepted: u64,
 }
 
-/// Membership of a relay that starts now; none where no fleet is configured.
+/// The membership of a relay that starts now; `None` if no fleet is configured.
 pub(super) fn new_membership(node: &Node, now: Micros) -> Option<Membership> {
     let fleet = node.fleet.as_ref()?;
     Some(Membership::new(LocalMember {
@@ -42,7 +42,7 @@
 }
 
 impl Reducer {
-    /// Steps membership, and carries out what of its effects is the reducer's own.
+    /// Steps membership and applies its effects; those for sockets are passed on to the tasks.
     pub(super) fn step_membership(&mut self, event: MembershipEvent, out: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
         let mut effects = Vec::new();
@@ -60,8 +60,8 @@
             MembershipEffect::Log { message } => log(message, out),
             MembershipEffect::MemberChanged { name, state, reporter, restarted } => {
                 let details = match (state, &reporter) {
-                    (MemberState::Dead, Some(reporter)) => format!(", says {reporter}"),
-                    _ if restarted => ", started anew".to_string(),
+                    (MemberState::Dead, Some(reporter)) => format!(", reported by {reporter}"),
+                    _ if restarted => ", restarted".to_string(),
                     _ => String::new(),
                 };
                 log(format!("relay {name} is {}{details}", state.as_str()), out);
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Membership's timer. What this relay reports of itself is refreshed first.
+    /// Handles membership's timer. This relay's metadata is refreshed first.
     pub(super) fn membership_timer_expired(&mut self, out: &mut Vec<Effect>) {
         self.refresh_metadata(out);
         self.step_membership(MembershipEvent::TimerExpired, out);
     }
 
-    /// Hands membership what this relay reports of itself, as it is now.
+    /// Updates the metadata that membership reports for this relay.
     pub(super) fn refresh_metadata(&mut self, out: &mut Vec<Effect>) {
         if self.membership.is_some() {
             let metadata = self.own_metadata();
@@ -103,7 +103,7 @@
         let listeners = &self.node.site.listeners;
         let mut counts = vec![0; listeners.len().min(MAX_LISTENERS)];
         for session in self.sessions.values() {
-            // A session whose listener was removed meanwhile counts in the sum alone.
+            // A session whose listener was removed in the meantime counts only in the sum of all sessions.
             let index = listeners.iter().position(|listener| **listener == *session.listener);
             if let Some(count) = index.and_then(|index| counts.get_mut(index)) {
                 *count += 1;
@@ -122,21 +122,22 @@
         }
     }
 
-    /// The relay ends, on purpose: the process that speaks for it announces that.
+    /// Announces that the relay leaves the fleet on purpose. Only the process that owns the listening socket
+    /// does so.
     pub(super) fn leave_fleet(&mut self, out: &mut Vec<Effect>) {
         if self.ownership.is_owner() {
             self.step_membership(MembershipEvent::Leave, out);
         }
     }
 
-    /// The answer of `GET /v1/fleet`; none where no fleet is configured.
+    /// The answer to `GET /v1/fleet`; `None` if no fleet is configured.
     pub(super) fn fleet_status(&self) -> Option<Box<Status>> {
         let mut status = self.membership.as_ref()?.status(self.now);
         status.recovery_stage = self.recovery_phase().label().to_string();
         Some(Box::new(status))
     }
 
-    /// Membership's part of the metrics; none where no fleet is configured.
+    /// The metrics of membership; `None` if no fleet is configured.
     pub(super) fn membership_metrics(&self) -> Option<Box<MembershipMetrics>> {
         let membership = self.membership.as_ref()?;
         let count = |state| membership.members().filter(|member| member.state() == state).count();
--- a/relay/src/reducer/metrics.rs
+++ b/relay/src/reducer/metrics.rs
@@ -1,76 +1,76 @@
-//! The metrics of this process: counted where the state changes, read as a whole.
+//! The metrics of this process. Each counter is incremented where the state changes.
 use super::{MembershipMetrics, Reducer};
 use crate::net::dial_permit::Denials;
 use hallrelay_store::writer::WriterHealth;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The outcomes of one listener's sessions. Each that is requested ends in exactly one of the others, or
-/// waits.
+/// Outcomes of one listener's sessions. Each requested session ends in exactly one of the other outcomes, or
+/// still waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcomes {
-    /// Taken in, whatever became of them.
+    /// All valid requests, whatever their outcome.
     pub requested: u64,
-    /// Accepted by a backend.
+    /// Sessions that a backend accepted.
     pub established: u64,
-    /// Answered with a rejection of this relay.
+    /// Sessions that this relay rejected.
     pub rejected: u64,
-    /// Failed, or not answered in time.
+    /// Sessions that failed, or were not answered in time.
     pub failed: u64,
-    /// The client left, or violated the protocol, before its answer.
+    /// Sessions whose client left, or violated the protocol, before its answer.
     pub abandoned: u64,
 }
 
-/// What `/v1/metrics` shows: counts since the start of this process, and gauges.
+/// The metrics of `/v1/metrics`: counters since the start of this process, and gauges.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metrics {
-    /// By the listener's name; what a listener counted stays when it is dropped.
+    /// Outcomes by listener name. They are kept when a listener is removed.
     pub listeners: BTreeMap<Rc<str>, Outcomes>,
     /// Dials whose first line was written.
     pub dials: u64,
-    /// Reloads of the configuration.
+    /// Successful reloads of the configuration.
     pub reloads: u64,
     /// Reloads whose configuration was invalid.
     pub reload_errors: u64,
-    /// Dials that were not started, since a condition did not hold any more.
+    /// Dials that were not started, since a condition for them no longer held.
     pub denials: Denials,
-    /// Sessions now.
+    /// Current number of sessions.
     pub in_progress: usize,
-    /// Sessions that wait for their final answer now.
+    /// Current number of sessions that wait for their final answer.
     pub waiting: usize,
-    /// Backends that the endpoint list names now.
+    /// Current number of backends in the endpoint list.
     pub known_backends: usize,
-    /// Backends among them that get sessions only where there is no other.
+    /// Number of those backends that get sessions only if no other backend is available.
     pub avoided_backends: usize,
-    /// Of the other relays; `None` without a fleet in the configuration.
+    /// Metrics of membership; `None` if no fleet is configured.
     pub membership: Option<Box<MembershipMetrics>>,
-    /// Of the store; `None` until its first report, and without a store.
+    /// Metrics of the store; `None` without a store, and until its first report.
     pub store: Option<Box<WriterHealth>>,
 }
 
 impl Metrics {
-    /// Metrics in which these listeners count, without sessions.
+    /// Metrics with zero counts for these listeners.
     pub(super) fn with_listeners(listeners: &[String]) -> Metrics {
         let mut metrics = Metrics::default();
         metrics.add_listeners(listeners);
         metrics
     }
 
-    /// Listeners that have no session yet count as well.
+    /// Adds listeners with zero counts, so that they are shown before their first session.
     pub(super) fn add_listeners(&mut self, listeners: &[String]) {
         for name in listeners {
             self.listeners.entry(name.as_str().into()).or_default();
         }
     }
 
-    /// The outcomes of one listener, to be counted up.
+    /// The outcomes of one listener, to be incremented.
     pub(super) fn of_listener(&mut self, name: &Rc<str>) -> &mut Outcomes {
         self.listeners.entry(name.clone()).or_default()
     }
 }
 
 impl Reducer {
-    /// The metrics as they are now.
+    /// The current metrics.
     pub fn metrics(&self) -> Metrics {
         let listed = self
             .servers
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,14 +1,17 @@
 //! The reducer owns all state of a relay: [`Reducer::step`] takes an event and appends effects, which the
 //! tasks of `net` carry out.
 //!
-//! It reads no clock, no socket and no unseeded randomness, so the same events give the same effects.
-//! Load-balancing decisions are the balancer's; the reducer maps events to its inputs and its effects into
-//! dials, answers and timers.
+//! It reads no clock, no socket and no unseeded randomness, so the same events give the same effects. The
+//! balancer makes the load-balancing decisions: the reducer maps events to the balancer's inputs, and the
+//! balancer's effects to dials, answers and timers.
 //!
-//! Four rules hold at all times: 1. Each session gets exactly one final answer in its time, and nothing after
-//! it. 2. No session runs twice: one that may run only once is retried or rejected only where no earlier
-//! attempt can have run. 3. Nothing new goes to a backend later than the drain grace after this relay was
-//! notified that it drains or is gone. 4. All relays together do not overload a backend in slow start.
+//! Four rules hold at all times:
+//! 1. Each session gets exactly one final answer before its deadline, and nothing after it.
+//! 2. No session runs twice: a session that may run only once is retried or rejected only if no earlier
+//!    attempt can have run.
+//! 3. No new session goes to a backend later than the drain grace after this relay was notified that the
+//!    backend drains or is removed.
+//! 4. All relays together do not overload a backend in slow start.
 //!
 //! Silence from other relays never makes a relay admit or dial more.
 mod balancer_effects;
@@ -69,14 +72,15 @@
     out.push(Effect::Log { message: message.into() });
 }
 
-/// The watches on the endpoint list: the latest one, and an earlier one that may still bring something.
+/// The watches on the endpoint list: the latest one, and an earlier one that may still deliver lists.
 #[derive(Default)]
 struct EndpointWatch {
-    /// The number of the latest one.
+    /// The number of the latest watch.
     latest: u32,
-    /// Whether that one is open.
+    /// Whether the latest watch is open.
     is_open: bool,
-    /// The one whose lists hold: the latest once it has brought something, an earlier one until then.
+    /// The watch whose lists are applied: the latest one once it has delivered a list, an earlier one until
+    /// then.
     delivering: Option<u32>,
 }
 
@@ -88,62 +92,62 @@
     /// The time of the event that is being handled, in microseconds.
     now: Micros,
     sessions: BTreeMap<SessionId, Session>,
-    /// The ids that clients gave the sessions, so that a second use of one is found at once.
+    /// The ids that clients gave their sessions, to detect a second use of an id.
     client_session_ids: HashSet<u64>,
     servers: BTreeMap<ServerId, Server>,
     /// The numbers of the servers by their names in the endpoint list.
     ids: BTreeMap<String, ServerId>,
-    /// Servers that nothing new may be sent to, as the tasks know it.
+    /// Servers at which the tasks were notified to start no new sessions.
     draining: BTreeSet<ServerId>,
-    /// The version of the endpoint list that was received last; `None` from a discovery that has not answered
+    /// The version of the last endpoint list received; `None` while a new discovery address has not answered
     /// yet.
     list_version: Option<u64>,
     watch: EndpointWatch,
-    /// Clients' connections that are no session, the least recently active one first.
+    /// Clients' connections that are not sessions, the least recently active one first.
     idle_connections: VecDeque<IdleConnection>,
     /// Connections that wait for the answer to a ping.
     pending_pings: Vec<SessionId>,
     lifecycle: Lifecycle,
-    /// When the drain or stop that is in force began.
+    /// When the current drain or stop began.
     lifecycle_since: Micros,
-    /// Counts drains and stops, so that timers of earlier ones are known.
+    /// Counts drains and stops, so that timers of earlier ones are ignored.
     migration_round: u32,
-    /// Thousandths of a session that the next batch moves in addition.
+    /// Thousandths of a session that are carried over to the next batch.
     migration_credit: usize,
     metrics: Metrics,
     ownership: SocketOwnership,
     membership: Option<Membership>,
-    /// What the store held, until the start has used it.
+    /// The state read from the store, until the start has used it.
     stored: Option<Box<StoredState>>,
-    /// How writing to the store goes; `None` until it was reported.
+    /// The health of writes to the store; `None` until the first report.
     store_health: Option<Box<WriterHealth>>,
-    /// Disruptions coordinated across the fleet; none where no voters are configured.
+    /// Disruptions coordinated across the fleet; `None` if no voters are configured.
     coordination: Option<Box<coordination::Coordination>>,
-    /// This relay's own sessions as of its last report.
+    /// The counts of this relay's own sessions at its last report.
     reported_counts: SessionCounts,
-    /// When discovery answered last since the start; `None` where it has not.
+    /// When discovery answered last; `None` if it has not answered since the start.
     last_discovery_answer_at: Option<Micros>,
-    /// When it answered the time before.
+    /// When discovery gave the answer before that.
     previous_discovery_answer_at: Option<Micros>,
-    /// Lists of other relays that were received before discovery answered.
+    /// Number of other relays' lists that were received before discovery answered.
     peer_lists_received: u32,
     /// Whether discovery had answered one of those relays.
     peer_knew_discovery: bool,
-    /// Servers that discovery removed, and when they had started.
+    /// Servers that discovery removed, and when each had started.
     removed_servers: BTreeMap<String, Micros>,
     connect_failures: ConnectFailureStreak,
-    /// What the predecessor still has.
+    /// Connections and sessions that the predecessor still has.
     predecessor_remaining: Remaining,
-    /// The ids of the sessions there.
+    /// The ids of the predecessor's sessions.
     predecessor_session_ids: HashSet<u64>,
-    /// What was last reported to the successor as remaining here.
+    /// Connections and sessions of this process in the last report to the successor.
     reported_remaining: Remaining,
-    /// Scratch space for the balancer's effects.
+    /// Reusable buffer for the balancer's effects.
     balancer_effects: Vec<balancer::Effect>,
 }
 
 impl Reducer {
-    /// A relay before its start. `predecessor` is the process that it takes over from, where there is one.
+    /// A relay before its start. `predecessor` is the process that it takes over from, if any.
     pub fn new(node: Node, predecessor: Option<ProcessId>) -> Reducer {
         Reducer {
             ownership: SocketOwnership::new(&node.name, &node.listen.to_string(), predecessor),
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Starts with the stored state where there is some, else with the configured endpoint list.
+    /// Starts with the stored state if there is any, else with the configured endpoint list.
     pub fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.now = now;
         self.coordination = self.configured_coordination();
@@ -196,7 +200,7 @@
         let stored_list = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let initial_list = stored_list.unwrap_or(List { is_complete: true, ..self.node.known.clone() });
         self.list_version = Some(initial_list.generation);
-        // The Unix time, but above every start number that the store knows.
+        // The Unix time, or a higher number if the store has a start number that is not below it.
         let start_number = now.max(recovered.min_start_number);
         self.membership = membership::new_membership(&self.node, start_number);
         self.apply_list(initial_list, out);
@@ -205,15 +209,15 @@
             self.persist_identity(start_number, out);
             self.start_polling_peers(out);
         }
-        // Otherwise the balancer requests the watch.
+        // If the balancer must watch, it requests the watch itself.
         if !self.node.site.facts.must_watch {
             self.watch_endpoints(out);
         }
         self.begin_ownership(out);
     }
 
-    /// Takes one event at `now`, in microseconds and never earlier than the last; appends its effects to
-    /// `out`.
+    /// Handles one event and appends its effects to `out`. `now` is in microseconds and never earlier than
+    /// for the last event.
     pub fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         self.now = now;
         match event {
@@ -263,7 +267,8 @@
             Timer::Balancer(label) => self.step_balancer(Input::TimerExpired { label }, out),
             Timer::DialResumingSession(session_id) => self.dial_resuming_session(session_id, out),
             Timer::AnswerDeadline(session_id) => {
-                // Dials end and the balancer answers before this; it guards against a task that does neither.
+                // Normally the dial has ended and the balancer has answered by now. This guards against a
+                // task that does not end its dial.
                 if self.sessions.get(&session_id).is_some_and(|session| session.stage.awaits_answer()) {
                     self.deadline_expired(session_id, out);
                 }
@@ -277,9 +282,9 @@
             Timer::Membership => self.membership_timer_expired(out),
             Timer::RequestEndpointList => self.watch_endpoints(out),
             Timer::PollPeers => self.poll_peers(out),
-            Timer::Voter(alarm, round) => self.raft_timer(alarm, round, out),
+            Timer::Voter(timer, round) => self.raft_timer(timer, round, out),
             Timer::LeaderReview => self.review(out),
-            Timer::PendingRequest(request_number) => self.retry_request(request_number, out),
+            Timer::PendingRequest(call) => self.retry_request(call, out),
         }
     }
 }
--- a/relay/src/reducer/outcome_counts.rs
+++ b/relay/src/reducer/outcome_counts.rs
@@ -1,24 +1,25 @@
-//! Counts of sessions by target, as all relays report them, and those since the present wave of a rollout
-//! began.
+//! Counts of sessions by target, from the reports of all relays: in total, and since the current wave of a
+//! rollout began.
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{ItemState, Rollout, RolloutPhase, SessionCounts, Target};
 use std::collections::BTreeMap;
 
-/// What was reported since this process started, and where the present wave's count began.
+/// The counts reported since this process started, and the baseline of the current wave.
 #[derive(Default)]
 pub(super) struct OutcomeCounts {
     total: BTreeMap<Target, SessionCounts>,
     baseline: Option<WaveBaseline>,
 }
 
-/// The totals when a wave's first target had the new build.
+/// The totals at the time when the first target of a wave had the new build.
 struct WaveBaseline {
     wave: usize,
     since: Micros,
     total: BTreeMap<Target, SessionCounts>,
 }
 
-/// The present wave's sessions at the new build, and those at the old one meanwhile.
+/// The sessions during the current wave: at its targets with the new build, and at targets with the old
+/// build.
 pub(super) struct WaveCounts {
     pub new: SessionCounts,
     pub old: SessionCounts,
@@ -29,8 +30,8 @@
         self.total.entry(target).or_default().add(counts);
     }
 
-    /// Follows the rollout's wave: since when its sessions are counted, or none where that begins now, or
-    /// nothing is to be counted.
+    /// Follows the rollout's current wave and returns the time since which its sessions are counted. `None`
+    /// if the count begins only now, or if nothing is to be counted.
     pub fn follow_wave(&mut self, rollout: &Rollout, now: Micros) -> Option<Micros> {
         if !matches!(rollout.phase, RolloutPhase::Running | RolloutPhase::Analyzing) {
             self.baseline = None;
@@ -46,7 +47,8 @@
         None
     }
 
-    /// Targets of earlier waves have the new build too, and count for neither side.
+    /// The counts of the current wave. Targets of earlier waves have the new build too, and count for neither
+    /// side.
     pub fn of_wave(&self, rollout: &Rollout) -> WaveCounts {
         let mut counts = WaveCounts { new: SessionCounts::default(), old: SessionCounts::default() };
         for target in self.total.keys().filter(|target| target.kind() == rollout.plan.target_kind) {
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list by gossip: while discovery is unavailable a relay polls others for their list. A peer's
-//! list may add a server or drain one. It can't bring back a server that discovery drained, and can't remove
-//! one.
+//! The endpoint list from peers: while discovery is unavailable, a relay polls other relays for their lists.
+//! A peer's list may add a server or drain one. It can neither return a server that discovery drained to
+//! service nor remove one.
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{self, Instance, List};
@@ -8,29 +8,30 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// How long a start waits for discovery, which answers within milliseconds where it is available.
+/// How long a start waits for discovery before the first poll. Discovery answers within milliseconds if it is
+/// available.
 const FIRST_POLL_DELAY: Micros = 500_000;
-/// The pause between polls of one member each, until one answers whose discovery was available. Peers that
-/// started as recently know no more than their own configuration.
+/// Interval between polls of one member each, until one answers whose discovery was available. Peers that
+/// started at the same time know only their own configuration.
 const POLL_INTERVAL: Micros = 500_000;
-/// The pause between polls after that.
+/// Interval between polls after such an answer.
 const SLOW_POLL_INTERVAL: Micros = 10_000_000;
-/// Removed servers that are remembered; the first by name are forgotten beyond that.
+/// Largest number of removed servers that are recorded. Beyond it, the first ones by name are dropped.
 const MAX_REMOVED_SERVERS: usize = 4_096;
 
-/// The list of a relay, as it sends it to another.
+/// A relay's endpoint list as it is sent to another relay.
 #[derive(Serialize, Deserialize)]
 struct PeerList {
     /// The address of the discovery service that sent the list. Versions of another one can't be compared.
     source: String,
-    /// How long ago discovery answered the relay, in milliseconds; `None` where it never did.
+    /// How long ago discovery answered the relay, in milliseconds; `None` if it never did.
     age_ms: Option<u64>,
-    /// In discovery's form.
+    /// The list in discovery's format.
     list: Value,
 }
 
 impl Reducer {
-    /// Starts to poll others where discovery does not answer in time.
+    /// Starts the timer after which other relays are polled, unless discovery has answered by then.
     pub(super) fn start_polling_peers(&mut self, out: &mut Vec<Effect>) {
         if self.membership.is_some() {
             out.push(Effect::StartTimer { after: FIRST_POLL_DELAY, timer: Timer::PollPeers });
@@ -46,14 +47,17 @@
         self.step_membership(MembershipEvent::PollEndpointList, out);
     }
 
-    /// The whole endpoint list in discovery's form; `None` before any version is known.
+    /// The complete endpoint list in discovery's format; `None` before any version is known.
     pub(super) fn encoded_list(&self) -> Option<Value> {
-        let listed =
-            self.servers.values().map(|server| &server.instance).filter(|one| one.phase != Phase::Gone);
+        let listed = self
+            .servers
+            .values()
+            .map(|server| &server.instance)
+            .filter(|instance| instance.phase != Phase::Gone);
         self.list_version.map(|generation| list::encode(generation, true, listed))
     }
 
-    /// Another relay polls for the list.
+    /// Answers another relay's poll for the list.
     pub(super) fn send_list_to_peer(&mut self, stream: u64, out: &mut Vec<Effect>) {
         let answer = self.encoded_list().map(|list| PeerList {
             source: self.node.discovery.to_string(),
@@ -64,7 +68,7 @@
         self.step_membership(MembershipEvent::EndpointListReply { stream, bytes }, out);
     }
 
-    /// Another relay's list. It is not used once discovery has answered.
+    /// Handles another relay's list. It is ignored once discovery has answered.
     pub(super) fn receive_peer_list(&mut self, name: &str, bytes: &[u8], out: &mut Vec<Effect>) {
         if self.last_discovery_answer_at.is_some() {
             return;
@@ -72,7 +76,7 @@
         let Ok(answer) = serde_json::from_slice::<PeerList>(bytes) else { return };
         let Ok(list) = list::parse(answer.list.to_string().as_bytes()) else { return };
         let accepted: Vec<Instance> =
-            list.instances.into_iter().filter_map(|one| self.accept_from_peer(one)).collect();
+            list.instances.into_iter().filter_map(|instance| self.accept_from_peer(instance)).collect();
         self.peer_lists_received += 1;
         let is_same_source = answer.source == self.node.discovery.to_string();
         self.peer_knew_discovery |= answer.age_ms.is_some() && is_same_source;
@@ -80,24 +84,27 @@
             return;
         }
         let count = accepted.len();
-        log(format!("{count} servers by the list of relay {name}, as discovery is unavailable"), out);
-        // The version stays, so that discovery sends all that changed after it.
+        let message = format!("accepted {count} servers from relay {name}, since discovery is unavailable");
+        log(message, out);
+        // The version stays the same, so that discovery sends all changes after it.
         let generation = self.list_version.unwrap_or(0);
         self.apply_list(List { generation, instances: accepted, ..List::default() }, out);
     }
 
-    /// What of one server is accepted from a peer; `None` where it changes nothing.
+    /// The entry of one server that is accepted from a peer; `None` if it is ignored or changes nothing.
     fn accept_from_peer(&self, offered: Instance) -> Option<Instance> {
         let known =
             self.ids.get(&offered.id).and_then(|id| self.servers.get(id)).map(|server| &server.instance);
         let removed = self.removed_servers.get(&offered.id).copied();
-        let removed = removed.or(known.filter(|one| one.phase == Phase::Gone).map(|one| one.started_at));
+        let removed = removed
+            .or(known.filter(|instance| instance.phase == Phase::Gone).map(|instance| instance.started_at));
         if let Some(started_at) = removed {
-            // Only a later start of a removed server is another one.
+            // A removed server is accepted only if it has started again since.
             return (offered.started_at > started_at).then_some(offered);
         }
         let Some(known) = known else { return Some(offered) };
-        // Both are the cautious side: a later start makes it slow, a drain ends new sessions.
+        // Both changes are on the safe side: a later start causes a slow start, and a drain ends new
+        // sessions.
         let has_restarted = offered.started_at > known.started_at;
         let drains = known.phase == Phase::Ready && offered.phase == Phase::Draining;
         let stays_draining = known.phase == Phase::Draining && !has_restarted;
@@ -105,21 +112,24 @@
         (has_restarted || drains).then_some(Instance { phase, ..offered })
     }
 
-    /// Remembers servers that discovery removes, so that no peer's list brings them back.
-    pub(super) fn remember_removed_servers(&mut self, list: &List) {
+    /// Records servers that discovery removes, so that no peer's list brings them back.
+    pub(super) fn record_removed_servers(&mut self, list: &List) {
         if self.membership.is_none() {
             return;
         }
         if list.is_complete {
-            let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
-            let left_out =
-                self.servers.values().map(|server| &server.instance).filter(|one| !is_named(&one.id));
-            self.removed_servers.extend(left_out.map(|one| (one.id.clone(), one.started_at)));
+            let is_named = |id: &str| list.instances.iter().any(|instance| instance.id == id);
+            let left_out = self
+                .servers
+                .values()
+                .map(|server| &server.instance)
+                .filter(|instance| !is_named(&instance.id));
+            self.removed_servers.extend(left_out.map(|instance| (instance.id.clone(), instance.started_at)));
         }
-        for one in &list.instances {
-            match one.phase {
-                Phase::Gone => _ = self.removed_servers.insert(one.id.clone(), one.started_at),
-                Phase::Ready | Phase::Draining => _ = self.removed_servers.remove(&one.id),
+        for instance in &list.instances {
+            match instance.phase {
+                Phase::Gone => _ = self.removed_servers.insert(instance.id.clone(), instance.started_at),
+                Phase::Ready | Phase::Draining => _ = self.removed_servers.remove(&instance.id),
             }
         }
         while self.removed_servers.len() > MAX_REMOVED_SERVERS {
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -1,4 +1,4 @@
-//! What a relay stores as it happens, and what a start takes over of it.
+//! The records that a relay stores while it runs, and the state that a start recovers from them.
 use super::{log, Effect, Reducer, Server};
 use hallrelay_balancer::types::{
     Input, Micros, Phase, ServerId, ServerSnapshot, SessionId, SlotSnapshot, Snapshot,
@@ -7,7 +7,7 @@
 use hallrelay_recovery::{recover, PhaseInput, Record, RecoverInput, Recovered, RecoveryPhase, StoredState};
 
 impl Reducer {
-    /// Hands over what the store held; before [`Reducer::start`].
+    /// Sets the state read from the store. This must be called before [`Reducer::start`].
     pub fn load_state(&mut self, stored: StoredState) {
         self.stored = Some(Box::new(stored));
     }
@@ -16,7 +16,7 @@
         out.push(Effect::Persist { record, before: None });
     }
 
-    /// What a start takes over of the stored state; the store is brought up to date with it.
+    /// Recovers the state that a start uses from the stored state, and brings the store up to date with it.
     pub(super) fn recover_state(
         &mut self,
         now: Micros,
@@ -46,13 +46,13 @@
         recovered
     }
 
-    /// Slots at servers in slow start that were used before the restart count as used.
+    /// Marks slots at servers in slow start as used if they were used before the restart.
     pub(super) fn restore_slow_start_slots(&mut self, recovered: &Recovered, out: &mut Vec<Effect>) {
         if recovered.slow_start_slots.is_empty() {
             return;
         }
         let Snapshot { session_load, servers } = self.balancer.snapshot(self.now);
-        // All other servers as the balancer starts with them.
+        // All other servers stay as the balancer starts with them.
         let unreported = servers.into_iter().map(|server| ServerSnapshot { report: None, ..server });
         let mut servers: Vec<ServerSnapshot> = unreported.collect();
         for slot in &recovered.slow_start_slots {
@@ -64,7 +64,7 @@
         self.step_balancer(Input::Restore(Snapshot { session_load, servers }), out);
     }
 
-    /// How far this relay's recovery is.
+    /// The phase of this relay's recovery.
     pub(super) fn recovery_phase(&self) -> RecoveryPhase {
         let slow_start = self.node.site.facts.warm_up;
         let ready = self.servers.values().filter(|server| server.instance.phase == Phase::Ready);
@@ -77,20 +77,21 @@
         })
     }
 
-    /// This process is the relay from now on.
+    /// Stores this relay's name and start number, from which the next start takes a higher one.
     pub(super) fn persist_identity(&mut self, start_number: u64, out: &mut Vec<Effect>) {
         if self.node.state.is_some() {
             self.persist(Record::relay_identity(&self.node.name, start_number, self.now), out);
         }
     }
 
-    /// Stores what a list of discovery changes, before the list is applied: servers that differ from what is
-    /// known, and those that a complete list leaves out.
+    /// Stores the changes that a list of discovery makes, before the list is applied: servers that differ
+    /// from the known ones, and those that a complete list leaves out.
     pub(super) fn persist_list(&mut self, list: &List, out: &mut Vec<Effect>) {
         if self.node.state.is_none() {
             return;
         }
-        let changed = list.instances.iter().filter(|one| self.known_instance(&one.id) != Some(*one));
+        let changed =
+            list.instances.iter().filter(|instance| self.known_instance(&instance.id) != Some(*instance));
         let removed = if list.is_complete { self.left_out_by(list) } else { Vec::new() };
         let changed: Vec<Instance> = changed.cloned().chain(removed).collect();
         for instance in &changed {
@@ -104,16 +105,16 @@
         self.servers.get(self.ids.get(id)?).map(|server| &server.instance)
     }
 
-    /// Servers that a complete list no longer names, as removed ones.
+    /// The servers that a complete list no longer names, marked as removed.
     fn left_out_by(&self, list: &List) -> Vec<Instance> {
-        let is_named = |id: &str| list.instances.iter().any(|one| one.id == id);
+        let is_named = |id: &str| list.instances.iter().any(|instance| instance.id == id);
         let known = self.servers.values().map(|server| &server.instance);
-        let left_out = known.filter(|one| one.phase != Phase::Gone && !is_named(&one.id));
-        left_out.map(|one| Instance { phase: Phase::Gone, ..one.clone() }).collect()
+        let left_out = known.filter(|instance| instance.phase != Phase::Gone && !is_named(&instance.id));
+        left_out.map(|instance| Instance { phase: Phase::Gone, ..instance.clone() }).collect()
     }
 
-    /// Stores a slot at a server in slow start before the dial that uses it goes out, so that a relay that
-    /// crashes again and again stays within its rate.
+    /// Stores the use of a slot at a server in slow start before the dial is made, so that a relay that
+    /// crashes repeatedly stays within its rate.
     pub(super) fn persist_slow_start_slot(
         &mut self,
         server: ServerId,
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -1,21 +1,23 @@
 //! Detects restarts of servers from their own answers while discovery is unavailable: a server that
-//! accepted no connection and then answers has most likely restarted in between, and starts slowly.
+//! accepted no connection and then answers has most likely restarted in between, and gets a slow start.
 //!
-//! After a power loss nobody reports restarts, and by an old list no server is warming up. Where a network
-//! was merely interrupted, its servers go through one needless slow start, unless discovery reports
+//! After a power loss, restarts are not reported, and according to an old list no server is warming up. If
+//! only the network was interrupted, the servers go through one needless slow start, unless discovery reports
 //! otherwise.
 use super::Reducer;
 use hallrelay_balancer::types::{DialEnd, Input, ListUpdate, ServerId};
 
-/// Failed connects in a row after which a server that answers counts as restarted; one may be a lost packet.
+/// Number of consecutive failed connects after which a server that answers counts as restarted. A single one
+/// may be a lost packet.
 const MIN_FAILED_CONNECTS: u32 = 2;
-/// Failed connects in a row, at any servers and without an answer, after which all servers count as down. A
-/// relay with few sessions contacts each server too seldom to see each of them fail.
+/// Number of consecutive failed connects to any servers, without an answer in between, after which all
+/// servers count as having been down. A relay with few sessions contacts each server too rarely to see each
+/// one fail.
 const STREAK_CONNECTS: u32 = 6;
-/// Different servers that such a streak must cover.
+/// Number of different servers that such a streak must include.
 const STREAK_SERVERS: usize = 3;
 
-/// Failed connects since any server answered, and the servers they went to.
+/// The failed connects since any server last answered, and the first few servers that they went to.
 #[derive(Default)]
 pub(super) struct ConnectFailureStreak {
     failures: u32,
@@ -23,9 +25,9 @@
 }
 
 impl ConnectFailureStreak {
-    /// Adds a failure. True once for a streak: as it becomes long enough.
+    /// Adds a failure. Returns true once per streak: when it becomes long enough.
     fn add(&mut self, server: ServerId) -> bool {
-        let slot = self.servers.iter().position(|one| one.is_none_or(|one| one == server));
+        let slot = self.servers.iter().position(|slot| slot.is_none_or(|known| known == server));
         if let Some(slot) = slot {
             self.servers[slot] = Some(server);
         }
@@ -39,14 +41,14 @@
     }
 }
 
-/// Whether a contact proves that the server runs. Silence does not: the connection was made, and no answer
-/// came.
+/// Whether the end of a dial or health check proves that the server is running. A timeout does not: the
+/// connection was established, but no answer came.
 fn is_answer(end: DialEnd) -> bool {
     matches!(end, DialEnd::Ok | DialEnd::Full | DialEnd::Error | DialEnd::Cancelled)
 }
 
 impl Reducer {
-    /// A dial or a health check of a server ended.
+    /// Handles the end of a dial to a server or of its health check.
     pub(super) fn observe_contact(
         &mut self,
         server: Option<ServerId>,
@@ -78,7 +80,7 @@
     }
 
     fn server_answered(&mut self, server: ServerId, out: &mut Vec<super::Effect>) {
-        // A watch that is open reports restarts itself.
+        // While a watch delivers lists, discovery reports restarts itself.
         let is_discovery_unavailable = self.watch.delivering.is_none();
         let Some(entry) = self.servers.get_mut(&server) else { return };
         let failed_connects = std::mem::take(&mut entry.consecutive_connect_failures);
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -1,17 +1,17 @@
-//! A relay's part in a rollout: it counts its sessions and reports them, and the leader analyzes the present
-//! wave from all relays' reports. All else of a rollout happens inside the replicated state.
+//! A relay's part in a rollout: it counts its sessions and reports them, and the leader analyzes the current
+//! wave from the reports of all relays. The replicated state does everything else.
 use super::{Reducer, ServerId};
 use crate::control_message::TargetCounts;
 use hallrelay_balancer::types::DialEnd;
 use hallrelay_disruption::{analyze, Command, RolloutPhase, SessionCounts, Target};
 use std::cmp::Reverse;
 
-/// Backends in one report of a relay; the others' counts go with the next.
+/// Largest number of backends in one report of a relay. The counts of the others follow in later reports.
 const MAX_REPORTED_BACKENDS: usize = 64;
 const MICROS_PER_S: u64 = 1_000_000;
 
 impl Reducer {
-    /// A dial at a backend ended, or an open session there was reset.
+    /// Counts the end of a dial at a backend, or the reset of an open session there.
     pub(super) fn count_outcome(&mut self, server: Option<ServerId>, end: DialEnd) {
         if self.coordination.is_none() {
             return;
@@ -26,11 +26,12 @@
         }
     }
 
-    /// Takes what was counted since the last report: of this relay as a whole, then by backend.
+    /// Takes the counts since the last report: first of the entire relay, then by backend.
     pub(super) fn take_session_counts(&mut self) -> Vec<TargetCounts> {
         let own =
             TargetCounts { target: Target::Relay(self.node.name.clone()), counts: self.take_own_counts() };
-        // The most sessions first: a backend that is left out grows until it is among them.
+        // Backends with the most sessions come first. The count of one that is left out grows until it is
+        // included.
         let mut counted: Vec<_> =
             self.servers.values_mut().filter(|server| server.session_counts.sessions > 0).collect();
         counted.sort_by_key(|server| Reverse(server.session_counts.sessions));
@@ -51,8 +52,9 @@
         total.since(reported)
     }
 
-    /// The leader's analysis of the present wave, where there is a verdict. A wave passes, or lacks sessions,
-    /// only once all of it is updated; one that fails more sessions than the old build does so at once.
+    /// The leader's analysis of the current wave, if there is a verdict. A wave may pass, or be found to lack
+    /// sessions, only once all of its targets are updated. A wave in which more sessions fail than with the
+    /// old build fails immediately.
     pub(super) fn wave_analysis(&mut self) -> Option<Command> {
         let now = self.now;
         let coordination = self.coordination.as_mut()?;
--- a/relay/src/reducer/server.rs
+++ b/relay/src/reducer/server.rs
@@ -1,26 +1,26 @@
-//! What the reducer knows of one backend.
+//! The reducer's state of one backend.
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::list::Instance;
 use hallrelay_disruption::SessionCounts;
 
-/// A backend that the endpoint list names, or named.
+/// A backend that the endpoint list names, or has named.
 pub(super) struct Server {
-    /// As the list had it last.
+    /// Its last entry in the list.
     pub instance: Instance,
-    /// When it started, by this process' clock; 0 is long ago.
+    /// When it started, by this process's clock; 0 for long ago.
     pub started_at: Micros,
     pub health_check_pending: bool,
-    /// Health checks in a row without any answer.
+    /// Number of consecutive health checks without any answer.
     pub consecutive_misses: u32,
-    /// Connects in a row that failed.
+    /// Number of consecutive connects that failed.
     pub consecutive_connect_failures: u32,
     pub latency_report: LatencyReport,
-    /// Outcomes of sessions there since the last report to the leader.
+    /// Outcomes of sessions at this backend since the last report to the leader.
     pub session_counts: SessionCounts,
 }
 
 impl Server {
-    /// Whether it is warming up.
+    /// Whether the backend is warming up.
     pub fn in_slow_start(&self, now: Micros, warm_up: Micros) -> bool {
         self.started_at > 0 && now < self.started_at.saturating_add(warm_up)
     }
@@ -30,6 +30,6 @@
 #[derive(Default)]
 pub(super) struct LatencyReport {
     pub reported_at: Option<Micros>,
-    /// Whether it was above the threshold below which nothing is reported.
+    /// Whether the latency was above the threshold below which it is not reported.
     pub above_threshold: bool,
 }
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -1,21 +1,21 @@
-//! The backends of the endpoint list: what the list and health checks report of them, and when they are
-//! forgotten.
+//! The backends of the endpoint list: applies lists and the results of health checks, and drops backends that
+//! were removed.
 use super::{log, Effect, LatencyReport, Reducer, Server, SessionStage};
 use hallrelay_balancer::types::{DialEnd, Endpoint, Input, ListUpdate, LoadReport, Micros, Phase, ServerId};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_disruption::SessionCounts;
 use std::collections::BTreeMap;
 
-/// Health checks in a row without an answer after which a backend is suspect; one may be lost to a busy
-/// moment.
+/// Number of consecutive health checks without an answer after which a backend is suspect. A single one may
+/// be missed because of a short overload.
 const SUSPECT_AFTER_MISSES: u32 = 2;
 
-/// How late discovery may notice and report a start: some ten seconds, and more where it is slow.
+/// Longest delay with which discovery reports a start: some ten seconds, and more if it is slow.
 const MAX_START_REPORT_DELAY: Micros = 60_000_000;
 
 impl Reducer {
-    /// A health check ended. Where several in a row get no answer, the open sessions there are notified
-    /// that their backend is suspect: otherwise each would find out by a message of its own.
+    /// Handles the end of a health check. If several consecutive ones got no answer, the backend's open
+    /// sessions are notified that it is suspect: otherwise each would find out only by a message of its own.
     pub(super) fn health_check_ended(
         &mut self,
         server: ServerId,
@@ -28,8 +28,8 @@
         self.step_balancer(Input::ProbeEnded { server, end, report }, out);
     }
 
-    /// Counts health checks in a row without an answer, and announces where that makes a backend suspect or
-    /// clears it.
+    /// Counts consecutive health checks without an answer, and notifies the backend's sessions if it becomes
+    /// suspect or no longer is.
     fn count_miss(&mut self, server: ServerId, end: DialEnd, out: &mut Vec<Effect>) {
         let Some(entry) = self.servers.get_mut(&server) else { return };
         entry.health_check_pending = false;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Applies a list or changes of one: the tasks first, then the balancer.
+    /// Applies a list or changes to it. The tasks are notified before the balancer decides anything.
     pub(super) fn apply_list(&mut self, list: List, out: &mut Vec<Effect>) {
         if list.is_complete {
             self.servers.values_mut().for_each(|server| server.instance.phase = Phase::Gone);
@@ -53,26 +53,27 @@
         let update = if list.is_complete { ListUpdate::Snapshot } else { ListUpdate::Delta };
         let mut instances = list.instances;
         if !list.unreadable.is_empty() {
-            log(format!("{} entries of the list can't be read", list.unreadable.len()), out);
-            // Such an entry may say that the server drains, so nothing new goes there. A complete list has
-            // that effect anyway.
+            log(format!("{} entries of the endpoint list can't be parsed", list.unreadable.len()), out);
+            // Such an entry may mean that the server drains, so it gets no new sessions. With a complete list
+            // that happens anyway, since the entry is missing.
             let unreadable =
                 list.unreadable.iter().flatten().filter_map(|id| self.servers.get(self.ids.get(id)?));
             let ready = unreadable.map(|server| &server.instance).filter(|known| known.phase == Phase::Ready);
             instances.extend(ready.map(|known| Instance { phase: Phase::Draining, ..known.clone() }));
         }
-        let endpoints: Vec<Endpoint> = instances.into_iter().map(|one| self.endpoint(one, update)).collect();
+        let endpoints: Vec<Endpoint> =
+            instances.into_iter().map(|instance| self.endpoint(instance, update)).collect();
         self.announce_draining(update, &endpoints, out);
         self.step_balancer(Input::EndpointList { update, endpoints }, out);
-        self.forget_removed_servers(out);
+        self.drop_removed_servers(out);
         self.answer_pings(out);
     }
 
-    /// Notifies the tasks which servers drain from now on, before anything is decided by the list.
+    /// Notifies the tasks which servers drain from now on, before the balancer uses the list.
     fn announce_draining(&mut self, update: ListUpdate, endpoints: &[Endpoint], out: &mut Vec<Effect>) {
         let mut named: BTreeMap<ServerId, bool> = BTreeMap::new();
         if update == ListUpdate::Snapshot {
-            // Servers that a complete list does not name are removed.
+            // A complete list removes the servers that it does not name.
             named
                 .extend(self.servers.iter().map(|(&id, server)| (id, server.instance.phase != Phase::Ready)));
         }
@@ -83,22 +84,22 @@
         }
     }
 
-    /// Takes one entry of a list over, and returns it as the balancer gets it.
-    pub(super) fn endpoint(&mut self, one: Instance, update: ListUpdate) -> Endpoint {
-        let server = match self.ids.get(&one.id) {
+    /// Stores one entry of a list and converts it for the balancer.
+    pub(super) fn endpoint(&mut self, instance: Instance, update: ListUpdate) -> Endpoint {
+        let server = match self.ids.get(&instance.id) {
             Some(&server) => server,
             None => {
-                let mut server = server_id(&one.id);
+                let mut server = server_id(&instance.id);
                 while self.servers.contains_key(&server) {
                     server = server.wrapping_add(1);
                 }
-                self.ids.insert(one.id.clone(), server);
+                self.ids.insert(instance.id.clone(), server);
                 server
             }
         };
-        let started = self.local_start(server, one.started_at, update);
-        let fresh = || Server {
-            instance: one.clone(),
+        let started = self.local_start(server, instance.started_at, update);
+        let new_server = || Server {
+            instance: instance.clone(),
             started_at: started,
             health_check_pending: false,
             consecutive_misses: 0,
@@ -106,20 +107,20 @@
             latency_report: LatencyReport::default(),
             session_counts: SessionCounts::default(),
         };
-        let entry = self.servers.entry(server).or_insert_with(fresh);
-        (entry.instance, entry.started_at) = (one.clone(), started);
-        let zone = self.node.site.zones.iter().position(|name| *name == one.zone);
+        let entry = self.servers.entry(server).or_insert_with(new_server);
+        (entry.instance, entry.started_at) = (instance.clone(), started);
+        let zone = self.node.site.zones.iter().position(|name| *name == instance.zone);
         let zone = zone.and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
-        let phase = self.phase(&one);
-        Endpoint { server, phase, started_at: started, zone, cell: one.cell }
+        let phase = self.phase(&instance);
+        Endpoint { server, phase, started_at: started, zone, cell: instance.cell }
     }
 
-    /// When a server started, by this process' clock; 0 is long ago.
+    /// When a server started, by this process's clock; 0 for long ago.
     ///
-    /// The list has times of another machine's wall clock, and either clock may have been set. A server
-    /// counts as started now, since it may be warming up, where the list's time lies ahead of this clock, or
-    /// where a change of the list names the server first and its start lies long before the list that did not
-    /// name it.
+    /// The times in the list are from another machine's wall clock, and either clock may have been adjusted.
+    /// In two cases the listed time is wrong, and the server counts as started now, since it may be warming
+    /// up: its time is ahead of this clock, or it first appears in a change to the list although its time is
+    /// long before the previous list, which did not name it.
     fn local_start(&self, server: ServerId, listed_start: Micros, update: ListUpdate) -> Micros {
         if listed_start == 0 {
             return 0;
@@ -133,7 +134,7 @@
         let is_ahead = listed_start > self.now;
         let before = self.previous_discovery_answer_at.filter(|_| update == ListUpdate::Delta);
         let is_long_before_last_list =
-            before.is_some_and(|then| listed_start.saturating_add(MAX_START_REPORT_DELAY) < then);
+            before.is_some_and(|previous| listed_start.saturating_add(MAX_START_REPORT_DELAY) < previous);
         if is_ahead || is_long_before_last_list {
             self.now
         } else {
@@ -141,9 +142,8 @@
         }
     }
 
-    /// Forgets removed servers that no session is on, so that a long-lived process does not collect all there
-    /// ever were.
-    pub(super) fn forget_removed_servers(&mut self, out: &mut Vec<Effect>) {
+    /// Drops removed servers without sessions, so that they do not accumulate in a long-lived process.
+    pub(super) fn drop_removed_servers(&mut self, out: &mut Vec<Effect>) {
         let removed: Vec<ServerId> = self
             .servers
             .iter()
@@ -165,7 +165,8 @@
     }
 }
 
-/// A server's number: the FNV-1a hash of its name, the same at every relay, so that all rank servers alike.
+/// A server's number: the FNV-1a hash of its name. It is the same at every relay, so that all relays rank the
+/// servers in the same order.
 pub(super) fn server_id(name: &str) -> ServerId {
     name.bytes().fold(0x811c_9dc5, |hash, b| (hash ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
--- a/relay/src/reducer/session.rs
+++ b/relay/src/reducer/session.rs
@@ -1,24 +1,24 @@
-//! What the reducer knows of one session.
+//! The reducer's state of one session.
 use hallrelay_balancer::types::{AdmissionRequest, Micros, ServerId};
 use std::rc::Rc;
 
-/// Where a session stands.
+/// The stage of a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SessionStage {
-    /// The balancer decides where it goes, or lets it wait.
+    /// The balancer is choosing a backend, or lets the session wait.
     AwaitingPlacement,
-    /// A dial is out for it.
+    /// A dial is in progress.
     Dialing,
-    /// Open: lines are proxied both ways.
+    /// The session is open: lines are proxied in both directions.
     Proxying,
-    /// Its client got `MOVE`; it ends with its backend's connection.
+    /// The client got `MOVE`. The session ends when its backend's connection ends.
     Migrating,
-    /// It is being handed over to another process.
+    /// The session is being handed over to another process.
     HandingOver,
 }
 
 impl SessionStage {
-    /// Whether its client still waits for the final answer.
+    /// Whether the client still waits for its final answer.
     pub fn awaits_answer(self) -> bool {
         matches!(self, SessionStage::AwaitingPlacement | SessionStage::Dialing)
     }
@@ -26,21 +26,21 @@
 
 /// One session, from its request to its end.
 pub(super) struct Session {
-    /// The id that its client gave it.
+    /// The id that the client gave the session.
     pub client_session_id: u64,
-    /// The name of its listener when it was requested.
+    /// The name of the listener at the time of the request.
     pub listener: Rc<str>,
     pub request: AdmissionRequest,
     pub stage: SessionStage,
-    /// Where it was dialled last, or is open.
+    /// The server that was dialled last, or at which the session is open.
     pub server: Option<ServerId>,
-    /// Dials so far.
+    /// Number of dials so far.
     pub dials: u32,
-    /// When its final answer is due.
+    /// When the final answer is due.
     pub deadline: Micros,
-    /// When its backend reported a load last.
+    /// When the backend last reported a load.
     pub last_load_at: Option<Micros>,
-    /// It was open at its backend before this process started and is to be resumed there. The balancer learns
-    /// of it once it is open again.
+    /// Whether the session was open at its backend before this process started and is to be resumed there.
+    /// The balancer is notified of it only once it is open again.
     pub is_resuming: bool,
 }
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -1,11 +1,11 @@
-//! Open sessions that pass from one process of the relay to the next.
+//! Handover of open sessions from one process of the relay to the next.
 use super::{Effect, Reducer, Session, SessionStage};
 use hallrelay_balancer::types::{AdmissionRequest, Input, SessionId};
 use hallrelay_hot_restart::SessionState;
 
 impl Reducer {
-    /// Hands an open session over to the process that owns the listening socket. In a drain it is moved to
-    /// another relay instead.
+    /// Hands an open session over to the process that owns the listening socket. During a drain the session
+    /// is migrated to another relay instead.
     pub(super) fn hand_over_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(successor) = self.ownership.successor().filter(|_| self.draining_since().is_none()) else {
             return;
@@ -33,7 +33,8 @@
         out.push(Effect::HandOverSession { session_id, peer: successor, state: Box::new(state) });
     }
 
-    /// The other process could not take it: it stays here, and moves as this process drains.
+    /// The other process could not take the session over: it stays in this process, and is migrated when this
+    /// process drains.
     pub(super) fn session_handover_failed(&mut self, session_id: SessionId) {
         if let Some(session) =
             self.sessions.get_mut(&session_id).filter(|session| session.stage == SessionStage::HandingOver)
@@ -42,7 +43,7 @@
         }
     }
 
-    /// An open session of the predecessor, after its first answer.
+    /// Takes over an open session of the predecessor, whose client has had its first answer.
     pub(super) fn adopt_session(
         &mut self,
         session_id: SessionId,
@@ -50,7 +51,8 @@
         out: &mut Vec<Effect>,
     ) {
         let listeners = &self.node.site.listeners;
-        // This process' configuration may no longer have its listener; an open session needs none.
+        // The configuration of this process may no longer have the session's listener. An open session does
+        // not need it.
         let listener = listeners.iter().position(|name| *name == state.listener).unwrap_or(0);
         let SessionState { key, group, returned, .. } = state;
         let request = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
@@ -73,7 +75,8 @@
         remaining.connections = remaining.connections.saturating_sub(1);
         remaining.sessions = remaining.sessions.saturating_sub(1);
         out.push(Effect::StartProxying { session_id });
-        // At a server that the list no longer names the session goes on, and the balancer need not know.
+        // A session at a server that the list no longer names continues, and the balancer need not know of
+        // it.
         if let Some(server) = server {
             self.step_balancer(Input::SessionAdopted { session: session_id, server, request }, out);
         }
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -4,11 +4,12 @@
 use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Input, LoadReport, Micros, SessionId};
 use std::rc::Rc;
 
-/// Between two dials of a resumed session: often enough within the time that these have, seldom enough for a
-/// full backend.
+/// Delay between dials of a session that is to be resumed. Short enough for several dials before its
+/// deadline, long enough not to flood a full backend.
 const RESUME_RETRY_INTERVAL: Micros = 200_000;
 
-/// The relay's own final answer after so many dials: a rejection where nothing was forwarded, else a failure.
+/// The relay's own final answer to a session: a rejection if no dial was made, since nothing was forwarded
+/// then, else a failure.
 pub(super) fn final_answer(session_id: SessionId, dials: u32) -> Effect {
     match dials {
         0 => Effect::Reject { session_id, retry_after: 0 },
@@ -17,25 +18,26 @@
 }
 
 impl Reducer {
-    /// Whether the dial is the one that is out for the session; events of earlier dials are ignored.
+    /// Whether this dial of the session is in progress. Events of earlier dials are ignored.
     fn is_current_dial(&self, session_id: SessionId, dial: u32) -> bool {
-        let is_out = |session: &Session| session.stage == SessionStage::Dialing && session.dials == dial + 1;
-        self.sessions.get(&session_id).is_some_and(is_out)
+        let is_current =
+            |session: &Session| session.stage == SessionStage::Dialing && session.dials == dial + 1;
+        self.sessions.get(&session_id).is_some_and(is_current)
     }
 
     pub(super) fn is_proxying(&self, session_id: SessionId) -> bool {
         self.sessions.get(&session_id).is_some_and(|session| session.stage == SessionStage::Proxying)
     }
 
-    /// A connection that violates the protocol is never served, even where a dial is out for it.
+    /// Handles a protocol violation. Such a connection is never served, even if a dial is in progress for it.
     pub(super) fn protocol_violation(&mut self, connection_id: SessionId, out: &mut Vec<Effect>) {
         self.pending_pings.retain(|ping| *ping != connection_id);
         out.push(Effect::ReportProtocolError { connection_id });
         self.abandon_session(connection_id, out);
     }
 
-    /// Removes a session without an answer: its client left or violated the protocol, or another process has
-    /// taken it over. The balancer is notified, unless the session still waits to be resumed.
+    /// Removes a session without an answer, since its client left or violated the protocol, or another
+    /// process took it over. The balancer is notified, unless the session still waits to be resumed.
     pub(super) fn abandon_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         self.metrics.of_listener(&session.listener).abandoned += u64::from(session.stage.awaits_answer());
@@ -44,22 +46,22 @@
         }
     }
 
-    /// The client closed its connection, whether or not it was a session.
+    /// Handles the end of a client's connection, whether or not it was a session.
     pub(super) fn client_disconnected(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         self.abandon_session(session_id, out);
         self.remove_idle_connection(session_id);
         self.pending_pings.retain(|connection_id| *connection_id != session_id);
     }
 
-    /// The client ended its sending before it was answered. It may have left, so nothing is forwarded; it may
-    /// still read, so its final answer is sent.
+    /// Handles a client that closed its sending side before it was answered. It may have left, so nothing is
+    /// forwarded; it may still read, so its final answer is sent.
     pub(super) fn client_half_closed(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(&session_id) else { return };
         out.push(final_answer(session_id, session.dials));
         self.abandon_session(session_id, out);
     }
 
-    /// Ends a session; its connection goes on for as long as its final answer takes.
+    /// Ends a session. Its connection stays until the final answer is sent.
     pub(super) fn remove_session(&mut self, session_id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&session_id)?;
         self.client_session_ids.remove(&session.client_session_id);
@@ -67,7 +69,7 @@
         Some(session)
     }
 
-    /// A client's first line. `time_remaining` is what is left of its timeout.
+    /// Handles a client's first line. `time_remaining` is the rest of the client's timeout.
     pub(super) fn session_requested(
         &mut self,
         session_id: SessionId,
@@ -79,7 +81,7 @@
             return self.protocol_violation(session_id, out);
         };
         self.remove_idle_connection(session_id);
-        // A connection that pinged before and goes on without waiting for the answer is a client now.
+        // A client that sent `PING` before may request a session without waiting for the answer.
         self.pending_pings.retain(|ping| *ping != session_id);
         let request = AdmissionRequest {
             listener,
@@ -117,9 +119,9 @@
         }
     }
 
-    /// The listener of a request; `None` where the request violates the protocol: an unknown listener, the id
-    /// of another session, or a timeout beyond what any client waits. The timeout of a resumed session does
-    /// not count.
+    /// The listener of a request. `None` if the request violates the protocol: it names an unknown listener,
+    /// the id of another session, or a timeout over the limit. The timeout of a resumed session is not
+    /// checked.
     fn valid_listener(&self, open: &SessionRequest, time_remaining: Micros) -> Option<usize> {
         let is_in_use =
             self.client_session_ids.contains(&open.id) || self.predecessor_session_ids.contains(&open.id);
@@ -130,13 +132,13 @@
         self.node.site.listeners.iter().position(|name| *name == open.listener)
     }
 
-    /// Whether the sessions of this process and its predecessor together are over the limit.
+    /// Whether the sessions of this process and its predecessor together exceed the limit.
     fn is_full(&self) -> bool {
         let remaining = self.predecessor_remaining.sessions;
         remaining > 0 && self.sessions.len() as u32 + remaining > self.node.limits.max_sessions
     }
 
-    /// Returns a session to the backend at which it was open before this process started.
+    /// Resumes a session at the backend at which it was open before this process started.
     fn resume_session(&mut self, session_id: SessionId, backend: &str, out: &mut Vec<Effect>) {
         let Some(&server) = self.ids.get(backend) else {
             return self.send_final_answer(session_id, Effect::TearDown { session_id }, out);
@@ -145,13 +147,15 @@
         self.dial_resuming_session(session_id, out);
     }
 
-    /// Removes a session, counts its outcome and sends its final answer. A client whose time was up long ago,
-    /// since this process was not scheduled, gets none. Only `client_half_closed` sends one elsewhere: that
-    /// counts as abandoned.
+    /// Removes a session, counts its outcome and sends its final answer. `client_half_closed` is the only
+    /// other place that sends one; it counts the session as abandoned.
+    ///
+    /// The check for late answers guards rule 1 if this process was not scheduled for long: a client accepts
+    /// an answer up to half a second after its deadline, so a late one is still sent until then. Without any
+    /// answer the session would count as lost. Later the connection is closed without an answer.
     pub(super) fn send_final_answer(&mut self, session_id: SessionId, answer: Effect, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&session.listener);
-        // Until then a late answer serves the client better than none.
         let is_too_late = self.now > session.deadline + self.node.limits.late_answer_timeout;
         match answer {
             Effect::Reject { .. } if !is_too_late => outcomes.rejected += 1,
@@ -160,7 +164,7 @@
         out.push(if is_too_late { Effect::CloseClient { session_id } } else { answer });
     }
 
-    /// Dials the backend of a session that is to be resumed.
+    /// Dials the backend of a session that is to be resumed, unless a dial is in progress.
     pub(super) fn dial_resuming_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         if session.stage != SessionStage::AwaitingPlacement {
@@ -179,12 +183,12 @@
         out.push(Effect::Dial { session_id, dial, server: None, addr, timeout, start_within });
     }
 
-    /// The final answer is due, and no dial brought one.
+    /// The final answer is due, and no dial has given one.
     pub(super) fn deadline_expired(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         self.answer_waiting_session(session_id, Effect::TearDown { session_id }, out);
     }
 
-    /// Gives a waiting session the relay's own final answer. The balancer is notified, unless the session
+    /// Sends a waiting session the relay's own final answer. The balancer is notified, unless the session
     /// still waits to be resumed.
     pub(super) fn answer_waiting_session(
         &mut self,
@@ -199,7 +203,7 @@
         }
     }
 
-    /// A backend accepted a session.
+    /// Handles a backend's acceptance of a session.
     pub(super) fn session_established(&mut self, session_id: SessionId, dial: u32, out: &mut Vec<Effect>) {
         if !self.is_current_dial(session_id, dial) {
             return;
@@ -208,7 +212,7 @@
         let Some(session) =
             self.sessions.get_mut(&session_id).filter(|session| session.deadline >= earliest_deadline)
         else {
-            // The client's time is up, so the backend's answer is not used.
+            // The client's deadline has passed, so the backend's answer is not used.
             return self.deadline_expired(session_id, out);
         };
         session.stage = SessionStage::Proxying;
@@ -221,7 +225,7 @@
         let was_resuming = std::mem::take(&mut session.is_resuming);
         match session.server {
             Some(server) if was_resuming => {
-                // The balancer counts a dial that it never requested as the first.
+                // The balancer did not request this dial, and counts it as the first one.
                 session.dials = 1;
                 let request = session.request;
                 self.step_balancer(Input::SessionAdopted { session: session_id, server, request }, out);
@@ -231,7 +235,7 @@
         self.hand_over_session(session_id, out);
     }
 
-    /// The current dial of a session ended without an open session.
+    /// Handles the end of a dial that did not lead to an open session.
     pub(super) fn dial_ended(
         &mut self,
         session_id: SessionId,
@@ -245,7 +249,7 @@
         }
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         let server = session.server;
-        // `Ok`: the backend served the session to its end at once, and its last line is the final answer.
+        // `Ok`: the backend served the session to its end immediately, and its last line is the final answer.
         let settled = end == DialEnd::Ok;
         if settled {
             self.metrics.of_listener(&session.listener).established += 1;
@@ -256,8 +260,8 @@
         self.step_balancer(Input::DialEnded { session: session_id, dial, end, settled, report }, out);
     }
 
-    /// A dial that this machine could not start does not count: the balancer decides anew while the session
-    /// waits.
+    /// Handles a dial that was not started. It does not count, and the balancer decides again while the
+    /// session waits.
     pub(super) fn dial_not_started(&mut self, session_id: SessionId, dial: u32, out: &mut Vec<Effect>) {
         if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
             return;
@@ -267,8 +271,8 @@
         self.step_balancer(Input::DialNotStarted { session: session_id, dial }, out);
     }
 
-    /// No dial is out any more. A session that is to be resumed is dialled again at its backend, and true is
-    /// returned.
+    /// Returns a session whose dial has ended to the waiting stage. If it is to be resumed, its backend is
+    /// dialled again after a delay, and true is returned.
     fn retries_resuming(&mut self, session_id: SessionId, out: &mut Vec<Effect>) -> bool {
         let Some(session) = self.sessions.get_mut(&session_id) else { return false };
         session.stage = SessionStage::AwaitingPlacement;
@@ -279,7 +283,7 @@
         session.is_resuming
     }
 
-    /// An open session ended at its backend's side.
+    /// Handles an open session that its backend ended.
     pub(super) fn session_ended(
         &mut self,
         session_id: SessionId,
@@ -295,7 +299,7 @@
         self.step_balancer(Input::DialEnded { session: session_id, dial, end, settled: true, report }, out);
     }
 
-    /// The balancer migrates an open session from its backend to another.
+    /// Sends `MOVE` to the client of an open session, so that it reconnects and is placed elsewhere.
     pub(super) fn migrate_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         if session.stage == SessionStage::Proxying {
--- a/relay/src/reducer/voter.rs
+++ b/relay/src/reducer/voter.rs
@@ -1,45 +1,46 @@
 //! The Raft voter that a relay hosts: its node, its election and heartbeat timers, the proposals that wait
-//! for a commit, and what of the log is on the disk. Times in microseconds.
+//! for a commit, and which log entries are on disk. Times in microseconds.
 use hallrelay_balancer::types::Micros;
 use hallrelay_raft::{Effect, Event, Id, Index, Node, PersistentState, Role, Timer, Voter, Write};
 use hallrelay_recovery::Record;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Election timeout at least, and at random up to twice that: four heartbeats, and longer than a process
-/// stalls on a busy machine.
+/// Shortest election timeout; each one is chosen at random up to twice this. It spans four heartbeats, and is
+/// longer than a process stalls on a busy machine.
 const ELECTION_TIMEOUT: Micros = 1_000_000;
 const HEARTBEAT_INTERVAL: Micros = 250_000;
-/// Log entries from which the log is compacted into a snapshot.
+/// Number of log entries above which the log is compacted into a snapshot.
 const MAX_LOG_ENTRIES: usize = 256;
-/// Proposals that wait for their commit.
+/// Largest number of proposals that wait for their commit.
 const MAX_PROPOSALS: usize = 256;
 
-/// Who waits for a proposal.
+/// The relay that waits for the result of a proposal.
 pub(super) struct Proposer {
     pub relay: Rc<str>,
-    /// The proposer's own number for it.
+    /// The proposer's own id for the proposal.
     pub request_id: u64,
 }
 
-/// A timer to be set. A timer of an earlier round is void.
+/// A timer to be set. Timers of earlier rounds are ignored.
 pub(super) struct TimerRound {
     pub after: Micros,
     pub round: u32,
 }
 
-/// Indices of the log's entries on the disk; empty where `last` is below `first`.
+/// Indices of the log entries on disk; empty if `last` is below `first`.
 struct LogRange {
     first: Index,
     last: Index,
 }
 
 pub(super) struct RaftVoter {
-    /// None while this process is no voter: by the configuration, or as it does not know what it voted.
+    /// `None` while this process does not vote: it is not a voter by configuration, or does not know its
+    /// earlier votes, or was stopped.
     node: Option<Node>,
-    /// Counts the node's starts in this process: a write for an earlier one counts for nothing.
+    /// Counts the node's starts in this process. Writes of earlier starts are ignored.
     starts: u32,
-    /// Of this relay's disk.
+    /// The incarnation stored on this relay's disk.
     disk_incarnation: u64,
     persisted: LogRange,
     timer_rounds: [u32; 2],
@@ -78,12 +79,12 @@
         self.starts
     }
 
-    /// Whether the log is to be compacted.
+    /// Whether the log is long enough to be compacted.
     pub fn has_long_log(&self) -> bool {
         self.node.as_ref().is_some_and(|node| node.log().entries().len() > MAX_LOG_ENTRIES)
     }
 
-    /// Starts the node with what its disk holds.
+    /// Starts the node with the state on disk, and returns its first effects.
     pub fn start(&mut self, voter: Voter, voters: Vec<Id>, stored: PersistentState) -> Vec<Effect> {
         self.starts += 1;
         self.disk_incarnation = voter.incarnation;
@@ -95,7 +96,7 @@
         effects
     }
 
-    /// Another process has the disk, or this build can't read the log: this one votes no more.
+    /// Stops the node, since another process owns the disk, or this build can't read the log.
     pub fn stop(&mut self) {
         self.node = None;
         self.proposals.clear();
@@ -124,23 +125,23 @@
     }
 
     /// Whether another proposal may be added.
-    pub fn takes_proposals(&self) -> bool {
+    pub fn accepts_proposals(&self) -> bool {
         self.node.is_some() && self.proposals.len() < MAX_PROPOSALS
     }
 
-    /// Adds a proposal; its id.
+    /// Adds a proposal and returns its id.
     pub fn add_proposal(&mut self, proposer: Proposer) -> u64 {
         self.last_proposal_id += 1;
         self.proposals.insert(self.last_proposal_id, proposer);
         self.last_proposal_id
     }
 
-    /// The proposer of a proposal that is answered now.
+    /// Removes a proposal that is being answered and returns its proposer.
     pub fn take_proposal(&mut self, id: u64) -> Option<Proposer> {
         self.proposals.remove(&id)
     }
 
-    /// A write of the node as records for the store. Entries that the log no longer has are deleted.
+    /// Converts a write of the node to records for the store. Entries that the log no longer has are deleted.
     pub fn records(&mut self, write: Write) -> Vec<Record> {
         let LogRange { first, last } = self.persisted;
         match write {
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -1,5 +1,5 @@
-//! Hosts this relay's Raft voter: starts it with what its disk holds, carries out its effects, and applies
-//! what is committed. A proposal is answered once its command is applied.
+//! Hosts this relay's Raft voter: starts it with the state on disk, applies its effects, and applies
+//! committed commands. A proposal is answered once its command is applied.
 use super::coordination::{Coordination, ExcludedBackends};
 use super::servers::server_id;
 use super::voter::Proposer;
@@ -11,13 +11,14 @@
 use std::rc::Rc;
 
 impl Reducer {
-    /// The coordination of this relay, where voters are configured.
+    /// This relay's state of the coordination; `None` if no voters are configured.
     pub(super) fn configured_coordination(&self) -> Option<Box<Coordination>> {
         let config = self.node.fleet.as_ref()?.coordination.as_ref()?;
         Some(Box::new(Coordination::new(&self.node.name, config, self.node.seed, self.now)))
     }
 
-    /// Starts the voter with what the store holds: before this relay's start, or as it takes the store over.
+    /// Starts the voter with the stored state, at the relay's start or when this process takes the store
+    /// over.
     pub(super) fn start_voter(&mut self, stored: Option<&StoredState>, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(coordination) = &mut self.coordination else { return };
@@ -30,30 +31,31 @@
                 ids: stored.exclusions.backends.clone(),
             };
         }
-        // A voter whose disk can't be read does not know what it voted for.
+        // A voter without readable stored state does not know its earlier votes, so it must not vote.
         if stored.is_none() || !coordination.is_voter() || coordination.voter.is_running() {
             return;
         }
         let known = own.and_then(|own| Some((own.incarnation?, own.raft.clone())));
         let (incarnation, log) = known.unwrap_or_else(|| {
-            log("this relay's disk holds no promise: it votes as a new voter, once it is let in", out);
+            log("the store has no vote of this relay: it joins as a new voter and votes once admitted", out);
             (self.node.seed ^ now.rotate_left(20) | 1, raft::PersistentState::default())
         });
-        // Written before the first vote: an incarnation that is not on the disk is another after a restart.
+        // This is written before the first vote, since an incarnation that is not on disk would differ after
+        // a restart.
         out.push(Effect::Persist {
             record: Record::vote(incarnation, log.term, log.voted_for),
             before: None,
         });
-        // A process that has its place back applies the log from the beginning.
+        // A process that owns the listening socket again applies the log from the beginning.
         coordination.state = State::default();
         coordination.applied_index = 0;
         let voter = Voter { id: server_id(&coordination.own_name), incarnation };
         let voters = coordination.voter_names.keys().copied().collect();
         let effects = coordination.voter.start(voter, voters, log);
-        self.carry_raft(effects, out);
+        self.apply_raft_effects(effects, out);
     }
 
-    /// Another process has the place, and the disk.
+    /// Stops the voter, since another process owns the store, or this build can't read the log.
     pub(super) fn stop_voter(&mut self) {
         if let Some(coordination) = &mut self.coordination {
             coordination.voter.stop();
@@ -63,10 +65,10 @@
     pub(super) fn step_raft(&mut self, event: Event, out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
         let effects = coordination.voter.step(event);
-        self.carry_raft(effects, out);
+        self.apply_raft_effects(effects, out);
     }
 
-    /// What a start of the voter was to write is on the disk, up to a number.
+    /// The voter's writes up to `number` are durable. Writes of an earlier start of the voter are ignored.
     pub(super) fn raft_written(&mut self, start: u32, number: u64, out: &mut Vec<Effect>) {
         if self.coordination.as_ref().is_some_and(|coordination| coordination.voter.starts() == start) {
             self.step_raft(Event::WritesDurable(number), out);
@@ -83,11 +85,11 @@
         }
     }
 
-    fn carry_raft(&mut self, effects: Vec<raft::Effect>, out: &mut Vec<Effect>) {
-        effects.into_iter().for_each(|effect| self.carry_raft_effect(effect, out));
+    fn apply_raft_effects(&mut self, effects: Vec<raft::Effect>, out: &mut Vec<Effect>) {
+        effects.into_iter().for_each(|effect| self.apply_raft_effect(effect, out));
     }
 
-    fn carry_raft_effect(&mut self, effect: raft::Effect, out: &mut Vec<Effect>) {
+    fn apply_raft_effect(&mut self, effect: raft::Effect, out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
         match effect {
             raft::Effect::Send(message) => {
@@ -99,8 +101,8 @@
                 out.push(Effect::PersistVoterWrites { voter_start, number, records });
             }
             raft::Effect::SetTimer(timer) => {
-                let set = coordination.voter.set_timer(timer);
-                out.push(Effect::StartTimer { after: set.after, timer: Timer::Voter(timer, set.round) });
+                let next = coordination.voter.set_timer(timer);
+                out.push(Effect::StartTimer { after: next.after, timer: Timer::Voter(timer, next.round) });
             }
             raft::Effect::Apply { index, command, proposal_id } => {
                 self.apply_committed(index, &command, proposal_id, out);
@@ -131,13 +133,13 @@
         if is_leader {
             coordination.leader = Some(coordination.own_name.clone());
         }
-        let verb = if is_leader { "leads" } else { "leads no more" };
-        log(format!("this relay {verb} what is agreed, term {term}"), out);
+        let change = if is_leader { "is now the" } else { "is no longer the" };
+        log(format!("this relay {change} leader of the replicated log, term {term}"), out);
     }
 
-    /// A voter of an older build would apply otherwise than the others: it votes no more.
+    /// Stops the voter of an older build, which would apply the log differently from the others.
     fn stop_outdated_voter(&mut self, what: &str, out: &mut Vec<Effect>) {
-        log(format!("{what} of the agreed log is of a later version: this relay is no voter any more"), out);
+        log(format!("{what} in the replicated log is from a later build: this relay stops voting"), out);
         self.stop_voter();
     }
 
@@ -154,13 +156,13 @@
         let outcome = match Command::decode(command) {
             Ok(command) => {
                 let outcome = coordination.state.apply(&command);
-                note_forced(&command, out);
+                log_forced_drain(&command, out);
                 outcome
             }
             Err(CommandError::UnsupportedVersion) => return self.stop_outdated_voter("a command", out),
             Err(error) => Outcome::Rejected(error),
         };
-        coordination.note_leases(now);
+        coordination.track_leases(now);
         let is_long = coordination.voter.has_long_log();
         self.answer_proposal(proposal, ProposalResult::Applied(outcome), out);
         self.exclude_by_own_state(out);
@@ -173,7 +175,8 @@
         }
     }
 
-    /// A command of this relay or another goes into the log, where this one leads.
+    /// Appends a command of this relay or another to the log if this relay is the leader, else names the
+    /// leader.
     pub(super) fn propose(
         &mut self,
         relay: &Rc<str>,
@@ -183,7 +186,7 @@
     ) {
         let Some(coordination) = &mut self.coordination else { return };
         let proposer = Proposer { relay: relay.clone(), request_id };
-        if !coordination.voter.takes_proposals() {
+        if !coordination.voter.accepts_proposals() {
             let leader = coordination.other_leader().map(|leader| leader.to_string());
             return self.answer_proposer(&proposer, ProposalResult::NotLeader(leader), out);
         }
@@ -207,8 +210,8 @@
     }
 }
 
-fn note_forced(command: &Command, out: &mut Vec<Effect>) {
+fn log_forced_drain(command: &Command, out: &mut Vec<Effect>) {
     if let Command::Request { force: true, target, requested_by, reason, .. } = command {
-        log(format!("{target} is let out past the budgets by {requested_by}: {reason}"), out);
+        log(format!("drain of {target} forced past the budgets by {requested_by}: {reason}"), out);
     }
 }
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -1,4 +1,5 @@
-//! The watch on the endpoint list: opened, renewed, and moved by a new configuration.
+//! The watch on the endpoint list: opens it, reopens it after failures, and moves it to a new discovery
+//! address.
 use super::{log, Effect, Reducer, Timer};
 use hallrelay_balancer::types::{Input, ListUpdate};
 use hallrelay_config::list::List;
@@ -16,23 +17,24 @@
         }
     }
 
-    /// A watch brought a list or changes. The lists of an earlier watch hold until a later one brings its
-    /// first.
+    /// Handles a list or changes from a watch. The lists of an earlier watch are applied until a later watch
+    /// delivers its first one.
     pub(super) fn list_received(&mut self, watch: u32, list: List, out: &mut Vec<Effect>) {
-        let w = &mut self.watch;
-        if watch == w.latest {
-            // Changes may arrive out of order: one that is older than the list in force is dropped.
+        let state = &mut self.watch;
+        if watch == state.latest {
+            // Changes may arrive out of order. A change that is older than the current list is dropped.
             if !list.is_complete && self.list_version.is_some_and(|current| list.generation < current) {
-                return log(format!("a change of version {} came too late", list.generation), out);
+                let version = list.generation;
+                return log(format!("dropped a list change of version {version}, older than the list"), out);
             }
             self.list_version = Some(list.generation);
-            let before = w.delivering.replace(watch).filter(|before| *before != watch);
+            let before = state.delivering.replace(watch).filter(|before| *before != watch);
             out.extend(before.map(|watch| Effect::StopWatch { watch }));
-        } else if w.delivering != Some(watch) {
+        } else if state.delivering != Some(watch) {
             return;
         }
         self.previous_discovery_answer_at = self.last_discovery_answer_at.replace(self.now);
-        self.remember_removed_servers(&list);
+        self.record_removed_servers(&list);
         self.persist_list(&list, out);
         self.send_list_to_successor(&list, out);
         self.apply_list(list, out);
@@ -45,8 +47,7 @@
             return;
         }
         match self.node.limits.discovery_retry_delay {
-            // Where lists are pushed, this relay counts as notified of changes whether or not a watch is
-            // open.
+            // If lists are pushed, this relay counts as notified of changes even while no watch is open.
             Some(after) => out.push(Effect::StartTimer { after, timer: Timer::RequestEndpointList }),
             None => self.step_balancer(
                 Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() },
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes over a new, valid configuration. Keys that hold from the next start on only are logged.
+    /// Applies a new, valid configuration. Changed keys that take effect only at the next start are logged.
     pub(super) fn configuration_reloaded(&mut self, node: Node, out: &mut Vec<Effect>) {
         self.metrics.reloads += 1;
         out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::RestartRequired { key }));
@@ -70,15 +71,16 @@
         self.move_discovery(node.discovery, out);
     }
 
-    /// Applies new settings. Sessions stay under the rules of their request: the balancer holds their
-    /// listener's rules with them, and their deadline is set.
+    /// Applies new settings. The rules of existing sessions stay the same: the balancer keeps their
+    /// listener's rules with them, and their deadline is already set.
     fn apply_settings(&mut self, node: &Node, out: &mut Vec<Effect>) {
         let zones = node.site.zones != self.node.site.zones;
         let before = self.node.limits;
         if node.site == self.node.site || self.node.tune(node.site.clone()).is_err() {
             return;
         }
-        // A stop that has begun keeps its deadlines: whoever may kill this process counts from the request.
+        // A stop in progress gets no later deadlines: the supervisor that may kill this process counts from
+        // the request to stop.
         if self.is_stopping() {
             self.node.limits.stop_no_later(&before);
         }
@@ -89,30 +91,30 @@
         self.step_balancer(Input::Configure(config), out);
         out.push(Effect::ApplyTuning { limits, order });
         if zones {
-            // The same servers may have other zone numbers now.
+            // The zone numbers of known servers may have changed.
             let instances = self.servers.values().map(|server| server.instance.clone()).collect();
             self.apply_list(List { is_complete: true, instances, ..List::default() }, out);
         }
     }
 
-    /// Moves the watch to another discovery. The complete list is requested, since the versions of the old
-    /// one may mean nothing there; the old watch goes on until the new one delivers.
+    /// Moves the watch to another discovery address. The complete list is requested, since the versions of
+    /// the old one may have no meaning there. The old watch stays open until the new one delivers.
     fn move_discovery(&mut self, discovery: SocketAddr, out: &mut Vec<Effect>) {
         if std::mem::replace(&mut self.node.discovery, discovery) == discovery {
             return;
         }
-        let w = &mut self.watch;
-        if std::mem::take(&mut w.is_open) {
-            match w.delivering {
-                Some(before) if before != w.latest => out.push(Effect::StopWatch { watch: w.latest }),
-                _ => w.delivering = Some(w.latest),
+        let state = &mut self.watch;
+        if std::mem::take(&mut state.is_open) {
+            match state.delivering {
+                Some(before) if before != state.latest => out.push(Effect::StopWatch { watch: state.latest }),
+                _ => state.delivering = Some(state.latest),
             }
         }
         self.list_version = None;
         self.watch_endpoints(out);
     }
 
-    /// Stops watching in a process that was replaced, once no session waits to be placed.
+    /// Stops the watches of a process that was replaced, once no session waits for its final answer.
     pub(super) fn stop_watching(&mut self, out: &mut Vec<Effect>) {
         if !self.sessions.values().any(|session| session.stage.awaits_answer())
             && std::mem::take(&mut self.watch.is_open)
