--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -82,7 +82,7 @@
     item_state: &'static str,
     #[serde(rename = "stage")]
     lease_state: &'static str,
-    /// The budget because of which the lease is not granted yet.
+    /// The budget that blocks the lease, while it waits.
     #[serde(rename = "held_by")]
     blocked_by: Option<String>,
 }
@@ -165,7 +165,7 @@
     }
 }
 
-/// The budget without capacity because of which a waiting lease is not granted.
+/// The budget without capacity that blocks a waiting lease.
 fn blocking_budget(coordination: &Coordination, target: &Target, lease: &Lease) -> Option<String> {
     let blocked_by =
         (lease.state == LeaseState::Waiting).then(|| coordination.state.blocked_by(target, lease));
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -276,7 +276,7 @@
         /// The reply.
         reply: OperatorReply,
     },
-    /// Forbids to send anything new to a backend, or allows it again.
+    /// Forbids sending anything new to a backend, or allows it again.
     SetDraining {
         /// The backend.
         server: ServerId,
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -268,8 +268,7 @@
     pub(super) fn answer_pings(&mut self, out: &mut Vec<Effect>) {
         let accepts = match self.lifecycle {
             Lifecycle::Serving if self.has_servers() => true,
-            // These connections were accepted before the handover. Both processes are one relay, which
-            // serves.
+            // These connections were accepted before the handover. Both processes are one relay: it serves.
             Lifecycle::HandedOver | Lifecycle::HandedOverStopping => true,
             Lifecycle::Draining | Lifecycle::HandedOverDraining => false,
             Lifecycle::AwaitingTakeover | Lifecycle::Serving | Lifecycle::Stopping => return,
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -9,7 +9,7 @@
 //! 1. Each session gets exactly one final answer before its deadline, and nothing after it.
 //! 2. No session runs twice: a session that may run only once is retried or rejected only if no earlier
 //!    attempt can have run.
-//! 3. No new session goes to a backend later than the drain grace after this relay was notified that the
+//! 3. Nothing new is sent to a backend later than the drain grace after this relay was notified that the
 //!    backend drains or is removed.
 //! 4. All relays together do not overload a backend in slow start.
 //!
@@ -97,7 +97,7 @@
     servers: BTreeMap<ServerId, Server>,
     /// The numbers of the servers by their names in the endpoint list.
     ids: BTreeMap<String, ServerId>,
-    /// Servers at which the tasks were notified to start no new sessions.
+    /// Servers to which nothing new may be sent, as the tasks were last notified.
     draining: BTreeSet<ServerId>,
     /// The version of the last endpoint list received; `None` while a new discovery address has not answered
     /// yet.
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -271,7 +271,7 @@
         self.step_balancer(Input::DialNotStarted { session: session_id, dial }, out);
     }
 
-    /// Returns a session whose dial has ended to the waiting stage. If it is to be resumed, its backend is
+    /// Marks a session as waiting, since its dial has ended. If the session is to be resumed, its backend is
     /// dialled again after a delay, and true is returned.
     fn retries_resuming(&mut self, session_id: SessionId, out: &mut Vec<Effect>) -> bool {
         let Some(session) = self.sessions.get_mut(&session_id) else { return false };
