--- a/tests/helpers/loopback.rs
+++ b/tests/helpers/loopback.rs
@@ -1,13 +1,18 @@
-//! `Loopback` is the program on sockets of 127.0.0.1. A line is `WHO DEED [TEXT]`: letters are clients,
-//! digits are backends (`1` and `2`, known from the start), `list` is discovery and `moved` where it may move
-//! to, a star is anything. Deeds:
-//!   `>` sends a line (`\n` in it is a line's end), `>>` sends text without a line's end,
-//!   `ends` closes the connection, `shuts` ends listening, `floods` sends numbered lines till no more go,
-//!   `relay stops` is SIGTERM, `relay reloads` SIGHUP with discovery moved or with a `faulty` text. With
-//!   effect `so`: `<` takes that line, `over` takes the end, `none` sees no connection come, `waits MS` sees
-//!   nothing come, `drinks` takes all lines of the flood.
-use super::{node, text};
-use crate::{num, Fault, Subject};
+//! `LoopbackSubject` is the relay on sockets of 127.0.0.1. An input is `PARTY ACTION [TEXT]`. Letters
+//! are clients; the digits `1` and `2` are backends of the first endpoint list; `list` is discovery, and
+//! `moved` is its new address. A client connects when a line first names it, and a backend or discovery
+//! accepts when it is first waited for.
+//! Actions:
+//!   `send-line` sends TEXT and a line end (`\n` in it is a line end too), `send` sends TEXT only,
+//!   `close` closes the connection, `stop-listening` closes the listening socket, `send-until-blocked`
+//!   sends numbered lines until the relay reads no more, `relay sigterm`, `relay sighup` with discovery
+//!   at `moved`, `relay sighup invalid` with an invalid configuration.
+//! These actions have the effect `as-expected` if it holds:
+//!   `expect-line` reads this line (`*` stands for any text), `expect-close` reads the end of the
+//!   connection, `expect-no-connection` sees no connection within 300 ms, `expect-silence MS` receives
+//!   nothing for this time, `read-all` reads all complete lines of `send-until-blocked`.
+use super::{configuration_text, parse_node};
+use crate::{parse_number, Fault, Subject};
 use hallrelay_balancer::types::Micros;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -16,73 +21,83 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long the loopback waits for what must come, and for what must not.
-const SOON: Duration = Duration::from_secs(10);
-const QUIET: Duration = Duration::from_millis(300);
+/// Longest wait for a connection or line that must come.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection must not come, and how long a blocked write lasts.
+const QUIET_TIME: Duration = Duration::from_millis(300);
+
+/// The effect of an `expect` action that holds.
+const AS_EXPECTED: &str = "as-expected";
 
 #[derive(Default)]
-pub struct Loopback {
+pub struct LoopbackSubject {
     relay: Option<std::net::SocketAddr>,
-    listeners: BTreeMap<String, TcpListener>,
-    peers: BTreeMap<String, BufReader<TcpStream>>,
-    got: Vec<String>,
-    flood: String,
-    /// The configuration's text as the relay finds it when told to read it anew.
-    text: Arc<Mutex<Value>>,
+    listening_sockets: BTreeMap<String, TcpListener>,
+    connections: BTreeMap<String, BufReader<TcpStream>>,
+    results: Vec<String>,
+    /// What `send-until-blocked` sent.
+    sent_lines: String,
+    /// The configuration that the relay reads on SIGHUP.
+    configuration: Arc<Mutex<Value>>,
 }
 
-impl Loopback {
+impl LoopbackSubject {
     fn start(&mut self) -> Result<(), Fault> {
         let bind = || TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string());
-        let (place, discovery) = (bind()?.local_addr().map_err(|e| e.to_string())?, bind()?);
-        self.listeners.insert("moved".to_string(), bind()?);
+        let (relay, discovery) = (bind()?.local_addr().map_err(|e| e.to_string())?, bind()?);
+        self.listening_sockets.insert("moved".to_string(), bind()?);
         let mut known = Vec::new();
         for name in ["1", "2"] {
-            let listener = bind()?;
-            known.push((name.to_string(), listener.local_addr().map_err(|e| e.to_string())?.to_string()));
-            self.listeners.insert(name.to_string(), listener);
+            let socket = bind()?;
+            known.push((name.to_string(), socket.local_addr().map_err(|e| e.to_string())?.to_string()));
+            self.listening_sockets.insert(name.to_string(), socket);
         }
-        let found = discovery.local_addr().map_err(|e| e.to_string())?.to_string();
-        self.listeners.insert("list".to_string(), discovery);
-        let text = text(&place.to_string(), &found, &known);
-        let node = node(&text)?;
-        *self.text.lock().map_err(|e| e.to_string())? = text;
-        let text = self.text.clone();
-        let reread = move || self::node(&*text.lock().map_err(|e| e.to_string())?);
-        // It ends with the test's process.
+        let discovery_addr = discovery.local_addr().map_err(|e| e.to_string())?.to_string();
+        self.listening_sockets.insert("list".to_string(), discovery);
+        let text = configuration_text(&relay.to_string(), &discovery_addr, &known);
+        let node = parse_node(&text)?;
+        *self.configuration.lock().map_err(|e| e.to_string())? = text;
+        let configuration = self.configuration.clone();
+        let reread = move || parse_node(&*configuration.lock().map_err(|e| e.to_string())?);
+        // The thread ends with the test process.
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let log = slog::Logger::root(slog::Discard, slog::o!());
             let served = hallrelay_relay::net::serve::run(node, reread, log);
-            tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), served).expect("it serves");
+            tokio::task::LocalSet::new()
+                .block_on(&runtime.expect("build a runtime"), served)
+                .expect("run the relay");
         });
-        self.relay = Some(place);
+        self.relay = Some(relay);
         Ok(())
     }
 
     fn connect(&self) -> Result<TcpStream, Fault> {
-        let place = self.relay.ok_or("not started")?;
+        let relay = self.relay.ok_or("the relay was not started")?;
         let started = std::time::Instant::now();
         loop {
-            match TcpStream::connect(place) {
+            match TcpStream::connect(relay) {
                 Ok(stream) => return Ok(stream),
-                Err(_) if started.elapsed() < SOON => std::thread::sleep(Duration::from_millis(10)),
+                Err(_) if started.elapsed() < RECEIVE_TIMEOUT => {
+                    std::thread::sleep(Duration::from_millis(10))
+                }
                 Err(e) => return Err(e.to_string()),
             }
         }
     }
 
-    /// A client's connection is made as it is first named, a backend's as it is waited for.
-    fn peer(&mut self, who: &str) -> Result<&mut BufReader<TcpStream>, Fault> {
-        if !self.peers.contains_key(who) {
-            let stream = match self.listeners.get(who) {
-                Some(listener) => accepted(listener, SOON).ok_or(format!("nobody dials {who}"))?,
+    /// The connection of a party; a client connects here at first, another party accepts.
+    fn connection(&mut self, party: &str) -> Result<&mut BufReader<TcpStream>, Fault> {
+        if !self.connections.contains_key(party) {
+            let stream = match self.listening_sockets.get(party) {
+                Some(socket) => accept(socket, RECEIVE_TIMEOUT)
+                    .ok_or(format!("no connection to {party} within {RECEIVE_TIMEOUT:?}"))?,
                 None => self.connect()?,
             };
-            stream.set_read_timeout(Some(SOON)).map_err(|e| e.to_string())?;
-            self.peers.insert(who.to_string(), BufReader::new(stream));
+            stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).map_err(|e| e.to_string())?;
+            self.connections.insert(party.to_string(), BufReader::new(stream));
         }
-        Ok(self.peers.get_mut(who).expect("just there"))
+        Ok(self.connections.get_mut(party).expect("the connection was just inserted"))
     }
 }
 
@@ -91,11 +106,11 @@
     std::process::Command::new("sh").args(["-c", &kill]).status().map(|_| ())
 }
 
-fn accepted(listener: &TcpListener, within: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).ok()?;
+fn accept(socket: &TcpListener, within: Duration) -> Option<TcpStream> {
+    socket.set_nonblocking(true).ok()?;
     let started = std::time::Instant::now();
     while started.elapsed() < within {
-        if let Ok((stream, _)) = listener.accept() {
+        if let Ok((stream, _)) = socket.accept() {
             stream.set_nonblocking(false).ok()?;
             return Some(stream);
         }
@@ -104,104 +119,118 @@
     None
 }
 
-/// Whether a line is as wanted, where a star stands for anything.
-fn like(line: &str, wanted: &str) -> bool {
-    match wanted.split_once('*') {
-        None => line == wanted,
+/// Whether a line equals the pattern, in which `*` stands for any text.
+fn matches_pattern(line: &str, pattern: &str) -> bool {
+    match pattern.split_once('*') {
+        None => line == pattern,
         Some((head, tail)) => {
             line.len() >= head.len() + tail.len() && line.starts_with(head) && line.ends_with(tail)
         }
     }
 }
 
-impl Subject for Loopback {
-    fn site(&mut self, _: &[&str]) -> Result<(), Fault> {
-        Err("the loopback has one site".to_string())
+impl Subject for LoopbackSubject {
+    fn set_site(&mut self, _: &[&str]) -> Result<(), Fault> {
+        Err("loopback scripts take no site line".to_string())
     }
 
     fn input(&mut self, _: Micros, words: &[&str]) -> Result<(), Fault> {
-        self.got.clear();
+        self.results.clear();
         if self.relay.is_none() {
             self.start()?;
         }
-        let [who, deed, rest @ ..] = words else { return Err("too short".to_string()) };
+        let [party, action, rest @ ..] = words else {
+            return Err(format!("'{}' lacks a party or an action", words.join(" ")));
+        };
         let rest = rest.join(" ");
-        // `x4097` is so many x.
+        // `x4097` stands for 4,097 times the letter x.
         let rest = match rest.strip_prefix('x').and_then(|n| n.parse().ok()) {
             Some(count) => "x".repeat(count),
             None => rest.replace("\\n", "\r\n"),
         };
-        let told = |e: std::io::Error| format!("{who}: {e}");
-        match *deed {
-            ">" => self.peer(who)?.get_mut().write_all(format!("{rest}\r\n").as_bytes()).map_err(told)?,
-            ">>" => self.peer(who)?.get_mut().write_all(rest.as_bytes()).map_err(told)?,
-            "<" => {
+        let fault = |e: std::io::Error| format!("{party}: {e}");
+        match *action {
+            "send-line" => self
+                .connection(party)?
+                .get_mut()
+                .write_all(format!("{rest}\r\n").as_bytes())
+                .map_err(fault)?,
+            "send" => self.connection(party)?.get_mut().write_all(rest.as_bytes()).map_err(fault)?,
+            "expect-line" => {
                 let mut line = String::new();
-                self.peer(who)?.read_line(&mut line).map_err(told)?;
-                let line = line.strip_suffix("\r\n").unwrap_or("an end without a line").to_string();
-                self.got.push(if like(&line, &rest) { "so".to_string() } else { line });
+                self.connection(party)?.read_line(&mut line).map_err(fault)?;
+                let line =
+                    line.strip_suffix("\r\n").unwrap_or("the connection ended without a line").to_string();
+                self.results.push(if matches_pattern(&line, &rest) { AS_EXPECTED.into() } else { line });
             }
-            "over" => {
-                let mut waste = Vec::new();
-                // A reset is an end as well.
-                _ = self.peer(who)?.read_to_end(&mut waste);
-                self.got.push(if waste.is_empty() { "so".into() } else { format!("{} bytes", waste.len()) });
-                self.peers.remove(*who);
+            "expect-close" => {
+                let mut rest = Vec::new();
+                // A reset is an end too.
+                _ = self.connection(party)?.read_to_end(&mut rest);
+                let text = format!("{} bytes before the end of the connection", rest.len());
+                self.results.push(if rest.is_empty() { AS_EXPECTED.into() } else { text });
+                self.connections.remove(*party);
             }
-            "ends" => _ = self.peers.remove(*who),
-            "none" => {
-                let listener = self.listeners.get(*who).ok_or("only backends are dialled")?;
-                let came = accepted(listener, QUIET).is_some();
-                self.got.push(if came { "a connection came".into() } else { "so".into() });
+            "close" => _ = self.connections.remove(*party),
+            "expect-no-connection" => {
+                let socket =
+                    self.listening_sockets.get(*party).ok_or(format!("{party} has no listening socket"))?;
+                let connected = accept(socket, QUIET_TIME).is_some();
+                self.results.push(if connected { "a connection".into() } else { AS_EXPECTED.into() });
             }
-            "waits" => {
-                let quiet = Duration::from_millis(num(&rest)?);
-                let stream = self.peer(who)?.get_ref();
-                stream.set_read_timeout(Some(quiet)).map_err(told)?;
-                let early = stream.peek(&mut [0]).is_ok();
-                stream.set_read_timeout(Some(SOON)).map_err(told)?;
-                self.got.push(if early { "something came".into() } else { "so".into() });
+            "expect-silence" => {
+                let span = Duration::from_millis(parse_number(&rest)?);
+                let stream = self.connection(party)?.get_ref();
+                stream.set_read_timeout(Some(span)).map_err(fault)?;
+                let received = stream.peek(&mut [0]).is_ok();
+                stream.set_read_timeout(Some(RECEIVE_TIMEOUT)).map_err(fault)?;
+                self.results.push(if received { "data or an end".into() } else { AS_EXPECTED.into() });
             }
-            "floods" => {
-                // More than all buffers on the way hold, so that at some point nothing more goes.
-                let stream = self.peer(who)?.get_mut();
-                stream.set_write_timeout(Some(QUIET)).map_err(told)?;
+            "send-until-blocked" => {
+                // More than all buffers on the path hold, so that a write blocks at some point.
+                let stream = self.connection(party)?.get_mut();
+                stream.set_write_timeout(Some(QUIET_TIME)).map_err(fault)?;
                 let lines: String = (0..2_000_000).map(|i| format!("line {i}\r\n")).collect();
-                let mut from = 0;
-                while from < lines.len() {
-                    match stream.write(&lines.as_bytes()[from..(from + 65_536).min(lines.len())]) {
-                        Ok(count) => from += count,
+                let mut sent = 0;
+                while sent < lines.len() {
+                    match stream.write(&lines.as_bytes()[sent..(sent + 65_536).min(lines.len())]) {
+                        Ok(count) => sent += count,
                         Err(_) => break,
                     }
                 }
-                if from == lines.len() {
-                    return Err("all lines went".to_string());
+                if sent == lines.len() {
+                    return Err("all lines were sent, no write blocked".to_string());
                 }
-                self.flood = lines[..from].to_string();
+                self.sent_lines = lines[..sent].to_string();
             }
-            "drinks" => {
-                let mut got = vec![0; self.flood.rfind("\r\n").ok_or("no flood")? + 2];
-                let wanted = self.flood.as_bytes()[..got.len()].to_vec();
-                self.peer(who)?.read_exact(&mut got).map_err(told)?;
-                self.got.push(if got == wanted { "so".into() } else { "other bytes".into() });
+            "read-all" => {
+                let end = self.sent_lines.rfind("\r\n").ok_or("no party has sent lines until blocked")?;
+                let mut received = vec![0; end + 2];
+                let expected = self.sent_lines.as_bytes()[..received.len()].to_vec();
+                self.connection(party)?.read_exact(&mut received).map_err(fault)?;
+                self.results.push(if received == expected {
+                    AS_EXPECTED.into()
+                } else {
+                    "other bytes".into()
+                });
             }
-            "stops" => {
-                // Every relay of this process is told; those of earlier scenarios are done with.
-                signal("TERM").map_err(told)?;
+            "sigterm" => {
+                // All relays of this process get the signal; those of earlier scripts are not used any more.
+                signal("TERM").map_err(fault)?;
             }
-            "reloads" => {
-                let moved = self.listeners["moved"].local_addr().map_err(told)?.to_string();
-                let discovery = if rest == "faulty" { rest } else { moved };
-                self.text.lock().map_err(|e| e.to_string())?["discovery"] = json!(discovery);
-                signal("HUP").map_err(told)?;
+            "sighup" => {
+                let moved = self.listening_sockets["moved"].local_addr().map_err(fault)?.to_string();
+                let discovery = if rest == "invalid" { rest } else { moved };
+                self.configuration.lock().map_err(|e| e.to_string())?["discovery"] = json!(discovery);
+                signal("HUP").map_err(fault)?;
             }
-            "shuts" => _ = self.listeners.remove(*who),
-            other => return Err(format!("unknown deed '{other}'")),
+            "stop-listening" => _ = self.listening_sockets.remove(*party),
+            other => return Err(format!("unknown action '{other}'")),
         }
         Ok(())
     }
 
     fn effects(&mut self) -> Vec<String> {
-        self.got.clone()
+        self.results.clone()
     }
 }
--- a/tests/helpers/membership.rs
+++ b/tests/helpers/membership.rs
@@ -1,17 +1,19 @@
-//! `MembershipSubject` is membership alone, of relay `a`, started as number 5; relays have a letter each and
-//! are reached at addresses of their own. A site line may say `peers=b,c`, `relays=N`. Inputs, each with
-//! `stalled` behind it where no timer could expire before it:
-//!   `begin`, `yield`, `leave`, `drains`, `run`: activate, deactivate, leave, report to be draining, nothing;
-//!   `says NAME ping|ack|nack|gossip [UPDATE ..]`, `says NAME ask OTHER`: a datagram, where an ack or nack is
-//!   of the last ping, and `ask` is a ping request;
-//!   `visits NAME [UPDATE ..]`, `returns NAME [UPDATE ..]`: push/pull request and response;
-//!   `rank=START.INCARNATION`, `at=NAME` (another's address), `name=NAME` (another's name) change the sender.
-//! An update is `NAME:STATE@START.INCARNATION[/REPORTER]`, where the state `gone` is dead. Effects: `ack
-//! NAME`, `nack NAME`, `asks NAME of OTHER` (ping request), `answers`, `answers nothing`, `open`, `shut`,
-//! `NAME is STATE` and `rank START.INCARNATION` where these have changed, `late` (stalled), `twin at NAME`
-//! (name conflict); `ping NAME`, `visit NAME` (push/pull request) and `gossip` only where a line asks for
-//! them.
-use crate::{num, option, Fault, Subject};
+//! `MembershipSubject` is the membership of relay `a`, with start number 5. Each relay has a letter as
+//! its name and an address of its own. Keys of a site line: `peers=b,c` and `relay_count=N`.
+//! Inputs (with `stalled` at the end, no timer expires before the input):
+//!   `activate`, `deactivate`, `leave`, `metadata-changed draining`, `advance`, which only lets time
+//!   pass; `datagram NAME ping|ack|nack|gossip [UPDATE ..]`, `datagram NAME ping-request TARGET`: a
+//!   datagram from relay NAME; an ack or nack has the sequence number of the last ping;
+//!   `push-pull-request NAME [UPDATE ..]`, `push-pull-response NAME [UPDATE ..]`: a frame on a stream
+//!   from relay NAME;
+//!   `incarnation=START.COUNTER`, `addr=NAME` (the address of another relay), `name=NAME` (the name of
+//!   another relay) change the sender.
+//! An update is `NAME:STATE@START.COUNTER[/REPORTER]`, where the state `gone` is the papers' dead.
+//! Effects: `ack NAME`, `nack NAME`, `ping-request NAME for TARGET`, `push-pull-response`,
+//! `close-stream` (without a response), `start-listening`, `stop-listening`, `stall` (a stall was
+//! counted), `name-conflict at NAME`; `NAME is STATE` and `incarnation START.COUNTER` when these have
+//! changed; `ping NAME`, `push-pull-request NAME` and `gossip` only if a line expects them.
+use crate::{option, parse_number, Fault, Subject};
 use hallrelay_balancer::types::Micros;
 use hallrelay_membership::message::{decode, MessageBody, Packet, MAX_DATAGRAM_BYTES};
 use hallrelay_membership::{
@@ -27,28 +29,28 @@
     SocketAddr::from(([10, 0, 0, name.bytes().next().unwrap_or(b'?')], 7946))
 }
 
-fn letter_at(addr: SocketAddr) -> String {
+fn name_of(addr: SocketAddr) -> String {
     match addr {
         SocketAddr::V4(addr) => char::from(addr.ip().octets()[3]).to_string(),
         SocketAddr::V6(_) => "?".to_string(),
     }
 }
 
-fn incarnation(word: &str) -> Result<Incarnation, Fault> {
-    let (start, counter) = word.split_once('.').ok_or(format!("'{word}' is not START.INCARNATION"))?;
-    Ok(Incarnation { start: num(start)?, counter: num(counter)? })
+fn parse_incarnation(word: &str) -> Result<Incarnation, Fault> {
+    let (start, counter) = word.split_once('.').ok_or(format!("'{word}' is not START.COUNTER"))?;
+    Ok(Incarnation { start: parse_number(start)?, counter: parse_number(counter)? })
 }
 
-fn update(word: &str) -> Result<Update, Fault> {
-    let odd = || format!("'{word}' is no update");
-    let (name, rest) = word.split_once(':').ok_or_else(odd)?;
-    let (state, rest) = rest.split_once('@').ok_or_else(odd)?;
+fn parse_update(word: &str) -> Result<Update, Fault> {
+    let invalid = || format!("'{word}' is not an update");
+    let (name, rest) = word.split_once(':').ok_or_else(invalid)?;
+    let (state, rest) = rest.split_once('@').ok_or_else(invalid)?;
     let (at, reporter) = rest.split_once('/').map_or((rest, None), |(at, by)| (at, Some(by.into())));
-    let state = MemberState::ALL.into_iter().find(|s| s.as_str() == state).ok_or_else(odd)?;
+    let state = MemberState::ALL.into_iter().find(|s| s.as_str() == state).ok_or_else(invalid)?;
     Ok(Update {
         name: name.into(),
         addr: addr_of(name),
-        incarnation: incarnation(at)?,
+        incarnation: parse_incarnation(at)?,
         state,
         reporter,
         metadata: MemberMetadata::default(),
@@ -62,7 +64,7 @@
     effects: Vec<String>,
     /// The sequence number of the last ping that was sent.
     last_ping: u32,
-    /// By name, what was last printed of a member; name conflicts that were printed are among them.
+    /// The state that was last printed of each member; a printed name conflict is an entry too.
     printed: BTreeMap<String, MemberState>,
     incarnation: Incarnation,
 }
@@ -97,7 +99,7 @@
         let stalls_before = membership.counters.stalls;
         membership.step(now, event, &mut effects);
         if membership.counters.stalls > stalls_before {
-            self.effects.push("late".to_string());
+            self.effects.push("stall".to_string());
         }
         self.print_changes();
         for effect in effects {
@@ -112,22 +114,23 @@
                 return;
             }
             Effect::SendDatagram { to, bytes } => self.datagram_text(to, &bytes),
-            Effect::OpenStream { to, .. } => format!("visit {}", letter_at(to)),
-            Effect::ReplyOnStream { bytes: Some(_), .. } => "answers".to_string(),
-            Effect::ReplyOnStream { bytes: None, .. } => "answers nothing".to_string(),
-            Effect::SetListening { enabled: true } => "open".to_string(),
-            Effect::SetListening { enabled: false } => "shut".to_string(),
-            Effect::EndpointListRequested { .. } => "asked".to_string(),
-            Effect::EndpointListReceived { from, .. } => format!("recalled by {from}"),
-            Effect::UserMessageReceived { from, .. } => format!("said by {from}"),
+            Effect::OpenStream { to, .. } => format!("push-pull-request {}", name_of(to)),
+            Effect::ReplyOnStream { bytes: Some(_), .. } => "push-pull-response".to_string(),
+            Effect::ReplyOnStream { bytes: None, .. } => "close-stream".to_string(),
+            Effect::SetListening { enabled: true } => "start-listening".to_string(),
+            Effect::SetListening { enabled: false } => "stop-listening".to_string(),
+            Effect::EndpointListRequested { .. } => "endpoint-list-requested".to_string(),
+            Effect::EndpointListReceived { from, .. } => format!("endpoint-list of {from}"),
+            Effect::UserMessageReceived { from, .. } => format!("user-message of {from}"),
             Effect::MemberChanged { .. } | Effect::Log { .. } => return,
         };
         self.effects.push(text);
     }
 
     fn datagram_text(&mut self, to: SocketAddr, bytes: &[u8]) -> String {
-        let packet = decode(FLEET, bytes, MAX_DATAGRAM_BYTES).expect("a sound datagram");
-        let to = letter_at(to);
+        let packet =
+            decode(FLEET, bytes, MAX_DATAGRAM_BYTES).expect("decode a datagram that membership sent");
+        let to = name_of(to);
         match packet.body {
             MessageBody::Ping { sequence } => {
                 self.last_ping = sequence;
@@ -135,13 +138,13 @@
             }
             MessageBody::Ack { .. } => format!("ack {to}"),
             MessageBody::Nack { .. } => format!("nack {to}"),
-            MessageBody::PingRequest { target, .. } => format!("asks {to} of {target}"),
+            MessageBody::PingRequest { target, .. } => format!("ping-request {to} for {target}"),
             MessageBody::Gossip => "gossip".to_string(),
-            _ => "a table by datagram".to_string(),
+            _ => "unexpected datagram".to_string(),
         }
     }
 
-    /// What it holds of others and of itself, where that is new.
+    /// Prints changed states of members, a changed incarnation of this relay and a new name conflict.
     fn print_changes(&mut self) {
         let Some(membership) = &self.membership else { return };
         for member in membership.members() {
@@ -154,10 +157,10 @@
         if membership.incarnation() != self.incarnation {
             self.incarnation = membership.incarnation();
             let Incarnation { start, counter } = self.incarnation;
-            self.effects.push(format!("rank {start}.{counter}"));
+            self.effects.push(format!("incarnation {start}.{counter}"));
         }
         if let Some(conflict) = membership.name_conflict() {
-            let text = format!("twin at {}", letter_at(conflict.addr));
+            let text = format!("name-conflict at {}", name_of(conflict.addr));
             if !self.printed.contains_key(&text) {
                 self.printed.insert(text.clone(), MemberState::Alive);
                 self.effects.push(text);
@@ -166,71 +169,71 @@
     }
 
     fn packet(&self, words: &[&str], body: MessageBody) -> Result<(SocketAddr, Box<Packet>), Fault> {
-        let name = words.get(1).copied().ok_or("who speaks?")?;
-        let addr = addr_of(option(words, "at").unwrap_or(name));
+        let name = words.get(1).copied().ok_or("the line lacks the sender's name")?;
+        let addr = addr_of(option(words, "addr").unwrap_or(name));
         let first = Incarnation { start: 1, counter: 0 };
         let sender = Update {
             name: option(words, "name").unwrap_or(name).into(),
             addr,
-            incarnation: option(words, "rank").map_or(Ok(first), incarnation)?,
+            incarnation: option(words, "incarnation").map_or(Ok(first), parse_incarnation)?,
             state: MemberState::Alive,
             reporter: None,
             metadata: MemberMetadata::default(),
         };
         let updates =
-            words.iter().filter(|w| w.contains('@')).map(|w| update(w)).collect::<Result<_, _>>()?;
+            words.iter().filter(|w| w.contains('@')).map(|w| parse_update(w)).collect::<Result<_, _>>()?;
         Ok((addr, Box::new(Packet { fleet: FLEET.into(), sender, body, updates })))
     }
 
     fn event(&self, words: &[&str]) -> Result<Option<Event>, Fault> {
         let word = |i: usize| words.get(i).copied().unwrap_or("");
         Ok(Some(match word(0) {
-            "run" => return Ok(None),
-            "begin" => Event::Activate,
-            "yield" => Event::Deactivate,
+            "advance" => return Ok(None),
+            "activate" => Event::Activate,
+            "deactivate" => Event::Deactivate,
             "leave" => Event::Leave,
-            "drains" => {
+            "metadata-changed" if word(1) == "draining" => {
                 let lifecycle = ReportedLifecycle::Draining;
                 Event::MetadataChanged { metadata: MemberMetadata { lifecycle, ..MemberMetadata::default() } }
             }
-            "says" => {
+            "datagram" => {
                 let (from, packet) = self.packet(words, self.body(word(2), word(3))?)?;
                 Event::DatagramReceived { from, packet }
             }
-            "visits" => {
+            "push-pull-request" => {
                 let (from, packet) = self.packet(words, MessageBody::PushPullRequest)?;
                 Event::StreamRequest { stream: 1, from, packet }
             }
-            "returns" => {
+            "push-pull-response" => {
                 Event::StreamResponse { packet: self.packet(words, MessageBody::PushPullResponse)?.1 }
             }
             other => return Err(format!("unknown input '{other}'")),
         }))
     }
 
-    /// What a line `says NAME WORD [OTHER]` sends.
-    fn body(&self, word: &str, other: &str) -> Result<MessageBody, Fault> {
+    /// The body of the input `datagram NAME KIND [TARGET]`.
+    fn body(&self, kind: &str, target: &str) -> Result<MessageBody, Fault> {
         let sequence = self.last_ping;
-        match word {
+        match kind {
             "ping" => Ok(MessageBody::Ping { sequence: 900 }),
             "ack" => Ok(MessageBody::Ack { sequence }),
             "nack" => Ok(MessageBody::Nack { sequence }),
-            "ask" => {
-                Ok(MessageBody::PingRequest { sequence: 901, target: other.into(), addr: addr_of(other) })
+            "ping-request" => {
+                Ok(MessageBody::PingRequest { sequence: 901, target: target.into(), addr: addr_of(target) })
             }
             "gossip" => Ok(MessageBody::Gossip),
-            unknown => Err(format!("nobody says '{unknown}'")),
+            unknown => Err(format!("unknown kind of datagram '{unknown}'")),
         }
     }
 }
 
 impl Subject for MembershipSubject {
-    fn site(&mut self, words: &[&str]) -> Result<(), Fault> {
+    fn set_site(&mut self, words: &[&str]) -> Result<(), Fault> {
         if let Some(peers) = option(words, "peers") {
             self.local.peers = peers.split(',').map(addr_of).collect();
         }
-        if let Some(relays) = option(words, "relays") {
-            self.local.configured_relays = num(relays)?;
+        if let Some(relays) = option(words, "relay_count") {
+            self.local.configured_relays = parse_number(relays)?;
         }
         Ok(())
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,22 +1,36 @@
-//! Plays text scenarios: those of `tests/scenarios/` against the module alone, of `tests/relay/` against the
-//! reducer without sockets, of `tests/fleet/` against membership alone, of `tests/loopback/` against the
-//! program over loopback. A scenario is some lines:
-//!   `site NAME=VALUE ..`        facts that differ from the default site (first line, optional)
-//!   `MS INPUT ..`               an input at that time; alarms that are due are played before it
-//!   `=> EFFECT`                 what this must have led to: all effects on sessions, in order, or `none`
-//! `#` starts a comment. Probes and alarms are checked only where a line `=> probe SERVER` asks for them.
-//! `tests/helpers/` tells what inputs the reducer and the loopback know.
+//! Runs the test scripts: those of `tests/scenarios/` against the balancer, of `tests/relay/` against
+//! the reducer without sockets, of `tests/fleet/` against membership, and of `tests/loopback/` against
+//! the relay on loopback sockets. A script consists of these lines:
+//!   `site KEY=VALUE ..`   settings that differ from the default ones (first line, optional)
+//!   `MS INPUT ..`         an input and its time in milliseconds; earlier timers expire before it
+//!   `=> EFFECT`           an expected effect of the input above: one line for each, in order, or `none`
+//! `#` starts a comment. An input has the name of its `Input` or `Event` variant, and an effect that of
+//! its `Effect` variant, in kebab case or shortened. The effects in `CHECKED_ON_REQUEST`, such as probes
+//! and timers, are compared only if a line expects them.
+//!
+//! Inputs of the balancer:
+//!   `endpoint-list snapshot|delta|watch-failed SERVER[:draining|:removed][:started=MS] ..`, which also
+//!   takes `:zone=N` and `:cell=N` after a server,
+//!   `session-requested SESSIONS LISTENER [group=N] [time_remaining=MS] [returned]`,
+//!   `session-adopted SESSIONS LISTENER SERVER`, `session-established SESSIONS DIAL`,
+//!   `session-ended SESSIONS`, `message-delay SESSIONS DELAY`, `dial-ended SESSIONS DIAL END [settled]`,
+//!   `dial-not-started SESSIONS DIAL`, `probe-ended SERVERS END|load=X [queue_delay=X] [sessions=X]`,
+//!   `timer-expired LABEL`,
+//!   `restore SERVER [load=X age=MS] [recent_sessions=X] [slot_age=MS] [session_load=X]`, `advance`,
+//!   which only lets time pass.
+//! SESSIONS and SERVERS are a number or a range such as `7..9`. `tests/helpers/` lists the inputs of the
+//! other subjects.
 mod helpers;
 
 use hallrelay_balancer::types::*;
 use hallrelay_balancer::Balancer;
-use helpers::{Loopback, MembershipSubject, Program};
+use helpers::{LoopbackSubject, MembershipSubject, ReducerSubject};
 use std::collections::BTreeMap;
 
 pub type Fault = String;
 const LISTENERS: [&str; 5] = ["low", "high", "once", "ref", "ref-cell"];
 
-fn site() -> SiteConfig {
+fn default_site() -> SiteConfig {
     let listener = |priority_weight, idempotency| Listener {
         priority_weight,
         idempotency,
@@ -45,252 +59,274 @@
     }
 }
 
-pub fn num<T: std::str::FromStr>(word: &str) -> Result<T, Fault> {
+pub fn parse_number<T: std::str::FromStr>(word: &str) -> Result<T, Fault> {
     word.parse().map_err(|_| format!("'{word}' is not a number"))
 }
 
+/// The value of the word `KEY=VALUE`, if there is one.
 pub fn option<'a>(words: &'a [&str], key: &str) -> Option<&'a str> {
     words.iter().find_map(|w| w.strip_prefix(key)?.strip_prefix('='))
 }
 
-pub fn millis(word: &str) -> Result<Micros, Fault> {
-    Ok((num::<f64>(word)? * 1000.0) as Micros)
+/// Parses milliseconds into microseconds.
+pub fn parse_millis(word: &str) -> Result<Micros, Fault> {
+    Ok((parse_number::<f64>(word)? * 1000.0) as Micros)
 }
 
 fn set_site(site: &mut SiteConfig, words: &[&str]) -> Result<(), Fault> {
     for word in words {
-        let (key, value) = word.split_once('=').ok_or(format!("'{word}' is not NAME=VALUE"))?;
+        let (key, value) = word.split_once('=').ok_or(format!("'{word}' is not KEY=VALUE"))?;
         match key {
-            "relays" => site.relay_count = num(value)?,
-            "dials" => site.max_dials = num(value)?,
-            "slot" => site.relay_index = num(value)?,
-            "zone" => site.zone = num(value)?,
-            "max_open" => site.max_sessions = num(value)?,
-            "retry_after" => site.max_retry_after = Some(millis(value)?),
-            "watch" => site.must_watch = num(value)?,
-            "price_probe" => site.probe_cost = num(value)?,
-            "price_crossing" => site.cross_zone_cost = num(value)?,
-            _ => return Err(format!("unknown site fact '{key}'")),
+            "relay_count" => site.relay_count = parse_number(value)?,
+            "max_dials" => site.max_dials = parse_number(value)?,
+            "relay_index" => site.relay_index = parse_number(value)?,
+            "zone" => site.zone = parse_number(value)?,
+            "max_sessions" => site.max_sessions = parse_number(value)?,
+            "max_retry_after" => site.max_retry_after = Some(parse_millis(value)?),
+            "must_watch" => site.must_watch = parse_number(value)?,
+            "probe_cost" => site.probe_cost = parse_number(value)?,
+            "cross_zone_cost" => site.cross_zone_cost = parse_number(value)?,
+            _ => return Err(format!("unknown site key '{key}'")),
         }
     }
     Ok(())
 }
 
-fn endpoint(word: &str) -> Result<Endpoint, Fault> {
+fn parse_endpoint(word: &str) -> Result<Endpoint, Fault> {
     let mut parts = word.split(':');
-    let mut e =
-        Endpoint { server: num(parts.next().unwrap_or(""))?, phase: Phase::Ready, ..Endpoint::default() };
+    let mut e = Endpoint {
+        server: parse_number(parts.next().unwrap_or(""))?,
+        phase: Phase::Ready,
+        ..Endpoint::default()
+    };
     for part in parts {
         match part.split_once('=').unwrap_or((part, "")) {
             ("draining", _) => e.phase = Phase::Draining,
-            ("gone", _) => e.phase = Phase::Gone,
-            ("up", at) => e.started_at = millis(at)?,
-            ("zone", zone) => e.zone = num(zone)?,
-            ("cell", cell) => e.cell = num(cell)?,
-            _ => return Err(format!("unknown mark '{part}'")),
+            ("removed", _) => e.phase = Phase::Gone,
+            ("started", at) => e.started_at = parse_millis(at)?,
+            ("zone", zone) => e.zone = parse_number(zone)?,
+            ("cell", cell) => e.cell = parse_number(cell)?,
+            _ => return Err(format!("unknown endpoint attribute '{part}'")),
         }
     }
     Ok(e)
 }
 
-fn request(words: &[&str], listener: &str) -> Result<AdmissionRequest, Fault> {
-    let place = LISTENERS.iter().position(|l| *l == listener);
+fn parse_request(words: &[&str], listener: &str) -> Result<AdmissionRequest, Fault> {
+    let index = LISTENERS.iter().position(|l| *l == listener);
     Ok(AdmissionRequest {
-        listener: place.ok_or(format!("unknown listener '{listener}'"))?,
-        group: option(words, "group").map_or(Ok(0), num)?,
+        listener: index.ok_or(format!("unknown listener '{listener}'"))?,
+        group: option(words, "group").map_or(Ok(0), parse_number)?,
         returned: words.contains(&"returned"),
-        time_remaining: option(words, "left").map_or(Ok(2_000_000), millis)?,
+        time_remaining: option(words, "time_remaining").map_or(Ok(2_000_000), parse_millis)?,
         ..AdmissionRequest::default()
     })
 }
 
-pub fn dial_end(word: &str) -> Result<DialEnd, Fault> {
+pub fn parse_dial_end(word: &str) -> Result<DialEnd, Fault> {
     use DialEnd::*;
-    let words = ["ok", "error", "full", "timeout", "unconnected", "reset", "recalled", "moot"];
+    let words = ["ok", "error", "full", "timeout", "unconnected", "reset", "cancelled", "not-sent"];
     let ends = [Ok, Error, Full, Timeout, Unconnected, Reset, Cancelled, NotSent];
-    let place = words.iter().position(|w| *w == word).ok_or(format!("unknown outcome '{word}'"))?;
-    Result::Ok(ends[place])
+    let index = words.iter().position(|w| *w == word).ok_or(format!("unknown dial end '{word}'"))?;
+    Result::Ok(ends[index])
 }
 
-/// How a probe ended: a word for it, or the figures of its answer.
-pub fn probe_end(words: &[&str], how: &str) -> Result<(DialEnd, Option<LoadReport>), Fault> {
-    let value = |key| option(words, key).map(num).transpose();
-    let report = LoadReport { load: value("load")?, queue_delay: value("piled")?, sessions: value("held")? };
-    let end = if how.contains('=') { DialEnd::Ok } else { dial_end(how)? };
+/// Parses how a probe ended: the word of a `DialEnd`, or the values of its load report.
+pub fn parse_probe_end(words: &[&str], end: &str) -> Result<(DialEnd, Option<LoadReport>), Fault> {
+    let value = |key| option(words, key).map(parse_number).transpose();
+    let report =
+        LoadReport { load: value("load")?, queue_delay: value("queue_delay")?, sessions: value("sessions")? };
+    let end = if end.contains('=') { DialEnd::Ok } else { parse_dial_end(end)? };
     Ok((end, Some(report)))
 }
 
-/// `7` or `7..9`, both ends included.
-pub fn range(word: &str) -> Result<std::ops::RangeInclusive<u32>, Fault> {
+/// Parses `7` or `7..9`; both ends are included.
+pub fn parse_range(word: &str) -> Result<std::ops::RangeInclusive<u32>, Fault> {
     let (from, to) = word.split_once("..").unwrap_or((word, word));
-    Ok(num(from)?..=num(to)?)
+    Ok(parse_number(from)?..=parse_number(to)?)
 }
 
-/// The inputs of one line; none for `run`, which only lets time pass.
-fn inputs(words: &[&str]) -> Result<Vec<Input>, Fault> {
-    let at = |i: usize| words.get(i).copied().ok_or(format!("'{}' is too short", words.join(" ")));
+/// Parses the inputs of one line; `advance` has none.
+fn parse_inputs(words: &[&str]) -> Result<Vec<Input>, Fault> {
+    let at = |i: usize| words.get(i).copied().ok_or(format!("'{}' lacks a word", words.join(" ")));
     let list = |update| -> Result<Vec<Input>, Fault> {
-        let endpoints = words[2..].iter().map(|w| endpoint(w)).collect::<Result<_, _>>()?;
+        let endpoints = words[2..].iter().map(|w| parse_endpoint(w)).collect::<Result<_, _>>()?;
         Ok(vec![Input::EndpointList { update, endpoints }])
     };
-    let each = |make: &dyn Fn(u32) -> Result<Input, Fault>| range(at(1)?)?.map(make).collect();
+    let each = |make: &dyn Fn(u32) -> Result<Input, Fault>| parse_range(at(1)?)?.map(make).collect();
     match at(0)? {
-        "run" => Ok(vec![]),
-        "list" if at(1)? == "full" => list(ListUpdate::Snapshot),
-        "list" if at(1)? == "changes" => list(ListUpdate::Delta),
-        "list" if at(1)? == "broken" => list(ListUpdate::WatchFailed),
-        "ask" => {
-            let request = request(words, at(2)?)?;
-            each(&|sess| Ok(Input::SessionRequested { session: sess, request }))
+        "advance" => Ok(vec![]),
+        "endpoint-list" if at(1)? == "snapshot" => list(ListUpdate::Snapshot),
+        "endpoint-list" if at(1)? == "delta" => list(ListUpdate::Delta),
+        "endpoint-list" if at(1)? == "watch-failed" => list(ListUpdate::WatchFailed),
+        "session-requested" => {
+            let request = parse_request(words, at(2)?)?;
+            each(&|session| Ok(Input::SessionRequested { session, request }))
+        }
+        "session-adopted" => {
+            let (request, server) = (parse_request(words, at(2)?)?, parse_number(at(3)?)?);
+            each(&|session| Ok(Input::SessionAdopted { session, server, request }))
         }
-        "open" => {
-            let (request, server) = (request(words, at(2)?)?, num(at(3)?)?);
-            each(&|sess| Ok(Input::SessionAdopted { session: sess, server, request }))
+        "session-established" => {
+            each(&|session| Ok(Input::SessionEstablished { session, dial: parse_number(at(2)?)? }))
         }
-        "stands" => each(&|sess| Ok(Input::SessionEstablished { session: sess, dial: num(at(2)?)? })),
-        "left" => each(&|sess| Ok(Input::SessionEnded { session: sess })),
-        "delay" => each(&|sess| Ok(Input::MessageDelay { session: sess, delay: num(at(2)?)? })),
-        "end" => each(&|sess| {
-            let (dial, settled) = (num(at(2)?)?, words.contains(&"settled"));
-            Ok(Input::DialEnded { session: sess, dial, end: dial_end(at(3)?)?, settled, report: None })
+        "session-ended" => each(&|session| Ok(Input::SessionEnded { session })),
+        "message-delay" => each(&|session| Ok(Input::MessageDelay { session, delay: parse_number(at(2)?)? })),
+        "dial-ended" => each(&|session| {
+            let (dial, settled) = (parse_number(at(2)?)?, words.contains(&"settled"));
+            Ok(Input::DialEnded { session, dial, end: parse_dial_end(at(3)?)?, settled, report: None })
         }),
-        "unbegun" => each(&|sess| Ok(Input::DialNotStarted { session: sess, dial: num(at(2)?)? })),
-        "remember" => {
-            let figure = |key| option(words, key).map(num::<f64>).transpose();
-            let ago = |key| option(words, key).map_or(Ok(0), millis);
-            let load = figure("load")?;
+        "dial-not-started" => {
+            each(&|session| Ok(Input::DialNotStarted { session, dial: parse_number(at(2)?)? }))
+        }
+        "restore" => {
+            let value = |key| option(words, key).map(parse_number::<f64>).transpose();
+            let age = |key| option(words, key).map_or(Ok(0), parse_millis);
+            let load = value("load")?;
             let report = LoadReport { load, queue_delay: Some(0.0), sessions: Some(0.0) };
-            let known = ServerSnapshot {
-                server: num(at(1)?)?,
-                report: load.map(|_| Ok::<_, Fault>(PastReport { age: ago("age")?, report })).transpose()?,
-                recent_sessions: figure("placed")?.unwrap_or(0.0),
-                slot: SlotSnapshot { age: ago("turn")?, interval_fraction: 1.0 },
+            let server = ServerSnapshot {
+                server: parse_number(at(1)?)?,
+                report: load.map(|_| Ok::<_, Fault>(PastReport { age: age("age")?, report })).transpose()?,
+                recent_sessions: value("recent_sessions")?.unwrap_or(0.0),
+                slot: SlotSnapshot { age: age("slot_age")?, interval_fraction: 1.0 },
                 ..ServerSnapshot::default()
             };
-            let session_load = figure("step")?.unwrap_or(0.02);
-            Ok(vec![Input::Restore(Snapshot { session_load, servers: vec![known] })])
+            let session_load = value("session_load")?.unwrap_or(0.02);
+            Ok(vec![Input::Restore(Snapshot { session_load, servers: vec![server] })])
         }
-        "alarm" => Ok(vec![Input::TimerExpired { label: num(at(1)?)? }]),
-        "probe" => {
-            let (end, report) = probe_end(words, at(2)?)?;
+        "timer-expired" => Ok(vec![Input::TimerExpired { label: parse_number(at(1)?)? }]),
+        "probe-ended" => {
+            let (end, report) = parse_probe_end(words, at(2)?)?;
             each(&|server| Ok(Input::ProbeEnded { server, end, report }))
         }
         other => Err(format!("unknown input '{other}'")),
     }
 }
 
-fn shown(effect: &Effect) -> String {
+fn effect_text(effect: &Effect) -> String {
     match effect {
-        Effect::Dial { session: sess, server, send_within: None, .. } => format!("dial {sess} at {server}"),
-        Effect::Dial { session: sess, server, send_within: Some(left), .. } => {
-            format!("dial {sess} at {server} within {}", left / 1000)
+        Effect::Dial { session, server, send_within: None, .. } => format!("dial {session} at {server}"),
+        Effect::Dial { session, server, send_within: Some(span), .. } => {
+            format!("dial {session} at {server} within {}", span / 1000)
         }
-        Effect::Reject { session: sess, retry_after: 0 } => format!("refuse {sess}"),
-        Effect::Reject { session: sess, .. } => format!("refuse {sess} with retry-after"),
-        Effect::TearDown { session: sess } => format!("tear down {sess}"),
-        Effect::Migrate { session: sess } => format!("move {sess}"),
+        Effect::Reject { session, retry_after: 0 } => format!("reject {session}"),
+        Effect::Reject { session, .. } => format!("reject {session} with retry-after"),
+        Effect::TearDown { session } => format!("tear-down {session}"),
+        Effect::Migrate { session } => format!("migrate {session}"),
         Effect::Probe { server } => format!("probe {server}"),
         Effect::WatchEndpoints => "watch".to_string(),
-        Effect::SetTimer { .. } => "alarm".to_string(),
+        Effect::SetTimer { .. } => "timer".to_string(),
     }
 }
 
-/// What scenarios are played against.
+/// What scripts run against.
 pub trait Subject {
-    fn site(&mut self, words: &[&str]) -> Result<(), Fault>;
+    fn set_site(&mut self, words: &[&str]) -> Result<(), Fault>;
     fn input(&mut self, now: Micros, words: &[&str]) -> Result<(), Fault>;
-    /// The effects since the last line that was an input.
+    /// The effects since the last input.
     fn effects(&mut self) -> Vec<String>;
 }
 
 #[derive(Default)]
-struct Module {
+struct BalancerSubject {
     site: Option<SiteConfig>,
-    relay: Option<Balancer>,
-    alarms: BTreeMap<(Micros, usize), u32>,
+    balancer: Option<Balancer>,
+    timers: BTreeMap<(Micros, usize), u32>,
     effects: Vec<Effect>,
 }
 
-impl Module {
+impl BalancerSubject {
     fn step(&mut self, now: Micros, input: Input) {
         let mut out = Vec::new();
-        let facts = self.site.get_or_insert_with(site);
-        self.relay.get_or_insert_with(|| Balancer::new(facts.clone(), 7)).step(now, input, &mut out);
+        let site = self.site.get_or_insert_with(default_site);
+        self.balancer.get_or_insert_with(|| Balancer::new(site.clone(), 7)).step(now, input, &mut out);
         for effect in &out {
             if let Effect::SetTimer { after, label } = *effect {
-                self.alarms.insert((now + after, self.alarms.len()), label);
+                self.timers.insert((now + after, self.timers.len()), label);
             }
         }
         self.effects.append(&mut out);
     }
 }
 
-impl Subject for Module {
-    fn site(&mut self, words: &[&str]) -> Result<(), Fault> {
-        set_site(self.site.get_or_insert_with(site), words)
+impl Subject for BalancerSubject {
+    fn set_site(&mut self, words: &[&str]) -> Result<(), Fault> {
+        set_site(self.site.get_or_insert_with(default_site), words)
     }
 
     fn input(&mut self, now: Micros, words: &[&str]) -> Result<(), Fault> {
         self.effects.clear();
-        while let Some((&key, &label)) = self.alarms.first_key_value().filter(|(k, _)| k.0 < now) {
-            self.alarms.remove(&key);
+        while let Some((&key, &label)) = self.timers.first_key_value().filter(|(k, _)| k.0 < now) {
+            self.timers.remove(&key);
             self.step(key.0, Input::TimerExpired { label });
         }
-        inputs(words)?.into_iter().for_each(|input| self.step(now, input));
+        parse_inputs(words)?.into_iter().for_each(|input| self.step(now, input));
         Ok(())
     }
 
     fn effects(&mut self) -> Vec<String> {
-        self.effects.iter().map(shown).collect()
+        self.effects.iter().map(effect_text).collect()
     }
 }
 
-/// Checks effects against the lines that ask for them; probes, alarms and the like only where asked for.
-fn check(told: &[String], wanted: &[&str]) -> Result<(), Fault> {
-    const ASIDE: [&str; 10] =
-        ["keep", "probe", "alarm", "ask", "watch", "unwatch", "forget", "ping", "visit", "gossip"];
-    let aside = |l: &str| ASIDE.contains(&l.split(' ').next().unwrap_or(""));
-    let told: Vec<&str> =
-        told.iter().map(String::as_str).filter(|l| wanted.contains(l) || !aside(l)).collect();
-    let wanted: Vec<&str> = wanted.iter().copied().filter(|l| *l != "none").collect();
-    (told == wanted).then_some(()).ok_or(format!("wanted {wanted:?}, got {told:?}"))
+/// Compares the effects with the expected ones; those of `CHECKED_ON_REQUEST` only if they are expected.
+fn check(actual: &[String], expected: &[&str]) -> Result<(), Fault> {
+    const CHECKED_ON_REQUEST: [&str; 11] = [
+        "persist",
+        "probe",
+        "timer",
+        "unchecked",
+        "watch",
+        "fetch-and-watch",
+        "stop-watch",
+        "forget-server",
+        "ping",
+        "push-pull-request",
+        "gossip",
+    ];
+    let on_request = |l: &str| CHECKED_ON_REQUEST.contains(&l.split(' ').next().unwrap_or(""));
+    let actual: Vec<&str> =
+        actual.iter().map(String::as_str).filter(|l| expected.contains(l) || !on_request(l)).collect();
+    let expected: Vec<&str> = expected.iter().copied().filter(|l| *l != "none").collect();
+    (actual == expected).then_some(()).ok_or(format!("expected {expected:?}, got {actual:?}"))
 }
 
-fn play(text: &str, subject: &mut dyn Subject) -> Result<(), (usize, Fault)> {
+/// Runs one script; an error has the number of its line.
+fn run_script(text: &str, subject: &mut dyn Subject) -> Result<(), (usize, Fault)> {
     let lines = text.lines().enumerate().map(|(i, l)| (i + 1, l.split('#').next().unwrap_or("").trim()));
     let lines: Vec<(usize, &str)> = lines.filter(|(_, l)| !l.is_empty()).collect();
-    let (mut checks, mut begun) = (0, false);
+    let (mut checks, mut started) = (0, false);
     for (i, &(number, line)) in lines.iter().enumerate() {
         let fault = |what: Fault| (number, what);
         let words: Vec<&str> = line.split_whitespace().collect();
-        if words[0] == "site" && !begun {
-            subject.site(&words[1..]).map_err(fault)?;
+        if words[0] == "site" && !started {
+            subject.set_site(&words[1..]).map_err(fault)?;
         } else if words[0] != "=>" {
-            begun = true;
-            subject.input(millis(words[0]).map_err(fault)?, &words[1..]).map_err(fault)?;
-            let follow = lines[i + 1..].iter().map_while(|(_, l)| l.strip_prefix("=>"));
-            let wanted: Vec<&str> = follow.map(str::trim).collect();
-            if !wanted.is_empty() {
+            started = true;
+            subject.input(parse_millis(words[0]).map_err(fault)?, &words[1..]).map_err(fault)?;
+            let following = lines[i + 1..].iter().map_while(|(_, l)| l.strip_prefix("=>"));
+            let expected: Vec<&str> = following.map(str::trim).collect();
+            if !expected.is_empty() {
                 checks += 1;
-                check(&subject.effects(), &wanted).map_err(fault)?;
+                check(&subject.effects(), &expected).map_err(fault)?;
             }
-        } else if !begun {
-            return Err(fault("an effect before any input".to_string()));
+        } else if !started {
+            return Err(fault("an effect stands before the first input".to_string()));
         }
     }
-    (checks > 0).then_some(()).ok_or((lines.len(), "checks nothing".to_string()))
+    (checks > 0).then_some(()).ok_or((lines.len(), "the script expects no effect".to_string()))
 }
 
-fn play_all<S: Subject + Default>(folder: &str) {
+fn run_scripts<S: Subject + Default>(folder: &str) {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
-    let files =
-        std::fs::read_dir(&folder).expect("the scenarios' folder").map(|f| f.expect("an entry").path());
+    let entries = std::fs::read_dir(&folder).expect("read the folder of the scripts");
+    let files = entries.map(|entry| entry.expect("read an entry of the scripts' folder").path());
     let mut files: Vec<_> = files.filter(|f| f.extension().is_some_and(|e| e == "txt")).collect();
     files.sort();
-    assert!(!files.is_empty(), "no scenario in {}", folder.display());
+    assert!(!files.is_empty(), "{} holds no script", folder.display());
     let faults = files.iter().filter_map(|file| {
-        let text = std::fs::read_to_string(file).expect("a readable scenario");
-        let (line, what) = play(&text, &mut S::default()).err()?;
+        let text = std::fs::read_to_string(file).expect("read a script");
+        let (line, what) = run_script(&text, &mut S::default()).err()?;
         Some(format!("{}:{line}: {what}", file.display()))
     });
     let faults: Vec<String> = faults.collect();
@@ -298,30 +334,34 @@
 }
 
 #[test]
-fn the_module() {
-    play_all::<Module>("scenarios");
+fn balancer_scripts() {
+    run_scripts::<BalancerSubject>("scenarios");
 }
 
 #[test]
-fn the_reducer() {
-    play_all::<Program>("relay");
+fn reducer_scripts() {
+    run_scripts::<ReducerSubject>("relay");
 }
 
 #[test]
-fn membership() {
-    play_all::<MembershipSubject>("fleet");
+fn membership_scripts() {
+    run_scripts::<MembershipSubject>("fleet");
 }
 
 #[test]
-fn over_loopback() {
-    play_all::<Loopback>("loopback");
+fn loopback_scripts() {
+    run_scripts::<LoopbackSubject>("loopback");
 }
 
 #[test]
-fn the_runner_names_what_is_wrong() {
-    let line = |text| play(text, &mut Module::default()).map_err(|(line, _)| line);
-    assert_eq!(line("0 list full 1\n0 asq 7 low"), Err(2));
-    assert_eq!(line("0 list full 1\n1 ask 7 low"), Err(2), "checks nothing");
-    assert_eq!(line("0 list full 1\n5 ask 7 low\n=> refuse 7"), Err(2), "an effect that does not come");
-    assert_eq!(line("site colour=red"), Err(1));
+fn runner_reports_line_of_failed_script() {
+    let run = |text| run_script(text, &mut BalancerSubject::default()).map_err(|(line, _)| line);
+    assert_eq!(run("0 endpoint-list snapshot 1\n0 session-requestd 7 low"), Err(2));
+    assert_eq!(run("0 endpoint-list snapshot 1\n1 session-requested 7 low"), Err(2), "no expected effect");
+    assert_eq!(
+        run("0 endpoint-list snapshot 1\n5 session-requested 7 low\n=> reject 7"),
+        Err(2),
+        "an expected effect is missing"
+    );
+    assert_eq!(run("site colour=red"), Err(1));
 }
