--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,11 +1,10 @@
 //! The subjects of the scripts in `tests/relay/`, `tests/fleet/` and `tests/loopback/`.
 //!
-//! `ReducerSubject` is the reducer without sockets. Backends have the names of the endpoint list. Keys of a site line:
-//! `known=NAME,NAME` (the list that the relay starts with), `timeout=MS` (dial timeout of all
-//! listeners), `successor` (another process owns the listening socket), `pushed` (the endpoint list is
-//! sent without a request), `probes` (the relay may probe), `persistent` (the relay writes its state to
-//! a store).
-//! Inputs (with `stalled` at the end, no timer expires before the input):
+//! `ReducerSubject` is the reducer without sockets. Backends have the names of the endpoint list. Keys
+//! of a site line: `known=NAME,NAME` (the list that the relay starts with), `timeout=MS` (dial timeout
+//! of all listeners), `successor` (another process owns the listening socket), `pushed` (the endpoint
+//! list is sent without a request), `probes` (the relay may probe), `persistent` (the relay writes its
+//! state to a store). Inputs (with `stalled` at the end, no timer expires before the input):
 //!   `client-connected CONNECTIONS`, `first-line-started CONNECTIONS`, `ping CONNECTION`,
 //!   `protocol-violation CONNECTION`, `client-disconnected SESSION`, `client-half-closed SESSION`,
 //!   `session-requested SESSION LISTENER [time_remaining=MS] [at=NAME] [id=ID]`,
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,51 +1,51 @@
-//! What `.ci/known-red` excuses: just the failures that KNOWN-RED.txt lists.
+//! `.ci/known-red` accepts exactly the failures that KNOWN-RED.txt lists.
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Two tests that passed and one that failed, as cargo prints them.
+/// The output of cargo for two tests that passed and one that failed.
 const ONE_FAILED: &str =
     "running 3 tests\ntest sound ... ok\ntest other::sound ... ok\ntest broken ... FAILED\n\n\
                           test result: FAILED. 2 passed; 1 failed\n";
 const ALL_PASSED: &str = "test sound ... ok\ntest broken ... ok\n\ntest result: ok. 2 passed; 0 failed\n";
 
-/// The exit status of the check, and all that it printed.
+/// Runs the check on a list and an output of cargo; returns whether it succeeded and what it printed.
 fn run_check(case: &str, list: Option<&str>, output: &str) -> (bool, String) {
     let folder = std::env::temp_dir().join(format!("known-red-{}-{case}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let place = |name: &str| -> PathBuf { folder.join(name) };
+    std::fs::create_dir_all(&folder).expect("create the folder of the case");
+    let path = |name: &str| -> PathBuf { folder.join(name) };
     if let Some(text) = list {
-        std::fs::write(place("KNOWN-RED.txt"), text).expect("the list is written");
+        std::fs::write(path("KNOWN-RED.txt"), text).expect("write the list");
     }
-    std::fs::write(place("output"), output).expect("the output is written");
+    std::fs::write(path("output"), output).expect("write the output");
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../.ci/known-red");
-    let ended = Command::new("bash").arg(script).arg(place("KNOWN-RED.txt")).arg(place("output")).output();
-    let ended = ended.expect("bash runs it");
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
-    (ended.status.success(), String::from_utf8_lossy(&ended.stdout).into_owned())
+    let result = Command::new("bash").arg(script).arg(path("KNOWN-RED.txt")).arg(path("output")).output();
+    let result = result.expect("run bash");
+    std::fs::remove_dir_all(&folder).expect("remove the folder of the case");
+    (result.status.success(), String::from_utf8_lossy(&result.stdout).into_owned())
 }
 
 #[test]
-fn a_listed_failure_passes_and_is_printed() {
+fn listed_failure_passes_and_is_printed() {
     let line = "broken, cargo test -p balancer broken (seed 7), the slow start budget is overrun, 42";
     assert_eq!(run_check("listed", Some(line), ONE_FAILED), (true, format!("known-red: {line}\n")));
 }
 
 #[test]
-fn without_a_list_every_failure_counts() {
+fn every_failure_counts_without_list() {
     assert!(run_check("absent-well", None, ALL_PASSED).0);
     let (passed, printed) = run_check("absent", None, ONE_FAILED);
     assert!(!passed && printed.contains("broken failed and is not listed"), "{printed}");
 }
 
 #[test]
-fn a_failure_that_is_not_listed_fails() {
+fn unlisted_failure_fails_check() {
     let two = ONE_FAILED.replace("test sound ... ok", "test sound ... FAILED");
     let (passed, printed) = run_check("unlisted", Some("broken, a command, a cause, 42\n"), &two);
     assert!(!passed && printed.contains("sound failed and is not listed"), "{printed}");
 }
 
 #[test]
-fn a_listed_test_that_passes_fails() {
+fn listed_test_that_passes_fails_check() {
     let (passed, printed) = run_check("passes", Some("broken, a command, a cause, 42\n"), ALL_PASSED);
     assert!(
         !passed && printed.contains("broken is listed in") && printed.contains("and passed"),
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn a_listed_test_that_does_not_exist_fails() {
+fn listed_test_that_was_not_run_fails_check() {
     let list = "broken, a command, a cause, 42\ngone, a command, a cause, 42\n";
     let (passed, printed) = run_check("gone", Some(list), ONE_FAILED);
     assert!(!passed && printed.contains("gone is listed in") && printed.contains("was not run"), "{printed}");
 }
 
 #[test]
-fn more_than_three_fail() {
+fn more_than_three_listed_tests_fail_check() {
     let names = ["a", "b", "c", "d"];
     let list: String = names.iter().map(|name| format!("{name}, a command, a cause, 42\n")).collect();
     let failures: String = names.iter().map(|name| format!("test {name} ... FAILED\n")).collect();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_line_without_command_cause_or_issue_fails() {
+fn list_line_without_command_cause_or_issue_fails_check() {
     let lines = [
         "broken",
         "broken, a cause, 42",
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_run_without_tests_fails() {
+fn output_without_tests_fails_check() {
     let (passed, printed) =
         run_check("none", Some("broken, a command, a cause, 42\n"), "error: could not compile `hallrelay`\n");
     assert!(!passed && printed.contains("no test was run") && printed.contains("compiled"), "{printed}");
--- a/tests/short_days/cold.rs
+++ b/tests/short_days/cold.rs
@@ -1,131 +1,142 @@
-//! Rule 4 over all relays: what twenty of them send to one cold backend together, while it may fall.
+//! Rule 4 over all relays: twenty of them keep their dials at one cold backend within its budget in every
+//! overload window.
 use crate::fleet::{two_listeners, Fleet, SECOND};
 use hallrelay_balancer::types::*;
 
 const RELAYS: u32 = 20;
 const WARM_BACKENDS: u32 = 8;
-/// The backend that starts cold.
+/// The backend that starts during the simulation.
 const COLD: ServerId = 100;
 /// Sessions that fill a backend.
 const CAPACITY: f64 = 50.0;
-/// The load of the warm backends before anything happens.
+/// The load of the warm backends before the cold one starts.
 const USUAL_LOAD: f64 = 0.5;
-/// When the cold one starts: loads are steady by then.
-const START: Micros = 15 * SECOND;
+/// When the cold backend starts; the loads are steady by then.
+const COLD_START: Micros = 15 * SECOND;
 const SEEDS: u64 = 20;
 
-/// What the settings allow a cold backend.
+/// The settings of slow start.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct SlowStart {
     pub warm_up: Micros,
     pub initial_capacity: f64,
     pub overload_window: Micros,
 }
 
-/// As in the text scenarios of the module.
-pub const SHORT_WARM_UP: Allowance =
-    Allowance { warm_up: 10 * SECOND, initial_capacity: 0.2, overload_window: 2 * SECOND };
+/// As in the balancer's test scripts.
+pub const SHORT_WARM_UP: SlowStart =
+    SlowStart { warm_up: 10 * SECOND, initial_capacity: 0.2, overload_window: 2 * SECOND };
 
-/// A play's allowance, and the sessions a second that come to each relay.
+/// The slow-start settings, and the new sessions per second at each relay.
 #[derive(Clone, Copy, Debug)]
-pub struct Case(pub Allowance, pub f64);
+pub struct Case(pub SlowStart, pub f64);
 
-fn site(allowance: Allowance) -> SiteConfig {
-    let Allowance { warm_up, initial_capacity, overload_window } = allowance;
+fn site(slow_start: SlowStart) -> SiteConfig {
+    let SlowStart { warm_up, initial_capacity, overload_window } = slow_start;
     SiteConfig { warm_up, initial_capacity, overload_window, probe_cost: 0.002, ..two_listeners(RELAYS) }
 }
 
-/// The most that came in a fall's time, over what the backend bears then.
+/// The overload window with the most dials relative to the bound.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Worst {
-    part: f64,
-    came: usize,
-    bears: f64,
+pub struct WorstWindow {
+    /// `dials` over `bound`.
+    ratio: f64,
+    dials: usize,
+    bound: f64,
+    /// The window's end, from the start of the backend.
     after: Micros,
 }
 
-impl std::fmt::Display for Worst {
+impl std::fmt::Display for WorstWindow {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Worst { part, came, bears, after } = self;
-        write!(f, "{came} dials where it bears {bears:.1} ({part:.2} times), {after} us after its start")
+        let WorstWindow { ratio, dials, bound, after } = self;
+        write!(f, "{dials} dials, bound {bound:.1} ({ratio:.2} times), {after} us after the start")
     }
 }
 
-fn worst(fleet: &Fleet) -> Worst {
+fn worst_window(fleet: &Fleet) -> WorstWindow {
     let backend = &fleet.backends[&COLD];
-    let mut worst = Worst::default();
-    let warm = backend.entry.started_at + fleet.site.warm_up;
-    for &at in backend.dials.iter().filter(|at| **at < warm) {
+    let mut worst = WorstWindow::default();
+    let warm_at = backend.endpoint.started_at + fleet.site.warm_up;
+    for &at in backend.dials.iter().filter(|at| **at < warm_at) {
         let budget = backend.cold_budget(at, &fleet.site);
-        let bears = budget + 2.0 * budget.sqrt() + 2.0;
-        let came = backend.dials_in_fall_window(at, &fleet.site);
-        let part = came as f64 / bears;
-        if part > worst.part {
-            worst = Worst { part, came, bears, after: at - backend.entry.started_at };
+        let bound = budget + 2.0 * budget.sqrt() + 2.0;
+        let dials = backend.dials_in_overload_window(at, &fleet.site);
+        let ratio = dials as f64 / bound;
+        if ratio > worst.ratio {
+            worst = WorstWindow { ratio, dials, bound, after: at - backend.endpoint.started_at };
         }
     }
     worst
 }
 
-fn loaded(seed: u64, Case(allowance, per_second): Case) -> Fleet {
-    let mut fleet = Fleet::new(site(allowance), seed);
+fn loaded_fleet(seed: u64, Case(slow_start, per_second): Case) -> Fleet {
+    let mut fleet = Fleet::new(site(slow_start), seed);
     let sessions = USUAL_LOAD * CAPACITY * f64::from(WARM_BACKENDS);
-    fleet.session_life = (sessions / (per_second * f64::from(RELAYS)) * SECOND as f64) as Micros;
+    fleet.mean_session_time = (sessions / (per_second * f64::from(RELAYS)) * SECOND as f64) as Micros;
     (1..=WARM_BACKENDS).for_each(|server| fleet.add_warm_backend(server, CAPACITY));
-    fleet.tell_whole_list();
-    fleet.schedule_clients(0, START + fleet.site.warm_up, per_second);
+    fleet.send_list_snapshot();
+    fleet.schedule_clients(0, COLD_START + fleet.site.warm_up, per_second);
     fleet
 }
 
-/// A new backend joins as half as many clients again come, for four seconds.
-pub fn joins_under_a_burst(seed: u64, case: Case) -> Worst {
-    let mut fleet = loaded(seed, case);
-    fleet.schedule_clients(START, START + 4 * SECOND, case.1 / 2.0);
-    fleet.run_until(START);
+/// A backend starts while the rate of clients is 1.5 times the usual one, for four seconds.
+pub fn start_under_burst(seed: u64, case: Case) -> WorstWindow {
+    let mut fleet = loaded_fleet(seed, case);
+    fleet.schedule_clients(COLD_START, COLD_START + 4 * SECOND, case.1 / 2.0);
+    fleet.run_until(COLD_START);
     fleet.start_cold_backend(COLD, CAPACITY);
-    fleet.run_until(START + fleet.site.warm_up);
-    worst(&fleet)
+    fleet.run_until(COLD_START + fleet.site.warm_up);
+    worst_window(&fleet)
 }
 
-/// The clients of one that crashed come again within half a second, as another one has just started.
-pub fn joins_beside_a_crash(seed: u64, case: Case) -> Worst {
-    let mut fleet = loaded(seed, case);
-    fleet.run_until(START);
+/// A backend crashes shortly after another one started; the clients of the crashed one return within 0.5 s.
+pub fn start_beside_crash(seed: u64, case: Case) -> WorstWindow {
+    let mut fleet = loaded_fleet(seed, case);
+    fleet.run_until(COLD_START);
     fleet.start_cold_backend(COLD, CAPACITY);
-    // The relays' first turns there are open by then.
-    fleet.run_until(START + 4 * SECOND);
+    // By then the relays have their first slots at the cold backend.
+    fleet.run_until(COLD_START + 4 * SECOND);
     fleet.crash_backend(1, SECOND / 2);
-    fleet.run_until(START + fleet.site.warm_up);
-    worst(&fleet)
+    fleet.run_until(COLD_START + fleet.site.warm_up);
+    worst_window(&fleet)
 }
 
-/// Where more came than the backend bears, in words.
-pub fn broken(what: &str, cases: &[Case], play: impl Fn(u64, Case) -> Worst) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Runs the cases with all seeds; describes each case with more dials than the bound.
+pub fn cases_over_bound(
+    what: &str,
+    cases: &[Case],
+    simulate: impl Fn(u64, Case) -> WorstWindow,
+) -> Vec<String> {
+    let mut exceeded = Vec::new();
     for &case in cases {
-        let plays: Vec<(u64, Worst)> = (1..=SEEDS).map(|seed| (seed, play(seed, case))).collect();
-        let (seed, most) = plays.iter().max_by(|a, b| a.1.part.total_cmp(&b.1.part)).expect("some plays");
-        let over = plays.iter().filter(|(_, worst)| worst.part > 1.0).count();
+        let runs: Vec<(u64, WorstWindow)> = (1..=SEEDS).map(|seed| (seed, simulate(seed, case))).collect();
+        let (seed, most) =
+            runs.iter().max_by(|a, b| a.1.ratio.total_cmp(&b.1.ratio)).expect("at least one seed");
+        let over = runs.iter().filter(|(_, worst)| worst.ratio > 1.0).count();
         let line = format!("{what}, {case:?}: {over} of {SEEDS} seeds over; seed {seed}: {most}");
         println!("{line}");
-        broken.extend((over > 0).then_some(line));
-        // Else nothing is tested.
-        assert!(plays.iter().all(|(_, worst)| worst.came > 0), "the cold backend is never dialled");
+        exceeded.extend((over > 0).then_some(line));
+        // A simulation without such a dial would test nothing.
+        assert!(
+            runs.iter().all(|(_, worst)| worst.dials > 0),
+            "a simulation has no dial at the cold backend"
+        );
     }
-    broken
+    exceeded
 }
 
-/// Few relays have a session as their turn at the cold backend comes.
-const THIN_TRAFFIC: [Case; 2] = [Case(SHORT_WARM_UP, 1.0), Case(SHORT_WARM_UP, 3.0)];
+/// Few relays have a session when their slot at the cold backend comes.
+const LOW_TRAFFIC: [Case; 2] = [Case(SHORT_WARM_UP, 1.0), Case(SHORT_WARM_UP, 3.0)];
 
 #[test]
-fn twenty_relays_keep_within_what_a_cold_backend_bears_under_a_burst() {
-    let broken = broken("a burst", &THIN_TRAFFIC, joins_under_a_burst);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn cold_backend_budget_holds_under_burst() {
+    let exceeded = cases_over_bound("burst", &LOW_TRAFFIC, start_under_burst);
+    assert!(exceeded.is_empty(), "{}", exceeded.join("\n"));
 }
 
 #[test]
-fn twenty_relays_keep_within_what_a_cold_backend_bears_beside_a_crash() {
-    let broken = broken("a crash", &THIN_TRAFFIC, joins_beside_a_crash);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn cold_backend_budget_holds_beside_crash() {
+    let exceeded = cases_over_bound("crash", &LOW_TRAFFIC, start_beside_crash);
+    assert!(exceeded.is_empty(), "{}", exceeded.join("\n"));
 }
--- a/tests/short_days/cold_busy.rs
+++ b/tests/short_days/cold_busy.rs
@@ -1,11 +1,11 @@
-//! Rule 4 over all relays where more of them have a session as their turn at the cold backend comes: busier
-//! ones, and such whose backends take longer to warm, so that turns are rarer.
-use crate::cold::{broken, joins_beside_a_crash, joins_under_a_burst, Allowance, Case, SHORT_WARM_UP};
+//! Rule 4 over all relays when more of them have a session as their slot at the cold backend comes: busier
+//! relays, and relays whose backends warm up longer, so that slots are rarer.
+use crate::cold::{cases_over_bound, start_beside_crash, start_under_burst, Case, SlowStart, SHORT_WARM_UP};
 use crate::fleet::SECOND;
 
 /// As in the project's example settings.
-const LONG_WARM_UP: Allowance =
-    Allowance { warm_up: 23 * SECOND, initial_capacity: 0.14, overload_window: 2 * SECOND };
+const LONG_WARM_UP: SlowStart =
+    SlowStart { warm_up: 23 * SECOND, initial_capacity: 0.14, overload_window: 2 * SECOND };
 
 const CASES: [Case; 5] = [
     Case(SHORT_WARM_UP, 10.0),
@@ -16,13 +16,13 @@
 ];
 
 #[test]
-fn twenty_busy_relays_keep_within_what_a_cold_backend_bears_under_a_burst() {
-    let broken = broken("a burst", &CASES, joins_under_a_burst);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn cold_backend_budget_holds_for_busy_relays_under_burst() {
+    let exceeded = cases_over_bound("burst", &CASES, start_under_burst);
+    assert!(exceeded.is_empty(), "{}", exceeded.join("\n"));
 }
 
 #[test]
-fn twenty_busy_relays_keep_within_what_a_cold_backend_bears_beside_a_crash() {
-    let broken = broken("a crash", &CASES, joins_beside_a_crash);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn cold_backend_budget_holds_for_busy_relays_beside_crash() {
+    let exceeded = cases_over_bound("crash", &CASES, start_beside_crash);
+    assert!(exceeded.is_empty(), "{}", exceeded.join("\n"));
 }
--- a/tests/short_days/cold_storm.rs
+++ b/tests/short_days/cold_storm.rs
@@ -1,35 +1,41 @@
-//! Rule 4 in reconnect storms after quiet times: many relays hold an unused slot at a cold backend then, and
-//! each of them has sessions that come back at the same moment.
+//! Rule 4 in reconnect storms after quiet times: many relays then have an unused slot at a cold backend, and
+//! each of them has sessions that return at the same moment.
 use crate::fleet::{two_listeners, Fleet, SECOND};
 use hallrelay_balancer::types::*;
 
-/// The backend that starts cold.
+/// The backend that starts during the simulation.
 const COLD: ServerId = 10_000;
-/// Quiet before the cold backend starts.
-const QUIET: Micros = 20 * SECOND;
-/// From its start to the storm: nearly every relay has an unused slot there by then.
-const UNUSED: Micros = 8 * SECOND;
-/// How long is watched after the storm began.
-const WATCHED: Micros = 4 * SECOND;
+/// Quiet time before the cold backend starts.
+const QUIET_TIME: Micros = 20 * SECOND;
+/// From that start to the storm; nearly all relays have an unused slot at the backend by then.
+const STORM_DELAY: Micros = 8 * SECOND;
+/// From the start of the storm to the end of the simulation.
+const OBSERVATION: Micros = 4 * SECOND;
 const SEEDS: u64 = 20;
 
-/// A fleet and the storm that meets it.
+/// A fleet and the storm that it receives.
 #[derive(Clone, Copy, Debug)]
 struct Storm {
     relays: u32,
     /// Warm backends beside the cold one.
-    warm: u32,
+    warm_backends: u32,
     /// Sessions that fill a backend.
     capacity: f64,
-    /// Sessions that come back to each relay, and within which time.
+    /// Sessions that return to each relay, and within which time.
     returning: u32,
     within: Micros,
 }
 
-/// What came in the worst window, beside what a backend in slow start is allowed.
-struct Worst {
-    came: usize,
-    allowed: f64,
+/// The dials of the worst window, and the bound for a backend in slow start.
+struct WorstWindow {
+    dials: usize,
+    bound: f64,
+}
+
+impl WorstWindow {
+    fn ratio(&self) -> f64 {
+        self.dials as f64 / self.bound
+    }
 }
 
 fn site(relays: u32) -> SiteConfig {
@@ -37,77 +43,76 @@
     SiteConfig { warm_up, overload_window, probe_cost: 0.008, ..two_listeners(relays) }
 }
 
-/// The operators' bound on the calls of one window, by the N of that moment.
-fn allowed(budget: f64) -> f64 {
+/// The operators' bound on the dials of one window, by the N of that moment.
+fn bound(budget: f64) -> f64 {
     match budget < 30.0 {
         true => budget + 3.0 * budget.sqrt() + 3.0,
         false => budget + 2.0 * budget.sqrt() + 2.0,
     }
 }
 
-fn play(seed: u64, storm: Storm) -> Worst {
+fn worst_window(seed: u64, storm: Storm) -> WorstWindow {
     let mut fleet = Fleet::new(site(storm.relays), seed);
-    let warm_sessions = 0.4 * storm.capacity * f64::from(storm.warm);
-    let life = 30.0;
-    fleet.session_life = (life * SECOND as f64) as Micros;
-    (1..=storm.warm).for_each(|server| fleet.add_warm_backend(server, storm.capacity));
-    fleet.tell_whole_list();
-    let per_second = warm_sessions / life / f64::from(storm.relays);
-    let storm_at = QUIET + UNUSED;
-    fleet.schedule_clients(0, storm_at + WATCHED, per_second);
+    let warm_sessions = 0.4 * storm.capacity * f64::from(storm.warm_backends);
+    let session_seconds = 30.0;
+    fleet.mean_session_time = (session_seconds * SECOND as f64) as Micros;
+    (1..=storm.warm_backends).for_each(|server| fleet.add_warm_backend(server, storm.capacity));
+    fleet.send_list_snapshot();
+    let per_second = warm_sessions / session_seconds / f64::from(storm.relays);
+    let storm_at = QUIET_TIME + STORM_DELAY;
+    fleet.schedule_clients(0, storm_at + OBSERVATION, per_second);
     fleet.schedule_reconnect_storm(storm_at, storm.within, storm.returning);
-    fleet.run_until(QUIET);
+    fleet.run_until(QUIET_TIME);
     fleet.start_cold_backend(COLD, storm.capacity);
-    fleet.run_until(storm_at + WATCHED);
+    fleet.run_until(storm_at + OBSERVATION);
     let backend = &fleet.backends[&COLD];
     let windows = backend.dials.iter().map(|&at| {
-        let allowed = allowed(backend.cold_budget(at, &fleet.site));
-        Worst { came: backend.dials_in_fall_window(at, &fleet.site), allowed }
+        let bound = bound(backend.cold_budget(at, &fleet.site));
+        WorstWindow { dials: backend.dials_in_overload_window(at, &fleet.site), bound }
     });
-    let part = |worst: &Worst| worst.came as f64 / worst.allowed;
-    let worst = windows.max_by(|a, b| part(a).total_cmp(&part(b)));
-    worst.unwrap_or(Worst { came: 0, allowed: allowed(0.0) })
+    let worst = windows.max_by(|a, b| a.ratio().total_cmp(&b.ratio()));
+    worst.unwrap_or(WorstWindow { dials: 0, bound: bound(0.0) })
 }
 
-fn over(storm: Storm) -> Option<String> {
-    let plays: Vec<Worst> = (1..=SEEDS).map(|seed| play(seed, storm)).collect();
-    let part = |worst: &Worst| worst.came as f64 / worst.allowed;
-    let over = plays.iter().filter(|worst| part(worst) > 1.0).count();
-    let most = plays.iter().max_by(|a, b| part(a).total_cmp(&part(b))).expect("some seeds");
-    let mean = plays.iter().map(part).sum::<f64>() / plays.len() as f64;
+/// Simulates a storm with all seeds; describes it if any seed has more dials than the bound.
+fn storm_over_bound(storm: Storm) -> Option<String> {
+    let runs: Vec<WorstWindow> = (1..=SEEDS).map(|seed| worst_window(seed, storm)).collect();
+    let over = runs.iter().filter(|worst| worst.ratio() > 1.0).count();
+    let worst = runs.iter().max_by(|a, b| a.ratio().total_cmp(&b.ratio())).expect("at least one seed");
+    let mean = runs.iter().map(WorstWindow::ratio).sum::<f64>() / runs.len() as f64;
     let line = format!(
-        "{storm:?}: {over} of {SEEDS} seeds over; most {} calls where {:.1} are allowed, \
-         {mean:.2} times in the mean",
-        most.came, most.allowed
+        "{storm:?}: {over} of {SEEDS} seeds over; worst {} dials, bound {:.1}; \
+         mean {mean:.2} times the bound",
+        worst.dials, worst.bound
     );
     println!("{line}");
     (over > 0).then_some(line)
 }
 
-/// Relays and warm backends beside the cold one.
-fn keep_the_budget(sizes: &[(u32, u32)]) {
-    let mut broken = Vec::new();
-    for &(relays, warm) in sizes {
+/// Checks the bound in storms of fleets with these numbers of relays and of warm backends.
+fn assert_budget_holds(sizes: &[(u32, u32)]) {
+    let mut over = Vec::new();
+    for &(relays, warm_backends) in sizes {
         for capacity in [10.0, 40.0, 200.0] {
             for (returning, within) in [(1, SECOND / 100), (4, SECOND)] {
-                broken.extend(over(Storm { relays, warm, capacity, returning, within }));
+                over.extend(storm_over_bound(Storm { relays, warm_backends, capacity, returning, within }));
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(over.is_empty(), "{}", over.join("\n"));
 }
 
 #[test]
-fn few_relays_keep_the_budget_of_a_cold_backend_in_a_storm() {
-    keep_the_budget(&[(1, 8), (3, 8), (20, 8), (30, 12)]);
+fn cold_backend_budget_holds_in_storm_of_few_relays() {
+    assert_budget_holds(&[(1, 8), (3, 8), (20, 8), (30, 12)]);
 }
 
 #[test]
-fn a_hundred_relays_keep_the_budget_of_a_cold_backend_in_a_storm() {
-    keep_the_budget(&[(100, 20)]);
+fn cold_backend_budget_holds_in_storm_of_100_relays() {
+    assert_budget_holds(&[(100, 20)]);
 }
 
 #[test]
-fn many_relays_keep_the_budget_of_a_cold_backend_in_a_storm() {
-    keep_the_budget(&[(300, 60), (900, 180)]);
+fn cold_backend_budget_holds_in_storm_of_many_relays() {
+    assert_budget_holds(&[(300, 60), (900, 180)]);
 }
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: instances of the decision module before modelled backends. Everything that is
-//! drawn comes from one seed, so a play gives the same result every time.
+//! A simulated fleet in virtual time: one balancer per relay, and modelled backends. All random values come
+//! from one seed, so a simulation gives the same result each time.
 use hallrelay_balancer::types::*;
 use hallrelay_balancer::Balancer;
 use std::collections::{BTreeMap, HashMap};
@@ -7,14 +7,14 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// The way to a backend and back, with its answer.
+/// From a dial or probe to the backend's answer.
 const ROUND_TRIP: Micros = 2 * MILLISECOND;
 
-/// What a client allows for its dial.
-const DIAL_TIMEOUT: Micros = 2 * SECOND;
+/// A client's timeout for a session request.
+const REQUEST_TIMEOUT: Micros = 2 * SECOND;
 
-/// A site of relays that may probe, with a listener of low and one of high utility, both repeatable, and ten
-/// seconds of slow start.
+/// A site of relays that may probe, with two idempotent listeners of low and high priority, and a slow start
+/// of ten seconds.
 pub fn two_listeners(relays: u32) -> SiteConfig {
     let listener = |priority_weight| Listener {
         priority_weight,
@@ -36,65 +36,68 @@
     }
 }
 
-/// A backend as the model keeps it.
+/// A modelled backend.
 #[derive(Default)]
 pub struct Backend {
-    pub entry: Endpoint,
-    /// Sessions that fill a warm one.
+    pub endpoint: Endpoint,
+    /// Sessions that fill it once it is warm.
     pub capacity: f64,
     pub open: u32,
-    /// Load that others put on it, over its capacity.
+    /// Load from other sources, as a fraction of its capacity.
     pub other_load: f64,
-    /// When each dial came, in order.
+    /// The time of each dial, in order.
     pub dials: Vec<Micros>,
 }
 
 impl Backend {
-    /// The part of its capacity that it has by then.
-    fn warmth(&self, now: Micros, site: &SiteConfig) -> f64 {
-        if self.entry.started_at == 0 {
+    /// The fraction of its capacity that it has at this time.
+    fn capacity_fraction(&self, now: Micros, site: &SiteConfig) -> f64 {
+        if self.endpoint.started_at == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.entry.started_at) as f64 / site.warm_up as f64;
+        let age = now.saturating_sub(self.endpoint.started_at) as f64 / site.warm_up as f64;
         site.initial_capacity + (1.0 - site.initial_capacity) * age.min(1.0)
     }
 
     fn report(&self, now: Micros, site: &SiteConfig) -> LoadReport {
-        let load = self.other_load + f64::from(self.open) / (self.capacity * self.warmth(now, site));
+        let load =
+            self.other_load + f64::from(self.open) / (self.capacity * self.capacity_fraction(now, site));
         LoadReport { load: Some(load), queue_delay: Some(0.0), sessions: Some(f64::from(self.open)) }
     }
 
-    /// N of `docs/design.md`: the sessions that a cold backend takes within the time in which it may fall.
+    /// N of `docs/design.md`: the sessions that a cold backend takes within the overload window.
     pub fn cold_budget(&self, now: Micros, site: &SiteConfig) -> f64 {
-        let rate = site.overload_multiple * self.warmth(now, site) * self.capacity / site.warm_up as f64;
+        let rate =
+            site.overload_multiple * self.capacity_fraction(now, site) * self.capacity / site.warm_up as f64;
         rate * site.overload_window as f64
     }
 
-    /// The dials within the time in which it may fall, up to then.
-    pub fn dials_in_fall_window(&self, now: Micros, site: &SiteConfig) -> usize {
-        let within =
-            |at: &&Micros| **at <= now && **at + site.overload_window > now && **at >= self.entry.started_at;
-        self.dials.iter().filter(within).count()
+    /// The dials within the overload window that ends at this time.
+    pub fn dials_in_overload_window(&self, now: Micros, site: &SiteConfig) -> usize {
+        let in_window = |at: &&Micros| {
+            **at <= now && **at + site.overload_window > now && **at >= self.endpoint.started_at
+        };
+        self.dials.iter().filter(in_window).count()
     }
 }
 
-/// What a relay did, for the tests' verdicts.
+/// What a relay decided for a session, as the tests evaluate it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Deed {
+pub enum Decision {
     Dialled,
-    Refused,
+    Rejected,
 }
 
-/// What is due at some moment.
-enum Happening {
+/// An event of the simulation.
+enum ScheduledEvent {
     Input { relay: usize, input: Input },
-    ClientComes { relay: usize, returned: bool },
-    SessionEnds { relay: usize, sess: SessionId, server: ServerId },
-    BackendIsProbed { relay: usize, server: ServerId },
+    ClientConnects { relay: usize, returned: bool },
+    SessionEnds { relay: usize, session: SessionId, server: ServerId },
+    ProbeReachesBackend { relay: usize, server: ServerId },
 }
 
-/// A session that stands.
-struct Standing {
+/// An open session.
+struct OpenSession {
     server: ServerId,
 }
 
@@ -102,24 +105,24 @@
     pub site: SiteConfig,
     pub backends: BTreeMap<ServerId, Backend>,
     pub now: Micros,
-    /// Per relay what it did, in order.
-    pub deeds: Vec<Vec<(Micros, Deed)>>,
-    /// The mean life of a session.
-    pub session_life: Micros,
+    /// The decisions of each relay, in order.
+    pub decisions: Vec<Vec<(Micros, Decision)>>,
+    /// The mean duration of a session.
+    pub mean_session_time: Micros,
     relays: Vec<Balancer>,
-    standing: Vec<HashMap<SessionId, Standing>>,
-    due: BTreeMap<(Micros, u64), Happening>,
-    scheduled: u64,
+    open_sessions: Vec<HashMap<SessionId, OpenSession>>,
+    events: BTreeMap<(Micros, u64), ScheduledEvent>,
+    event_count: u64,
     last_session: SessionId,
-    chance: oorandom::Rand64,
+    random: oorandom::Rand64,
 }
 
 impl Fleet {
-    /// `site.slot` is set for each relay.
+    /// Sets `relay_index` of the site for each relay.
     pub fn new(site: SiteConfig, seed: u64) -> Fleet {
-        let relay = |slot: u32| {
-            let facts = SiteConfig { relay_index: slot, ..site.clone() };
-            Balancer::new(facts, seed.wrapping_mul(1_000).wrapping_add(u64::from(slot)))
+        let relay = |relay_index: u32| {
+            let site = SiteConfig { relay_index, ..site.clone() };
+            Balancer::new(site, seed.wrapping_mul(1_000).wrapping_add(u64::from(relay_index)))
         };
         let count = site.relay_count as usize;
         Fleet {
@@ -127,131 +130,131 @@
             site,
             backends: BTreeMap::new(),
             now: 0,
-            deeds: vec![Vec::new(); count],
-            session_life: SECOND,
-            standing: (0..count).map(|_| HashMap::new()).collect(),
-            due: BTreeMap::new(),
-            scheduled: 0,
+            decisions: vec![Vec::new(); count],
+            mean_session_time: SECOND,
+            open_sessions: (0..count).map(|_| HashMap::new()).collect(),
+            events: BTreeMap::new(),
+            event_count: 0,
             last_session: 0,
-            chance: oorandom::Rand64::new(u128::from(seed)),
+            random: oorandom::Rand64::new(u128::from(seed)),
         }
     }
 
-    /// From 0 to 1.
+    /// A random number from 0 to 1.
     pub fn draw(&mut self) -> f64 {
-        self.chance.rand_float()
+        self.random.rand_float()
     }
 
-    /// A time of the exponential distribution.
+    /// A random time of the exponential distribution with this mean.
     pub fn draw_time(&mut self, mean: f64) -> Micros {
         (-mean * (1.0 - self.draw()).ln()) as Micros
     }
 
-    fn schedule(&mut self, at: Micros, happening: Happening) {
-        self.scheduled += 1;
-        self.due.insert((at, self.scheduled), happening);
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
     pub fn add_warm_backend(&mut self, server: ServerId, capacity: f64) {
-        let entry = Endpoint { server, phase: Phase::Ready, ..Endpoint::default() };
-        self.backends.insert(server, Backend { entry, capacity, ..Backend::default() });
+        let endpoint = Endpoint { server, phase: Phase::Ready, ..Endpoint::default() };
+        self.backends.insert(server, Backend { endpoint, capacity, ..Backend::default() });
     }
 
-    /// One that starts now, cold. All relays are told at once.
+    /// Starts a cold backend and sends its endpoint to all relays at once.
     pub fn start_cold_backend(&mut self, server: ServerId, capacity: f64) {
-        let entry = Endpoint { server, phase: Phase::Ready, started_at: self.now, ..Endpoint::default() };
+        let endpoint = Endpoint { server, phase: Phase::Ready, started_at: self.now, ..Endpoint::default() };
         let dials = Vec::new();
-        self.backends.insert(server, Backend { entry, capacity, dials, ..Backend::default() });
-        self.tell_all(ListUpdate::Delta, vec![entry]);
+        self.backends.insert(server, Backend { endpoint, capacity, dials, ..Backend::default() });
+        self.send_list(ListUpdate::Delta, vec![endpoint]);
     }
 
-    /// Its sessions end, and their clients come again within a time; all relays are told that it is gone.
+    /// Resets the sessions of a backend, whose clients return within a time, and removes it at all relays.
     pub fn crash_backend(&mut self, server: ServerId, return_within: Micros) {
         for relay in 0..self.relays.len() {
-            let there = self.standing[relay].iter().filter(|(_, one)| one.server == server);
-            let mut there: Vec<SessionId> = there.map(|(sess, _)| *sess).collect();
-            there.sort_unstable();
-            for sess in there {
-                self.standing[relay].remove(&sess);
+            let sessions = self.open_sessions[relay].iter().filter(|(_, open)| open.server == server);
+            let mut sessions: Vec<SessionId> = sessions.map(|(session, _)| *session).collect();
+            sessions.sort_unstable();
+            for session in sessions {
+                self.open_sessions[relay].remove(&session);
                 let end = DialEnd::Reset;
-                let input = Input::DialEnded { session: sess, dial: 0, end, settled: true, report: None };
+                let input = Input::DialEnded { session, dial: 0, end, settled: true, report: None };
                 self.step(relay, input);
                 let at = self.now + (self.draw() * return_within as f64) as Micros;
-                self.schedule(at, Happening::ClientComes { relay, returned: true });
+                self.schedule(at, ScheduledEvent::ClientConnects { relay, returned: true });
             }
         }
-        let entry = Endpoint { server, phase: Phase::Gone, ..Endpoint::default() };
+        let endpoint = Endpoint { server, phase: Phase::Gone, ..Endpoint::default() };
         self.backends.remove(&server);
-        self.tell_all(ListUpdate::Delta, vec![entry]);
+        self.send_list(ListUpdate::Delta, vec![endpoint]);
     }
 
-    pub fn tell_whole_list(&mut self) {
-        let entries = self.backends.values().map(|backend| backend.entry).collect();
-        self.tell_all(ListUpdate::Snapshot, entries);
+    pub fn send_list_snapshot(&mut self) {
+        let endpoints = self.backends.values().map(|backend| backend.endpoint).collect();
+        self.send_list(ListUpdate::Snapshot, endpoints);
     }
 
-    fn tell_all(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
+    fn send_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         for relay in 0..self.relays.len() {
             self.step(relay, Input::EndpointList { update, endpoints: endpoints.clone() });
         }
     }
 
-    /// Clients come to every relay at a mean rate, each by chance, within a span.
-    pub fn schedule_clients(&mut self, from: Micros, till: Micros, per_second: f64) {
+    /// Schedules clients at each relay, at random times within a span, with this mean rate.
+    pub fn schedule_clients(&mut self, from: Micros, until: Micros, per_second: f64) {
         for relay in 0..self.relays.len() {
             let mut at = from;
             loop {
                 at += self.draw_time(SECOND as f64 / per_second).max(1);
-                if at >= till {
+                if at >= until {
                     break;
                 }
-                self.schedule(at, Happening::ClientComes { relay, returned: false });
+                self.schedule(at, ScheduledEvent::ClientConnects { relay, returned: false });
             }
         }
     }
 
-    /// Clients that lost their sessions elsewhere come back to every relay at once, spread evenly over a
-    /// span.
+    /// Schedules clients that lost their sessions elsewhere and return to all relays, at uniformly random
+    /// times within a span.
     pub fn schedule_reconnect_storm(&mut self, from: Micros, span: Micros, per_relay: u32) {
         for relay in 0..self.relays.len() {
             for _ in 0..per_relay {
                 let at = from + (self.draw() * span as f64) as Micros;
-                self.schedule(at, Happening::ClientComes { relay, returned: true });
+                self.schedule(at, ScheduledEvent::ClientConnects { relay, returned: true });
             }
         }
     }
 
     pub fn run_until(&mut self, end: Micros) {
-        while let Some((&key, _)) = self.due.first_key_value().filter(|(key, _)| key.0 <= end) {
-            let happening = self.due.remove(&key).expect("it was just seen");
+        while let Some((&key, _)) = self.events.first_key_value().filter(|(key, _)| key.0 <= end) {
+            let event = self.events.remove(&key).expect("take the event that was just found");
             self.now = key.0;
-            self.happen(happening);
+            self.run_event(event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Input { relay, input } => self.step(relay, input),
-            Happening::ClientComes { relay, returned } => {
+    fn run_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Input { relay, input } => self.step(relay, input),
+            ScheduledEvent::ClientConnects { relay, returned } => {
                 self.last_session += 1;
                 let request = AdmissionRequest {
                     returned,
-                    time_remaining: DIAL_TIMEOUT,
+                    time_remaining: REQUEST_TIMEOUT,
                     ..AdmissionRequest::default()
                 };
                 self.step(relay, Input::SessionRequested { session: self.last_session, request });
             }
-            Happening::SessionEnds { relay, sess, server } => {
-                // One whose backend has crashed is over already.
-                if self.standing[relay].remove(&sess).is_some() {
+            ScheduledEvent::SessionEnds { relay, session, server } => {
+                // The session has ended already if its backend crashed.
+                if self.open_sessions[relay].remove(&session).is_some() {
                     if let Some(backend) = self.backends.get_mut(&server) {
                         backend.open -= 1;
                     }
-                    self.step(relay, Input::SessionEnded { session: sess });
+                    self.step(relay, Input::SessionEnded { session });
                 }
             }
-            Happening::BackendIsProbed { relay, server } => {
+            ScheduledEvent::ProbeReachesBackend { relay, server } => {
                 let report = self.backends.get(&server).map(|b| b.report(self.now, &self.site));
                 let end = if report.is_some() { DialEnd::Ok } else { DialEnd::Unconnected };
                 self.step(relay, Input::ProbeEnded { server, end, report });
@@ -263,41 +266,44 @@
         let mut effects = Vec::new();
         self.relays[relay].step(self.now, input, &mut effects);
         for effect in effects {
-            self.carry_out(relay, effect);
+            self.apply_effect(relay, effect);
         }
     }
 
-    fn carry_out(&mut self, relay: usize, effect: Effect) {
+    fn apply_effect(&mut self, relay: usize, effect: Effect) {
         match effect {
-            Effect::Dial { session: sess, server, .. } => self.dial(relay, sess, server),
+            Effect::Dial { session, server, .. } => self.dial(relay, session, server),
             Effect::Reject { .. } | Effect::TearDown { .. } => {
-                self.deeds[relay].push((self.now, Deed::Refused));
+                self.decisions[relay].push((self.now, Decision::Rejected));
             }
-            Effect::Migrate { session: sess } => {
-                let server = self.standing[relay][&sess].server;
-                self.happen(Happening::SessionEnds { relay, sess, server });
-                self.schedule(self.now + ROUND_TRIP, Happening::ClientComes { relay, returned: true });
+            Effect::Migrate { session } => {
+                let server = self.open_sessions[relay][&session].server;
+                self.run_event(ScheduledEvent::SessionEnds { relay, session, server });
+                self.schedule(
+                    self.now + ROUND_TRIP,
+                    ScheduledEvent::ClientConnects { relay, returned: true },
+                );
             }
             Effect::Probe { server } => {
-                self.schedule(self.now + ROUND_TRIP, Happening::BackendIsProbed { relay, server });
+                self.schedule(self.now + ROUND_TRIP, ScheduledEvent::ProbeReachesBackend { relay, server });
             }
             Effect::SetTimer { after, label } => {
                 let input = Input::TimerExpired { label };
-                self.schedule(self.now + after, Happening::Input { relay, input });
+                self.schedule(self.now + after, ScheduledEvent::Input { relay, input });
             }
             Effect::WatchEndpoints => {}
         }
     }
 
-    fn dial(&mut self, relay: usize, sess: SessionId, server: ServerId) {
-        self.deeds[relay].push((self.now, Deed::Dialled));
-        let backend = self.backends.get_mut(&server).expect("only what is listed is dialled");
+    fn dial(&mut self, relay: usize, session: SessionId, server: ServerId) {
+        self.decisions[relay].push((self.now, Decision::Dialled));
+        let backend = self.backends.get_mut(&server).expect("a relay dials only listed backends");
         backend.dials.push(self.now);
         backend.open += 1;
-        self.standing[relay].insert(sess, Standing { server });
-        let answer = Input::SessionEstablished { session: sess, dial: 0 };
-        self.schedule(self.now + ROUND_TRIP, Happening::Input { relay, input: answer });
-        let life = ROUND_TRIP + 1 + self.draw_time(self.session_life as f64);
-        self.schedule(self.now + life, Happening::SessionEnds { relay, sess, server });
+        self.open_sessions[relay].insert(session, OpenSession { server });
+        let established = Input::SessionEstablished { session, dial: 0 };
+        self.schedule(self.now + ROUND_TRIP, ScheduledEvent::Input { relay, input: established });
+        let duration = ROUND_TRIP + 1 + self.draw_time(self.mean_session_time as f64);
+        self.schedule(self.now + duration, ScheduledEvent::SessionEnds { relay, session, server });
     }
 }
--- a/tests/short_days/main.rs
+++ b/tests/short_days/main.rs
@@ -1,7 +1,7 @@
-//! Narrow moments of fleets of few relays, played against the decision module in virtual time.
+//! Simulations of small fleets in short critical situations, with the balancer in virtual time.
 mod cold;
 mod cold_busy;
 mod cold_storm;
 mod fleet;
-mod refusals;
-mod unheard;
+mod rejections;
+mod without_probes;
