--- a/tests/helpers/loopback.rs
+++ b/tests/helpers/loopback.rs
@@ -11,7 +11,7 @@
 //!   `expect-line` reads this line (`*` stands for any text), `expect-close` reads the end of the
 //!   connection, `expect-no-connection` sees no connection within 300 ms, `expect-silence MS` receives
 //!   nothing for this time, `read-all` reads all complete lines of `send-until-blocked`.
-use super::{configuration_text, parse_node};
+use super::{configuration_json, parse_node};
 use crate::{parse_number, Fault, Subject};
 use hallrelay_balancer::types::Micros;
 use serde_json::{json, Value};
@@ -23,7 +23,7 @@
 
 /// Longest wait for a connection or line that must come.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection must not come, and how long a blocked write lasts.
+/// Wait for a connection that must not come, and write timeout of `send-until-blocked`.
 const QUIET_TIME: Duration = Duration::from_millis(300);
 
 /// The effect of an `expect` action that holds.
@@ -54,18 +54,18 @@
         }
         let discovery_addr = discovery.local_addr().map_err(|e| e.to_string())?.to_string();
         self.listening_sockets.insert("list".to_string(), discovery);
-        let text = configuration_text(&relay.to_string(), &discovery_addr, &known);
-        let node = parse_node(&text)?;
-        *self.configuration.lock().map_err(|e| e.to_string())? = text;
+        let json = configuration_json(&relay.to_string(), &discovery_addr, &known);
+        let node = parse_node(&json)?;
+        *self.configuration.lock().map_err(|e| e.to_string())? = json;
         let configuration = self.configuration.clone();
-        let reread = move || parse_node(&*configuration.lock().map_err(|e| e.to_string())?);
+        let reload = move || parse_node(&*configuration.lock().map_err(|e| e.to_string())?);
         // The thread ends with the test process.
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let log = slog::Logger::root(slog::Discard, slog::o!());
-            let served = hallrelay_relay::net::serve::run(node, reread, log);
+            let serving = hallrelay_relay::net::serve::run(node, reload, log);
             tokio::task::LocalSet::new()
-                .block_on(&runtime.expect("build a runtime"), served)
+                .block_on(&runtime.expect("build a runtime"), serving)
                 .expect("run the relay");
         });
         self.relay = Some(relay);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The connection of a party; a client connects here at first, another party accepts.
+    /// The connection of a party. On its first use, a client connects and another party accepts.
     fn connection(&mut self, party: &str) -> Result<&mut BufReader<TcpStream>, Fault> {
         if !self.connections.contains_key(party) {
             let stream = match self.listening_sockets.get(party) {
@@ -139,36 +139,36 @@
         if self.relay.is_none() {
             self.start()?;
         }
-        let [party, action, rest @ ..] = words else {
+        let [party, action, text @ ..] = words else {
             return Err(format!("'{}' lacks a party or an action", words.join(" ")));
         };
-        let rest = rest.join(" ");
+        let text = text.join(" ");
         // `x4097` stands for 4,097 times the letter x.
-        let rest = match rest.strip_prefix('x').and_then(|n| n.parse().ok()) {
+        let text = match text.strip_prefix('x').and_then(|n| n.parse().ok()) {
             Some(count) => "x".repeat(count),
-            None => rest.replace("\\n", "\r\n"),
+            None => text.replace("\\n", "\r\n"),
         };
         let fault = |e: std::io::Error| format!("{party}: {e}");
         match *action {
             "send-line" => self
                 .connection(party)?
                 .get_mut()
-                .write_all(format!("{rest}\r\n").as_bytes())
+                .write_all(format!("{text}\r\n").as_bytes())
                 .map_err(fault)?,
-            "send" => self.connection(party)?.get_mut().write_all(rest.as_bytes()).map_err(fault)?,
+            "send" => self.connection(party)?.get_mut().write_all(text.as_bytes()).map_err(fault)?,
             "expect-line" => {
                 let mut line = String::new();
                 self.connection(party)?.read_line(&mut line).map_err(fault)?;
                 let line =
                     line.strip_suffix("\r\n").unwrap_or("the connection ended without a line").to_string();
-                self.results.push(if matches_pattern(&line, &rest) { AS_EXPECTED.into() } else { line });
+                self.results.push(if matches_pattern(&line, &text) { AS_EXPECTED.into() } else { line });
             }
             "expect-close" => {
-                let mut rest = Vec::new();
+                let mut received = Vec::new();
                 // A reset is an end too.
-                _ = self.connection(party)?.read_to_end(&mut rest);
-                let text = format!("{} bytes before the end of the connection", rest.len());
-                self.results.push(if rest.is_empty() { AS_EXPECTED.into() } else { text });
+                _ = self.connection(party)?.read_to_end(&mut received);
+                let early = format!("{} bytes before the end of the connection", received.len());
+                self.results.push(if received.is_empty() { AS_EXPECTED.into() } else { early });
                 self.connections.remove(*party);
             }
             "close" => _ = self.connections.remove(*party),
@@ -179,7 +179,7 @@
                 self.results.push(if connected { "a connection".into() } else { AS_EXPECTED.into() });
             }
             "expect-silence" => {
-                let span = Duration::from_millis(parse_number(&rest)?);
+                let span = Duration::from_millis(parse_number(&text)?);
                 let stream = self.connection(party)?.get_ref();
                 stream.set_read_timeout(Some(span)).map_err(fault)?;
                 let received = stream.peek(&mut [0]).is_ok();
@@ -220,7 +220,7 @@
             }
             "sighup" => {
                 let moved = self.listening_sockets["moved"].local_addr().map_err(fault)?.to_string();
-                let discovery = if rest == "invalid" { rest } else { moved };
+                let discovery = if text == "invalid" { text } else { moved };
                 self.configuration.lock().map_err(|e| e.to_string())?["discovery"] = json!(discovery);
                 signal("HUP").map_err(fault)?;
             }
--- a/tests/helpers/membership.rs
+++ b/tests/helpers/membership.rs
@@ -1,14 +1,13 @@
 //! `MembershipSubject` is the membership of relay `a`, with start number 5. Each relay has a letter as
-//! its name and an address of its own. Keys of a site line: `peers=b,c` and `relay_count=N`.
-//! Inputs (with `stalled` at the end, no timer expires before the input):
+//! its name and an address of its own. Keys of a site line: `peers=b,c` and `relay_count=N`. Inputs
+//! (with `stalled` at the end, no timer expires before the input):
 //!   `activate`, `deactivate`, `leave`, `metadata-changed draining`, `advance`, which only lets time
 //!   pass; `datagram NAME ping|ack|nack|gossip [UPDATE ..]`, `datagram NAME ping-request TARGET`: a
 //!   datagram from relay NAME; an ack or nack has the sequence number of the last ping;
 //!   `push-pull-request NAME [UPDATE ..]`, `push-pull-response NAME [UPDATE ..]`: a frame on a stream
-//!   from relay NAME;
-//!   `incarnation=START.COUNTER`, `addr=NAME` (the address of another relay), `name=NAME` (the name of
-//!   another relay) change the sender.
-//! An update is `NAME:STATE@START.COUNTER[/REPORTER]`, where the state `gone` is the papers' dead.
+//!   from relay NAME; `incarnation=START.COUNTER`, `addr=NAME` (the address of another relay),
+//!   `name=NAME` (the name of another relay) change the sender.
+//! An update is `NAME:STATE@START.COUNTER[/REPORTER]`, whose state `gone` is called dead in the papers.
 //! Effects: `ack NAME`, `nack NAME`, `ping-request NAME for TARGET`, `push-pull-response`,
 //! `close-stream` (without a response), `start-listening`, `stop-listening`, `stall` (a stall was
 //! counted), `name-conflict at NAME`; `NAME is STATE` and `incarnation START.COUNTER` when these have
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -19,6 +19,10 @@
 //!   `operator-call NUMBER readiness|metrics|drain|activate`, `configuration-reloaded PORT [KEY=VALUE]`
 //!   (discovery is at this port), `tuning-reloaded LISTENER:EFFECT .. [dials=N] [timeout=MS]`,
 //!   `configuration-rejected`, `stop-requested`, `advance`.
+//! Effects with more than the numbers of their subjects: `dial SESSION at NAME for MS`,
+//! `reply NUMBER REPLY ..`, `send PROCESS MESSAGE ..`, `hand-over SESSION to PROCESS`,
+//! `watch since VERSION`, and `fetch-and-watch PORT` if no version is known at this address of
+//! discovery.
 //! Three inputs call a parser and have its result as their effect: `parse-first-line LINE`,
 //! `parse-backend-reply LINE`, and `parse-configuration KEY .. [=VALUE]`, which parses a valid
 //! configuration after the key at this path was removed or set to the value.
@@ -41,13 +45,13 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-fn listener(name: &str, utility: f64, kind: &str) -> Value {
-    json!({"Name": name, "Utility": utility, "Effect": kind, "Group": "all", "Window": 1000,
+fn listener_json(name: &str, utility: f64, effect: &str) -> Value {
+    json!({"Name": name, "Utility": utility, "Effect": effect, "Group": "all", "Window": 1000,
         "HandshakeTarget": 300, "DialTimeout": 2000})
 }
 
-/// The text of a configuration.
-fn configuration_text(listen: &str, discovery: &str, backends: &[(String, String)]) -> Value {
+/// A configuration as JSON.
+fn configuration_json(listen: &str, discovery: &str, backends: &[(String, String)]) -> Value {
     let instance =
         |(id, addr): &(String, String)| json!({"instanceId": id, "hostPort": addr, "lifecycle": "up"});
     let known: Vec<Value> = backends.iter().map(instance).collect();
@@ -55,8 +59,8 @@
         "limits": {"sockets": 256},
         "known": {"generation": 1, "reset": true, "instances": known},
         "settings": {
-            "Listeners": [listener("low", 1.0, "retryable"), listener("high", 5.0, "retryable"),
-                listener("once", 5.0, "fragile")],
+            "Listeners": [listener_json("low", 1.0, "retryable"), listener_json("high", 5.0, "retryable"),
+                listener_json("once", 5.0, "fragile")],
             "Ceilings": {"MayProbe": false, "MostDials": 4, "MaxOpen": 1000, "RetryAfter": false,
                 "ConnectTimeout": 250},
             "Rules": {"Cold": 10000, "ColdFrom": 0.2, "FallMultiple": 3, "DrainGrace": 250,
@@ -67,8 +71,8 @@
             "Discovery": "subscribe", "FailureDomains": ["here"], "Zone": 0, "Instances": 1, "SlotNo": 0}})
 }
 
-fn parse_node(text: &Value) -> Result<Node, Fault> {
-    node::parse(text.to_string().as_bytes(), &Overrides::default()).map_err(|e| e.to_string())
+fn parse_node(configuration: &Value) -> Result<Node, Fault> {
+    node::parse(configuration.to_string().as_bytes(), &Overrides::default()).map_err(|e| e.to_string())
 }
 
 /// The address of the backend with this name; the port is 1000 plus the name's number.
@@ -98,19 +102,21 @@
 }
 
 impl ReducerSubject {
-    fn configuration_text(&self, discovery: &str) -> Value {
-        let mut text = configuration_text("127.0.0.1:1", discovery, &self.known);
-        text["settings"]["Ceilings"]["MayProbe"] = json!(self.probes);
+    fn configuration_json(&self, discovery: &str) -> Value {
+        let mut configuration = configuration_json("127.0.0.1:1", discovery, &self.known);
+        configuration["settings"]["Ceilings"]["MayProbe"] = json!(self.probes);
         if self.persistent {
-            text["state"] = json!("state");
+            configuration["state"] = json!("state");
         }
         if self.pushed {
-            text["settings"]["Discovery"] = json!("automatic");
+            configuration["settings"]["Discovery"] = json!("automatic");
         }
-        if let (Some(timeout), Some(all)) = (self.timeout, text["settings"]["Listeners"].as_array_mut()) {
+        if let (Some(timeout), Some(all)) =
+            (self.timeout, configuration["settings"]["Listeners"].as_array_mut())
+        {
             all.iter_mut().for_each(|one| one["DialTimeout"] = json!(timeout));
         }
-        text
+        configuration
     }
 
     fn ensure_started(&mut self, now: Micros) -> Result<(), Fault> {
@@ -118,7 +124,7 @@
             return Ok(());
         }
         let (mut reducer, mut out) = (
-            Reducer::new(parse_node(&self.configuration_text("127.0.0.1:2"))?, self.successor.then_some(0)),
+            Reducer::new(parse_node(&self.configuration_json("127.0.0.1:2"))?, self.successor.then_some(0)),
             Vec::new(),
         );
         reducer.start(now, &mut out);
@@ -287,17 +293,18 @@
                 }
             }
             "configuration-reloaded" => {
-                let mut text = self.configuration_text(&format!("127.0.0.1:{}", at(1)?));
+                let mut configuration = self.configuration_json(&format!("127.0.0.1:{}", at(1)?));
                 if let Some((key, value)) = words.get(2).and_then(|word| word.split_once('=')) {
-                    text[key] = json!(value);
+                    configuration[key] = json!(value);
                 }
-                Event::ConfigurationReloaded(Box::new(parse_node(&text)?))
+                Event::ConfigurationReloaded(Box::new(parse_node(&configuration)?))
             }
             "tuning-reloaded" => {
-                let mut text = self.configuration_text("127.0.0.1:2");
-                let settings = &mut text["settings"];
+                let mut configuration = self.configuration_json("127.0.0.1:2");
+                let settings = &mut configuration["settings"];
                 let names = words[1..].iter().filter_map(|word| word.split_once(':'));
-                let listeners: Vec<Value> = names.map(|(name, kind)| listener(name, 1.0, kind)).collect();
+                let listeners: Vec<Value> =
+                    names.map(|(name, effect)| listener_json(name, 1.0, effect)).collect();
                 settings["FamilyInfo"]["MessageAim"] = json!(vec![60; listeners.len()]);
                 settings["Listeners"] = json!(listeners);
                 if let Some(timeout) = option(words, "timeout") {
@@ -308,7 +315,7 @@
                 if let Some(dials) = option(words, "dials") {
                     settings["Ceilings"]["MostDials"] = json!(parse_number::<u32>(dials)?);
                 }
-                Event::ConfigurationReloaded(Box::new(parse_node(&text)?))
+                Event::ConfigurationReloaded(Box::new(parse_node(&configuration)?))
             }
             other => return Err(format!("unknown input '{other}'")),
         }])
@@ -383,13 +390,13 @@
                 .parser_results
                 .push(format!("{:?}", lines::parse_backend_reply(words[1..].join(" ").as_bytes(), order))),
             "parse-configuration" => {
-                let mut text = self.configuration_text("127.0.0.1:2");
+                let mut configuration = self.configuration_json("127.0.0.1:2");
                 let (key, path) = words[1..].split_last().ok_or("the line lacks a key")?;
                 let (path, value) = match key.strip_prefix('=') {
                     Some(value) => (&path[..path.len() - 1], Some((path[path.len() - 1], value))),
                     None => (path, None),
                 };
-                let parent = path.iter().fold(&mut text, |at, key| match key.parse::<usize>() {
+                let parent = path.iter().fold(&mut configuration, |at, key| match key.parse::<usize>() {
                     Ok(i) => &mut at[i],
                     Err(_) => &mut at[*key],
                 });
@@ -399,7 +406,7 @@
                     }
                     None => _ = parent.as_object_mut().ok_or("the path leads to no object")?.remove(*key),
                 }
-                self.parser_results.push(parse_node(&text).err().unwrap_or("valid".to_string()));
+                self.parser_results.push(parse_node(&configuration).err().unwrap_or("valid".to_string()));
             }
             _ => {
                 self.ensure_started(now)?;
