--- a/relay/tests/common/coordination.rs
+++ b/relay/tests/common/coordination.rs
@@ -1,11 +1,11 @@
-//! Fleets of relay processes that coordinate disruptions, with backends shared by all of them.
+//! Fleets of relay processes that coordinate disruptions and share their backends.
 use super::discovery::endpoint;
 use super::{free_address, wait_until, CountingBackend, RelayConfig, RelayProcess};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// Relays r0, r1, ... of one fleet, the first of which are voters, and their backends b-0, b-1, ...
+/// The relays r0, r1, ... of one fleet, of which the first are voters, and their backends b-0, b-1, ...
 pub struct Fleet {
     pub configs: Vec<RelayConfig>,
     pub relays: Vec<Option<RelayProcess>>,
@@ -13,14 +13,14 @@
 }
 
 impl Fleet {
-    /// Starts a fleet with three backends, and waits until all targets are in service.
+    /// Starts a fleet with three backends and waits until all targets are in service.
     pub fn start_in_service(name: &str, count: usize, voters: usize, budgets: &Value) -> Fleet {
         let fleet = Fleet::start(name, count, voters, 3, budgets);
         fleet.wait_until_all_in_service(count);
         fleet
     }
 
-    /// Starts a fleet without waiting until it is ready; the first `voters` relays vote.
+    /// Starts a fleet in which the first `voters` relays vote, without waiting until it is ready.
     pub fn start(name: &str, count: usize, voters: usize, backends: usize, budgets: &Value) -> Fleet {
         let addresses: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
         let peers: Vec<String> = addresses.iter().map(ToString::to_string).collect();
@@ -45,7 +45,7 @@
     }
 
     pub fn relay(&self, i: usize) -> &RelayProcess {
-        self.relays[i].as_ref().expect("it runs")
+        self.relays[i].as_ref().expect("the relay is running")
     }
 
     /// Kills a relay with SIGKILL.
@@ -53,7 +53,7 @@
         self.relays[i] = None;
     }
 
-    /// Starts a relay again with its configuration and its store.
+    /// Restarts a relay with its configuration and its store.
     pub fn start_relay(&mut self, i: usize) {
         self.relays[i] = Some(self.configs[i].start());
     }
@@ -62,7 +62,7 @@
         self.relays.iter().flatten()
     }
 
-    /// The relay that reports that it leads; none where no relay does, or more than one.
+    /// Index of the relay that reports itself as leader; none if no relay or more than one does.
     pub fn leader(&self) -> Option<usize> {
         let leads =
             |(i, r): (usize, &Option<RelayProcess>)| (leases(r.as_ref()?)?["leads"] == true).then_some(i);
@@ -70,24 +70,24 @@
         (all.len() == 1).then(|| all[0])
     }
 
-    /// Waits until exactly one relay leads, and returns its index.
+    /// Waits until exactly one relay leads; returns its index.
     pub fn wait_for_leader(&self) -> usize {
-        wait_until("there is a leader", || self.leader().is_some());
-        self.leader().expect("there is a leader")
+        wait_until("exactly one relay leads", || self.leader().is_some());
+        self.leader().expect("exactly one relay leads")
     }
 
-    /// Waits until the leader has observed all relays and backends, and all of them are in service.
+    /// Waits until the leader has observed all relays and backends and reports all of them in service.
     pub fn wait_until_all_in_service(&self, relays: usize) {
-        wait_until("all are observed and in service", || {
+        wait_until("all targets are observed and in service", || {
             let status = self.leader().and_then(|i| leases(self.relay(i)));
             let all = relays + self.backends.len();
             status.is_some_and(|s| s["known"] == all && s["things"] == json!([]))
         });
     }
 
-    /// Waits until the leader reports a target's lease in a state, by the state's name in the status.
+    /// Waits until the leader reports a target's lease in the state with this name in the status.
     pub fn wait_for_lease_state(&self, target: &str, state: &str) {
-        wait_until(&format!("{target} is {state}"), || {
+        wait_until(&format!("the lease of {target} is {state}"), || {
             self.leader()
                 .and_then(|i| lease_row(self.relay(i), target))
                 .is_some_and(|row| row["stage"] == state)
@@ -95,7 +95,7 @@
     }
 }
 
-/// The response to `GET /v1/grants`; none while the relay does not answer with status 200.
+/// Response to `GET /v1/grants`; none if the relay does not answer with status 200.
 pub fn leases(relay: &RelayProcess) -> Option<Value> {
     let (code, text) = std::net::TcpStream::connect(relay.operator_address)
         .ok()
@@ -103,13 +103,14 @@
     (code == 200).then(|| serde_json::from_str(text.split("\r\n\r\n").nth(1)?).ok())?
 }
 
-/// A target's row of that response, which lists only targets that are not in service or not up.
+/// Row of a target in the response to `GET /v1/grants`, which lists only targets that are not in service or
+/// not up.
 pub fn lease_row(relay: &RelayProcess, target: &str) -> Option<Value> {
     let status = leases(relay)?;
     status["things"].as_array()?.iter().find(|row| row["what"] == target).cloned()
 }
 
-/// Sends a POST request with a JSON body; returns the status code and the whole response.
+/// Sends a POST request with a JSON body; returns the status code and the complete response.
 pub fn post(relay: &RelayProcess, path: &str, body: &Value) -> (u16, String) {
     let body = body.to_string();
     let head = format!("POST {path} HTTP/1.1\r\nhost: relay\r\ncontent-length: {}\r\n\r\n", body.len());
--- a/relay/tests/common/discovery.rs
+++ b/relay/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that publishes the endpoint lists that a test sets.
+//! A discovery service that publishes endpoint lists set by the test.
 use super::{bind_listener, CountingBackend};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -6,20 +6,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A discovery service; it answers nobody while it has no list.
+/// A discovery service, which answers no request while it has no list.
 pub struct Discovery {
     pub address: SocketAddr,
     list: Arc<Mutex<PublishedList>>,
 }
 
-/// Generation and complete endpoint list; none while the service is unavailable.
+/// Generation and full endpoint list; none while the service is unavailable.
 type PublishedList = Option<(u64, Vec<Value>)>;
 
 impl Discovery {
     /// Starts the service with a list of generation 1.
     pub fn start(instances: Vec<Value>) -> Discovery {
         let listener = bind_listener();
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("read the local address");
         let list = Arc::new(Mutex::new(Some((1, instances))));
         let published = list.clone();
         std::thread::spawn(move || {
@@ -31,21 +31,21 @@
         Discovery { address, list }
     }
 
-    /// Replaces the list, under the next generation.
+    /// Replaces the list and increments its generation.
     pub fn publish(&self, instances: Vec<Value>) {
-        let mut list = self.list.lock().expect("nobody panics with it");
+        let mut list = self.list.lock().expect("the mutex is not poisoned");
         let generation = list.as_ref().map_or(1, |list| list.0) + 1;
         *list = Some((generation, instances));
     }
 
-    /// Answers again, with an empty list of the given generation.
+    /// Resumes answering, with an empty list of the given generation.
     pub fn restart_at(&self, generation: u64) {
-        *self.list.lock().expect("nobody panics with it") = Some((generation, vec![]));
+        *self.list.lock().expect("the mutex is not poisoned") = Some((generation, vec![]));
     }
 
-    /// Stops answering: open watches end, and new requests get no response.
+    /// Stops answering: open watches are closed, and new requests get no response.
     pub fn stop_answering(&self) {
-        *self.list.lock().expect("nobody panics with it") = None;
+        *self.list.lock().expect("the mutex is not poisoned") = None;
     }
 }
 
@@ -58,7 +58,7 @@
             _ => return,
         }
     }
-    let current = || list.lock().expect("nobody panics with it").clone();
+    let current = || list.lock().expect("the mutex is not poisoned").clone();
     let text = |(generation, instances): (u64, Vec<Value>)| {
         json!({"generation": generation, "reset": false, "instances": instances}).to_string() + "\n"
     };
@@ -80,7 +80,7 @@
     }
 }
 
-/// An entry of the endpoint list; `started_ms` is the backend's start in ms since the Unix epoch.
+/// Entry of a backend in the endpoint list; `started_ms` is the backend's start in ms since the Unix epoch.
 pub fn endpoint(id: &str, backend: &CountingBackend, lifecycle: &str, started_ms: u64) -> Value {
     let address = backend.address.to_string();
     json!({"instanceId": id, "hostPort": address, "lifecycle": lifecycle, "startedAtMs": started_ms})
--- a/relay/tests/common/load.rs
+++ b/relay/tests/common/load.rs
@@ -1,21 +1,21 @@
-//! A steady load of client sessions.
+//! A steady load of client sessions for tests.
 use super::Client;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Opens sessions at all relays in turn, one every 10 ms or so, until it is dropped.
+/// Opens sessions at the relays in round-robin order, about one every 10 ms, until it is dropped.
 pub struct Load {
     stop: Arc<AtomicBool>,
-    /// Sessions that were established.
+    /// Number of sessions established so far.
     pub opened: Arc<AtomicU64>,
     failed: Arc<AtomicU64>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts the load in a thread of its own.
+    /// Starts the load in a separate thread.
     pub fn start(addresses: Vec<SocketAddr>) -> Load {
         let (stop, opened, failed) = (Arc::<AtomicBool>::default(), Arc::default(), Arc::default());
         let mut load = Load { stop, opened, failed, thread: None };
@@ -33,7 +33,7 @@
                     }
                     Err(_) => _ = failed.fetch_add(1, Ordering::SeqCst),
                 }
-                // Keep the last sessions open for a while.
+                // Keep the 20 latest sessions open.
                 if open_sessions.len() > 20 {
                     open_sessions.remove(0);
                 }
@@ -43,7 +43,7 @@
         load
     }
 
-    /// Attempts that established no session.
+    /// Number of attempts that established no session.
     pub fn failed(&self) -> u64 {
         self.failed.load(Ordering::SeqCst)
     }
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -1,6 +1,6 @@
-#![allow(dead_code)] // Each test binary uses only a part of it.
+#![allow(dead_code)] // Each test binary uses only a part of these helpers.
 //! Shared helpers: relay processes on free loopback ports, backends that accept every session and echo its
-//! lines, and clients. Processes are killed when their handle is dropped, and every wait is bounded.
+//! lines, and clients. A process is killed when its handle is dropped, and every wait has a time limit.
 pub mod coordination;
 pub mod discovery;
 pub mod load;
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The default bound of a wait.
+/// Default time limit of a wait.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 static LAST_ID: AtomicU64 = AtomicU64::new(1);
@@ -27,10 +27,10 @@
 /// A relay's configuration in a temporary directory, from which any number of processes can be started. The
 /// directory is removed on drop.
 pub struct RelayConfig {
-    /// Holds the configuration files, the logs and, where one is configured, the store.
+    /// Contains the configuration files, the logs and, if one is configured, the store.
     pub directory: PathBuf,
     pub listen_address: SocketAddr,
-    /// The configuration that the next process gets.
+    /// Configuration of the next process that is started.
     pub json: Value,
 }
 
@@ -38,15 +38,15 @@
     pub fn new(name: &str) -> RelayConfig {
         let directory = std::env::temp_dir().join(format!("hallrelay-{}-{name}", std::process::id()));
         _ = std::fs::remove_dir_all(&directory);
-        std::fs::create_dir_all(&directory).expect("a folder");
+        std::fs::create_dir_all(&directory).expect("create the relay's directory");
         let listen_address = free_address();
         let server = |i: i32| {
             let address = start_echo_backend().to_string();
             json!({"instanceId": format!("s-{i}"), "hostPort": address, "lifecycle": "up"})
         };
-        // The project's own example, adapted to the test.
+        // The project's example configuration, adapted to the test.
         let example = include_str!("../../../deploy/example/relay.json");
-        let mut json: Value = serde_json::from_str(example).expect("the example is JSON");
+        let mut json: Value = serde_json::from_str(example).expect("parse the example as JSON");
         json["listen"] = json!(listen_address.to_string());
         json["discovery"] = json!(free_address().to_string());
         json["limits"]["sockets"] = json!(256);
@@ -66,16 +66,16 @@
         (config, relay)
     }
 
-    /// Starts a process with its own operator address beside those that run already. It reads its own
-    /// configuration file again at SIGHUP.
+    /// Starts a process in addition to those already running, with its own operator address and its own
+    /// configuration file, which it reads again on SIGHUP.
     pub fn start(&mut self) -> RelayProcess {
         let operator_address = free_address();
         self.json["operator"] = json!(operator_address.to_string());
         let config_path = self.directory.join(format!("{}.json", LAST_ID.fetch_add(1, Ordering::Relaxed)));
-        std::fs::write(&config_path, self.json.to_string()).expect("a configuration");
+        std::fs::write(&config_path, self.json.to_string()).expect("write the configuration file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
         command.arg("serve").arg("--config").arg(&config_path).env("TMPDIR", &self.directory);
-        let log = std::fs::File::create(config_path.with_extension("log")).expect("a log");
+        let log = std::fs::File::create(config_path.with_extension("log")).expect("create the log file");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         for name in ["NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"] {
             command.env_remove(name);
@@ -106,18 +106,18 @@
 }
 
 impl RelayProcess {
-    /// Sends a signal by its name without `SIG`.
+    /// Sends the signal with this name, given without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(run_to_end(Command::new("sh").args(["-c", &kill])).status.success());
     }
 
-    /// Sends raw bytes to the operator address; returns the status code and the whole response.
+    /// Sends raw bytes to the operator address; returns the status code and the complete response.
     pub fn send_request(&self, text: &[u8]) -> (u16, String) {
         send_request(self.operator_address, text)
     }
 
-    /// Sends a request without a body; returns the status code and the whole response.
+    /// Sends a request without a body; returns the status code and the complete response.
     pub fn request(&self, method: &str, path: &str) -> (u16, String) {
         self.send_request(format!("{method} {path} HTTP/1.1\r\nhost: relay\r\n\r\n").as_bytes())
     }
@@ -132,14 +132,14 @@
             let log = || std::fs::read_to_string(self.config_path.with_extension("log")).unwrap_or_default();
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "waited in vain: the relay is ready; it says: {}",
+                "the relay is not ready after {WAIT_TIMEOUT:?}; its log: {}",
                 log()
             );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// The value of a metric, by its name without the `node.` prefix; none where it is not reported.
+    /// Value of the metric with this name, given without the `node.` prefix; none if it is not reported.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let (_, text) = self.request("GET", "/v1/metrics");
         let start = format!("node.{name}:");
@@ -148,7 +148,7 @@
     }
 
     pub fn has_exited(&mut self) -> bool {
-        self.child.try_wait().expect("a child").is_some()
+        self.child.try_wait().expect("query the relay process").is_some()
     }
 }
 
@@ -159,11 +159,11 @@
     }
 }
 
-/// Sends raw bytes to a relay's operator address; returns the status code (0 where there is none) and the
-/// whole response.
+/// Sends raw bytes to a relay's operator address; returns the status code (0 if the response has none) and
+/// the complete response.
 pub fn send_request(operator_address: SocketAddr, text: &[u8]) -> (u16, String) {
-    let mut stream = TcpStream::connect(operator_address).expect("the second address listens");
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+    let mut stream = TcpStream::connect(operator_address).expect("connect to the operator address");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the read timeout");
     _ = stream.write_all(text);
     let mut bytes = Vec::new();
     _ = stream.read_to_end(&mut bytes);
@@ -172,53 +172,55 @@
     (status, reply.to_string())
 }
 
-/// Polls a condition for at most `WAIT_TIMEOUT`, and panics with its name after that.
+/// Polls a condition for at most `WAIT_TIMEOUT`; panics with its name if it does not hold by then.
 pub fn wait_until(condition_name: &str, condition: impl FnMut() -> bool) {
     wait_until_within(WAIT_TIMEOUT, condition_name, condition);
 }
 
-/// Polls a condition for at most `time`, and panics with its name after that.
+/// Polls a condition for at most `time`; panics with its name if it does not hold by then.
 pub fn wait_until_within(time: Duration, condition_name: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < time, "waited in vain: {condition_name}");
+        assert!(started.elapsed() < time, "condition does not hold after {time:?}: {condition_name}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Held while a process is spawned and while a free port is chosen. A child that another thread forks at that
-/// moment inherits the socket until it calls `exec`, so the released port would still be in use.
+/// Held while a process is spawned and while a free port is chosen. Otherwise a child that another thread
+/// forks while the port is bound would inherit the socket until it calls `exec`, and the released port would
+/// still be in use.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Spawns a process under `SPAWN_LOCK`.
 pub fn spawn_process(command: &mut Command) -> Child {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    command.spawn().expect("the program starts")
+    command.spawn().expect("spawn the process")
 }
 
-/// Runs a command to its end; returns its exit status and output.
+/// Runs a command until it exits; returns its exit status and output.
 pub fn run_to_end(command: &mut Command) -> Output {
     let child = spawn_process(command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()));
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("wait for the command's output")
 }
 
-/// An unused loopback address. Its IP is unique, so that no connection of another test takes the port.
+/// Returns an unused loopback address. Its IP address is unique, so that no connection of another test takes
+/// the port.
 pub fn free_address() -> SocketAddr {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    bind_listener().local_addr().expect("its address")
+    bind_listener().local_addr().expect("read the local address")
 }
 
-/// A listening socket at such an address.
+/// Binds a listening socket at a loopback address that no other test uses.
 pub fn bind_listener() -> TcpListener {
     let (pid, n) = (std::process::id(), LAST_ID.fetch_add(1, Ordering::Relaxed));
     let ip = Ipv4Addr::new(127, 20 + (pid % 200) as u8, (n >> 8) as u8, n as u8);
-    TcpListener::bind((ip, 0)).expect("a port")
+    TcpListener::bind((ip, 0)).expect("bind a free port")
 }
 
 /// Starts a backend that accepts every session and echoes its lines.
 fn start_echo_backend() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    let address = listener.local_addr().expect("read the local address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || serve(stream));
@@ -227,31 +229,31 @@
     address
 }
 
-/// A backend that echoes, and counts the sessions that are opened at it.
+/// A backend that echoes the lines of its sessions and counts the sessions that were requested.
 pub struct CountingBackend {
     pub address: SocketAddr,
     opened: Arc<AtomicU64>,
-    /// While set, each new session's connection is closed without a reply.
+    /// While this is set, the connection of each new session is closed without a reply.
     pub failing: Arc<AtomicBool>,
 }
 
 impl CountingBackend {
     pub fn start() -> CountingBackend {
         let listener = bind_listener();
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("read the local address");
         let opened = Arc::new(AtomicU64::new(0));
         let failing = Arc::new(AtomicBool::new(false));
-        let (count, drops) = (opened.clone(), failing.clone());
+        let (count, failing_flag) = (opened.clone(), failing.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (count, drops) = (count.clone(), drops.clone());
-                std::thread::spawn(move || serve_counting(stream, &count, &drops));
+                let (count, failing_flag) = (count.clone(), failing_flag.clone());
+                std::thread::spawn(move || serve_counting(stream, &count, &failing_flag));
             }
         });
         CountingBackend { address, opened, failing }
     }
 
-    /// The number of sessions requested so far.
+    /// Number of sessions requested so far.
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::SeqCst)
     }
@@ -262,7 +264,7 @@
 }
 
 fn serve_counting(mut stream: TcpStream, opened: &AtomicU64, failing: &AtomicBool) {
-    let mut lines = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut lines = BufReader::new(stream.try_clone().expect("clone the stream handle"));
     let mut line = String::new();
     while matches!(lines.read_line(&mut line), Ok(1..)) {
         let reply = match line.split(' ').next() {
@@ -285,21 +287,21 @@
 /// A client connection that sends and receives lines.
 pub struct Client(BufReader<TcpStream>);
 
-/// How a connection ended, or what came in place of the expected reply.
+/// How a connection ended, or what was received in place of the expected reply.
 #[derive(Debug, PartialEq)]
 pub enum SessionError {
     Refused,
     Reset,
     Closed,
-    /// Another reply, or another error of the socket.
+    /// Another reply, or another socket error.
     Unexpected(String),
 }
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Result<Client, SessionError> {
         let stream = TcpStream::connect(address).map_err(|_| SessionError::Refused)?;
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
-        stream.set_nodelay(true).expect("an option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the read timeout");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
         Ok(Client(BufReader::new(stream)))
     }
 
@@ -318,20 +320,20 @@
         _ = socket2::SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO));
     }
 
-    /// Closes the sending direction only.
+    /// Closes only the sending direction.
     pub fn shutdown_write(&self) {
         _ = self.0.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
-    /// A line that is there already or arrives within 20 ms.
+    /// Receives a line that has already arrived or arrives within 20 ms.
     pub fn receive_now(&mut self) -> Option<String> {
-        self.0.get_ref().set_read_timeout(Some(Duration::from_millis(20))).expect("a timeout");
+        self.0.get_ref().set_read_timeout(Some(Duration::from_millis(20))).expect("set the read timeout");
         let received = self.receive().ok();
-        self.0.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+        self.0.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the read timeout");
         received
     }
 
-    /// The next line, without its line end.
+    /// Receives the next line, and returns it without its line end.
     pub fn receive(&mut self) -> Result<String, SessionError> {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -349,7 +351,7 @@
         client.receive()
     }
 
-    /// Connects and opens a session of a listener.
+    /// Connects and opens a session of the given listener.
     pub fn open(address: SocketAddr, listener: &str) -> Result<Client, SessionError> {
         let mut client = Client::connect(address)?;
         let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
@@ -360,7 +362,7 @@
         }
     }
 
-    /// Whether the backend echoes a line.
+    /// Returns whether the backend echoes a line.
     pub fn echoes(&mut self) -> bool {
         self.send_line("M 1");
         self.receive() == Ok("M 1".to_string())
--- a/relay/tests/dials.rs
+++ b/relay/tests/dials.rs
@@ -1,4 +1,4 @@
-//! Dials whose connects stay pending: a backend's backlog is full until the test empties it.
+//! Dials whose connects stay pending because a backend's backlog is full until the test empties it.
 mod common;
 
 use common::{bind_listener, Client, RelayConfig, SessionError};
@@ -8,12 +8,12 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A listening socket with a minimal backlog.
+/// Binds a listening socket with a minimal backlog.
 fn bind_small_backlog() -> TcpListener {
     let address: SocketAddr = common::free_address();
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&address.into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a TCP socket");
+    socket.bind(&address.into()).expect("bind a free address");
+    socket.listen(0).expect("listen with a minimal backlog");
     socket.into()
 }
 
@@ -26,14 +26,14 @@
     filling
 }
 
-/// Accepts a connection; none where there is none in time.
+/// Accepts a connection; returns none if none arrives within `timeout`.
 fn accept_within(listener: &TcpListener, timeout: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).expect("an option");
+    listener.set_nonblocking(true).expect("set the blocking mode");
     let started = Instant::now();
     while started.elapsed() < timeout {
         if let Ok((stream, _)) = listener.accept() {
-            stream.set_nonblocking(false).expect("an option");
-            stream.set_read_timeout(Some(Duration::from_millis(200))).expect("a timeout");
+            stream.set_nonblocking(false).expect("set the blocking mode");
+            stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set the read timeout");
             return Some(stream);
         }
         std::thread::sleep(Duration::from_millis(2));
@@ -41,22 +41,23 @@
     None
 }
 
-/// The first line of a connection; empty where none arrives within its read timeout.
+/// Reads the first line of a connection; empty if none arrives within the read timeout.
 fn first_line(stream: &TcpStream) -> String {
     let mut line = String::new();
     _ = BufReader::new(stream).read_line(&mut line);
     line
 }
 
-/// A session with an idempotency key may have run at one backend, and its retry's connect succeeds only after
-/// its window: it is not forwarded there, and its client gets a final answer.
+/// A session with an idempotency key may have run at one backend, and the connect of its retry succeeds only
+/// after its window: the session is not forwarded there, and its client gets a final answer.
 #[test]
-fn a_session_with_an_idempotency_key_is_not_forwarded_after_its_window() {
-    let (sound, slow) = (bind_listener(), bind_small_backlog());
-    let address_of = |listener: &TcpListener| listener.local_addr().expect("its address").to_string();
+fn session_with_idempotency_key_is_not_forwarded_after_window() {
+    let (healthy, slow) = (bind_listener(), bind_small_backlog());
+    let address_of =
+        |listener: &TcpListener| listener.local_addr().expect("read the local address").to_string();
     let mut config = RelayConfig::new("window");
     config.json["known"]["instances"] = json!([
-        {"instanceId": "s-0", "hostPort": address_of(&sound), "lifecycle": "up"},
+        {"instanceId": "s-0", "hostPort": address_of(&healthy), "lifecycle": "up"},
         {"instanceId": "s-1", "hostPort": address_of(&slow), "lifecycle": "up"}]);
     let settings = &mut config.json["settings"];
     settings["Listeners"][1]["Effect"] = json!("dedup");
@@ -68,13 +69,13 @@
     relay.wait_until_ready();
     // Repeat until the first dial goes to the backend whose answer the test controls.
     let (mut client, mut server) = loop {
-        let mut client = Client::connect(config.listen_address).expect("it listens");
+        let mut client = Client::connect(config.listen_address).expect("connect to the relay");
         let id = common::unique_id();
         client.send_line(&format!("OPEN {id:016x} {id:016x} c=once,d=4000"));
         let started_at = Instant::now();
         let found = loop {
-            assert!(started_at.elapsed() < common::WAIT_TIMEOUT, "nobody is dialled");
-            if let Some(stream) = accept_within(&sound, Duration::from_millis(5)) {
+            assert!(started_at.elapsed() < common::WAIT_TIMEOUT, "the relay dials no backend");
+            if let Some(stream) = accept_within(&healthy, Duration::from_millis(5)) {
                 break Some(stream);
             }
             if accept_within(&slow, Duration::from_millis(5)).is_some() {
@@ -86,8 +87,8 @@
         }
     };
     assert!(first_line(&server).starts_with("OPEN "));
-    let filling = fill_backlog(slow.local_addr().expect("its address"));
-    server.write_all(b"ERR\r\n").expect("it goes");
+    let filling = fill_backlog(slow.local_addr().expect("read the local address"));
+    server.write_all(b"ERR\r\n").expect("send the backend's answer");
     // Empty the backlog after the window, but before the kernel retries that connect.
     std::thread::sleep(Duration::from_millis(500));
     for _ in &filling {
@@ -95,7 +96,7 @@
     }
     drop(filling);
     while let Some(late) = accept_within(&slow, Duration::from_millis(1500)) {
-        assert_eq!(first_line(&late), "", "sent on after its window");
+        assert_eq!(first_line(&late), "", "the session was forwarded after its window");
     }
     let received = client.receive();
     assert!(matches!(received, Ok(ref line) if line == "BUSY" || line == "FAIL"));
--- a/relay/tests/left.rs
+++ b/relay/tests/disconnected_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while they wait, at a relay that stalls repeatedly: how many of their sessions
-//! were forwarded after they had left, and how much later.
+//! Clients disconnect while they wait for a relay that stalls repeatedly. The test measures how many of their
+//! sessions were forwarded after the disconnect, and how much later.
 mod common;
 
 use common::{bind_listener, Client, RelayConfig};
@@ -13,10 +13,10 @@
 const CLIENTS: u64 = 240;
 const STALL: Duration = Duration::from_millis(450);
 
-/// When the first lines of each session were received, by its identifier.
+/// Times at which the first lines of each session were received, by session identifier.
 type Arrivals = Arc<Mutex<BTreeMap<u64, Vec<Instant>>>>;
 
-/// Starts a backend that answers nothing, so that sessions wait and are retried.
+/// Starts a backend that never answers, so that sessions wait and are retried.
 fn start_silent_backend(listener: TcpListener, arrivals: Arrivals) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -27,7 +27,12 @@
                 if matches!(lines.read_line(&mut line), Ok(1..)) {
                     let id = line.get(5..21).and_then(|id| u64::from_str_radix(id, 16).ok());
                     let now = Instant::now();
-                    arrivals.lock().expect("no panic").entry(id.unwrap_or(0)).or_default().push(now);
+                    arrivals
+                        .lock()
+                        .expect("the mutex is not poisoned")
+                        .entry(id.unwrap_or(0))
+                        .or_default()
+                        .push(now);
                 }
                 line.clear();
                 while matches!(lines.read_line(&mut line), Ok(1..)) {}
@@ -37,13 +42,13 @@
 }
 
 #[test]
-fn no_session_is_forwarded_long_after_its_client_left() {
+fn no_session_is_forwarded_long_after_its_client_disconnected() {
     let arrivals = Arrivals::default();
     let backends = [bind_listener(), bind_listener()];
     let addresses: Vec<String> =
-        backends.iter().map(|b| b.local_addr().expect("its address").to_string()).collect();
+        backends.iter().map(|b| b.local_addr().expect("read the local address").to_string()).collect();
     backends.into_iter().for_each(|backend| start_silent_backend(backend, arrivals.clone()));
-    let mut config = RelayConfig::new("left-late");
+    let mut config = RelayConfig::new("disconnected-clients");
     config.json["known"]["instances"] = json!([
         {"instanceId": "s-0", "hostPort": addresses[0], "lifecycle": "up"},
         {"instanceId": "s-1", "hostPort": addresses[1], "lifecycle": "up"}]);
@@ -57,20 +62,21 @@
             let kill = format!("kill -{signal} {pid}");
             common::run_to_end(std::process::Command::new("sh").args(["-c", &kill]));
         };
-        while !*stop.lock().expect("no panic") {
+        while !*stop.lock().expect("the mutex is not poisoned") {
             kill("STOP");
             std::thread::sleep(STALL);
             kill("CONT");
             std::thread::sleep(STALL / 6);
         }
     });
-    // Some leave at once, some after their first attempt timed out; some close, some reset, some half-close.
+    // Some clients disconnect immediately, some after their first attempt has timed out. Some close their
+    // connection, some reset it, and some close only its sending direction.
     let clients: Vec<_> = (1..=CLIENTS)
         .map(|id| {
             std::thread::sleep(Duration::from_millis(8));
             let listen_address = config.listen_address;
             std::thread::spawn(move || {
-                let mut client = Client::connect(listen_address).expect("it listens");
+                let mut client = Client::connect(listen_address).expect("connect to the relay");
                 let listener = if id % 3 == 0 { "once" } else { "low" };
                 client.send_line(&format!("OPEN {id:016x} {id:016x} c={listener},d=1900"));
                 std::thread::sleep(Duration::from_millis(id * 7 % 900));
@@ -83,23 +89,27 @@
             })
         })
         .collect();
-    let departures: Vec<(u64, Instant)> =
-        clients.into_iter().map(|client| client.join().expect("it left")).collect();
-    *stop_requested.lock().expect("no panic") = true;
-    stalls.join().expect("it ends");
-    // Lines that are still in transit have arrived by now.
+    let disconnects: Vec<(u64, Instant)> =
+        clients.into_iter().map(|client| client.join().expect("join the client's thread")).collect();
+    *stop_requested.lock().expect("the mutex is not poisoned") = true;
+    stalls.join().expect("join the thread that stalls the relay");
+    // Wait until lines that are still in transit have arrived.
     std::thread::sleep(Duration::from_millis(300));
-    let arrivals = arrivals.lock().expect("no panic");
-    let after = |(id, left): &(u64, Instant)| {
+    let arrivals = arrivals.lock().expect("the mutex is not poisoned");
+    let delay_after_disconnect = |(id, disconnected_at): &(u64, Instant)| {
         let last = arrivals.get(id).and_then(|all| all.iter().max().copied())?;
-        last.checked_duration_since(*left).filter(|late| *late > Duration::from_millis(2))
+        last.checked_duration_since(*disconnected_at).filter(|late| *late > Duration::from_millis(2))
     };
-    let late: Vec<Duration> = departures.iter().filter_map(after).collect();
-    let most = late.iter().max().copied().unwrap_or_default();
+    let late: Vec<Duration> = disconnects.iter().filter_map(delay_after_disconnect).collect();
+    let longest = late.iter().max().copied().unwrap_or_default();
     let over = late.iter().filter(|late| **late > Duration::from_millis(300)).count();
     println!(
-        "of {CLIENTS} that left {} were sent on later, {over} of them over 0.3 s, {most:?} at most",
+        "{} of {CLIENTS} sessions were forwarded after the disconnect, \
+         {over} of them over 0.3 s later, at most {longest:?}",
         late.len()
     );
-    assert!(over == 0, "of {CLIENTS} that left {over} were sent on over 0.3 s later, {most:?} at most");
+    assert!(
+        over == 0,
+        "{over} of {CLIENTS} sessions were forwarded over 0.3 s after the disconnect, at most {longest:?}"
+    );
 }
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -1,6 +1,6 @@
-//! Drains that several processes coordinate while voters are killed, stalled, without their disk, reduced to
-//! a minority or all without power. Checked by which relays drain and by the sessions that reach each
-//! backend.
+//! Drains that several relay processes coordinate while voters are killed, are stalled, lose their
+//! disk, are reduced to a minority or all lose power. The tests check which relays drain and which
+//! backends get sessions.
 mod common;
 
 use common::coordination::{lease_row, leases, post, run_command, Fleet};
@@ -20,24 +20,24 @@
     relay.request("GET", "/v1/readyz").1.contains("draining")
 }
 
-/// Budgets of one relay and one backend out of service at a time.
+/// Returns budgets that allow one relay and one backend out of service at a time.
 fn one_of_each_kind() -> Value {
     json!([{"of": "relay", "scope": "fleet", "count": 1}, {"of": "backend", "scope": "fleet", "count": 1}])
 }
 
 #[test]
-fn one_relay_drains_at_a_time_whichever_is_requested() {
+fn concurrent_drain_requests_are_granted_to_one_relay() {
     let fleet = Fleet::start_in_service("one", 4, 3, &one_of_each_kind());
-    // All four are requested at the same moment.
+    // The drains of all four relays are requested at the same time.
     let codes: Vec<u16> = std::thread::scope(|scope| {
         let requests: Vec<_> = fleet.running().map(|relay| scope.spawn(|| request_drain(relay).0)).collect();
-        requests.into_iter().map(|request| request.join().expect("it ends")).collect()
+        requests.into_iter().map(|request| request.join().expect("join the drain request")).collect()
     });
     assert_eq!(
         (codes.iter().filter(|c| **c == 200).count(), codes.iter().filter(|c| **c == 409).count()),
         (1, 3)
     );
-    let out = codes.iter().position(|code| *code == 200).expect("one");
+    let out = codes.iter().position(|code| *code == 200).expect("one request is granted");
     let drained: Vec<usize> = (0..4).filter(|i| is_draining(fleet.relay(*i))).collect();
     assert_eq!(drained, [out]);
     let next = (out + 1) % 4;
@@ -47,12 +47,13 @@
     );
     // A forced drain exceeds the budgets, and is reported as forced.
     let (code, text) =
-        run_drain_command(fleet.relay(next), &["relay", "--force", "--by", "bo", "--why", "it burns"]);
+        run_drain_command(fleet.relay(next), &["relay", "--force", "--by", "bo", "--why", "on fire"]);
     assert_eq!(code, Some(0), "{text}");
     fleet.wait_for_lease_state(&format!("relay r{next}"), "out");
     let leader = fleet.wait_for_leader();
-    let forced = lease_row(fleet.relay(leader), &format!("relay r{next}")).expect("it is out");
-    assert!(forced["forced"] == true && forced["by"] == "bo" && forced["why"] == "it burns");
+    let forced = lease_row(fleet.relay(leader), &format!("relay r{next}"))
+        .expect("the leader lists the drained relay");
+    assert!(forced["forced"] == true && forced["by"] == "bo" && forced["why"] == "on fire");
     for i in [out, next] {
         assert_eq!(fleet.relay(i).request("POST", "/v1/relay/activate").0, 200);
     }
@@ -61,9 +62,10 @@
     assert_eq!(request_drain(fleet.relay(third)).0, 200);
 }
 
-/// The leader dies while a relay is out: that uses up the budget, and leases outlive it and a power loss.
+/// The leader is killed while a relay is out of service. That relay still uses the budget, and leases survive
+/// the leader and a power loss.
 #[test]
-fn leases_survive_a_dead_leader_and_a_power_loss() {
+fn leases_survive_killed_leader_and_power_loss() {
     let mut fleet = Fleet::start_in_service("dead", 4, 3, &one_of_each_kind());
     assert_eq!(request_drain(fleet.relay(3)).0, 200);
     let leader = fleet.wait_for_leader();
@@ -71,35 +73,35 @@
     let other = fleet.wait_for_leader();
     assert_ne!(other, leader);
     fleet.wait_for_lease_state("relay r3", "out");
-    let next = (0..3).find(|i| *i != leader && *i != other).expect("a third voter");
+    let next = (0..3).find(|i| *i != leader && *i != other).expect("the fleet has a third voter");
     assert_eq!(request_drain(fleet.relay(next)).0, 409);
     fleet.start_relay(leader);
-    // All of them lose power.
+    // All relays lose power.
     (0..4).for_each(|i| fleet.kill(i));
     (0..4).for_each(|i| fleet.start_relay(i));
     fleet.wait_for_leader();
-    // The drained relay has restarted and serves, so its drain is over.
+    // The drained relay has restarted and serves, so its drain has ended.
     fleet.wait_until_all_in_service(4);
     assert_eq!(request_drain(fleet.relay(next)).0, 200);
     assert_eq!(request_drain(fleet.relay(leader)).0, 409);
 }
 
-/// A minority grants no lease and serves; a stalled leader steps down when it resumes.
+/// A minority of voters serves but grants no lease; a stalled leader steps down when it resumes.
 #[test]
-fn a_minority_serves_and_grants_no_lease() {
+fn minority_serves_and_grants_no_lease() {
     let mut fleet = Fleet::start_in_service("minority", 4, 3, &one_of_each_kind());
     let leader = fleet.wait_for_leader();
     fleet.relay(leader).signal("STOP");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
     let leads = |i: &usize| leases(fleet.relay(*i)).is_some_and(|t| t["leads"] == true);
-    wait_until("another leads", || others.iter().any(leads));
+    wait_until("another relay leads", || others.iter().any(leads));
     let (code, why) = request_drain(fleet.relay(3));
     assert!(
         code == 409 && why.contains(&format!("relay r{leader} (not up)")),
-        "the stalled one counts: {why}"
+        "the stalled relay must count as unavailable: {why}"
     );
     fleet.relay(leader).signal("CONT");
-    wait_until("the old one follows", || {
+    wait_until("the former leader follows", || {
         leases(fleet.relay(leader)).is_some_and(|t| t["leads"] == false && t["role"] == "following")
     });
     fleet.wait_until_all_in_service(4);
@@ -108,46 +110,48 @@
     assert_eq!(code, 409, "{why}");
     assert!(!is_draining(fleet.relay(3)));
     for i in [leader, 3] {
-        let mut client = Client::open(fleet.configs[i].listen_address, "low").expect("it serves");
+        let mut client = Client::open(fleet.configs[i].listen_address, "low").expect("open a session");
         assert!(client.echoes());
     }
     fleet.start_relay(others[0]);
     fleet.wait_for_leader();
 }
 
-/// A voter that lost its disk does not vote until the others have added its new incarnation.
+/// A voter that lost its disk does not vote until the other voters have added its new incarnation.
 #[test]
-fn a_voter_without_its_disk_is_added_anew() {
+fn voter_that_lost_its_disk_is_added_again() {
     let mut fleet =
         Fleet::start_in_service("disk", 3, 3, &json!([{"of": "relay", "scope": "fleet", "count": 2}]));
     assert_eq!(request_drain(fleet.relay(2)).0, 200);
     let leader = fleet.wait_for_leader();
     let lost = (0..3).find(|i| *i != leader && *i != 2).unwrap_or((leader + 1) % 3);
     fleet.kill(lost);
-    std::fs::remove_dir_all(fleet.configs[lost].directory.join("state")).expect("a state");
+    std::fs::remove_dir_all(fleet.configs[lost].directory.join("state")).expect("remove the voter's store");
     fleet.start_relay(lost);
-    wait_until("it is added", || {
+    wait_until("the new incarnation is a voter", || {
         leases(fleet.relay(lost))
             .is_some_and(|t| t["role"] == "following" && t["voters"] == 3 && t["index"] != 0)
     });
-    // It counts: it and one more voter form a quorum.
-    let dead = (0..3).find(|i| *i != lost && *i != 2).expect("another");
-    fleet.kill(dead);
+    // The new incarnation counts: it forms a quorum with one other voter.
+    let killed = (0..3)
+        .find(|i| *i != lost && *i != 2)
+        .expect("the fleet has a voter that is neither lost nor drained");
+    fleet.kill(killed);
     fleet.wait_for_leader();
     fleet.wait_for_lease_state("relay r2", if lost == 2 { "in" } else { "out" });
 }
 
-/// A backend drains for the whole fleet: it gets no new sessions, its sessions are migrated, and a second
-/// backend's drain is denied.
+/// A backend drains for all relays of the fleet: it gets no new sessions, its sessions are migrated, and the
+/// drain of a second backend is denied.
 #[test]
-fn a_backend_drains_for_the_whole_fleet() {
+fn backend_drains_for_all_relays() {
     let fleet = Fleet::start_in_service("backend", 3, 3, &one_of_each_kind());
     let mut clients: Vec<Client> = (0..30)
-        .map(|i| Client::open(fleet.configs[i % 3].listen_address, "low").expect("it serves"))
+        .map(|i| Client::open(fleet.configs[i % 3].listen_address, "low").expect("open a session"))
         .collect();
     assert!(clients.iter_mut().all(Client::echoes));
-    let there = fleet.backends[1].opened();
-    assert!(there > 0);
+    let at_drained = fleet.backends[1].opened();
+    assert!(at_drained > 0);
     let (code, text) =
         run_drain_command(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
     assert_eq!((code, text.trim()), (Some(0), "backend b-1 is draining"));
@@ -156,22 +160,22 @@
         code == Some(1) && text.contains("at most 1 backend of the fleet; unavailable: backend b-1 (out)"),
         "{text}"
     );
-    // All relays, followers included, apply it within 2.5 s.
+    // All relays, including followers, apply the drain within 2.5 s.
     std::thread::sleep(Duration::from_millis(2_500));
     let before = fleet.backends[1].opened();
     for i in 0..60 {
-        Client::open(fleet.configs[i % 3].listen_address, "low").expect("it serves");
+        Client::open(fleet.configs[i % 3].listen_address, "low").expect("open a session");
     }
-    assert_eq!(fleet.backends[1].opened(), before, "nothing new goes there");
+    assert_eq!(fleet.backends[1].opened(), before, "the draining backend must get no new session");
     let leader = fleet.wait_for_leader();
-    wait_until("it is empty", || {
+    wait_until("the drained backend has no sessions", || {
         lease_row(fleet.relay(leader), "backend b-1").is_some_and(|r| r["left"] == 0)
     });
-    let moved = clients.iter_mut().filter_map(Client::receive_now).filter(|line| line == "MOVE").count();
-    assert_eq!(moved as u64, there, "each of them is moved, and no other");
+    let migrated = clients.iter_mut().filter_map(Client::receive_now).filter(|line| line == "MOVE").count();
+    assert_eq!(migrated as u64, at_drained, "exactly the sessions of the drained backend must be migrated");
     assert_eq!(run_drain_command(fleet.relay(2), &["back", "b-1"]).0, Some(0));
-    wait_until("it serves again", || {
-        Client::open(fleet.configs[0].listen_address, "low").expect("it serves");
+    wait_until("the returned backend gets a session", || {
+        Client::open(fleet.configs[0].listen_address, "low").expect("open a session");
         fleet.backends[1].opened() > before
     });
     fleet.wait_until_all_in_service(3);
@@ -179,44 +183,53 @@
     assert!(code == Some(1) && text.contains("the leader has not observed this target yet"), "{text}");
 }
 
-/// A relay that dies while it is out counts as out until its lease is reclaimed, and as down until it is up.
+/// A relay that is killed while out of service counts as out until its lease is reclaimed, and as down
+/// until it is up again.
 #[test]
-fn a_relay_that_died_while_out_is_reclaimed_by_an_operator() {
+fn lease_of_relay_killed_while_out_is_reclaimed() {
     let mut fleet = Fleet::start_in_service("freed", 4, 3, &one_of_each_kind());
     assert_eq!(request_drain(fleet.relay(3)).0, 200);
     fleet.kill(3);
     let leader = fleet.wait_for_leader();
-    wait_until("it is down", || {
+    wait_until("the killed relay is down", || {
         lease_row(fleet.relay(leader), "relay r3").is_some_and(|r| r["condition"] == "down")
     });
-    let row3 = lease_row(fleet.relay(leader), "relay r3").expect("it is out");
+    let row3 = lease_row(fleet.relay(leader), "relay r3").expect("the leader lists the killed relay");
     assert_eq!(row3["stage"], "out");
     let started_at = Instant::now();
     assert_eq!(run_drain_command(fleet.relay(0), &["free", "relay", "r3", "--by", "bo"]).0, Some(0));
-    assert_eq!(lease_row(fleet.relay(leader), "relay r3").expect("it is down")["stage"], "in");
-    assert_eq!(request_drain(fleet.relay(1)).0, 409, "freed, and still not up");
+    assert_eq!(
+        lease_row(fleet.relay(leader), "relay r3").expect("the leader lists the killed relay")["stage"],
+        "in"
+    );
+    assert_eq!(
+        request_drain(fleet.relay(1)).0,
+        409,
+        "a relay that is reclaimed and down must still use the budget"
+    );
     fleet.start_relay(3);
     fleet.wait_until_all_in_service(4);
     assert_eq!(request_drain(fleet.relay(1)).0, 200);
     assert!(started_at.elapsed() < Duration::from_secs(20));
 }
 
-/// A hot restart whose new process dies at once: the old one votes again, and applies the log once.
+/// The new process of a hot restart is killed immediately: the old process votes again and applies each log
+/// entry once.
 #[test]
-fn a_voter_after_a_failed_hot_restart_has_the_state_of_the_others() {
+fn voter_after_failed_hot_restart_matches_other_voters() {
     let mut fleet = Fleet::start_in_service("back", 3, 3, &one_of_each_kind());
     assert_eq!(request_drain(fleet.relay(2)).0, 200);
     assert_eq!(fleet.relay(2).request("POST", "/v1/relay/activate").0, 200);
     fleet.wait_until_all_in_service(3);
     let mut new = fleet.configs[1].start();
     new.wait_until_ready();
-    new.child.kill().expect("it lives");
-    wait_until("the old one votes again", || {
+    new.child.kill().expect("kill the relay process");
+    wait_until("the old process votes again", || {
         leases(fleet.relay(1)).is_some_and(|t| t["role"] != "no voter" && t["index"] != 0)
     });
     fleet.wait_until_all_in_service(3);
     assert_eq!(request_drain(fleet.relay(2)).0, 200);
-    let grant = |i: usize| lease_row(fleet.relay(i), "relay r2").map(|r| r["grant"].clone());
-    wait_until("both have heard", || grant(0).is_some() && grant(1).is_some());
-    assert_eq!(grant(0), grant(1), "the same log, the same numbers");
+    let lease_id = |i: usize| lease_row(fleet.relay(i), "relay r2").map(|r| r["grant"].clone());
+    wait_until("both relays list the lease", || lease_id(0).is_some() && lease_id(1).is_some());
+    assert_eq!(lease_id(0), lease_id(1), "the same log must give the same lease IDs");
 }
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -1,5 +1,6 @@
-//! Encodings of earlier builds: messages between relays are decoded and encoded again as the same bytes, a
-//! rollout plan and responses to operators as the same text. `messages.hex` has one message per line.
+//! Compatibility with encodings of earlier builds: messages between relays are decoded and encoded
+//! again to the same bytes, and a rollout plan and responses to operators to the same text.
+//! `messages.hex` has one message per line.
 use hallrelay_balancer::types::{DialEnd, Micros};
 use hallrelay_config::node::{self, Node, Overrides};
 use hallrelay_disruption::{
@@ -22,13 +23,13 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digits = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("hexadecimal digits");
+    let digits = |i: usize| u8::from_str_radix(&hex[i..i + 2], 16).expect("parse two hexadecimal digits");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
 fn fixture(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    std::fs::read_to_string(&path).expect("a fixture")
+    std::fs::read_to_string(&path).expect("read the fixture")
 }
 
 fn text(text: &str) -> String {
@@ -56,7 +57,7 @@
     TargetCounts { target, counts: SessionCounts { sessions, failed } }
 }
 
-/// Each kind of message, with each variant of its contents.
+/// Returns each kind of message, with each variant of its contents.
 fn messages() -> Vec<ControlMessage> {
     let voters = vec![Voter { id: 1, incarnation: 7 }, Voter { id: 2, incarnation: 9 }];
     let command = Command::Return { target: backend("s1") }.encode();
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn messages_are_read_and_written_unchanged() {
+fn messages_are_decoded_and_encoded_unchanged() {
     let stored: Vec<String> = fixture("messages.hex").lines().map(text).collect();
     let written: Vec<String> = messages().iter().map(|message| hex(&message.encode())).collect();
     assert_eq!(stored, written);
@@ -131,13 +132,13 @@
 }
 
 #[test]
-fn a_plan_is_read_and_written_unchanged() {
+fn rollout_plan_is_parsed_and_serialized_unchanged() {
     let plan = plan(vec![wave_of("s-1"), Wave { names: vec![], count: 1, share_ppm: 300_000 }]);
-    assert_eq!(fixture("plan.json").trim_end(), serde_json::to_string(&plan).expect("a plan"));
-    assert_eq!(serde_json::from_str::<RolloutPlan>(&fixture("plan.json")).expect("a plan"), plan);
+    assert_eq!(fixture("plan.json").trim_end(), serde_json::to_string(&plan).expect("serialize the plan"));
+    assert_eq!(serde_json::from_str::<RolloutPlan>(&fixture("plan.json")).expect("parse the plan"), plan);
 }
 
-/// The configuration of a fleet of one voting relay with three backends.
+/// Returns the configuration of a fleet of one voter with three backends.
 fn settings() -> Node {
     let instance = |i: u16| {
         json!({"instanceId": format!("s-{i}"), "hostPort": format!("127.0.0.1:{}", 1000 + i),
@@ -163,13 +164,13 @@
             "FamilyInfo": {"Mode": "proxy", "Groups": true, "TellsDelay": true, "MessageAim": [60, 60, 60]},
             "Report": {"How": "on_probe", "Fields": ["inflight", "x0", "x1"]},
             "Discovery": "subscribe", "FailureDomains": ["here"], "Zone": 0, "Instances": 1, "SlotNo": 0}});
-    node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("a configuration")
+    node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("parse the configuration")
 }
 
 const SECOND: Micros = 1_000_000;
 
-/// Runs a reducer with virtual time, timers and a disk that syncs at once, and records all requests of
-/// operators and their responses.
+/// Runs a reducer with virtual time, with timers and with a disk that syncs immediately, and records all
+/// requests of operators and their responses.
 struct TestHost {
     reducer: Reducer,
     now: Micros,
@@ -241,14 +242,14 @@
     fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
         while let Some((&(at, number), _)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= end) {
-            let timer = self.timers.remove(&(at, number)).expect("it is there");
+            let timer = self.timers.remove(&(at, number)).expect("the first timer exists");
             self.now = self.now.max(at);
             self.step(Event::Timer(timer));
         }
         self.now = end;
     }
 
-    /// Sends an operator's request, and advances the time by 2 s for its response.
+    /// Sends a request of an operator and advances the time by 2 s for its response.
     fn request(&mut self, description: &str, request: OperatorRequest) {
         self.request_count += 1;
         self.transcript += &format!("call {}: {description}\n", self.request_count);
@@ -274,8 +275,9 @@
         self.request("release", OperatorRequest::Rollout);
     }
 
-    /// Opens sessions at a backend; the last `reset` of them are reset, and the others stay open or leave.
-    fn run_sessions(&mut self, name: &str, count: u32, reset: u32, leave: bool) {
+    /// Opens sessions at a backend. The last `reset` of them are reset; the clients of the others
+    /// disconnect if `disconnect` is set.
+    fn run_sessions(&mut self, name: &str, count: u32, reset: u32, disconnect: bool) {
         for i in 0..count {
             self.session_count += 1;
             let session_id = self.session_count;
@@ -291,15 +293,15 @@
             self.step(Event::SessionRequested { session_id, open, time_remaining: SECOND });
             if i + reset >= count {
                 self.step(Event::SessionEnded { session_id, end: DialEnd::Reset, report: None });
-            } else if leave {
+            } else if disconnect {
                 self.step(Event::ClientDisconnected { session_id });
             }
         }
     }
 }
 
-/// A transcript of drains that are granted, wait and are forced, and of a rollout that starts, is found bad
-/// by the analysis, halts and is rolled back.
+/// Returns a transcript of drains that are granted, wait and are forced, and of a rollout that starts, fails
+/// its analysis, halts and is rolled back.
 fn operator_transcript() -> String {
     let mut host = TestHost::start();
     host.request("grants before a leader", OperatorRequest::Leases);
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -1,5 +1,5 @@
-//! Encodings of released builds between relays of one fleet: the JSON of `GET /v1/fleet`, the endpoint list
-//! that one relay sends to another, and the frames of their streams.
+//! Compatibility with encodings of released builds in a fleet: the JSON of `GET /v1/fleet`, the endpoint list
+//! that a relay sends to another one, and the frames of their streams.
 mod common;
 
 use common::{free_address, RelayConfig};
@@ -24,12 +24,12 @@
 const START: u64 = 1_800_000_000_000_000;
 
 fn file(name: &str) -> Vec<u8> {
-    let folder = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures_fleet"));
-    fs::read(folder.join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+    let directory = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures_fleet"));
+    fs::read(directory.join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
 fn text(name: &str) -> String {
-    String::from_utf8(file(name)).expect("text")
+    String::from_utf8(file(name)).expect("the fixture is UTF-8")
 }
 
 fn addr(last: u8) -> SocketAddr {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A membership with a member in each state, a name conflict, and packets dropped for each reason.
+/// Returns a membership with a member in each state, a name conflict and packets dropped for each reason.
 fn membership_in_each_state() -> Membership {
     let mut membership = Membership::new(local());
     let out = &mut Vec::new();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_status_of_members_in_each_state_is_unchanged() {
+fn status_of_members_in_each_state_is_unchanged() {
     let mut membership = membership_in_each_state();
     let mut status = membership.status(START + 60_000);
     status.recovery_stage = "open".to_string();
@@ -109,44 +109,51 @@
         ["relay-1", "relay-2", "relay-3", "relay-4", "relay-5"].map(|name| state(name).unwrap_or_default());
     assert_eq!(states, ["alive", "alive", "suspect", "gone", "left"]);
     assert!(status.name_conflict.is_some() && status.dropped.len() == DropReason::ALL.len());
-    assert_eq!(serde_json::to_string(&status).expect("JSON"), text("status.json").trim_end());
-    assert_eq!(serde_json::to_string_pretty(&status).expect("JSON"), text("status_pretty.json").trim_end());
+    assert_eq!(serde_json::to_string(&status).expect("serialize the status"), text("status.json").trim_end());
+    assert_eq!(
+        serde_json::to_string_pretty(&status).expect("serialize the status"),
+        text("status_pretty.json").trim_end()
+    );
     assert_eq!(hallrelay_relay::fleet_table::table(&status), text("status.txt"));
-    let read: Status = serde_json::from_str(&text("status.json")).expect("a status");
+    let read: Status = serde_json::from_str(&text("status.json")).expect("parse the status");
     assert_eq!(read, status);
 
-    // After a hot restart to another process; and with no other member.
+    // The status after a hot restart to another process, and the status without any other member.
     membership.step(START + 60_000, MembershipEvent::Deactivate, &mut Vec::new());
-    let silent = serde_json::to_string(&membership.status(START + 60_000)).expect("JSON");
+    let silent = serde_json::to_string(&membership.status(START + 60_000)).expect("serialize the status");
     assert_eq!(silent, text("status_silent.json").trim_end());
-    let alone = serde_json::to_string(&Membership::new(local()).status(START)).expect("JSON");
+    let alone = serde_json::to_string(&Membership::new(local()).status(START)).expect("serialize the status");
     assert_eq!(alone, text("status_alone.json").trim_end());
 }
 
-/// A response of a build that has no `returning` yet.
+/// Responses of earlier builds do not have the key `returning`.
 #[test]
-fn a_status_without_the_later_key_is_read() {
-    let mut old: Value = serde_json::from_str(&text("status.json")).expect("JSON");
-    old.as_object_mut().expect("an object").remove("returning").expect("the key");
-    let read: Status = serde_json::from_value(old).expect("a status");
+fn status_without_returning_key_is_parsed() {
+    let mut old: Value = serde_json::from_str(&text("status.json")).expect("parse the fixture as JSON");
+    old.as_object_mut()
+        .expect("the status is an object")
+        .remove("returning")
+        .expect("the status has the key");
+    let read: Status = serde_json::from_value(old).expect("parse the status");
     assert_eq!(read.recovery_stage, "");
 }
 
-/// A reducer whose endpoint list comes from its configuration only.
+/// Returns a reducer whose endpoint list is only that of its configuration.
 fn reducer(instances: Value) -> Reducer {
-    let mut text: Value =
-        serde_json::from_str(include_str!("../../deploy/example/relay.json")).expect("the example is JSON");
+    let mut text: Value = serde_json::from_str(include_str!("../../deploy/example/relay.json"))
+        .expect("parse the example as JSON");
     text["name"] = json!("relay-1");
     text["discovery"] = json!("10.0.0.100:9000");
     text["known"] = json!({"generation": 17, "instances": instances});
     text["fleet"] = json!({"name": FLEET, "listen": addr(1).to_string(), "peers": [addr(2).to_string()]});
-    let node = node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("a node");
+    let node =
+        node::parse(text.to_string().as_bytes(), &Overrides::default()).expect("parse the configuration");
     let mut reducer = Reducer::new(node, None);
     reducer.start(START, &mut Vec::new());
     reducer
 }
 
-/// The endpoint list that a relay sends to a member that requests it.
+/// Returns the endpoint list that a relay sends to a member that requests it.
 fn request_endpoint_list(reducer: &mut Reducer, now: u64) -> String {
     let requester = update("relay-2", 2, MemberState::Alive, None);
     let mut out = Vec::new();
@@ -167,22 +174,23 @@
         Effect::Membership(MembershipEffect::ReplyOnStream { stream: 2, bytes }) => bytes,
         _ => None,
     });
-    let packet = decode(FLEET, &answer.expect("an answer"), MAX_FRAME_BYTES).expect("a packet");
+    let packet = decode(FLEET, &answer.expect("the relay replies on the stream"), MAX_FRAME_BYTES)
+        .expect("decode the packet");
     match packet.body {
-        MessageBody::EndpointListResponse { bytes } => String::from_utf8(bytes).expect("JSON"),
-        other => panic!("{other:?}"),
+        MessageBody::EndpointListResponse { bytes } => String::from_utf8(bytes).expect("the list is UTF-8"),
+        other => panic!("unexpected response: {other:?}"),
     }
 }
 
 #[test]
-fn the_endpoint_list_between_relays_is_read_and_written_unchanged() {
+fn endpoint_list_between_relays_is_unchanged() {
     let known = json!([
         {"instanceId": "s-0", "hostPort": "10.0.1.1:7000", "lifecycle": "up"},
         {"instanceId": "s-1", "hostPort": "10.0.1.2:7000", "lifecycle": "draining"},
     ]);
     assert_eq!(request_endpoint_list(&mut reducer(known), START + 1_000), text("list.json").trim_end());
 
-    // A relay that knows none of these backends adds them, and passes them on.
+    // A relay that has none of these backends adds them and sends them to other relays.
     let mut other = reducer(json!([{"instanceId": "s-9", "hostPort": "10.0.1.9:7000", "lifecycle": "up"}]));
     assert_eq!(request_endpoint_list(&mut other, START + 1_000), text("list_before.json").trim_end());
     let response =
@@ -196,16 +204,20 @@
     assert_eq!(request_endpoint_list(&mut other, START + 2_000), text("list_after.json").trim_end());
 }
 
-/// Stream frames on the wire: the stored one is sent to a running relay, whose response has the same format.
+/// Format of stream frames on the wire: the stored frame is sent to a running relay, whose response has
+/// the same format.
 #[test]
-fn a_frame_on_a_stream_is_preceded_by_its_length() {
+fn frame_on_stream_is_preceded_by_its_length() {
     let stored = file("frame.bin");
     let (length, rest) = stored.split_at(4);
-    assert_eq!(u32::from_be_bytes(length.try_into().expect("four bytes")) as usize, rest.len());
-    let own =
+    assert_eq!(
+        u32::from_be_bytes(length.try_into().expect("the length has four bytes")) as usize,
+        rest.len()
+    );
+    let sender =
         Update { addr: ([127, 0, 0, 1], 7946).into(), ..update("relay-2", 2, MemberState::Alive, None) };
     let request = packet(
-        own,
+        sender,
         MessageBody::PushPullRequest,
         vec![update("relay-4", 4, MemberState::Dead, Some("relay-2"))],
     );
@@ -218,18 +230,21 @@
     config.json["fleet"] = json!({"name": FLEET, "listen": address.to_string(), "peers": []});
     let relay = config.start();
     relay.wait_until_ready();
-    let mut stream = TcpStream::connect(address).expect("a stream");
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
-    stream.write_all(&stored).expect("it is sent");
+    let mut stream = TcpStream::connect(address).expect("connect to the membership port");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set the read timeout");
+    stream.write_all(&stored).expect("send the stored frame");
     let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer");
+    stream.read_to_end(&mut answer).expect("read the response");
     let (length, rest) = answer.split_at(4);
-    assert_eq!(u32::from_be_bytes(length.try_into().expect("four bytes")) as usize, rest.len());
-    let answer = decode(FLEET, rest, MAX_FRAME_BYTES).expect("a packet");
+    assert_eq!(
+        u32::from_be_bytes(length.try_into().expect("the length has four bytes")) as usize,
+        rest.len()
+    );
+    let answer = decode(FLEET, rest, MAX_FRAME_BYTES).expect("decode the packet");
     assert_eq!((&*answer.sender.name, &answer.body), ("relay-1", &MessageBody::PushPullResponse));
     assert_eq!(encoded(&answer), rest);
     let names: Vec<&str> = answer.updates.iter().map(|update| &*update.name).collect();
-    assert_eq!(names, ["relay-2"], "nobody takes one that is gone for a member");
+    assert_eq!(names, ["relay-2"], "a dead member must not be added");
 }
 
 fn encoded(packet: &Packet) -> Vec<u8> {
--- a/relay/tests/fixtures_metrics.rs
+++ b/relay/tests/fixtures_metrics.rs
@@ -1,5 +1,5 @@
-//! The complete response to `GET /v1/metrics`, compared with `fixtures/metrics.txt`. Each field has a
-//! distinct value, so that swapped fields are found.
+//! The complete response to `GET /v1/metrics` is compared with `fixtures/metrics.txt`. Each field has a
+//! distinct value, so that swapped fields are detected.
 use hallrelay_membership::message::DropReason;
 use hallrelay_membership::Counters;
 use hallrelay_relay::metrics::text;
@@ -11,7 +11,7 @@
 fn sample_metrics() -> Metrics {
     let first = Outcomes { requested: 101, established: 102, rejected: 103, failed: 104, abandoned: 105 };
     let second = Outcomes { requested: 201, established: 202, rejected: 203, failed: 204, abandoned: 205 };
-    // A name with characters that a metric's name may not have.
+    // A listener name with characters that are not allowed in metric names.
     let unusual = Outcomes { requested: 301, established: 302, rejected: 303, failed: 304, abandoned: 305 };
     let listeners = [("alpha", first), ("beta-2", second), ("g:h|i j\nk\u{e9}", unusual)];
     let dropped = DropReason::ALL.into_iter().zip(801..).collect();
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn the_metrics_response_is_unchanged() {
+fn metrics_response_is_unchanged() {
     assert_eq!(text(&sample_metrics()), include_str!("fixtures/metrics.txt"));
 }
 
 #[test]
-fn without_fleet_and_store_their_lines_are_absent() {
+fn metrics_without_fleet_and_store_omit_their_lines() {
     let bare = Metrics { membership: None, store: None, ..sample_metrics() };
     let all = include_str!("fixtures/metrics.txt").lines();
     let expected: Vec<&str> =
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_store_that_writes_is_not_failing() {
+fn store_without_error_is_not_reported_as_failing() {
     let store = WriterHealth { last_error: None, ..WriterHealth::default() };
     let text = text(&Metrics { store: Some(Box::new(store)), ..sample_metrics() });
     assert!(text.contains("node.store_failing:0|g\n"), "{text}");
--- a/relay/tests/operations.rs
+++ b/relay/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Operator actions on a running relay: HTTP requests, drains, reloads and hot restarts.
+//! Operator actions on a running relay process: HTTP requests, drains, reloads and hot restarts.
 mod common;
 
 use common::{Client, RelayConfig, SessionError, WAIT_TIMEOUT};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn the_operator_address_answers_requests_and_survives_anything_else() {
+fn operator_address_answers_requests_and_rejects_malformed_ones() {
     let (_config, mut relay) = RelayConfig::start_ready("calls");
     assert_eq!(relay.request("GET", "/v1/nothing").0, 404);
     let (status, answer) = relay.request("GET", "/v1/relay/drain");
@@ -22,25 +22,26 @@
     assert_eq!(relay.send_request(long.as_bytes()).0, 431);
     let head = "POST /v1/relay/activate HTTP/1.1\r\nhost: relay\r\ncontent-length: 100000\r\n\r\n";
     assert_eq!(relay.send_request(format!("{head}{}", "x".repeat(8000)).as_bytes()).0, 413);
-    // One request per connection: a second one after the first is ignored.
+    // Each connection carries one request; a second request on it is ignored.
     let two = "GET /v1/readyz HTTP/1.1\r\nhost: relay\r\n\r\n".repeat(2);
     assert_eq!(relay.send_request(two.as_bytes()).1.matches("HTTP/1.1").count(), 1);
-    let (status, figures) = relay.request("GET", "/v1/metrics");
+    let (status, metrics) = relay.request("GET", "/v1/metrics");
     assert_eq!(status, 200);
     for line in ["node.passed.low:0|c", "node.dropped.once:0|c", "node.in_progress:0|g", "node.loads:0|c"] {
-        assert!(figures.contains(line), "{line} in {figures}");
+        assert!(metrics.contains(line), "{line} is missing in {metrics}");
     }
     assert!(!relay.has_exited());
 }
 
-/// Connections without a complete request do not delay other requests.
+/// Guards the requests of operators against other callers that hold connections without a complete request:
+/// such connections must not delay valid requests.
 #[test]
 fn incomplete_requests_do_not_delay_others() {
     let (config, relay) = RelayConfig::start_ready("slow-callers");
     let half = |i: usize| {
-        let mut stream = TcpStream::connect(relay.operator_address).expect("it listens");
+        let mut stream = TcpStream::connect(relay.operator_address).expect("connect to the operator address");
         let part: &[u8] = if i.is_multiple_of(2) { b"GET /v1/re" } else { b"" };
-        stream.write_all(part).expect("it takes bytes");
+        stream.write_all(part).expect("send an incomplete request");
         stream
     };
     let mut open = Vec::new();
@@ -50,22 +51,22 @@
         assert_eq!(relay.request("GET", "/v1/readyz").0, 200, "round {round}");
         assert!(started.elapsed() < Duration::from_millis(900), "round {round}: {:?}", started.elapsed());
     }
-    // Client connections have a separate limit.
-    assert!(Client::open(config.listen_address, "low").expect("a session").echoes());
+    // Client connections have a separate limit, so sessions are served, too.
+    assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
 }
 
 #[test]
-fn a_drain_migrates_all_sessions_and_a_second_request_ends_it() {
+fn drain_migrates_all_sessions_and_activate_ends_it() {
     let (config, relay) = RelayConfig::start_ready("drain");
     let mut clients: Vec<Client> =
-        (0..5).map(|_| Client::open(config.listen_address, "low").expect("a session")).collect();
+        (0..5).map(|_| Client::open(config.listen_address, "low").expect("open a session")).collect();
     assert!(clients.iter_mut().all(Client::echoes));
     let started_at = Instant::now();
     assert_eq!(relay.request("POST", "/v1/relay/drain").0, 200);
     assert_eq!(Client::ping(config.listen_address), Ok("BUSY".to_string()));
     assert_eq!(relay.request("GET", "/v1/readyz").0, 503);
-    // The load balancer in front still sends sessions for a while.
-    clients.push(Client::open(config.listen_address, "once").expect("a session"));
+    // The load balancer in front of the relay still sends sessions for a while.
+    clients.push(Client::open(config.listen_address, "once").expect("open a session"));
     for client in &mut clients {
         assert_eq!(client.receive(), Ok("MOVE".to_string()));
         assert_eq!(client.receive(), Err(SessionError::Closed));
@@ -75,10 +76,12 @@
     assert!(matches!(attempt, Err(SessionError::Unexpected(reply)) if reply.starts_with("BUSY")));
     assert_eq!(relay.request("POST", "/v1/relay/activate").0, 200);
     assert_eq!(Client::ping(config.listen_address), Ok("PONG".to_string()));
-    assert!(Client::open(config.listen_address, "low").expect("a session").echoes());
+    assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
     let counts = ["passed.low", "passed.once", "dropped.low", "upstream_tries", "in_progress"];
     let wanted = [6, 1, 1, 7, 0];
-    common::wait_until("sessions that ended are in no figure", || relay.metric("in_progress") == Some(0));
+    common::wait_until("ended sessions are not counted as in progress", || {
+        relay.metric("in_progress") == Some(0)
+    });
     for (name, wanted) in counts.iter().zip(wanted) {
         assert_eq!(relay.metric(name), Some(wanted), "{name}");
     }
@@ -89,16 +92,18 @@
 fn reloads_are_counted_as_applied_or_rejected() {
     let (config, relay) = RelayConfig::start_ready("loads");
     relay.signal("HUP");
-    common::wait_until("a sound file is a load", || relay.metric("loads") == Some(1));
-    std::fs::write(&relay.config_path, "").expect("a file");
+    common::wait_until("the valid file is counted as a load", || relay.metric("loads") == Some(1));
+    std::fs::write(&relay.config_path, "").expect("write an empty file");
     relay.signal("HUP");
-    common::wait_until("an empty one is an error", || relay.metric("load_errors") == Some(1));
+    common::wait_until("the empty file is counted as a load error", || {
+        relay.metric("load_errors") == Some(1)
+    });
     assert_eq!(relay.metric("loads"), Some(1));
-    assert!(Client::open(config.listen_address, "low").expect("a session").echoes());
+    assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
 }
 
-/// Starts a thread that opens sessions one after another until it is stopped; returns the flag that stops it,
-/// and a handle to its number of established sessions and its errors.
+/// Starts a thread that opens sessions one after another until it is stopped; returns the flag that stops it
+/// and a handle whose result is the number of established sessions and the errors.
 fn open_sessions_until_stopped(
     address: std::net::SocketAddr,
 ) -> (Arc<AtomicBool>, JoinHandle<(u32, Vec<SessionError>)>) {
@@ -117,19 +122,20 @@
     (stop, clients)
 }
 
-/// Consecutive hot restarts under load, one with a broken build: no connection is refused, reset or left
-/// unread, and a session that is open throughout is not disturbed, even in the middle of a line.
+/// Performs consecutive hot restarts under load, one of them to a broken build: no connection is
+/// refused, reset or left unread, and a session that is open throughout is not disturbed, even in the
+/// middle of a line.
 #[test]
-fn hot_restarts_lose_no_connection() {
+fn hot_restarts_under_load_lose_no_connection() {
     let (mut config, mut old) = RelayConfig::start_ready("upgrades");
-    let coming: Vec<_> = (0..3).map(|_| open_sessions_until_stopped(config.listen_address)).collect();
-    let mut open = Client::open(config.listen_address, "low").expect("a session");
+    let load: Vec<_> = (0..3).map(|_| open_sessions_until_stopped(config.listen_address)).collect();
+    let mut open = Client::open(config.listen_address, "low").expect("open a session");
     for round in 0..4 {
         if round == 1 {
             // A build that fails at its start does not affect the running process.
             let good = config.json["seed"].take();
             let mut broken = config.start();
-            common::wait_until("the broken one ends", || broken.has_exited());
+            common::wait_until("the broken build exits", || broken.has_exited());
             config.json["seed"] = good;
             assert!(old.is_ready() && open.echoes());
         }
@@ -140,34 +146,34 @@
         assert_eq!(open.receive(), Ok("half a line".to_string()));
         assert_eq!(old.request("GET", "/v1/readyz").0, 503, "round {round}");
         old.signal("TERM");
-        common::wait_until("the old process leaves", || old.has_exited());
-        assert!(open.echoes(), "round {round}: an open session goes on in the new process");
+        common::wait_until("the old process exits", || old.has_exited());
+        assert!(open.echoes(), "round {round}: the open session must continue in the new process");
         assert!(new.metric("in_progress").is_some_and(|n| n >= 1));
         old = new;
     }
-    let mut ups = 0;
-    for (stop, clients) in coming {
+    let mut established = 0;
+    for (stop, clients) in load {
         stop.store(true, Ordering::Relaxed);
-        let (up, failed) = clients.join().expect("clients");
+        let (up, failed) = clients.join().expect("join the clients' thread");
         assert_eq!(failed, Vec::<SessionError>::new());
-        ups += up;
+        established += up;
     }
-    assert!(ups > 100, "only {ups} sessions came about");
+    assert!(established > 100, "only {established} sessions were established");
     assert!(!old.has_exited());
 }
 
 #[test]
-fn a_new_process_that_dies_returns_the_listener_and_a_third_is_rejected() {
-    let (mut config, mut old) = RelayConfig::start_ready("dies");
+fn killed_new_process_returns_socket_and_third_is_rejected() {
+    let (mut config, mut old) = RelayConfig::start_ready("killed-new-process");
     let mut new = config.start();
     new.wait_until_ready();
-    // The old process still runs, so a third one is rejected and ends.
+    // The old process still runs, so a third process is rejected and exits.
     let mut third = config.start();
-    common::wait_until("the third ends", || third.has_exited());
+    common::wait_until("the third process exits", || third.has_exited());
     assert!(new.is_ready());
-    new.child.kill().expect("it lives");
+    new.child.kill().expect("kill the relay process");
     common::wait_until("the old process serves again", || old.is_ready());
-    assert!(Client::open(config.listen_address, "low").expect("a session").echoes());
+    assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
     // The old process can still be replaced.
     let newest = config.start();
     newest.wait_until_ready();
@@ -175,57 +181,60 @@
     assert!(!old.has_exited());
 }
 
-/// A socket file that a crashed process left behind does not hinder a start.
+/// A socket file left behind by a crashed process does not prevent a start.
 #[test]
-fn a_socket_that_nobody_answers_at_is_replaced() {
+fn socket_file_of_crashed_process_is_replaced() {
     let (mut config, mut old) = RelayConfig::start_ready("stale");
-    old.child.kill().expect("it lives");
-    old.child.wait().expect("it ends");
+    old.child.kill().expect("kill the relay process");
+    old.child.wait().expect("wait for the relay process");
     assert!(std::fs::read_dir(&config.directory)
-        .expect("a folder")
+        .expect("list the relay's directory")
         .flatten()
-        .any(|f| { f.file_name().to_string_lossy().ends_with(".sock") }));
+        .any(|entry| { entry.file_name().to_string_lossy().ends_with(".sock") }));
     let new = config.start();
     new.wait_until_ready();
-    assert!(Client::open(config.listen_address, "low").expect("a session").echoes());
+    assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
 }
 
-/// A reload changes settings under open sessions; a file with any error is rejected as a whole.
+/// A reload changes settings while sessions are open; a file with an error is rejected completely.
 #[test]
-fn settings_are_applied_completely_or_not_at_all() {
+fn reload_applies_settings_completely_or_not_at_all() {
     let (config, relay) = RelayConfig::start_ready("retune");
-    let mut old = Client::open(config.listen_address, "low").expect("a session");
+    let mut old = Client::open(config.listen_address, "low").expect("open a session");
     let mut text = config.json.clone();
     text["settings"]["Listeners"] = serde_json::json!([
         common::listener_settings("once", 5.0, "retryable"),
         common::listener_settings("new", 1.0, "fragile")
     ]);
-    let whole = text.to_string();
-    let (mut late, mut dials, mut short) = (text.clone(), text.clone(), text.clone());
-    late["settings"]["Listeners"][0]["DialTimeout"] = serde_json::json!(-5);
-    dials["settings"]["Ceilings"]["MostDials"] = serde_json::json!(0);
-    short["settings"].as_object_mut().expect("settings").remove("Rules");
+    let valid = text.to_string();
+    let (mut negative_timeout, mut zero_dials, mut missing_rules) =
+        (text.clone(), text.clone(), text.clone());
+    negative_timeout["settings"]["Listeners"][0]["DialTimeout"] = serde_json::json!(-5);
+    zero_dials["settings"]["Ceilings"]["MostDials"] = serde_json::json!(0);
+    missing_rules["settings"].as_object_mut().expect("settings is an object").remove("Rules");
     // A new discovery address in a file with an error is not applied either.
-    short["discovery"] = serde_json::json!("127.0.0.1:1");
+    missing_rules["discovery"] = serde_json::json!("127.0.0.1:1");
     let broken = [
         String::new(),
-        whole[..whole.len() / 2].to_string(),
-        late.to_string(),
-        dials.to_string(),
-        short.to_string(),
+        valid[..valid.len() / 2].to_string(),
+        negative_timeout.to_string(),
+        zero_dials.to_string(),
+        missing_rules.to_string(),
     ];
     for (i, text) in broken.iter().enumerate() {
-        std::fs::write(&relay.config_path, text).expect("a file");
+        std::fs::write(&relay.config_path, text).expect("write the configuration file");
         relay.signal("HUP");
-        common::wait_until("it is counted", || relay.metric("load_errors") == Some(i as u64 + 1));
+        common::wait_until("the file is counted as a load error", || {
+            relay.metric("load_errors") == Some(i as u64 + 1)
+        });
         let attempt = Client::open(config.listen_address, "new");
         assert!(matches!(attempt, Err(SessionError::Unexpected(reply)) if reply == "ERR"), "{text}");
-        assert!(Client::open(config.listen_address, "low").expect("a session").echoes());
+        assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
     }
-    std::fs::write(&relay.config_path, &whole).expect("a file");
+    std::fs::write(&relay.config_path, &valid).expect("write the configuration file");
     relay.signal("HUP");
-    common::wait_until("it is used", || relay.metric("loads") == Some(1));
-    assert!(Client::open(config.listen_address, "new").expect("a session").echoes());
+    common::wait_until("the valid file is counted as a load", || relay.metric("loads") == Some(1));
+    assert!(Client::open(config.listen_address, "new").expect("open a session").echoes());
     let attempt = Client::open(config.listen_address, "low");
     assert!(matches!(attempt, Err(SessionError::Unexpected(reply)) if reply == "ERR"));
     assert!(old.echoes());
@@ -233,27 +242,28 @@
     assert_eq!(relay.metric("passed.low"), Some(6));
 }
 
-/// A slow client is served among many that send nothing or stop halfway, and those get an answer or an end.
+/// Guards slow clients among many others that send nothing or stop halfway through a line: the slow client is
+/// served, and the others get the final answer due to them, or their connections are closed.
 #[test]
-fn a_slow_first_line_is_served_and_a_silent_client_is_not() {
+fn slow_first_line_is_served_beside_silent_clients() {
     let (config, _relay) = RelayConfig::start_ready("slow-lines");
     let started_at = Instant::now();
-    let mut silent = Client::connect(config.listen_address).expect("it listens");
-    let mut half = Client::connect(config.listen_address).expect("it listens");
-    half.send_partial("OPEN 00");
+    let mut silent = Client::connect(config.listen_address).expect("connect to the relay");
+    let mut partial = Client::connect(config.listen_address).expect("connect to the relay");
+    partial.send_partial("OPEN 00");
     let line = "OPEN 00000000000000aa 00000000000000ab c=low,d=1900\r\n";
-    let mut slow = Client::connect(config.listen_address).expect("it listens");
-    let mut crowd = Vec::new();
+    let mut slow = Client::connect(config.listen_address).expect("connect to the relay");
+    let mut idle_clients = Vec::new();
     for part in line.as_bytes().chunks(line.len().div_ceil(11)) {
-        slow.send_partial(std::str::from_utf8(part).expect("ascii"));
-        // More connections than the limit.
-        crowd.extend((0..20).filter_map(|_| Client::connect(config.listen_address).ok()));
+        slow.send_partial(std::str::from_utf8(part).expect("the line is ASCII"));
+        // These are more connections than the limit allows.
+        idle_clients.extend((0..20).filter_map(|_| Client::connect(config.listen_address).ok()));
         std::thread::sleep(Duration::from_millis(200));
     }
     assert!(started_at.elapsed() > Duration::from_millis(2_000));
     assert_eq!(slow.receive(), Ok("UP r1".to_string()));
     assert!(slow.echoes());
-    for other in [&mut silent, &mut half] {
+    for other in [&mut silent, &mut partial] {
         assert!(matches!(
             other.receive().as_deref(),
             Ok("ERR" | "BUSY") | Err(SessionError::Closed | SessionError::Reset)
--- a/relay/tests/power.rs
+++ b/relay/tests/power_loss.rs
@@ -1,6 +1,6 @@
-//! A whole fleet loses power twice: all relays are killed together, discovery is unavailable, one store is
-//! damaged and one relay is partitioned. The second loss comes before recovery from the first is complete.
-//! Checked by the sessions that reach a backend that drains.
+//! All relays of a fleet lose power twice: they are killed together while discovery is unavailable, one store
+//! is damaged and one relay is partitioned. The second loss occurs before recovery from the first is
+//! complete. The test checks the sessions that reach a draining backend.
 mod common;
 
 use common::discovery::{endpoint, Discovery};
@@ -10,29 +10,30 @@
 use std::time::{Duration, Instant};
 
 const RELAYS: usize = 6;
-/// The relay whose store is damaged, and the one that is partitioned.
+/// Index of the relay whose store is damaged.
 const DAMAGED: usize = 1;
+/// Index of the relay that is partitioned.
 const PARTITIONED: usize = 2;
 
 struct Fleet {
     configs: Vec<RelayConfig>,
     states: Vec<PathBuf>,
     relays: Vec<Option<RelayProcess>>,
-    servers: [CountingBackend; 3],
+    backends: [CountingBackend; 3],
     discovery: Discovery,
 }
 
-/// Configures all relays and starts their backends and discovery, without starting any relay.
+/// Configures all relays and starts their backends and discovery, but no relay.
 fn prepare_fleet() -> Fleet {
-    let servers = [CountingBackend::start(), CountingBackend::start(), CountingBackend::start()];
-    let discovery = Discovery::start(endpoints(&servers, "up"));
+    let backends = [CountingBackend::start(), CountingBackend::start(), CountingBackend::start()];
+    let discovery = Discovery::start(endpoints(&backends, "up"));
     let addresses: Vec<String> = (0..RELAYS).map(|_| free_address().to_string()).collect();
     let config = |i: usize| {
         let mut config = RelayConfig::new(&format!("power-{i}"));
         config.json["name"] = json!(format!("r{i}"));
         config.json["discovery"] = json!(discovery.address.to_string());
         config.json["known"] =
-            json!({"generation": 1, "reset": true, "instances": endpoints(&servers, "up")});
+            json!({"generation": 1, "reset": true, "instances": endpoints(&backends, "up")});
         config.json["settings"]["Instances"] = json!(RELAYS);
         config.json["settings"]["SlotNo"] = json!(i);
         config.json["state"] = json!(config.directory.join("state"));
@@ -41,13 +42,13 @@
     };
     let configs: Vec<RelayConfig> = (0..RELAYS).map(config).collect();
     let states = configs.iter().map(|config| config.directory.join("state")).collect();
-    Fleet { configs, states, relays: (0..RELAYS).map(|_| None).collect(), servers, discovery }
+    Fleet { configs, states, relays: (0..RELAYS).map(|_| None).collect(), backends, discovery }
 }
 
-/// The endpoint list with the given lifecycle for the first backend and `up` for the others.
-fn endpoints(servers: &[CountingBackend; 3], first: &str) -> Vec<Value> {
+/// Returns the endpoint list with the given lifecycle for the first backend and `up` for the others.
+fn endpoints(backends: &[CountingBackend; 3], first: &str) -> Vec<Value> {
     let lifecycle = |i: usize| if i == 0 { first } else { "up" };
-    servers.iter().enumerate().map(|(i, at)| endpoint(&format!("b-{i}"), at, lifecycle(i), 0)).collect()
+    backends.iter().enumerate().map(|(i, at)| endpoint(&format!("b-{i}"), at, lifecycle(i), 0)).collect()
 }
 
 impl Fleet {
@@ -56,13 +57,13 @@
     }
 
     fn relay(&self, i: usize) -> &RelayProcess {
-        self.relays[i].as_ref().expect("it runs")
+        self.relays[i].as_ref().expect("the relay is running")
     }
 
-    /// Kills all relays at once, as a power loss does.
+    /// Kills all relays at the same time, as a power loss does.
     fn kill_all(&mut self) {
         for relay in self.relays.iter_mut().flatten() {
-            relay.child.kill().expect("it lives");
+            relay.child.kill().expect("kill the relay process");
         }
         self.relays.iter_mut().for_each(|relay| *relay = None);
     }
@@ -73,39 +74,41 @@
         String::from_utf8_lossy(&output.stdout).contains(text)
     }
 
-    /// Opens sessions at a relay and closes each at once; returns how many were established.
+    /// Opens sessions at a relay and closes each immediately; returns how many were established.
     fn open_sessions(&self, i: usize, count: usize) -> usize {
         (0..count).filter(|_| Client::open(self.configs[i].listen_address, "low").is_ok()).count()
     }
 }
 
 #[test]
-fn a_drain_outlives_two_power_losses_a_damaged_store_and_a_partition() {
+fn drain_is_kept_after_two_power_losses() {
     let mut fleet = prepare_fleet();
     (0..RELAYS).for_each(|i| fleet.start(i));
     (0..RELAYS).for_each(|i| fleet.relay(i).wait_until_ready());
-    fleet.discovery.publish(endpoints(&fleet.servers, "draining"));
-    wait_until("all keep it", || (0..RELAYS).all(|i| fleet.store_contains(i, "\"draining\"")));
+    fleet.discovery.publish(endpoints(&fleet.backends, "draining"));
+    wait_until("all relays have stored the drain", || {
+        (0..RELAYS).all(|i| fleet.store_contains(i, "\"draining\""))
+    });
     let open_sessions: Vec<Client> = (0..RELAYS)
-        .map(|i| Client::open(fleet.configs[i].listen_address, "once").expect("it serves"))
+        .map(|i| Client::open(fleet.configs[i].listen_address, "once").expect("open a session"))
         .collect();
     fleet.kill_all();
     fleet.discovery.stop_answering();
     drop(open_sessions);
-    // Damage this relay's log from its first record on.
+    // Damage the log of this relay from its first record on.
     let log = fleet.states[DAMAGED].join("log");
-    let mut bytes = std::fs::read(&log).expect("a log");
+    let mut bytes = std::fs::read(&log).expect("read the store's log");
     let from = bytes.len().min(24);
     bytes[from..].iter_mut().for_each(|byte| *byte ^= 0x55);
-    std::fs::write(&log, &bytes).expect("a log");
+    std::fs::write(&log, &bytes).expect("write the damaged log");
     assert!(!fleet.store_contains(DAMAGED, "\"draining\""));
     // Partition this relay: it has no peers, and no peer can reach it.
-    let nowhere = free_address().to_string();
+    let unused_address = free_address().to_string();
     fleet.configs[PARTITIONED].json["fleet"] =
-        json!({"name": "power", "listen": nowhere, "peers": [nowhere]});
-    let before = fleet.servers[0].opened();
+        json!({"name": "power", "listen": unused_address, "peers": [unused_address]});
+    let before = fleet.backends[0].opened();
 
-    // Power fails again when half of them are back; then all start, one after another.
+    // Power fails again when half of the relays have restarted; then all start one after another.
     (0..RELAYS / 2).for_each(|i| fleet.start(i));
     fleet.relay(0).wait_until_ready();
     assert_eq!(fleet.open_sessions(0, 10), 10);
@@ -117,27 +120,41 @@
     }
     for i in (0..RELAYS).filter(|i| *i != DAMAGED) {
         fleet.relay(i).wait_until_ready();
-        assert_eq!(fleet.open_sessions(i, 20), 20, "r{i} serves");
+        assert_eq!(fleet.open_sessions(i, 20), 20, "r{i} must serve all sessions");
     }
-    assert_eq!(fleet.servers[0].opened(), before, "nothing new to one that drains, by what was kept");
-    println!("five of {RELAYS} serve {:?} after power is back", started_at.elapsed());
-    // The relay with the damaged store relies on the lists of its peers.
+    assert_eq!(
+        fleet.backends[0].opened(),
+        before,
+        "the stores must keep sessions away from the draining backend"
+    );
+    println!("five of {RELAYS} relays serve {:?} after power is restored", started_at.elapsed());
+    // The relay with the damaged store depends on the lists of its peers.
     fleet.relay(DAMAGED).wait_until_ready();
-    wait_until("it asked the others", || fleet.relay(DAMAGED).metric("fleet_hearsay") > Some(0));
-    println!("the damaged one has the others' word after {:?}", started_at.elapsed());
-    let before = fleet.servers[0].opened();
+    wait_until("the relay with the damaged store has accepted a peer's list", || {
+        fleet.relay(DAMAGED).metric("fleet_hearsay") > Some(0)
+    });
+    println!("the relay with the damaged store has a peer's list after {:?}", started_at.elapsed());
+    let before = fleet.backends[0].opened();
     assert_eq!(fleet.open_sessions(DAMAGED, 40), 40);
-    assert_eq!(fleet.servers[0].opened(), before, "nothing new to one that drains, by the others' word");
-    assert_eq!(fleet.relay(DAMAGED).metric("store_failing"), Some(0), "its store is of use again");
+    assert_eq!(
+        fleet.backends[0].opened(),
+        before,
+        "a peer's list must keep sessions away from the draining backend"
+    );
+    assert_eq!(
+        fleet.relay(DAMAGED).metric("store_failing"),
+        Some(0),
+        "the damaged store must be usable again"
+    );
 
-    // Discovery is back, and its list lets all relays use the backend, the partitioned one too.
+    // Discovery is available again. With its list all relays, including the partitioned one, use the backend.
     fleet.discovery.restart_at(9);
-    fleet.discovery.publish(endpoints(&fleet.servers, "up"));
+    fleet.discovery.publish(endpoints(&fleet.backends, "up"));
     for i in 0..RELAYS {
-        wait_until("it is dialled again", || {
-            let before = fleet.servers[0].opened();
+        wait_until("the relay dials the backend again", || {
+            let before = fleet.backends[0].opened();
             assert_eq!(fleet.open_sessions(i, 5), 5);
-            fleet.servers[0].opened() > before
+            fleet.backends[0].opened() > before
         });
     }
 }
--- a/relay/tests/short_days/answers.rs
+++ b/relay/tests/short_days/answers.rs
@@ -1,5 +1,5 @@
-//! Backends that hang, that accept connections late and that reset them, all at once: each session gets its
-//! final answer by its deadline.
+//! A relay whose backends hang, accept connections late and reset them, all at the same time: each session
+//! gets its final answer by its deadline.
 use crate::backend::{bind_small_backlog, fill_backlog, Backend, Behaviour};
 use crate::common::{listener_settings, unique_id, wait_until, Client, RelayConfig, SessionError};
 use crate::scripted_discovery::{endpoint, full_list};
@@ -10,18 +10,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A session's deadline. The kernel retries a dropped SYN after 1 s, so a late connection still fits in.
+/// Deadline of a session. The kernel retries a dropped SYN after 1 s, so a late connect can still succeed
+/// before it.
 const CLIENT_DEADLINE: Duration = Duration::from_millis(1_900);
-/// An answer later than this after the deadline counts as missing.
+/// An answer that arrives later than this after the deadline counts as missing.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(500);
 const CLIENTS: u32 = 300;
-/// Time between the starts of two clients.
+/// Delay between the starts of consecutive clients.
 const CLIENT_INTERVAL: Duration = Duration::from_millis(10);
-/// How often the slow backend accepts one connection: others are established late, or not at all.
+/// Interval at which the slow backend accepts one connection. Others are established late or not at all.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(150);
 const LISTENERS: [&str; 3] = ["low", "once", "referenced"];
 
-/// The reply to a session, and the time from its first line to that reply.
+/// Reply to a session, and the time from its first line to the reply.
 struct Outcome {
     reply: Result<String, SessionError>,
     after: Duration,
@@ -29,7 +30,7 @@
 
 fn open_session(listen_address: SocketAddr, name: &str) -> Outcome {
     let id = unique_id();
-    let mut client = Client::connect(listen_address).expect("it listens");
+    let mut client = Client::connect(listen_address).expect("connect to the relay");
     let sent = Instant::now();
     client.send_line(&format!("OPEN {id:016x} {id:016x} c={name},d={}", CLIENT_DEADLINE.as_millis()));
     let received = client.receive();
@@ -49,17 +50,17 @@
         listener_settings("referenced", 5.0, "dedup")
     ]);
     settings["FamilyInfo"]["MessageAim"] = json!([60, 60, 60]);
-    for listener in settings["Listeners"].as_array_mut().expect("listeners") {
+    for listener in settings["Listeners"].as_array_mut().expect("Listeners is an array") {
         listener["DialTimeout"] = json!(CLIENT_DEADLINE.as_millis() as u64);
         listener["Window"] = json!(1_500);
     }
-    // Connects may take nearly as long as clients wait.
+    // A connect may take nearly as long as a client waits.
     settings["Ceilings"]["ConnectTimeout"] = json!(1_800);
     settings["Rules"]["DrainGrace"] = json!(3_000);
     config
 }
 
-/// A backend with a full backlog, which accepts one connection from time to time and never answers.
+/// A backend with a full backlog, which accepts one connection per `ACCEPT_INTERVAL` and never answers.
 struct SlowAcceptBackend {
     address: SocketAddr,
     stopped: Arc<AtomicBool>,
@@ -69,7 +70,7 @@
 impl SlowAcceptBackend {
     fn start() -> SlowAcceptBackend {
         let listener = bind_small_backlog();
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("read the local address");
         let filling = fill_backlog(address);
         let (stopped, accepted) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
         let (stop_requested, count) = (stopped.clone(), accepted.clone());
@@ -78,7 +79,7 @@
             while !stop_requested.load(Ordering::SeqCst) {
                 std::thread::sleep(ACCEPT_INTERVAL);
                 streams.extend(listener.accept().map(|(stream, _)| stream));
-                // The connections that filled the backlog are not dials of the relay.
+                // The connections that fill the backlog are not dials of the relay.
                 count.store(streams.len().saturating_sub(filling.len()), Ordering::SeqCst);
             }
         });
@@ -92,7 +93,7 @@
     }
 }
 
-fn every_session_is_answered(name: &str, one_serves: bool) {
+fn check_every_session_is_answered(name: &str, one_serves: bool) {
     let (hanging, resetting) = (Backend::start(Behaviour::Hang), Backend::start(Behaviour::Reset));
     let (slow, serving) = (SlowAcceptBackend::start(), Backend::start(Behaviour::Serve));
     let mut addresses = vec![hanging.address, resetting.address, slow.address];
@@ -107,7 +108,8 @@
             std::thread::spawn(move || open_session(listen_address, LISTENERS[i as usize % LISTENERS.len()]))
         })
         .collect();
-    let outcomes: Vec<Outcome> = clients.into_iter().map(|client| client.join().expect("it ends")).collect();
+    let outcomes: Vec<Outcome> =
+        clients.into_iter().map(|client| client.join().expect("join the client's thread")).collect();
     let (mut replies, mut unanswered, mut slowest) = (BTreeMap::new(), Vec::new(), Duration::ZERO);
     for Outcome { reply, after } in outcomes {
         slowest = slowest.max(after);
@@ -120,27 +122,33 @@
     }
     let dialled =
         [hanging.first_lines().len(), resetting.first_lines().len(), slow.accepted.load(Ordering::SeqCst)];
-    println!("{name}: {replies:?}, the latest after {slowest:?}; {} without an answer", unanswered.len());
-    println!("{name}: dials that hung, were reset, came up late: {dialled:?}");
-    assert!(unanswered.is_empty(), "of {CLIENTS}: {unanswered:?}");
+    println!(
+        "{name}: replies {replies:?}, the slowest after {slowest:?}; {} sessions without an answer",
+        unanswered.len()
+    );
+    println!("{name}: dials that hung, that were reset, that were accepted late: {dialled:?}");
+    assert!(unanswered.is_empty(), "of {CLIENTS} sessions unanswered or late: {unanswered:?}");
     assert!(replies.keys().all(|reply| ["UP r1", "BUSY", "FAIL"].contains(&reply.as_str())), "{replies:?}");
     assert_eq!(replies.contains_key("UP r1"), one_serves, "{replies:?}");
-    assert!(dialled.iter().all(|count| *count > 0), "each of them was dialled, or this tests nothing");
-    // By the relay's own metrics each accepted session has exactly one outcome.
+    assert!(
+        dialled.iter().all(|count| *count > 0),
+        "each faulty backend must be dialled at least once: {dialled:?}"
+    );
+    // According to the relay's metrics, each accepted session has exactly one outcome.
     let count = |outcome: &str| -> u64 {
         LISTENERS.iter().filter_map(|name| relay.metric(&format!("{outcome}.{name}"))).sum()
     };
-    wait_until("none waits", || {
+    wait_until("each session has an outcome", || {
         ["passed", "dropped", "bad_gateway"].map(count).iter().sum::<u64>() == u64::from(CLIENTS)
     });
 }
 
 #[test]
-fn every_session_is_answered_in_time_beside_backends_that_hang_accept_late_or_reset() {
-    every_session_is_answered("beside", true);
+fn sessions_beside_faulty_backends_are_answered_in_time() {
+    check_every_session_is_answered("beside", true);
 }
 
 #[test]
-fn every_session_is_answered_in_time_where_all_backends_hang_accept_late_or_reset() {
-    every_session_is_answered("alone", false);
+fn sessions_with_only_faulty_backends_are_answered_in_time() {
+    check_every_session_is_answered("alone", false);
 }
--- a/relay/tests/short_days/backend.rs
+++ b/relay/tests/short_days/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that record the first line of each connection, and treat its session as the test sets.
+//! Backends that record the first line of each connection and handle its session as the test specifies.
 use crate::common::{bind_listener, free_address};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
@@ -6,18 +6,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a backend does with a new session.
+/// How a backend handles a new session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
     /// Accepts the session and echoes its lines.
     Serve,
-    /// Reads without ever replying.
+    /// Reads and never replies.
     Hang,
-    /// Resets the connection once its first line is received.
+    /// Resets the connection when its first line has been received.
     Reset,
 }
 
-/// A backend with a recorded list of first lines.
+/// A backend with the list of first lines that it received.
 pub struct Backend {
     pub address: SocketAddr,
     first_lines: Arc<Mutex<Vec<String>>>,
@@ -30,9 +30,9 @@
         Backend::start_on(bind_listener(), behaviour)
     }
 
-    /// Starts a backend that accepts from the given listening socket.
+    /// Starts a backend that accepts connections from the given listening socket.
     pub fn start_on(listener: TcpListener, behaviour: Behaviour) -> Backend {
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("read the local address");
         let first_lines = Arc::<Mutex<Vec<String>>>::default();
         let behaviour = Arc::new(Mutex::new(behaviour));
         let (received, current) = (first_lines.clone(), behaviour.clone());
@@ -45,17 +45,17 @@
         Backend { address, first_lines, behaviour }
     }
 
-    /// Applies to connections whose first line is received from now on.
+    /// Sets the behaviour for connections whose first line is received from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
-        *self.behaviour.lock().expect("nobody panics with it") = behaviour;
+        *self.behaviour.lock().expect("the mutex is not poisoned") = behaviour;
     }
 
-    /// All first lines received, in order.
+    /// All first lines received, in order of arrival.
     pub fn first_lines(&self) -> Vec<String> {
-        self.first_lines.lock().expect("nobody panics with it").clone()
+        self.first_lines.lock().expect("the mutex is not poisoned").clone()
     }
 
-    /// How often the first line of the session with this identifier was received.
+    /// Number of times that the first line of the session with this identifier was received.
     pub fn attempts_of(&self, id: u64) -> usize {
         let start = format!("OPEN {id:016x} ");
         self.first_lines().iter().filter(|line| line.starts_with(&start)).count()
@@ -63,13 +63,13 @@
 }
 
 fn serve(mut stream: TcpStream, first_lines: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone the stream handle"));
     let mut line = String::new();
     if !matches!(reader.read_line(&mut line), Ok(1..)) {
         return;
     }
-    first_lines.lock().expect("nobody panics with it").push(line.clone());
-    let current = *behaviour.lock().expect("nobody panics with it");
+    first_lines.lock().expect("the mutex is not poisoned").push(line.clone());
+    let current = *behaviour.lock().expect("the mutex is not poisoned");
     let mut answer = match current {
         Behaviour::Serve => "UP r1\r\n".to_string(),
         Behaviour::Hang => String::new(),
@@ -87,11 +87,12 @@
     }
 }
 
-/// A listening socket with a minimal backlog, so that connects stay pending until the test accepts some.
+/// Binds a listening socket with a minimal backlog, so that connects stay pending until the test
+/// accepts some.
 pub fn bind_small_backlog() -> TcpListener {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&free_address().into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a TCP socket");
+    socket.bind(&free_address().into()).expect("bind a free address");
+    socket.listen(0).expect("listen with a minimal backlog");
     socket.into()
 }
 
--- a/relay/tests/short_days/killed.rs
+++ b/relay/tests/short_days/killed.rs
@@ -1,5 +1,5 @@
-//! A relay is killed right after it accepted a connection, and restarted: it dials for no session of the
-//! previous process, and serves new ones.
+//! A relay is killed right after it accepted a connection and is restarted: the new process does not dial for
+//! any session of the previous process, and serves new sessions.
 use crate::backend::{Backend, Behaviour};
 use crate::common::{unique_id, wait_until, Client, RelayConfig, RelayProcess, SessionError};
 use crate::scripted_discovery::{endpoint, full_list};
@@ -10,17 +10,17 @@
 /// How far a connection had progressed when the relay was killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConnectionStage {
-    /// It is accepted, and half of its first line is read.
+    /// The relay has accepted it and read half of its first line.
     PartialLine,
-    /// Its first line was received by a backend that has not answered.
+    /// A backend has received its first line and has not answered.
     Dialled,
     /// Its session is established.
     Open,
 }
 
 fn kill(mut relay: RelayProcess) {
-    relay.child.kill().expect("it lives");
-    relay.child.wait().expect("it ends");
+    relay.child.kill().expect("kill the relay process");
+    relay.child.wait().expect("wait for the relay process");
 }
 
 fn kill_and_restart(stage: ConnectionStage, with_store: bool) {
@@ -35,15 +35,15 @@
     relay.wait_until_ready();
     let id = unique_id();
     let line = format!("OPEN {id:016x} {id:016x} c=once,d=1900");
-    let mut client = Client::connect(config.listen_address).expect("it listens");
+    let mut client = Client::connect(config.listen_address).expect("connect to the relay");
     match stage {
         ConnectionStage::PartialLine => {
             client.send_partial(&line[..line.len() / 2]);
-            wait_until("the half line is read", || all_bytes_read_by(config.listen_address));
+            wait_until("the relay has read the partial line", || all_bytes_read_by(config.listen_address));
         }
         ConnectionStage::Dialled => {
             client.send_line(&line);
-            wait_until("its line is at the backend", || backend.attempts_of(id) == 1);
+            wait_until("the backend has received the first line", || backend.attempts_of(id) == 1);
         }
         ConnectionStage::Open => {
             client.send_line(&line);
@@ -56,32 +56,36 @@
     backend.set_behaviour(Behaviour::Serve);
     let relay = config.start();
     relay.wait_until_ready();
-    let mut next = Client::open(config.listen_address, "once").expect("it serves");
+    let mut next = Client::open(config.listen_address, "once").expect("open a session");
     assert!(next.echoes());
-    // Any dial of its own accord would have been made by now.
+    // Wait until the new process would have made a dial that no client requested.
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(backend.attempts_of(id), attempts, "a line of the life before is dialled again");
+    assert_eq!(
+        backend.attempts_of(id),
+        attempts,
+        "the new process dialled for a session of the killed process"
+    );
     assert_eq!(backend.first_lines().len(), attempts + 1, "{:?}", backend.first_lines());
-    // The same session can be requested again.
-    let mut again = Client::connect(config.listen_address).expect("it listens");
+    // A client can request the same session again.
+    let mut again = Client::connect(config.listen_address).expect("connect to the relay");
     again.send_line(&line);
     assert_eq!(again.receive(), Ok("UP r1".to_string()));
     assert_eq!(backend.attempts_of(id), attempts + 1);
 }
 
 #[test]
-fn a_session_with_half_a_first_line_before_a_kill_is_not_dialled() {
+fn partial_first_line_before_kill_is_not_dialled() {
     [false, true]
         .into_iter()
         .for_each(|with_store| kill_and_restart(ConnectionStage::PartialLine, with_store));
 }
 
 #[test]
-fn a_session_dialled_before_a_kill_is_not_dialled_again() {
+fn session_dialled_before_kill_is_not_dialled_again() {
     [false, true].into_iter().for_each(|with_store| kill_and_restart(ConnectionStage::Dialled, with_store));
 }
 
 #[test]
-fn a_session_open_before_a_kill_is_not_dialled_again() {
+fn session_open_before_kill_is_not_dialled_again() {
     [false, true].into_iter().for_each(|with_store| kill_and_restart(ConnectionStage::Open, with_store));
 }
--- a/relay/tests/short_days/main.rs
+++ b/relay/tests/short_days/main.rs
@@ -1,5 +1,5 @@
-//! Races that are forced on a relay process with real connections: the test plays the clients, the backends
-//! and the discovery service, and controls the order of events.
+//! Race conditions that are forced in a relay process with real connections: the tests act as the clients,
+//! the backends and the discovery service, and control the order of events.
 #[path = "../common/mod.rs"]
 mod common;
 
--- a/relay/tests/short_days/reload.rs
+++ b/relay/tests/short_days/reload.rs
@@ -1,5 +1,5 @@
-//! A reload (SIGHUP) to a new discovery address with a drain right after it: whichever service announces the
-//! drain, no new session goes to the draining backend once the grace period is over.
+//! A reload (SIGHUP) to a new discovery address is followed immediately by a drain: no matter which service
+//! announces the drain, the draining backend gets no new session after the grace period.
 use crate::backend::{bind_small_backlog, fill_backlog, Backend, Behaviour};
 use crate::common::{load::Load, wait_until, wait_until_within, Client, RelayConfig, RelayProcess};
 use crate::scripted_discovery::{
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The drain's grace period: long enough for a busy machine to apply the list within it.
+/// Grace period of the drain, long enough for the relay to apply the list within it on a busy machine.
 const GRACE: Duration = Duration::from_millis(2_000);
 const SESSIONS_AFTER_GRACE: usize = 40;
 
-/// A relay that watches one discovery service, and is about to be reloaded to use another one.
+/// A relay that watches one discovery service and is to be reloaded to use another one.
 struct ReloadScenario {
     config: RelayConfig,
     relay: RelayProcess,
@@ -25,7 +25,7 @@
 }
 
 fn start_scenario(name: &str, known: &[Value], grace: Duration) -> ReloadScenario {
-    // Long, so that only the grace period bounds a connect.
+    // Exceeds the grace period, so that only the latter limits a connect.
     const CONNECT_TIMEOUT_MS: u64 = 4_000;
     let (old_service, new_service) = (ScriptedDiscovery::start(), ScriptedDiscovery::start());
     let mut config = RelayConfig::new(&format!("short-{name}"));
@@ -36,22 +36,23 @@
     let relay = config.start();
     let mut old_watch = old_service.next_request();
     assert_eq!(old_watch.kind, RequestKind::ChangesSince(1));
-    old_watch.begin_answer();
+    old_watch.begin_response();
     old_watch.send_empty_line();
     relay.wait_until_ready();
     ReloadScenario { config, relay, old_service, old_watch, new_service }
 }
 
 impl ReloadScenario {
-    /// Stops the process with SIGHUP pending, so that all events before `resume` are seen together with it.
+    /// Stops the process with SIGHUP pending, so that the process receives all events before `resume`
+    /// together with the signal.
     fn pause_with_reload_pending(&self) {
         let mut json = self.config.json.clone();
         json["discovery"] = json!(self.new_service.address().to_string());
-        std::fs::write(&self.relay.config_path, json.to_string()).expect("a configuration");
+        std::fs::write(&self.relay.config_path, json.to_string()).expect("write the configuration file");
         self.relay.signal("STOP");
         let stat = format!("/proc/{}/stat", self.relay.child.id());
-        wait_until("it stands still", || {
-            let stat = std::fs::read_to_string(&stat).expect("it is there");
+        wait_until("the process is stopped", || {
+            let stat = std::fs::read_to_string(&stat).expect("read the process state");
             stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
         });
         self.relay.signal("HUP");
@@ -61,17 +62,17 @@
         self.relay.signal("CONT");
     }
 
-    /// The drain is published together with an additional backend: the number of known backends shows that it
-    /// was applied.
+    /// Waits until the drain is applied. It is published together with an additional backend, so the number
+    /// of known backends shows this.
     fn wait_until_applied(&self, notified_at: Instant, backends: u64) {
         let grace = GRACE.saturating_sub(notified_at.elapsed());
-        wait_until_within(grace, "the drain is taken in", || {
+        wait_until_within(grace, "the relay has applied the drain", || {
             self.relay.metric("known_backends") == Some(backends)
         });
     }
 }
 
-/// Three backends: the one that is to drain, one that stays, and one that joins with the drain.
+/// Three backends: one that is to drain, one that stays, and one that is added together with the drain.
 struct Backends([Backend; 3]);
 
 impl Backends {
@@ -92,10 +93,10 @@
     }
 }
 
-/// Which service announces the drain, and how.
+/// Service that announces the drain, and how it does.
 #[derive(Clone, Copy, PartialEq)]
 enum DrainSource {
-    /// The old service, while the new one is silent.
+    /// The old service, while the new one does not answer.
     OldService,
     /// The new service, in its initial list.
     NewServiceInitialList,
@@ -107,18 +108,18 @@
     let backends = Backends::start();
     let mut scenario = start_scenario(name, &backends.before(), GRACE);
     let load = Load::start(vec![scenario.config.listen_address]);
-    wait_until("the backend that is to drain is used", || !backends.0[0].first_lines().is_empty());
+    wait_until("the backend that is to drain has a session", || !backends.0[0].first_lines().is_empty());
     scenario.pause_with_reload_pending();
     if source == DrainSource::OldService {
         scenario.old_watch.send_list(&list_changes(2, &backends.drained()));
     }
     let mut notified_at = Instant::now();
     scenario.resume();
-    // Requests to the new service, kept open until the end.
+    // Requests to the new service, kept open until the end of the test.
     let mut requests = vec![scenario.new_service.next_request()];
-    assert_eq!(requests[0].kind, RequestKind::WholeList);
+    assert_eq!(requests[0].kind, RequestKind::FullList);
     if source != DrainSource::OldService {
-        requests[0].begin_answer();
+        requests[0].begin_response();
         let drained_initially = source == DrainSource::NewServiceInitialList;
         notified_at = Instant::now();
         match drained_initially {
@@ -128,7 +129,7 @@
         requests.remove(0);
         let mut watch = scenario.new_service.next_request();
         assert_eq!(watch.kind, RequestKind::ChangesSince(7));
-        watch.begin_answer();
+        watch.begin_response();
         if drained_initially {
             watch.send_empty_line();
         } else {
@@ -144,66 +145,73 @@
     let before_both = before_staying + joining.first_lines().len();
     let opened = load.opened.load(std::sync::atomic::Ordering::SeqCst);
     for _ in 0..SESSIONS_AFTER_GRACE {
-        assert!(Client::open(scenario.config.listen_address, "low").is_ok(), "it serves all the while");
+        assert!(
+            Client::open(scenario.config.listen_address, "low").is_ok(),
+            "the relay must serve throughout"
+        );
     }
     let accepted = staying.first_lines().len() + joining.first_lines().len() - before_both;
-    assert!(accepted >= SESSIONS_AFTER_GRACE, "the others take them all: {accepted}");
-    // How the sessions are divided between the two is up to placement, which may long prefer the new one.
-    wait_until("the one that stays takes sessions, too", || {
-        assert!(Client::open(scenario.config.listen_address, "low").is_ok(), "it serves all the while");
+    assert!(accepted >= SESSIONS_AFTER_GRACE, "the other backends must get all sessions: {accepted}");
+    // Placement divides the sessions between the two backends and may prefer the new one for a long time.
+    wait_until("the staying backend gets a session, too", || {
+        assert!(
+            Client::open(scenario.config.listen_address, "low").is_ok(),
+            "the relay must serve throughout"
+        );
         staying.first_lines().len() > before_staying
     });
     drop(load);
     assert_eq!(
         draining.first_lines().len(),
         before_draining,
-        "new sessions after the grace; {opened} opened before"
+        "the draining backend got sessions after the grace period; {opened} opened before"
     );
     drop(requests);
     drop(scenario.old_service);
 }
 
 #[test]
-fn a_drain_from_the_old_service_after_a_reload_holds() {
+fn drain_from_old_service_after_reload_is_kept() {
     check_drain_right_after_reload("old", DrainSource::OldService);
 }
 
 #[test]
-fn a_drain_in_the_new_places_whole_list_holds() {
-    check_drain_right_after_reload("new-whole", DrainSource::NewServiceInitialList);
+fn drain_in_new_services_initial_list_is_kept() {
+    check_drain_right_after_reload("new-full", DrainSource::NewServiceInitialList);
 }
 
 #[test]
-fn a_drain_as_the_new_services_first_change_holds() {
+fn drain_as_new_services_first_change_is_kept() {
     check_drain_right_after_reload("new-change", DrainSource::NewServiceFirstChange);
 }
 
-/// By when a connect to a full backlog may still succeed: the kernel retries the SYN after 1 s and 3 s.
+/// Time within which a connect to a full backlog may still succeed: the kernel retries the SYN after 1 s and
+/// 3 s.
 const CONNECT_RETRY_TIME: Duration = Duration::from_millis(3_300);
 
-/// A connect that is pending when the drain is announced, and succeeds only after the grace period, carries
-/// no first line.
+/// A connect that is pending when the drain is announced and succeeds only after the grace period must not
+/// carry a first line.
 #[test]
-fn a_connect_pending_when_a_drain_is_announced_carries_no_session_after_the_grace() {
+fn connect_pending_at_drain_carries_no_session_after_grace() {
     const SHORT_GRACE: Duration = Duration::from_millis(500);
-    let (draining, sound) = (bind_small_backlog(), Backend::start(Behaviour::Serve));
-    let address: SocketAddr = draining.local_addr().expect("its address");
+    let (draining, healthy) = (bind_small_backlog(), Backend::start(Behaviour::Serve));
+    let address: SocketAddr = draining.local_addr().expect("read the local address");
     let filling = fill_backlog(address);
     let mut scenario = start_scenario("connect", &[endpoint("s-0", address, "up")], SHORT_GRACE);
     scenario.pause_with_reload_pending();
     scenario.resume();
     let full_list_request = scenario.new_service.next_request();
-    let mut client = Client::connect(scenario.config.listen_address).expect("it listens");
-    // Its dial may take all of the remaining time, whatever the handshake target.
+    let mut client = Client::connect(scenario.config.listen_address).expect("connect to the relay");
+    // The dial may take all of the remaining time, independent of the handshake target.
     client.send_line("OPEN 00000000000000a1 00000000000000a1 c=once,d=1900");
-    wait_until("its dial's connect is out", || has_pending_connect_to(address));
+    wait_until("the dial's connect is pending", || has_pending_connect_to(address));
     let notified_at = Instant::now();
-    let drained = [endpoint("s-0", address, "draining"), endpoint("s-1", sound.address, "up")];
+    let drained = [endpoint("s-0", address, "draining"), endpoint("s-1", healthy.address, "up")];
     scenario.old_watch.send_list(&list_changes(2, &drained));
     scenario.wait_until_applied(notified_at, 2);
     std::thread::sleep(SHORT_GRACE.saturating_sub(notified_at.elapsed()));
-    // Empty the backlog.
-    draining.set_nonblocking(true).expect("an option");
+    // Empty the backlog so that pending connects succeed.
+    draining.set_nonblocking(true).expect("set the blocking mode");
     let mut late = Vec::new();
     while notified_at.elapsed() < SHORT_GRACE + CONNECT_RETRY_TIME {
         late.extend(draining.accept().map(|(stream, _)| stream));
@@ -211,13 +219,13 @@
     }
     drop(filling);
     for stream in late {
-        stream.set_nonblocking(false).expect("an option");
-        stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a timeout");
+        stream.set_nonblocking(false).expect("set the blocking mode");
+        stream.set_read_timeout(Some(Duration::from_millis(50))).expect("set the read timeout");
         let mut line = String::new();
         _ = BufReader::new(stream).read_line(&mut line);
-        assert_eq!(line, "", "a session after the grace");
+        assert_eq!(line, "", "the draining backend got a first line after the grace period");
     }
-    assert_eq!(client.receive(), Ok("UP r1".to_string()), "the other backend has it");
-    assert_eq!(sound.attempts_of(0xa1), 1);
+    assert_eq!(client.receive(), Ok("UP r1".to_string()), "the other backend must accept the session");
+    assert_eq!(healthy.attempts_of(0xa1), 1);
     drop(full_list_request);
 }
--- a/relay/tests/short_days/scripted_discovery.rs
+++ b/relay/tests/short_days/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service whose requests the test answers itself, one by one.
+//! A discovery service whose requests are answered by the test, one by one.
 use crate::common::{bind_listener, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -7,16 +7,16 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The listening socket of the service; nothing is accepted until the test asks for a request.
+/// The service. It accepts no connection until the test takes the next request.
 pub struct ScriptedDiscovery {
     listener: TcpListener,
 }
 
-/// What a request asks for.
+/// Whether a request is for the full list or for changes.
 #[derive(Debug, PartialEq)]
 pub enum RequestKind {
-    WholeList,
-    /// A watch: all changes after a generation.
+    FullList,
+    /// A watch, which gets all changes after a generation.
     ChangesSince(u64),
 }
 
@@ -29,20 +29,20 @@
 impl ScriptedDiscovery {
     pub fn start() -> ScriptedDiscovery {
         let listener = bind_listener();
-        listener.set_nonblocking(true).expect("an option");
+        listener.set_nonblocking(true).expect("set the blocking mode");
         ScriptedDiscovery { listener }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("its address")
+        self.listener.local_addr().expect("read the local address")
     }
 
-    /// The next request, which must arrive within `WAIT_TIMEOUT`.
+    /// Returns the next request, which must arrive within `WAIT_TIMEOUT`.
     pub fn next_request(&self) -> ListRequest {
-        self.request_within(WAIT_TIMEOUT).expect("waited in vain: a call for the list")
+        self.request_within(WAIT_TIMEOUT).expect("the relay requests the endpoint list within WAIT_TIMEOUT")
     }
 
-    /// The next request; none where there is none in time.
+    /// Returns the next request; none if no request arrives within `time`.
     pub fn request_within(&self, time: Duration) -> Option<ListRequest> {
         let started = Instant::now();
         loop {
@@ -59,32 +59,32 @@
 
 impl ListRequest {
     fn read(mut stream: TcpStream) -> ListRequest {
-        stream.set_nonblocking(false).expect("an option");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
-        stream.set_nodelay(true).expect("an option");
+        stream.set_nonblocking(false).expect("set the blocking mode");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set the read timeout");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
         let mut head = Vec::new();
         let mut byte = [0; 1];
         while !head.ends_with(b"\r\n\r\n") {
-            stream.read_exact(&mut byte).expect("a whole head");
+            stream.read_exact(&mut byte).expect("read a complete request head");
             head.push(byte[0]);
         }
-        let head = String::from_utf8(head).expect("text");
-        let path = head.split(' ').nth(1).expect("a path");
+        let head = String::from_utf8(head).expect("the request head is UTF-8");
+        let path = head.split(' ').nth(1).expect("the request line has a path");
         let since = path.split_once("since=").map(|(_, tail)| tail.split('&').next().unwrap_or(tail));
         let kind = match since {
-            None => RequestKind::WholeList,
-            Some(version) => RequestKind::ChangesSince(version.parse().expect("a version")),
+            None => RequestKind::FullList,
+            Some(version) => RequestKind::ChangesSince(version.parse().expect("`since` is a generation")),
         };
         ListRequest { stream, kind }
     }
 
-    /// Sends the head of a response whose body ends with the connection.
-    pub fn begin_answer(&mut self) {
+    /// Sends the head of a response whose body ends when the connection is closed.
+    pub fn begin_response(&mut self) {
         self.send("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n");
     }
 
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it goes");
+        self.stream.write_all(text.as_bytes()).expect("send to the relay");
     }
 
     /// Sends the keep-alive of an idle watch.
@@ -103,12 +103,12 @@
     json!({"instanceId": id, "hostPort": address.to_string(), "lifecycle": lifecycle})
 }
 
-/// Changes of some entries, as a watch event.
+/// A watch event with changed entries.
 pub fn list_changes(generation: u64, entries: &[Value]) -> Value {
     json!({"generation": generation, "reset": false, "instances": entries})
 }
 
-/// A complete list, which replaces all that was known.
+/// A full list, which replaces all known entries.
 pub fn full_list(generation: u64, entries: &[Value]) -> Value {
     json!({"generation": generation, "reset": true, "instances": entries})
 }
--- a/relay/tests/short_days/sockets.rs
+++ b/relay/tests/short_days/sockets.rs
@@ -1,8 +1,8 @@
-//! The kernel's table of TCP sockets (`/proc/net/tcp`): whether a relay has read all that was sent to it, and
-//! which of its connects are still pending.
+//! Reads the kernel's table of TCP sockets (`/proc/net/tcp`), which shows whether a relay has read all bytes
+//! sent to it and which of its connects are pending.
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// The state of a pending connect in the table.
+/// State of a pending connect in the table.
 const SYN_SENT: u8 = 2;
 
 /// One socket of the table.
@@ -10,9 +10,9 @@
     local: SocketAddr,
     remote: SocketAddr,
     state: u8,
-    /// Bytes sent that the peer has not acknowledged.
+    /// Number of bytes sent that the peer has not acknowledged.
     unacknowledged: u64,
-    /// Bytes received but not read; of a listening socket, connections not yet accepted.
+    /// Number of bytes received but not read; for a listening socket, of connections not yet accepted.
     unread: u64,
 }
 
@@ -32,18 +32,20 @@
 }
 
 fn rows() -> Vec<Row> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp");
     table.lines().skip(1).filter_map(row).collect()
 }
 
-/// Whether a listening process has read all bytes that were sent to it and accepted all connections.
-pub fn all_bytes_read_by(program: SocketAddr) -> bool {
+/// Returns whether the process that listens at this address has accepted all connections and read all bytes
+/// sent to them.
+pub fn all_bytes_read_by(listen_address: SocketAddr) -> bool {
     rows().iter().all(|row| {
-        (row.remote != program || row.unacknowledged == 0) && (row.local != program || row.unread == 0)
+        (row.remote != listen_address || row.unacknowledged == 0)
+            && (row.local != listen_address || row.unread == 0)
     })
 }
 
-/// Whether a connect to this address is pending on this machine.
+/// Returns whether a connect to this address is pending on this machine.
 pub fn has_pending_connect_to(remote: SocketAddr) -> bool {
     rows().iter().any(|row| row.remote == remote && row.state == SYN_SENT)
 }
--- a/relay/tests/cuts.rs
+++ b/relay/tests/split_lines.rs
@@ -1,5 +1,5 @@
-//! Streams of lines that are split at any byte: the lines read are the lines sent, also where a second
-//! process continues from what the first one had read.
+//! Streams of lines that are split at any byte: the lines read are the lines sent, even if a second process
+//! continues after the bytes that the first one has read.
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_relay::buffer::Buffer;
 use hallrelay_relay::lines::{self, FirstLine};
@@ -10,11 +10,11 @@
     M 1\rnot an end\nneither\r\n\r\nBYE busy_reqs=7,x0=0.61\r\nhalf";
 
 async fn connected_pair() -> (std::net::TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let writer =
-        std::net::TcpStream::connect(listener.local_addr().expect("its address")).expect("it listens");
-    writer.set_nodelay(true).expect("an option");
-    (writer, listener.accept().await.expect("it came").0)
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+    let writer = std::net::TcpStream::connect(listener.local_addr().expect("read the local address"))
+        .expect("connect to the listening socket");
+    writer.set_nodelay(true).expect("set TCP_NODELAY");
+    (writer, listener.accept().await.expect("accept the connection").0)
 }
 
 fn expected_lines() -> Vec<Vec<u8>> {
@@ -30,20 +30,20 @@
 async fn fill(buffer: &mut Buffer, stream: &TcpStream, count: usize) {
     let mut filled = 0;
     while filled < count {
-        filled += buffer.fill(stream).await.expect("bytes");
+        filled += buffer.fill(stream).await.expect("read from the stream");
     }
 }
 
 #[tokio::test]
-async fn every_split_gives_the_same_lines() {
+async fn stream_split_at_any_byte_gives_same_lines() {
     for cut in 1..TEXT.len() {
         let (mut writer, stream) = connected_pair().await;
         let (mut buffer, mut received, mut fresh) = (Buffer::new(8, 8192), Vec::new(), Vec::new());
         for part in [&TEXT[..cut], &TEXT[cut..]] {
-            writer.write_all(part).expect("it goes");
+            writer.write_all(part).expect("write to the stream");
             let mut remaining = part.len();
             while remaining > 0 {
-                remaining -= buffer.fill(&stream).await.expect("bytes");
+                remaining -= buffer.fill(&stream).await.expect("read from the stream");
                 fresh.extend_from_slice(buffer.fresh());
             }
             take_all(&mut buffer, &mut received);
@@ -60,14 +60,14 @@
 }
 
 #[tokio::test]
-async fn another_process_continues_at_any_byte() {
+async fn second_process_continues_at_any_byte() {
     for cut in 0..TEXT.len() {
         let (mut writer, stream) = connected_pair().await;
         let (mut first, mut received) = (Buffer::new(8, 8192), Vec::new());
-        writer.write_all(&TEXT[..cut]).expect("it goes");
+        writer.write_all(&TEXT[..cut]).expect("write to the stream");
         fill(&mut first, &stream, cut).await;
         let mut second = Buffer::holding(first.rest(), 8, 8192);
-        writer.write_all(&TEXT[cut..]).expect("it goes");
+        writer.write_all(&TEXT[cut..]).expect("write to the stream");
         fill(&mut second, &stream, TEXT.len() - cut).await;
         take_all(&mut second, &mut received);
         assert_eq!(received, expected_lines(), "cut at {cut}");
@@ -75,16 +75,16 @@
     }
 }
 
-/// A part of a line is never parsed as a session request, an end or a load report.
+/// A part of a line must never be parsed as a session request, a session end or a load report.
 #[test]
-fn a_part_of_a_line_is_never_parsed_as_another_one() {
+fn partial_line_is_never_parsed_as_another_line() {
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000";
     assert!(matches!(lines::parse_first_line(line), Some(FirstLine::Open(_))));
     let order = ReportOrder { load: Some(1), queue_delay: None, sessions: Some(0), by_cores: false };
     for cut in 0..line.len() {
-        let whole: Vec<_> = lines::complete_lines(&line[..cut]).collect();
-        assert!(whole.is_empty(), "cut at {cut}: {whole:?}");
-        // The rest after the cut does not parse as a first line.
+        let complete: Vec<_> = lines::complete_lines(&line[..cut]).collect();
+        assert!(complete.is_empty(), "cut at {cut}: {complete:?}");
+        // The rest after the cut must not parse as a first line.
         assert!(cut == 0 || lines::parse_first_line(&line[cut..]).is_none(), "cut at {cut}");
         _ = lines::parse_backend_reply(&line[..cut], order);
     }
--- a/relay/tests/stops.rs
+++ b/relay/tests/stalls_and_signals.rs
@@ -1,6 +1,6 @@
-//! Races that are forced on a relay process: it is stopped by SIGSTOP while bytes, closed connections and
-//! signals queue up, and resumes with all of them ready at once. And signals in its first milliseconds, which
-//! are prolonged by a named pipe in place of its configuration.
+//! Race conditions that are forced in a relay process. It is stopped by SIGSTOP while bytes, closed
+//! connections and signals queue up, and resumes with all of them ready at the same time. Further tests send
+//! signals in its first milliseconds, which a named pipe in place of its configuration prolongs.
 mod common;
 
 use common::{bind_listener, wait_until, Client, CountingBackend, RelayConfig, RelayProcess, SessionError};
@@ -10,17 +10,17 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// A supervisor kills the process no sooner than this long after SIGTERM plus the longest dial timeout (at
-/// most 3 s).
+/// Margin of a supervisor before it kills the process: it waits at least this time after SIGTERM, in addition
+/// to the longest dial timeout (at most 3 s).
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Starts a relay with one backend that the test plays; `dial_timeout` is in ms.
+/// Starts a relay whose only backend is played by the test; `dial_timeout` is in ms.
 fn start_with_backend(name: &str, backend: &TcpListener, dial_timeout: u64) -> (RelayConfig, RelayProcess) {
     let mut config = RelayConfig::new(name);
-    let address = backend.local_addr().expect("its address").to_string();
+    let address = backend.local_addr().expect("read the local address").to_string();
     config.json["known"]["instances"] =
         json!([{"instanceId": "s-0", "hostPort": address, "lifecycle": "up"}]);
-    for listener in config.json["settings"]["Listeners"].as_array_mut().expect("listeners") {
+    for listener in config.json["settings"]["Listeners"].as_array_mut().expect("Listeners is an array") {
         listener["DialTimeout"] = json!(dial_timeout);
     }
     let relay = config.start();
@@ -28,43 +28,43 @@
     (config, relay)
 }
 
-/// Stops the process with SIGSTOP, and waits until it is stopped.
+/// Stops the process with SIGSTOP and waits until it is stopped.
 fn pause(relay: &RelayProcess) {
     relay.signal("STOP");
     let stat = format!("/proc/{}/stat", relay.child.id());
-    wait_until("it stands still", || {
-        let stat = std::fs::read_to_string(&stat).expect("it is there");
+    wait_until("the process is stopped", || {
+        let stat = std::fs::read_to_string(&stat).expect("read the process state");
         stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
     });
 }
 
-/// The first line of a session with a deadline in ms.
+/// Returns the first line of a session with a deadline in ms.
 fn format_open_line(id: u64, listener: &str, deadline_ms: u64) -> String {
     format!("OPEN {id:016x} {id:016x} c={listener},d={deadline_ms}")
 }
 
 /// Accepts a dial at the backend and reads its first line.
 fn accept_dial(backend: &TcpListener) -> (BufReader<TcpStream>, String) {
-    let (stream, _) = backend.accept().expect("a dial");
-    stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).expect("a timeout");
+    let (stream, _) = backend.accept().expect("accept a dial");
+    stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).expect("set the read timeout");
     let mut lines = BufReader::new(stream);
     let mut line = String::new();
-    lines.read_line(&mut line).expect("a line");
+    lines.read_line(&mut line).expect("read the first line");
     (lines, line)
 }
 
-/// The client's deadline passes while the relay is stopped with its backend's answer unread: the client still
-/// gets one final answer, and the backend's session is closed.
+/// The client's deadline passes while the relay is stopped and has not read the backend's answer. The client
+/// still gets one final answer, and the session at the backend is closed.
 #[test]
-fn a_client_gets_a_final_answer_after_a_stall() {
+fn client_gets_one_final_answer_after_stall() {
     let backend = bind_listener();
-    let (config, relay) = start_with_backend("standstill", &backend, 300);
-    let mut client = Client::connect(config.listen_address).expect("it listens");
+    let (config, relay) = start_with_backend("stall", &backend, 300);
+    let mut client = Client::connect(config.listen_address).expect("connect to the relay");
     client.send_line(&format_open_line(1, "once", 300));
     let (mut server, line) = accept_dial(&backend);
     assert!(line.starts_with("OPEN "));
     pause(&relay);
-    server.get_mut().write_all(b"UP r1\r\n").expect("it goes");
+    server.get_mut().write_all(b"UP r1\r\n").expect("send the backend's answer");
     std::thread::sleep(Duration::from_millis(330));
     relay.signal("CONT");
     assert_eq!(client.receive(), Ok("FAIL".to_string()));
@@ -74,20 +74,20 @@
     assert!(rest.is_empty());
 }
 
-/// Sessions whose clients have closed their sending direction while the relay was stopped are not forwarded;
-/// one of a client that waits is.
+/// Sessions whose clients closed their sending direction while the relay was stopped are not forwarded. The
+/// session of a client that waits is forwarded.
 #[test]
-fn a_client_that_left_during_a_stall_is_not_forwarded() {
+fn session_half_closed_during_stall_is_not_forwarded() {
     let backend = CountingBackend::start();
-    let mut config = RelayConfig::new("left");
+    let mut config = RelayConfig::new("half-closed");
     config.json["known"]["instances"] =
         json!([{"instanceId": "s-0", "hostPort": backend.address.to_string(), "lifecycle": "up"}]);
     let relay = config.start();
     relay.wait_until_ready();
     pause(&relay);
-    let left: Vec<Client> = (0..20)
+    let half_closed: Vec<Client> = (0..20)
         .map(|i| {
-            let mut client = Client::connect(config.listen_address).expect("it listens");
+            let mut client = Client::connect(config.listen_address).expect("connect to the relay");
             client.send_line(&format_open_line(100 + i, if i % 2 == 0 { "low" } else { "once" }, 1900));
             client.shutdown_write();
             client
@@ -95,46 +95,47 @@
         .collect();
     relay.signal("CONT");
     // A client that closed only its sending direction still gets its final answer.
-    for mut client in left {
+    for mut client in half_closed {
         assert!(matches!(client.receive().as_deref(), Ok("BUSY" | "FAIL")));
     }
     assert!(Client::open(config.listen_address, "low").is_ok());
     assert_eq!(backend.opened(), 1);
 }
 
-/// Stops a relay by signals that it receives together with a new session and half a first line, while other
-/// sessions are open or waiting; all of them must end in time.
+/// Stops a relay by signals that it receives together with a new session and half a first line while other
+/// sessions are open or waiting. All of them must end in time.
 fn stop_with_signals(name: &str, dial_timeout: u64, signals: &[&str]) {
     let backend = CountingBackend::start();
     let silent = bind_listener();
     let mut config = RelayConfig::new(name);
     let endpoint =
         |id: &str, at: SocketAddr| json!({"instanceId": id, "hostPort": at.to_string(), "lifecycle": "up"});
-    let quiet = silent.local_addr().expect("its address");
-    config.json["known"]["instances"] = json!([endpoint("s-0", backend.address), endpoint("s-1", quiet)]);
-    for listener in config.json["settings"]["Listeners"].as_array_mut().expect("listeners") {
+    let silent_address = silent.local_addr().expect("read the local address");
+    config.json["known"]["instances"] =
+        json!([endpoint("s-0", backend.address), endpoint("s-1", silent_address)]);
+    for listener in config.json["settings"]["Listeners"].as_array_mut().expect("Listeners is an array") {
         listener["DialTimeout"] = json!(dial_timeout);
     }
     let mut relay = config.start();
     relay.wait_until_ready();
     let mut open = Vec::new();
     let mut waiting = Vec::new();
-    // Some are established, some wait for a backend that never answers.
-    wait_until("some stand and some wait", || {
-        let mut client = Client::connect(config.listen_address).expect("it listens");
+    // Some sessions are established, and some wait for a backend that never answers.
+    wait_until("some sessions are open and some wait", || {
+        let mut client = Client::connect(config.listen_address).expect("connect to the relay");
         client.send_line(&format_open_line(1000 + (open.len() + waiting.len()) as u64, "once", dial_timeout));
         match client.receive_now().as_deref() {
             Some("UP r1") => open.push(client),
             None => waiting.push(client),
-            Some(other) => panic!("{other}"),
+            Some(other) => panic!("unexpected reply: {other}"),
         }
         open.len() >= 3 && waiting.len() >= 2
     });
     pause(&relay);
-    let mut late = Client::connect(config.listen_address).expect("it listens");
+    let mut late = Client::connect(config.listen_address).expect("connect to the relay");
     late.send_line(&format_open_line(2000, "low", dial_timeout));
-    let mut half = Client::connect(config.listen_address).expect("it listens");
-    half.send_partial("OPEN 00000000000007d1 ");
+    let mut partial = Client::connect(config.listen_address).expect("connect to the relay");
+    partial.send_partial("OPEN 00000000000007d1 ");
     signals.iter().for_each(|signal| relay.signal(signal));
     relay.signal("CONT");
     let signalled_at = Instant::now();
@@ -151,33 +152,40 @@
     match late.receive().as_deref() {
         Ok("UP r1") => assert_eq!(late.receive(), Ok("MOVE".to_string())),
         Ok("FAIL" | "BUSY") => {}
-        other => panic!("{other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
     late.shutdown_write();
-    // Any final answer: it was not served, and its connection was not cut off.
-    assert!(matches!(half.receive(), Ok(ref line) if line == "BUSY" || line == "ERR"), "who was half way");
-    wait_until("it ends", || relay.has_exited());
-    assert!(Instant::now() < end, "it would have been killed: {:?} too late", Instant::now() - end);
-    assert!(relay.child.wait().expect("a child").success());
+    // Any final answer is valid: the session was not served, and its connection was not cut off.
+    assert!(
+        matches!(partial.receive(), Ok(ref line) if line == "BUSY" || line == "ERR"),
+        "the client with half a first line must get a final answer"
+    );
+    wait_until("the relay exits", || relay.has_exited());
+    assert!(
+        Instant::now() < end,
+        "the relay exited {:?} after a supervisor would have killed it",
+        Instant::now() - end
+    );
+    assert!(relay.child.wait().expect("wait for the relay process").success());
 }
 
 #[test]
-fn a_stop_ends_in_time_with_long_dial_timeouts() {
+fn stop_ends_in_time_with_long_dial_timeouts() {
     stop_with_signals("long", 4800, &["TERM"]);
 }
 
 #[test]
-fn a_stop_ends_in_time_with_short_dial_timeouts() {
+fn stop_ends_in_time_with_short_dial_timeouts() {
     stop_with_signals("short", 150, &["TERM"]);
 }
 
 #[test]
-fn a_stop_with_a_reload_and_another_stop_ends_in_time() {
+fn stop_with_reload_and_second_stop_ends_in_time() {
     stop_with_signals("reloaded", 900, &["HUP", "TERM", "TERM", "INT"]);
 }
 
-/// Starts a relay that gets a signal before it has installed its signal handlers: a named pipe in place of
-/// the configuration blocks it until then.
+/// Starts a relay that gets a signal before it has installed its signal handlers. A named pipe in place of
+/// the configuration blocks the relay until the signal is sent.
 fn start_from_pipe(name: &str, signal: &str) -> (RelayConfig, RelayProcess) {
     let mut config = RelayConfig::new(name);
     let relay = config.start();
@@ -190,31 +198,32 @@
     command.stderr(std::process::Stdio::null());
     let child = common::spawn_process(&mut command);
     let operator_address =
-        config.json["operator"].as_str().and_then(|at| at.parse().ok()).expect("an address");
+        config.json["operator"].as_str().and_then(|at| at.parse().ok()).expect("the operator address is set");
     let relay = RelayProcess { child, config_path: pipe.clone(), operator_address };
-    // Opening returns once the relay opens the pipe: it is started by then, and handles no signals yet.
-    let mut write = std::fs::OpenOptions::new().write(true).open(&pipe).expect("a pipe");
+    // Opening returns when the relay opens the pipe: the relay has started by then and handles no
+    // signals yet.
+    let mut write = std::fs::OpenOptions::new().write(true).open(&pipe).expect("open the pipe");
     relay.signal(signal);
-    // A reload reads an ordinary file.
+    // A reload must read a regular file.
     let text = config.json.to_string();
     let file = config.directory.join("text");
-    std::fs::write(&file, &text).expect("a file");
-    std::fs::rename(&file, &pipe).expect("in its place");
-    write.write_all(text.as_bytes()).expect("it is read");
+    std::fs::write(&file, &text).expect("write the configuration file");
+    std::fs::rename(&file, &pipe).expect("replace the pipe by the file");
+    write.write_all(text.as_bytes()).expect("write the configuration to the pipe");
     (config, relay)
 }
 
 #[test]
-fn a_reload_in_the_first_milliseconds_ends_nothing() {
+fn reload_in_first_milliseconds_does_not_end_relay() {
     let (config, relay) = start_from_pipe("early-reload", "HUP");
     relay.wait_until_ready();
-    wait_until("the reload is seen", || relay.metric("loads").is_some_and(|reloads| reloads > 0));
+    wait_until("the reload is counted", || relay.metric("loads").is_some_and(|reloads| reloads > 0));
     assert!(Client::open(config.listen_address, "low").is_ok());
 }
 
 #[test]
-fn a_stop_in_the_first_milliseconds_is_graceful() {
+fn stop_in_first_milliseconds_is_graceful() {
     let (_config, mut relay) = start_from_pipe("early-stop", "TERM");
-    wait_until("it ends", || relay.has_exited());
-    assert!(relay.child.wait().expect("a child").success());
+    wait_until("the relay exits", || relay.has_exited());
+    assert!(relay.child.wait().expect("wait for the relay process").success());
 }
