--- a/relay/tests/common/discovery.rs
+++ b/relay/tests/common/discovery.rs
@@ -1,5 +1,5 @@
 //! A discovery service that publishes endpoint lists set by the test.
-use super::{bind_listener, CountingBackend};
+use super::{bind_listening_socket, CountingBackend};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,12 +18,12 @@
 impl Discovery {
     /// Starts the service with a list of generation 1.
     pub fn start(instances: Vec<Value>) -> Discovery {
-        let listener = bind_listener();
-        let address = listener.local_addr().expect("read the local address");
+        let listening_socket = bind_listening_socket();
+        let address = listening_socket.local_addr().expect("read the local address");
         let list = Arc::new(Mutex::new(Some((1, instances))));
         let published = list.clone();
         std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
+            for stream in listening_socket.incoming().flatten() {
                 let published = published.clone();
                 std::thread::spawn(move || answer(stream, &published));
             }
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -207,11 +207,11 @@
 /// the port.
 pub fn free_address() -> SocketAddr {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
-    bind_listener().local_addr().expect("read the local address")
+    bind_listening_socket().local_addr().expect("read the local address")
 }
 
 /// Binds a listening socket at a loopback address that no other test uses.
-pub fn bind_listener() -> TcpListener {
+pub fn bind_listening_socket() -> TcpListener {
     let (pid, n) = (std::process::id(), LAST_ID.fetch_add(1, Ordering::Relaxed));
     let ip = Ipv4Addr::new(127, 20 + (pid % 200) as u8, (n >> 8) as u8, n as u8);
     TcpListener::bind((ip, 0)).expect("bind a free port")
@@ -219,10 +219,10 @@
 
 /// Starts a backend that accepts every session and echoes its lines.
 fn start_echo_backend() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
-    let address = listener.local_addr().expect("read the local address");
+    let listening_socket = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+    let address = listening_socket.local_addr().expect("read the local address");
     std::thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
+        for stream in listening_socket.incoming().flatten() {
             std::thread::spawn(move || serve(stream));
         }
     });
@@ -239,13 +239,13 @@
 
 impl CountingBackend {
     pub fn start() -> CountingBackend {
-        let listener = bind_listener();
-        let address = listener.local_addr().expect("read the local address");
+        let listening_socket = bind_listening_socket();
+        let address = listening_socket.local_addr().expect("read the local address");
         let opened = Arc::new(AtomicU64::new(0));
         let failing = Arc::new(AtomicBool::new(false));
         let (count, failing_flag) = (opened.clone(), failing.clone());
         std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
+            for stream in listening_socket.incoming().flatten() {
                 let (count, failing_flag) = (count.clone(), failing_flag.clone());
                 std::thread::spawn(move || serve_counting(stream, &count, &failing_flag));
             }
--- a/relay/tests/dials.rs
+++ b/relay/tests/dials.rs
@@ -1,7 +1,7 @@
 //! Dials whose connects stay pending because a backend's backlog is full until the test empties it.
 mod common;
 
-use common::{bind_listener, Client, RelayConfig, SessionError};
+use common::{bind_listening_socket, Client, RelayConfig, SessionError};
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
@@ -27,11 +27,11 @@
 }
 
 /// Accepts a connection; returns none if none arrives within `timeout`.
-fn accept_within(listener: &TcpListener, timeout: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).expect("set the blocking mode");
+fn accept_within(listening_socket: &TcpListener, timeout: Duration) -> Option<TcpStream> {
+    listening_socket.set_nonblocking(true).expect("set the blocking mode");
     let started = Instant::now();
     while started.elapsed() < timeout {
-        if let Ok((stream, _)) = listener.accept() {
+        if let Ok((stream, _)) = listening_socket.accept() {
             stream.set_nonblocking(false).expect("set the blocking mode");
             stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set the read timeout");
             return Some(stream);
@@ -52,9 +52,10 @@
 /// after its window: the session is not forwarded there, and its client gets a final answer.
 #[test]
 fn session_with_idempotency_key_is_not_forwarded_after_window() {
-    let (healthy, slow) = (bind_listener(), bind_small_backlog());
-    let address_of =
-        |listener: &TcpListener| listener.local_addr().expect("read the local address").to_string();
+    let (healthy, slow) = (bind_listening_socket(), bind_small_backlog());
+    let address_of = |listening_socket: &TcpListener| {
+        listening_socket.local_addr().expect("read the local address").to_string()
+    };
     let mut config = RelayConfig::new("window");
     config.json["known"]["instances"] = json!([
         {"instanceId": "s-0", "hostPort": address_of(&healthy), "lifecycle": "up"},
@@ -74,7 +75,11 @@
         client.send_line(&format!("OPEN {id:016x} {id:016x} c=once,d=4000"));
         let started_at = Instant::now();
         let found = loop {
-            assert!(started_at.elapsed() < common::WAIT_TIMEOUT, "the relay dials no backend");
+            assert!(
+                started_at.elapsed() < common::WAIT_TIMEOUT,
+                "no backend was dialled within {:?}",
+                common::WAIT_TIMEOUT
+            );
             if let Some(stream) = accept_within(&healthy, Duration::from_millis(5)) {
                 break Some(stream);
             }
--- a/relay/tests/disconnected_clients.rs
+++ b/relay/tests/disconnected_clients.rs
@@ -2,7 +2,7 @@
 //! sessions were forwarded after the disconnect, and how much later.
 mod common;
 
-use common::{bind_listener, Client, RelayConfig};
+use common::{bind_listening_socket, Client, RelayConfig};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -17,9 +17,9 @@
 type Arrivals = Arc<Mutex<BTreeMap<u64, Vec<Instant>>>>;
 
 /// Starts a backend that never answers, so that sessions wait and are retried.
-fn start_silent_backend(listener: TcpListener, arrivals: Arrivals) {
+fn start_silent_backend(listening_socket: TcpListener, arrivals: Arrivals) {
     std::thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
+        for stream in listening_socket.incoming().flatten() {
             let arrivals = arrivals.clone();
             std::thread::spawn(move || {
                 let mut lines = BufReader::new(stream);
@@ -44,7 +44,7 @@
 #[test]
 fn no_session_is_forwarded_long_after_its_client_disconnected() {
     let arrivals = Arrivals::default();
-    let backends = [bind_listener(), bind_listener()];
+    let backends = [bind_listening_socket(), bind_listening_socket()];
     let addresses: Vec<String> =
         backends.iter().map(|b| b.local_addr().expect("read the local address").to_string()).collect();
     backends.into_iter().for_each(|backend| start_silent_backend(backend, arrivals.clone()));
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -23,13 +23,13 @@
 const FLEET: &str = "trunk";
 const START: u64 = 1_800_000_000_000_000;
 
-fn file(name: &str) -> Vec<u8> {
+fn fixture_bytes(name: &str) -> Vec<u8> {
     let directory = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures_fleet"));
     fs::read(directory.join(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-fn text(name: &str) -> String {
-    String::from_utf8(file(name)).expect("the fixture is UTF-8")
+fn fixture_text(name: &str) -> String {
+    String::from_utf8(fixture_bytes(name)).expect("the fixture is UTF-8")
 }
 
 fn addr(last: u8) -> SocketAddr {
@@ -57,7 +57,7 @@
     Box::new(Packet { fleet: FLEET.into(), sender, body, updates })
 }
 
-fn local() -> LocalMember {
+fn local_member() -> LocalMember {
     LocalMember {
         fleet: FLEET.into(),
         name: "relay-1".into(),
@@ -78,7 +78,7 @@
 
 /// Returns a membership with a member in each state, a name conflict and packets dropped for each reason.
 fn membership_in_each_state() -> Membership {
-    let mut membership = Membership::new(local());
+    let mut membership = Membership::new(local_member());
     let out = &mut Vec::new();
     let alive = |name, last| update(name, last, MemberState::Alive, None);
     membership.step(START, MembershipEvent::Activate, out);
@@ -109,27 +109,32 @@
         ["relay-1", "relay-2", "relay-3", "relay-4", "relay-5"].map(|name| state(name).unwrap_or_default());
     assert_eq!(states, ["alive", "alive", "suspect", "gone", "left"]);
     assert!(status.name_conflict.is_some() && status.dropped.len() == DropReason::ALL.len());
-    assert_eq!(serde_json::to_string(&status).expect("serialize the status"), text("status.json").trim_end());
+    assert_eq!(
+        serde_json::to_string(&status).expect("serialize the status"),
+        fixture_text("status.json").trim_end()
+    );
     assert_eq!(
         serde_json::to_string_pretty(&status).expect("serialize the status"),
-        text("status_pretty.json").trim_end()
+        fixture_text("status_pretty.json").trim_end()
     );
-    assert_eq!(hallrelay_relay::fleet_table::table(&status), text("status.txt"));
-    let read: Status = serde_json::from_str(&text("status.json")).expect("parse the status");
+    assert_eq!(hallrelay_relay::fleet_table::table(&status), fixture_text("status.txt"));
+    let read: Status = serde_json::from_str(&fixture_text("status.json")).expect("parse the status");
     assert_eq!(read, status);
 
     // The status after a hot restart to another process, and the status without any other member.
     membership.step(START + 60_000, MembershipEvent::Deactivate, &mut Vec::new());
     let silent = serde_json::to_string(&membership.status(START + 60_000)).expect("serialize the status");
-    assert_eq!(silent, text("status_silent.json").trim_end());
-    let alone = serde_json::to_string(&Membership::new(local()).status(START)).expect("serialize the status");
-    assert_eq!(alone, text("status_alone.json").trim_end());
+    assert_eq!(silent, fixture_text("status_silent.json").trim_end());
+    let alone =
+        serde_json::to_string(&Membership::new(local_member()).status(START)).expect("serialize the status");
+    assert_eq!(alone, fixture_text("status_alone.json").trim_end());
 }
 
 /// Responses of earlier builds do not have the key `returning`.
 #[test]
 fn status_without_returning_key_is_parsed() {
-    let mut old: Value = serde_json::from_str(&text("status.json")).expect("parse the fixture as JSON");
+    let mut old: Value =
+        serde_json::from_str(&fixture_text("status.json")).expect("parse the fixture as JSON");
     old.as_object_mut()
         .expect("the status is an object")
         .remove("returning")
@@ -188,27 +193,30 @@
         {"instanceId": "s-0", "hostPort": "10.0.1.1:7000", "lifecycle": "up"},
         {"instanceId": "s-1", "hostPort": "10.0.1.2:7000", "lifecycle": "draining"},
     ]);
-    assert_eq!(request_endpoint_list(&mut reducer(known), START + 1_000), text("list.json").trim_end());
+    assert_eq!(
+        request_endpoint_list(&mut reducer(known), START + 1_000),
+        fixture_text("list.json").trim_end()
+    );
 
     // A relay that has none of these backends adds them and sends them to other relays.
     let mut other = reducer(json!([{"instanceId": "s-9", "hostPort": "10.0.1.9:7000", "lifecycle": "up"}]));
-    assert_eq!(request_endpoint_list(&mut other, START + 1_000), text("list_before.json").trim_end());
+    assert_eq!(request_endpoint_list(&mut other, START + 1_000), fixture_text("list_before.json").trim_end());
     let response =
-        MessageBody::EndpointListResponse { bytes: text("list.json").trim_end().as_bytes().to_vec() };
+        MessageBody::EndpointListResponse { bytes: fixture_text("list.json").trim_end().as_bytes().to_vec() };
     let returned = packet(update("relay-2", 2, MemberState::Alive, None), response, vec![]);
     other.step(
         START + 2_000,
         Event::Membership(MembershipEvent::StreamResponse { packet: returned }),
         &mut Vec::new(),
     );
-    assert_eq!(request_endpoint_list(&mut other, START + 2_000), text("list_after.json").trim_end());
+    assert_eq!(request_endpoint_list(&mut other, START + 2_000), fixture_text("list_after.json").trim_end());
 }
 
 /// Format of stream frames on the wire: the stored frame is sent to a running relay, whose response has
 /// the same format.
 #[test]
 fn frame_on_stream_is_preceded_by_its_length() {
-    let stored = file("frame.bin");
+    let stored = fixture_bytes("frame.bin");
     let (length, rest) = stored.split_at(4);
     assert_eq!(
         u32::from_be_bytes(length.try_into().expect("the length has four bytes")) as usize,
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -93,8 +93,8 @@
     let reported: Status = serde_json::from_str(&text).expect("parse the status");
     assert_eq!((code, reported.view.as_str(), reported.reachable_relays), (Some(1), "parts missing", 2));
 
-    let again = fleet.configs[2].start();
-    fleet.relays.push(again);
+    let restarted = fleet.configs[2].start();
+    fleet.relays.push(restarted);
     fleet.wait_until_complete();
     assert!(member(&fleet.relays[0], "r2").expect("the member is known").start > first.start);
     let unreachable = run_status_command(free_address(), &[]);
--- a/relay/tests/large_fleet.rs
+++ b/relay/tests/large_fleet.rs
@@ -17,7 +17,7 @@
 const BACKENDS: usize = 48;
 const BUDGET: usize = 6;
 /// Number of backends that are taken out of service if `WIDE_TURNS` is not set. All 48 take several minutes.
-const DEFAULT_TURNS: usize = 12;
+const DEFAULT_DRAIN_COUNT: usize = 12;
 /// Time limit for observing all targets and for granting one lease on a busy machine.
 const LONG_WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -72,7 +72,8 @@
 
 #[test]
 fn drains_under_load_in_large_fleet_stay_within_budget() {
-    let turns = std::env::var("WIDE_TURNS").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_TURNS);
+    let drain_count =
+        std::env::var("WIDE_TURNS").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_DRAIN_COUNT);
     let budgets = json!([{"of": "backend", "scope": "fleet", "count": BUDGET}]);
     let started_at = Instant::now();
     let mut fleet = Fleet::start("wide", RELAYS, VOTERS, BACKENDS, &budgets);
@@ -94,7 +95,7 @@
 
     let load = Load::start(addresses);
     let (pending, out) =
-        (Mutex::new((0..turns).collect::<VecDeque<_>>()), Mutex::new(OutOfService::default()));
+        (Mutex::new((0..drain_count).collect::<VecDeque<_>>()), Mutex::new(OutOfService::default()));
     let started_at = Instant::now();
     let mut failover = Duration::ZERO;
     std::thread::scope(|scope| {
@@ -121,7 +122,7 @@
     grant_durations.sort();
     let (opened, failed) = (load.opened.load(Ordering::SeqCst), load.failed());
     println!(
-        "{turns} drains in {took:?}, at most {} at the same time, another leader after {failover:?}",
+        "{drain_count} drains in {took:?}, at most {} at the same time, another leader after {failover:?}",
         out.peak
     );
     println!(
@@ -130,7 +131,7 @@
         grant_durations[grant_durations.len() - 1]
     );
     println!("during the drains: {opened} sessions opened, {failed} failed");
-    assert_eq!(grant_durations.len(), turns);
+    assert_eq!(grant_durations.len(), drain_count);
     assert!(out.peak <= BUDGET, "{} backends were out of service at the same time", out.peak);
     assert!(out.peak > 1, "several backends must be out of service at the same time");
     assert!(opened > 100 && failed * 50 <= opened, "{failed} sessions failed, {opened} opened");
--- a/relay/tests/short_days/answers.rs
+++ b/relay/tests/short_days/answers.rs
@@ -69,8 +69,8 @@
 
 impl SlowAcceptBackend {
     fn start() -> SlowAcceptBackend {
-        let listener = bind_small_backlog();
-        let address = listener.local_addr().expect("read the local address");
+        let listening_socket = bind_small_backlog();
+        let address = listening_socket.local_addr().expect("read the local address");
         let filling = fill_backlog(address);
         let (stopped, accepted) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
         let (stop_requested, count) = (stopped.clone(), accepted.clone());
@@ -78,7 +78,7 @@
             let mut streams: Vec<TcpStream> = Vec::new();
             while !stop_requested.load(Ordering::SeqCst) {
                 std::thread::sleep(ACCEPT_INTERVAL);
-                streams.extend(listener.accept().map(|(stream, _)| stream));
+                streams.extend(listening_socket.accept().map(|(stream, _)| stream));
                 // The connections that fill the backlog are not dials of the relay.
                 count.store(streams.len().saturating_sub(filling.len()), Ordering::SeqCst);
             }
--- a/relay/tests/short_days/backend.rs
+++ b/relay/tests/short_days/backend.rs
@@ -1,5 +1,5 @@
 //! Backends that record the first line of each connection and handle its session as the test specifies.
-use crate::common::{bind_listener, free_address};
+use crate::common::{bind_listening_socket, free_address};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -27,17 +27,17 @@
 impl Backend {
     /// Starts a backend at a free address.
     pub fn start(behaviour: Behaviour) -> Backend {
-        Backend::start_on(bind_listener(), behaviour)
+        Backend::start_on(bind_listening_socket(), behaviour)
     }
 
     /// Starts a backend that accepts connections from the given listening socket.
-    pub fn start_on(listener: TcpListener, behaviour: Behaviour) -> Backend {
-        let address = listener.local_addr().expect("read the local address");
+    pub fn start_on(listening_socket: TcpListener, behaviour: Behaviour) -> Backend {
+        let address = listening_socket.local_addr().expect("read the local address");
         let first_lines = Arc::<Mutex<Vec<String>>>::default();
         let behaviour = Arc::new(Mutex::new(behaviour));
         let (received, current) = (first_lines.clone(), behaviour.clone());
         std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
+            for stream in listening_socket.incoming().flatten() {
                 let (received, current) = (received.clone(), current.clone());
                 std::thread::spawn(move || serve(stream, &received, &current));
             }
--- a/relay/tests/short_days/pieces.rs
+++ b/relay/tests/short_days/pieces.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns a first line with all optional fields and the deadline as its last field.
-fn line(id: u64) -> String {
+fn format_first_line(id: u64) -> String {
     format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=once,g=5c0f6e1a,again=1,d=1900\r\n")
 }
 
@@ -49,7 +49,7 @@
             .trim_end_matches("\r\n")
             .rsplit_once("d=")
             .expect("the forwarded line ends with a deadline");
-        let sent = line(id);
+        let sent = format_first_line(id);
         assert_eq!(Some(head), sent.rsplit_once("d=").map(|(head, _)| head), "cut at {cut}");
         assert!((1..=1900).contains(&time.parse().unwrap_or(0)), "cut at {cut}: {received}");
     }
@@ -58,10 +58,10 @@
 #[test]
 fn split_first_line_is_forwarded_once_and_complete() {
     let fixture = start_fixture("cut");
-    let line_length = line(0).len();
+    let line_length = format_first_line(0).len();
     for cut in 1..line_length {
         let id = unique_id();
-        let line = line(id);
+        let line = format_first_line(id);
         let mut client = fixture.send_in_pieces(&[&line[..cut], &line[cut..]]);
         fixture.check_forwarded_once_and_complete(id, &mut client, &cut.to_string());
     }
@@ -78,9 +78,9 @@
 #[test]
 fn first_line_of_single_bytes_is_forwarded_once() {
     let fixture = start_fixture("bytes");
-    for first in (0..line(0).len()).step_by(SINGLE_BYTES - 1) {
+    for first in (0..format_first_line(0).len()).step_by(SINGLE_BYTES - 1) {
         let id = unique_id();
-        let line = line(id);
+        let line = format_first_line(id);
         let after = line.len().min(first + SINGLE_BYTES);
         let mut pieces: Vec<&str> = (first..after).map(|at| &line[at..=at]).collect();
         pieces.insert(0, &line[..first]);
@@ -104,7 +104,7 @@
         assert_eq!(client.receive(), Ok("PONG".to_string()), "cut at {cut}");
         // The next reply on the connection must answer the session requested now and not be a second `PONG`.
         let id = unique_id();
-        client.send_partial(&line(id));
+        client.send_partial(&format_first_line(id));
         fixture.check_forwarded_once_and_complete(id, &mut client, &cut.to_string());
     }
 }
--- a/relay/tests/short_days/reload.rs
+++ b/relay/tests/short_days/reload.rs
@@ -84,11 +84,11 @@
         endpoint(&format!("s-{at}"), self.0[at].address, lifecycle)
     }
 
-    fn before(&self) -> [Value; 2] {
+    fn initial_list(&self) -> [Value; 2] {
         [self.endpoint(0, "up"), self.endpoint(1, "up")]
     }
 
-    fn drained(&self) -> [Value; 3] {
+    fn drained_list(&self) -> [Value; 3] {
         [self.endpoint(0, "draining"), self.endpoint(1, "up"), self.endpoint(2, "up")]
     }
 }
@@ -106,12 +106,12 @@
 
 fn check_drain_right_after_reload(name: &str, source: DrainSource) {
     let backends = Backends::start();
-    let mut scenario = start_scenario(name, &backends.before(), GRACE);
+    let mut scenario = start_scenario(name, &backends.initial_list(), GRACE);
     let load = Load::start(vec![scenario.config.listen_address]);
     wait_until("the backend that is to drain has a session", || !backends.0[0].first_lines().is_empty());
     scenario.pause_with_reload_pending();
     if source == DrainSource::OldService {
-        scenario.old_watch.send_list(&list_changes(2, &backends.drained()));
+        scenario.old_watch.send_list(&list_changes(2, &backends.drained_list()));
     }
     let mut notified_at = Instant::now();
     scenario.resume();
@@ -123,8 +123,8 @@
         let drained_initially = source == DrainSource::NewServiceInitialList;
         notified_at = Instant::now();
         match drained_initially {
-            true => requests[0].send_list(&full_list(7, &backends.drained())),
-            false => requests[0].send_list(&full_list(7, &backends.before())),
+            true => requests[0].send_list(&full_list(7, &backends.drained_list())),
+            false => requests[0].send_list(&full_list(7, &backends.initial_list())),
         }
         requests.remove(0);
         let mut watch = scenario.new_service.next_request();
@@ -134,7 +134,7 @@
             watch.send_empty_line();
         } else {
             notified_at = Instant::now();
-            watch.send_list(&list_changes(8, &backends.drained()));
+            watch.send_list(&list_changes(8, &backends.drained_list()));
         }
         requests.push(watch);
     }
--- a/relay/tests/short_days/scripted_discovery.rs
+++ b/relay/tests/short_days/scripted_discovery.rs
@@ -1,5 +1,5 @@
 //! A discovery service whose requests are answered by the test, one by one.
-use crate::common::{bind_listener, WAIT_TIMEOUT};
+use crate::common::{bind_listening_socket, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 
 /// The service. It accepts no connection until the test takes the next request.
 pub struct ScriptedDiscovery {
-    listener: TcpListener,
+    listening_socket: TcpListener,
 }
 
 /// Whether a request is for the full list or for changes.
@@ -28,13 +28,13 @@
 
 impl ScriptedDiscovery {
     pub fn start() -> ScriptedDiscovery {
-        let listener = bind_listener();
-        listener.set_nonblocking(true).expect("set the blocking mode");
-        ScriptedDiscovery { listener }
+        let listening_socket = bind_listening_socket();
+        listening_socket.set_nonblocking(true).expect("set the blocking mode");
+        ScriptedDiscovery { listening_socket }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("read the local address")
+        self.listening_socket.local_addr().expect("read the local address")
     }
 
     /// Returns the next request, which must arrive within `WAIT_TIMEOUT`.
@@ -46,7 +46,7 @@
     pub fn request_within(&self, time: Duration) -> Option<ListRequest> {
         let started = Instant::now();
         loop {
-            if let Ok((stream, _)) = self.listener.accept() {
+            if let Ok((stream, _)) = self.listening_socket.accept() {
                 return Some(ListRequest::read(stream));
             }
             if started.elapsed() >= time {
--- a/relay/tests/short_days/silence.rs
+++ b/relay/tests/short_days/silence.rs
@@ -38,11 +38,11 @@
         config
     }
 
-    fn first_draining(&self) -> Value {
+    fn changes_with_first_draining(&self) -> Value {
         list_changes(2, &[self.endpoint(0, "draining"), self.endpoint(2, "up")])
     }
 
-    fn first_omitted(&self) -> Value {
+    fn full_list_without_first(&self) -> Value {
         full_list(2, &[self.endpoint(1, "up"), self.endpoint(2, "up")])
     }
 
@@ -118,12 +118,12 @@
 
 #[test]
 fn changes_missed_by_silent_watch_are_applied_in_time() {
-    check_late_silent_watch("late", Backends::first_draining);
+    check_late_silent_watch("late", Backends::changes_with_first_draining);
 }
 
 #[test]
 fn full_list_after_late_silent_watch_removes_omitted_backends() {
-    check_late_silent_watch("late-full", Backends::first_omitted);
+    check_late_silent_watch("late-full", Backends::full_list_without_first);
 }
 
 /// Checks the deadline with the relay's unscaled timeouts, for a watch that sends nothing after its start.
@@ -139,7 +139,7 @@
     let mut next =
         service.request_within(MISSED_CHANGE_DEADLINE).expect("the relay replaces the silent watch");
     next.begin_response();
-    next.send_list(&backends.first_draining());
+    next.send_list(&backends.changes_with_first_draining());
     backends.check_first_unused(
         config.listen_address,
         MISSED_CHANGE_DEADLINE.saturating_sub(silent_since.elapsed()),
@@ -155,7 +155,7 @@
     let mut watch = answer_first_watch(&service);
     relay.wait_until_ready();
     watch.send_list(&list_changes(1, &[]));
-    watch.send_list(&backends.first_omitted());
+    watch.send_list(&backends.full_list_without_first());
     backends.check_first_unused(config.listen_address, MISSED_CHANGE_DEADLINE);
     assert_eq!(
         relay.metric("known_backends"),
--- a/relay/tests/short_days/sockets.rs
+++ b/relay/tests/short_days/sockets.rs
@@ -16,30 +16,30 @@
     unread: u64,
 }
 
-fn address(text: &str) -> Option<SocketAddr> {
+fn parse_address(text: &str) -> Option<SocketAddr> {
     let (ip, port) = text.split_once(':')?;
     let ip = Ipv4Addr::from(u32::from_str_radix(ip, 16).ok()?.to_le_bytes());
     Some(SocketAddrV4::new(ip, u16::from_str_radix(port, 16).ok()?).into())
 }
 
-fn row(line: &str) -> Option<Row> {
+fn parse_row(line: &str) -> Option<Row> {
     let mut words = line.split_whitespace().skip(1);
-    let (local, remote) = (address(words.next()?)?, address(words.next()?)?);
+    let (local, remote) = (parse_address(words.next()?)?, parse_address(words.next()?)?);
     let state = u8::from_str_radix(words.next()?, 16).ok()?;
     let (unacknowledged, unread) = words.next()?.split_once(':')?;
     let count = |text| u64::from_str_radix(text, 16).ok();
     Some(Row { local, remote, state, unacknowledged: count(unacknowledged)?, unread: count(unread)? })
 }
 
-fn rows() -> Vec<Row> {
+fn read_rows() -> Vec<Row> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read /proc/net/tcp");
-    table.lines().skip(1).filter_map(row).collect()
+    table.lines().skip(1).filter_map(parse_row).collect()
 }
 
 /// Returns whether the process that listens at this address has accepted all connections and read all bytes
 /// sent to them.
 pub fn all_bytes_read_by(listen_address: SocketAddr) -> bool {
-    rows().iter().all(|row| {
+    read_rows().iter().all(|row| {
         (row.remote != listen_address || row.unacknowledged == 0)
             && (row.local != listen_address || row.unread == 0)
     })
@@ -47,5 +47,5 @@
 
 /// Returns whether a connect to this address is pending on this machine.
 pub fn has_pending_connect_to(remote: SocketAddr) -> bool {
-    rows().iter().any(|row| row.remote == remote && row.state == SYN_SENT)
+    read_rows().iter().any(|row| row.remote == remote && row.state == SYN_SENT)
 }
--- a/relay/tests/split_lines.rs
+++ b/relay/tests/split_lines.rs
@@ -10,11 +10,11 @@
     M 1\rnot an end\nneither\r\n\r\nBYE busy_reqs=7,x0=0.61\r\nhalf";
 
 async fn connected_pair() -> (std::net::TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
-    let writer = std::net::TcpStream::connect(listener.local_addr().expect("read the local address"))
+    let listening_socket = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+    let writer = std::net::TcpStream::connect(listening_socket.local_addr().expect("read the local address"))
         .expect("connect to the listening socket");
     writer.set_nodelay(true).expect("set TCP_NODELAY");
-    (writer, listener.accept().await.expect("accept the connection").0)
+    (writer, listening_socket.accept().await.expect("accept the connection").0)
 }
 
 fn expected_lines() -> Vec<Vec<u8>> {
--- a/relay/tests/stalls_and_signals.rs
+++ b/relay/tests/stalls_and_signals.rs
@@ -3,7 +3,9 @@
 //! signals in its first milliseconds, which a named pipe in place of its configuration prolongs.
 mod common;
 
-use common::{bind_listener, wait_until, Client, CountingBackend, RelayConfig, RelayProcess, SessionError};
+use common::{
+    bind_listening_socket, wait_until, Client, CountingBackend, RelayConfig, RelayProcess, SessionError,
+};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -57,7 +59,7 @@
 /// still gets one final answer, and the session at the backend is closed.
 #[test]
 fn client_gets_one_final_answer_after_stall() {
-    let backend = bind_listener();
+    let backend = bind_listening_socket();
     let (config, relay) = start_with_backend("stall", &backend, 300);
     let mut client = Client::connect(config.listen_address).expect("connect to the relay");
     client.send_line(&format_open_line(1, "once", 300));
@@ -106,7 +108,7 @@
 /// sessions are open or waiting. All of them must end in time.
 fn stop_with_signals(name: &str, dial_timeout: u64, signals: &[&str]) {
     let backend = CountingBackend::start();
-    let silent = bind_listener();
+    let silent = bind_listening_socket();
     let mut config = RelayConfig::new(name);
     let endpoint =
         |id: &str, at: SocketAddr| json!({"instanceId": id, "hostPort": at.to_string(), "lifecycle": "up"});
