--- a/config/src/coordination.rs
+++ b/config/src/coordination.rs
@@ -1,42 +1,41 @@
-//! What the relays of a fleet agree on, and which of them vote: the keys `voters`, `budgets`, `begin_within`,
-//! `moves_per_s`, `kind` and `group` of the table `fleet`.
+//! Coordination between the relays of a fleet: the keys `voters`, `budgets`, `begin_within`, `moves_per_s`,
+//! `kind` and `group` of the table `fleet`.
 use crate::error::ConfigError;
 use crate::fleet::{is_name, MAX_NAME_BYTES};
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Budget, Scope, TargetKind, MAX_BUDGETS};
 
-/// Seconds in which a lease must be started, unless configured: long enough to be notified of it and to
-/// start; a request that waits for the same budget waits no longer.
+/// Default time in seconds within which the holder of a lease must start: long enough to receive the lease
+/// and to start. Other requests for the same budget wait at most this long for a lease that is not started.
 const DEFAULT_LEASE_START_S: f64 = 10.0;
-/// Sessions migrated in a second, unless configured: half a minute for a backend's hundreds.
+/// Default rate of migrations: a backend with a few hundred sessions is drained in about half a minute.
 const DEFAULT_MOVES_PER_S: u32 = 20;
 /// Largest number of voters.
 const MAX_VOTERS: usize = 7;
 
-/// The voters, and what they agree on.
+/// The voters, and the limits that they enforce.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationConfig {
-    /// Names of the voting relays: 1 to 7 different ones, by custom three or five.
+    /// Names of the voting relays: 1 to 7 different names, usually three or five.
     pub voters: Vec<String>,
-    /// Disruption budgets, 64 at most; none by default.
+    /// Disruption budgets, at most 64; none by default.
     pub budgets: Vec<Budget>,
-    /// A lease that is not started within this expires: 1 to 3600 s, in microseconds; 10 s by default.
+    /// Time after which a lease that was not started expires, in microseconds: 1 to 3600 s; 10 s by default.
     pub lease_start_timeout: Micros,
-    /// Sessions that the whole fleet migrates off draining backends in a second: 1 to 100,000; 20 by default.
+    /// Sessions per second that the relays together migrate off draining backends: 1 to 100,000; 20 by
+    /// default.
     pub moves_per_s: u32,
-    /// The failure domain of this relay in budgets of scope `kind`, 64 bytes at most; empty where it is in
-    /// none.
+    /// Failure domain of this relay in budgets of scope `kind`, at most 64 bytes; empty for none.
     pub kind: String,
-    /// The failure domain of this relay in budgets of scope `group`, 64 bytes at most; empty where it is in
-    /// none.
+    /// Failure domain of this relay in budgets of scope `group`, at most 64 bytes; empty for none.
     pub group: String,
 }
 
-/// Reads the keys from the table `fleet`; `voters` is its key of that name.
+/// Decodes the keys from the table `fleet`; `voters` is the value of its key `voters`.
 ///
 /// # Errors
-/// The key that is missing or can't be used.
+/// A key is missing or invalid.
 pub(crate) fn decode(table: &JsonNode, voters: &JsonNode) -> Result<CoordinationConfig, ConfigError> {
     let voters = decode_voters(voters)?;
     let budgets = table.option("budgets").map_or(Ok(Vec::new()), |at| decode_budgets(&at))?;
@@ -48,7 +47,7 @@
     let moves_per_s =
         table.option("moves_per_s").map_or(Ok(DEFAULT_MOVES_PER_S), |at| match at.bounded_integer()? {
             moves if (1..=100_000).contains(&moves) => Ok(moves),
-            _ => at.invalid("1 to 100000 a second"),
+            _ => at.invalid("1 to 100000 per second"),
         })?;
     let (kind, group) = (decode_label(table, "kind")?, decode_label(table, "group")?);
     Ok(CoordinationConfig {
@@ -68,23 +67,23 @@
     let has_duplicate = (1..names.len()).any(|index| names[..index].contains(&names[index]));
     let is_valid = !names.is_empty() && names.len() <= MAX_VOTERS && names.iter().all(|name| is_name(name));
     if has_duplicate || !is_valid {
-        return at.invalid("1 to 7 different names of relays, three or five by custom");
+        return at.invalid("1 to 7 different names of relays, usually 3 or 5");
     }
     Ok(names)
 }
 
-/// A string of the table, empty where it is left out.
+/// Decodes a string of the table; empty if the key is missing.
 fn decode_label(table: &JsonNode, key: &str) -> Result<String, ConfigError> {
     table.option(key).map_or(Ok(String::new()), |at| match at.text()? {
         text if text.len() <= MAX_NAME_BYTES => Ok(text.to_string()),
-        _ => at.invalid("64 bytes at most"),
+        _ => at.invalid("at most 64 bytes"),
     })
 }
 
 fn decode_budgets(at: &JsonNode) -> Result<Vec<Budget>, ConfigError> {
     let list = at.list()?;
     if list.len() > MAX_BUDGETS {
-        return at.invalid("64 budgets at most");
+        return at.invalid("at most 64 budgets");
     }
     list.iter().map(decode_budget).collect()
 }
--- a/config/src/error.rs
+++ b/config/src/error.rs
@@ -1,59 +1,61 @@
-//! The errors of configurations. Each text names the key at fault and what is accepted there.
+//! Configuration errors. Each text names the key at fault and the values that are accepted.
 
-/// Why a configuration, a list of backends or a site's settings can't be used.
+/// Error in a relay's configuration, an endpoint list or a site's settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A key that must be given is left out.
+    /// A required key is missing.
     #[error("{path} is missing")]
     MissingKey {
         /// The key's path, such as `settings.Ceilings.MaxOpen`.
         path: String,
     },
-    /// A value is of the wrong type, out of bounds, or contradicts another one.
+    /// A value has the wrong type, is out of bounds, or contradicts another value.
     #[error("{path} is {value}, wanted {wanted}")]
     InvalidValue {
         /// The key's path.
         path: String,
         /// The value, as JSON.
         value: String,
-        /// What is accepted.
+        /// The accepted values.
         wanted: String,
     },
-    /// A key that the table doesn't have.
-    #[error("{path} is no key, wanted one of {known:?}")]
+    /// The table has no such key.
+    #[error("{path} is an unknown key, wanted one of {known:?}")]
     UnknownKey {
         /// The key's path.
         path: String,
-        /// The table's keys.
+        /// The known keys of the table.
         known: &'static [&'static str],
     },
-    /// More peers than a relay can be configured with.
-    #[error("fleet.peers has {count} addresses, wanted {max} at most")]
+    /// Too many peers are configured.
+    #[error("fleet.peers has {count} addresses, wanted at most {max}")]
     TooManyPeers {
-        /// How many are given.
+        /// Number of configured peers.
         count: usize,
-        /// Largest number accepted.
+        /// Largest accepted number.
         max: usize,
     },
-    /// A fleet is configured where the settings forbid messages between relays.
+    /// A fleet is configured, but the settings forbid messages between relays.
     #[error(
-        "fleet is given, and settings.Ceilings.PeerMessages is false: relays may not talk there, \
-         leave out one of the two"
+        "fleet is given, but settings.Ceilings.PeerMessages is false, which forbids messages between relays: \
+         remove fleet, or set PeerMessages to true"
     )]
     PeerMessagesForbidden,
-    /// A relay that votes has no directory for its durable state.
-    #[error("state is left out, and fleet.voters names this relay: a voter must not forget")]
+    /// A voting relay has no directory for its durable state.
+    #[error(
+        "state is missing, but fleet.voters names this relay: a voter must keep its votes across restarts"
+    )]
     VoterWithoutState,
-    /// A relay's configuration is not JSON.
-    #[error("not JSON: {0}")]
+    /// A relay's configuration is not valid JSON.
+    #[error("configuration is not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// An endpoint list is not JSON.
+    /// An endpoint list is not valid JSON.
     #[error("the list is not JSON: {0}")]
     ListNotJson(#[source] serde_json::Error),
-    /// The settings, read alone, are not JSON.
+    /// Settings that are read without a configuration are not valid JSON.
     #[error("settings are not JSON: {0}")]
     SettingsNotJson(#[source] serde_json::Error),
-    /// The settings, read alone, can't be used.
+    /// Settings that are read without a configuration are invalid.
     #[error("settings: {0}")]
     Settings(#[source] Box<ConfigError>),
 }
--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,17 +1,17 @@
-//! Decodes a site's settings from the names of the protocol.
+//! Decodes a site's settings, whose keys have the names of the protocol.
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
-/// The overload window where the settings have none, as the protocol has it.
+/// The overload window if the settings have none, as the protocol defines it.
 const DEFAULT_OVERLOAD_WINDOW: Micros = 2_000_000;
 
-/// A site's settings: those of the balancer, and the names and times that the rest of the relay needs.
+/// A site's settings: those of the balancer, and names and times that the rest of the relay needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
     /// Settings of the balancer.
     pub facts: SiteConfig,
-    /// Positions of the values in a load report.
+    /// Positions of the values of a load report.
     pub report: ReportOrder,
     /// Names of the listeners, by the balancer's index.
     pub listeners: Vec<String>,
@@ -21,35 +21,35 @@
     pub dial_timeouts: Vec<Micros>,
     /// Connect timeout to a backend, in microseconds.
     pub connect: Micros,
-    /// How long after a backend started to drain it may still get new sessions, in microseconds.
+    /// Time after the start of its drain during which a backend may get new sessions, in microseconds.
     pub drain_grace: Micros,
-    /// Whether backends report, on some of their connections, how long messages take there; false by default.
+    /// Whether backends report the latency of messages, on some of their connections; false by default.
     pub tells_delay: bool,
-    /// The longest time between two polls of the endpoint list, in microseconds; none where it is pushed.
-    pub ask_within: Option<Micros>,
+    /// Longest interval between two polls of the endpoint list, in microseconds; `None` if it is pushed.
+    pub max_poll_interval: Option<Micros>,
 }
 
-/// Which of a report's values are the ones that decisions read.
+/// Positions of the load report's values that decisions use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportOrder {
-    /// Position of the load.
+    /// Position of the load value.
     pub load: Option<usize>,
     /// Position of the queueing delay.
     pub queue_delay: Option<usize>,
     /// Position of the number of sessions.
     pub sessions: Option<usize>,
-    /// Whether `load` is the fraction of the cores in use, which sites report that have no better figure.
+    /// Whether `load` is the fraction of cores in use, which sites without a better measure report.
     pub by_cores: bool,
 }
 
-/// Values of a load report that are read: no position beyond these is used.
+/// Number of values that are read from a load report; later positions are ignored.
 const REPORT_VALUES: usize = 4;
 
-/// The first values of a load report, by position; none where a value is missing.
+/// The first values of a load report, by position; `None` for a missing value.
 pub type RawReport = [Option<f64>; REPORT_VALUES];
 
 impl ReportOrder {
-    /// The load report from values by position.
+    /// Builds the load report from values by position.
     pub fn pick(self, raw: RawReport) -> LoadReport {
         let value_at = |position: Option<usize>| position.and_then(|position| raw[position]);
         LoadReport {
@@ -59,9 +59,9 @@
         }
     }
 
-    /// The load report from values by name, as lines of text have it.
+    /// Builds the load report from values by name, as text lines contain them.
     pub fn find(self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
-        // The names of the settings, and those of the protocol's description.
+        // Names that the settings use, and names that the protocol's description uses.
         let either = |in_settings, in_protocol| value(in_settings).or_else(|| value(in_protocol));
         let load =
             self.load.and_then(|_| if self.by_cores { either("cpu_share", "util") } else { value("x0") });
@@ -71,7 +71,7 @@
     }
 }
 
-/// The tables of the settings.
+/// Tables of the settings.
 struct Tables<'a> {
     top: &'a JsonNode<'a>,
     ceilings: JsonNode<'a>,
@@ -83,7 +83,7 @@
 /// Decodes the settings.
 ///
 /// # Errors
-/// The key that is missing or can't be used.
+/// A key is missing or invalid.
 pub fn decode(top: &JsonNode) -> Result<Site, ConfigError> {
     let tables = Tables {
         top,
@@ -95,11 +95,11 @@
     tables.family.key("Mode")?.one_of(&[("proxy", ()), ("pass", ())])?;
     let message_targets = tables.family.key("MessageAim")?;
     let listeners_node = top.key("Listeners")?;
-    // A list of the wrong type is reported before the listeners are.
+    // A `MessageAim` of the wrong type is reported before errors of the listeners.
     message_targets.list()?;
     let listeners = listeners_node.list()?;
     if listeners.is_empty() {
-        return listeners_node.invalid("one listener at least");
+        return listeners_node.invalid("at least one listener");
     }
     let report = decode_report_order(&top.key("Report")?)?;
     let must_watch = top.key("Discovery")?.one_of(&[("automatic", false), ("subscribe", true)])?;
@@ -108,7 +108,7 @@
     decode_site(&tables, &listeners, facts, report)
 }
 
-/// The rest of the settings, beside those of the balancer.
+/// Decodes the settings other than those of the balancer.
 fn decode_site(
     tables: &Tables,
     listeners: &[JsonNode],
@@ -118,7 +118,7 @@
     let Tables { top, ceilings, rules, family, .. } = tables;
     let dial_timeout = |listener: &JsonNode| listener.key("DialTimeout")?.micros();
     let must_watch = facts.must_watch;
-    let ask_within = || rules.key("AskWithin")?.micros();
+    let max_poll_interval = || rules.key("AskWithin")?.micros();
     Ok(Site {
         facts,
         report,
@@ -128,7 +128,7 @@
         connect: ceilings.key("ConnectTimeout")?.micros()?,
         drain_grace: rules.key("DrainGrace")?.micros()?,
         tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.boolean())?,
-        ask_within: must_watch.then(ask_within).transpose()?,
+        max_poll_interval: must_watch.then(max_poll_interval).transpose()?,
     })
 }
 
@@ -144,7 +144,7 @@
     let decode = |(index, at): (usize, &JsonNode)| {
         let idempotency = IdempotencyKeys::decode(at)?;
         let Some(message_target) = targets.get(index) else {
-            return message_targets.invalid("a time for each of Listeners");
+            return message_targets.invalid("one time for each of settings.Listeners");
         };
         Ok(Listener {
             priority_weight: at.key("Utility")?.number()?,
@@ -156,7 +156,7 @@
     listeners.iter().enumerate().map(decode).collect()
 }
 
-/// A listener's keys `Group` and `Window`, which must be given whatever its effect.
+/// A listener's keys `Group` and `Window`, which are required with every `Effect`.
 struct IdempotencyKeys {
     scope: KeyScope,
     window: Micros,
@@ -221,7 +221,7 @@
     })
 }
 
-/// None where Retry-After is not conveyed to clients.
+/// Decodes the longest Retry-After; `None` if relays may not send it to clients.
 fn decode_max_retry_after(ceilings: &JsonNode) -> Result<Option<Micros>, ConfigError> {
     if ceilings.key("RetryAfter")?.boolean()? {
         Ok(Some(ceilings.key("MaxRetryAfter")?.micros()?))
--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,17 +1,17 @@
-//! The table `fleet` of a relay's configuration: where the relay listens for the other relays and finds them,
-//! and what they agree on. Without the table no socket is opened for that.
+//! The table `fleet` of a relay's configuration: the relay's address for other relays, their addresses, and
+//! the coordination between them. Without the table no socket is opened for a fleet.
 use crate::coordination::{self, CoordinationConfig};
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Longest name of a relay or a fleet in bytes that fits into messages between relays.
+/// Longest name of a relay or a fleet that fits into messages between relays.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
-/// Largest number of configured addresses.
+/// Largest number of configured peer addresses.
 const MAX_PEERS: usize = 1024;
 
-/// Keys of the table; a key that starts with `//` is a comment.
+/// Keys of the table. A key that starts with `//` is a comment.
 const KEYS: [&str; 10] = [
     "name",
     "listen",
@@ -24,30 +24,30 @@
     "kind",
     "group",
 ];
-/// Settings that differ from relay to relay.
+/// Settings that differ between relays.
 const PER_RELAY_SETTINGS: [&str; 2] = ["SlotNo", "Zone"];
 
-/// How a relay takes part in its fleet.
+/// Configuration of a relay's membership in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
     /// Name of the fleet, 1 to 64 bytes.
     pub name: String,
     /// Address at which datagrams and streams of other relays are received.
     pub listen: SocketAddr,
-    /// Address at which other relays reach this one, with a definite IP and port; by default that of
+    /// Address at which other relays reach this one, with a specific IP address and port; by default
     /// `listen`.
     pub advertise: SocketAddr,
-    /// Addresses at which other relays may be found, 1024 at most; this relay's own one may be among them.
+    /// Addresses at which other relays may be found, at most 1024. The relay's own address may be among them.
     pub peers: Vec<SocketAddr>,
-    /// What the relays agree on; none where no voters are configured.
+    /// Coordination between the relays; `None` if no voters are configured.
     pub coordination: Option<CoordinationConfig>,
 }
 
-/// A key that is compared between two configurations.
+/// The result of comparing one key between two configurations.
 pub(crate) struct ComparedKey {
     /// The key's path.
     pub(crate) path: &'static str,
-    /// Whether its values differ.
+    /// Whether the values of the key differ.
     pub(crate) differs: bool,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl FleetConfig {
-    /// The keys that cannot change while the program runs.
+    /// Compares the keys that can't change while the program runs.
     pub(crate) fn fixed_keys(&self, later: &FleetConfig) -> [ComparedKey; 4] {
         [
             ComparedKey::new("fleet.name", self.name != later.name),
@@ -69,10 +69,10 @@
     }
 }
 
-/// Reads the table of a whole configuration; none where it is left out. `relay` is the relay's name.
+/// Decodes the table `fleet` of a configuration; `None` if it is missing. `relay` is the relay's name.
 ///
 /// # Errors
-/// The key that is missing or can't be used.
+/// A key is missing or invalid.
 pub fn decode(top: &JsonNode, relay: &str) -> Result<Option<FleetConfig>, ConfigError> {
     let Some(table) = top.option("fleet") else { return Ok(None) };
     check_keys(&table)?;
@@ -85,7 +85,7 @@
         return Err(ConfigError::InvalidValue {
             path: "name".to_string(),
             value: format!("\"{relay:.80}\""),
-            wanted: "1 to 64 bytes where fleet is given".to_string(),
+            wanted: "1 to 64 bytes, because fleet is given".to_string(),
         });
     }
     let listen = addr(&table.key("listen")?)?;
@@ -115,7 +115,7 @@
     }
 }
 
-/// The settings may forbid messages between relays.
+/// Rejects a fleet if the settings forbid messages between relays.
 fn check_ceilings(top: &JsonNode) -> Result<(), ConfigError> {
     let ceilings = top.key("settings")?.key("Ceilings")?;
     let allowed = ceilings.option("PeerMessages").map_or(Ok(true), |at| at.boolean())?;
@@ -131,7 +131,7 @@
     if advertise.ip().is_unspecified() || advertise.port() == 0 {
         let at_fault = given.unwrap_or(table.key("listen")?);
         return at_fault.invalid(
-            "an address and a port at which others reach this relay (or fleet.advertise beside it)",
+            "an address and a port at which other relays reach this one, or fleet.advertise with these",
         );
     }
     Ok(advertise)
@@ -146,7 +146,7 @@
     at.text()?.parse().or_else(|_| at.invalid("an address with a port"))
 }
 
-/// Checksum of the settings that all relays share, over their text with its keys in order.
+/// Checksum of the settings that all relays of a fleet share, computed over their JSON text with sorted keys.
 pub fn settings_digest(settings: &Value) -> u32 {
     let mut shared = settings.clone();
     if let Some(keys) = shared.as_object_mut() {
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads and checks configuration, and applies its defaults. Every error names the key at fault.
+//! Reads and validates configuration, and applies defaults. Every error names the key at fault.
 #![warn(missing_docs)]
 
 pub mod coordination;
@@ -16,10 +16,10 @@
 
 use serde_json::Value;
 
-/// Decodes the settings alone, as the simulator sends them.
+/// Decodes the settings without the rest of a configuration, as the simulator sends them.
 ///
 /// # Errors
-/// Not JSON, or the key that is missing or can't be used.
+/// The text is not JSON, or a key is missing or invalid.
 pub fn settings(text: &[u8]) -> Result<facts::Site, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::SettingsNotJson)?;
     facts::decode(&json_node::JsonNode::root(&value)).map_err(|error| ConfigError::Settings(Box::new(error)))
--- a/config/src/limits/derived.rs
+++ b/config/src/limits/derived.rs
@@ -1,4 +1,4 @@
-//! The limits that follow from the site's settings and the number of file descriptors.
+//! Limits that are derived from the site's settings and the number of file descriptors.
 use super::constants::{
     MAX_FLEET_STREAMS, MAX_OPERATOR_CONNECTIONS, MAX_TAKEOVER_CONNECTIONS, MILLISECOND, SECOND,
 };
@@ -7,39 +7,40 @@
 use crate::facts::Site;
 use hallrelay_balancer::types::Micros;
 
-/// Descriptors for discovery, the listening socket, standard streams, the runtime, and a few in reserve.
+/// Descriptors for discovery, the listening socket, the standard streams and the runtime, and a reserve.
 const BASE_SOCKETS: usize = 24;
-/// The socket of the operators' HTTP interface.
+/// The listening socket of the operators' HTTP interface.
 const OPERATOR_LISTENER: usize = 1;
-/// The socket for a hot restart and the connections there, with one in reserve.
+/// The listening socket for hot restarts and its connections, with one descriptor in reserve.
 const TAKEOVER_SOCKETS: usize = MAX_TAKEOVER_CONNECTIONS + 2;
-/// The lock, the log, the file that is to replace the log, and the directory.
+/// The lock, the log, the file that replaces the log, and the directory.
 const STATE_FILES: usize = 4;
 /// The datagram socket and the listening socket of the membership.
 const FLEET_LISTENERS: usize = 2;
-/// The inverse fraction of all descriptors that open health-check connections may use.
+/// Open health-check connections may use all descriptors divided by this.
 const PROBE_SOCKETS_DIVISOR: usize = 16;
-/// A session has two descriptors, so fewer sessions can't be served.
+/// Minimum for two sessions, as each session uses two descriptors.
 const MIN_SESSION_SOCKETS: usize = 4;
 
-/// SIGKILL follows SIGTERM no sooner than after the longest dial timeout, up to `MAX_STOP_WAIT`, and
-/// `KILL_GRACE`.
+/// SIGKILL follows SIGTERM after at least the longest dial timeout, limited to this, and `KILL_GRACE`.
 const MAX_STOP_WAIT: Micros = 3 * SECOND;
+/// Minimum time from the end of the longest dial, limited to `MAX_STOP_WAIT`, to SIGKILL.
 const KILL_GRACE: Micros = 700 * MILLISECOND;
-/// The time in which a process that handed over its listener migrates its sessions, where SIGKILL allows it.
+/// Minimum time for a process that handed over its listening socket to migrate its sessions, if SIGKILL
+/// leaves that much.
 const MIN_LEAVE_TIME: Micros = SECOND;
-/// The poll interval of a relay that need not watch the endpoint list.
-const DEFAULT_ASK_WITHIN: Micros = 10 * SECOND;
+/// Poll interval of a relay that does not have to watch the endpoint list.
+const DEFAULT_POLL_INTERVAL: Micros = 10 * SECOND;
 
-/// Health-check connections that stay open, of all file descriptors.
+/// Maximum number of open health-check connections, with `sockets` file descriptors in total.
 pub(super) fn probe_connections(sockets: usize) -> usize {
     sockets / PROBE_SOCKETS_DIVISOR
 }
 
-/// The file descriptors that sessions may use, of `sockets` in all.
+/// The file descriptors that sessions may use, with `sockets` in total.
 ///
 /// # Errors
-/// The rest, beside the parts of the program that need descriptors of their own, is under four.
+/// Fewer than `MIN_SESSION_SOCKETS` remain after those that other parts of the program need.
 pub(super) fn session_sockets(sockets: usize, uses: Uses) -> Result<usize, ConfigError> {
     let operator_sockets = MAX_OPERATOR_CONNECTIONS + OPERATOR_LISTENER + TAKEOVER_SOCKETS;
     let fleet_sockets = 2 * MAX_FLEET_STREAMS + FLEET_LISTENERS;
@@ -52,14 +53,14 @@
         return Err(ConfigError::InvalidValue {
             path: "limits.sockets".to_string(),
             value: sockets.to_string(),
-            wanted: format!("{} at least", own_sockets * 2),
+            wanted: format!("at least {}", own_sockets * 2),
         });
     }
     Ok(remaining)
 }
 
-/// Sessions with a backend: fewer than half of the descriptors, so that some are left for backend connections
-/// that outlive their clients'.
+/// Maximum number of sessions with a backend. It is less than half of the descriptors, which leaves some for
+/// backend connections that outlive those of their clients.
 pub(super) fn sessions(session_sockets: usize) -> u32 {
     (session_sockets * 9 / 20) as u32
 }
@@ -69,58 +70,60 @@
     site.dial_timeouts.iter().copied().max().unwrap_or(0)
 }
 
-/// A first line must be sent before the drain grace has passed, counted from the decision to dial. On sockets
-/// every time limit is 50 ms longer: with a grace of 0 a connect still has 40 ms of these.
+/// The first line must be sent before the drain grace ends, counted from the decision to dial. On sockets
+/// every time limit is 50 ms longer, so a connect gets 40 ms of these even with a grace of 0.
 pub(super) fn connect_timeout(site: &Site) -> Micros {
     site.connect.min((site.drain_grace * 4 / 5).max(40 * MILLISECOND))
 }
 
-/// Two watch calls fit into the longest time without a poll; however short that is, an answer has time.
+/// Two watch calls fit into the longest interval without a poll. An answer has at least 0.5 s, however short
+/// that interval is.
 pub(super) fn discovery_answer_timeout(site: &Site) -> Micros {
-    (site.ask_within.unwrap_or(DEFAULT_ASK_WITHIN) / 2).clamp(500 * MILLISECOND, 4 * SECOND)
+    (site.max_poll_interval.unwrap_or(DEFAULT_POLL_INTERVAL) / 2).clamp(500 * MILLISECOND, 4 * SECOND)
 }
 
-/// Where lists are pushed, a change must be obeyed within the drain grace whether or not a watch is open: two
-/// watches fit into it.
-pub(super) fn discovery_retry_interval(site: &Site) -> Option<Micros> {
-    match site.ask_within {
+/// If lists are pushed, relays must obey a change within the drain grace, whether or not a watch is open: two
+/// watches fit into the grace.
+pub(super) fn discovery_retry_delay(site: &Site) -> Option<Micros> {
+    match site.max_poll_interval {
         None => Some((site.drain_grace / 2).clamp(50 * MILLISECOND, 500 * MILLISECOND)),
         Some(_) => None,
     }
 }
 
-/// The times of a stop, in microseconds from SIGTERM on.
+/// The schedule of a stop, in microseconds after SIGTERM.
 pub(super) struct StopSchedule {
-    /// The first migration of a session.
-    pub(super) from: Micros,
-    /// The last one.
-    pub(super) by: Micros,
-    /// The end of the wait for last lines.
+    /// When the first session is migrated.
+    pub(super) first_migration: Micros,
+    /// When the last session is migrated.
+    pub(super) last_migration: Micros,
+    /// When the wait for last lines ends.
     pub(super) end: Micros,
-    /// The earliest exit of a process that has no successor.
-    pub(super) least: Micros,
-    /// The last migration in a process that has handed its listener over.
-    pub(super) leave_by: Micros,
+    /// The earliest exit of a process without a successor.
+    pub(super) earliest_exit: Micros,
+    /// When a process that has handed over its listening socket migrates its last session.
+    pub(super) leave_last_migration: Micros,
 }
 
 impl StopSchedule {
     pub(super) fn new(site: &Site) -> StopSchedule {
         let longest_wait = longest_dial_timeout(site).min(MAX_STOP_WAIT);
         let kill = longest_wait + KILL_GRACE;
-        // The last sessions migrated need time to go.
-        let by = kill - 350 * MILLISECOND;
-        // A session that the only relay migrates early waits for the next start, the longer the more often
-        // it retries; the load balancer in front sends new connections for 0.2 to 0.4 s more. Beside other
-        // relays nobody waits, and the sessions are spread over all the time there is: those of a tenth of a
-        // large fleet, stopped together, would reach the others as one burst.
+        // The last migrated sessions need time to leave.
+        let last_migration = kill - 350 * MILLISECOND;
+        // A session that the only relay migrates early must wait for the next start, and its wait grows with
+        // each retry. The load balancer in front sends new connections for another 0.2 to 0.4 s. If other
+        // relays are up, no session waits, and migrations are spread over all the available time: otherwise
+        // the sessions of a tenth of a large fleet that stops together would reach the others in one burst.
         let has_other_relays = site.facts.relay_count > 2;
-        let from = if has_other_relays { 400 * MILLISECOND } else { longest_wait.max(500 * MILLISECOND) };
+        let first_migration =
+            if has_other_relays { 400 * MILLISECOND } else { longest_wait.max(500 * MILLISECOND) };
         StopSchedule {
-            from: from.min(kill - 450 * MILLISECOND),
-            by,
+            first_migration: first_migration.min(kill - 450 * MILLISECOND),
+            last_migration,
             end: kill - 150 * MILLISECOND,
-            least: SECOND.min(kill - 150 * MILLISECOND),
-            leave_by: longest_wait.max(MIN_LEAVE_TIME).min(by),
+            earliest_exit: SECOND.min(kill - 150 * MILLISECOND),
+            leave_last_migration: longest_wait.max(MIN_LEAVE_TIME).min(last_migration),
         }
     }
 }
--- a/config/src/limits/mod.rs
+++ b/config/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Sizes, counts and times that bound the program: derived once at start, and again where settings are
+//! Sizes, counts and times that bound the program. They are derived at start, and again when settings are
 //! reloaded.
 mod constants;
 mod derived;
@@ -10,120 +10,120 @@
 use derived::StopSchedule;
 use hallrelay_balancer::types::Micros;
 
-/// The bounds of the program. All times are durations in microseconds.
+/// Limits of the program. All times are durations in microseconds.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a line without its end: 4096.
+    /// Maximum length of a line in bytes, without its line ending: 4096.
     pub max_line_bytes: usize,
-    /// Initial bytes of a connection's buffer: 256.
+    /// Initial size of a connection's buffer in bytes: 256.
     pub initial_buffer_bytes: usize,
-    /// Bytes to which a connection's buffer may grow: 8192.
+    /// Maximum size of a connection's buffer in bytes: 8192.
     pub max_buffer_bytes: usize,
-    /// Client connections at once, those that hold no session among them. More than `max_sessions`, so that
-    /// clients over that limit still get their answer.
+    /// Concurrent client connections, including those without a session. This is more than `max_sessions`, so
+    /// that clients over that limit still get their answer.
     pub max_client_connections: usize,
-    /// Client connections beyond `max_client_connections` that may be closing at once: 8.
+    /// Client connections over `max_client_connections` that may be closing at the same time: 8.
     pub max_shedding_connections: usize,
-    /// Sessions with a backend at once; each holds a second descriptor.
+    /// Concurrent sessions with a backend; each uses a second descriptor.
     pub max_sessions: u32,
-    /// Health-check connections that stay open, one for each backend at most.
+    /// Health-check connections that stay open, at most one for each backend.
     pub max_probe_connections: usize,
-    /// Bytes of one line of the endpoint list: 2 MiB.
+    /// Maximum length of one line of the endpoint list in bytes: 2 MiB.
     pub max_list_line_bytes: usize,
     /// Events queued for the reducer: 1024.
     pub max_queued_events: usize,
     /// Commands queued for one connection: 8.
     pub max_queued_commands: usize,
-    /// Messages of one session in flight whose answers are timed: 8.
+    /// Messages in flight of one session whose answers are timed: 8.
     pub max_timed_messages: usize,
-    /// Log lines that wait to be written: 1024; further ones are dropped and counted.
+    /// Log lines queued for writing: 1024. Further lines are dropped and counted.
     pub max_queued_log_lines: usize,
-    /// From the decision to dial until the connection is established: the site's `ConnectTimeout`, at most
-    /// four fifths of the drain grace, or 40 ms where that is more.
+    /// Time from the decision to dial until the connection must be established: the site's `ConnectTimeout`,
+    /// limited to four fifths of the drain grace or 40 ms, whichever is longer.
     pub connect_timeout: Micros,
-    /// From a client's connect to its first line, where nothing of it has arrived: 2 s.
+    /// Timeout of the first line, from a client's connect, if nothing of it has arrived: 2 s.
     pub first_line_timeout: Micros,
-    /// From a client's connect to the end of a first line that arrives in pieces: 2.7 s.
+    /// Timeout of a first line that arrives in pieces, from a client's connect to its end: 2.7 s.
     pub max_first_line_timeout: Micros,
-    /// Between two pieces of a first line: 0.7 s.
+    /// Longest pause between two pieces of a first line: 0.7 s.
     pub first_line_pause_timeout: Micros,
-    /// The longest timeout that a client may state: ten times the longest dial timeout. A longer one violates
+    /// Longest timeout that a client may request: ten times the longest dial timeout. A longer one violates
     /// the protocol.
     pub max_client_timeout: Micros,
-    /// An answer is sent this long before the client's deadline: 10 ms.
+    /// Time before the client's deadline at which an answer is sent: 10 ms.
     pub answer_margin: Micros,
-    /// How long after the deadline a final answer is still sent: 0.51 s.
+    /// Time after the client's deadline within which a final answer is still sent: 0.51 s.
     pub late_answer_timeout: Micros,
-    /// A whole health check: twice the site's `ConnectTimeout`.
+    /// Timeout of a health check, including its connect: twice the site's `ConnectTimeout`.
     pub probe_timeout: Micros,
-    /// How long an idle health-check connection stays open: 30 s.
+    /// Time after which an idle health-check connection is closed: 30 s.
     pub probe_idle_timeout: Micros,
-    /// How long a message may remain without an answer until its backend counts as silent: 2 s.
+    /// Time without an answer to a message after which its backend counts as silent: 2 s.
     pub silence_timeout: Micros,
-    /// How long a client may accept no data until its session is ended: 30 s.
+    /// Time without accepting data after which a client's session is ended: 30 s.
     pub stalled_client_timeout: Micros,
-    /// The time to write a last line, and again for the other side to close: 0.5 s.
+    /// Timeout for writing a last line, and again for the other side to close: 0.5 s.
     pub close_timeout: Micros,
-    /// How long discovery may take to answer a call: half of the site's `AskWithin`, 0.5 to 4 s.
+    /// Timeout for discovery to answer a call: half of the site's `AskWithin`, limited to 0.5 to 4 s.
     pub discovery_answer_timeout: Micros,
-    /// From a watch's end to the next watch where lists are pushed: half of the drain grace, 50 to 500 ms.
-    /// None where the balancer decides it.
+    /// Delay from the end of a watch to the next one if lists are pushed: half of the drain grace, limited to
+    /// 50 to 500 ms. `None` if the balancer decides when to open the next watch.
     pub discovery_retry_delay: Option<Micros>,
-    /// How long a watch may send no complete line until another one is opened: 2.5 s.
+    /// Time without a complete line from a watch after which another one is opened: 2.5 s.
     pub discovery_watch_timeout: Micros,
-    /// From SIGTERM to the first migration of a session.
+    /// Delay from SIGTERM to the first migration of a session.
     pub stop_first_migration_delay: Micros,
-    /// From SIGTERM to the migration of the last session.
+    /// Delay from SIGTERM to the migration of the last session.
     pub stop_last_migration_delay: Micros,
-    /// From SIGTERM to the end of the wait for last lines.
+    /// Delay from SIGTERM to the end of the wait for last lines.
     pub stop_end_delay: Micros,
-    /// From SIGTERM to the earliest exit: 1 s, and `stop_end_delay` at most.
+    /// Delay from SIGTERM to the earliest exit: 1 s, but at most `stop_end_delay`.
     pub min_stop_delay: Micros,
-    /// How long a resumed session may wait for its backend: 40 s, and its client's timeout at most.
+    /// Timeout of a resumed session that waits for its backend: 40 s, but at most its client's timeout.
     pub resumed_session_timeout: Micros,
-    /// Operators' connections at once: 16.
+    /// Concurrent connections of operators: 16.
     pub max_operator_connections: usize,
-    /// The time of one call of an operator, from its connect: 2 s.
+    /// Timeout of one call of an operator, counted from its connect: 2 s.
     pub operator_request_timeout: Micros,
-    /// Bytes of the head of an operator's call: 8192.
+    /// Maximum size of the head of an operator's call in bytes: 8192.
     pub max_operator_head_bytes: usize,
-    /// Bytes of the body of an operator's call: 4096.
+    /// Maximum size of the body of an operator's call in bytes: 4096.
     pub max_operator_body_bytes: usize,
-    /// From the start of a drain to the first migration of a session: 0.5 s.
+    /// Delay from the start of a drain to the first migration of a session: 0.5 s.
     pub drain_first_migration_delay: Micros,
-    /// From the start of a drain to the migration of the last session: 3.3 s.
+    /// Delay from the start of a drain to the migration of the last session: 3.3 s.
     pub drain_last_migration_delay: Micros,
-    /// From the start of a drain until new sessions are rejected: 1 s.
+    /// Time from the start of a drain during which new sessions are still admitted: 1 s.
     pub drain_admission_time: Micros,
-    /// As `stop_first_migration_delay`, for a process that has handed its listener over: 0.1 s.
+    /// Like `stop_first_migration_delay`, for a process that has handed over its listening socket: 0.1 s.
     pub leave_first_migration_delay: Micros,
-    /// As `stop_last_migration_delay`, for a process that has handed its listener over: the longest dial
-    /// timeout, at least 1 s, and `stop_last_migration_delay` at most.
+    /// Like `stop_last_migration_delay`, for a process that has handed over its listening socket: the longest
+    /// dial timeout, but at least 1 s and at most `stop_last_migration_delay`.
     pub leave_last_migration_delay: Micros,
-    /// Connections of processes that request to take over, at once: 3.
+    /// Concurrent connections of processes that request a takeover: 3.
     pub max_takeover_connections: usize,
-    /// How long a running process may take to offer its listener: 2 s.
+    /// Timeout for a running process to offer its listening socket: 2 s.
     pub listener_offer_timeout: Micros,
     /// Messages queued for the other process of a hot restart: 64.
     pub max_queued_handover_messages: usize,
-    /// Streams of other relays at once, in each direction: 8.
+    /// Concurrent streams of other relays, for each direction: 8.
     pub max_fleet_streams: usize,
-    /// The time of one stream of another relay: 2 s.
+    /// Timeout of one stream of another relay: 2 s.
     pub fleet_stream_timeout: Micros,
-    /// Datagrams of other relays that are read in a second: 5,000.
+    /// Datagrams of other relays that are read per second: 5,000.
     pub max_fleet_datagrams_per_s: u32,
-    /// Bytes of the state store: 64 MiB.
+    /// Maximum size of the state store in bytes: 64 MiB.
     pub max_state_bytes: u64,
-    /// How long a start waits for the state store: 2 s. After that the relay starts without its state.
+    /// Time that a start waits for the state store: 2 s. After that the relay starts without its state.
     pub state_open_timeout: Micros,
-    /// How long a dial waits for a record that must be durable before it: 20 ms.
+    /// Time that a dial waits for a record that must be durable before the dial: 20 ms.
     pub state_write_timeout: Micros,
 }
 
-/// Optional parts of the program that need file descriptors of their own.
+/// Optional parts of the program that need additional file descriptors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Uses {
-    /// The operators' HTTP interface, and the socket for a hot restart.
+    /// The operators' HTTP interface, and the socket for hot restarts.
     pub operator: bool,
     /// The membership of a fleet.
     pub fleet: bool,
@@ -132,8 +132,8 @@
 }
 
 impl Limits {
-    /// Shortens the times of a stop that has started under other settings to those of `before`, so that it
-    /// takes no longer than it would have.
+    /// Limits the times of a stop to those of `before`, the settings under which it has started, so that a
+    /// reload does not prolong it.
     pub fn stop_no_later(&mut self, before: &Limits) {
         let shorten = |time: &mut Micros, before: Micros| *time = before.min(*time);
         shorten(&mut self.stop_first_migration_delay, before.stop_first_migration_delay);
@@ -143,7 +143,7 @@
         shorten(&mut self.leave_last_migration_delay, before.leave_last_migration_delay);
     }
 
-    /// The limits under a site's settings, with `sockets` file descriptors in all.
+    /// Derives the limits from a site's settings, with `sockets` file descriptors in total.
     ///
     /// # Errors
     /// The descriptors do not suffice for the parts in use and two sessions.
@@ -176,12 +176,12 @@
             stalled_client_timeout: STALLED_CLIENT_TIMEOUT,
             close_timeout: CLOSE_TIMEOUT,
             discovery_answer_timeout: derived::discovery_answer_timeout(site),
-            discovery_retry_delay: derived::discovery_retry_interval(site),
+            discovery_retry_delay: derived::discovery_retry_delay(site),
             discovery_watch_timeout: DISCOVERY_WATCH_TIMEOUT,
-            stop_first_migration_delay: stop.from,
-            stop_last_migration_delay: stop.by,
+            stop_first_migration_delay: stop.first_migration,
+            stop_last_migration_delay: stop.last_migration,
             stop_end_delay: stop.end,
-            min_stop_delay: stop.least,
+            min_stop_delay: stop.earliest_exit,
             resumed_session_timeout: RESUMED_SESSION_TIMEOUT,
             max_operator_connections: MAX_OPERATOR_CONNECTIONS,
             operator_request_timeout: OPERATOR_REQUEST_TIMEOUT,
@@ -191,7 +191,7 @@
             drain_last_migration_delay: DRAIN_LAST_MIGRATION_DELAY,
             drain_admission_time: DRAIN_ADMISSION_TIME,
             leave_first_migration_delay: LEAVE_FIRST_MIGRATION_DELAY,
-            leave_last_migration_delay: stop.leave_by,
+            leave_last_migration_delay: stop.leave_last_migration,
             max_takeover_connections: MAX_TAKEOVER_CONNECTIONS,
             listener_offer_timeout: LISTENER_OFFER_TIMEOUT,
             max_queued_handover_messages: MAX_QUEUED_HANDOVER_MESSAGES,
--- a/config/src/limits/printed.rs
+++ b/config/src/limits/printed.rs
@@ -1,5 +1,5 @@
-//! The printed form of the limits. `hallrelay check` prints it, and operators' tools read it, so the printed
-//! names stay as they are, whatever the fields are called.
+//! The printed form of the limits. `hallrelay check` prints it and operators' tools parse it, so the printed
+//! names must not change when fields are renamed.
 use super::Limits;
 use std::fmt;
 
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,42 +1,42 @@
-//! The endpoint list in the form of discovery: in a configuration, in the answer of a call, in a watch event.
+//! The endpoint list in the JSON form of discovery, as configurations, answers and watch events contain it.
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Micros, Phase};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// One backend of an endpoint list.
+/// A backend in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
     /// The backend's name.
     pub id: String,
-    /// Address at which it takes sessions.
+    /// Address at which the backend accepts sessions.
     pub addr: SocketAddr,
-    /// Name of its zone; empty where it is left out.
+    /// Name of its zone; empty if the entry has none.
     pub zone: String,
     /// Number of its cell within the zone.
     pub cell: u16,
-    /// Its state.
+    /// Its lifecycle state.
     pub phase: Phase,
-    /// When it started, as Unix time in microseconds; 0 where that is not known.
+    /// Start time as Unix time in microseconds; 0 if unknown.
     pub started_at: Micros,
 }
 
-/// An endpoint list, or the changes to one.
+/// An endpoint list, or changes to one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct List {
-    /// The list's version.
+    /// Version of the list.
     pub generation: u64,
-    /// Whether these are all backends; otherwise only those that changed.
+    /// Whether the list has all backends; otherwise it has only those that changed.
     pub is_complete: bool,
-    /// The entries that can be read.
+    /// The entries that could be decoded.
     pub instances: Vec<Instance>,
-    /// Ids of the entries that can't be read; none where the id can't be read either. A backend whose last
-    /// entry is one of these gets no new sessions.
+    /// Ids of the entries that could not be decoded; `None` if the id could not be decoded either. A backend
+    /// whose latest entry is one of these gets no new sessions.
     pub unreadable: Vec<Option<String>>,
 }
 
-/// The names of the phases in the list.
+/// Names of the phases in the list.
 const PHASES: [(&str, Phase); 3] =
     [("up", Phase::Ready), ("draining", Phase::Draining), ("removed", Phase::Gone)];
 
@@ -45,10 +45,10 @@
     PHASES.iter().find(|(_, named)| *named == phase).map_or("removed", |(name, _)| name)
 }
 
-/// Parses a watch event or the answer of a call. Entries that can't be read are collected in `unreadable`.
+/// Parses a watch event or the answer to a call. Entries that can't be decoded are collected in `unreadable`.
 ///
 /// # Errors
-/// Not JSON, or no list.
+/// The text is not JSON or not an endpoint list.
 pub fn parse(text: &[u8]) -> Result<List, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::ListNotJson)?;
     decode(&JsonNode::root(&value))
@@ -66,19 +66,19 @@
     })
 }
 
-/// Decodes a list of a configuration, where each entry must be readable.
+/// Decodes the list of a configuration, in which every entry must be valid.
 ///
 /// # Errors
-/// The key that is missing or can't be used.
+/// A key is missing or invalid.
 pub fn decode_strict(at: &JsonNode) -> Result<List, ConfigError> {
     at.key("instances")?.list()?.iter().try_for_each(|at| decode_instance(at).map(|_| ()))?;
     decode(at)
 }
 
-/// Decodes a list; entries that can't be read are collected in `unreadable`.
+/// Decodes a list. Entries that can't be decoded are collected in `unreadable`.
 ///
 /// # Errors
-/// No list.
+/// The value is not an endpoint list.
 pub fn decode(at: &JsonNode) -> Result<List, ConfigError> {
     let mut list = List {
         generation: at.key("generation")?.integer()?,
@@ -94,12 +94,12 @@
     Ok(list)
 }
 
-/// The id of an entry that can't be read, where the id can.
+/// The id of an entry that can't be decoded; `None` if the id can't be decoded either.
 fn readable_id(at: &JsonNode) -> Option<String> {
     Some(at.option("instanceId")?.text().ok()?.to_string())
 }
 
-/// Encodes a list in the form that `parse` reads; `is_complete` tells whether `instances` are all backends.
+/// Encodes a list in the form that `parse` reads. `is_complete` is true if `instances` are all backends.
 pub fn encode<'a>(
     generation: u64,
     is_complete: bool,
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -1,4 +1,4 @@
-//! A relay's configuration: addresses, limits, settings, and the endpoint list that it starts from.
+//! A relay's configuration: addresses, limits, settings, and the initial endpoint list.
 use crate::error::ConfigError;
 use crate::facts::{self, Site};
 use crate::fleet::{self, ComparedKey, FleetConfig};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The configuration of one relay.
+/// Configuration of one relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     /// The relay's name.
@@ -18,50 +18,50 @@
     pub listen: SocketAddr,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Address of the operators' HTTP interface; none where it is off.
+    /// Address of the operators' HTTP interface; `None` if it is disabled.
     pub operator: Option<SocketAddr>,
-    /// Membership of a fleet of relays; none where this relay is not part of one.
+    /// Membership of a fleet of relays; `None` if this relay is not part of a fleet.
     pub fleet: Option<FleetConfig>,
-    /// Directory of the durable state; none where nothing is stored.
+    /// Directory of the durable state; `None` if nothing is stored.
     pub state: Option<PathBuf>,
-    /// Checksum of the settings that all relays share.
+    /// Checksum of the settings that all relays of the fleet share.
     pub digest: u32,
     /// Seed of the relay's random numbers.
     pub seed: u64,
     /// The site's settings.
     pub site: Site,
-    /// The endpoint list to start with; empty by default.
+    /// The initial endpoint list; empty by default.
     pub known: List,
     /// Sizes, counts and times that bound the program.
     pub limits: Limits,
-    /// File descriptors that the limits of counts are derived from; 1024 by default.
+    /// Number of file descriptors, from which the limits on counts are derived; 1024 by default.
     pub sockets: usize,
 }
 
-/// Values from the environment or the command line that replace those of the configuration.
+/// Values from the environment or the command line that override those of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// In place of `name`.
+    /// Replaces `name`.
     pub name: Option<String>,
-    /// In place of `listen`.
+    /// Replaces `listen`.
     pub listen: Option<String>,
-    /// In place of `discovery`.
+    /// Replaces `discovery`.
     pub discovery: Option<String>,
-    /// In place of `operator`.
+    /// Replaces `operator`.
     pub operator: Option<String>,
 }
 
 impl Overrides {
-    /// The overrides that hold on a reload: the address of discovery is that of the new configuration.
+    /// The overrides that apply on a reload. The address of discovery comes from the new configuration.
     pub fn for_reload(self) -> Overrides {
         Overrides { discovery: None, ..self }
     }
 }
 
 impl Node {
-    /// Keys that differ in a reloaded configuration and can't change while the program runs. Its endpoint
-    /// list and its seed are not compared: the running relay retains its own.
-    pub fn fixed(&self, later: &Node) -> Vec<&'static str> {
+    /// Keys that differ in a reloaded configuration but can't change while the program runs. The endpoint
+    /// list and the seed are not compared, as the running relay keeps its own.
+    pub fn changed_fixed_keys(&self, later: &Node) -> Vec<&'static str> {
         let (own, new) = (&self.site.facts, &later.site.facts);
         let has_moved = own.relay_index != new.relay_index || own.zone != new.zone;
         let fleet = match (&self.fleet, &later.fleet) {
@@ -87,8 +87,8 @@
     /// Applies reloaded settings, except those that can't change while the program runs.
     ///
     /// # Errors
-    /// The descriptors don't suffice under them; the former settings stay.
-    pub fn tune(&mut self, mut site: Site) -> Result<(), ConfigError> {
+    /// The file descriptors do not suffice under the new settings. The previous settings stay in effect.
+    pub fn apply_settings(&mut self, mut site: Site) -> Result<(), ConfigError> {
         let (own, new) = (&self.site.facts, &mut site.facts);
         new.must_watch = own.must_watch;
         new.relay_index = own.relay_index;
@@ -98,15 +98,15 @@
     }
 }
 
-/// The limits that follow from a site's settings, and the site with its session limit within them.
+/// Derives the limits from a site's settings, and reduces the site's session limit to them.
 fn derive_limits(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), ConfigError> {
     let limits = Limits::new(&site, sockets, uses)?;
-    // No more sessions than this machine has descriptors for.
+    // At most as many sessions as this machine has descriptors for.
     site.facts.max_sessions = site.facts.max_sessions.min(limits.max_sessions);
     Ok((site, limits))
 }
 
-/// Checks the times and counts that must be more than 0, and that listeners have different names.
+/// Checks that times and counts that must be positive are, and that the names of listeners are unique.
 fn check_positive(settings: &JsonNode) -> Result<(), ConfigError> {
     let positive = |at: JsonNode| if at.number()? > 0.0 { Ok(()) } else { at.invalid("more than 0") };
     let ceilings = settings.key("Ceilings")?;
@@ -116,19 +116,19 @@
         ["DialTimeout", "HandshakeTarget"].iter().try_for_each(|key| positive(listener.key(key)?))?;
         let name = listener.key("Name")?;
         if listeners[..index].iter().any(|other| other.value["Name"] == *name.value) {
-            return name.invalid("a name that no listener before it has");
+            return name.invalid("a name that no earlier listener has");
         }
     }
     Ok(())
 }
 
-/// File descriptors where the configuration has no number: those of a small machine.
+/// Default number of file descriptors: the limit of a small machine.
 const DEFAULT_SOCKETS: usize = 1024;
 
-/// Reads a configuration (JSON), checks it and applies its defaults.
+/// Parses a configuration (JSON), validates it and applies defaults.
 ///
 /// # Errors
-/// Not JSON, a key that is missing, or a value that can't be used.
+/// The text is not JSON, or a key is missing or invalid.
 pub fn parse(text: &[u8], overrides: &Overrides) -> Result<Node, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
     let top = JsonNode::root(&value);
@@ -162,7 +162,7 @@
     })
 }
 
-/// The override of a key, or else its value.
+/// The override of a key, or its value in the configuration.
 fn text_of(top: &JsonNode, key: &str, overriding: &Option<String>) -> Result<String, ConfigError> {
     match overriding {
         Some(text) => Ok(text.clone()),
@@ -192,13 +192,13 @@
 
 fn decode_state(top: &JsonNode) -> Result<Option<PathBuf>, ConfigError> {
     let path = top.option("state").map(|at| match at.text()? {
-        "" => at.invalid("a folder"),
+        "" => at.invalid("the path of a directory"),
         path => Ok(PathBuf::from(path)),
     });
     path.transpose()
 }
 
-/// A relay that votes must have durable state.
+/// Voting relays must have durable state.
 fn check_voter_state(name: &str, fleet: Option<&FleetConfig>, has_state: bool) -> Result<(), ConfigError> {
     let coordination = fleet.and_then(|fleet| fleet.coordination.as_ref());
     if coordination.is_some_and(|config| config.voters.iter().any(|voter| voter == name)) && !has_state {
--- a/config/src/plan.rs
+++ b/config/src/plan.rs
@@ -1,9 +1,9 @@
-//! A rollout's plan as operators write it: a TOML text, whose errors name file, line and key.
+//! Parses rollout plans, which operators write in TOML. Errors name file, line and key.
 use hallrelay_disruption::{AnalysisPolicy, InvalidPlan, RolloutPlan, TargetKind, Wave};
 use serde::Deserialize;
 use std::path::Path;
 
-/// Why a plan can't be used.
+/// Error in a rollout plan.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// The file can't be read.
@@ -11,50 +11,50 @@
     Unreadable {
         /// The plan's file.
         file: String,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// Not TOML, or not the keys of a plan.
+    /// The text is not TOML, or its keys are not those of a plan.
     #[error("{file}: {reason}")]
     Syntax {
         /// The plan's file.
         file: String,
-        /// Line, key and what is wrong.
+        /// Line, key and cause.
         reason: String,
     },
-    /// A share outside 0 to 1.
+    /// A share is not within 0 to 1.
     #[error("{file}: {key} is {value}, wanted 0 to 1")]
-    NotAShare {
+    InvalidShare {
         /// The plan's file.
         file: String,
-        /// The share's key.
+        /// The key of the share.
         key: String,
-        /// What it is.
+        /// The value found.
         value: f64,
     },
-    /// A wave that selects nothing.
-    #[error("{file}: wave {number} has neither names nor a count or share")]
+    /// A wave selects no targets.
+    #[error("{file}: wave {number} selects nothing, wanted names, a count or a share")]
     EmptyWave {
         /// The plan's file.
         file: String,
-        /// The wave, from 1.
+        /// Number of the wave, counted from 1.
         number: usize,
     },
-    /// A plan beyond the limits.
+    /// The plan exceeds a limit.
     #[error("{file}: {source}")]
     Invalid {
         /// The plan's file.
         file: String,
-        /// Which limits there are.
+        /// The limit that is exceeded.
         source: InvalidPlan,
     },
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct PlanText {
     build: String,
-    of: Of,
+    of: TargetText,
     by: String,
     #[serde(default)]
     judge: JudgeText,
@@ -63,7 +63,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Of {
+enum TargetText {
     Relay,
     Backend,
 }
@@ -77,8 +77,8 @@
 }
 
 impl Default for JudgeText {
-    /// An excess of two in a hundred shows in two hundred sessions; a fleet with few gets ten minutes for
-    /// them.
+    /// 200 sessions suffice to detect an excess of 2 failures in 100. A fleet with few sessions gets ten
+    /// minutes to reach that number.
     fn default() -> JudgeText {
         JudgeText { sessions: 200, worse: 0.02, within_s: 600 }
     }
@@ -92,10 +92,10 @@
     share: f64,
 }
 
-/// Reads a plan's file.
+/// Reads a plan from a file.
 ///
 /// # Errors
-/// The file can't be read, or `parse` fails.
+/// The file can't be read, or its text is not a valid plan.
 pub fn read(path: &Path) -> Result<RolloutPlan, PlanError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -107,9 +107,9 @@
 /// Parses and validates a plan; `file` names the text in errors.
 ///
 /// # Errors
-/// Not TOML, not a plan's keys, a wave that selects nothing, or values beyond the limits.
+/// The text is not TOML, a key is unknown or missing, a wave selects nothing, or a value is out of bounds.
 pub fn parse(file: &str, text: &str) -> Result<RolloutPlan, PlanError> {
-    let text: Text = toml::from_str(text).map_err(|e| PlanError::Syntax {
+    let text: PlanText = toml::from_str(text).map_err(|e| PlanError::Syntax {
         file: file.to_string(),
         reason: e.to_string().trim_end().to_string(),
     })?;
@@ -121,8 +121,8 @@
     let plan = RolloutPlan {
         build: text.build,
         target_kind: match text.of {
-            Of::Relay => TargetKind::Relay,
-            Of::Backend => TargetKind::Backend,
+            TargetText::Relay => TargetKind::Relay,
+            TargetText::Backend => TargetKind::Backend,
         },
         waves,
         analysis: AnalysisPolicy {
@@ -144,10 +144,10 @@
     Ok(Wave { names: wave.names, count: wave.count, share_ppm })
 }
 
-/// A share of 0 to 1 in millionths.
+/// Converts a share from 0 to 1 to parts per million.
 fn share_ppm(file: &str, key: &str, value: f64) -> Result<u32, PlanError> {
     if !(0.0..=1.0).contains(&value) {
-        return Err(PlanError::NotAShare { file: file.to_string(), key: key.to_string(), value });
+        return Err(PlanError::InvalidShare { file: file.to_string(), key: key.to_string(), value });
     }
     Ok((value * 1e6).round() as u32)
 }
--- a/config/src/scenario/check/faults.rs
+++ b/config/src/scenario/check/faults.rs
@@ -1,8 +1,8 @@
-//! Checks the faults of a scenario (its tables `trouble`).
+//! Validates the faults of a scenario, its tables `trouble`.
 use super::super::{Fault, FaultKind, Scenario};
 use super::{reject_if, relay_faults, InvalidKey};
 
-/// One fault, with the scenario that it is part of.
+/// A fault, with the scenario that contains it.
 #[derive(Clone, Copy)]
 pub(super) struct FaultCheck<'a> {
     pub(super) scenario: &'a Scenario,
@@ -11,7 +11,7 @@
 }
 
 impl FaultCheck<'_> {
-    /// Rejects a key of the fault's table.
+    /// Rejects the key `name` of the fault's table if `is_invalid`.
     pub(super) fn reject_if(&self, is_invalid: bool, name: &str, reason: &str) -> Result<(), InvalidKey> {
         reject_if(is_invalid, &format!("trouble[{}].{name}", self.index), reason)
     }
@@ -33,10 +33,10 @@
     let (kind, strength) = (fault.kind, fault.strength.0);
     check.reject_if(fault.at_s.us() >= scenario.length_s.us(), "at_s", "is after the day's end")?;
     let is_factor = matches!(kind, Slow | SharedSlow | Burst);
-    check.reject_if(is_factor && strength < 1.0, "strength", "wanted 1 or more, as it means times")?;
+    check.reject_if(is_factor && strength < 1.0, "strength", "wanted 1 or more, as it is a factor")?;
     let is_fraction = matches!(kind, Failing | Pauses);
     let is_out_of_range = is_fraction && !(0.0..=1.0).contains(&strength);
-    check.reject_if(is_out_of_range, "strength", "wanted 0 to 1, as it means a part")?;
+    check.reject_if(is_out_of_range, "strength", "wanted 0 to 1, as it is a fraction")?;
     let must_last = matches!(kind, Slow | SharedSlow | Burst | Pauses | Failing | Lies | Wire | ZoneCut);
     check.reject_if(must_last && fault.length_s.us() == 0, "length_s", "wanted more than 0")
 }
@@ -47,7 +47,7 @@
     let is_wire = fault.kind == FaultKind::Wire;
     let is_unknown = fault.zone.as_ref().is_some_and(|zone| !scenario.servers.zones.contains(zone));
     check.reject_if(is_unknown, "zone", "is not among servers.zones")?;
-    check.reject_if(is_zone_cut && fault.zone.is_none(), "zone", "a zone cut names its zone")?;
-    check.reject_if(is_wire && fault.fault.is_none(), "fault", "trouble on the way names its fault")?;
-    check.reject_if(!is_wire && fault.fault.is_some(), "fault", "only kind = \"wire\" has a fault")
+    check.reject_if(is_zone_cut && fault.zone.is_none(), "zone", "kind = \"zone-cut\" requires a zone")?;
+    check.reject_if(is_wire && fault.fault.is_none(), "fault", "kind = \"wire\" requires a fault")?;
+    check.reject_if(!is_wire && fault.fault.is_some(), "fault", "applies only to kind = \"wire\"")
 }
--- a/config/src/scenario/check/mod.rs
+++ b/config/src/scenario/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checks the values of a scenario beyond their types. The first value that is invalid is reported.
+//! Validates the values of a scenario beyond their types. The first invalid value is reported.
 mod faults;
 mod relay_faults;
 
@@ -12,25 +12,25 @@
 const MAX_SERVERS: usize = 4096;
 const MAX_ZONES: usize = 200;
 
-/// A key whose value no run can have.
+/// A key with an invalid value.
 pub(super) struct InvalidKey {
-    /// The key's path, such as `listener[1].life_s`.
+    /// Path of the key, for example `listener[1].life_s`.
     pub(super) key: String,
     pub(super) reason: String,
 }
 
-/// Checks a whole scenario.
+/// Validates a scenario.
 ///
 /// # Errors
-/// The first key whose value no run can have.
+/// The first key with an invalid value.
 pub(super) fn check(scenario: &Scenario) -> Result<(), InvalidKey> {
-    reject_if(scenario.length_s.us() < MIN_LENGTH, "length_s", "wanted a second at least")?;
+    reject_if(scenario.length_s.us() < MIN_LENGTH, "length_s", "wanted at least 1 s")?;
     check_relays(&scenario.relays)?;
     check_servers(scenario)?;
     let listeners = &scenario.listeners;
-    reject_if(listeners.is_empty(), "listener", "wanted one listener at least")?;
+    reject_if(listeners.is_empty(), "listener", "wanted at least one listener")?;
     let has_no_share = listeners.iter().all(|listener| listener.share.0 <= 0.0);
-    reject_if(has_no_share, "listener", "one share at least must be over 0")?;
+    reject_if(has_no_share, "listener", "wanted at least one share over 0")?;
     check_kinds(&scenario.servers)?;
     check_listeners(listeners)?;
     check_ranges(scenario)?;
@@ -38,7 +38,7 @@
     reject_if(report_every == 0, "servers.report_every_ms", "wanted more than 0")?;
     reject_if(scenario.clients.message_s.us() == 0, "clients.message_s", "wanted more than 0")?;
     let has_no_sorts = scenario.bad.rate.0 > 0.0 && scenario.bad.sorts.is_empty();
-    reject_if(has_no_sorts, "bad.sorts", "a rate without sorts means nothing")?;
+    reject_if(has_no_sorts, "bad.sorts", "wanted at least one sort, as bad.rate is over 0")?;
     faults::check(scenario)
 }
 
@@ -54,32 +54,36 @@
     let is_count_invalid = relays.count == 0 || relays.count > MAX_RELAYS;
     reject_if(is_count_invalid, "relays.count", "wanted 1 to 300 relays")?;
     let lacks_state = relays.voters > 0 && !(relays.fleet && relays.state);
-    reject_if(lacks_state, "relays.voters", "wants relays.fleet and relays.state")?;
+    reject_if(lacks_state, "relays.voters", "requires relays.fleet = true and relays.state = true")?;
     let has_too_many_voters = relays.voters > relays.count || relays.voters > MAX_VOTERS;
-    reject_if(has_too_many_voters, "relays.voters", "wanted 7 at most, and no more than relays")?;
-    reject_if(relays.fleet && relays.seeds == 0, "relays.seeds", "wanted 1 at least")?;
-    reject_if(relays.sockets < MIN_SOCKETS, "relays.sockets", "wanted 64 at least")?;
-    reject_if(relays.most_dials == 0, "relays.most_dials", "wanted 1 at least")
+    reject_if(has_too_many_voters, "relays.voters", "wanted at most 7, and at most relays.count")?;
+    reject_if(relays.fleet && relays.seeds == 0, "relays.seeds", "wanted at least 1")?;
+    reject_if(relays.sockets < MIN_SOCKETS, "relays.sockets", "wanted at least 64")?;
+    reject_if(relays.most_dials == 0, "relays.most_dials", "wanted at least 1")
 }
 
 fn check_servers(scenario: &Scenario) -> Result<(), InvalidKey> {
     let servers = &scenario.servers;
-    reject_if(servers.kinds.is_empty(), "servers.kind", "wanted one kind of server at least")?;
+    reject_if(servers.kinds.is_empty(), "servers.kind", "wanted at least one kind of server")?;
     let count = scenario.server_count();
     let is_count_invalid = count == 0 || count > MAX_SERVERS;
-    reject_if(is_count_invalid, "servers.kind", "wanted 1 to 4096 servers in all")?;
+    reject_if(is_count_invalid, "servers.kind", "wanted 1 to 4096 servers in total")?;
     let are_zones_invalid = servers.zones.is_empty() || servers.zones.len() > MAX_ZONES;
     reject_if(are_zones_invalid, "servers.zones", "wanted 1 to 200 zones")?;
     reject_if(servers.per_core.0 <= 0.0, "servers.per_core", "wanted more than 0")?;
-    reject_if(servers.cap_per_core == 0, "servers.cap_per_core", "wanted 1 at least")?;
+    reject_if(servers.cap_per_core == 0, "servers.cap_per_core", "wanted at least 1")?;
     let never_warms = servers.cold_from.0 <= 0.0;
-    reject_if(never_warms, "servers.cold_from", "a server that can do nothing is never warm")
+    reject_if(
+        never_warms,
+        "servers.cold_from",
+        "wanted more than 0, as a server without capacity never warms up",
+    )
 }
 
 fn check_kinds(servers: &Servers) -> Result<(), InvalidKey> {
     for (index, kind) in servers.kinds.iter().enumerate() {
         let key = |name: &str| format!("servers.kind[{index}].{name}");
-        reject_if(kind.cores == 0, &key("cores"), "wanted 1 at least")?;
+        reject_if(kind.cores == 0, &key("cores"), "wanted at least 1")?;
         reject_if(kind.speed.0 <= 0.0, &key("speed"), "wanted more than 0")?;
     }
     Ok(())
@@ -94,7 +98,7 @@
         reject_if(dial_timeout == 0, &key("dial_timeout_ms"), "wanted more than 0")?;
         reject_if(listener.life_s.us() == 0, &key("life_s"), "wanted more than 0")?;
         reject_if(listener.load.0 <= 0.0, &key("load"), "wanted more than 0")?;
-        reject_if(!is_name(&listener.name), &key("name"), "wanted letters, digits, - and _")?;
+        reject_if(!is_name(&listener.name), &key("name"), "wanted ASCII letters, digits, - and _")?;
         let is_duplicate = listeners[..index].iter().any(|earlier| earlier.name == listener.name);
         reject_if(is_duplicate, &key("name"), "is the name of an earlier listener")?;
     }
@@ -106,7 +110,7 @@
     !name.is_empty() && name.chars().all(is_allowed)
 }
 
-/// Checks the pairs of times that bound a random one.
+/// Checks pairs of times that are the bounds of a random time.
 fn check_ranges(scenario: &Scenario) -> Result<(), InvalidKey> {
     let Scenario { clients, list, servers, .. } = scenario;
     let ranges = [
@@ -120,7 +124,7 @@
         ("servers.report_late_ms", servers.report_late_ms.map(Span::us)),
     ];
     for (key, [shortest, longest]) in ranges {
-        reject_if(shortest > longest, key, "the first time is over the second")?;
+        reject_if(shortest > longest, key, "the first time is longer than the second")?;
     }
     Ok(())
 }
--- a/config/src/scenario/fault.rs
+++ b/config/src/scenario/fault.rs
@@ -1,53 +1,53 @@
-//! The tables `trouble` of a scenario: faults, what they affect, when, and how strongly.
-use super::{Millis, Num, Part, Secs};
+//! The tables `trouble` of a scenario: faults, with their targets, times and strengths.
+use super::{Fraction, Millis, NonNegative, Secs};
 use serde::Deserialize;
 
-/// One fault. A key that its kind does not have must be left out.
+/// One fault. Keys that do not apply to its kind must be omitted.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it starts, from the day's beginning; before the day's end.
+    /// Start of the fault, from the beginning of the day; before the end of the day.
     pub at_s: Secs,
-    /// How long it lasts; 0 by default, which most kinds do not allow.
+    /// Duration of the fault; 0 by default, which most kinds do not allow.
     #[serde(default)]
     pub length_s: Secs,
-    /// Fraction of the servers, relays or open clients that it affects, drawn at random; one server or relay
-    /// at least, so that 0, the default, is one of them.
+    /// Fraction of the servers, relays or open clients that are affected, selected at random. At least one
+    /// server or relay is affected, so that 0, the default, selects one.
     #[serde(default)]
-    pub share: Part,
-    /// How strong it is, in the unit that its kind names; 0 by default.
+    pub share: Fraction,
+    /// Strength of the fault, in the unit that is documented at its kind; 0 by default.
     #[serde(default)]
-    pub strength: Num,
-    /// The zone of `zone-cut`, which is cut off from the relays.
+    pub strength: NonNegative,
+    /// The zone that `zone-cut` disconnects from the relays.
     #[serde(default)]
     pub zone: Option<String>,
-    /// The fault of `wire`.
+    /// The connection fault of `wire`.
     #[serde(default)]
     pub fault: Option<ConnectionFault>,
-    /// The relays that it affects, by number from 0, in place of a share of them.
+    /// The affected relays, by number from 0, instead of a random `share`.
     #[serde(default)]
     pub relays: Vec<usize>,
-    /// The relays at whose end the affected links start; any where it is left out.
+    /// The relays at which affected links start; all relays if empty.
     #[serde(default)]
     pub from: Vec<usize>,
-    /// The relays at whose end the affected links end; any where it is left out.
+    /// The relays at which affected links end; all relays if empty.
     #[serde(default)]
     pub to: Vec<usize>,
-    /// Whether only the links from `from` to `to` are affected, and not those back; false by default.
+    /// Whether only the direction from `from` to `to` is affected, not the opposite one; false by default.
     #[serde(default)]
     pub one_way: bool,
-    /// The groups of `link-split`, within which relays reach each other; two halves where it is left out. A
-    /// relay in no group reaches none.
+    /// The groups of `link-split`, within which relays reach each other; two halves if empty. A relay that is
+    /// in no group is isolated.
     #[serde(default)]
     pub groups: Vec<Vec<usize>>,
-    /// The relay of `link-split` that reaches all groups and is reached by them.
+    /// The relay of `link-split` that all groups reach, and that reaches all groups.
     #[serde(default)]
     pub bridge: Option<usize>,
-    /// Period of a link fault that is intermittent: it holds for the first half of each; 0, the default, is
-    /// all the time. Of `relay-looping` the time from a kill to the start, and from that to the next kill.
-    /// 0.1 s at least.
+    /// Period of an intermittent link fault, which is active in the first half of each; 0, the default,
+    /// means permanently. For `relay-looping` the time from a kill to the start, and from that to the next
+    /// kill. At least 0.1 s.
     #[serde(default)]
     pub every_s: Secs,
     /// Delay of `link-delay` and `link-reorder`, random between two times.
@@ -55,62 +55,62 @@
     pub delay_ms: [Millis; 2],
 }
 
-/// The kinds of faults, with the unit of their `strength`.
+/// The kinds of faults, with the units of `strength`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Servers end, and start anew at the fault's end; with a length of 0 they stay down.
+    /// Servers crash, and restart at the end of the fault; with a length of 0 they stay down.
     Crash,
-    /// The same without closing their connections: they answer nothing.
+    /// Like `Crash`, but without closing connections: servers just stop answering.
     Vanish,
-    /// Servers are slower by the factor `strength`, 1 or more.
+    /// Servers are slower by the factor `strength`, at least 1.
     Slow,
     /// Servers stall for the fraction `strength` of each period of 2 to 4 s.
     Pauses,
-    /// Servers fail the fraction `strength` of dials, with `ERR`.
+    /// Servers reject the fraction `strength` of dials, with `ERR`.
     Failing,
-    /// Servers' load reports are `strength` seconds older.
+    /// Load reports of servers are older by `strength` seconds.
     LateReports,
-    /// The servers of a zone are not reached.
+    /// Relays do not reach the servers of a zone.
     ZoneCut,
-    /// All servers and their session store are slower by the factor `strength`, 1 or more.
+    /// All servers and their session store are slower by the factor `strength`, at least 1.
     SharedSlow,
-    /// Servers drain and restart, in groups that are the fraction `strength` of them (0 is 0.2), spread over
-    /// the fault's length.
+    /// Servers drain and restart in groups of the fraction `strength` of them (0 means 0.2), spread over the
+    /// length of the fault.
     Deploy,
-    /// Servers drain, end, and start anew after the fault's length, 1 s at least.
+    /// Servers drain and stop, and start again after the length of the fault, at least 1 s.
     Drain,
-    /// The rate of new clients is multiplied by `strength`, 1 or more.
+    /// The rate of new clients is multiplied by `strength`, at least 1.
     Burst,
-    /// The fraction `share` of the open clients disconnects, and reconnects within `strength` seconds (0 is
-    /// 1).
+    /// The fraction `share` of the open clients disconnects, and reconnects within `strength` seconds (0
+    /// means 1).
     Reconnect,
     /// The discovery service does not answer.
     ListDown,
-    /// The endpoint list's changes are `strength` seconds later.
+    /// Changes of the endpoint list are delayed by `strength` seconds.
     ListLate,
     /// Servers report their load multiplied by `strength`.
     Lies,
-    /// The fraction `strength` of connections to servers (0 is all) meets the `fault`.
+    /// The fraction `strength` of connections to servers (0 means all) is affected by `fault`.
     Wire,
-    /// Relays are killed (SIGKILL), and start at the fault's end.
+    /// Relays are killed (SIGKILL), and start again at the end of the fault.
     RelayKilled,
-    /// Relays are stopped (SIGTERM), and start at the fault's end.
+    /// Relays are stopped (SIGTERM), and start again at the end of the fault.
     RelayStopped,
     /// Relays reload their configuration.
     RelayReloaded,
-    /// Relays stall (SIGSTOP), and continue at the fault's end.
+    /// Relays are suspended (SIGSTOP), and resume at the end of the fault.
     RelayStalled,
-    /// Relays are killed and started again and again, by `every_s`.
+    /// Relays are repeatedly killed and started, at the interval `every_s`.
     RelayLooping,
     /// A new process takes over from the running one (hot restart).
     RelayReplaced,
-    /// An operator requests a lease for each relay, repeats that until it is granted, and returns the relay
-    /// after `strength` seconds (0 is 3).
+    /// An operator requests a lease for each relay until it is granted, and returns the relay to service
+    /// after `strength` seconds (0 means 3).
     RelaysOut,
-    /// Links between relays lose everything.
+    /// Links between relays drop everything.
     LinkCut,
-    /// Links lose the fraction `strength` of datagrams.
+    /// Links drop the fraction `strength` of datagrams.
     LinkLoss,
     /// Links duplicate the fraction `strength` of datagrams.
     LinkDouble,
@@ -120,40 +120,41 @@
     LinkReorder,
     /// Links corrupt the fraction `strength` of datagrams.
     LinkDamage,
-    /// Links hold everything back, and deliver it at the fault's end.
+    /// Links hold everything back, and deliver it at the end of the fault.
     LinkHold,
-    /// Links between groups of relays lose everything.
+    /// Links between groups of relays drop everything.
     LinkSplit,
     /// Relays do not reach the discovery service.
     ListCut,
-    /// The relays named, or all, do not reach a share of the servers.
+    /// The selected relays, or all, do not reach a share of the servers.
     ServersCut,
-    /// Servers get `strength` cores of work past the relays: overloads those that warm up.
+    /// Servers get `strength` cores of additional work that bypasses the relays, which overloads servers that
+    /// warm up.
     Overrun,
 }
 
-/// What a connection to a server meets.
+/// A fault of a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConnectionFault {
-    /// It is refused, or reset at once where only a fraction meets the fault.
+    /// The connection is refused, or reset immediately if only a fraction of connections is affected.
     Refused,
-    /// It is never established, or never answered where only a fraction meets the fault.
+    /// The connection is never established, or never answered if only a fraction of connections is affected.
     NeverUp,
-    /// It is reset before the first line is read.
+    /// The connection is reset before the first line is read.
     ResetBefore,
-    /// It is reset after the first line is read.
+    /// The connection is reset after the first line is read.
     ResetAfter,
     /// The first line is not answered.
     Silence,
-    /// The first line is answered with half a line; with nothing in virtual time.
+    /// The first line is answered with half a line on sockets, and not at all in virtual time.
     HalfLine,
-    /// On an open session each line is read a second late; on sockets only.
+    /// Each line of an open session is read 1 s late. This occurs on sockets only.
     SlowReader,
 }
 
 impl FaultKind {
-    /// Whether it is about links between relays, and so needs `relays.fleet`.
+    /// Whether the fault affects links between relays, and thus requires `relays.fleet`.
     pub fn is_link(self) -> bool {
         use FaultKind::{
             LinkCut, LinkDamage, LinkDelay, LinkDouble, LinkHold, LinkLoss, LinkReorder, LinkSplit,
@@ -164,7 +165,8 @@
         )
     }
 
-    /// Whether it affects relays that can be named: their processes, and what they reach.
+    /// Whether `Fault::relays` may select the affected relays: faults of their processes or of their
+    /// connections to servers and discovery.
     pub fn is_of_relays(self) -> bool {
         use FaultKind::{
             ListCut, RelayKilled, RelayLooping, RelayReloaded, RelayReplaced, RelayStalled, RelayStopped,
--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! A day for the emulator, as TOML: servers, relays, load, clients, faults. It is read and checked as a whole
-//! before anything starts; every error names file, line and key.
+//! A day for the emulator, in TOML: servers, relays, load, clients and faults. It is read and validated
+//! completely before anything starts. Every error names file, line and key.
 mod check;
 mod clients;
 mod fault;
@@ -12,38 +12,38 @@
 
 pub use clients::{Bad, BadSort, Clients, Load, Step};
 pub use fault::{ConnectionFault, Fault, FaultKind};
-pub use listener::{Listener, Ring, Sort};
+pub use listener::{IdempotencyScope, Listener, Repeatability};
 pub use read::{parse, ScenarioError};
 pub use relays::{KnownList, Relays};
 pub use rules::{Goal, ListService, Net, Rules};
-pub use servers::{Drains, Kind, Servers, Warms};
-pub use units::{Millis, Num, Part, Secs, Span};
+pub use servers::{DrainPace, Kind, Servers, WarmUpCurve};
+pub use units::{Fraction, Millis, NonNegative, Secs, Span};
 
 use serde::Deserialize;
 
-/// One day: what runs, what clients request, and which faults occur. All times count from the day's
-/// beginning.
+/// One day: what runs, what clients request, and which faults occur. All times are counted from the beginning
+/// of the day.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The scenario's name; that of the fleet too, where there is one.
+    /// Name of the scenario, and of its fleet if it has one.
     pub name: String,
-    /// Seed of all random numbers, unless the command line has one; 1 by default.
+    /// Seed of all random numbers, unless the command line sets one; 1 by default.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Length of the day, 1 s at least.
+    /// Length of the day, at least 1 s.
     pub length_s: Secs,
     /// The relays.
     #[serde(default)]
     pub relays: Relays,
     /// The emulated backends.
     pub servers: Servers,
-    /// The listeners, one at least.
+    /// The listeners, at least one.
     #[serde(rename = "listener")]
     pub listeners: Vec<Listener>,
-    /// How many sessions are requested.
+    /// The rate of requested sessions.
     pub load: Load,
-    /// How clients behave.
+    /// Behaviour of clients.
     #[serde(default)]
     pub clients: Clients,
     /// Clients that violate the protocol.
@@ -55,7 +55,7 @@
     /// The rules that the auditor checks.
     #[serde(default)]
     pub rules: Rules,
-    /// The service figure.
+    /// Weights and costs of the service figure.
     #[serde(default)]
     pub goal: Goal,
     /// Latencies in virtual time.
@@ -71,12 +71,12 @@
 }
 
 impl Scenario {
-    /// Number of servers of all kinds.
+    /// Total number of servers of all kinds.
     pub fn server_count(&self) -> usize {
         self.servers.kinds.iter().map(|kind| kind.count).sum()
     }
 
-    /// Sessions that are open at once at the day's highest rate, where no fault ends them.
+    /// Concurrent sessions at the highest rate of the day, if no fault ends them.
     pub fn most_open(&self) -> f64 {
         let shares: f64 = self.listeners.iter().map(|listener| listener.share.0).sum();
         let weighted_life = |listener: &Listener| listener.share.0 * listener.life_s.us() as f64 / 1e6;
--- a/config/src/scenario/read.rs
+++ b/config/src/scenario/read.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario's text, and finds the line and the key of an error.
+//! Parses a scenario, and finds the line and the key of an error.
 use super::{
     check::{check, InvalidKey},
     Scenario,
@@ -7,16 +7,16 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Why a scenario can't be used.
+/// Error in a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The scenario's file.
+    /// File of the scenario.
     pub file: String,
-    /// The line at fault, from 1.
+    /// Line of the error, counted from 1.
     pub line: usize,
-    /// The path of the key at fault; empty where the text is not TOML.
+    /// Path of the key at fault; empty if the text is not TOML.
     pub key: String,
-    /// What is wrong with it.
+    /// Cause of the error.
     pub reason: String,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// Reads a scenario; `file` names the text in errors.
+/// Parses and validates a scenario; `file` names the text in errors.
 ///
 /// # Errors
-/// Not TOML, not a scenario's keys, or values that no run can have.
+/// The text is not TOML, or a key is unknown, missing or invalid.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
     let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
     let tree = DeTable::parse(text);
@@ -54,7 +54,7 @@
         return Err(error(
             line(old.span().start),
             "fleet".to_string(),
-            "is called servers now; [relays] fleet = true is about relays".to_string(),
+            "is now called servers; a fleet of relays is fleet = true in [relays]".to_string(),
         ));
     }
     let scenario: Scenario = toml::from_str(text).map_err(|e| {
@@ -68,7 +68,7 @@
     Ok(scenario)
 }
 
-/// The path of the key or the value at a byte offset of the text; empty where there is none.
+/// Path of the key or value at a byte offset of the text; empty if there is none.
 fn key_at(table: &DeTable, at: usize) -> String {
     for (key, value) in table {
         let (key_span, span) = (key.span(), value.span());
@@ -100,7 +100,7 @@
     String::new()
 }
 
-/// The byte offset of a key, such as `trouble[1].share`; where it is left out, that of its table.
+/// Byte offset of a key, for example `trouble[1].share`, or of its table if the key is missing.
 fn key_offset(table: &DeTable, path: &str) -> Option<usize> {
     let mut place = None;
     let mut here: Option<&DeTable> = Some(table);
--- a/config/src/scenario/relays.rs
+++ b/config/src/scenario/relays.rs
@@ -2,49 +2,50 @@
 use super::{Millis, Span};
 use serde::Deserialize;
 
-/// The relays: each a process of its own on sockets, or a reducer of its own in virtual time.
+/// The relays. Each is a separate process on sockets, or a separate reducer in virtual time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Relays {
     /// Number of relays, 1 to 300; 2 by default.
     pub count: usize,
-    /// File descriptors that each relay is configured with, 64 at least; 1024 by default.
+    /// File descriptors of each relay, at least 64; 1024 by default.
     pub sockets: usize,
-    /// Port of the first relay on 127.0.0.1, each further one at the next port; with 0, the default, each
-    /// relay has a free port of an address of its own.
+    /// Port of the first relay on 127.0.0.1; each further relay uses the next port. With 0, the default, each
+    /// relay uses a free port of a separate address.
     pub first_port: u16,
-    /// Most dials of one session, 1 at least; 5 by default.
+    /// Maximum number of dials of one session, at least 1; 5 by default.
     pub most_dials: u32,
     /// Whether relays may probe servers for load reports; true by default.
     pub may_probe: bool,
-    /// Connect timeout to a server; 250 ms by default.
+    /// Connect timeout to a server, after which a connection counts as failed; 250 ms by default.
     pub connect_timeout_ms: Millis,
     /// Whether the relays are members of one fleet; false by default.
     pub fleet: bool,
-    /// Relays whose addresses are in every relay's list of peers, from the first on, 1 at least; 3 by
-    /// default.
+    /// The first relays, this many, are in every relay's list of peers; at least 1, 3 by default.
     pub seeds: usize,
-    /// Longest Retry-After of a rejection; 0, the default, where none is conveyed.
+    /// Longest Retry-After that a rejected client may be sent. 0, the default, means that relays may not send
+    /// one.
     pub retry_after_ms: Millis,
-    /// Whether relays have a state store, which outlives their processes; false by default.
+    /// Whether relays have a state store, which keeps what a relay must still know after a restart; false by
+    /// default.
     pub state: bool,
-    /// Relays that vote on leases, from the first on: 7 at most. 0, the default, is no coordination; voters
-    /// need `fleet` and `state`.
+    /// The first relays, this many, vote on leases; at most 7. 0, the default, disables coordination. Voters
+    /// require `fleet` and `state`.
     pub voters: usize,
-    /// Relays that may be out at once by the disruption budget of the fleet; 1 by default.
+    /// Relays that may be out of service at the same time under the fleet's disruption budget; 1 by default.
     pub out: u32,
-    /// The endpoint list in the configuration of a relay that starts; the newest by default.
+    /// The endpoint list in the configuration of a starting relay; the newest by default.
     pub known: KnownList,
 }
 
-/// Which endpoint list the configuration of a starting relay has.
+/// The endpoint list in the configuration of a starting relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KnownList {
-    /// The list as of the start.
+    /// The list at the time of the start.
     #[default]
     Newest,
-    /// The list of the day's beginning.
+    /// The list at the beginning of the day.
     First,
 }
 
--- a/config/src/scenario/rules.rs
+++ b/config/src/scenario/rules.rs
@@ -1,19 +1,21 @@
 //! The tables `list`, `rules`, `goal` and `net` of a scenario: the discovery service, the audited rules, the
-//! service figure, and latencies.
-use super::{Millis, Num, Part, Secs, Span};
+//! service figure, and network latencies.
+use super::{Fraction, Millis, NonNegative, Secs, Span};
 use serde::Deserialize;
 
-/// The discovery service. A pair of times bounds an evenly distributed one.
+/// The discovery service. Pairs of times are the bounds of a uniform distribution.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListService {
-    /// From a server's end or the start of its drain to its entry in the list; 1.4 to 4.5 s by default.
+    /// Delay from the end of a server or the start of its drain to its change in the list; 1.4 to 4.5 s by
+    /// default.
     pub notice_s: [Secs; 2],
-    /// The same of a server that vanished without closing its connections; 6.8 to 14 s by default.
+    /// Delay from the loss of a server that did not close its connections to its change in the list; 6.8 to
+    /// 14 s by default.
     pub silent_notice_s: [Secs; 2],
-    /// From a server's start to its entry in the list; 0.39 to 1.9 s by default.
+    /// Delay from the start of a server to its entry in the list; 0.39 to 1.9 s by default.
     pub add_s: [Secs; 2],
-    /// Whether relays must watch the list, as by default; otherwise it is pushed to them.
+    /// Whether relays have to watch the endpoint list; otherwise changes are pushed to them. True by default.
     pub watched: bool,
 }
 
@@ -32,15 +34,16 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// How long after a relay was notified of a drain it may still send new sessions; 250 ms by default.
+    /// Time after the notification of a drain during which a relay may still send new sessions; 250 ms by
+    /// default.
     pub drain_grace_ms: Millis,
-    /// How many times a full server's sessions a warming server sustains within its warm-up; 3 by default.
-    pub fall_multiple: Num,
-    /// How long a warming server sustains more than that before it fails; 2 s by default.
+    /// Load that overloads a server that warms up, as a multiple of its current capacity; 3 by default.
+    pub fall_multiple: NonNegative,
+    /// Time for which a server that warms up sustains that load before it fails; 2 s by default.
     pub fall_s: Secs,
-    /// The longest time between two polls of the endpoint list; 10 s by default.
+    /// Longest interval between two polls of the endpoint list; 10 s by default.
     pub ask_within_s: Secs,
-    /// What the auditor adds to each time of a rule, for latency; 50 ms by default.
+    /// Allowance for latency that the auditor adds to each time limit of a rule; 50 ms by default.
     pub slack_ms: Millis,
 }
 
@@ -48,7 +51,7 @@
     fn default() -> Rules {
         Rules {
             drain_grace_ms: Span(250_000),
-            fall_multiple: Num(3.0),
+            fall_multiple: NonNegative(3.0),
             fall_s: Span(2_000_000),
             ask_within_s: Span(10_000_000),
             slack_ms: Span(50_000),
@@ -56,49 +59,50 @@
     }
 }
 
-/// The weights of the service figure, and the costs that are subtracted from it.
+/// Weights of the service figure, and costs that are subtracted from it.
 ///
-/// Service is the fraction of requested session time that was served well, weighted by priority.
+/// Service is the fraction of the requested session time that was served within its objectives, weighted by
+/// priority.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Goal {
-    /// Weight of the service of the whole day; 0.35 by default.
-    pub whole: Part,
+    /// Weight of the service over the complete day; 0.35 by default.
+    pub whole: Fraction,
     /// Weight of the service of the worst ten seconds; 0.45 by default.
-    pub worst_window: Part,
+    pub worst_window: Fraction,
     /// Weight of the service of the worst listener; 0.2 by default.
-    pub worst_listener: Part,
-    /// Cost of a migration for each first attempt; 0.021 by default.
-    pub price_move: Part,
-    /// Cost of a probe for each first attempt; 0.002 by default.
-    pub price_probe: Part,
-    /// Cost of a dial for each first attempt; 0 by default.
-    pub price_handshake: Part,
-    /// Cost of the servers' wasted work, as a fraction of all their work; 0.065 by default.
-    pub price_waste: Part,
+    pub worst_listener: Fraction,
+    /// Cost of migrations, multiplied by their number per first attempt; 0.021 by default.
+    pub price_move: Fraction,
+    /// Cost of probes, multiplied by their number per first attempt; 0.002 by default.
+    pub price_probe: Fraction,
+    /// Cost of dials, multiplied by their number per first attempt; 0 by default.
+    pub price_handshake: Fraction,
+    /// Cost of wasted work of servers, multiplied by its fraction of all their work; 0.065 by default.
+    pub price_waste: Fraction,
 }
 
 impl Default for Goal {
     fn default() -> Goal {
         Goal {
-            whole: Part(0.35),
-            worst_window: Part(0.45),
-            worst_listener: Part(0.2),
-            price_move: Part(0.021),
-            price_probe: Part(0.002),
-            price_handshake: Part(0.0),
-            price_waste: Part(0.065),
+            whole: Fraction(0.35),
+            worst_window: Fraction(0.45),
+            worst_listener: Fraction(0.2),
+            price_move: Fraction(0.021),
+            price_probe: Fraction(0.002),
+            price_handshake: Fraction(0.0),
+            price_waste: Fraction(0.065),
         }
     }
 }
 
-/// Latencies in virtual time; sockets have their own.
+/// Latencies in virtual time. On sockets the real latencies apply.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Net {
-    /// From a client to a relay, in each direction; 0.05 ms by default.
+    /// Latency between a client and a relay, in each direction; 0.05 ms by default.
     pub client_ms: Millis,
-    /// From a relay to a server or another relay, in each direction; 0.05 ms by default.
+    /// Latency between a relay and a server or another relay, in each direction; 0.05 ms by default.
     pub server_ms: Millis,
 }
 
--- a/config/src/scenario/units.rs
+++ b/config/src/scenario/units.rs
@@ -1,9 +1,9 @@
-//! Numbers of a scenario with a unit or a range: times, fractions, numbers of 0 or more.
+//! Numbers of a scenario that have a unit or a range: times, fractions and non-negative numbers.
 use hallrelay_balancer::types::Micros;
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// A time of a week at most that a scenario writes in units of `UNIT` microseconds.
+/// A time of at most one week, which scenarios write in units of `UNIT` microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span<const UNIT: u64>(pub Micros);
 /// A time that is written in seconds.
@@ -20,17 +20,17 @@
 
 impl<'de, const UNIT: u64> Deserialize<'de> for Span<UNIT> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        // Whatever is longer than a week was meant in another unit.
+        // A time of more than one week was probably meant in another unit.
         const MAX_MICROS: f64 = 7.0 * 86_400e6;
         let micros = number(from)? * UNIT as f64;
         if micros > MAX_MICROS {
-            return Err(D::Error::custom("wanted a time of a week at most"));
+            return Err(D::Error::custom("wanted a time of at most one week"));
         }
         Ok(Span(micros.round() as Micros))
     }
 }
 
-/// A number of 0 or more.
+/// Deserializes a finite number of 0 or more.
 fn number<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     let value = f64::deserialize(from)?;
     if value.is_finite() && value >= 0.0 {
@@ -40,25 +40,25 @@
     }
 }
 
-/// A fraction, 0 to 1.
+/// A fraction from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Part(pub f64);
+pub struct Fraction(pub f64);
 
-impl<'de> Deserialize<'de> for Part {
+impl<'de> Deserialize<'de> for Fraction {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         match number(from)? {
-            fraction if fraction <= 1.0 => Ok(Part(fraction)),
-            other => Err(D::Error::custom(format!("wanted a part from 0 to 1, not {other}"))),
+            fraction if fraction <= 1.0 => Ok(Fraction(fraction)),
+            other => Err(D::Error::custom(format!("wanted a fraction from 0 to 1, not {other}"))),
         }
     }
 }
 
 /// A number of 0 or more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Num(pub f64);
+pub struct NonNegative(pub f64);
 
-impl<'de> Deserialize<'de> for Num {
+impl<'de> Deserialize<'de> for NonNegative {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        number(from).map(Num)
+        number(from).map(NonNegative)
     }
 }
--- a/config/tests/printed_limits.rs
+++ b/config/tests/printed_limits.rs
@@ -1,5 +1,5 @@
-//! `hallrelay check` prints the limits, and operators' tools read that text: it must not change with the
-//! names of the fields.
+//! `hallrelay check` prints the limits and operators' tools parse the text, so it must not change when fields
+//! are renamed.
 use hallrelay_config::node::{self, Overrides};
 
 const EXAMPLE_LIMITS: &str = "\
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -153,7 +153,7 @@
                 drain_grace: scenario.rules.drain_grace_ms.us(),
                 poll_within: scenario.rules.ask_within_s.us(),
                 max_dials: scenario.relays.most_dials,
-                idempotency: scenario.listeners.iter().map(|listener| listener.repeats()).collect(),
+                idempotency: scenario.listeners.iter().map(|listener| listener.idempotency()).collect(),
             },
             listeners: scenario.listeners.iter().map(|listener| listener.name.clone()).collect(),
             relays: (0..scenario.relays.count).map(|_| relay()).collect(),
--- a/emulator/src/clients/sessions.rs
+++ b/emulator/src/clients/sessions.rs
@@ -79,7 +79,7 @@
         self.set_state(id, ClientState::Waiting);
         let client = self.clients.get_mut(&id).expect("is there");
         let may_repeat = never_ran
-            || match self.scenario.listeners[client.listener].repeats() {
+            || match self.scenario.listeners[client.listener].idempotency() {
                 Idempotency::Idempotent => true,
                 Idempotency::Keyed { scope: KeyScope::All, window } => {
                     self.now < client.first_request_at + window
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -1,6 +1,6 @@
 //! A relay's configuration for a scenario, as the text that operators write.
 use crate::list::EndpointList;
-use hallrelay_config::scenario::{KnownList, Listener, Ring, Scenario, Sort};
+use hallrelay_config::scenario::{IdempotencyScope, KnownList, Listener, Repeatability, Scenario};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -43,14 +43,14 @@
 
 fn listener_settings(listener: &Listener) -> Value {
     let effect = match listener.repeat {
-        Sort::Repeatable => "retryable",
-        Sort::Referenced => "dedup",
-        Sort::OnceOnly => "fragile",
+        Repeatability::Repeatable => "retryable",
+        Repeatability::Referenced => "dedup",
+        Repeatability::OnceOnly => "fragile",
     };
     let group = match listener.within {
-        Ring::All => "all",
-        Ring::Zone => "zone",
-        Ring::Cell => "cell",
+        IdempotencyScope::All => "all",
+        IdempotencyScope::Zone => "zone",
+        IdempotencyScope::Cell => "cell",
     };
     json!({"Name": listener.name, "Utility": listener.utility.0, "Effect": effect, "Group": group,
         "Window": ms(listener.window_ms.us()), "HandshakeTarget": ms(listener.handshake_target_ms.us()),
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -4,7 +4,7 @@
 use crate::links::{LinkFault, LinkSet};
 use crate::random::Random;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{Drains, Fault, FaultKind, Scenario};
+use hallrelay_config::scenario::{DrainPace, Fault, FaultKind, Scenario};
 use std::rc::Rc;
 
 /// How long an operator takes a relay out where the scenario sets no time.
@@ -293,8 +293,8 @@
         // The process ends after discovery has reported the drain and the clients have left.
         let reported_after = self.scenario.list.notice_s[1].us();
         let drained_after = match self.scenario.servers.drains {
-            Drains::BitByBit => self.scenario.servers.drain_s.us(),
-            Drains::AtOnce => IMMEDIATE_DRAIN,
+            DrainPace::BitByBit => self.scenario.servers.drain_s.us(),
+            DrainPace::AtOnce => IMMEDIATE_DRAIN,
         };
         let ends_at = at + reported_after + drained_after;
         let starts_at = ends_at + outage.max(MIN_RELEASE_OUTAGE);
--- a/emulator/src/servers/faults.rs
+++ b/emulator/src/servers/faults.rs
@@ -1,6 +1,6 @@
 //! The script's actions on servers: crashes, starts, drains, faults.
 use super::*;
-use hallrelay_config::scenario::Drains;
+use hallrelay_config::scenario::DrainPace;
 
 impl Servers {
     pub(super) fn perform(&mut self, action: Action, out: &mut Vec<ServerEvent>) {
@@ -79,8 +79,8 @@
         let first_at = self.now + notice[1];
         for (index, &connection) in node.connections.iter().enumerate() {
             let after = match self.scenario.servers.drains {
-                Drains::BitByBit => length * index as u64 / count,
-                Drains::AtOnce => 0,
+                DrainPace::BitByBit => length * index as u64 / count,
+                DrainPace::AtOnce => 0,
             };
             self.events.schedule(first_at + after, Event::DrainSession(connection));
         }
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -13,7 +13,7 @@
 use crate::server::{Cores, Machine, Server, ServerState, Work, CORE};
 use connections::Connection;
 use hallrelay_balancer::types::Micros;
-use hallrelay_config::scenario::{ConnectionFault, Kind, Scenario, Warms};
+use hallrelay_config::scenario::{ConnectionFault, Kind, Scenario, WarmUpCurve};
 pub use reports::LoadFigures;
 use reports::PublishedReport;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -243,7 +243,7 @@
         speed: (kind.speed.0 * speed_deviation * CORE as f64) as Cores,
         initial_capacity: scenario.servers.cold_from.0,
         warm_up: scenario.servers.cold_s.us(),
-        warms_at_end: scenario.servers.warms == Warms::AtTheEnd,
+        warms_at_end: scenario.servers.warms == WarmUpCurve::AtTheEnd,
         overload_multiple: scenario.rules.fall_multiple.0,
         overload_window: scenario.rules.fall_s.us(),
     }
--- a/emulator/tests/models.rs
+++ b/emulator/tests/models.rs
@@ -235,7 +235,8 @@
 #[test]
 fn arrivals_follow_steps_and_bursts() {
     let mut s = day("", "");
-    s.load.steps = vec![scenario::Step { at_s: scenario::Span(20 * SECOND), times: scenario::Num(4.0) }];
+    s.load.steps =
+        vec![scenario::Step { at_s: scenario::Span(20 * SECOND), times: scenario::NonNegative(4.0) }];
     let mut clients = Clients::new(&s, 1, BEGIN);
     let came = |clients: &mut Clients, until: Micros| {
         let before = clients.counts[0].first_attempts;
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -185,27 +185,31 @@
     let cases = [
         ("", cut.to_string(), "relays.fleet is not true"),
         ("fleet = true", cut.replace("length_s = 3", ""), "trouble[0].length_s: wanted more than 0"),
-        ("fleet = true", format!("{cut}from = [9]"), "trouble[0].from: names a relay that there is not"),
-        ("fleet = true", format!("{cut}one_way = true"), "trouble[0].one_way: wants `from`"),
+        ("fleet = true", format!("{cut}from = [9]"), "trouble[0].from: names a relay that does not exist"),
+        ("fleet = true", format!("{cut}one_way = true"), "trouble[0].one_way: requires `from`"),
         (
             "fleet = true",
             format!("{cut}groups = [[0]]"),
-            "trouble[0].groups: belongs to kind = \"link-split\"",
+            "trouble[0].groups: applies only to kind = \"link-split\"",
         ),
-        ("fleet = true", format!("{cut}every_s = 0.01"), "trouble[0].every_s: wanted 0.1 s at least"),
+        ("fleet = true", format!("{cut}every_s = 0.01"), "trouble[0].every_s: wanted at least 0.1 s"),
         (
             "fleet = true",
             format!("{cut}delay_ms = [1, 2]"),
-            "trouble[0].delay_ms: means nothing for this kind",
+            "trouble[0].delay_ms: does not apply to this kind",
         ),
         ("fleet = true", cut.replace("link-cut", "link-delay"), "trouble[0].delay_ms: wanted two times"),
-        ("fleet = true", cut.replace("link-cut", "link-loss"), "trouble[0].strength: wanted a part over 0"),
+        (
+            "fleet = true",
+            cut.replace("link-cut", "link-loss"),
+            "trouble[0].strength: wanted a fraction of datagrams over 0",
+        ),
         (
             "fleet = true",
             cut.replace("link-cut", "link-split") + "groups = [[0, 1], [1]]",
             "trouble[0].groups: names a relay twice",
         ),
-        ("fleet = true\nseeds = 0", String::new(), "relays.seeds: wanted 1 at least"),
+        ("fleet = true\nseeds = 0", String::new(), "relays.seeds: wanted at least 1"),
     ];
     let folder = std::env::temp_dir().join(format!("hallrelay-lab-{}-ways", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -222,7 +226,7 @@
         refused(&(BASE.replace("count = 2", &format!("count = 2\n{relays}")) + &trouble), wanted);
     }
     // The old name of a table.
-    let said = refused(&BASE.replace("[servers]", "[fleet]"), "fleet: is called servers now");
+    let said = refused(&BASE.replace("[servers]", "[fleet]"), "fleet: is now called servers");
     let line = BASE.split("[servers]").next().expect("the text before").matches('\n').count() + 1;
     assert!(said.contains(&format!("day.toml:{line}: ")), "{said}");
     let path: PathBuf = folder;
--- a/lab/tests/sockets.rs
+++ b/lab/tests/sockets.rs
@@ -172,8 +172,8 @@
         ("standing = 100", "standign = 100", "day.toml:LINE: load.standign: unknown field `standign`"),
         ("rate = 8", "rate = \"fast\"", "day.toml:LINE: load.rate: invalid type: string \"fast\""),
         ("rate = 8", "rate = -8", "day.toml:LINE: load.rate: wanted a number of 0 or more, not -8"),
-        ("bye = 0.3", "bye = 1.3", "day.toml:LINE: clients.bye: wanted a part from 0 to 1, not 1.3"),
-        ("cores = 2", "cores = 0", "day.toml:LINE: servers.kind[0].cores: wanted 1 at least"),
+        ("bye = 0.3", "bye = 1.3", "day.toml:LINE: clients.bye: wanted a fraction from 0 to 1, not 1.3"),
+        ("cores = 2", "cores = 0", "day.toml:LINE: servers.kind[0].cores: wanted at least 1"),
         (
             "dial_timeout_ms = 3000",
             "dial_timeout_ms = 30",
@@ -182,10 +182,10 @@
         (
             "notice_s = [0.5, 1.0]",
             "notice_s = [1.5, 1.0]",
-            "day.toml:LINE: list.notice_s: the first time is over",
+            "day.toml:LINE: list.notice_s: the first time is longer",
         ),
         ("rate = 8", "rate = 8 8", "day.toml:LINE:"),
-        ("length_s = 24", "length_s = 24e9", "day.toml:LINE: length_s: wanted a time of a week at most"),
+        ("length_s = 24", "length_s = 24e9", "day.toml:LINE: length_s: wanted a time of at most one week"),
     ];
     for (from, to, wanted) in cases {
         let (folder, path) = scenario("faulty", &[(from, to)], "");
@@ -199,7 +199,10 @@
         ("[[trouble]]\nkind = \"slow\"\nat_s = 2\nlength_s = 3\n", "trouble[0].strength: wanted 1 or more"),
         ("[[trouble]]\nkind = \"crash\"\nat_s = 90\n", "trouble[0].at_s: is after the day's end"),
         ("[[trouble]]\nkind = \"storm\"\nat_s = 9\n", "trouble[0].kind: unknown variant `storm`"),
-        ("[[trouble]]\nkind = \"wire\"\nat_s = 9\nlength_s = 3\n", "trouble[0].fault: trouble on the way"),
+        (
+            "[[trouble]]\nkind = \"wire\"\nat_s = 9\nlength_s = 3\n",
+            "trouble[0].fault: kind = \"wire\" requires a fault",
+        ),
         (
             "[[trouble]]\nkind = \"zone-cut\"\nat_s = 9\nlength_s = 3\nzone = \"north\"\n",
             "is not among servers.zones",
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -58,7 +58,9 @@
     /// Takes over a new, valid configuration. Keys that hold from the next start on only are logged.
     pub(super) fn configuration_reloaded(&mut self, node: Node, out: &mut Vec<Effect>) {
         self.metrics.reloads += 1;
-        out.extend(self.node.fixed(&node).into_iter().map(|key| Effect::RestartRequired { key }));
+        out.extend(
+            self.node.changed_fixed_keys(&node).into_iter().map(|key| Effect::RestartRequired { key }),
+        );
         self.apply_settings(&node, out);
         if let (Some(own), Some(new)) = (&mut self.node.fleet, &node.fleet) {
             if own.peers != new.peers {
@@ -75,7 +77,7 @@
     fn apply_settings(&mut self, node: &Node, out: &mut Vec<Effect>) {
         let zones = node.site.zones != self.node.site.zones;
         let before = self.node.limits;
-        if node.site == self.node.site || self.node.tune(node.site.clone()).is_err() {
+        if node.site == self.node.site || self.node.apply_settings(node.site.clone()).is_err() {
             return;
         }
         // A stop that has begun keeps its deadlines: whoever may kill this process counts from the request.
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -274,10 +274,10 @@
     };
     let cases = [
         (with("peers", json!(["nowhere"])), "fleet.peers[0] is \"nowhere\", wanted an address with a port"),
-        (with("listen", json!(7)), "fleet.listen is 7, wanted a text"),
-        (with("listen", json!("0.0.0.0:9")), "at which others reach this relay"),
+        (with("listen", json!(7)), "fleet.listen is 7, wanted a string"),
+        (with("listen", json!("0.0.0.0:9")), "at which other relays reach this one"),
         (with("name", json!("")), "fleet.name is \"\", wanted a name of 1 to 64 bytes"),
-        (with("seeds", json!([])), "fleet.seeds is no key, wanted one of"),
+        (with("seeds", json!([])), "fleet.seeds is an unknown key, wanted one of"),
         (json!([]), "fleet is [], wanted a table"),
         (json!({"name": "f", "listen": "127.0.0.1:9"}), "fleet.peers is missing"),
     ];
@@ -298,5 +298,5 @@
     assert!(check(&config.json).0);
     config.json["settings"]["Ceilings"]["PeerMessages"] = json!(false);
     let (well, why) = check(&config.json);
-    assert!(!well && why.contains("fleet is given, and settings.Ceilings.PeerMessages is false"), "{why}");
+    assert!(!well && why.contains("fleet is given, but settings.Ceilings.PeerMessages is false"), "{why}");
 }
