--- a/config/src/scenario/fault.rs
+++ b/config/src/scenario/fault.rs
@@ -20,7 +20,7 @@
     /// Strength of the fault, in the unit that is documented at its kind; 0 by default.
     #[serde(default)]
     pub strength: NonNegative,
-    /// The zone that `zone-cut` disconnects from the relays.
+    /// The zone that `zone-cut` disconnects from the relays and servers of other zones.
     #[serde(default)]
     pub zone: Option<String>,
     /// The connection fault of `wire`.
@@ -71,7 +71,7 @@
     Failing,
     /// Load reports of servers are older by `strength` seconds.
     LateReports,
-    /// Relays do not reach the servers of a zone.
+    /// Relays do not reach servers of other zones if either zone is the selected one.
     ZoneCut,
     /// All servers and their session store are slower by the factor `strength`, at least 1.
     SharedSlow,
--- a/config/src/scenario/relays.rs
+++ b/config/src/scenario/relays.rs
@@ -21,7 +21,8 @@
     pub connect_timeout_ms: Millis,
     /// Whether the relays are members of one fleet; false by default.
     pub fleet: bool,
-    /// The first relays, this many, are in every relay's list of peers; at least 1, 3 by default.
+    /// Number of relays, counted from the first, that are in every relay's list of peers; at least 1, 3 by
+    /// default.
     pub seeds: usize,
     /// Longest Retry-After that a rejected client may be sent. 0, the default, means that relays may not send
     /// one.
@@ -29,8 +30,8 @@
     /// Whether relays have a state store, which keeps what a relay must still know after a restart; false by
     /// default.
     pub state: bool,
-    /// The first relays, this many, vote on leases; at most 7. 0, the default, disables coordination. Voters
-    /// require `fleet` and `state`.
+    /// Number of relays, counted from the first, that vote on leases; at most 7. 0, the default, disables
+    /// coordination. Voters require `fleet` and `state`.
     pub voters: usize,
     /// Relays that may be out of service at the same time under the fleet's disruption budget; 1 by default.
     pub out: u32,
