--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,6 +1,6 @@
-//! Admission: whether a session is dialled, waits for load reports, or is rejected. The thresholds are those
-//! of HEU, section 7 of Bartolini's "Session based access control in geographically replicated Internet
-//! services".
+//! Admission control: whether a session is dialled, waits for load reports, or is rejected. The thresholds
+//! are those of HEU, section 7 of Bartolini's "Session based access control in geographically replicated
+//! Internet services".
 
 use crate::balancer::{Balancer, REPORT_LAG};
 use crate::estimate::FleetEstimate;
@@ -9,22 +9,25 @@
 use crate::session::{Event, Session};
 use crate::types::{Micros, ServerId, SessionId};
 
-/// The fraction of the thresholds that only sessions of high priority may use (the paper's k_reserved).
+/// The fraction of the thresholds that is reserved for high-priority sessions (the paper's k_reserved).
 pub(crate) const HIGH_PRIORITY_RESERVE: f64 = 0.15;
-/// The mean age of the reports beyond which admission waits for newer ones, as time allows, before it
-/// rejects.
+/// The mean age of the reports above which admission waits for newer ones before it rejects a session, if the
+/// session has time to wait.
 const MAX_REPORT_AGE: Micros = 2 * REPORT_LAG;
-/// The interval at which a relay that may not probe dials whatever was reported: only a dial brings it a new
-/// report.
+/// The interval after which a relay that may not probe dials a server regardless of the thresholds, because
+/// such a relay gets a new report only from a dial.
 const BLIND_DIAL_INTERVAL: Micros = 3 * REPORT_LAG;
 
 impl Balancer {
-    /// The admission decision of a session: a dial at a server, a wait for reports until its report deadline,
-    /// or its final answer at once.
+    /// Decides the admission of a session: it is dialled at a server, waits for reports until its report
+    /// deadline, or gets its final answer immediately.
     ///
-    /// In this order: a session that is exhausted is given up; one whose pool has old reports waits for new
-    /// ones; one over the thresholds gets a spare slow-start slot or is given up; one that throttling draws
-    /// is rejected; any other goes to the server of its pool that costs least.
+    /// The rules apply in this order:
+    /// 1. A session that may not be dialled any more gets its final answer.
+    /// 2. A session whose pool has old reports waits for new ones.
+    /// 3. A session over the thresholds gets a spare slow-start slot, or its final answer.
+    /// 4. A session selected by throttling is rejected.
+    /// 5. Any other session is dialled at the server of its pool with the lowest cost.
     pub(crate) fn evaluate(&mut self, id: SessionId) -> Event {
         let fleet = self.fleet_estimate();
         let session = &self.sessions[&id];
@@ -33,7 +36,7 @@
             return give_up;
         }
         let is_rejected = self.is_over_thresholds(session, &fleet);
-        // Old reports reject nothing as long as new ones may come in time.
+        // Old reports must not reject a session while newer ones may still arrive in time.
         let is_stale = fleet.report_age > MAX_REPORT_AGE && self.now < session.report_deadline;
         let candidates = if is_rejected && !is_stale { Candidates::SpareSlots } else { Candidates::All };
         let mut pool = self.pool(session, &fleet, candidates);
@@ -54,18 +57,20 @@
         Event::Placed
     }
 
-    /// Whether the thresholds reject a session's first dial. Retries are not tested: the session was
-    /// admitted.
+    /// Whether the thresholds reject a session's first dial. Retries are exempt, because the session was
+    /// already admitted.
     fn is_over_thresholds(&self, session: &Session, fleet: &FleetEstimate) -> bool {
         let is_blind_dial = !self.site.may_probe && self.now - self.last_dial_at >= BLIND_DIAL_INTERVAL;
         session.dials == 0 && !is_blind_dial && !self.admits(session, fleet)
     }
 
-    /// The thresholds of HEU: all sessions enter while the relay's own sessions are below t_id and the
-    /// fleet's load below t_servers - x_cong, where t_id and t_servers are c_id and c less
-    /// `HIGH_PRIORITY_RESERVE` of each; past that only those of high priority, while below c_id and
-    /// c - x_cong. Loads and capacities are in servers.
-    /// With no report there is nothing to test, and all enter.
+    /// Whether the thresholds of HEU admit a session. Loads and capacities are in servers.
+    ///
+    /// All sessions are admitted while the number of this relay's sessions is below t_id and the load of the
+    /// fleet is below t_servers - x_cong. Here t_id and t_servers are c_id and c, each reduced by the
+    /// fraction `HIGH_PRIORITY_RESERVE`. Above these thresholds only high-priority sessions are admitted,
+    /// while the values are below c_id and c - x_cong. Without any report all sessions are admitted, because
+    /// there is no load to compare.
     fn admits(&self, session: &Session, fleet: &FleetEstimate) -> bool {
         let own_sessions = f64::from(self.own_sessions);
         let max_sessions = f64::from(self.site.max_sessions);
@@ -80,8 +85,8 @@
             || (self.is_high_priority(session) && fits_reserved_thresholds)
     }
 
-    /// Whether a session's priority weight is at or above the middle between the lowest and the highest of
-    /// the site's listeners, so that any two that differ are of different priority.
+    /// Whether a session's priority weight is at or above the midpoint between the lowest and the highest
+    /// weight of the site's listeners. If a site has exactly two weights, one is of high priority.
     pub(crate) fn is_high_priority(&self, session: &Session) -> bool {
         let weights = self.site.listeners.iter().map(|listener| listener.priority_weight);
         let lowest = weights.clone().fold(f64::MAX, f64::min);
@@ -89,8 +94,8 @@
         session.policy.listener.priority_weight >= (lowest + highest) / 2.0
     }
 
-    /// The servers of a pool whose reports a session waits for: their reports are older than `REPORT_LAG`,
-    /// they answer, and the probe credit covers their probes. None after the session's report deadline.
+    /// The servers of a pool whose reports a session waits for: those that answer, whose reports are older
+    /// than `REPORT_LAG`, and whose probes the credit covers. Empty after the session's report deadline.
     fn reports_to_await(&self, session: &Session, pool: &[ServerId]) -> Vec<ServerId> {
         if self.now >= session.report_deadline {
             return Vec::new();
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! One relay: the state that its decisions depend on, and the step from an input to effects.
+//! One relay: the state on which its decisions depend, and the step that turns an input into effects.
 
 use crate::estimate::FleetEstimate;
 use crate::interarrival::MeanInterarrival;
@@ -11,37 +11,39 @@
 use std::rc::Rc;
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The load from which a server counts as full, as a fraction of what saturates it. Below it all its sessions
-/// are served in time, and a migration gains nothing.
+/// The load at or above which a server counts as full, as a fraction of the saturating load. Below it, all
+/// sessions of the server are served in time, and a migration gains nothing.
 pub(crate) const FULL_LOAD: f64 = 0.75;
-/// With fewer own sessions, the sampling error of what they show of the fleet is above a quarter.
+/// Minimum number of own sessions from which the fleet is extrapolated. With fewer, the sampling error
+/// exceeds a quarter.
 pub(crate) const MIN_SAMPLE_SESSIONS: u32 = 16;
-/// The time that reports take, from the measurement of a load to the answer that brings it.
+/// The delay of load reports, from the measurement of a load to the arrival of the answer that contains it.
 pub(crate) const REPORT_LAG: Micros = SECOND;
 
-/// Timer of the next probe.
+/// Label of the timer for the next probe.
 pub(crate) const PROBE_TIMER: u32 = 0;
-/// Timer of the next watch of the endpoint list.
+/// Label of the timer for the next watch of the endpoint list.
 pub(crate) const WATCH_TIMER: u32 = 1;
-/// Timer of the report deadline of sessions that wait for reports.
+/// Label of the timers for the report deadlines of sessions that wait for reports.
 pub(crate) const REPORTS_TIMER: u32 = 2;
 
-/// The sessions of one group on one server.
+/// Identifies the sessions of one group on one server.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupKey {
     pub(crate) server: ServerId,
-    /// As in the session's request; 0 is no group.
+    /// The group in the session's request. 0 means no group.
     pub(crate) group: u64,
 }
 
-/// The decisions of one relay, and the state that they depend on. Relays share nothing, so each has its own.
+/// The decisions of one relay and the state on which they depend. Relays share no state: each has its own
+/// balancer.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) site: SiteConfig,
-    /// One for each listener, shared by its sessions.
+    /// One policy per listener, shared by the listener's sessions.
     pub(crate) policies: Vec<Rc<SessionPolicy>>,
     pub(crate) random: Random,
-    /// Selects the warming servers at which this relay may use slots that lay unused.
+    /// Hash key that selects the warming servers at which this relay may use slots that stayed unused.
     pub(crate) slot_selection_key: u64,
     pub(crate) now: Micros,
     started: bool,
@@ -49,40 +51,40 @@
     pub(crate) sessions: BTreeMap<SessionId, Session>,
     /// Sessions that wait for reports, in the order of their requests.
     pub(crate) awaiting_reports: Vec<SessionId>,
-    /// Own sessions of a group at a server, dialled and established.
+    /// Number of own sessions of each group on each server, dialled and established.
     pub(crate) group_sessions: BTreeMap<GroupKey, u32>,
-    /// Running mean of the sessions' loads, in their unit; 0 before the first one.
+    /// Running mean of the sessions' loads, in the unit of the inputs. 0 before the first one.
     mean_session_load: f64,
-    /// Sessions dialled and established (the paper's n).
+    /// Number of sessions of this relay, dialled and established (the paper's n).
     pub(crate) own_sessions: u32,
-    /// Sessions that may take a slot at a warming server, rejected ones too.
+    /// Arrivals of sessions that may take a slot at a warming server, including rejected sessions.
     pub(crate) slot_arrivals: MeanInterarrival,
-    /// Sessions dialled, less those that ended, weighted by their load.
+    /// Sessions dialled minus sessions that ended, weighted by their load.
     pub(crate) net_sessions: RollingSum,
-    /// Sessions that ended here, less those that returned here.
+    /// Sessions of this relay that ended, minus those that returned to it.
     pub(crate) disconnects: RollingSum,
-    /// Sessions that returned here from any relay.
+    /// Sessions that returned to this relay after they were lost or migrated at any relay.
     pub(crate) reconnects: RollingSum,
     pub(crate) last_dial_at: Micros,
-    /// Dials that reached servers, and sessions throttled in their place.
+    /// Dials that reached servers, and sessions that throttling rejected instead of dialling.
     pub(crate) dials: RollingSum,
     /// Dials accepted within the handshake objective.
     pub(crate) accepts: RollingSum,
-    /// The queue delay above which a server is congested, in seconds: the shortest message objective.
+    /// The queue delay above which a server is congested, in seconds. It is the shortest message objective.
     pub(crate) queue_delay_limit: f64,
     pub(crate) estimate: FleetEstimate,
-    /// Probes that may be sent beyond those sent so far.
+    /// Number of further probes that may be sent.
     pub(crate) probe_credit: f64,
-    /// Failed watches in a row, up to the last index of the backoff.
+    /// Number of consecutive failed watches, limited to the last index of `WATCH_BACKOFF`.
     pub(crate) watch_failures: u32,
     pub(crate) last_watch_at: Micros,
 }
 
 impl Balancer {
-    /// A relay without servers and sessions. `seed` is that of all its random numbers; `site` has one
-    /// listener at least.
+    /// Creates a relay without servers and sessions. `seed` determines all its random numbers. `site` must
+    /// have at least one listener.
     pub fn new(site: SiteConfig, seed: u64) -> Balancer {
-        /// One session's load on a server before the first reports.
+        /// Assumed load of one session on a server before the first reports.
         const INITIAL_SESSION_LOAD: f64 = 0.02;
         let estimate = FleetEstimate {
             session_load: INITIAL_SESSION_LOAD,
@@ -109,8 +111,8 @@
         self.estimate.valid_until = self.now;
     }
 
-    /// Takes one input at `now`, never earlier than the last; appends its effects to `effects`, to be carried
-    /// out in order.
+    /// Processes one input and appends its effects to `effects`. The caller must execute them in order. `now`
+    /// must not be earlier than in the previous call.
     pub fn step(&mut self, now: Micros, input: Input, effects: &mut Vec<Effect>) {
         self.now = now;
         if !self.started {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Dispatches one input. Inputs about a dial or a session that is over change nothing.
+    /// Dispatches one input. An input about a dial or a session that has ended is ignored.
     fn handle(&mut self, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::Configure(site) => self.reconfigure(*site, effects),
@@ -191,10 +193,10 @@
         }
     }
 
-    /// Weights a session by its load over the running mean of some fifty such inputs.
+    /// Sets the weight of a session: its load divided by the running mean over about 50 such inputs.
     fn record_session_load(&mut self, id: SessionId, load: f64) {
         const GAIN: f64 = 0.02;
-        /// Bounds of a weight: the mean load is 1.0.
+        /// Bounds of the weight. A session with the mean load has weight 1.0.
         const MIN_WEIGHT: f64 = 0.3;
         const MAX_WEIGHT: f64 = 3.0;
         let gain = if self.mean_session_load > 0.0 { GAIN } else { 1.0 };
--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -1,5 +1,5 @@
-//! Dials: how a session is dialled or waits for reports, what a dial's end reveals of its server, and where
-//! sessions are counted.
+//! Dials: how a session is dialled or waits for reports, what the result of a dial shows about the server,
+//! and how sessions are counted.
 
 use crate::balancer::{Balancer, GroupKey, REPORTS_TIMER, SECOND};
 use crate::retry::PossibleRun;
@@ -8,7 +8,7 @@
 use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId, SessionId};
 
 impl Balancer {
-    /// Dials the server that a session was placed on. A session has one dial in flight at most.
+    /// Dials the server on which a session was placed. A session has at most one dial in flight.
     pub(crate) fn dial(&mut self, id: SessionId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let server_id = session.server;
@@ -21,12 +21,12 @@
         effects.push(Effect::Dial { session: id, server: server_id, timeout, send_within });
         self.count_session(id, 1);
         self.last_dial_at = self.now;
-        let server = self.servers.get_mut(&server_id).expect("pools name listed servers");
+        let server = self.servers.get_mut(&server_id).expect("a session is placed only on a listed server");
         server.slot_wait = SlotWait { since: self.now, interval_fraction: 1.0 };
         server.dials.add(self.now, 1.0);
     }
 
-    /// Lets a session wait for the reports of its pool, and probes for them.
+    /// Makes a session wait for the awaited reports of its pool, and probes their servers.
     pub(crate) fn await_reports(&mut self, id: SessionId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let after = session.report_deadline - self.now;
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Evaluates the waiting sessions again that have all their reports, or have waited long enough.
-    /// `answered` is the server whose probe ended.
+    /// Evaluates those waiting sessions again that have all their reports or whose report deadline has
+    /// passed. `answered` is the server whose probe ended.
     pub(crate) fn reevaluate_waiting(&mut self, answered: Option<ServerId>, effects: &mut Vec<Effect>) {
         let mut due = Vec::new();
         self.awaiting_reports.retain(|&id| {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Records the end of a session's last dial: its server's report and faults, and whether the session may
-    /// have run.
+    /// Records the result of a session's last dial: the server's report and faults, and whether the session
+    /// may have run.
     pub(crate) fn record_dial_end(&mut self, id: SessionId, end: DialEnd, report: Option<LoadReport>) {
         let may_have_run = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
         if may_have_run {
@@ -67,7 +67,7 @@
         let Some(server) = self.servers.get_mut(&session.server) else { return };
         let is_fault = matches!(end, DialEnd::Error | DialEnd::Reset | DialEnd::Timeout);
         if is_fault {
-            // Its client retries at once, which brings the same load again.
+            // The client retries immediately, which puts the same load on the fleet again.
             session.weight = 0.0;
         }
         if may_have_run {
@@ -81,13 +81,13 @@
         server.record_report(self.now, report);
     }
 
-    /// Counts a session as placed on its server (`change` 1) or as ended there (-1), in all sums that correct
-    /// the reports until the next ones.
+    /// Counts a session as placed on its server (`change` is 1) or as ended there (-1), in all sums that
+    /// correct the last reports until newer ones arrive.
     pub(crate) fn count_session(&mut self, id: SessionId, change: i32) {
         let session = &self.sessions[&id];
         let group_key = GroupKey { server: session.server, group: session.request.group };
         let returned = change > 0 && session.request.returned;
-        // Reports include an adopted session already.
+        // The load of an adopted session is already included in the reports.
         let is_reported = change > 0 && session.state == State::Established;
         let weight = if is_reported { 0.0 } else { session.weight };
         let load_change = f64::from(change) * weight;
@@ -104,17 +104,18 @@
         }
     }
 
-    /// Whether sessions that ended here in the last 8 s may still return. Where none are missing, a returned
-    /// session has only changed relays, and its load is reported already.
+    /// Whether sessions of this relay that ended in the last 8 s may still return. If none is missing, a
+    /// returned session has only moved from another relay, and the reports already include its load.
     fn has_missing_sessions(&self) -> bool {
         const WINDOW: Micros = 8 * SECOND;
-        /// The fraction of the own sessions by which the returned may exceed the ended ones by chance.
+        /// The excess of returned over ended sessions that is considered random, as a fraction of this
+        /// relay's sessions.
         const CHANCE_RATIO: f64 = 0.2;
         self.disconnects.sum(self.now, WINDOW) >= -CHANCE_RATIO * f64::from(self.own_sessions)
     }
 
-    fn count_disconnect(&mut self, change: i32, is_back: bool) {
-        let is_counted = change < 0 || is_back;
+    fn count_disconnect(&mut self, change: i32, is_return: bool) {
+        let is_counted = change < 0 || is_return;
         self.disconnects.add(self.now, f64::from(-change * i32::from(is_counted)));
     }
 
--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -1,5 +1,5 @@
-//! The estimate of the whole fleet, from the load reports that one relay has and the sessions that it placed
-//! since. Loads and capacities are in servers.
+//! The estimate of the fleet's load and capacity, from the load reports that one relay has received and the
+//! sessions that it has placed since then. Loads and capacities are in servers.
 
 use crate::balancer::{Balancer, MIN_SAMPLE_SESSIONS, REPORT_LAG, SECOND};
 use crate::outlier::HealthTier;
@@ -7,7 +7,7 @@
 use crate::types::Micros;
 use std::ops::RangeInclusive;
 
-/// The fleet as admission sees it.
+/// The state of the fleet on which admission decisions are based.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct FleetEstimate {
     /// Usable capacity (the paper's c), in servers.
@@ -16,54 +16,56 @@
     pub(crate) busy: f64,
     /// Capacity of servers that are congested (the paper's x_cong), in servers.
     pub(crate) congested: f64,
-    /// Mean load of the servers that reported.
+    /// Mean load of the servers that have reported.
     pub(crate) mean_load: f64,
-    /// One session's load on a server, as a fraction of the server; within `SESSION_LOAD`.
+    /// Load of one session on a server, as a fraction of the server. Within `SESSION_LOAD`.
     pub(crate) session_load: f64,
-    /// The same for the budget of a warming server; within `SLOT_SESSION_LOAD`.
+    /// Load of one session for the budget of a warming server. Within `SLOT_SESSION_LOAD`.
     pub(crate) slot_session_load: f64,
-    /// Multiplies this relay's change of sessions to an estimate of the change of all relays.
+    /// Factor by which this relay's change of sessions is multiplied to estimate the change of all relays.
     pub(crate) fleet_factor: f64,
     /// Mean age of the reports, in microseconds.
     pub(crate) report_age: Micros,
-    /// Until when this estimate is reused; the end of a probe, new settings or a snapshot make it invalid.
+    /// The time until which this estimate is reused. The end of a probe, new settings and a snapshot
+    /// invalidate it earlier.
     pub(crate) valid_until: Micros,
 }
 
-/// Bounds of one session's load on a server, where load is predicted.
+/// Bounds of the load of one session on a server, for predictions of load.
 pub(crate) const SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.05;
-/// The same for a warming server's budget, as far as reports show it: at most that on a server which five
-/// sessions fill.
+/// Bounds of the load of one session for a warming server's budget, as derived from reports. The upper bound
+/// is the load on a server that five sessions saturate.
 pub(crate) const SLOT_SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.2;
 
-/// How long a queue delay counts: a new one comes each second.
+/// The age up to which a queue delay counts. A new one arrives every second.
 const QUEUE_DELAY_AGE: Micros = 2 * SECOND;
 
-/// Sums over the servers that take sessions and answer, each weighted by its warm-up fraction.
+/// Sums over the servers that take new sessions and answer, each weighted by its warm-up fraction.
 #[derive(Default)]
 struct FleetSample {
-    /// All of them.
+    /// Capacity of all these servers.
     available: f64,
-    /// Those that never reported and are congested by a message's delay: they represent no others.
+    /// Capacity of the servers that never reported and are congested according to a message delay. They are
+    /// not representative of other servers.
     unreported_congested: f64,
-    /// Those that reported: a sample of all. The sums below are over these.
+    /// Capacity of the servers that have reported: the sample that the following sums cover.
     reported: f64,
-    /// Load with queued work, up to 1 each.
+    /// Load including queued work, at most 1 per server.
     load: f64,
-    /// Load as reported.
+    /// Reported load.
     demand: f64,
     congested: f64,
-    /// Load of congested ones.
+    /// Load of congested servers.
     congested_load: f64,
     /// Age of the reports, in microseconds.
     report_age: f64,
-    /// Sessions of all relays, not weighted.
+    /// Sessions of all relays, without weights.
     sessions: f64,
 }
 
 impl Balancer {
-    /// The estimate as of now, reused for 0.25 s: sessions that are placed meanwhile are added at once
-    /// (`count_session`).
+    /// Returns the current estimate. It is reused for 0.25 s, during which `count_session` adds newly placed
+    /// sessions immediately.
     pub(crate) fn fleet_estimate(&mut self) -> FleetEstimate {
         const VALID_FOR: Micros = SECOND / 4;
         if self.now < self.estimate.valid_until {
@@ -107,19 +109,20 @@
         sample
     }
 
-    /// The factor from this relay's change of sessions to that of all relays, up to the number of relays.
-    /// With a handful of sessions a relay's own change is mostly chance, with a hundred it represents the
+    /// The factor from this relay's change of sessions to that of all relays, at most the number of relays.
+    /// With few sessions a relay's own change is mostly random. With a hundred it is representative of the
     /// fleet.
     fn fleet_factor(&self) -> f64 {
-        /// Own sessions by which half of the change counts.
+        /// Number of own sessions with which the factor is half of the number of relays.
         const HALF_TRUSTED: f64 = 8.0;
         let own_sessions = f64::from(self.own_sessions);
         f64::from(self.site.relay_count) * own_sessions / (own_sessions + HALF_TRUSTED)
     }
 
-    /// The capacity, load and congestion of the fleet: the sample's means, scaled to all available servers.
+    /// Estimates the capacity, load and congestion of the fleet, by scaling the means of the sample to all
+    /// available servers.
     fn estimate_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
-        /// The fraction of a server that is in use when its messages start to be late.
+        /// The fraction of a server's capacity above which its messages start to be late.
         const USABLE_CAPACITY: f64 = 0.85;
         let sampled = sample.available - sample.unreported_congested;
         estimate.capacity = USABLE_CAPACITY * sample.available;
@@ -132,11 +135,11 @@
         estimate.busy = busy.max(0.0);
     }
 
-    /// One session's load on a server: the reported load over the reported sessions. A relay with many
-    /// sessions of its own, or without reported ones, divides by its own times the relays, as a running mean
-    /// over some seconds.
+    /// Estimates the load of one session on a server: the reported load divided by the reported sessions. A
+    /// relay with many sessions, or without reported numbers of sessions, divides by its own sessions times
+    /// the number of relays instead, and takes a running mean over some seconds.
     fn estimate_session_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
-        /// Sessions that the last estimate counts for, beside those that servers report.
+        /// Weight of the previous estimate, as a number of sessions added to the reported ones.
         const PRIOR_SESSIONS: f64 = 8.0;
         const GAIN: f64 = 0.08;
         if sample.sessions > 0.0 && self.own_sessions < MIN_SAMPLE_SESSIONS {
@@ -153,8 +156,8 @@
         }
     }
 
-    /// The queue delay of a server in seconds: the longer of its last report's and that of a message on one
-    /// of this relay's sessions. Each counts for `QUEUE_DELAY_AGE`.
+    /// The queue delay of a server, in seconds. It is the longer of the last reported one and the last
+    /// message delay on one of this relay's sessions. Each of them counts for `QUEUE_DELAY_AGE`.
     pub(crate) fn queue_delay(&self, server: &Server) -> f64 {
         let is_recent = |then: Micros| f64::from(self.now - then < QUEUE_DELAY_AGE);
         let reported = server.queue_delay * server.last_report_at.map_or(0.0, is_recent);
@@ -162,10 +165,11 @@
         reported.max(measured)
     }
 
-    /// A server's load now, as a fraction of the server: the reported one, or the mean of the fleet, with its
-    /// queue delay and the sessions placed there since. A congested server counts as saturated at least.
+    /// The current load of a server, as a fraction of the server. It is the reported load, or the mean load
+    /// of the fleet before the first report, plus the queue delay and the load of the sessions placed on the
+    /// server since the report. The load of a congested server is at least 1.0.
     pub(crate) fn current_load(&self, server: &Server, fleet: &FleetEstimate) -> f64 {
-        /// The most sessions of all relays that one own session stands for: more is mostly chance.
+        /// Maximum number of sessions of all relays that one own session represents. More is mostly random.
         const MAX_FLEET_FACTOR: f64 = 4.0;
         let report_age = server.last_report_at.map_or(0, |reported_at| self.now - reported_at);
         let placed = server.net_sessions.sum(self.now, report_age + REPORT_LAG);
@@ -180,11 +184,13 @@
 }
 
 impl FleetSample {
-    /// The load that counts as busy (the paper's x_busy), in servers of the sample. Where the others have
-    /// capacity for the load of the congested ones, that counts only in proportion to the congested part: it
-    /// counts as congested already, and one slow server would close the fleet.
+    /// The load that counts as busy (the paper's x_busy), in servers of the sample.
+    ///
+    /// If the other servers have spare capacity for the load of the congested ones, that load counts only in
+    /// proportion to the congested fraction. It is already included in x_cong, and if it counted fully, a
+    /// single slow server would make the relays reject all sessions.
     fn counted_load(&self) -> f64 {
-        /// The mean load of the others below which they have capacity for more.
+        /// The mean load below which the other servers have spare capacity.
         const SPARE_CAPACITY_LOAD: f64 = 0.6;
         let has_spare_capacity =
             self.load - self.congested_load < SPARE_CAPACITY_LOAD * (self.reported - self.congested);
@@ -195,7 +201,7 @@
     }
 }
 
-/// The value, limited to the range.
+/// Limits a value to a range.
 pub(crate) fn clamp(value: f64, range: &RangeInclusive<f64>) -> f64 {
     value.clamp(*range.start(), *range.end())
 }
--- a/balancer/src/interarrival.rs
+++ b/balancer/src/interarrival.rs
@@ -1,4 +1,4 @@
-//! The mean time between arrivals.
+//! The mean interarrival time.
 
 use crate::types::Micros;
 
@@ -9,20 +9,20 @@
 }
 
 impl MeanInterarrival {
-    /// The mean before anything arrived, in microseconds: that of a relay of few sessions.
+    /// The mean before the first interval, in microseconds. It suits a relay with few sessions.
     const INITIAL_MEAN: f64 = 12e6;
-    /// The weight of the newest interval: enough to follow a burst, with a deviation of a quarter of the
-    /// mean.
+    /// The weight of the newest interval. It is large enough to follow a burst, and gives the mean a standard
+    /// deviation of a quarter of its value.
     const NEWEST_WEIGHT: f64 = 1.0 / 8.0;
 
-    /// Counts an arrival.
+    /// Records an arrival at `now`.
     pub(crate) fn add(&mut self, now: Micros) {
         if let Some(last) = self.last.replace(now) {
             self.mean += (now.saturating_sub(last) as f64 - self.mean) * MeanInterarrival::NEWEST_WEIGHT;
         }
     }
 
-    /// The mean so far, in microseconds.
+    /// Returns the running mean, in microseconds.
     pub(crate) fn mean(&self) -> f64 {
         self.mean
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,14 +1,16 @@
 //! Load-balancing decisions of one relay for long-lived connections, without I/O (`docs/design.md`).
 //!
-//! Hand [`Balancer::step`] every input in order of arrival, with the clock of its arrival, and carry out the
-//! effects that it appends, in order. The same inputs with the same seed lead to the same effects: nothing
-//! here reads a clock, and relays share nothing.
+//! The caller passes every input to [`Balancer::step`] in order of arrival, with the time of its arrival, and
+//! executes the effects that the call appends, in order. The same inputs and the same seed produce the same
+//! effects: the crate never reads a clock, and relays share no state.
 //!
-//! Four rules hold at all times, by these numbers in the modules: 1. Each session gets exactly one final
-//! answer in its time, and nothing after it. 2. No session runs twice: one that may run only once is retried
-//! or rejected only where no earlier dial can have run. 3. Nothing new goes to a server later than the drain
-//! grace after this relay was notified that it drains or was removed. 4. All relays together do not overload
-//! a server in slow start.
+//! Four invariants hold at all times. The modules refer to them by number:
+//! 1. Each session gets exactly one final answer before its deadline, and no effect follows that answer.
+//! 2. No session runs twice. A session that may run only once is retried or rejected only if no earlier dial
+//!    can have run.
+//! 3. A server gets no new session once the drain grace has passed since this relay was notified that the
+//!    server is draining or was removed.
+//! 4. All relays together do not overload a server in slow start.
 #![deny(missing_docs)]
 
 mod admission;
--- a/balancer/src/outlier.rs
+++ b/balancer/src/outlier.rs
@@ -1,32 +1,32 @@
-//! Outlier ejection, and the order in which servers are preferred by their health.
+//! Outlier ejection, and the order of preference of servers by their health.
 
 use crate::balancer::Balancer;
 use crate::server::Server;
 use crate::types::{Micros, ServerId};
 
-/// Faults within `FAULT_WINDOW` from which a server may be an outlier: a single one may be the client's.
+/// Minimum number of faults within `FAULT_WINDOW` for an outlier. A single one may be caused by the client.
 const MIN_FAULTS: f64 = 2.0;
-/// Faults for each dial from which a server is an outlier.
+/// Minimum ratio of faults to dials for an outlier.
 const MIN_FAULT_RATIO: f64 = 0.25;
-/// How long faults and dials count, in microseconds.
+/// The window over which faults and dials are counted, in microseconds.
 const FAULT_WINDOW: Micros = 8_000_000;
 
-/// How far a server can be relied on, the best first.
+/// The health of a server, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HealthTier {
     Healthy,
-    /// Work queues there for longer than the shortest message objective.
+    /// The queue delay of the server exceeds the shortest message objective.
     Congested,
-    /// Ejected, or dialled for the session before.
+    /// The server is ejected, or the session was already dialled there.
     Outlier,
-    /// It does not answer probes or connects.
+    /// The server does not answer probes or connection attempts.
     Unreachable,
 }
 
 impl Server {
-    /// The ejection rule: at least `MIN_FAULTS` faults within `FAULT_WINDOW`, and at least `MIN_FAULT_RATIO`
-    /// faults for each dial there. An ejected server gets sessions only where there is no other, and returns
-    /// as its faults leave the window.
+    /// Whether the server is ejected: it has at least `MIN_FAULTS` faults within `FAULT_WINDOW`, and at least
+    /// `MIN_FAULT_RATIO` faults per dial. An ejected server gets sessions only if there is no other server.
+    /// The ejection ends when enough faults have left the window.
     pub(crate) fn is_outlier(&self, now: Micros) -> bool {
         let faults = self.faults.sum(now, FAULT_WINDOW);
         faults >= MIN_FAULTS && faults >= MIN_FAULT_RATIO * self.dials.sum(now, FAULT_WINDOW)
@@ -34,14 +34,14 @@
 }
 
 impl Balancer {
-    /// Whether sessions go to a server only where there is no other: it is not ready or not in the list, does
-    /// not answer, or is ejected.
+    /// Whether a server gets sessions only if there is no other server, because it is not ready, not listed,
+    /// does not answer, or is ejected.
     pub fn avoids(&self, now: Micros, server: ServerId) -> bool {
         let Some(server) = self.servers.get(&server) else { return true };
         !server.endpoint.ready() || server.misses > 0 || server.is_outlier(now)
     }
 
-    /// The health of a server for a session that was dialled at `dialled_servers` before.
+    /// The health of a server for a session that was already dialled at `dialled_servers`.
     pub(crate) fn health_tier(&self, server: &Server, dialled_servers: &[ServerId]) -> HealthTier {
         if server.misses > 0 {
             HealthTier::Unreachable
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Whether a server's queue delay exceeds the shortest message objective of the site (the paper's
-    /// threshold of congestion, with alpha_cong = 0).
+    /// Whether a server's queue delay exceeds the shortest message objective of the site. This is the paper's
+    /// congestion threshold with alpha_cong = 0.
     pub(crate) fn is_congested(&self, server: &Server) -> bool {
         self.queue_delay(server) > self.queue_delay_limit
     }
--- a/balancer/src/placement.rs
+++ b/balancer/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: the pool of servers that a session may go to, and what it costs on each.
+//! Placement: the pool of servers on which a session may be placed, and the cost of the session on each.
 
 use crate::balancer::{Balancer, GroupKey, FULL_LOAD, MIN_SAMPLE_SESSIONS};
 use crate::estimate::FleetEstimate;
@@ -9,46 +9,46 @@
 use crate::smallest::Smallest;
 use crate::types::ServerId;
 
-/// Servers compared for a session: enough to find one that is not full, few enough to probe.
+/// Number of servers compared for a session: enough to find one that is not full, and few enough to probe.
 pub(crate) const POOL_SIZE: usize = 3;
-/// The load of a group on each server that has any session of it, in sessions.
+/// The load of a group on each server that has at least one session of the group, in sessions.
 pub(crate) const GROUP_COST: f64 = 4.0;
 
-/// Which servers a pool is taken from.
+/// The servers from which a pool is selected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Candidates {
     All,
-    /// For a session over the admission thresholds: only warming servers at which this relay has a spare
-    /// slot.
+    /// Only warming servers at which this relay has a spare slot. Used for a session over the admission
+    /// thresholds.
     SpareSlots,
 }
 
-/// The order in which servers are taken into a pool, the best first.
+/// The order of servers for the selection of a pool. The smallest value is the best.
 #[derive(PartialEq, PartialOrd)]
 struct Preference {
     tier: HealthTier,
     is_full: bool,
-    /// In another zone, where that has a cost.
+    /// Whether the server is in another zone and the site has a cost for that.
     is_remote: bool,
-    /// By rendezvous hashing of the session's group, the same at every relay; random for an ungrouped
-    /// session.
+    /// Rank by rendezvous hashing of the session's group, which is the same at every relay. Random for a
+    /// session without a group.
     rank: u64,
     server: ServerId,
 }
 
-/// What a session's group costs on a server depends on these.
+/// The position of a server in a session's pool, which determines the cost of the session's group there.
 #[derive(Clone, Copy)]
 pub(crate) struct PoolPosition {
     /// The server's index in the session's pool, from 0.
     pub(crate) index: usize,
-    /// 1 where the session itself is among the group's sessions on the server, else 0.
+    /// 1 if the session itself is one of the group's sessions on the server, otherwise 0.
     pub(crate) own_members: u32,
 }
 
 impl Balancer {
-    /// The servers that a session may go to, `POOL_SIZE` at most, best first: by health, then those that are
-    /// not full, then those in this relay's zone where others have a cost, then by rank. Groups are ranked
-    /// alike in all zones, so that the relays of all zones meet on the same servers.
+    /// Returns at most `POOL_SIZE` servers on which a session may be placed, best first. The order is by health,
+    /// then servers that are not full, then servers in this relay's zone if another zone has a cost, then by
+    /// rank. For sessions of a group the zone is ignored, so that relays in all zones choose the same servers.
     pub(crate) fn pool(
         &self,
         session: &Session,
@@ -68,7 +68,7 @@
                 rank,
                 server: server.endpoint.server,
             };
-            // Most servers rank below the pool even if they are healthy and not full.
+            // Most servers would not enter the pool even if they were healthy and not full.
             if best.would_insert(&preference) && self.is_candidate(session, server, fleet, candidates) {
                 let tier = self.health_tier(server, &session.dialled_servers);
                 let is_full = self.current_load(server, fleet) >= full_load_threshold;
@@ -78,15 +78,15 @@
         best.into_iter().map(|preference| preference.server).collect()
     }
 
-    /// The load from which a server counts as full. It is higher by a group's cost for a grouped session in a
-    /// relay that has too few sessions to know where the group is: to open the group on a new server would
-    /// cost as much.
+    /// The load at or above which a server counts as full. For a session of a group it is higher by the
+    /// group's cost if this relay has too few sessions to know where the group is, because opening the group
+    /// on a new server would cost as much.
     fn full_load_threshold(&self, is_grouped: bool, fleet: &FleetEstimate) -> f64 {
         let favors_group = is_grouped && self.own_sessions < MIN_SAMPLE_SESSIONS;
         FULL_LOAD + f64::from(favors_group) * GROUP_COST * fleet.session_load
     }
 
-    /// Whether a session may go to a server by retry rules, slow start and the requested candidates.
+    /// Whether the retry rules, slow start and the requested candidates allow a session on a server.
     fn is_candidate(
         &self,
         session: &Session,
@@ -99,7 +99,7 @@
             && (candidates == Candidates::All || self.is_spare_slot(server, session, fleet))
     }
 
-    /// The server of a pool with the best health; among these the one with the least cost.
+    /// The server with the lowest cost among the servers of a pool with the best health.
     pub(crate) fn cheapest(
         &self,
         session: &Session,
@@ -122,11 +122,12 @@
         best.map(|server| server.id)
     }
 
-    /// The cost of one more session on a server with a load (1.0 is full), as a fraction of a session's
-    /// value: the service that it and others lose, a group's first session, and another zone. Without groups
-    /// and cross-zone costs the order by cost is the order by load.
+    /// The cost of one more session on a server with a given load (1.0 is saturated), as a fraction of a
+    /// session's value. It consists of the service that this session and the others lose, the cost of the
+    /// first session of a group, and the cost of another zone. Without groups and cross-zone costs, servers
+    /// are ordered by load.
     pub(crate) fn cost(&self, server: &Server, session: &Session, load: f64, position: PoolPosition) -> f64 {
-        /// The slope by which messages miss their objective as a server fills.
+        /// The slope at which messages miss their objective as the load of a server rises.
         const LOSS_SLOPE: f64 = 6.0;
         let cross_zone_cost =
             if server.endpoint.zone == self.site.zone { 0.0 } else { self.site.cross_zone_cost };
@@ -134,8 +135,8 @@
         loss + (1.0 + self.group_cost(server, session, position)) * load * LOSS_SLOPE * loss + cross_zone_cost
     }
 
-    /// The cost of a group's first session on a server, in sessions. It rises with the server's index in the
-    /// pool: the later the server, the likelier the group's other sessions are elsewhere.
+    /// The cost of the first session of a group on a server, in sessions. It rises with the server's index in
+    /// the pool, because the group's other sessions are then more likely on an earlier server.
     fn group_cost(&self, server: &Server, session: &Session, position: PoolPosition) -> f64 {
         let key = GroupKey { server: server.endpoint.server, group: session.request.group };
         let has_others = self.group_sessions.get(&key).is_some_and(|&members| members > position.own_members);
@@ -147,7 +148,7 @@
     }
 }
 
-/// The order of a server for a session: a hash of the session's key and the server.
+/// The rank of a server for a session: a hash of the session's key and the server.
 fn rendezvous_rank(session: &Session, server: &Server) -> u64 {
     hash(session.hash_key ^ (u64::from(server.endpoint.server) << 32))
 }
--- a/balancer/src/probes.rs
+++ b/balancer/src/probes.rs
@@ -1,32 +1,32 @@
-//! Probes for load reports: the probe credit, which server is probed next, and what an answer changes.
+//! Probes for load reports: the probe credit, the choice of the server to probe, and the handling of results.
 //!
-//! There is no fixed interval. Each session adds credit for some probes, the more the less a probe costs. The
-//! credit is spent first on the pools of sessions that wait for reports, and the rest on the server that was
-//! probed longest ago.
+//! Probes have no fixed interval. Each session adds credit for a number of probes, which is larger if a probe
+//! costs less. The credit is spent first on the pools of sessions that wait for reports. The rest is spent on
+//! the servers whose last probe is the oldest.
 
 use crate::balancer::{Balancer, PROBE_TIMER, SECOND};
 use crate::placement::POOL_SIZE;
 use crate::types::{DialEnd, Effect, LoadReport, Micros, ServerId};
 
-/// The fraction of a session's value that its probes may cost.
+/// Maximum cost of the probes per session, as a fraction of the session's value.
 const PROBE_SPENDING: f64 = 0.008;
-/// The most credit that one session adds, in probes of a whole pool.
+/// Maximum credit that one session adds, in probes of each server of a pool.
 const MAX_POOLS_PER_SESSION: f64 = 4.0;
-/// The fraction of a new session's credit that a returned session adds.
+/// Credit that a returned session adds, as a fraction of a new session's credit.
 const RETURNED_SHARE: f64 = 0.5;
-/// The most credit, in probes of each server.
+/// Maximum credit, in probes of each server.
 const MAX_CREDIT_ROUNDS: f64 = 8.0;
-/// Sessions whose pools the credit must cover before other servers are probed.
+/// Number of sessions whose pools the credit must cover before other servers are probed.
 const RESERVED_SESSIONS: f64 = 6.0;
-/// The time over which the credit beyond that is spent.
+/// The time over which the spare credit, above the reserve for those sessions, is spent.
 const SPENDING_TIME: Micros = 8 * SECOND;
-/// Spare credit counts as at least so many probes when they are paced.
+/// Minimum spare credit assumed for the interval between probes, in probes.
 const MIN_PACED_PROBES: f64 = 4.0;
-/// The shortest mean interval between two probes of one server.
+/// Minimum mean interval between two probes of the same server.
 const MIN_PROBE_INTERVAL: Micros = SECOND / 2;
 
 impl Balancer {
-    /// Adds the credit of a new session: `PROBE_SPENDING` over a probe's cost, in probes.
+    /// Adds the credit of a session, in probes: `PROBE_SPENDING` divided by the cost of a probe.
     pub(crate) fn add_probe_credit(&mut self, returned: bool) {
         let affordable_probes = PROBE_SPENDING / self.site.probe_cost.max(1e-6);
         let credit = affordable_probes.min(MAX_POOLS_PER_SESSION * POOL_SIZE as f64);
@@ -35,7 +35,7 @@
         self.probe_credit = (self.probe_credit + credit).min(limit);
     }
 
-    /// Probes a server and spends one probe of the credit, unless a probe is in flight there.
+    /// Probes a server and deducts one probe from the credit, unless a probe of the server is in flight.
     pub(crate) fn probe(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
         let Some(server) = self.servers.get_mut(&server_id).filter(|server| !server.probe_pending) else {
             return;
@@ -46,8 +46,8 @@
         effects.push(Effect::Probe { server: server_id });
     }
 
-    /// Probes the server that was probed longest ago, where the credit exceeds the reserve for waiting
-    /// sessions, and sets the timer for the next one.
+    /// Sets the timer for the next probe. If the credit exceeds the reserve for waiting sessions, probes the
+    /// server whose last probe is the oldest.
     pub(crate) fn probe_tick(&mut self, effects: &mut Vec<Effect>) {
         if !self.site.may_probe {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records the end of a probe, and makes the fleet's estimate invalid.
+    /// Records the result of a probe and invalidates the estimate of the fleet.
     pub(crate) fn record_probe_end(&mut self, server_id: ServerId, end: DialEnd, report: Option<LoadReport>) {
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.probe_pending = false;
@@ -75,7 +75,7 @@
                 server.misses = 0;
                 server.record_report(self.now, report);
             }
-            // A full server answers; an unsent probe shows nothing.
+            // A full server did answer, and an unsent probe shows nothing about the server.
             DialEnd::Full | DialEnd::NotSent => {}
             _ => server.misses += 1,
         }
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -1,4 +1,4 @@
-//! Rebalancing: which established sessions are migrated off a server that fills up.
+//! Rebalancing: which established sessions are migrated away from a server that becomes full.
 
 use crate::balancer::{Balancer, GroupKey, FULL_LOAD, REPORT_LAG};
 use crate::estimate::FleetEstimate;
@@ -10,17 +10,17 @@
 
 /// An established session that may be migrated.
 struct Candidate {
-    /// Whether it stays while there are others to shed.
+    /// Whether the session is migrated only after all unprotected candidates.
     is_protected: bool,
-    /// Load that its migration frees, in sessions.
+    /// Load that the migration frees on the server, in sessions.
     freed: f64,
     id: SessionId,
 }
 
 impl Balancer {
-    /// Migrates sessions off a server that fills up, to where they lose less service. Those that free most
-    /// load go first; where load is shed, sessions of high priority go last. Called when a probe's end or a
-    /// message delay brings news of the server.
+    /// Migrates sessions away from a server that becomes full, so that they lose less service elsewhere. The
+    /// sessions that free the most load are migrated first. If the server sheds load, high-priority sessions
+    /// are migrated last. Called after each probe and each message delay of the server.
     pub(crate) fn rebalance(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
         if !self.is_rebalance_due(server_id) {
             return;
@@ -33,20 +33,20 @@
         let excess = self.excess_load(server, load, is_shedding, &fleet);
         let mut surplus = candidates.iter().map(|candidate| candidate.freed).sum::<f64>() * excess / load;
         for Candidate { freed, id, .. } in candidates {
-            // A fraction of a session is migrated by chance: all relays together migrate the right number.
+            // A fractional session is migrated with that probability, so that the fleet's total is right.
             if surplus < freed && !self.random.random_bool(surplus / freed) {
                 break;
             }
             if is_shedding || self.is_migration_beneficial(id, load, &fleet) {
                 surplus -= freed;
                 self.advance(id, Event::MigrationDue, effects);
-                self.servers.get_mut(&server_id).expect("just read").last_rebalance_at = self.now;
+                self.servers.get_mut(&server_id).expect("the server exists: its load was read above").last_rebalance_at = self.now;
             }
         }
     }
 
-    /// Whether a ready server's load is at least `FULL_LOAD`, and its last migrations are `REPORT_LAG` ago,
-    /// so that reports include them.
+    /// Whether a server is ready, its load is at least `FULL_LOAD`, and its last migrations are at least
+    /// `REPORT_LAG` old, so that reports include them.
     fn is_rebalance_due(&self, server_id: ServerId) -> bool {
         let Some(server) = self.servers.get(&server_id) else { return false };
         self.now - server.last_rebalance_at >= REPORT_LAG
@@ -54,9 +54,9 @@
             && self.current_load(server, &self.estimate) >= FULL_LOAD
     }
 
-    /// Whether a server sheds sessions for the rest to be served, wherever they go: it is unhealthy, its load
-    /// is above 1.0 by a report of this step, and more than half of the fleet's capacity is congested, so
-    /// that there is no better server.
+    /// Whether a server sheds sessions, even without a better server for them, so that its other sessions are
+    /// served. It does so if it is unhealthy, a report received in this step puts its load above 1.0, and
+    /// more than half of the fleet's capacity is congested, so that there is no better server.
     fn is_shedding(&self, server: &Server, load: f64, fleet: &FleetEstimate) -> bool {
         server.last_report_at == Some(self.now)
             && load > 1.0
@@ -64,8 +64,8 @@
             && fleet.congested > fleet.capacity / 2.0
     }
 
-    /// The established sessions of a server in the order of their migration: those of low priority first when
-    /// it sheds, then those that free most load.
+    /// The established sessions of a server in the order of their migration: low priority first if the server
+    /// sheds load, then the ones that free the most load.
     fn migration_candidates(&self, server_id: ServerId, is_shedding: bool) -> Vec<Candidate> {
         let is_established_there =
             |session: &Session| session.server == server_id && session.state == State::Established;
@@ -81,16 +81,17 @@
         candidates
     }
 
-    /// The load that a session's migration frees on its server, in sessions; for the last one of a group the
-    /// group's cost too.
+    /// The load that a session's migration frees on its server, in sessions. For the last session of a group
+    /// it includes the group's cost.
     fn freed_sessions(&self, session: &Session) -> f64 {
         let key = GroupKey { server: session.server, group: session.request.group };
         let is_last_of_group = self.group_sessions.get(&key) == Some(&1);
         session.weight + if is_last_of_group { GROUP_COST } else { 0.0 }
     }
 
-    /// How much load leaves a server, as a fraction of the server: half of what it has above the mean of all,
-    /// or all of that where it sheds, or is unhealthy while the others have capacity.
+    /// The load to move away from a server, as a fraction of the server. It is half of the server's load above
+    /// the fleet's mean. It is all of it if the server sheds load, or if the server is unhealthy and the fleet
+    /// has spare capacity.
     fn excess_load(&self, server: &Server, load: f64, is_shedding: bool, fleet: &FleetEstimate) -> f64 {
         let has_spare_capacity = fleet.busy < FULL_LOAD * fleet.capacity - fleet.congested;
         let is_urgent = is_shedding || (self.is_unhealthy(server) && has_spare_capacity);
@@ -100,16 +101,17 @@
 
     /// Whether the gain of a session's migration exceeds its cost.
     fn is_migration_beneficial(&self, id: SessionId, load: f64, fleet: &FleetEstimate) -> bool {
-        /// Beyond the site's cost: for the interruption, the new handshake, and the age of the reports. A
-        /// fraction of a session's value.
+        /// Gain required in addition to the site's migration cost, as a fraction of a session's value. It
+        /// covers the interruption, the new handshake, and the age of the reports.
         const MARGIN: f64 = 0.15;
         self.migration_gain(id, load, fleet) > self.site.migration_cost + MARGIN
     }
 
-    /// The cost of a session where it is, less that on the cheapest other server of its pool that is healthy
-    /// and not full with it: a fraction of a session's value. Negative infinity where there is none.
+    /// The cost of a session on its current server minus its cost on the cheapest other server of its pool, as
+    /// a fraction of a session's value. The other server must be healthy and not full with the session.
+    /// Negative infinity if there is no such server.
     fn migration_gain(&self, id: SessionId, load: f64, fleet: &FleetEstimate) -> f64 {
-        /// The load from which further load costs nothing more: service is lost anyway.
+        /// The load above which further load adds no cost, because the service is lost anyway.
         const MAX_COUNTED_LOAD: f64 = 1.2;
         let session = &self.sessions[&id];
         let pool = self.pool(session, fleet, Candidates::All);
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,10 +1,10 @@
-//! Retries and giving up (rules 1 and 2): where a session may be dialled again after a dial that may have
-//! run, how long a dial may take, and how a session without a further dial ends.
+//! Retries and final answers (rules 1 and 2): at which servers a session may be dialled again after a dial
+//! that may have run, how long a dial may take, and how a session ends when no further dial is possible.
 
 use crate::session::{Event, Session};
 use crate::types::{Endpoint, Idempotency, KeyScope, Micros};
 
-/// The first dial that may have run, and where.
+/// The first dial of a session that may have run, and the location of its server.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
     /// When that dial started.
@@ -14,14 +14,15 @@
 }
 
 impl Session {
-    /// Whether no further dial is allowed: its client's deadline has passed, or it has had `max_dials` dials.
+    /// Whether no further dial is allowed, because the client's deadline has passed or the session has used
+    /// all of its `max_dials` dials.
     pub(crate) fn is_exhausted(&self, now: Micros) -> bool {
         now >= self.deadline || self.dials >= self.policy.max_dials
     }
 
-    /// Whether the session may be dialled at a server without running twice. Once a dial may have run, only
-    /// an idempotent session may be dialled again, or one with an idempotency key within the key's window and
-    /// scope.
+    /// Whether the session may be dialled at a server without running twice. After a dial that may have run,
+    /// only two kinds of session may be dialled again: idempotent ones, and those with an idempotency key, as
+    /// long as the dial is within the key's window and scope.
     pub(crate) fn may_be_dialled_at(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let Some(run) = self.may_have_run else { return true };
         match self.policy.listener.idempotency {
@@ -34,8 +35,9 @@
         }
     }
 
-    /// How to give up. A rejection announces that a retry is harmless: that holds where no dial may have
-    /// run, or where servers anywhere tolerate or drop a repeat. Otherwise the session is torn down.
+    /// The event that ends the session if it cannot be placed. A rejection tells the client that a retry is
+    /// harmless. That is true if no dial may have run, or if every server tolerates or drops repeated dials.
+    /// Otherwise the session is torn down.
     pub(crate) fn give_up_event(&self) -> Event {
         let is_harmless = matches!(
             self.policy.listener.idempotency,
@@ -48,9 +50,10 @@
         }
     }
 
-    /// How long the dial that starts now may take, in microseconds. `dials` includes it. An idempotent
-    /// session gets the handshake objective, doubled with each dial up to 256 times it, to leave time for a
-    /// retry; the last dial, and any of another session, gets all the time until the client's deadline.
+    /// The timeout of the dial that starts now, in microseconds. `dials` already includes this dial. For an
+    /// idempotent session it is the handshake objective, doubled with each dial up to a factor of 256, which
+    /// leaves time for a retry. The last dial of an idempotent session, and every dial of any other session,
+    /// gets all the time until the client's deadline.
     pub(crate) fn dial_timeout(&self, now: Micros) -> Micros {
         let remaining = self.deadline - now;
         let listener = &self.policy.listener;
@@ -63,8 +66,8 @@
         }
     }
 
-    /// Within which a retry must be sent, in microseconds: the rest of its idempotency key's window. None
-    /// where no key bounds it.
+    /// The time within which a retry must be sent, in microseconds: the rest of its idempotency key's window.
+    /// `None` if no key limits it.
     pub(crate) fn send_within(&self, now: Micros) -> Option<Micros> {
         match (self.may_have_run, self.policy.listener.idempotency) {
             (Some(run), Idempotency::Keyed { window, .. }) => Some(run.since + window - now),
--- a/balancer/src/rolling_sum.rs
+++ b/balancer/src/rolling_sum.rs
@@ -2,11 +2,11 @@
 
 use crate::types::Micros;
 
-/// A sum over the last eight seconds at most: long enough for rates, short enough to forget a fault that is
-/// over.
+/// A sum over at most the last 8 s. That is long enough to measure rates, and short enough for a fault that
+/// has ended to lose its effect.
 #[derive(Default)]
 pub(crate) struct RollingSum {
-    /// The number of the newest bucket, counted from time 0.
+    /// The index of the newest bucket, counted from time 0.
     newest: u64,
     buckets: [f32; RollingSum::BUCKETS as usize],
 }
@@ -15,7 +15,7 @@
     const BUCKETS: u64 = 16;
     const BUCKET_WIDTH: Micros = 500_000;
 
-    /// Adds a value to the bucket of `now`.
+    /// Adds a value to the bucket that contains `now`.
     pub(crate) fn add(&mut self, now: Micros, value: f64) {
         let bucket = now / RollingSum::BUCKET_WIDTH;
         for passed in self.newest.max(bucket.saturating_sub(RollingSum::BUCKETS)) + 1..=bucket {
@@ -25,8 +25,8 @@
         self.buckets[RollingSum::index(bucket)] += value as f32;
     }
 
-    /// The sum from `age` ago until now, from the start of that bucket on, and over the last `BUCKETS`
-    /// buckets at most.
+    /// Returns the sum from the start of the bucket that contains `now - age` until now. It covers at most
+    /// the last `BUCKETS` buckets.
     pub(crate) fn sum(&self, now: Micros, age: Micros) -> f64 {
         let first_bucket = (now / RollingSum::BUCKET_WIDTH + 1).saturating_sub(RollingSum::BUCKETS);
         let oldest = (now.saturating_sub(age) / RollingSum::BUCKET_WIDTH).max(first_bucket);
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -1,38 +1,38 @@
-//! The state that a relay has of one server.
+//! The state that a relay keeps for one server.
 
 use crate::rolling_sum::RollingSum;
 use crate::slow_start::SlotWait;
 use crate::types::{Endpoint, LoadReport, Micros};
 
-/// The state of one server, from the endpoint list, its load reports and this relay's sessions there.
+/// The state of one server, derived from the endpoint list, its load reports and this relay's sessions there.
 #[derive(Default)]
 pub(crate) struct Server {
-    /// As the endpoint list has it.
+    /// The last entry for the server in the endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// Demand over capacity, as last reported.
+    /// Last reported demand divided by capacity.
     pub(crate) load: f64,
-    /// How long queued work waits, in seconds, as last reported.
+    /// Last reported queue delay, in seconds.
     pub(crate) queue_delay: f64,
-    /// Sessions of all relays, as last reported; 0 where this is not reported.
+    /// Last reported number of sessions of all relays. 0 if the server does not report it.
     pub(crate) sessions: f64,
-    /// When the last report was received; none before the first.
+    /// When the last report was received. `None` before the first report.
     pub(crate) last_report_at: Option<Micros>,
     pub(crate) message_delay: MessageDelay,
-    /// Probes and connects in a row that failed.
+    /// Number of consecutive failed probes and connection attempts.
     pub(crate) misses: u32,
     pub(crate) slot_wait: SlotWait,
     pub(crate) last_probe_at: Micros,
     /// Whether a probe is in flight.
     pub(crate) probe_pending: bool,
     pub(crate) last_rebalance_at: Micros,
-    /// Sessions placed here, less those that ended, weighted by their load.
+    /// Sessions placed on the server, minus those that ended, weighted by their load.
     pub(crate) net_sessions: RollingSum,
     pub(crate) dials: RollingSum,
-    /// Dials and established sessions that ended by a fault of the server.
+    /// Dials and established sessions that ended because of a server fault.
     pub(crate) faults: RollingSum,
 }
 
-/// How long a message took on a session of this relay.
+/// The delay of the last message measured on a session of this relay.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MessageDelay {
     pub(crate) seconds: f64,
@@ -40,7 +40,7 @@
 }
 
 impl Server {
-    /// Records a report that has a load; others are ignored.
+    /// Records a report that contains a load. A report without a load is ignored.
     pub(crate) fn record_report(&mut self, now: Micros, report: Option<LoadReport>) {
         if let Some(LoadReport { load: Some(load), queue_delay, sessions }) = report {
             self.last_report_at = Some(now);
--- a/balancer/src/server_list.rs
+++ b/balancer/src/server_list.rs
@@ -1,17 +1,17 @@
-//! The endpoint list: how its changes are applied, and when it is watched again after a failure.
+//! The endpoint list: how updates are applied, and when a failed watch is retried.
 
 use crate::balancer::{Balancer, SECOND, WATCH_TIMER};
 use crate::server::Server;
 use crate::types::{Effect, Endpoint, ListUpdate, Micros, Phase, ServerId};
 
-/// The time from one watch to the next after one, two, and more failures in a row, without the jitter.
+/// Backoff between watches after one, two, and three or more consecutive failures, without the jitter.
 const WATCH_BACKOFF: [Micros; 3] = [SECOND, 2 * SECOND, 3 * SECOND];
-/// A random time up to this is added to each backoff, so that relays do not call all at once.
+/// Upper bound of the random jitter added to each backoff, so that relays do not call at the same time.
 const WATCH_JITTER: Micros = SECOND;
 
 impl Balancer {
-    /// Applies the list or its changes, or schedules the next watch where one failed. The list's states hold
-    /// from this input on (rule 3).
+    /// Applies a list or its changes, or schedules the next watch if a watch failed. The new states of the
+    /// servers take effect immediately (rule 3).
     pub(crate) fn update_list(
         &mut self,
         update: ListUpdate,
@@ -33,9 +33,9 @@
         self.remove_unused_servers();
     }
 
-    /// Schedules the next watch. Backoffs run from the last call, except the first, which runs from the
-    /// failure. A relay counts as notified of a change 6 s after discovery had it and could be reached: the
-    /// longest backoff of 3 s, 1 s of jitter and 2 s for an answer fit into that.
+    /// Schedules the next watch. A backoff is measured from the last call, except for the first backoff, which
+    /// is measured from the failure. A relay counts as notified of a change 6 s after discovery has the change
+    /// and is reachable. The longest backoff of 3 s, 1 s of jitter and 2 s for an answer fit into that time.
     fn schedule_watch(&mut self, effects: &mut Vec<Effect>) {
         let backoff = WATCH_BACKOFF[self.watch_failures as usize];
         let jitter = self.random.below(WATCH_JITTER);
@@ -45,7 +45,8 @@
         effects.push(Effect::SetTimer { after, label: WATCH_TIMER });
     }
 
-    /// Updates one server. A later start makes it a new server: its former state is dropped.
+    /// Updates one server. If its start time is later than before, it is a new server, and the old state is
+    /// dropped.
     fn update_server(&mut self, endpoint: Endpoint) {
         let slot_wait = self.first_slot_wait(&endpoint);
         let server = self.servers.entry(endpoint.server).or_default();
@@ -55,8 +56,8 @@
         server.endpoint = endpoint;
     }
 
-    /// Drops removed servers once they have no session, which bounds the memory of a relay that runs for
-    /// long.
+    /// Drops removed servers that have no session, which bounds the memory of a relay that runs for a long
+    /// time.
     fn remove_unused_servers(&mut self) {
         let has_session = |id: ServerId| self.sessions.values().any(|session| session.server == id);
         self.servers.retain(|&id, server| server.endpoint.phase != Phase::Gone || has_session(id));
--- a/balancer/src/session.rs
+++ b/balancer/src/session.rs
@@ -1,4 +1,4 @@
-//! A session and its state machine: the states, the events, and the transitions between them.
+//! The state machine of a session: its states, its events, and the transitions between the states.
 
 use crate::balancer::{Balancer, SECOND};
 use crate::retry::PossibleRun;
@@ -8,35 +8,35 @@
 /// The states of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Its admission is decided; lasts only within a step.
+    /// Admission is being decided. This state never outlasts a step.
     #[default]
     Evaluating,
-    /// It waits for load reports.
+    /// The session waits for load reports.
     AwaitingReports,
     Dialling,
     Established,
-    /// Its client was requested to reconnect.
+    /// The client was asked to reconnect.
     Migrating,
     Closed,
 }
 
-/// The events of a session, from inputs or as the result of its evaluation.
+/// The events of a session. They come from inputs or result from an evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
     /// A server was selected.
     Placed,
-    /// It waits for newer reports.
+    /// The session waits for newer reports.
     ReportsAwaited,
-    /// It is given up, and a retry is harmless.
+    /// The session cannot be placed, and a retry by the client is harmless.
     Rejected,
-    /// It is given up after a dial that may have run and must not be repeated.
+    /// The session cannot be placed after a dial that may have run and must not be repeated.
     Aborted,
-    /// It is new, or its reports have arrived, or its report deadline has passed.
+    /// The session is new, or its awaited reports have arrived, or its report deadline has passed.
     EvaluationDue,
     Established,
     DialFailed,
     Ended,
-    /// Rebalancing selected it.
+    /// Rebalancing selected the session.
     MigrationDue,
 }
 
@@ -56,7 +56,7 @@
     action: Action,
 }
 
-/// The transition on an event in a state; none where the event changes nothing.
+/// Returns the transition for an event in a state, or `None` if the event is ignored in that state.
 fn transition(from: State, event: Event) -> Option<Transition> {
     let (to, action) = match (from, event) {
         (State::Evaluating, Event::EvaluationDue) => (State::Evaluating, Action::Evaluate),
@@ -78,49 +78,51 @@
 }
 
 impl State {
-    /// Whether the session counts as one of its server's: from the dial on, so that those in flight count.
+    /// Whether a session in this state counts as a session of its server. Sessions being dialled count too.
     fn occupies_server(self) -> bool {
         matches!(self, State::Dialling | State::Established | State::Migrating)
     }
 }
 
-/// The rules of a session: its listener's at its request, whatever settings apply later.
+/// The rules of a session: those of its listener at the time of its request. Later settings do not apply.
 #[derive(Default)]
 pub(crate) struct SessionPolicy {
     pub(crate) listener: Listener,
     pub(crate) max_dials: u32,
 }
 
-/// One session, from its request to its end.
+/// A session from its request to its end.
 #[derive(Default)]
 pub(crate) struct Session {
     pub(crate) request: AdmissionRequest,
     pub(crate) policy: Rc<SessionPolicy>,
-    /// Whether it is excess of a reconnect storm, and no warming server may get it.
+    /// Whether the session is in excess in a reconnect storm, so that it is not sent to a warming server.
     pub(crate) in_reconnect_storm: bool,
-    /// The key of the rendezvous hashing that ranks servers for its pool: its group, or random without one.
+    /// The key of the rendezvous hashing that ranks servers for the session's pool: its group, or a random
+    /// number if it has no group.
     pub(crate) hash_key: u64,
-    /// When its client's timeout expires.
+    /// When the client's timeout expires.
     pub(crate) deadline: Micros,
     pub(crate) state: State,
-    /// The server that it is on, or is dialled at.
+    /// The server on which the session is established or at which it is dialled.
     pub(crate) server: ServerId,
     pub(crate) dials: u32,
     /// When the last dial started.
     pub(crate) dialled_at: Micros,
-    /// The servers of its dials, in order.
+    /// The servers at which the session was dialled, in order.
     pub(crate) dialled_servers: Vec<ServerId>,
     pub(crate) may_have_run: Option<PossibleRun>,
-    /// Servers whose reports it waits for.
+    /// The servers whose reports the session waits for.
     pub(crate) awaited_reports: Vec<ServerId>,
-    /// Until when it may wait for reports.
+    /// The time until which the session may wait for reports.
     pub(crate) report_deadline: Micros,
-    /// Its load over the mean of this relay's sessions; 1.0 before its load is known, 0 after a fault.
+    /// The load of the session divided by the mean of this relay's sessions. 1.0 before the load is known, 0
+    /// after a fault.
     pub(crate) weight: f64,
 }
 
 impl Balancer {
-    /// Adds a session under its listener's current rules, and counts its arrival.
+    /// Adds a session with the current rules of its listener, and counts its arrival.
     pub(crate) fn register(&mut self, id: SessionId, mut session: Session) {
         let last_listener = self.policies.len() - 1;
         session.policy = self.policies[session.request.listener.min(last_listener)].clone();
@@ -128,7 +130,7 @@
         let request = session.request;
         let handshake_target = session.policy.listener.handshake_target;
         session.deadline = self.now + request.time_remaining;
-        // Half of the objective leaves time to dial.
+        // Waiting for at most half of the objective leaves time for the dial.
         session.report_deadline = self.now + handshake_target.min(request.time_remaining) / 2;
         session.weight = 1.0;
         session.hash_key = if request.group != 0 { request.group } else { self.random.next_u64() };
@@ -147,7 +149,7 @@
         self.sessions.get(&id).is_some_and(|session| session.dials == dial + 1)
     }
 
-    /// Applies an event to a session: each transition's action may result in the next event.
+    /// Applies an event to a session, and then every event that results from the action of a transition.
     pub(crate) fn advance(&mut self, id: SessionId, event: Event, effects: &mut Vec<Effect>) {
         let mut next_event = Some(event);
         while let Some(event) = next_event.take() {
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Performs a transition's action; an evaluation results in the next event.
+    /// Performs the action of a transition. Returns the next event if the action is an evaluation.
     fn perform(&mut self, action: Action, id: SessionId, effects: &mut Vec<Effect>) -> Option<Event> {
         match action {
             Action::Evaluate => return Some(self.evaluate(id)),
@@ -182,8 +184,8 @@
         None
     }
 
-    /// The Retry-After of a rejection, in microseconds: 0.5 to 1.5 s, by when there are newer reports, random
-    /// so that clients do not return all at once; the site's `max_retry_after` at most.
+    /// The Retry-After of a rejection, in microseconds. It is 0.5 s to 1.5 s, because newer reports arrive by
+    /// then, and random, so that clients do not all return at the same time. It is at most `max_retry_after`.
     fn retry_after(&mut self) -> Micros {
         let retry_after = SECOND / 2 + self.random.below(SECOND);
         retry_after.min(self.site.max_retry_after.unwrap_or(0))
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,19 +1,21 @@
 //! Slow start: how many sessions all relays together send to a server while it warms up (rule 4).
 //!
-//! **The budget.** A warming server sustains `overload_multiple` times the sessions that fill it within one
-//! warm-up, in proportion to the capacity that it surely has at its age; more than that within
-//! `overload_window` makes it fail. The budget is a rate, in sessions per microsecond from all relays, and
-//! the sessions of one overload window at that rate.
+//! **The budget.** Within one warm-up a warming server sustains `overload_multiple` times the sessions that
+//! saturate it, in proportion to the capacity that it is certain to have at its age. It fails if it gets more
+//! than that within `overload_window`. The budget consists of a rate, in sessions per microsecond from all
+//! relays, and the number of sessions in one overload window at that rate.
 //!
-//! **Slots.** Relays do not communicate, so each has a fixed share: after a dial at a warming server it waits
-//! for an interval before the next one. The shares are oversubscribed, as not every relay has a session when
-//! its slot opens; the time that a relay waits for a session beyond its slot shortens its next interval.
+//! **Slots.** Relays do not communicate, so each has a fixed share of the budget. After a dial at a warming
+//! server, a relay waits for an interval until its next slot there opens. The shares are oversubscribed,
+//! because not every relay has a session when its slot opens. The time that a relay waits for a session after
+//! its slot has opened shortens its next interval.
 //!
 //! **Unused slots.** A slot that is not used stays open, and in a reconnect storm all relays have a session
-//! in the same moment. Two rules hold the budget then: no more relays than the budget sustains may use their
-//! unused slots, selected by a hash (`is_selected_for_slots`); and returning sessions beyond the budgets of
-//! all warming servers together are not sent there (`is_in_reconnect_storm`). Neither applies where relays
-//! are so few that all their slots at once exceed a budget by no more than chance does (`is_small_fleet`).
+//! at the same moment. Two rules enforce the budget in that case. First, a hash selects at most as many relays
+//! as the budget sustains, and only these may use their unused slots (`is_selected_for_slots`). Second,
+//! returning sessions in excess of the combined budgets of all warming servers are not sent to these servers
+//! (`is_in_reconnect_storm`). Neither rule applies if there are so few relays that all their slots together
+//! exceed a budget only by a random deviation (`is_small_fleet`).
 
 use crate::balancer::{Balancer, FULL_LOAD, REPORT_LAG, SECOND};
 use crate::estimate::FleetEstimate;
@@ -24,16 +26,16 @@
 use crate::session::Session;
 use crate::types::{Endpoint, Micros};
 
-/// From when a relay waits for its next slot at a warming server, and for how long.
+/// A relay's wait for its next slot at a warming server.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlotWait {
-    /// The relay's last dial there, or when it was notified of the server's start.
+    /// Start of the wait: the relay's last dial there, or the time of its notification of the server's start.
     pub(crate) since: Micros,
-    /// The fraction of a slot interval.
+    /// Length of the wait, as a fraction of the full slot interval.
     pub(crate) interval_fraction: f64,
 }
 
-/// The sessions that a warming server sustains from all relays together.
+/// The number of sessions that a warming server sustains from all relays together.
 struct Budget {
     /// Sessions per microsecond.
     rate: f64,
@@ -42,8 +44,8 @@
 }
 
 impl Balancer {
-    /// The fraction of its capacity that a server surely has at its age: it rises linearly from the initial
-    /// capacity to 1 over the warm-up. 1 where the start is long ago or not known.
+    /// The fraction of its capacity that a server is certain to have at its age. It rises linearly from the
+    /// initial capacity to 1 over the warm-up. It is 1 if the start is long ago or not known.
     pub(crate) fn warm_up_fraction(&self, server: &Server) -> f64 {
         let age =
             self.now.saturating_sub(server.endpoint.started_at) as f64 / self.site.warm_up.max(1) as f64;
@@ -55,16 +57,16 @@
         self.warm_up_fraction(server) < 1.0
     }
 
-    /// The budget of a server at its warm-up fraction now; `session_load` is one session's load, as a
-    /// fraction of a full server.
+    /// The budget of a server at its current warm-up fraction. `session_load` is the load of one session, as a
+    /// fraction of a warm server.
     fn budget(&self, server: &Server, session_load: f64) -> Budget {
         let warm_up = self.site.warm_up.max(1) as f64;
         let rate = self.site.overload_multiple * self.warm_up_fraction(server) / (warm_up * session_load);
         Budget { rate, per_window: self.site.overload_window as f64 * rate }
     }
 
-    /// The wait for the first slot at a server that has just started. Its capacity is lowest then, so the
-    /// relays' first slots are spread over one interval, in another order for each server.
+    /// The wait for the first slot at a server that has just started. Because its capacity is lowest then, the
+    /// first slots of the relays are spread over one interval. The order of the relays differs by server.
     pub(crate) fn first_slot_wait(&self, endpoint: &Endpoint) -> SlotWait {
         let position = hash(u64::from(endpoint.server)).wrapping_add(u64::from(self.site.relay_index));
         let relays = u64::from(self.site.relay_count.max(1));
@@ -72,9 +74,9 @@
         SlotWait { since: self.now, interval_fraction }
     }
 
-    /// The slow-start rule: whether a session may be sent to a server. It may where the server is warm; or
-    /// where this relay has an open slot there that it may use, and the session is not excess of a reconnect
-    /// storm.
+    /// Whether the slow-start rule allows a session to be sent to a server. It does if the server is warm. It
+    /// also does if this relay has an open slot there that it may use, and the session is not in excess in a
+    /// reconnect storm.
     pub(crate) fn has_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
         if !self.is_warming_up(server) {
             return true;
@@ -89,11 +91,11 @@
         waited >= self.slot_interval(server, fleet, server.slot_wait.interval_fraction)
     }
 
-    /// Whether an open slot may be used by a session that the admission thresholds reject: such a slot is
-    /// capacity of this relay alone, and lost if unused. Only where slots are rare and the server is healthy
-    /// and not full.
+    /// Whether a session that the admission thresholds reject may use an open slot. The capacity of a slot is
+    /// available only to this relay and is lost if unused. The slot may be used only if slots are rare and the
+    /// server is healthy and not full.
     pub(crate) fn is_spare_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
-        /// With few relays slots open every second or two, and the thresholds would not hold.
+        /// With few relays, slots open every 1 s to 2 s, and sessions in such slots would defeat the thresholds.
         const MIN_INTERVAL: Micros = 4 * REPORT_LAG;
         let is_slot_rare =
             self.is_warming_up(server) && self.slot_interval(server, fleet, 1.0) > MIN_INTERVAL as f64;
@@ -102,45 +104,48 @@
             && self.current_load(server, fleet) < FULL_LOAD
     }
 
-    /// The time from the start of this relay's wait to its next slot at a warming server, in microseconds,
-    /// for a fraction of the full interval.
+    /// The time from the start of this relay's wait to its next slot at a warming server, in microseconds.
+    /// `fraction` is the fraction of the full interval to wait.
     ///
-    /// The interval is the inverse of this relay's share of the budget, less the mean wait for a session once
-    /// the slot is open, so a busy relay uses its exact share; the oversubscription bounds how far the
-    /// interval shrinks. Where the server has warmed since the last slot, its mean capacity meanwhile counts,
-    /// not the present one.
+    /// The interval is the inverse of this relay's share of the budget, minus the mean wait for a session
+    /// after the slot has opened, so that a busy relay uses exactly its share. The oversubscription limits how
+    /// far the interval shrinks. If the server has warmed up further since the last slot, the interval is
+    /// based on its mean capacity in that time instead of its current capacity.
     fn slot_interval(&self, server: &Server, fleet: &FleetEstimate, fraction: f64) -> f64 {
         let relays = f64::from(self.site.relay_count);
         let share = fraction * relays / self.budget(server, fleet.slot_session_load).rate;
         let session_wait = self.mean_session_wait(fleet);
-        // Capacity rises linearly, so its mean is lower by half of the gain.
+        // The capacity rises linearly, so its mean is below the current value by half of the gain.
         let warm_up_rate = (1.0 - self.site.initial_capacity) / self.site.warm_up.max(1) as f64;
         let waited = (self.now - server.slot_wait.since) as f64;
         let gained = warm_up_rate * waited / self.warm_up_fraction(server);
         ((share - session_wait) / (1.0 - gained / 2.0).max(0.5)).max(share / self.oversubscription())
     }
 
-    /// The most that a relay's rate may exceed its share, as a factor: 1.4 for one relay, nearly 4 for a
-    /// hundred, below 5. The more relays share a budget, the fewer have a session when their slot opens.
+    /// The maximum factor by which a relay's rate may exceed its share: 1.4 for one relay, nearly 4 for a
+    /// hundred, and always below 5. With more relays sharing a budget, fewer of them have a session when their
+    /// slot opens.
     fn oversubscription(&self) -> f64 {
         let others = f64::from(self.site.relay_count - 1);
         1.4 + 3.6 * others / (others + 40.0)
     }
 
-    /// The mean time between this relay's sessions that have a given server in their pool, in microseconds.
+    /// Mean time between sessions of this relay that have a given server in their pool, in microseconds.
     fn mean_session_wait(&self, fleet: &FleetEstimate) -> f64 {
         self.slot_arrivals.mean() * sessions_per_pool_entry(fleet)
     }
 
-    /// Whether this relay is selected to use its slots at a warming server, however long they lay unused.
+    /// Whether this relay is selected to use its slots at a warming server, even if they stayed unused for a
+    /// long time.
     ///
-    /// In a storm each relay has a session in the same moment, and all unused slots are used at once. So
-    /// relays are selected with the probability of the budget over these slots: the relays, times the
-    /// fraction of them whose slot is unused, times the probability that a session's pool has the server. The
-    /// selection is a hash of the relay and the server's start, constant for the whole warm-up, so that no
-    /// overload window sees two sets of relays.
+    /// In a reconnect storm every relay has a session at the same moment, so all unused slots would be used
+    /// simultaneously. Their number is the number of relays, times the fraction of relays with an unused slot,
+    /// times the probability that a session's pool contains the server. Each relay is therefore selected with
+    /// a probability of the budget divided by that number. The selection is a hash of the relay and the
+    /// server's start. It is constant during the warm-up, so that no overload window gets sessions from two
+    /// different sets of relays.
     fn is_selected_for_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
-        /// Sessions of one relay that are placed before it detects a storm.
+        /// Number of sessions that one relay places before it detects a reconnect storm.
         const SESSIONS_AT_ONCE: f64 = 1.3;
         let budget = self.budget(server, fleet.slot_session_load).per_window;
         if self.is_small_fleet(budget) {
@@ -148,7 +153,7 @@
         }
         let session_wait = self.mean_session_wait(fleet);
         let interval = self.slot_interval(server, fleet, 1.0);
-        // Within one interval after the server's start only this fraction of the relays has had a slot.
+        // Within one interval after the server's start, only this fraction of the relays has had a slot.
         let opened_fraction = self.now.saturating_sub(server.endpoint.started_at) as f64 / interval;
         let unused_fraction = (session_wait / (session_wait + interval)).min(opened_fraction);
         let pool_probability = (SESSIONS_AT_ONCE / sessions_per_pool_entry(fleet)).min(1.0);
@@ -159,21 +164,23 @@
         draw as f64 <= sustained_slots / simultaneous_slots * u64::MAX as f64
     }
 
-    /// Whether the slots of all relays at once exceed a budget, in sessions per overload window, by no more
-    /// than chance does: slots alone hold the budget then.
+    /// Whether the slots of all relays, used at the same time, exceed a budget at most by a random deviation.
+    /// In that case the slots alone enforce the budget. `budget` is in sessions per overload window.
     fn is_small_fleet(&self, budget: f64) -> bool {
         f64::from(self.site.relay_count) <= budget + 2.0 * budget.sqrt() + 2.0
     }
 
-    /// Whether a returning session is excess for the warming servers, at random such that their budgets hold.
+    /// Whether a returning session is in excess for the warming servers. The decision is random, with a
+    /// probability that keeps the servers within their budgets.
     ///
-    /// The other sessions that returned to this relay, within an overload window or as the mean rate over a
-    /// longer window, times the relays, are an unbiased estimate of the fleet's. Where it exceeds the
-    /// sessions that all warming servers sustain within a window (their budgets, and one each), a session is
-    /// excess with the probability of that excess. Servers that a small fleet cannot overload do not count.
+    /// The number of other sessions that returned to this relay, times the number of relays, is an unbiased
+    /// estimate for the fleet. The number is taken over one overload window or, if that gives more, from the
+    /// mean rate over a longer window. If the estimate exceeds the sessions that all warming servers sustain
+    /// within one window (their budgets plus one each), a session is in excess with the probability of that
+    /// excess. Servers that a small fleet cannot overload are not counted.
     pub(crate) fn is_in_reconnect_storm(&mut self) -> bool {
         const LONG_WINDOW: Micros = 4 * SECOND;
-        // A rolling sum covers half a bucket more in the mean; the session itself is subtracted.
+        // On average a rolling sum covers half a bucket more than its age. The session itself is subtracted.
         let others = |age: Micros| self.reconnects.sum(self.now, age.saturating_sub(SECOND / 4)) - 1.0;
         let window = self.site.overload_window;
         let at_mean_rate = others(LONG_WINDOW) * window as f64 / LONG_WINDOW as f64;
@@ -187,8 +194,8 @@
     }
 }
 
-/// Sessions for each one that has a given server in its pool: the uncongested servers over the pool's size,
-/// at least 1.
+/// Mean number of sessions per session that has a given server in its pool: the uncongested servers divided
+/// by the size of a pool, at least 1.
 fn sessions_per_pool_entry(fleet: &FleetEstimate) -> f64 {
     ((fleet.capacity - fleet.congested) / POOL_SIZE as f64).max(1.0)
 }
--- a/balancer/src/snapshot.rs
+++ b/balancer/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The state that a hot restart hands from a process to its successor: the two are one relay, with one share
-//! of each slow-start budget.
+//! The state that a process hands over to its successor in a hot restart. Both processes are the same relay
+//! and have one share of each slow-start budget.
 
 use crate::balancer::Balancer;
 use crate::estimate::{clamp, SESSION_LOAD, SLOT_SESSION_LOAD};
@@ -7,17 +7,17 @@
 use crate::slow_start::SlotWait;
 use crate::types::{LoadReport, Micros, PastReport, ServerId, ServerSnapshot, SlotSnapshot, Snapshot};
 
-/// The time over which placed sessions are handed over, in microseconds: all that a rolling sum has.
+/// The time over which placed sessions are handed over, in microseconds: the full window of a rolling sum.
 const RECENT_SESSIONS_WINDOW: Micros = 8_000_000;
 
 impl Balancer {
-    /// The state to hand to the successor of this process.
+    /// Returns the state to hand over to the successor of this process.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         let servers = self.servers.iter().map(|(&id, server)| server.snapshot(id, now)).collect();
         Snapshot { session_load: self.estimate.slot_session_load, servers }
     }
 
-    /// Takes over the state of the predecessor. This process's own reports stay where they are newer.
+    /// Restores the state of the predecessor. If this process has a newer report of a server, it keeps that.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.estimate.session_load = clamp(snapshot.session_load, &SESSION_LOAD);
         self.estimate.slot_session_load = clamp(snapshot.session_load, &SLOT_SESSION_LOAD);
--- a/balancer/src/throttle.rs
+++ b/balancer/src/throttle.rs
@@ -1,6 +1,7 @@
-//! Client-side throttling of dials (Beyer et al., "Site Reliability Engineering", chapter 21): where servers
-//! accept too small a part of this relay's dials, it rejects sessions itself, with the probability of the
-//! excess. This protects dependencies that all servers share and that no load report shows.
+//! Client-side throttling of dials (Beyer et al., "Site Reliability Engineering", chapter 21). If servers
+//! accept too small a fraction of this relay's dials, the relay rejects sessions itself, with a probability
+//! derived from the excess dials. This protects dependencies that all servers share and that no load report
+//! covers.
 
 use crate::admission::HIGH_PRIORITY_RESERVE;
 use crate::balancer::{Balancer, SECOND};
@@ -8,19 +9,19 @@
 use crate::session::State;
 use crate::types::{Micros, SessionId};
 
-/// The window over which dials count.
+/// The window over which dials are counted.
 const WINDOW: Micros = 4 * SECOND;
-/// Dials for each accepted one above which a session of high priority may be rejected; for others it is lower
-/// by `HIGH_PRIORITY_RESERVE`.
+/// The ratio of dials to accepted dials above which a high-priority session may be rejected. For other
+/// sessions the ratio is lower by the fraction `HIGH_PRIORITY_RESERVE`.
 const MAX_DIALS_PER_ACCEPT: f64 = 1.5;
-/// Dials of all relays together that are never throttled: too small a sample.
+/// Number of dials in the fleet that are never throttled, because fewer dials are too small a sample.
 const MIN_FLEET_DIALS: f64 = 8.0;
-/// Servers with faults in the window from which a shared fault is assumed: a single one may be an outlier.
+/// Minimum number of servers with faults in the window for a shared fault. A single one may be an outlier.
 const MIN_FAULTY_SERVERS: usize = 2;
 
 impl Balancer {
-    /// Counts the last dial of a session that is being dialled, and whether it was accepted within the
-    /// handshake objective.
+    /// Counts the last dial of a session that is being dialled, and counts it as accepted if the server
+    /// accepted it within the handshake objective.
     pub(crate) fn count_dial(&mut self, id: SessionId, is_accepted: bool) {
         let Some(session) = self.sessions.get(&id).filter(|session| session.state == State::Dialling) else {
             return;
@@ -31,9 +32,9 @@
         self.accepts.add(self.now, f64::from(is_in_time));
     }
 
-    /// The throttling rule: whether a session is rejected, with the probability (excess dials) / (dials + 1)
-    /// over `WINDOW`. A rejected session counts as a dial. Even without any accept one dial in a window is
-    /// sent, which shows when the fault is over.
+    /// Whether the throttling rule rejects a session. The probability is (excess dials) / (dials + 1) over
+    /// `WINDOW`, and a rejected session counts as a dial. Even if no dial is accepted, the rule lets one dial
+    /// pass per window, which shows when the fault is over.
     pub(crate) fn is_throttled(&mut self, is_high_priority: bool) -> bool {
         let dials = self.recent(&self.dials);
         let excess = self.excess_dials(dials, is_high_priority);
@@ -43,7 +44,7 @@
         is_throttled
     }
 
-    /// The dials beyond those that the accepted ones allow; negative where there are fewer.
+    /// Number of dials beyond those that the accepted dials allow. Negative if there are fewer.
     fn excess_dials(&self, dials: f64, is_high_priority: bool) -> f64 {
         let exempt_dials = MIN_FLEET_DIALS / f64::from(self.site.relay_count);
         let priority_factor = if is_high_priority { 1.0 } else { 1.0 - HIGH_PRIORITY_RESERVE };
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -1,48 +1,49 @@
-//! The balancer's interface: the settings of its site, its inputs, and its effects.
+//! The balancer's interface: the settings of a site, the inputs, and the effects.
 //!
-//! Times are whole microseconds on the caller's clock, ages and durations too unless a unit is named. Loads
-//! and capacities are fractions of one server, 1.0 being a saturated one.
+//! Times are integer microseconds on the caller's clock. Ages and durations are also in microseconds unless
+//! their documentation names another unit. Loads and capacities are fractions of one server, where 1.0 means
+//! saturated.
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
-/// A session, as the caller numbers it.
+/// The number that the caller assigned to a session.
 pub type SessionId = u32;
-/// A server, as the caller numbers it. All relays of a fleet must use the same number for the same server.
+/// The number that the caller assigned to a server. All relays of a fleet must use the same number for it.
 pub type ServerId = u32;
 
-/// Whether a session may be dialled again once its first dial may have reached a server.
+/// Whether a session may be dialled again after one of its dials may have run on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeated dial does no harm.
+    /// A repeated dial is harmless.
     #[default]
     Idempotent,
-    /// Dials carry an idempotency key: servers within `scope` drop repeats.
+    /// Dials carry an idempotency key, and servers within `scope` drop repeated dials.
     Keyed {
-        /// The servers that know each other's keys.
+        /// The servers that share their keys.
         scope: KeyScope,
-        /// How long a key is known, from the first dial that may have run.
+        /// Time for which servers keep a key, from the first dial that may have run.
         window: Micros,
     },
     /// A dial that may have run must not be repeated.
     NonIdempotent,
 }
 
-/// The servers among which an idempotency key is known.
+/// The servers that share an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All servers.
     All,
-    /// Those of the zone of the first dial.
+    /// The servers in the zone of the first dial that may have run.
     Zone,
-    /// Those of the cell of the first dial.
+    /// The servers in the cell of the first dial that may have run.
     Cell,
 }
 
-/// A class of sessions that share their rules.
+/// A class of sessions that share the same rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listener {
-    /// The priority weight of a session, 0 or more; listeners in the upper half of the site's range are of
-    /// high priority.
+    /// The priority weight of a session, at least 0. Listeners in the upper half of the site's range of
+    /// weights have high priority.
     pub priority_weight: f64,
     /// Whether a dial may be repeated.
     pub idempotency: Idempotency,
@@ -52,53 +53,54 @@
     pub message_target: Micros,
 }
 
-/// The settings of a site, as one relay of it is given them.
+/// The settings of a site for one of its relays.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteConfig {
-    /// The listeners, by index; one at least.
+    /// The listeners by index. At least one is required.
     pub listeners: Vec<Listener>,
-    /// Relays that share the servers, this one among them; 1 at least.
+    /// Number of relays that share the servers, including this one. At least 1.
     pub relay_count: u32,
-    /// This relay's number, from 0 to `relay_count` - 1.
+    /// The index of this relay, from 0 to `relay_count` - 1.
     pub relay_index: u32,
     /// The zone of this relay.
     pub zone: u8,
-    /// Whether the endpoint list must be watched; otherwise it is received without a request.
+    /// Whether this relay must request the endpoint list by a watch; otherwise it is pushed to the relay.
     pub must_watch: bool,
     /// Whether servers may be probed for load reports.
     pub may_probe: bool,
-    /// Whether sessions of one group share work on a server.
+    /// Whether sessions of the same group share work on a server.
     pub groups_enabled: bool,
-    /// Dials of one session, at most; 1 at least.
+    /// Maximum number of dials of one session. At least 1.
     pub max_dials: u32,
-    /// Sessions of this relay, dialled and established, at most (the paper's c_id).
+    /// Maximum number of sessions of this relay, dialled and established (the paper's c_id).
     pub max_sessions: u32,
-    /// The longest Retry-After that a client heeds; none where it is not conveyed.
+    /// The longest Retry-After that clients respect. `None` if Retry-After is not sent to clients.
     pub max_retry_after: Option<Micros>,
-    /// How long a server warms up after its start.
+    /// Duration of a server's warm-up after its start.
     pub warm_up: Micros,
-    /// The fraction of its capacity that a server has at its start.
+    /// The fraction of its capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// How many times the sessions that saturate it a warming server accepts within one warm-up.
+    /// The sessions that a warming server can accept within one warm-up, as a multiple of the sessions that
+    /// saturate it.
     pub overload_multiple: f64,
-    /// How long a warming server sustains more than that before it fails.
+    /// The time for which a warming server can exceed that rate before it fails.
     pub overload_window: Micros,
-    /// Cost of a session in another zone, as a fraction of a session's value; 0 where zones do not matter.
+    /// Cost of placing a session in another zone, as a fraction of a session's value. 0 if zones are ignored.
     pub cross_zone_cost: f64,
-    /// Cost of a session's migration, in the same unit.
+    /// Cost of migrating a session, as a fraction of a session's value.
     pub migration_cost: f64,
-    /// Cost of a probe for each session, in the same unit.
+    /// Cost of one probe, as a fraction of a session's value.
     pub probe_cost: f64,
 }
 
-/// A server's load report; each value is none where it is not reported.
+/// A server's load report. A value that the server does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Demand over capacity.
+    /// Demand divided by capacity.
     pub load: Option<f64>,
     /// Queue delay, in seconds.
     pub queue_delay: Option<f64>,
-    /// Sessions of all relays on the server.
+    /// Number of sessions of all relays on the server.
     pub sessions: Option<f64>,
 }
 
@@ -107,9 +109,9 @@
 pub enum Phase {
     /// Takes new sessions.
     Ready,
-    /// Accepts no new sessions; those that it has may end there.
+    /// Accepts no new sessions. Its existing sessions may run to their end.
     Draining,
-    /// Removed from the list, or never in it.
+    /// Removed from the list, or never listed.
     #[default]
     Gone,
 }
@@ -121,96 +123,96 @@
     pub server: ServerId,
     /// Its state.
     pub phase: Phase,
-    /// When it started, on the caller's clock; 0 is long ago.
+    /// The server's start, on the caller's clock. 0 means that it started long ago.
     pub started_at: Micros,
-    /// The zone it is in.
+    /// The zone of the server.
     pub zone: u8,
-    /// The cell it is in.
+    /// The cell of the server.
     pub cell: u16,
 }
 
 impl Endpoint {
-    /// Whether it takes new sessions.
+    /// Whether the server takes new sessions.
     pub fn ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 }
 
-/// What an answer about the endpoint list is.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// All servers; any other one is removed.
+    /// All servers. Any server that is missing from it has been removed.
     Snapshot,
     /// Only the servers that changed.
     Delta,
-    /// None: the call got no answer, or the watch broke.
+    /// No servers: the request was not answered, or the watch was interrupted.
     WatchFailed,
 }
 
-/// How a dial, an established session or a probe ended.
+/// The result of a dial, an established session or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialEnd {
-    /// It was served.
+    /// The server served it.
     Ok,
     /// The server answered with an error; the request may have run.
     Error,
-    /// The server was full and rejected it; it did not run.
+    /// The server was full and rejected the request, which did not run.
     Full,
-    /// No answer in time; it may have run.
+    /// The server did not answer within the timeout; the request may have run.
     Timeout,
-    /// No connection was established; it did not run.
+    /// No connection was established; the request did not run.
     Unconnected,
-    /// The connection broke; it may have run.
+    /// The connection was reset; the request may have run.
     Reset,
-    /// The server ended it with `MOVE`, or the caller cancelled it; it may have run.
+    /// The server ended it with `MOVE`, or the caller cancelled it; the request may have run.
     Cancelled,
-    /// It was not sent: its time had passed, or this machine could not start it.
+    /// The request was not sent: its deadline had passed, or this machine could not start the dial.
     NotSent,
 }
 
-/// A session that requests a server.
+/// A session's request for a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionRequest {
-    /// Its listener's index; one beyond the last counts as the last.
+    /// The index of the session's listener. An index beyond the last listener selects the last one.
     pub listener: usize,
-    /// The client's own identifier, the same when it returns; 0 is none.
+    /// The client's identifier, which is the same when the client returns. 0 means none.
     pub key: u64,
-    /// Sessions of one group share work on a server; 0 is none.
+    /// The session's group: sessions of the same group share work on a server. 0 means none.
     pub group: u64,
-    /// Whether the client returned after a lost or migrated session.
+    /// Whether the client returns after its session was lost or migrated.
     pub returned: bool,
-    /// The rest of the client's timeout.
+    /// The remaining time of the client's timeout.
     pub time_remaining: Micros,
 }
 
-/// The state that a relay's process hands to its successor in a hot restart.
+/// The state that a relay process hands over to its successor in a hot restart.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The estimate of one session's load on a server, as a fraction of the server.
+    /// The estimated load of one session on a server, as a fraction of the server.
     pub session_load: f64,
     /// The state of each server.
     pub servers: Vec<ServerSnapshot>,
 }
 
-/// A relay's state of one server. Times are ages.
+/// A relay's state for one server. Its times are ages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSnapshot {
     /// The server.
     pub server: ServerId,
-    /// Its last load report.
+    /// The last load report of the server.
     pub report: Option<PastReport>,
-    /// Probes and connects in a row that failed.
+    /// Number of consecutive failed probes and connection attempts.
     pub misses: u32,
-    /// Sessions placed there in the last seconds, less those that ended.
+    /// Sessions placed on the server in the last seconds, minus those that ended.
     pub recent_sessions: f64,
-    /// Its slow-start slot.
+    /// The state of this relay's slow-start slot at the server.
     pub slot: SlotSnapshot,
 }
 
 /// A load report and its age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PastReport {
-    /// How long ago it was received.
+    /// Time since the report was received.
     pub age: Micros,
     /// The report.
     pub report: LoadReport,
@@ -219,24 +221,24 @@
 /// The state of a relay's slow-start slot at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlotSnapshot {
-    /// How long ago the interval to the next slot started.
+    /// Time since the interval to the next slot started.
     pub age: Micros,
-    /// The fraction of an interval that the next slot takes.
+    /// The fraction of the full interval after which the next slot opens.
     pub interval_fraction: f64,
 }
 
 /// The inputs of a relay.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The site's settings have changed; sessions retain the rules that they were requested under.
+    /// The site's settings have changed. Existing sessions keep the rules that applied at their request.
     Configure(Box<SiteConfig>),
-    /// The state of the predecessor in a hot restart.
+    /// The state of the predecessor process in a hot restart.
     Restore(Snapshot),
-    /// The endpoint list, or that it could not be read.
+    /// The endpoint list was received or could not be read.
     EndpointList {
-        /// What `endpoints` are.
+        /// What `endpoints` contains.
         update: ListUpdate,
-        /// Servers of the list; empty where the watch failed.
+        /// The listed servers. Empty if the watch failed.
         endpoints: Vec<Endpoint>,
     },
     /// A session requests a server.
@@ -246,54 +248,54 @@
         /// Its request.
         request: AdmissionRequest,
     },
-    /// A session was already established before this relay decided anything.
+    /// A session was already established before this relay started to decide.
     SessionAdopted {
         /// The session, not known before.
         session: SessionId,
-        /// Where it is.
+        /// The server of the session.
         server: ServerId,
         /// Its request.
         request: AdmissionRequest,
     },
-    /// A dialled session was established at its server.
+    /// A dialled session was established on its server.
     SessionEstablished {
         /// The session.
         session: SessionId,
-        /// Which of its dials, from 0.
+        /// The index of the dial, from 0.
         dial: u32,
     },
-    /// A session's load, in any unit that is the same for all sessions.
+    /// The load of a session was measured, in a unit that is the same for all sessions.
     SessionLoad {
         /// The session.
         session: SessionId,
-        /// Its load now.
+        /// The current load of the session.
         load: f64,
     },
-    /// How long messages take on an established session.
+    /// The message delay of an established session was measured.
     MessageDelay {
         /// The session.
         session: SessionId,
         /// The time from a message to its answer, in seconds.
         delay: f64,
     },
-    /// A dial ended without an established session, or an established session ended at its server.
+    /// A dial ended without an established session, or the server ended an established session.
     DialEnded {
         /// The session.
         session: SessionId,
-        /// Which of its dials, from 0; others than the last are ignored.
+        /// The index of the dial, from 0. Inputs about any dial but the last are ignored.
         dial: u32,
-        /// How.
+        /// The result of the dial.
         end: DialEnd,
-        /// Whether the session is over; otherwise it is placed again.
+        /// Whether the session has ended; otherwise it is placed again.
         settled: bool,
-        /// The load report that was received with it.
+        /// The load report that was received with the result.
         report: Option<LoadReport>,
     },
-    /// This machine could not start the last dial: it does not count.
+    /// This machine could not start the last dial, so it does not count as one.
     DialNotStarted {
         /// The session.
         session: SessionId,
-        /// Which of its dials, from 0; others than the last are ignored.
+        /// The index of the dial, from 0. Inputs about any dial but the last are ignored.
         dial: u32,
     },
     /// The client ended the session.
@@ -305,45 +307,45 @@
     ProbeEnded {
         /// The server.
         server: ServerId,
-        /// How.
+        /// The result of the probe.
         end: DialEnd,
-        /// Its answer.
+        /// The load report in the answer.
         report: Option<LoadReport>,
     },
-    /// A timer that was set has expired.
+    /// A timer set by [`Effect::SetTimer`] has expired.
     TimerExpired {
-        /// As it was set.
+        /// The label of the timer.
         label: u32,
     },
 }
 
-/// The effects that a relay requests of its caller.
+/// The effects that a relay requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Dial a server for a session.
     Dial {
         /// The session.
         session: SessionId,
-        /// Where.
+        /// The server to dial.
         server: ServerId,
-        /// How long the dial may take.
+        /// The timeout of the dial.
         timeout: Micros,
-        /// Within which the request must be sent, where its idempotency key bounds that.
+        /// The time within which the request must be sent. `None` unless its idempotency key limits it.
         send_within: Option<Micros>,
     },
-    /// Reject a session. Its client may retry.
+    /// Reject a session. The client may retry.
     Reject {
         /// The session.
         session: SessionId,
-        /// Retry-After; 0 where that is not conveyed.
+        /// Retry-After for the client. 0 if it is not sent to clients.
         retry_after: Micros,
     },
-    /// Close a session that may have run: its client must not see a rejection.
+    /// Close a session that may have run. The client must not get a rejection, because it would retry.
     TearDown {
         /// The session.
         session: SessionId,
     },
-    /// Request an established session's client to reconnect, to be placed elsewhere.
+    /// Ask the client of an established session to reconnect, so that it is placed on another server.
     Migrate {
         /// The session.
         session: SessionId,
@@ -353,13 +355,13 @@
         /// The server.
         server: ServerId,
     },
-    /// Give `Input::TimerExpired` after a time.
+    /// Pass [`Input::TimerExpired`] to the relay after a delay.
     SetTimer {
-        /// From now.
+        /// The delay from now.
         after: Micros,
-        /// Returned in the input.
+        /// The label to return in the input.
         label: u32,
     },
-    /// Watch the endpoint list.
+    /// Start a watch of the endpoint list.
     WatchEndpoints,
 }
