--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -23,7 +23,7 @@
     /// deadline, or gets its final answer immediately.
     ///
     /// The rules apply in this order:
-    /// 1. A session that may not be dialled any more gets its final answer.
+    /// 1. A session that may not be dialled again gets its final answer.
     /// 2. A session whose pool has old reports waits for new ones.
     /// 3. A session over the thresholds gets a spare slow-start slot, or its final answer.
     /// 4. A session selected by throttling is rejected.
@@ -86,7 +86,8 @@
     }
 
     /// Whether a session's priority weight is at or above the midpoint between the lowest and the highest
-    /// weight of the site's listeners. If a site has exactly two weights, one is of high priority.
+    /// weight of the site's listeners. With exactly two different weights, only the higher one has high
+    /// priority.
     pub(crate) fn is_high_priority(&self, session: &Session) -> bool {
         let weights = self.site.listeners.iter().map(|listener| listener.priority_weight);
         let lowest = weights.clone().fold(f64::MAX, f64::min);
--- a/balancer/src/interarrival.rs
+++ b/balancer/src/interarrival.rs
@@ -9,7 +9,7 @@
 }
 
 impl MeanInterarrival {
-    /// The mean before the first interval, in microseconds. It suits a relay with few sessions.
+    /// The mean before the first interval, in microseconds: that of a relay with few sessions.
     const INITIAL_MEAN: f64 = 12e6;
     /// The weight of the newest interval. It is large enough to follow a burst, and gives the mean a standard
     /// deviation of a quarter of its value.
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -4,7 +4,7 @@
 //! executes the effects that the call appends, in order. The same inputs and the same seed produce the same
 //! effects: the crate never reads a clock, and relays share no state.
 //!
-//! Four invariants hold at all times. The modules refer to them by number:
+//! Four rules hold at all times. The comments of the modules refer to them by number:
 //! 1. Each session gets exactly one final answer before its deadline, and no effect follows that answer.
 //! 2. No session runs twice. A session that may run only once is retried or rejected only if no earlier dial
 //!    can have run.
--- a/balancer/src/outlier.rs
+++ b/balancer/src/outlier.rs
@@ -4,7 +4,7 @@
 use crate::server::Server;
 use crate::types::{Micros, ServerId};
 
-/// Minimum number of faults within `FAULT_WINDOW` for an outlier. A single one may be caused by the client.
+/// Minimum number of faults of an outlier within `FAULT_WINDOW`. A single fault may be caused by the client.
 const MIN_FAULTS: f64 = 2.0;
 /// Minimum ratio of faults to dials for an outlier.
 const MIN_FAULT_RATIO: f64 = 0.25;
--- a/balancer/src/placement.rs
+++ b/balancer/src/placement.rs
@@ -46,9 +46,10 @@
 }
 
 impl Balancer {
-    /// Returns at most `POOL_SIZE` servers on which a session may be placed, best first. The order is by health,
-    /// then servers that are not full, then servers in this relay's zone if another zone has a cost, then by
-    /// rank. For sessions of a group the zone is ignored, so that relays in all zones choose the same servers.
+    /// Returns at most `POOL_SIZE` servers on which a session may be placed, best first. The order is by
+    /// health, then servers that are not full, then servers in this relay's zone if another zone has a cost,
+    /// then by rank. For sessions of a group the zone is ignored, so that relays in all zones choose the same
+    /// servers.
     pub(crate) fn pool(
         &self,
         session: &Session,
--- a/balancer/src/probes.rs
+++ b/balancer/src/probes.rs
@@ -1,8 +1,8 @@
 //! Probes for load reports: the probe credit, the choice of the server to probe, and the handling of results.
 //!
-//! Probes have no fixed interval. Each session adds credit for a number of probes, which is larger if a probe
-//! costs less. The credit is spent first on the pools of sessions that wait for reports. The rest is spent on
-//! the servers whose last probe is the oldest.
+//! Probes have no fixed interval. Each session adds credit for a number of probes. The number is larger if a
+//! probe costs less. The credit is spent first on the pools of sessions that wait for reports. The rest is
+//! spent on the servers whose last probe is the oldest.
 
 use crate::balancer::{Balancer, PROBE_TIMER, SECOND};
 use crate::placement::POOL_SIZE;
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -18,7 +18,7 @@
 }
 
 impl Balancer {
-    /// Migrates sessions away from a server that becomes full, so that they lose less service elsewhere. The
+    /// Migrates sessions from a server that becomes full to servers where they lose less service. The
     /// sessions that free the most load are migrated first. If the server sheds load, high-priority sessions
     /// are migrated last. Called after each probe and each message delay of the server.
     pub(crate) fn rebalance(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
@@ -33,14 +33,17 @@
         let excess = self.excess_load(server, load, is_shedding, &fleet);
         let mut surplus = candidates.iter().map(|candidate| candidate.freed).sum::<f64>() * excess / load;
         for Candidate { freed, id, .. } in candidates {
-            // A fractional session is migrated with that probability, so that the fleet's total is right.
+            // If the surplus is less than the next session frees, that session is migrated with the
+            // probability of the ratio, so that all relays together migrate the right number of sessions.
             if surplus < freed && !self.random.random_bool(surplus / freed) {
                 break;
             }
             if is_shedding || self.is_migration_beneficial(id, load, &fleet) {
                 surplus -= freed;
                 self.advance(id, Event::MigrationDue, effects);
-                self.servers.get_mut(&server_id).expect("the server exists: its load was read above").last_rebalance_at = self.now;
+                let server =
+                    self.servers.get_mut(&server_id).expect("the server stays listed while it is rebalanced");
+                server.last_rebalance_at = self.now;
             }
         }
     }
@@ -54,9 +57,9 @@
             && self.current_load(server, &self.estimate) >= FULL_LOAD
     }
 
-    /// Whether a server sheds sessions, even without a better server for them, so that its other sessions are
-    /// served. It does so if it is unhealthy, a report received in this step puts its load above 1.0, and
-    /// more than half of the fleet's capacity is congested, so that there is no better server.
+    /// Whether a server sheds sessions so that its remaining sessions are served, even if no better server
+    /// exists for the migrated ones. It does so if it is unhealthy, a report received in this step puts its
+    /// load above 1.0, and more than half of the fleet's capacity is congested.
     fn is_shedding(&self, server: &Server, load: f64, fleet: &FleetEstimate) -> bool {
         server.last_report_at == Some(self.now)
             && load > 1.0
@@ -89,9 +92,9 @@
         session.weight + if is_last_of_group { GROUP_COST } else { 0.0 }
     }
 
-    /// The load to move away from a server, as a fraction of the server. It is half of the server's load above
-    /// the fleet's mean. It is all of it if the server sheds load, or if the server is unhealthy and the fleet
-    /// has spare capacity.
+    /// The load to move away from a server, as a fraction of the server. It is half of the server's load
+    /// above the fleet's mean. It is all of it if the server sheds load, or if the server is unhealthy and
+    /// the fleet has spare capacity.
     fn excess_load(&self, server: &Server, load: f64, is_shedding: bool, fleet: &FleetEstimate) -> f64 {
         let has_spare_capacity = fleet.busy < FULL_LOAD * fleet.capacity - fleet.congested;
         let is_urgent = is_shedding || (self.is_unhealthy(server) && has_spare_capacity);
@@ -107,8 +110,8 @@
         self.migration_gain(id, load, fleet) > self.site.migration_cost + MARGIN
     }
 
-    /// The cost of a session on its current server minus its cost on the cheapest other server of its pool, as
-    /// a fraction of a session's value. The other server must be healthy and not full with the session.
+    /// The cost of a session on its current server minus its cost on the cheapest other server of its pool,
+    /// as a fraction of a session's value. The other server must be healthy and not full with the session.
     /// Negative infinity if there is no such server.
     fn migration_gain(&self, id: SessionId, load: f64, fleet: &FleetEstimate) -> f64 {
         /// The load above which further load adds no cost, because the service is lost anyway.
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The event that ends the session if it cannot be placed. A rejection tells the client that a retry is
-    /// harmless. That is true if no dial may have run, or if every server tolerates or drops repeated dials.
-    /// Otherwise the session is torn down.
+    /// The event that ends the session if it cannot be placed. A rejection signals to the client that a retry
+    /// is harmless. That is true if no dial may have run, or if every server tolerates or drops repeated
+    /// dials. Otherwise the session is torn down.
     pub(crate) fn give_up_event(&self) -> Event {
         let is_harmless = matches!(
             self.policy.listener.idempotency,
--- a/balancer/src/server_list.rs
+++ b/balancer/src/server_list.rs
@@ -33,9 +33,10 @@
         self.remove_unused_servers();
     }
 
-    /// Schedules the next watch. A backoff is measured from the last call, except for the first backoff, which
-    /// is measured from the failure. A relay counts as notified of a change 6 s after discovery has the change
-    /// and is reachable. The longest backoff of 3 s, 1 s of jitter and 2 s for an answer fit into that time.
+    /// Schedules the next watch. A backoff is measured from the last call, except for the first backoff,
+    /// which is measured from the failure. A relay counts as notified of a change 6 s after discovery has the
+    /// change and is reachable. The longest backoff of 3 s, 1 s of jitter and 2 s for an answer fit into that
+    /// time.
     fn schedule_watch(&mut self, effects: &mut Vec<Effect>) {
         let backoff = WATCH_BACKOFF[self.watch_failures as usize];
         let jitter = self.random.below(WATCH_JITTER);
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -11,11 +11,11 @@
 //! its slot has opened shortens its next interval.
 //!
 //! **Unused slots.** A slot that is not used stays open, and in a reconnect storm all relays have a session
-//! at the same moment. Two rules enforce the budget in that case. First, a hash selects at most as many relays
-//! as the budget sustains, and only these may use their unused slots (`is_selected_for_slots`). Second,
-//! returning sessions in excess of the combined budgets of all warming servers are not sent to these servers
-//! (`is_in_reconnect_storm`). Neither rule applies if there are so few relays that all their slots together
-//! exceed a budget only by a random deviation (`is_small_fleet`).
+//! at the same moment. Two rules enforce the budget in that case. First, a hash selects at most as many
+//! relays as the budget sustains, and only these may use their unused slots (`is_selected_for_slots`).
+//! Second, returning sessions in excess of the combined budgets of all warming servers are not sent to these
+//! servers (`is_in_reconnect_storm`). Neither rule applies if there are so few relays that all their slots
+//! together exceed a budget only by a random deviation (`is_small_fleet`).
 
 use crate::balancer::{Balancer, FULL_LOAD, REPORT_LAG, SECOND};
 use crate::estimate::FleetEstimate;
@@ -57,16 +57,16 @@
         self.warm_up_fraction(server) < 1.0
     }
 
-    /// The budget of a server at its current warm-up fraction. `session_load` is the load of one session, as a
-    /// fraction of a warm server.
+    /// The budget of a server at its current warm-up fraction. `session_load` is the load of one session, as
+    /// a fraction of a warm server.
     fn budget(&self, server: &Server, session_load: f64) -> Budget {
         let warm_up = self.site.warm_up.max(1) as f64;
         let rate = self.site.overload_multiple * self.warm_up_fraction(server) / (warm_up * session_load);
         Budget { rate, per_window: self.site.overload_window as f64 * rate }
     }
 
-    /// The wait for the first slot at a server that has just started. Because its capacity is lowest then, the
-    /// first slots of the relays are spread over one interval. The order of the relays differs by server.
+    /// The wait for the first slot at a server that has just started. Because its capacity is lowest then,
+    /// the first slots of the relays are spread over one interval. The order of the relays differs by server.
     pub(crate) fn first_slot_wait(&self, endpoint: &Endpoint) -> SlotWait {
         let position = hash(u64::from(endpoint.server)).wrapping_add(u64::from(self.site.relay_index));
         let relays = u64::from(self.site.relay_count.max(1));
@@ -74,9 +74,9 @@
         SlotWait { since: self.now, interval_fraction }
     }
 
-    /// Whether the slow-start rule allows a session to be sent to a server. It does if the server is warm. It
-    /// also does if this relay has an open slot there that it may use, and the session is not in excess in a
-    /// reconnect storm.
+    /// Whether the slow-start rule allows a session to be sent to a server. Every session may be sent to a
+    /// warm server. A session may be sent to a warming server only if this relay has an open slot there that
+    /// it may use, and the session is not in excess in a reconnect storm.
     pub(crate) fn has_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
         if !self.is_warming_up(server) {
             return true;
@@ -92,10 +92,11 @@
     }
 
     /// Whether a session that the admission thresholds reject may use an open slot. The capacity of a slot is
-    /// available only to this relay and is lost if unused. The slot may be used only if slots are rare and the
-    /// server is healthy and not full.
+    /// available only to this relay and is lost if unused. The slot may be used only if slots are rare and
+    /// the server is healthy and not full.
     pub(crate) fn is_spare_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
-        /// With few relays, slots open every 1 s to 2 s, and sessions in such slots would defeat the thresholds.
+        /// With few relays, slots open every 1 s to 2 s, and sessions in such slots would defeat the
+        /// thresholds.
         const MIN_INTERVAL: Micros = 4 * REPORT_LAG;
         let is_slot_rare =
             self.is_warming_up(server) && self.slot_interval(server, fleet, 1.0) > MIN_INTERVAL as f64;
@@ -108,8 +109,8 @@
     /// `fraction` is the fraction of the full interval to wait.
     ///
     /// The interval is the inverse of this relay's share of the budget, minus the mean wait for a session
-    /// after the slot has opened, so that a busy relay uses exactly its share. The oversubscription limits how
-    /// far the interval shrinks. If the server has warmed up further since the last slot, the interval is
+    /// after the slot has opened, so that a busy relay uses exactly its share. The oversubscription limits
+    /// how far the interval shrinks. If the server has warmed up further since the last slot, the interval is
     /// based on its mean capacity in that time instead of its current capacity.
     fn slot_interval(&self, server: &Server, fleet: &FleetEstimate, fraction: f64) -> f64 {
         let relays = f64::from(self.site.relay_count);
@@ -123,8 +124,8 @@
     }
 
     /// The maximum factor by which a relay's rate may exceed its share: 1.4 for one relay, nearly 4 for a
-    /// hundred, and always below 5. With more relays sharing a budget, fewer of them have a session when their
-    /// slot opens.
+    /// hundred, and always below 5. With more relays sharing a budget, fewer of them have a session when
+    /// their slot opens.
     fn oversubscription(&self) -> f64 {
         let others = f64::from(self.site.relay_count - 1);
         1.4 + 3.6 * others / (others + 40.0)
@@ -139,11 +140,11 @@
     /// long time.
     ///
     /// In a reconnect storm every relay has a session at the same moment, so all unused slots would be used
-    /// simultaneously. Their number is the number of relays, times the fraction of relays with an unused slot,
-    /// times the probability that a session's pool contains the server. Each relay is therefore selected with
-    /// a probability of the budget divided by that number. The selection is a hash of the relay and the
-    /// server's start. It is constant during the warm-up, so that no overload window gets sessions from two
-    /// different sets of relays.
+    /// simultaneously. Their number is the number of relays, times the fraction of relays with an unused
+    /// slot, times the probability that a session's pool contains the server. Each relay is therefore
+    /// selected with a probability of the budget divided by that number. The selection is a hash of the relay
+    /// and the server's start. It is constant during the warm-up, so that no overload window gets sessions
+    /// from two different sets of relays.
     fn is_selected_for_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
         /// Number of sessions that one relay places before it detects a reconnect storm.
         const SESSIONS_AT_ONCE: f64 = 1.3;
@@ -194,7 +195,7 @@
     }
 }
 
-/// Mean number of sessions per session that has a given server in its pool: the uncongested servers divided
+/// Mean number of sessions for each one whose pool contains a given server: the uncongested capacity divided
 /// by the size of a pool, at least 1.
 fn sessions_per_pool_entry(fleet: &FleetEstimate) -> f64 {
     ((fleet.capacity - fleet.congested) / POOL_SIZE as f64).max(1.0)
--- a/balancer/src/throttle.rs
+++ b/balancer/src/throttle.rs
@@ -16,7 +16,7 @@
 const MAX_DIALS_PER_ACCEPT: f64 = 1.5;
 /// Number of dials in the fleet that are never throttled, because fewer dials are too small a sample.
 const MIN_FLEET_DIALS: f64 = 8.0;
-/// Minimum number of servers with faults in the window for a shared fault. A single one may be an outlier.
+/// Minimum number of servers with faults in the window for a shared fault. A single server may be an outlier.
 const MIN_FAULTY_SERVERS: usize = 2;
 
 impl Balancer {
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -19,7 +19,7 @@
     Idempotent,
     /// Dials carry an idempotency key, and servers within `scope` drop repeated dials.
     Keyed {
-        /// The servers that share their keys.
+        /// The servers that share the key.
         scope: KeyScope,
         /// Time for which servers keep a key, from the first dial that may have run.
         window: Micros,
@@ -152,7 +152,7 @@
 /// The result of a dial, an established session or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialEnd {
-    /// The server served it.
+    /// The request was served.
     Ok,
     /// The server answered with an error; the request may have run.
     Error,
