--- a/balancer/tests/decisions_trace/main.rs
+++ b/balancer/tests/decisions_trace/main.rs
@@ -1,9 +1,10 @@
-//! Every decision of a seeded run, pinned: ten sites of one relay each, two thousand inputs of all kinds to
-//! each. What an input leads to is added, number by number, to a hash that `fixtures/decisions.txt` has after
-//! each hundred inputs, so a decision that changes is found and located. The inputs answer the effects, as
-//! servers would: a changed decision changes all that follows in its site.
+//! Regression test of every decision in a seeded run: ten sites with one relay each, and 2,000 inputs of all
+//! kinds per site. The inputs include simulated servers' answers to the effects, so a changed decision
+//! changes all later inputs of its site.
 //!
-//! A line of the fixture: site, inputs so far, the hash, then how many effects of each kind there were.
+//! The time and the effects of each input are added to a hash. `fixtures/decisions.txt` contains the expected
+//! hash after every 100 inputs, which locates the first changed decision. A line of the fixture consists of
+//! the site, the number of inputs, the hash, and the number of effects of each kind up to that input.
 mod config;
 mod site;
 
@@ -17,10 +18,10 @@
 const INPUTS_PER_SITE: u32 = 2_000;
 const INPUTS_PER_LINE: u32 = 100;
 
-/// FNV-1a over whole numbers.
-struct Chain(u64);
+/// An FNV-1a hash of a sequence of integers.
+struct TraceHash(u64);
 
-impl Chain {
+impl TraceHash {
     fn add(&mut self, number: u64) {
         for byte in number.to_le_bytes() {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
@@ -28,12 +29,12 @@
     }
 }
 
-/// The kind of an effect, by which it is counted, and its fields.
-fn numbers(effect: &Effect) -> (usize, Vec<u64>) {
+/// Returns the index of an effect's kind, and the effect's fields as integers.
+fn encode(effect: &Effect) -> (usize, Vec<u64>) {
     match *effect {
         Effect::Dial { session, server, timeout, send_within } => {
-            let window = send_within.map_or([0, 0], |window| [1, window]);
-            (0, vec![u64::from(session), u64::from(server), timeout, window[0], window[1]])
+            let send_within = send_within.map_or([0, 0], |time| [1, time]);
+            (0, vec![u64::from(session), u64::from(server), timeout, send_within[0], send_within[1]])
         }
         Effect::Reject { session, retry_after } => (1, vec![u64::from(session), retry_after]),
         Effect::TearDown { session } => (2, vec![u64::from(session)]),
@@ -45,14 +46,14 @@
 }
 
 #[test]
-fn every_decision_is_as_before() {
-    let trace: String = (0..SITES).map(|number| Site::new(number).play()).collect();
-    let pinned = include_str!("../fixtures/decisions.txt");
-    if trace == pinned {
+fn decisions_match_recorded_trace() {
+    let trace: String = (0..SITES).map(|number| Site::new(number).run()).collect();
+    let expected = include_str!("../fixtures/decisions.txt");
+    if trace == expected {
         return;
     }
-    let written = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("decisions.txt");
-    std::fs::write(&written, &trace).expect("the trace is written");
-    let differs = trace.lines().zip(pinned.lines()).find(|(now, then)| now != then);
-    panic!("{differs:?} is where decisions differ first (now, then); all of them: {}", written.display());
+    let trace_path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("decisions.txt");
+    std::fs::write(&trace_path, &trace).expect("write the actual trace");
+    let difference = trace.lines().zip(expected.lines()).find(|(actual, expected)| actual != expected);
+    panic!("first different lines (actual, expected): {difference:?}; full trace: {}", trace_path.display());
 }
