--- a/sim_adapter/src/error.rs
+++ b/sim_adapter/src/error.rs
@@ -1,84 +1,86 @@
-//! What can be wrong with the simulator's frames.
+//! Errors in the simulator's frames and records.
 
+use crate::frame::{EVENT, HEADER};
+use crate::record::REPORT_VALUES;
 use std::io;
 
-/// Why the adapter ends.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// Standard input can't be read.
-    #[error("input: {0}")]
+    /// Reading standard input failed.
+    #[error("read standard input: {0}")]
     Input(#[source] io::Error),
-    /// Standard output can't be written.
-    #[error("output: {0}")]
+    /// Writing to standard output failed.
+    #[error("write standard output: {0}")]
     Output(#[source] io::Error),
-    /// The input ends within the length of a frame.
-    #[error("input ends {read} bytes into a frame's length")]
+    /// The input ended within the length field of a frame.
+    #[error("input truncated: got {read} of 4 bytes of a frame's length")]
     TruncatedLength {
-        /// Bytes of it that came.
+        /// Bytes read of the length field.
         read: usize,
     },
-    /// The input ends within a frame.
-    #[error("input ends {read} bytes into a frame of {length}")]
+    /// The input ended within a frame.
+    #[error("input truncated: got {read} of {length} bytes of a frame")]
     TruncatedFrame {
-        /// Bytes of it that came.
+        /// Bytes read of the frame.
         read: usize,
-        /// Its length, as announced.
+        /// Length of the frame according to its length field, in bytes.
         length: usize,
     },
-    /// A frame has no room for a header.
-    #[error("a frame of {length} bytes is shorter than its header")]
+    /// A frame is shorter than its header.
+    #[error("a frame of {length} bytes is shorter than its header of {HEADER} bytes")]
     ShortFrame {
-        /// Its length.
+        /// Length of the frame, in bytes.
         length: usize,
     },
-    /// A batch announces more records than its frame holds.
-    #[error("batch {batch}: {count} records do not fit in {length} bytes")]
+    /// The header of a batch has a larger number of records than its frame contains.
+    #[error("batch {batch}: {count} records of {EVENT} bytes exceed the {length} bytes after the header")]
     TooManyRecords {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u32,
-        /// Records announced.
+        /// Number of records according to the header.
         count: usize,
-        /// Bytes behind the header.
+        /// Number of bytes after the header.
         length: usize,
     },
-    /// A record of a batch can't be decoded.
+    /// A record of a batch could not be decoded.
     #[error("batch {batch}, record {index}: {source}")]
     Record {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u32,
-        /// The record's place in it, from 0.
+        /// Index of the record in the batch, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// Cause of the failure.
         source: RecordError,
     },
 }
 
-/// What can be wrong with a record.
+/// An error in a record.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It refers to bytes that the frame does not have.
-    #[error("{count} items at {start} lie outside a tail of {length} bytes")]
+    /// The record refers to bytes beyond the end of the frame's tail.
+    #[error("{count} items at offset {start} are outside a tail of {length} bytes")]
     OutsideTail {
-        /// Items that it refers to.
+        /// Number of items to which the record refers.
         count: usize,
-        /// The first one's offset in the tail.
+        /// Offset of the first item in the tail, in bytes.
         start: usize,
-        /// The tail's length.
+        /// Length of the tail, in bytes.
         length: usize,
     },
-    /// A load report announces too many values.
-    #[error("load report of {0} values, at most 4")]
+    /// A load report has too many values.
+    #[error("load report has {0} values, at most {REPORT_VALUES} are allowed")]
     LongReport(usize),
-    /// An outcome that the wire does not have.
-    #[error("unknown outcome {0}")]
+    /// The protocol does not define this outcome code.
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u16),
-    /// A kind of list that the wire does not have.
+    /// The protocol does not define this kind of endpoint list.
     #[error("unknown list kind {0}")]
     UnknownListKind(u8),
-    /// A state of a server that the wire does not have.
+    /// The protocol does not define this state of a server.
     #[error("unknown phase {0}")]
     UnknownPhase(u8),
-    /// An event that the wire does not have.
+    /// The protocol does not define this event code.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
 }
--- a/sim_adapter/src/frame.rs
+++ b/sim_adapter/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames of the simulator's wire: a length, then a header, records of fixed size, and a tail that records
-//! refer to. Little-endian, no padding.
+//! Frames of the simulator's protocol. A frame consists of a length, a header, records of fixed size, and a
+//! tail with data to which the records refer. Numbers are little-endian, and fields are not padded.
 
 use crate::error::WireError;
 use crate::fields::Fields;
@@ -8,12 +8,12 @@
 use hallrelay_config::facts::ReportOrder;
 use std::io::{ErrorKind, Read};
 
-/// Bytes of the header.
-const HEADER: usize = 16;
-/// Bytes of an event's record.
-const EVENT: usize = 56;
+/// Size of a frame's header, in bytes.
+pub const HEADER: usize = 16;
+/// Size of an event record, in bytes.
+pub const EVENT: usize = 56;
 
-/// Reads one frame without its length; false at a clean end of input.
+/// Reads the next frame, without its length. Returns false if the input ends before the frame.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     let Some(length) = read_length(input)? else { return Ok(false) };
     frame.clear();
@@ -24,7 +24,7 @@
     Ok(true)
 }
 
-/// The length of the next frame; none at a clean end of input.
+/// Reads the length of the next frame. Returns `None` if the input ends before it.
 fn read_length(input: &mut impl Read) -> Result<Option<usize>, WireError> {
     let mut length = [0u8; 4];
     let mut read = 0;
@@ -32,28 +32,28 @@
         match input.read(&mut length[read..]) {
             Ok(0) if read == 0 => return Ok(None),
             Ok(0) => return Err(WireError::TruncatedLength { read }),
-            Ok(n) => read += n,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(WireError::Input(e)),
+            Ok(count) => read += count,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(WireError::Input(error)),
         }
     }
     Ok(Some(u32::from_le_bytes(length) as usize))
 }
 
-/// A frame's batch of events, all of one moment.
+/// The batch of events in a frame. All of its events occur at the same time.
 pub struct Batch<'a> {
-    /// The moment.
+    /// The time of the events.
     pub now: Micros,
-    /// Events in it.
+    /// Number of events in the batch.
     pub count: usize,
-    /// Handed back in the reply.
+    /// Number of the batch, which the reply repeats.
     pub number: u32,
     records: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
-    /// Reads the header, and checks that all records are there.
+    /// Reads the header, and checks that the frame contains all records.
     pub fn open(frame: &'a [u8]) -> Result<Self, WireError> {
         if frame.len() < HEADER {
             return Err(WireError::ShortFrame { length: frame.len() });
@@ -68,8 +68,8 @@
         Ok(Batch { now: header.micros(0), count, number, records, tail })
     }
 
-    /// Decodes one event, and the number of the relay that it is for. `report_order` tells how a relay's load
-    /// reports are to be read.
+    /// Decodes one event. Returns the number of its relay and the event. `report_order` returns the order of
+    /// the values in a relay's load reports.
     pub fn event(
         &self,
         index: usize,
--- a/sim_adapter/src/main.rs
+++ b/sim_adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Adapter between the simulator and the balancer: reads batches of events for many relays on standard input,
-//! and writes the effects of each batch to standard output.
+//! Adapter between the simulator and the balancer. It reads batches of events for many relays from standard
+//! input, and writes the effects of each batch to standard output.
 #![deny(missing_docs)]
 
 mod error;
@@ -25,10 +25,11 @@
     report_order: ReportOrder,
 }
 
-/// All relays that were started, by the simulator's numbers.
+/// All running relays, by the numbers that the simulator assigned to them.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u16, Instance>,
+    /// Buffer for the effects of one event, empty between events.
     effects: Vec<Effect>,
 }
 
@@ -44,7 +45,7 @@
     }
 
     fn report_order(&self, instance: u16) -> ReportOrder {
-        self.instances.get(&instance).map(|one| one.report_order).unwrap_or_default()
+        self.instances.get(&instance).map(|instance| instance.report_order).unwrap_or_default()
     }
 
     fn handle(&mut self, now: Micros, number: u16, event: Event, reply: &mut Reply) {
@@ -58,13 +59,13 @@
                 let Some(instance) = self.instances.get_mut(&number) else { return };
                 instance.relay.step(now, input, &mut self.effects);
                 for effect in self.effects.drain(..) {
-                    reply.effect(number, &effect);
+                    reply.add_effect(number, &effect);
                 }
             }
         }
     }
 
-    /// Starts a relay, or declares why its settings don't allow that.
+    /// Starts a relay. If its settings are invalid, adds the error to the reply instead.
     fn start(&mut self, number: u16, seed: u64, settings: &[u8], reply: &mut Reply) {
         match hallrelay_config::settings(settings) {
             Ok(site) => {
@@ -73,7 +74,7 @@
             }
             Err(error) => {
                 self.instances.remove(&number);
-                reply.failure(number, &error.to_string());
+                reply.add_failure(number, &error.to_string());
             }
         }
     }
--- a/sim_adapter/src/record.rs
+++ b/sim_adapter/src/record.rs
@@ -1,43 +1,43 @@
-//! Records of events: their codes and offsets, as the simulator has them.
+//! Decoding of event records, with the codes and field offsets that the simulator uses.
 
 use crate::error::RecordError;
 use crate::fields::Fields;
 use hallrelay_balancer::types::{AdmissionRequest, DialEnd, Endpoint, Input, ListUpdate, LoadReport, Phase};
 use hallrelay_config::facts::{RawReport, ReportOrder};
 
-/// Bytes of a list's entry.
+/// Size of an entry of the endpoint list, in bytes.
 const ENDPOINT: usize = 21;
-/// Values of a load report, at most.
-const REPORT_VALUES: usize = 4;
+/// Maximum number of values in a load report.
+pub const REPORT_VALUES: usize = 4;
 
 /// An event for one relay.
 pub enum Event<'a> {
     /// The relay starts.
     Start {
-        /// Of its random draws.
+        /// Seed of the relay's random numbers.
         seed: u64,
-        /// Its settings, as JSON.
+        /// Settings of the relay, as JSON.
         settings: &'a [u8],
     },
-    /// The relay ends.
+    /// The relay stops.
     Stop,
-    /// What the relay is told.
+    /// An input for the relay.
     Input(Input),
-    /// Legal on the wire, but of no use to the decisions.
+    /// An event that the protocol allows, but that the balancer does not use.
     Unused,
 }
 
-/// Reads one record.
+/// The decoder of one record.
 pub struct Decoder<'a> {
     /// The record.
     pub fields: Fields<'a>,
-    /// What records of its frame refer to.
+    /// The tail of the frame, with data to which the record may refer.
     pub tail: &'a [u8],
-    /// Which values of a load report are read.
+    /// The order of the values in load reports.
     pub report_order: ReportOrder,
 }
 
-/// Where a request's fields are in a record.
+/// Offsets of a request's fields in a record.
 struct RequestOffsets {
     flags: usize,
     listener: usize,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Decoder<'a> {
-    /// The event of this record.
+    /// Decodes the event of this record.
     pub fn event(&self) -> Result<Event<'a>, RecordError> {
         let fields = self.fields;
         let input = match fields.u8(0) {
@@ -112,7 +112,7 @@
         })
     }
 
-    /// What is measured on a session; none where the decisions do not read it.
+    /// Decodes a measurement of a session. Returns `None` if the balancer does not use this kind.
     fn measurement(&self) -> Option<Input> {
         let session = self.fields.u32(3);
         let value = self.fields.f32(14);
@@ -135,7 +135,8 @@
         Ok(Input::EndpointList { update, endpoints })
     }
 
-    /// The bytes of items in the tail, by their start and count at an offset of the record.
+    /// Returns the bytes of items in the tail. The offset of the first item and the number of items are at
+    /// `offset` and `offset + 4` of the record.
     fn tail_items(&self, offset: usize, item_size: usize) -> Result<&'a [u8], RecordError> {
         let start = self.fields.u32(offset) as usize;
         let count = self.fields.u32(offset + 4) as usize;
@@ -144,16 +145,17 @@
         items.ok_or(RecordError::OutsideTail { count, start, length: self.tail.len() })
     }
 
-    /// A load report: its values in the order of the site's fields.
+    /// Decodes a load report, whose values are in the order of the site's fields. A negative or non-finite
+    /// value counts as not reported.
     fn report(&self, offset: usize) -> Result<Option<LoadReport>, RecordError> {
         let count = self.fields.u8(offset) as usize;
         if count > REPORT_VALUES {
             return Err(RecordError::LongReport(count));
         }
         let mut values: RawReport = [None; REPORT_VALUES];
-        for (i, value) in values.iter_mut().enumerate().take(count) {
-            let told = self.fields.f32(offset + 1 + 4 * i);
-            *value = (told.is_finite() && told >= 0.0).then_some(told);
+        for (index, value) in values.iter_mut().enumerate().take(count) {
+            let decoded = self.fields.f32(offset + 1 + 4 * index);
+            *value = (decoded.is_finite() && decoded >= 0.0).then_some(decoded);
         }
         Ok((count > 0).then(|| self.report_order.pick(values)))
     }
--- a/sim_adapter/src/reply.rs
+++ b/sim_adapter/src/reply.rs
@@ -1,13 +1,14 @@
-//! Replies: the effects of a batch as records of fixed size, with a tail for texts.
+//! Encoding of replies: the effects of a batch as records of fixed size, and a tail for texts.
 
 use hallrelay_balancer::types::{Effect, Micros};
 
-/// Bytes of a record.
+/// Size of a record, in bytes.
 const RECORD: usize = 24;
-/// Bytes of the length, the count and the batch's number, which come first.
+/// Size of the frame's first three fields, in bytes: its length, the number of records, and the number of the
+/// batch.
 const HEADER: usize = 12;
 
-/// The codes of records.
+/// Codes of the records.
 mod code {
     pub const DIAL: u8 = 64;
     pub const REJECT: u8 = 65;
@@ -28,12 +29,12 @@
 }
 
 impl Reply {
-    /// To the batch of this number.
+    /// Creates an empty reply to the batch with this number.
     pub fn new(number: u32) -> Self {
         Reply { number, count: 0, records: vec![0; HEADER], tail: Vec::new() }
     }
 
-    fn record(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
+    fn add_record(&mut self, code: u8, instance: u16, fields: &[&[u8]]) {
         let end = self.records.len() + RECORD;
         self.records.push(code);
         self.records.extend_from_slice(&instance.to_le_bytes());
@@ -44,38 +45,38 @@
         self.count += 1;
     }
 
-    /// Adds what a relay asks for.
-    pub fn effect(&mut self, instance: u16, effect: &Effect) {
+    /// Adds an effect of a relay.
+    pub fn add_effect(&mut self, instance: u16, effect: &Effect) {
         match *effect {
             Effect::Dial { session, server, timeout, .. } => {
                 let fields: [&[u8]; 3] = [&session.to_le_bytes(), &server.to_le_bytes(), &millis(timeout)];
-                self.record(code::DIAL, instance, &fields);
+                self.add_record(code::DIAL, instance, &fields);
             }
             Effect::Reject { session, retry_after } => {
-                self.record(code::REJECT, instance, &[&session.to_le_bytes(), &millis(retry_after)]);
+                self.add_record(code::REJECT, instance, &[&session.to_le_bytes(), &millis(retry_after)]);
             }
             Effect::TearDown { session } => {
-                self.record(code::TEAR_DOWN, instance, &[&session.to_le_bytes()]);
+                self.add_record(code::TEAR_DOWN, instance, &[&session.to_le_bytes()]);
             }
             Effect::SetTimer { after, label } => {
-                self.record(code::SET_TIMER, instance, &[&millis(after), &label.to_le_bytes()]);
+                self.add_record(code::SET_TIMER, instance, &[&millis(after), &label.to_le_bytes()]);
             }
-            Effect::Probe { server } => self.record(code::PROBE, instance, &[&server.to_le_bytes()]),
-            Effect::WatchEndpoints => self.record(code::WATCH, instance, &[&[1]]),
+            Effect::Probe { server } => self.add_record(code::PROBE, instance, &[&server.to_le_bytes()]),
+            Effect::WatchEndpoints => self.add_record(code::WATCH, instance, &[&[1]]),
             Effect::Migrate { session } => {
-                self.record(code::MIGRATE, instance, &[&session.to_le_bytes()]);
+                self.add_record(code::MIGRATE, instance, &[&session.to_le_bytes()]);
             }
         }
     }
 
-    /// Adds that a relay can't start, and why.
-    pub fn failure(&mut self, instance: u16, text: &str) {
+    /// Adds the error that prevents a relay from starting.
+    pub fn add_failure(&mut self, instance: u16, text: &str) {
         let (start, length) = (self.tail.len() as u32, text.len() as u32);
-        self.record(code::FAILURE, instance, &[&start.to_le_bytes(), &length.to_le_bytes()]);
+        self.add_record(code::FAILURE, instance, &[&start.to_le_bytes(), &length.to_le_bytes()]);
         self.tail.extend_from_slice(text.as_bytes());
     }
 
-    /// The whole frame.
+    /// Returns the encoded frame.
     pub fn into_frame(mut self) -> Vec<u8> {
         let length = (self.records.len() + self.tail.len() - 4) as u32;
         self.records[..4].copy_from_slice(&length.to_le_bytes());
@@ -86,7 +87,7 @@
     }
 }
 
-/// A time as the wire has it: milliseconds as a fraction of 8 bytes.
+/// Encodes a time as the protocol requires: in milliseconds, as a 64-bit floating-point number.
 fn millis(time: Micros) -> [u8; 8] {
     (time as f64 / 1000.0).to_le_bytes()
 }
