--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -26,7 +26,7 @@
         server.dials.add(self.now, 1.0);
     }
 
-    /// Makes a session wait for the awaited reports of its pool, and probes their servers.
+    /// Makes a session wait for reports, and probes the servers whose reports it needs.
     pub(crate) fn await_reports(&mut self, id: SessionId, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let after = session.report_deadline - self.now;
--- a/balancer/src/interarrival.rs
+++ b/balancer/src/interarrival.rs
@@ -1,4 +1,4 @@
-//! The mean interarrival time.
+//! The mean time between arrivals of sessions.
 
 use crate::types::Micros;
 
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -32,7 +32,7 @@
     pub(crate) faults: RollingSum,
 }
 
-/// The delay of the last message measured on a session of this relay.
+/// The last message delay that was measured on a session of this relay.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MessageDelay {
     pub(crate) seconds: f64,
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -177,8 +177,9 @@
     /// The number of other sessions that returned to this relay, times the number of relays, is an unbiased
     /// estimate for the fleet. The number is taken over one overload window or, if that gives more, from the
     /// mean rate over a longer window. If the estimate exceeds the sessions that all warming servers sustain
-    /// within one window (their budgets plus one each), a session is in excess with the probability of that
-    /// excess. Servers that a small fleet cannot overload are not counted.
+    /// within one window (their budgets plus one each), a session is in excess with a probability equal to
+    /// the fraction of the estimate above that sum. Servers that a small fleet cannot overload are not
+    /// counted.
     pub(crate) fn is_in_reconnect_storm(&mut self) -> bool {
         const LONG_WINDOW: Micros = 4 * SECOND;
         // On average a rolling sum covers half a bucket more than its age. The session itself is subtracted.
@@ -195,8 +196,8 @@
     }
 }
 
-/// Mean number of sessions for each one whose pool contains a given server: the uncongested capacity divided
-/// by the size of a pool, at least 1.
+/// Mean number of sessions of which one has a given server in its pool: the uncongested capacity divided by
+/// the size of a pool, at least 1.
 fn sessions_per_pool_entry(fleet: &FleetEstimate) -> f64 {
     ((fleet.capacity - fleet.congested) / POOL_SIZE as f64).max(1.0)
 }
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -291,7 +291,7 @@
         /// The load report that was received with the result.
         report: Option<LoadReport>,
     },
-    /// This machine could not start the last dial, so it does not count as one.
+    /// This machine could not start the last dial. It does not count as a dial of the session.
     DialNotStarted {
         /// The session.
         session: SessionId,
--- a/sim_adapter/src/error.rs
+++ b/sim_adapter/src/error.rs
@@ -33,7 +33,7 @@
         /// Length of the frame, in bytes.
         length: usize,
     },
-    /// The header of a batch has a larger number of records than its frame contains.
+    /// The header of a batch specifies more records than the frame can contain.
     #[error("batch {batch}: {count} records of {EVENT} bytes exceed the {length} bytes after the header")]
     TooManyRecords {
         /// Number of the batch.
--- a/sim_adapter/src/frame.rs
+++ b/sim_adapter/src/frame.rs
@@ -13,7 +13,7 @@
 /// Size of an event record, in bytes.
 pub const EVENT: usize = 56;
 
-/// Reads the next frame, without its length. Returns false if the input ends before the frame.
+/// Reads the next frame, without its length. Returns false at the end of the input.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     let Some(length) = read_length(input)? else { return Ok(false) };
     frame.clear();
@@ -24,7 +24,7 @@
     Ok(true)
 }
 
-/// Reads the length of the next frame. Returns `None` if the input ends before it.
+/// Reads the length of the next frame. Returns `None` at the end of the input.
 fn read_length(input: &mut impl Read) -> Result<Option<usize>, WireError> {
     let mut length = [0u8; 4];
     let mut read = 0;
--- a/sim_adapter/src/record.rs
+++ b/sim_adapter/src/record.rs
@@ -112,7 +112,8 @@
         })
     }
 
-    /// Decodes a measurement of a session. Returns `None` if the balancer does not use this kind.
+    /// Decodes a measurement of a session. Returns `None` if the balancer does not use this kind
+    /// of measurement.
     fn measurement(&self) -> Option<Input> {
         let session = self.fields.u32(3);
         let value = self.fields.f32(14);
