--- a/soak/shim/faults.rs
+++ b/soak/shim/faults.rs
@@ -1,43 +1,47 @@
-//! Fault injection for one relay process, loaded by LD_PRELOAD: system calls fail as Linux documents. Which
-//! ones, and how often, is read from the control file that `FAULTS_FILE` names and that the harness changes
-//! while the process runs: an array of `SLOTS` 64-bit integers with the indexes below. Values are
-//! probabilities in a thousand calls unless said otherwise.
+//! Fault injection for one relay process, loaded through LD_PRELOAD. System calls fail with errors that Linux
+//! documents for them. The control file, whose path is in the environment variable `FAULTS_FILE`, selects the
+//! calls that fail and how often. It is an array of `SLOTS` 64-bit integers with the indexes below, which the
+//! harness changes while the process runs. Values are failures per thousand calls unless a slot documents
+//! another unit.
 #![allow(clippy::missing_safety_doc)]
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicI64, AtomicPtr, AtomicU64, Ordering};
 
 const SLOTS: usize = 24;
-/// Reads and writes of TCP sockets that are interrupted (EINTR).
+/// Reads and writes of TCP sockets are interrupted (EINTR).
 const INTERRUPTED_IO: usize = 0;
-/// Reads and writes of TCP sockets that take one byte.
+/// Reads and writes of TCP sockets transfer only one byte.
 const SHORT_IO: usize = 1;
-/// `connect` and `socket` that fail for a moment.
+/// `connect` fails with a temporary error.
 const CONNECT: usize = 2;
+/// `socket` fails with a temporary error.
 const SOCKET: usize = 3;
-/// `accept4` that fails for a moment.
+/// `accept4` fails with a temporary error.
 const ACCEPT: usize = 4;
-/// Reads that find the connection broken (ETIMEDOUT, EHOSTUNREACH): of backends and of clients.
+/// Reads from a backend report a broken connection (ETIMEDOUT, EHOSTUNREACH).
 const BROKEN_BACKEND: usize = 5;
+/// Reads from a client report a broken connection (ETIMEDOUT, EHOSTUNREACH).
 const BROKEN_CLIENT: usize = 6;
-/// The wall clock is off by the value, in seconds.
+/// The wall clock is shifted by the value, in seconds.
 const WALL_CLOCK: usize = 7;
-/// Syncs (EIO) and writes of files (ENOSPC) that fail.
+/// Syncs of files fail (EIO).
 const SYNC: usize = 8;
+/// Writes of files fail (ENOSPC).
 const FILE_WRITE: usize = 9;
-/// Waits for events that are interrupted.
+/// Waits for events are interrupted (EINTR).
 const INTERRUPTED_WAIT: usize = 10;
-/// TCP writes before which the process stands still for 0.15 s.
+/// The calling thread sleeps for 0.15 s before a TCP write.
 const STALLED_WRITE: usize = 11;
 /// The value is the port at which the relay listens for clients.
 const CLIENT_PORT: usize = 12;
-/// The number of calls that failed, counted by this library.
+/// Number of calls that failed by injection, counted by this library.
 const INJECTED: usize = 13;
-/// Each sync takes the value, in milliseconds.
+/// Each sync is delayed by the value, in milliseconds.
 const SLOW_SYNC: usize = 14;
-/// Writes to clients that are reported as successful and lost. No system does so: it proves that the oracle
-/// finds lost answers.
+/// Writes to clients report success, but their bytes are lost. No real system does this. The fault proves
+/// that the oracle detects lost answers.
 const LOST_WRITE: usize = 15;
-/// The value is a port that cannot be reached (ENETUNREACH), as without a route to one machine.
+/// The value is a port that `connect` cannot reach (ENETUNREACH), as if one machine had no route.
 const UNREACHABLE: usize = 16;
 
 const EIO: c_int = 5;
@@ -90,13 +94,14 @@
 }
 
 static CONTROL: AtomicPtr<AtomicI64> = AtomicPtr::new(std::ptr::null_mut());
-static CHANCE: AtomicU64 = AtomicU64::new(0x9e37_79b9_7f4a_7c15);
+/// State of the random number generator.
+static RANDOM_STATE: AtomicU64 = AtomicU64::new(0x9e37_79b9_7f4a_7c15);
 
-/// Maps the control file at the first call.
+/// Returns the slots of the control file, which is mapped at the first call.
 fn control() -> Option<&'static [AtomicI64]> {
-    let mut at = CONTROL.load(Ordering::Acquire);
-    if at.is_null() {
-        // SAFETY: plain calls with whole arguments; the mapping lives as long as the process.
+    let mut mapping = CONTROL.load(Ordering::Acquire);
+    if mapping.is_null() {
+        // SAFETY: all arguments are valid, and the mapping is never removed.
         unsafe {
             let path = getenv(c"FAULTS_FILE".as_ptr());
             if path.is_null() {
@@ -109,56 +114,56 @@
             if mapped as isize == -1 {
                 return None;
             }
-            at = mapped.cast();
+            mapping = mapped.cast();
         }
-        CONTROL.store(at, Ordering::Release);
+        CONTROL.store(mapping, Ordering::Release);
     }
-    // SAFETY: the file has that size, and is changed by atomic stores alone.
-    Some(unsafe { std::slice::from_raw_parts(at, SLOTS) })
+    // SAFETY: the file has that size, and this process accesses the mapping only through atomics.
+    Some(unsafe { std::slice::from_raw_parts(mapping, SLOTS) })
 }
 
-/// The value of a slot; 0 without a control file.
+/// Returns the value of a slot, or 0 without a control file.
 fn slot_value(slot: usize) -> i64 {
-    control().map_or(0, |all| all[slot].load(Ordering::Relaxed))
+    control().map_or(0, |slots| slots[slot].load(Ordering::Relaxed))
 }
 
-/// Draws whether a call of this kind fails, and counts it.
+/// Draws whether a call of this kind fails, and counts the failure. Returns random bits if it fails.
 fn draw_failure(slot: usize) -> Option<u64> {
-    let chance = slot_value(slot);
-    if chance <= 0 {
+    let per_thousand = slot_value(slot);
+    if per_thousand <= 0 {
         return None;
     }
-    let mut x = CHANCE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+    let mut x = RANDOM_STATE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^= x >> 31;
-    let hit = (x % 1000) < chance as u64;
-    if hit {
+    let fails = (x % 1000) < per_thousand as u64;
+    if fails {
         control()?[INJECTED].fetch_add(1, Ordering::Relaxed);
     }
-    hit.then_some(x >> 32)
+    fails.then_some(x >> 32)
 }
 
-/// Sets `errno`; the return value of a call that fails.
+/// Sets `errno` and returns the return value of a failed call.
 fn fail_with(error: c_int) -> isize {
-    // SAFETY: the address is this thread's own.
+    // SAFETY: the address is valid for the calling thread.
     unsafe { *__errno_location() = error };
     -1
 }
 
-/// Fails with one of some errors.
+/// Sets `errno` to one of the errors, chosen by `draw`, and returns the return value of a failed call.
 fn fail_with_one_of(draw: u64, errors: &[c_int]) -> isize {
     fail_with(errors[(draw % errors.len() as u64) as usize])
 }
 
-/// The local port of a TCP socket; none for other descriptors.
+/// Returns the local port of a TCP socket, or none for other descriptors.
 fn tcp_port(fd: c_int) -> Option<u16> {
     let (mut kind, mut size) = (0 as c_int, 4u32);
     let mut address = InetAddress { family: 0, port: 0, rest: [0; 12] };
-    // SAFETY: the buffers have the sizes that are handed over.
+    // SAFETY: the buffers have the sizes that are passed.
     unsafe {
-        let place: *mut c_int = &mut kind;
-        if getsockopt(fd, SOL_SOCKET, SO_TYPE, place.cast(), &mut size) != 0 || kind != SOCK_STREAM {
+        let kind_pointer: *mut c_int = &mut kind;
+        if getsockopt(fd, SOL_SOCKET, SO_TYPE, kind_pointer.cast(), &mut size) != 0 || kind != SOCK_STREAM {
             return None;
         }
         size = 16;
@@ -169,30 +174,30 @@
     Some(u16::from_be(address.port))
 }
 
-/// The failure of a read: an interruption, or a connection that is broken from now on.
+/// Draws the failure of a read: an interruption, or a broken connection, which is also shut down.
 fn read_fault(fd: c_int) -> Option<isize> {
     let port = tcp_port(fd)?;
     if draw_failure(INTERRUPTED_IO).is_some() {
         return Some(fail_with(EINTR));
     }
-    let side = if i64::from(port) == slot_value(CLIENT_PORT) { BROKEN_CLIENT } else { BROKEN_BACKEND };
-    let draw = draw_failure(side)?;
-    // SAFETY: it breaks a connection of this process.
+    let slot = if i64::from(port) == slot_value(CLIENT_PORT) { BROKEN_CLIENT } else { BROKEN_BACKEND };
+    let draw = draw_failure(slot)?;
+    // SAFETY: `fd` is a TCP socket of this process, whose connection is to break.
     unsafe { shutdown(fd, 2) };
     Some(fail_with_one_of(draw, &[ETIMEDOUT, EHOSTUNREACH]))
 }
 
-/// The failure of a write: an interruption. A stall delays the write and is none.
+/// Draws the failure of a write, which is an interruption. A stall only delays the write.
 fn write_fault(fd: c_int) -> Option<isize> {
     tcp_port(fd)?;
     if draw_failure(STALLED_WRITE).is_some() {
-        // SAFETY: it waits.
+        // SAFETY: the time is valid, and the remaining time is not requested.
         unsafe { nanosleep(&WRITE_STALL, std::ptr::null_mut()) };
     }
     draw_failure(INTERRUPTED_IO).map(|_| fail_with(EINTR))
 }
 
-/// The bytes that a read or write may transfer.
+/// Returns the number of bytes that a read or write may transfer.
 fn transfer_size(fd: c_int, size: usize) -> usize {
     if size > 1 && slot_value(SHORT_IO) > 0 && tcp_port(fd).is_some() && draw_failure(SHORT_IO).is_some() {
         1
@@ -201,16 +206,16 @@
     }
 }
 
-/// The next definition of a function, as the dynamic linker finds it.
+/// Returns the next definition of a function in the dynamic linker's search order.
 macro_rules! next {
     ($name:literal, $kind:ty) => {{
-        static FOUND: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
-        let mut at = FOUND.load(Ordering::Relaxed);
-        if at.is_null() {
-            at = dlsym(RTLD_NEXT, $name.as_ptr());
-            FOUND.store(at, Ordering::Relaxed);
+        static DEFINITION: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
+        let mut definition = DEFINITION.load(Ordering::Relaxed);
+        if definition.is_null() {
+            definition = dlsym(RTLD_NEXT, $name.as_ptr());
+            DEFINITION.store(definition, Ordering::Relaxed);
         }
-        std::mem::transmute::<*mut c_void, $kind>(at)
+        std::mem::transmute::<*mut c_void, $kind>(definition)
     }};
 }
 
@@ -317,37 +322,42 @@
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn epoll_wait(fd: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int {
+pub unsafe extern "C" fn epoll_wait(
+    fd: c_int,
+    events: *mut c_void,
+    max_events: c_int,
+    timeout: c_int,
+) -> c_int {
     if draw_failure(INTERRUPTED_WAIT).is_some() {
         return fail_with(EINTR) as c_int;
     }
-    next!(c"epoll_wait", Wait)(fd, events, most, timeout)
+    next!(c"epoll_wait", Wait)(fd, events, max_events, timeout)
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut Timespec) -> c_int {
     const REALTIME: c_int = 0;
-    let done = next!(c"clock_gettime", ClockGet)(clock, time);
-    if done == 0 && clock == REALTIME {
+    let status = next!(c"clock_gettime", ClockGet)(clock, time);
+    if status == 0 && clock == REALTIME {
         (*time).seconds += slot_value(WALL_CLOCK);
     }
-    done
+    status
 }
 
-/// Whether it is a regular file: sockets and pipes cannot seek, and event descriptors stay at 0 after any
-/// seek.
+/// Whether a descriptor is a regular file. Sockets and pipes cannot seek, and event descriptors stay at
+/// offset 0 after every seek.
 unsafe fn is_file(fd: c_int) -> bool {
     const FROM_START: c_int = 0;
-    const FROM_HERE: c_int = 1;
-    let here = lseek(fd, 0, FROM_HERE);
-    here > 0 || here == 0 && lseek(fd, 1, FROM_START) == 1 && lseek(fd, 0, FROM_START) == 0
+    const FROM_CURRENT: c_int = 1;
+    let offset = lseek(fd, 0, FROM_CURRENT);
+    offset > 0 || offset == 0 && lseek(fd, 1, FROM_START) == 1 && lseek(fd, 0, FROM_START) == 0
 }
 
 extern "C" {
     fn lseek(fd: c_int, offset: i64, from: c_int) -> i64;
 }
 
-/// Delays a sync.
+/// Delays a sync by the value of `SLOW_SYNC`.
 unsafe fn delay_sync() {
     let time = slot_value(SLOW_SYNC);
     if time > 0 {
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,4 +1,5 @@
-//! An emulated backend: it accepts sessions as the protocol says and echoes their lines, or misbehaves.
+//! An emulated backend. It accepts sessions according to the protocol and echoes their lines, or simulates a
+//! faulty backend.
 use crate::link::Link;
 use crate::observations::{Attempt, AttemptOutcome, Recorder, Timestamp};
 use crate::{listen_on_loopback, locked};
@@ -10,35 +11,35 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a backend does with new sessions.
+/// How a backend treats new sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
     #[default]
-    /// Accepts them.
+    /// Accepts the session.
     Serves,
-    /// Reads, and answers nothing.
+    /// Reads lines but sends no answer.
     Hangs,
-    /// Resets the connection once the line is received.
+    /// Resets the connection when the first line has been received.
     Resets,
-    /// Rejects them: nothing runs.
+    /// Rejects the session with `BUSY`. The request does not run.
     Rejects,
-    /// Answers with an error: they may have run.
+    /// Answers with `ERR`. The request may have run.
     Fails,
     /// Answers `UP` byte by byte.
     Trickles,
-    /// Ends the connection in the middle of its answer.
+    /// Closes the connection in the middle of its answer.
     TruncatesAnswer,
-    /// Accepts the session, and resets it a moment later.
+    /// Accepts the session, and resets the connection after `RESET_DELAY`.
     ResetsLater,
 }
 
-/// Between the bytes of an answer that is written byte by byte.
+/// Delay before each byte of an answer that is written byte by byte.
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(20);
-/// From `UP` to a later reset.
+/// Delay from `UP` to the reset.
 const RESET_DELAY: Duration = Duration::from_millis(150);
-/// Sessions that fill a backend, for the load that it reports.
+/// Number of sessions that use a backend's full capacity. The reported load is relative to it.
 const CAPACITY: f64 = 40.0;
-/// The longest line, in bytes with its end.
+/// Maximum length of a line in bytes, including its line end.
 const MAX_LINE_BYTES: usize = 4_098;
 
 struct Shared {
@@ -46,27 +47,27 @@
     recorder: Recorder,
     behaviour: Mutex<Behaviour>,
     open_sessions: AtomicU32,
-    /// The link before it, once it is started.
+    /// The link between relays and this backend, after it has been started.
     link: Arc<Mutex<Option<Link>>>,
-    /// Connections of open sessions by the sessions' ids, to break them.
+    /// Connections of open sessions with the sessions' ids, so that they can be reset.
     connections: Mutex<Vec<(u64, TcpStream)>>,
 }
 
 /// A running backend.
 #[derive(Clone)]
 pub struct Backend {
-    /// The address of the link before it, which is listed.
+    /// The address of the backend's link, which the endpoint list contains.
     pub address: SocketAddr,
-    /// The link before it.
+    /// The link between relays and this backend.
     pub link: Link,
     shared: Arc<Shared>,
 }
 
 impl Backend {
-    /// Starts a backend with its link.
+    /// Starts a backend and its link.
     pub fn start(number: usize, recorder: Recorder) -> Backend {
         let listener = listen_on_loopback();
-        let address = listener.local_addr().expect("a bound socket has an address");
+        let address = listener.local_addr().expect("read the address of a bound socket");
         let shared = Arc::new(Shared {
             number,
             recorder,
@@ -81,7 +82,7 @@
         Backend { address: link.address, link, shared }
     }
 
-    /// Changes what it does with sessions from now on.
+    /// Changes how the backend treats new sessions.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *locked(&self.shared.behaviour) = behaviour;
     }
@@ -113,14 +114,14 @@
 }
 
 impl Lines<'_> {
-    /// The next line without its end; none at the end of the connection. Calls `on_bytes` once the first
-    /// bytes of the line are there, and again with more.
+    /// Returns the next line without its line end, or none at the end of the connection. Calls `on_bytes`
+    /// when the first bytes of the line have arrived, and after each further read, with the bytes so far.
     fn next(&mut self, mut on_bytes: impl FnMut(&[u8])) -> Option<String> {
         loop {
             if !self.bytes.is_empty() {
                 on_bytes(&self.bytes);
             }
-            if let Some(end) = self.bytes.windows(2).position(|two| two == b"\r\n") {
+            if let Some(end) = self.bytes.windows(2).position(|pair| pair == b"\r\n") {
                 let line = self.bytes.drain(..end + 2).collect::<Vec<u8>>();
                 return Some(String::from_utf8_lossy(&line[..end]).into_owned());
             }
@@ -143,7 +144,7 @@
         let mut first_byte = None;
         let line = lines.next(|_| _ = first_byte.get_or_insert_with(|| shared.recorder.now()));
         let (Some(line), Some(started_at)) = (line, first_byte) else { return };
-        // The link may have received the first byte earlier.
+        // If the link received the first byte earlier, the attempt started then.
         let link = locked(&shared.link).clone();
         let at_link = || link?.first_byte_at(stream.peer_addr().ok()?);
         let started_at = at_link().map_or(started_at, |earlier| earlier.min(started_at));
@@ -161,7 +162,7 @@
     }
 }
 
-/// Handles a session from its first line to its end.
+/// Handles a session from its first line to the end of its connection.
 fn open_session(
     mut stream: TcpStream,
     lines: &mut Lines<'_>,
@@ -195,7 +196,7 @@
     recorder.record_attempt(id, number, |attempt| attempt.ended_at = Some(recorder.now()));
 }
 
-/// Answers a session's first line, and echoes its lines until its end.
+/// Answers a session's first line, and echoes further lines until the connection ends.
 fn answer(stream: &mut TcpStream, lines: &mut Lines<'_>, id: u64, behaviour: Behaviour, shared: &Shared) {
     let answer: &[u8] = match behaviour {
         Behaviour::Serves | Behaviour::ResetsLater => b"UP r1\r\n",
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,60 +1,65 @@
-//! Clients: each requests a session of one relay, keeps to the protocol or not, and records what it observes.
+//! Clients. Each requests a session at one relay, follows the protocol or simulates a faulty client, and
+//! records its observations.
 use crate::observations::{Answer, ConnectionEnd, PartialRequest, Recorder, Session, SessionEnd};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Whether and how a client cancels before it has its answer.
+/// Whether and how a client cancels before it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// It waits for its answer.
+    /// The client waits for its answer.
     Never,
-    /// It closes the connection so long after its request.
+    /// The client closes the connection this long after its request.
     Close(Duration),
-    /// It resets the connection so long after its request.
+    /// The client resets the connection this long after its request.
     Reset(Duration),
 }
 
-/// What one client does.
+/// Parameters of one client.
 #[derive(Clone, Debug)]
 pub struct ClientPlan {
     /// The session's id.
     pub id: u64,
-    /// The relay.
+    /// The number of the relay.
     pub relay: usize,
     /// The relay's address.
     pub address: SocketAddr,
-    /// The listener that it names.
+    /// The listener that its first line names.
     pub listener: &'static str,
-    /// The time within which it wants an answer.
+    /// Time from the request within which it must be answered.
     pub timeout: Duration,
-    /// It reconnects after a session that broke.
+    /// Whether it requests the session as a reconnect after a broken session.
     pub reconnects: bool,
-    /// The number of bytes in which its request is sent, with a pause after each; none for all at once.
+    /// Size in bytes of the pieces in which it sends its request, with a delay after each piece. None to send
+    /// the request in one write.
     pub piece_bytes: Option<usize>,
-    /// Whether it cancels.
+    /// Whether and how it cancels.
     pub cancellation: Cancellation,
     /// The length of its session.
     pub session_length: Duration,
 }
 
-/// So long after its deadline a client is sure that no answer comes.
+/// Time after its deadline for which a client still waits for an answer. After that no answer is expected.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(2_500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between the pieces of a request, and for what may follow a final answer.
-const PAUSE: Duration = Duration::from_millis(10);
-/// Between the lines of a session.
+/// Delay between the pieces of a request.
+const PIECE_DELAY: Duration = Duration::from_millis(10);
+/// Time for which a client waits for each further line after a final answer.
+const FURTHER_LINE_TIMEOUT: Duration = Duration::from_millis(10);
+/// Interval between the lines that a client sends in a session.
 const LINE_INTERVAL: Duration = Duration::from_millis(300);
-/// A relay that passes nothing on for so long has lost the session.
+/// If a client receives no echo for this long, the relay has lost the session.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(7);
-/// A client that stopped in the middle of its line waits so long, far beyond the relay's limit.
+/// Time for which a client that stopped in the middle of its line waits for the end of the connection. It is
+/// far longer than the relay's limit.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a client receives next.
+/// Result of waiting for a line.
 enum Received {
     Line(String),
     End(ConnectionEnd),
-    /// Nothing in time.
+    /// Neither a line nor the end of the connection before the deadline.
     Nothing,
 }
 
@@ -71,7 +76,7 @@
 
     fn receive(&mut self, deadline: Instant) -> Received {
         loop {
-            if let Some(end) = self.buffer.windows(2).position(|two| two == b"\r\n") {
+            if let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") {
                 let line = self.buffer.drain(..end + 2).collect::<Vec<u8>>();
                 return Received::Line(String::from_utf8_lossy(&line[..end]).into_owned());
             }
@@ -90,7 +95,7 @@
         }
     }
 
-    /// The connection is reset once it is dropped.
+    /// Makes the connection reset, rather than close, when it is dropped.
     fn reset_on_drop(&self) {
         _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
@@ -100,7 +105,7 @@
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
 
-/// Sends half a line, and waits for the end of the connection.
+/// Sends part of a first line, and waits for the end of the connection.
 pub fn send_partial_request(relay: usize, address: SocketAddr, recorder: &Recorder) {
     let Some(mut connection) = Connection::open(&address) else { return };
     let since = recorder.now();
@@ -108,7 +113,7 @@
         return;
     }
     let ended_at = match connection.receive(Instant::now() + PARTIAL_REQUEST_TIMEOUT) {
-        // An error line counts as the end.
+        // An error line counts as the end of the connection.
         Received::Line(_) | Received::End(_) => Some(recorder.now()),
         Received::Nothing => None,
     };
@@ -116,7 +121,7 @@
     recorder.record(|observations| observations.partial_requests.push(request));
 }
 
-/// Runs one client to its end.
+/// Runs one client until its connection ends.
 pub fn run(plan: &ClientPlan, recorder: &Recorder) {
     let Some(mut connection) = Connection::open(&plan.address) else { return };
     _ = connection.stream.set_nodelay(true);
@@ -127,12 +132,12 @@
         if connection.stream.write_all(piece).is_err() {
             return;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(PIECE_DELAY);
     }
-    // Recorded before the last bytes are sent, so that no backend observes the session first.
+    // Record the session before its last bytes are sent, so that no backend observes it earlier.
     record_request(plan, recorder);
     if connection.stream.write_all(last).is_err() {
-        // The request was not accepted: no answer is owed.
+        // The relay did not receive the complete request, so it does not have to answer.
         recorder.record(|observations| _ = observations.sessions.remove(&plan.id));
         return;
     }
@@ -179,7 +184,7 @@
     match connection.receive(Instant::now() + wait) {
         Received::Line(line) => handle_answer(connection, plan, recorder, line),
         Received::End(how) => record_end(plan, recorder, how),
-        Received::Nothing => cancel(connection, plan, recorder),
+        Received::Nothing => handle_no_answer(connection, plan, recorder),
     }
 }
 
@@ -194,8 +199,8 @@
     }
 }
 
-/// No answer was received in time.
-fn cancel(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
+/// Handles the expiry of the wait for an answer: cancels, or records that no answer came.
+fn handle_no_answer(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
     match plan.cancellation {
         Cancellation::Never => record_end(plan, recorder, ConnectionEnd::Silent),
         Cancellation::Close(_) => {
@@ -209,19 +214,19 @@
     }
 }
 
-/// Only the end of the connection may follow a final answer.
+/// Counts lines after a final answer. Only the end of the connection may follow it.
 fn count_further_lines(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
-    while let Received::Line(_) = connection.receive(Instant::now() + PAUSE) {
+    while let Received::Line(_) = connection.receive(Instant::now() + FURTHER_LINE_TIMEOUT) {
         recorder.record_session(plan.id, |session| session.lines_after_answer += 1);
     }
 }
 
-/// Sends lines of an open session, which are echoed, until its end.
+/// Sends lines in an open session, which the backend echoes, until the session ends.
 fn exchange_lines(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
     let session_end = Instant::now() + plan.session_length;
     let mut last_line_at = Instant::now();
     while Instant::now() < session_end {
-        // Where it fails, the end of the connection can still be read.
+        // If the write fails, the end of the connection can still be read below.
         _ = connection.stream.write_all(b"M 1\r\n");
         let next_line_at = Instant::now() + LINE_INTERVAL;
         loop {
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,5 +1,5 @@
-//! An emulated discovery service: it serves the endpoint list as the protocol says, at one address for each
-//! relay, so that it is known what was sent to which relay, and when.
+//! An emulated discovery service. It serves the endpoint list according to the protocol. Each relay has a
+//! separate address, so that the service can record what it sent to which relay, and when.
 use crate::observations::{ListDelivery, Recorder};
 use crate::{listen_on_loopback, locked};
 use serde_json::{json, Value};
@@ -13,35 +13,35 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
     #[default]
-    /// It serves the list.
+    /// The service serves the list.
     Serves,
-    /// Requests are reset, and open watches end.
+    /// Requests are reset, and open watches are closed.
     Down,
-    /// Requests are answered 503, and open watches stay.
+    /// Requests are answered with status 503, and open watches stay open.
     Rejects,
-    /// Open watches send nothing any more; new ones are served.
+    /// Open watches stop sending. New watches are served.
     Silent,
-    /// Answers come a second late.
+    /// Answers are delayed by `SLOW_DELAY`.
     Slow,
 }
 
-/// How often a watch looks for changes.
+/// Interval at which a watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often an idle watch sends an empty line.
+/// Interval at which an idle watch sends an empty line.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// The delay of a slow answer.
 const SLOW_DELAY: Duration = Duration::from_secs(1);
 
-/// A backend as it is listed.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedBackend {
-    /// Where relays connect.
+    /// The address at which relays connect.
     pub address: SocketAddr,
-    /// It drains.
+    /// Whether the backend is draining.
     pub draining: bool,
-    /// When it started, in Unix milliseconds; 0 is long ago.
+    /// Start time of the backend in Unix milliseconds. 0 means that it started long ago.
     pub started_ms: i64,
-    /// The list's generation in which it changed last.
+    /// Generation of the list in which the entry last changed.
     generation: u64,
 }
 
@@ -50,14 +50,14 @@
     generation: u64,
     backends: Vec<ListedBackend>,
     mode: DiscoveryMode,
-    /// Watches that were opened before this send nothing.
+    /// Watches that were opened before this time send nothing.
     silent_before: Option<Instant>,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Its address for each relay.
+    /// The service's address for each relay.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
 }
@@ -68,7 +68,7 @@
         let state = Arc::<Mutex<State>>::default();
         let addresses = (0..relays).map(|relay| {
             let listener = listen_on_loopback();
-            let address = listener.local_addr().expect("a bound socket has an address");
+            let address = listener.local_addr().expect("read the address of a bound socket");
             let (state, recorder) = (state.clone(), recorder.clone());
             thread::spawn(move || accept(&listener, relay, &state, &recorder));
             address
@@ -76,7 +76,7 @@
         Discovery { addresses: addresses.collect(), state }
     }
 
-    /// Adds a backend, or replaces the one of this number.
+    /// Adds a backend, or replaces the entry of the backend with this number.
     pub fn list_backend(&self, backend: usize, address: SocketAddr, draining: bool, started_ms: i64) {
         let mut state = locked(&self.state);
         state.generation += 1;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Changes how the service answers.
+    /// Changes how the service answers requests and watches.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = locked(&self.state);
         state.mode = mode;
@@ -96,14 +96,14 @@
         }
     }
 
-    /// The complete list, for the setting `known` of a relay.
+    /// Returns the complete list, for the setting `known` of a relay.
     pub fn complete_list(&self) -> Value {
         let state = locked(&self.state);
         list_since(&state, 0)
     }
 }
 
-/// The list of what changed since a generation.
+/// Returns the list of the entries that changed after a generation.
 fn list_since(state: &State, since: u64) -> Value {
     let changed = state.backends.iter().enumerate().filter(|(_, one)| one.generation > since);
     let entries: Vec<Value> = changed
@@ -123,7 +123,7 @@
     }
 }
 
-/// The path of a request; none where its head is not received completely.
+/// Reads a request and returns its path, or none if its head is not received completely.
 fn read_path(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     let mut part = [0; 512];
@@ -161,7 +161,8 @@
     }
 }
 
-/// Sends what changed since a generation. Returns the generation sent; none where it could not be written.
+/// Sends the entries that changed after a generation. Returns the generation of the list that was sent, or
+/// none if the write fails.
 fn send_changes(
     stream: &mut TcpStream,
     relay: usize,
@@ -201,7 +202,7 @@
             return;
         }
         if silent {
-            // It stays open and sends nothing until its peer ends it.
+            // Keep the watch open without sending, until the relay closes it.
             _ = stream.read(&mut [0; 16]);
             return;
         }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,5 +1,5 @@
-//! The control file of the fault injection library (`shim/faults.rs`): which system calls of a relay process
-//! fail. It can be changed while the process runs.
+//! The control file of the fault injection library (`shim/faults.rs`). It selects the system calls of a relay
+//! process that fail, and can be changed while the process runs.
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -11,13 +11,13 @@
 const SLOTS: u64 = 24;
 const SLOT_BYTES: u64 = 8;
 
-/// What can fail, by its slot in the control file. Values are probabilities in a thousand calls unless said
-/// otherwise.
+/// System call faults by their slots in the control file. Values are failures per thousand calls unless the
+/// variant documents another unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SystemFault {
-    /// Reads and writes of sockets are interrupted.
+    /// Reads and writes of sockets are interrupted (EINTR).
     InterruptedIo = 0,
-    /// Reads and writes of sockets transfer one byte.
+    /// Reads and writes of sockets transfer only one byte.
     ShortIo = 1,
     /// `connect` fails.
     Connect = 2,
@@ -25,11 +25,11 @@
     Socket = 3,
     /// `accept4` fails.
     Accept = 4,
-    /// Reads find a connection to a backend broken.
+    /// Reads from a backend report a broken connection.
     BrokenBackend = 5,
-    /// Reads find a connection to a client broken.
+    /// Reads from a client report a broken connection.
     BrokenClient = 6,
-    /// The wall clock is off by the value, in seconds.
+    /// The wall clock is shifted by the value, in seconds.
     WallClock = 7,
     /// Syncs of files fail.
     Sync = 8,
@@ -37,31 +37,31 @@
     FileWrite = 9,
     /// Waits for events are interrupted.
     InterruptedWait = 10,
-    /// The process stands still for 0.15 s before a write.
+    /// The calling thread sleeps for 0.15 s before a write.
     StalledWrite = 11,
-    /// Each sync takes the value, in milliseconds.
+    /// Each sync is delayed by the value, in milliseconds.
     SlowSync = 14,
-    /// Writes to clients are reported as successful and lost. Never drawn: it proves that the oracle finds
-    /// lost answers.
+    /// Writes to clients report success, but their bytes are lost. Schedules never draw this fault; a test
+    /// uses it to prove that the oracle detects lost answers.
     LostWrite = 15,
-    /// The value is a port that cannot be reached.
+    /// The value is a port that `connect` cannot reach.
     Unreachable = 16,
 }
 
-/// The slot of the port at which the process listens for clients.
+/// Slot that holds the port at which the process listens for clients.
 const CLIENT_PORT: u64 = 12;
-/// The slot of the number of calls that failed.
+/// Slot that counts the calls that failed by injection.
 const INJECTED: u64 = 13;
 
 /// The control file of one process.
 pub struct FaultControl {
     file: File,
-    /// Its path.
+    /// The path of the file.
     pub path: PathBuf,
 }
 
 impl FaultControl {
-    /// Creates the file; nothing fails at first. The process listens for clients at `client_port`.
+    /// Creates the file with all faults off, for a process that listens for clients at `client_port`.
     ///
     /// # Errors
     /// The file cannot be created or written.
@@ -73,15 +73,15 @@
         Ok(control)
     }
 
-    /// Sets the value of a fault; 0 ends it.
+    /// Sets the value of a fault. 0 ends the fault.
     pub fn set(&self, fault: SystemFault, value: i64) {
-        self.write(fault as u64, value).expect("the control file can be written");
+        self.write(fault as u64, value).expect("write the fault control file");
     }
 
-    /// How many calls have failed until now.
+    /// Returns the number of calls that have failed by injection.
     pub fn injected(&self) -> i64 {
         let mut bytes = [0; SLOT_BYTES as usize];
-        self.file.read_exact_at(&mut bytes, INJECTED * SLOT_BYTES).expect("the control file can be read");
+        self.file.read_exact_at(&mut bytes, INJECTED * SLOT_BYTES).expect("read the fault control file");
         i64::from_le_bytes(bytes)
     }
 
--- a/soak/src/harness.rs
+++ b/soak/src/harness.rs
@@ -1,5 +1,5 @@
-//! Runs a plan: starts relays, backends and discovery, lets clients connect and faults begin and end, and
-//! checks what was observed.
+//! Runs a plan: starts relays, backends, discovery and clients, applies the scheduled faults, and checks the
+//! observations.
 use crate::backend::{Backend, Behaviour};
 use crate::client::{self, Cancellation, ClientPlan};
 use crate::discovery::{Discovery, DiscoveryMode};
@@ -23,25 +23,25 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const TICK: Duration = Duration::from_millis(5);
-/// The front stops sending clients to a relay so long after it was requested to stop.
+/// Delay from a relay's request to stop until the front stops sending clients to it.
 const FRONT_DELAY: Duration = Duration::from_millis(300);
 const RELOAD_INTERVAL: Duration = Duration::from_millis(300);
-/// From the beginning of one pause to that of the next, unless the pauses are longer.
+/// Minimum time from the end of a pause to the start of the next. Longer pauses have a longer interval.
 const PAUSE_INTERVAL: Duration = Duration::from_millis(600);
-/// So long after the last client its end is observed.
+/// Delay after the end of the last client, in which the end of its session is still observed.
 const FINAL_DELAY: Duration = Duration::from_secs(1);
-/// Clients of a reconnect storm.
+/// Number of clients in a reconnect storm.
 const STORM_CLIENTS: usize = 60;
-/// The bytes in which slow requests are sent.
+/// Size in bytes of the pieces in which slow requests are sent.
 const SLOW_PIECE_BYTES: usize = 12;
-/// By then a new process has taken over from its predecessor, or has ended.
+/// Time within which a new process takes over from its predecessor or exits.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Discovery may answer late for so long after a fault.
+/// Time after a discovery fault for which discovery may still answer late.
 const DISCOVERY_RECOVERY: Duration = Duration::from_secs(1);
-/// The value with which every call fails.
+/// Fault value with which every call fails, in failures per thousand calls.
 const ALWAYS: i64 = 1_000;
 
-/// Everything that runs.
+/// State of a running plan.
 struct Harness {
     plan: Plan,
     recorder: Recorder,
@@ -50,15 +50,15 @@
     relays: Vec<Arc<Mutex<RelayProcess>>>,
     relay_addresses: Vec<SocketAddr>,
     controls: Vec<Arc<FaultControl>>,
-    /// Relays that start again as soon as their processes have ended.
+    /// Relays that restart as soon as their processes have ended.
     to_restart: Vec<usize>,
-    /// Whether the front sends clients to a relay.
+    /// For each relay, whether the front (the load balancer before the relays) sends clients to it.
     in_front: Vec<Arc<AtomicBool>>,
     threads: Vec<JoinHandle<()>>,
-    /// Faults in force that make clients cancel.
-    cancelling: u32,
-    /// Faults in force that make clients send slowly.
-    slow: u32,
+    /// Number of active faults that make clients cancel.
+    active_cancellation_faults: u32,
+    /// Number of active faults that make clients send their requests in pieces.
+    active_slow_request_faults: u32,
     random: Rand64,
     last_session: u64,
 }
@@ -67,17 +67,17 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as i64)
 }
 
-/// Runs a plan and checks it.
+/// Runs a plan and checks its observations.
 ///
 /// # Panics
-/// A relay is not ready after its first start.
+/// Panics if a relay is not ready in time after its first start.
 pub fn run(plan: &Plan) -> Report {
     _ = std::fs::remove_dir_all(&plan.folder);
-    std::fs::create_dir_all(&plan.folder).expect("a folder for the run");
+    std::fs::create_dir_all(&plan.folder).expect("create the folder of the run");
     let lateness = LatenessMonitor::start();
     let mut harness = Harness::start(plan);
-    let mut waiting: Vec<ScheduledFault> = plan.faults.clone();
-    let mut in_force: Vec<ScheduledFault> = Vec::new();
+    let mut pending: Vec<ScheduledFault> = plan.faults.clone();
+    let mut active: Vec<ScheduledFault> = Vec::new();
     let started_at = harness.recorder.now();
     let mut next_client = Duration::ZERO;
     loop {
@@ -85,13 +85,13 @@
         if now >= plan.length {
             break;
         }
-        while let Some(position) = waiting.iter().position(|fault| fault.from <= now) {
-            let fault = waiting.remove(position);
+        while let Some(position) = pending.iter().position(|fault| fault.from <= now) {
+            let fault = pending.remove(position);
             harness.begin_fault(&fault);
-            in_force.push(fault);
+            active.push(fault);
         }
-        while let Some(position) = in_force.iter().position(|fault| fault.until <= now) {
-            let fault = in_force.remove(position);
+        while let Some(position) = active.iter().position(|fault| fault.until <= now) {
+            let fault = active.remove(position);
             harness.end_fault(&fault);
         }
         while next_client <= now {
@@ -102,11 +102,11 @@
         harness.restart_relays();
         thread::sleep(TICK);
     }
-    in_force.iter().for_each(|fault| harness.end_fault(fault));
+    active.iter().for_each(|fault| harness.end_fault(fault));
     harness.finish(started_at, lateness)
 }
 
-/// Prepares a relay with its own part of the configuration, and starts it.
+/// Adds the relay's individual settings to the shared configuration, and starts the relay.
 fn start_relay(
     plan: &Plan,
     number: usize,
@@ -121,7 +121,7 @@
     relay.config["seed"] = json!(format!("{:016x}", plan.seed * 1_000 + number as u64));
     if plan.keeps_state {
         let state = plan.folder.join(format!("state-{number}"));
-        std::fs::create_dir_all(&state).expect("a folder for a store");
+        std::fs::create_dir_all(&state).expect("create the state directory of the relay");
         relay.config["state"] = json!(state.display().to_string());
     }
     relay.start();
@@ -145,7 +145,12 @@
         let controls = relays.iter().map(|relay| relay.control.clone()).collect();
         let relays = relays.into_iter().map(|mut relay| {
             let is_ready = relay.wait_until_ready();
-            assert!(is_ready, "relay {} is not ready: {}", relay.number, relay.log_path().display());
+            assert!(
+                is_ready,
+                "relay {} did not answer PING in time; its log is {}",
+                relay.number,
+                relay.log_path().display()
+            );
             Arc::new(Mutex::new(relay))
         });
         Harness {
@@ -159,8 +164,8 @@
             discovery,
             backends,
             threads: Vec::new(),
-            cancelling: 0,
-            slow: 0,
+            active_cancellation_faults: 0,
+            active_slow_request_faults: 0,
             random: Rand64::new(u128::from(plan.seed)),
             last_session: 0,
         }
@@ -170,13 +175,14 @@
         self.random.rand_range(0..end)
     }
 
-    /// The time between two clients, exponentially distributed.
+    /// Draws the interval until the next client, from an exponential distribution.
     fn draw_interval(&mut self) -> Duration {
         let seconds = -(1.0 - self.random.rand_float()).ln() / self.plan.sessions_per_second;
         Duration::from_secs_f64(seconds)
     }
 
-    /// Starts one client at a relay that is in front; none where no relay is.
+    /// Starts one client at a relay that is drawn from those to which the front sends clients. If there is no
+    /// such relay, no client is started.
     fn start_client(&mut self, reconnects: bool) {
         let in_front: Vec<usize> =
             (0..self.relays.len()).filter(|relay| self.in_front[*relay].load(Ordering::Relaxed)).collect();
@@ -193,8 +199,8 @@
         self.last_session += 1;
         let cancels_after = Duration::from_millis(self.draw(400));
         let cancellation = match self.draw(4) {
-            0 if self.cancelling > 0 => Cancellation::Close(cancels_after),
-            1 if self.cancelling > 0 => Cancellation::Reset(cancels_after),
+            0 if self.active_cancellation_faults > 0 => Cancellation::Close(cancels_after),
+            1 if self.active_cancellation_faults > 0 => Cancellation::Reset(cancels_after),
             _ => Cancellation::Never,
         };
         let listener = LISTENERS[self.draw(LISTENERS.len() as u64) as usize];
@@ -206,13 +212,13 @@
             listener,
             timeout: REQUEST_TIMEOUT,
             reconnects,
-            piece_bytes: (self.slow > 0).then_some(SLOW_PIECE_BYTES),
+            piece_bytes: (self.active_slow_request_faults > 0).then_some(SLOW_PIECE_BYTES),
             cancellation,
             session_length,
         }
     }
 
-    /// Lists a backend as up or draining; `is_start` where it has just started.
+    /// Lists a backend as up or draining. `is_start` means that it has just started.
     fn change_list(&self, backend: usize, draining: bool, is_start: bool) {
         let change = ListChange { backend, draining, is_start, at: self.recorder.now() };
         self.recorder.record(|observations| observations.list_changes.push(change));
@@ -220,7 +226,7 @@
         self.discovery.list_backend(backend, self.backends[backend].address, draining, started_ms);
     }
 
-    /// The time of a fault that begins now.
+    /// Returns the period of a fault that begins now.
     fn impairment(&self, subject: usize, length: Duration) -> Impairment {
         let from = self.recorder.now();
         Impairment { subject, from, until: from + length }
@@ -261,8 +267,8 @@
                 self.change_list(number, false, true);
             }
             FaultKind::Discovery { mode } => self.begin_discovery_fault(mode, length),
-            FaultKind::ClientsCancel => self.cancelling += 1,
-            FaultKind::SlowRequests => self.slow += 1,
+            FaultKind::ClientsCancel => self.active_cancellation_faults += 1,
+            FaultKind::SlowRequests => self.active_slow_request_faults += 1,
             FaultKind::PartialRequests => self.send_partial_requests(),
             FaultKind::ReconnectStorm => (0..STORM_CLIENTS).for_each(|_| self.start_client(true)),
         }
@@ -280,8 +286,8 @@
             FaultKind::Discovery { .. } => self.discovery.set_mode(DiscoveryMode::Serves),
             FaultKind::Link { backend, .. } => self.backends[backend].link.set_mode(LinkMode::Normal),
             FaultKind::NoRoute { .. } => self.set_unreachable_port(0),
-            FaultKind::ClientsCancel => self.cancelling -= 1,
-            FaultKind::SlowRequests => self.slow -= 1,
+            FaultKind::ClientsCancel => self.active_cancellation_faults -= 1,
+            FaultKind::SlowRequests => self.active_slow_request_faults -= 1,
             FaultKind::Pause { .. }
             | FaultKind::Reload { .. }
             | FaultKind::HotRestart { .. }
@@ -322,7 +328,7 @@
         self.discovery.set_mode(mode);
     }
 
-    /// Makes a port unreachable for all relays; 0 for none.
+    /// Makes a port unreachable for all relays. 0 makes all ports reachable.
     fn set_unreachable_port(&self, port: i64) {
         for control in &self.controls {
             control.set(SystemFault::Unreachable, port);
@@ -349,7 +355,7 @@
         });
     }
 
-    /// Does something to a relay again and again for a time.
+    /// Repeats an action on a relay for the given length, with a delay of `interval` after each repetition.
     fn repeat(
         &mut self,
         relay: usize,
@@ -368,20 +374,21 @@
         }));
     }
 
-    fn stop_relay(&mut self, relay: usize, front_notices: bool) {
+    fn stop_relay(&mut self, relay: usize, remove_from_front: bool) {
         let in_front = self.in_front[relay].clone();
         let relay = self.relays[relay].clone();
         self.threads.push(thread::spawn(move || {
             locked(&relay).begin_stop();
             thread::sleep(FRONT_DELAY);
-            if front_notices {
+            if remove_from_front {
                 in_front.store(false, Ordering::Relaxed);
             }
             locked(&relay).finish_stop(REQUEST_TIMEOUT.saturating_sub(FRONT_DELAY));
         }));
     }
 
-    /// A new process takes over from a relay's running one, which is requested to stop once that is done.
+    /// Starts a new process that takes over from the relay's running one. After the takeover, requests the
+    /// predecessor to stop.
     fn hot_restart(&mut self, relay: usize) {
         let relay = self.relays[relay].clone();
         let predecessor = match relay.try_lock() {
@@ -401,7 +408,7 @@
         }));
     }
 
-    /// Records the processes that have exited.
+    /// Records the ends of processes that have exited.
     fn observe_exits(&self) {
         for relay in &self.relays {
             if let Ok(mut relay) = relay.try_lock() {
@@ -410,7 +417,7 @@
         }
     }
 
-    /// Starts the relays again that are to restart and whose processes have ended.
+    /// Restarts the relays of `to_restart` whose processes have ended.
     fn restart_relays(&mut self) {
         for number in std::mem::take(&mut self.to_restart) {
             if !self.restart_relay(number) {
@@ -419,7 +426,7 @@
         }
     }
 
-    /// Starts a relay again. Returns false where its process still runs.
+    /// Restarts a relay. Returns false if its process is still running.
     fn restart_relay(&mut self, number: usize) -> bool {
         let Ok(mut relay) = self.relays[number].try_lock() else { return false };
         if relay.is_running() {
--- a/soak/src/lateness.rs
+++ b/soak/src/lateness.rs
@@ -1,7 +1,7 @@
-//! How late the machine runs the harness' own threads.
+//! Measures the scheduling delay of the harness' own threads.
 //!
-//! The oracle's margins allow for threads that are late by `HARNESS_MARGIN`. Where they were later, an
-//! observed time tells nothing of a relay.
+//! The oracle's margins allow for threads that run late by up to `HARNESS_MARGIN`. If they ran later than
+//! that, the observed times are not evidence about a relay.
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
@@ -9,14 +9,14 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Measures, until it is stopped, how much later than requested a thread of its own wakes up.
+/// Measures in a separate thread, until it is stopped, how much later than requested that thread wakes up.
 pub struct LatenessMonitor {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Duration>,
 }
 
 impl LatenessMonitor {
-    /// Begins to measure.
+    /// Starts the measurement.
     pub fn start() -> LatenessMonitor {
         let stop = Arc::<AtomicBool>::default();
         let requested = stop.clone();
@@ -24,19 +24,19 @@
         LatenessMonitor { stop, thread }
     }
 
-    /// Ends the measurement. Returns the longest lateness.
+    /// Ends the measurement and returns the longest delay.
     pub fn stop(self) -> Duration {
         self.stop.store(true, Ordering::Relaxed);
-        self.thread.join().expect("measuring does not panic")
+        self.thread.join().expect("join the thread that measures scheduling delays")
     }
 }
 
 fn longest_lateness(stop: &AtomicBool) -> Duration {
     let mut longest = Duration::ZERO;
     while !stop.load(Ordering::Relaxed) {
-        let asleep_at = Instant::now();
+        let sleep_started_at = Instant::now();
         thread::sleep(SAMPLE_INTERVAL);
-        longest = longest.max(asleep_at.elapsed().saturating_sub(SAMPLE_INTERVAL));
+        longest = longest.max(sleep_started_at.elapsed().saturating_sub(SAMPLE_INTERVAL));
     }
     longest
 }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,5 +1,5 @@
-//! A faulty link: a proxy between relays and one backend that delays, stalls, drops, resets, truncates or
-//! splits what passes through it.
+//! A faulty network link: a proxy between relays and one backend that delays, stalls, drops, resets,
+//! truncates or splits the data that passes through it.
 use crate::observations::{Recorder, Timestamp};
 use crate::{listen_on_loopback, locked};
 use socket2::SockRef;
@@ -10,36 +10,36 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a link does with bytes.
+/// How a link forwards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkMode {
     #[default]
-    /// Passes them on.
+    /// Forwards them unchanged.
     Normal,
-    /// Passes them on after a delay, in both directions.
+    /// Forwards them after a delay, in both directions.
     Delays,
     /// Holds them back until the mode changes.
     Stalls,
-    /// Loses them; the connection stays open.
+    /// Discards them. The connection stays open.
     Drops,
     /// Resets the connection.
     Resets,
-    /// Passes on half of what a backend sends, then resets the connection.
+    /// Forwards the first half of a block from the backend, then resets the connection.
     Truncates,
-    /// Passes on single bytes.
+    /// Forwards single bytes with a delay before each.
     SingleBytes,
 }
 
 const DELAY: Duration = Duration::from_millis(40);
-/// How often a stalled link looks whether it goes on.
+/// Interval at which a stalled link checks whether its mode has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const BYTE_INTERVAL: Duration = Duration::from_micros(300);
 
 #[derive(Default)]
 struct State {
     mode: LinkMode,
-    /// When the first byte of a connection was received from a relay, by the proxy's own address towards the
-    /// backend.
+    /// Time at which each connection's first byte from the relay was received. The key is the proxy's local
+    /// address of its connection to the backend.
     first_bytes: HashMap<SocketAddr, Timestamp>,
 }
 
@@ -52,10 +52,10 @@
 }
 
 impl Link {
-    /// Starts the proxy of a backend's address, and makes it known in `link`.
+    /// Starts the proxy for a backend's address, and stores it in `link` before it accepts connections.
     pub fn start(backend: SocketAddr, recorder: Recorder, link: Arc<Mutex<Option<Link>>>) -> Link {
         let listener = listen_on_loopback();
-        let address = listener.local_addr().expect("a bound socket has an address");
+        let address = listener.local_addr().expect("read the address of a bound socket");
         let state = Arc::<Mutex<State>>::default();
         let started = Link { address, state: state.clone() };
         *locked(&link) = Some(started.clone());
@@ -63,25 +63,30 @@
         started
     }
 
-    /// Changes what the link does.
+    /// Changes how the link forwards bytes.
     pub fn set_mode(&self, mode: LinkMode) {
         locked(&self.state).mode = mode;
     }
 
-    /// When the first byte of a connection was received from a relay, by the address that the backend sees.
+    /// Returns when the first byte from a relay was received for the connection that the backend accepted
+    /// from address `from`.
     pub fn first_byte_at(&self, from: SocketAddr) -> Option<Timestamp> {
         locked(&self.state).first_bytes.get(&from).copied()
     }
 }
 
 fn accept(listener: &TcpListener, backend: SocketAddr, state: &Arc<Mutex<State>>, recorder: &Recorder) {
-    for relay in listener.incoming().flatten() {
-        let Ok(server) = TcpStream::connect(backend) else { continue };
-        let Ok(own) = server.local_addr() else { continue };
-        for (from, to, first) in [(&relay, &server, true), (&server, &relay, false)] {
+    for relay_stream in listener.incoming().flatten() {
+        let Ok(backend_stream) = TcpStream::connect(backend) else { continue };
+        let Ok(local_address) = backend_stream.local_addr() else { continue };
+        for (from, to, is_to_backend) in
+            [(&relay_stream, &backend_stream, true), (&backend_stream, &relay_stream, false)]
+        {
             let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
             let (state, recorder) = (state.clone(), recorder.clone());
-            thread::spawn(move || pass_all(from, to, first.then_some(own), &state, &recorder));
+            thread::spawn(move || {
+                forward_direction(from, to, is_to_backend.then_some(local_address), &state, &recorder)
+            });
         }
     }
 }
@@ -91,12 +96,12 @@
     _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Passes on bytes in one direction until its side ends. `own` is the proxy's address towards the backend,
-/// where the bytes go there.
-fn pass_all(
+/// Forwards bytes in one direction until the sender ends. `local_address` is the proxy's address of its
+/// connection to the backend, and is set only for the direction to the backend.
+fn forward_direction(
     mut from: TcpStream,
     to: TcpStream,
-    own: Option<SocketAddr>,
+    local_address: Option<SocketAddr>,
     state: &Mutex<State>,
     recorder: &Recorder,
 ) {
@@ -115,20 +120,20 @@
         let now = recorder.now();
         let mode = {
             let mut state = locked(state);
-            if let Some(own) = own {
-                state.first_bytes.entry(own).or_insert(now);
+            if let Some(local_address) = local_address {
+                state.first_bytes.entry(local_address).or_insert(now);
             }
             state.mode
         };
-        if !pass_on(&bytes[..count], &to, mode, own.is_none(), state) {
+        if !forward_block(&bytes[..count], &to, mode, local_address.is_none(), state) {
             reset(&from);
             return reset(&to);
         }
     }
 }
 
-/// Passes on some bytes. Returns false where the connection is to be reset.
-fn pass_on(
+/// Forwards one block of bytes. Returns false if the connection is to be reset.
+fn forward_block(
     bytes: &[u8],
     mut to: &TcpStream,
     mode: LinkMode,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,5 +1,6 @@
-//! `hallrelay-soak`: runs drawn schedules of faults against real relay processes, seed by seed, and prints
-//! what was violated. `hallrelay-soak relay ...` is the relay itself, as the harness starts it.
+//! `hallrelay-soak run` runs randomly drawn fault schedules against real relay processes, one seed after the
+//! other, and prints the rules that were violated. `hallrelay-soak relay ...` is the relay itself, which the
+//! harness starts.
 use clap::{Parser, Subcommand};
 use hallrelay_relay::cli as relay;
 use hallrelay_relay::net::signals;
@@ -12,13 +13,17 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// New sessions a second for each relay.
+/// New sessions per second and relay.
 const SESSIONS_PER_SECOND: f64 = 10.0;
-/// Violations that are printed of a run.
+/// Maximum number of violations that are printed for one run.
 const MAX_PRINTED_VIOLATIONS: usize = 12;
 
 #[derive(Parser)]
-#[command(name = "hallrelay-soak", version, about = "A randomized fault soak of relay processes on loopback")]
+#[command(
+    name = "hallrelay-soak",
+    version,
+    about = "Randomized fault-injection soak test of relay processes on loopback"
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -26,7 +31,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs seeds one after the other; exit status 1 where a rule was violated.
+    /// Runs seeds one after the other. The exit status is 1 if a rule was violated.
     Run(RunArgs),
     /// The relay's own command line.
     Relay(relay::Cli),
@@ -37,42 +42,42 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are run.
+    /// Number of seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Seconds of a run.
+    /// Length of each run in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Relay processes.
+    /// Number of relay processes.
     #[arg(long, default_value_t = 4)]
     relays: usize,
-    /// Faults that overlap in one episode.
+    /// Number of faults that overlap in one episode.
     #[arg(long, default_value_t = FAULTS_PER_EPISODE)]
     together: u64,
-    /// Only faults of the schedule that begin at this second or later.
+    /// Apply only faults of the schedule that begin at this second or later.
     #[arg(long, default_value_t = 0.0)]
     from: f64,
-    /// Only faults of the schedule that begin at this second or earlier.
+    /// Apply only faults of the schedule that begin at this second or earlier.
     #[arg(long, default_value_t = f64::MAX)]
     to: f64,
-    /// Leave out faults of the schedule, by their numbers as printed.
+    /// Leave out faults of the schedule, by their printed numbers.
     #[arg(long)]
     without: Vec<usize>,
-    /// Where a rule is violated, leave out faults one by one as long as it stays violated.
+    /// If a rule is violated, leave out faults one by one as long as the rule is still violated.
     #[arg(long)]
     shrink: bool,
-    /// Print which events happened during which faults.
+    /// Print how often each kind of event happened during each kind of fault.
     #[arg(long)]
     coverage: bool,
 }
 
 impl RunArgs {
-    /// The plan of a seed, with the faults of its schedule that are wanted.
+    /// Returns the plan of a seed with the selected faults of its schedule.
     fn plan(&self, seed: u64) -> Plan {
-        let program = std::env::current_exe().expect("the system knows where this program is");
-        let quiet = Plan::quiet(seed, Duration::from_secs(self.seconds), program);
+        let program = std::env::current_exe().expect("find the path of this executable");
+        let without_faults = Plan::without_faults(seed, Duration::from_secs(self.seconds), program);
         let sessions_per_second = SESSIONS_PER_SECOND * self.relays as f64;
-        let plan = Plan { relays: self.relays, sessions_per_second, ..quiet };
+        let plan = Plan { relays: self.relays, sessions_per_second, ..without_faults };
         let schedule = draw_schedule(&plan.schedule_parameters(self.together));
         let numbered = schedule.into_iter().enumerate();
         let selected = numbered.filter(|(position, fault)| self.is_selected(position + 1, fault));
@@ -86,13 +91,13 @@
 }
 
 fn main() -> ExitCode {
-    // As the relay's own program does.
+    // The signals stay blocked until the relay installs its handlers, as in the relay's own program.
     signals::block();
     match Cli::parse().command {
-        Command::Relay(line) => match relay::run(line.command) {
+        Command::Relay(cli) => match relay::run(cli.command) {
             Ok(status) => ExitCode::from(status),
-            Err(what) => {
-                eprintln!("hallrelay: {what}");
+            Err(error) => {
+                eprintln!("hallrelay: {error}");
                 ExitCode::FAILURE
             }
         },
@@ -103,7 +108,7 @@
     }
 }
 
-/// What was counted over all seeds.
+/// Totals over all seeds.
 #[derive(Default)]
 struct Totals {
     sessions: usize,
@@ -138,7 +143,7 @@
     println!("{} seeds, {sessions} sessions, violations by rule: {violations:?}", args.seeds);
     if args.coverage {
         for (FaultEvent { fault, event }, count) in coverage {
-            println!("met: {fault} x {event}: {count}");
+            println!("coverage: {event} during {fault}: {count}");
         }
     }
     ExitCode::from(u8::from(!violations.is_empty()))
@@ -146,7 +151,7 @@
 
 fn print_summary(seed: u64, report: &Report) {
     println!(
-        "seed {seed}: {} sessions {:?}, {} calls failed, {} violations",
+        "seed {seed}: {} sessions {:?}, {} failed system calls injected, {} violations",
         report.observations.sessions.len(),
         report.answers(),
         report.injected_failures,
@@ -164,16 +169,16 @@
     println!("  logs: {}", plan.folder.display());
 }
 
-/// Leaves out faults one by one as long as a rule stays violated.
+/// Leaves out each fault without which the rule is still violated, and prints the remaining faults.
 fn shrink(plan: &Plan, rule: Rule) {
     let mut smallest = plan.clone();
-    for left_out in &plan.faults {
-        let faults = smallest.faults.iter().copied().filter(|fault| fault != left_out).collect();
+    for candidate in &plan.faults {
+        let faults = smallest.faults.iter().copied().filter(|fault| fault != candidate).collect();
         let smaller = Plan { faults, folder: plan.folder.with_extension("shrunk"), ..smallest.clone() };
         if harness::run(&smaller).violations.iter().any(|violation| violation.rule == rule) {
             smallest = smaller;
         }
     }
-    println!("  {rule:?} stays with {} faults:", smallest.faults.len());
+    println!("  {rule:?} is still violated with these {} faults:", smallest.faults.len());
     smallest.faults.iter().for_each(|fault| println!("    {fault}"));
 }
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -1,11 +1,11 @@
-//! What was observed from outside the relays: each session at its client and at the backends, each process
-//! of a relay, each change of the endpoint list. All times are of one monotonic clock.
+//! Observations from outside the relays: each session at its client and at the backends, each process of a
+//! relay, and each change of the endpoint list. All times are from one monotonic clock.
 use crate::locked;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time since the recorder was made.
+/// Time since the recorder was created.
 pub type Timestamp = Duration;
 
 /// How a client's connection ended, as the client observed it.
@@ -13,48 +13,48 @@
 pub enum ConnectionEnd {
     /// The relay closed it.
     Closed,
-    /// It was reset.
+    /// The connection was reset.
     Reset,
-    /// Nothing was received for a time far beyond the deadline.
+    /// The client received nothing until its timeout, which is far beyond the deadline.
     Silent,
 }
 
-/// What a backend did with a complete first line.
+/// How a backend handled a complete first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered `UP`: it ran.
+    /// The backend answered `UP`, so the request ran.
     Accepted,
-    /// Answered `BUSY`: it did not run.
+    /// The backend answered `BUSY`, so the request did not run.
     Rejected,
-    /// It may have run: an error, a reset, half an answer, or no answer.
+    /// The request may have run: the backend sent an error, a reset, part of an answer, or nothing.
     Unknown,
 }
 
-/// One attempt of a session, as its backend observed it.
+/// One attempt of a session at a backend, as the backend observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The backend.
     pub backend: usize,
-    /// The first byte of the line was received, by the backend or the link before it.
+    /// When the first byte of the line was received, by the backend or by its link.
     pub started_at: Timestamp,
-    /// The line was received completely.
+    /// When the line was received completely.
     pub received_at: Option<Timestamp>,
-    /// What the backend did.
+    /// How the backend handled the line.
     pub outcome: Option<AttemptOutcome>,
-    /// The connection ended, by either side.
+    /// When either side ended the connection.
     pub ended_at: Option<Timestamp>,
 }
 
-/// The first line that a client received.
+/// The first line that a client received from a relay.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// When it was received.
     pub at: Timestamp,
-    /// The line without its end.
+    /// The line without its line end.
     pub line: String,
 }
 
-/// The end of a client's connection by the relay.
+/// The end of a client's connection when the relay ended it.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionEnd {
     /// When the client observed it.
@@ -63,26 +63,26 @@
     pub how: ConnectionEnd,
 }
 
-/// One client's request, from its first line to its end.
+/// A client's request and its session, from the first line to the end of the connection.
 #[derive(Clone, Debug)]
 pub struct Session {
     /// The relay that the client connected to.
     pub relay: usize,
     /// The listener that the client named.
     pub listener: &'static str,
-    /// The last bytes of its line were about to be written.
+    /// When the client was about to write the last bytes of its line.
     pub requested_at: Timestamp,
-    /// The time within which it wants an answer.
+    /// Time after `requested_at` within which the client must be answered.
     pub timeout: Duration,
     /// The first line received.
     pub answer: Option<Answer>,
-    /// Lines after a final answer other than `UP`.
+    /// Number of lines received after a final answer other than `UP`.
     pub lines_after_answer: u32,
-    /// The client closed or cancelled of its own accord.
+    /// When the client closed or cancelled without a request from the relay.
     pub left_at: Option<Timestamp>,
-    /// The relay ended the connection.
+    /// The end of the connection, if the relay ended it.
     pub ended: Option<SessionEnd>,
-    /// The relay sent `MOVE` before the end.
+    /// Whether the relay sent `MOVE` before the end.
     pub move_announced: bool,
     /// The attempts at backends, in the order in which they were observed.
     pub attempts: Vec<Attempt>,
@@ -91,22 +91,22 @@
 /// Why a relay's process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// Killed by the harness without a request to stop.
+    /// The harness killed it without requesting it to stop first.
     Killed,
-    /// It was requested to stop and exited.
+    /// It exited after it was requested to stop.
     Exited,
-    /// It was requested to stop and killed at its time limit.
+    /// The harness killed it because it had not exited within the time limit after the request to stop.
     KilledAtTimeLimit,
-    /// It exited without a request.
+    /// It exited without a request to stop.
     Crashed,
 }
 
 /// The end of a relay's process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEnd {
-    /// When the harness observed it.
+    /// When the harness observed the end.
     pub at: Timestamp,
-    /// Why it ended.
+    /// Why the process ended.
     pub reason: ExitReason,
 }
 
@@ -115,101 +115,101 @@
 pub struct Process {
     /// The relay.
     pub relay: usize,
-    /// It was started.
+    /// When it was started.
     pub started_at: Timestamp,
-    /// It answered a ping.
+    /// When it first answered `PING`.
     pub ready_at: Option<Timestamp>,
-    /// It was sent SIGTERM.
+    /// When it was sent SIGTERM.
     pub stop_requested_at: Option<Timestamp>,
-    /// Its end; none while it runs.
+    /// Its end. None while it runs.
     pub ended: Option<ProcessEnd>,
 }
 
-/// A state of a backend that discovery has sent to a relay.
+/// A backend's state that discovery has sent to a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct ListDelivery {
     /// The relay.
     pub relay: usize,
     /// The backend.
     pub backend: usize,
-    /// The backend is listed as draining.
+    /// Whether the backend is listed as draining.
     pub draining: bool,
-    /// When it was written to the relay's connection.
+    /// When the state was written to the relay's connection.
     pub at: Timestamp,
 }
 
-/// A change of the endpoint list, whichever relays have received it.
+/// A change of the endpoint list at discovery, independent of its delivery to relays.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
     /// The backend.
     pub backend: usize,
-    /// The backend is listed as draining from then on.
+    /// Whether the backend is listed as draining after the change.
     pub draining: bool,
-    /// The backend started at that time.
+    /// Whether the backend started at that time.
     pub is_start: bool,
-    /// When discovery had it.
+    /// When discovery was given the change.
     pub at: Timestamp,
 }
 
-/// A time in which something was impaired by a fault.
+/// Period in which a fault impaired a service.
 #[derive(Clone, Copy, Debug)]
 pub struct Interval {
-    /// Its beginning.
+    /// Start of the period.
     pub from: Timestamp,
-    /// Its end.
+    /// End of the period.
     pub until: Timestamp,
 }
 
-/// A time in which one relay or backend was impaired by a fault.
+/// Period in which a fault impaired one relay or backend.
 #[derive(Clone, Copy, Debug)]
 pub struct Impairment {
     /// The number of the relay or backend.
     pub subject: usize,
-    /// Its beginning.
+    /// Start of the period.
     pub from: Timestamp,
-    /// Its end.
+    /// End of the period.
     pub until: Timestamp,
 }
 
-/// A client that stopped in the middle of its first line.
+/// A client that stops sending in the middle of its first line.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialRequest {
     /// The relay.
     pub relay: usize,
-    /// The client had connected.
+    /// When the client had connected.
     pub since: Timestamp,
-    /// The client received an error or the end of the connection.
+    /// When the client received an error or the end of the connection.
     pub ended_at: Option<Timestamp>,
 }
 
-/// Everything that was observed in a run.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Sessions by their ids.
     pub sessions: BTreeMap<u64, Session>,
-    /// All processes of relays, in the order of their starts.
+    /// All relay processes, in the order in which they started.
     pub processes: Vec<Process>,
-    /// What discovery has sent to relays.
+    /// The backend states that discovery has sent to relays.
     pub list_deliveries: Vec<ListDelivery>,
     /// The changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
-    /// Discovery could not be reached or answered late.
+    /// Periods in which discovery was unreachable or answered late.
     pub discovery_outages: Vec<Interval>,
-    /// A relay's connections with clients broke by a fault of the machine.
+    /// Periods in which a system call fault broke a relay's connections with clients.
     pub broken_client_connections: Vec<Impairment>,
-    /// Clients that stopped in the middle of their first line.
+    /// Clients that stopped sending in the middle of their first line.
     pub partial_requests: Vec<PartialRequest>,
-    /// The link to a backend held back all bytes.
+    /// Periods in which the link to a backend held back all bytes.
     pub link_stalls: Vec<Impairment>,
-    /// A relay could accept no connection by a fault of the machine.
+    /// Periods in which a system call fault prevented a relay from accepting connections.
     pub accept_outages: Vec<Impairment>,
-    /// A relay's process was stopped by SIGSTOP.
+    /// Periods in which a relay's process was paused by SIGSTOP.
     pub pauses: Vec<Impairment>,
-    /// First lines at backends whose session no client had begun.
+    /// Number of records for sessions that no client had begun.
     pub unknown_sessions: u32,
 }
 
-/// Collects the observations of all threads.
+/// Collects observations from all threads.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -223,17 +223,17 @@
 }
 
 impl Recorder {
-    /// The time since the recorder was made.
+    /// Returns the time since the recorder was created.
     pub fn now(&self) -> Timestamp {
         self.start.elapsed()
     }
 
-    /// Changes the observations under their lock.
+    /// Changes the observations while holding their lock.
     pub fn record<T>(&self, change: impl FnOnce(&mut Observations) -> T) -> T {
         change(&mut locked(&self.observations))
     }
 
-    /// Changes one session; counts it as unknown where no client has begun it.
+    /// Changes one session. If no client has begun it, the call counts as a record of an unknown session.
     pub fn record_session(&self, id: u64, change: impl FnOnce(&mut Session)) {
         self.record(|observations| match observations.sessions.get_mut(&id) {
             Some(session) => change(session),
@@ -241,7 +241,7 @@
         });
     }
 
-    /// Adds an attempt to a session and returns its position there.
+    /// Adds an attempt to a session and returns its position in `Session::attempts`.
     pub fn add_attempt(&self, id: u64, attempt: Attempt) -> usize {
         let mut position = 0;
         self.record_session(id, |session| {
@@ -260,7 +260,7 @@
         });
     }
 
-    /// A copy of everything observed so far.
+    /// Returns a copy of all observations so far.
     pub fn snapshot(&self) -> Observations {
         locked(&self.observations).clone()
     }
--- a/soak/src/oracle/mod.rs
+++ b/soak/src/oracle/mod.rs
@@ -1,7 +1,7 @@
-//! Checks a run by its observations alone: the rules that hold whatever fails.
+//! Checks a run by its observations alone, against rules that must hold during any fault.
 //!
-//! `sessions` has the rules of answers and open sessions, `attempts` those of what is sent to backends,
-//! `processes` those of relay processes and of the load on a backend that warms up.
+//! `sessions` has the rules of answers and open sessions, `attempts` the rules of attempts at backends, and
+//! `processes` the rules of relay processes, partial requests, and the load on a backend that warms up.
 mod attempts;
 mod processes;
 mod sessions;
@@ -11,26 +11,26 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The relays' settings that the rules depend on.
+/// The settings of the relays on which the rules depend.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// New sessions may go to a backend for so long after it was announced as draining.
+    /// Time after a backend was announced as draining for which new sessions may still go to it.
     pub drain_grace: Duration,
-    /// Requests with an idempotency key may be repeated for so long.
+    /// Time for which requests with an idempotency key may be repeated.
     pub idempotency_window: Duration,
     /// The length of a backend's slow start.
     pub warm_up: Duration,
-    /// The part of its capacity that a backend starts with.
+    /// The fraction of its capacity with which a backend starts.
     pub initial_capacity: f64,
-    /// The window over which new sessions are limited.
+    /// The window in which the number of new sessions is limited.
     pub overload_window: Duration,
-    /// The multiple of the regular rate that is allowed within the window.
+    /// The allowed multiple of the regular rate of new sessions within the window.
     pub overload_multiple: f64,
-    /// Sessions that fill a backend.
+    /// Number of sessions that use a backend's full capacity.
     pub capacity: f64,
 }
 
-/// A rule that every run keeps.
+/// A rule that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// A request that was accepted gets a final answer in time.
@@ -39,21 +39,21 @@
     NotCutOff,
     /// A client learns in time that its backend has ended the session.
     EndAnnounced,
-    /// Nothing follows a final answer.
+    /// No line follows a final answer.
     OneAnswer,
-    /// What may have run is not sent again, unless it is idempotent.
+    /// A request that may have run is not sent again, unless its listener allows a repetition.
     NoDuplicate,
     /// A session has one attempt at a time.
     OneAttempt,
-    /// `BUSY` is answered only where the request has not run.
+    /// A relay answers `BUSY` only if the request has not run.
     TrueRejection,
-    /// No attempt goes to a draining backend after the grace.
+    /// No attempt goes to a draining backend after the grace period.
     NoneToDraining,
-    /// No attempt begins after its client has gone.
+    /// No attempt begins after its client has left.
     NoneForGoneClient,
-    /// A backend that warms up gets no more than its budget in a window.
+    /// A backend that warms up gets at most its budget of attempts in a window.
     WarmUpBudget,
-    /// A client that stopped in the middle of its line is ended in time.
+    /// A client that stopped in the middle of its line gets an error or the end of the connection in time.
     PartialRequestEnded,
     /// A process that was requested to stop exits in time.
     StopInTime,
@@ -64,8 +64,8 @@
 }
 
 impl Rule {
-    /// Whether it is judged by when something was observed, so that a late observer may see it violated
-    /// where it is not.
+    /// Whether the rule depends on observed times, so that a delayed observer may report a violation that did
+    /// not happen.
     pub fn depends_on_time(self) -> bool {
         !matches!(self, Rule::NoDuplicate | Rule::TrueRejection | Rule::OneAnswer | Rule::NoCrash)
     }
@@ -76,9 +76,9 @@
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// When it was violated.
+    /// When the rule was violated.
     pub at: Timestamp,
-    /// What was observed.
+    /// The observation that violates the rule.
     pub details: String,
 }
 
@@ -88,18 +88,18 @@
     }
 }
 
-/// An answer this much after its deadline still counts as given.
+/// Time after its deadline within which an answer still counts as in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
-/// Timeouts of sockets are this much longer.
+/// Additional time by which socket timeouts may be exceeded.
 const SOCKET_MARGIN: Duration = Duration::from_millis(50);
-/// The harness' own threads may be this late.
+/// Scheduling delay of the harness' own threads that the rules allow for.
 pub const HARNESS_MARGIN: Duration = Duration::from_millis(30);
 
-/// All violations of a run, in the order of their times.
+/// Returns all violations of a run, sorted by their times.
 pub fn check(observations: &Observations, settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, session) in &observations.sessions {
-        // A link that holds back a line lets a later one be observed first.
+        // If a link holds back a line, a later line may be observed first.
         let mut session = session.clone();
         session.attempts.sort_by_key(|attempt| attempt.started_at);
         let mut checked = CheckedSession { id: *id, session: &session, violations: &mut violations };
@@ -114,7 +114,7 @@
     violations
 }
 
-/// The number of violations by rule.
+/// Returns the number of violations of each rule.
 pub fn count_by_rule(violations: &[Violation]) -> BTreeMap<Rule, usize> {
     let mut counts = BTreeMap::new();
     for violation in violations {
@@ -123,7 +123,7 @@
     counts
 }
 
-/// A session that is checked, and where its violations go.
+/// A session being checked, and the list to which its violations are added.
 struct CheckedSession<'a> {
     id: u64,
     session: &'a Session,
@@ -131,7 +131,7 @@
 }
 
 impl CheckedSession<'_> {
-    fn violate(&mut self, rule: Rule, at: Timestamp, details: &str) {
+    fn add_violation(&mut self, rule: Rule, at: Timestamp, details: &str) {
         let Session { relay, listener, .. } = self.session;
         let details = format!("{:x} at relay {relay} ({listener}): {details}", self.id);
         self.violations.push(Violation { rule, at, details });
--- a/soak/src/oracle/processes.rs
+++ b/soak/src/oracle/processes.rs
@@ -1,16 +1,17 @@
-//! Rules of relay processes, of clients that stop in the middle of their line, and of backends that warm up.
+//! Rules of relay processes, partial requests, and backends that warm up.
 use super::{Rule, Settings, Violation, HARNESS_MARGIN};
 use crate::observations::{ExitReason, ListChange, Observations, Process, Timestamp};
 use std::time::Duration;
 
-/// A started process is ready within this time.
+/// Time within which a started process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A client that stopped in the middle of its line gets an error or the end within this time.
+/// Time within which a client that stopped in the middle of its line must get an error or the end of the
+/// connection.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// From this budget on the bound is the tighter of the two.
+/// Budgets of at least this many attempts get the smaller margin for chance.
 const LARGE_BUDGET: f64 = 30.0;
 
-/// Processes are ready in time, exit in time, and do not crash.
+/// Checks that processes are ready in time, exit in time, and do not crash.
 pub(super) fn check_processes(observations: &Observations, violations: &mut Vec<Violation>) {
     for process in &observations.processes {
         let mut violate = |rule, at, details: &str| {
@@ -20,9 +21,13 @@
         if let Some(ended) = process.ended {
             match ended.reason {
                 ExitReason::KilledAtTimeLimit => {
-                    violate(Rule::StopInTime, ended.at, "did not exit in time");
+                    violate(
+                        Rule::StopInTime,
+                        ended.at,
+                        "killed because it did not exit in time after the request to stop",
+                    );
                 }
-                ExitReason::Crashed => violate(Rule::NoCrash, ended.at, "exited without a request"),
+                ExitReason::Crashed => violate(Rule::NoCrash, ended.at, "exited without a request to stop"),
                 ExitReason::Killed | ExitReason::Exited => {}
             }
         }
@@ -38,7 +43,8 @@
     process.ready_at.is_none_or(|ready_at| ready_at > limit) && !ended_before
 }
 
-/// Clients that stop in the middle of their line get an error, or the end, in time.
+/// Checks that a client that stops in the middle of its line gets an error or the end of the connection in
+/// time.
 pub(super) fn check_partial_requests(observations: &Observations, violations: &mut Vec<Violation>) {
     for request in &observations.partial_requests {
         let limit = request.since + PARTIAL_REQUEST_TIMEOUT + HARNESS_MARGIN;
@@ -46,14 +52,19 @@
             pause.subject == request.relay && pause.from <= limit && pause.until >= request.since
         });
         if !was_paused && request.ended_at.is_none_or(|ended_at| ended_at > limit) {
-            let details =
-                format!("relay {}: a partial request and no end; {:?}", request.relay, request.ended_at);
+            let ended_after = request.ended_at.map(|ended_at| ended_at - request.since);
+            let details = format!(
+                "relay {}: a client that stopped in the middle of its line got no error or end within \
+                 {PARTIAL_REQUEST_TIMEOUT:?}; its connection ended after: {ended_after:?}",
+                request.relay
+            );
             violations.push(Violation { rule: Rule::PartialRequestEnded, at: request.since, details });
         }
     }
 }
 
-/// A backend that warms up gets no more attempts in a window than its budget, with a margin for chance.
+/// Checks that a backend that warms up gets at most its budget of attempts in a window, with a margin for
+/// chance.
 pub(super) fn check_warm_up_budget(
     observations: &Observations,
     settings: &Settings,
@@ -62,29 +73,29 @@
     for start in observations.list_changes.iter().filter(|change| change.is_start) {
         let attempts = attempts_while_warming_up(observations, settings, start);
         let mut excesses = attempts.iter().enumerate().filter_map(|(last, &at)| {
-            let window_start = |begun: &&Timestamp| **begun + settings.overload_window > at;
-            let count = attempts[..=last].iter().filter(window_start).count();
+            let is_in_window = |started_at: &&Timestamp| **started_at + settings.overload_window > at;
+            let count = attempts[..=last].iter().filter(is_in_window).count();
             let bound = attempts_allowed(settings, at - start.at);
             (count as f64 > bound).then_some(Excess { at, count, bound })
         });
         if let Some(Excess { at, count, bound }) = excesses.next() {
             let details = format!(
-                "{count} attempts at backend {}, which warms up, where {bound:.1} are allowed",
-                start.backend
+                "{count} attempts within {:?} at backend {}, which is warming up; allowed are {bound:.1}",
+                settings.overload_window, start.backend
             );
             violations.push(Violation { rule: Rule::WarmUpBudget, at, details });
         }
     }
 }
 
-/// More attempts in a window than are allowed.
+/// A window with more attempts than allowed.
 struct Excess {
     at: Timestamp,
     count: usize,
     bound: f64,
 }
 
-/// The times of all attempts at a backend during its slow start, sorted.
+/// Returns the sorted times of all attempts at a backend during its slow start.
 fn attempts_while_warming_up(
     observations: &Observations,
     settings: &Settings,
@@ -99,7 +110,8 @@
     while_warming_up
 }
 
-/// The attempts in a window that a backend may get at an age: its budget, and a few standard deviations more.
+/// Returns the number of attempts that a backend of the given age may get in a window: its budget plus a
+/// margin of a few standard deviations.
 fn attempts_allowed(settings: &Settings, age: Duration) -> f64 {
     let warm_up = settings.warm_up.as_secs_f64();
     let progress = age.as_secs_f64() / warm_up;
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,41 +1,41 @@
-//! What a run consists of: sizes, load, and its schedule of faults.
+//! The plan of a run: its sizes, its load, and its schedule of faults.
 use crate::schedule::{draw_schedule, ScheduleParameters, ScheduledFault, FAULTS_PER_EPISODE};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Determines what clients do.
+    /// Seed of the random choices that clients make.
     pub seed: u64,
-    /// How long clients connect.
+    /// Period in which clients connect.
     pub length: Duration,
     /// The number of relays.
     pub relays: usize,
-    /// The number of backends at the beginning.
+    /// The number of backends at the start.
     pub backends: usize,
-    /// Sessions a second at all relays together.
+    /// New sessions per second, at all relays together.
     pub sessions_per_second: f64,
-    /// The faults, sorted by their beginnings.
+    /// The faults, sorted by their start times.
     pub faults: Vec<ScheduledFault>,
-    /// The program that runs relays, as `PROGRAM relay serve --config FILE`.
+    /// The program that runs a relay when it is started as `PROGRAM relay serve --config FILE`.
     pub program: PathBuf,
-    /// Where configurations and logs are written.
+    /// Directory of configurations and logs.
     pub folder: PathBuf,
-    /// Whether relays have a store.
+    /// Whether relays have a state directory.
     pub keeps_state: bool,
 }
 
 impl Plan {
-    /// A run with a schedule drawn from its seed.
-    pub fn drawn(seed: u64, length: Duration, program: PathBuf) -> Plan {
-        let plan = Plan::quiet(seed, length, program);
+    /// A run with a schedule that is drawn from its seed.
+    pub fn with_drawn_faults(seed: u64, length: Duration, program: PathBuf) -> Plan {
+        let plan = Plan::without_faults(seed, length, program);
         let parameters = plan.schedule_parameters(FAULTS_PER_EPISODE);
         Plan { faults: draw_schedule(&parameters), ..plan }
     }
 
     /// A run without faults.
-    pub fn quiet(seed: u64, length: Duration, program: PathBuf) -> Plan {
+    pub fn without_faults(seed: u64, length: Duration, program: PathBuf) -> Plan {
         let folder = std::env::temp_dir().join(format!("hallrelay-soak-{}-{seed}", std::process::id()));
         Plan {
             seed,
@@ -49,7 +49,8 @@
             keeps_state: seed % 2 == 1,
         }
     }
-    /// What a schedule for this run is drawn from.
+
+    /// Parameters for drawing a schedule for this run.
     pub fn schedule_parameters(&self, faults_per_episode: u64) -> ScheduleParameters {
         ScheduleParameters {
             seed: self.seed,
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,5 +1,5 @@
-//! Relay processes: started with the fault injection library, requested to stop or to reload, killed. None
-//! outlives the harness.
+//! Starts relay processes with the fault injection library, requests them to stop or to reload, and kills
+//! them. The system kills all of them when the harness ends.
 use crate::faults::{FaultControl, LIBRARY};
 use crate::observations::{ExitReason, Process, ProcessEnd, Recorder, Timestamp};
 use serde_json::{json, Value};
@@ -11,35 +11,36 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A process is killed so long after SIGTERM and the longest dial timeout.
+/// After SIGTERM, a process has the longest dial timeout, at most 3 s, and this margin to exit. It is killed
+/// after that.
 pub const KILL_MARGIN: Duration = Duration::from_millis(700);
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One relay: its configuration and its running process.
+/// One relay with its configuration and its running process.
 pub struct RelayProcess {
-    /// Its number.
+    /// The relay's number.
     pub number: usize,
-    /// Where it listens for clients.
+    /// The address at which the relay listens for clients.
     pub listen: SocketAddr,
-    /// Which of its system calls fail.
+    /// Controls which system calls of the relay's processes fail.
     pub control: Arc<FaultControl>,
-    /// Its configuration file.
+    /// The content of the relay's configuration file.
     pub config: Value,
-    /// Further environment variables of its processes.
+    /// Additional environment variables of the relay's processes.
     pub environment: Vec<(String, String)>,
-    /// Where its processes log; a file of the relay's folder where it is not set.
+    /// The log of the relay's processes. If it is not set, they log to a file in the relay's folder.
     pub log: Option<PathBuf>,
     folder: PathBuf,
     program: PathBuf,
     child: Option<Child>,
-    /// The position of its last process in the observations.
+    /// Position of the most recently started process in `Observations::processes`.
     process: Option<usize>,
     recorder: Recorder,
 }
 
 impl RelayProcess {
-    /// A relay that is not started. `program` will be started as `PROGRAM relay serve --config FILE`.
+    /// Prepares a relay without starting it. `start` runs `PROGRAM relay serve --config FILE`.
     pub fn new(
         number: usize,
         program: &Path,
@@ -49,9 +50,10 @@
     ) -> RelayProcess {
         let listen = crate::unused_address();
         let folder = folder.join(format!("relay-{number}"));
-        std::fs::create_dir_all(&folder).expect("a folder for a relay");
-        let control =
-            Arc::new(FaultControl::new(&folder.join("faults"), listen.port()).expect("a control file"));
+        std::fs::create_dir_all(&folder).expect("create the folder of the relay");
+        let control = Arc::new(
+            FaultControl::new(&folder.join("faults"), listen.port()).expect("create the fault control file"),
+        );
         config["listen"] = json!(listen.to_string());
         config["name"] = json!(format!("relay-{number}"));
         config["settings"]["SlotNo"] = json!(number);
@@ -70,21 +72,26 @@
         }
     }
 
-    /// The path of its log.
+    /// Returns the path of the relay's log.
     pub fn log_path(&self) -> PathBuf {
         self.log.clone().unwrap_or_else(|| self.folder.join("log"))
     }
 
     fn write_config(&self) -> PathBuf {
         let path = self.folder.join("config.json");
-        std::fs::write(&path, self.config.to_string()).expect("a configuration");
+        std::fs::write(&path, self.config.to_string()).expect("write the relay's configuration file");
         path
     }
 
-    /// Starts a process; `wait_until_ready` waits for it. The system kills it when the calling thread ends.
+    /// Starts a process. `wait_until_ready` waits until it serves. The system kills the process when the
+    /// calling thread ends.
     pub fn start(&mut self) {
         let config = self.write_config();
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_path()).expect("a log");
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log_path())
+            .expect("open the relay's log");
         let mut command = Command::new(&self.program);
         command.args(["relay", "serve", "-vv", "--config"]).arg(config);
         command.env("TMPDIR", &self.folder).env("LD_PRELOAD", LIBRARY).env("FAULTS_FILE", &self.control.path);
@@ -93,14 +100,14 @@
         }
         command.envs(self.environment.iter().cloned());
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        // SAFETY: prctl is safe between fork and exec; it only sets what happens when the parent ends.
+        // SAFETY: prctl may be called between fork and exec. It only sets the signal for the parent's end.
         unsafe {
             command.pre_exec(|| match libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) {
                 0 => Ok(()),
                 _ => Err(std::io::Error::last_os_error()),
             });
         }
-        self.child = Some(command.spawn().expect("the relay starts"));
+        self.child = Some(command.spawn().expect("start the relay process"));
         let process = Process {
             relay: self.number,
             started_at: self.recorder.now(),
@@ -114,17 +121,17 @@
         }));
     }
 
-    /// Starts a process that is to take over from the running one, and returns the running one.
+    /// Starts a process that takes over from the running one. Returns the previously running process.
     pub fn start_successor(&mut self) -> Option<Predecessor> {
         let child = self.child.take()?;
         let process = self.process?;
-        // Each process has an address of its own for operators.
+        // Each process needs a separate operator address.
         self.config["operator"] = json!(crate::unused_address().to_string());
         self.start();
         Some(Predecessor { child, process, recorder: self.recorder.clone() })
     }
 
-    /// Goes on with a process whose successor did not start.
+    /// Makes a process the relay's current one again after its successor failed to start.
     pub fn resume(&mut self, predecessor: Predecessor) {
         self.child = Some(predecessor.child);
         self.process = Some(predecessor.process);
@@ -136,7 +143,7 @@
         }
     }
 
-    /// Waits until it answers `PING`, for a bounded time. Returns whether it does.
+    /// Waits for at most `READY_TIMEOUT` until the relay answers `PING`. Returns whether it answered.
     pub fn wait_until_ready(&mut self) -> bool {
         let started = Instant::now();
         while started.elapsed() < READY_TIMEOUT {
@@ -150,16 +157,16 @@
         false
     }
 
-    /// Sends a signal to its process, where one runs.
+    /// Sends a signal to the relay's process, if one is running.
     pub fn signal(&self, signal: libc::c_int) {
         if let Some(child) = &self.child {
-            // SAFETY: it is our own child, and is not reaped as long as this value holds it.
+            // SAFETY: the process is a child that is not reaped while `self.child` holds it.
             unsafe { libc::kill(child.id() as libc::pid_t, signal) };
         }
     }
 
-    /// Makes it reload its configuration. A process whose program has not begun yet is left alone, as any
-    /// signal would end it.
+    /// Requests the relay to reload its configuration. Sends no signal during the first `PROGRAM_START` of a
+    /// process, because a signal would end a process that has not yet executed its program.
     pub fn reload(&self) {
         const PROGRAM_START: Duration = Duration::from_millis(30);
         if self.started_at().is_some_and(|started_at| self.recorder.now() >= started_at + PROGRAM_START) {
@@ -173,10 +180,10 @@
         Some(self.recorder.record(|observations| observations.processes[process].started_at))
     }
 
-    /// Whether a process runs. Records the end of one that has exited.
+    /// Returns whether a process is running. Records the end of a process that has exited.
     pub fn is_running(&mut self) -> bool {
         let Some(child) = &mut self.child else { return false };
-        if child.try_wait().expect("our own child").is_none() {
+        if child.try_wait().expect("query the status of the relay process").is_none() {
             return true;
         }
         self.child = None;
@@ -189,7 +196,7 @@
         false
     }
 
-    /// Kills its process, where one runs.
+    /// Kills the relay's process, if one is running.
     pub fn kill(&mut self) {
         if !self.is_running() {
             return;
@@ -206,14 +213,15 @@
         }
     }
 
-    /// Requests it to stop; `finish_stop` waits for it.
+    /// Requests the relay to stop. `finish_stop` waits for its exit.
     pub fn begin_stop(&self) {
         let now = self.recorder.now();
         self.record(|process| process.stop_requested_at = Some(now));
         self.signal(libc::SIGTERM);
     }
 
-    /// Waits until it has exited, or kills it at its time limit.
+    /// Waits until the relay has exited, and kills it if it has not exited within `longest_wait` and
+    /// `KILL_MARGIN`.
     pub fn finish_stop(&mut self, longest_wait: Duration) {
         let limit = Instant::now() + longest_wait + KILL_MARGIN;
         while Instant::now() < limit {
@@ -226,7 +234,7 @@
     }
 }
 
-/// A process that a new one takes over from.
+/// A process from which a new one takes over.
 pub struct Predecessor {
     child: Child,
     process: usize,
@@ -234,16 +242,17 @@
 }
 
 impl Predecessor {
-    /// Requests it to stop, and kills it at its time limit.
+    /// Requests the process to stop, and kills it if it has not exited within `longest_wait` and
+    /// `KILL_MARGIN`.
     pub fn stop(mut self, longest_wait: Duration) {
         let now = self.recorder.now();
         self.record(|process| process.stop_requested_at = Some(now));
-        // SAFETY: it is our own child, and is not reaped as long as this value holds it.
+        // SAFETY: the process is a child that is not reaped while `self.child` holds it.
         unsafe { libc::kill(self.child.id() as libc::pid_t, libc::SIGTERM) };
         let limit = Instant::now() + longest_wait + KILL_MARGIN;
         let mut reason = ExitReason::KilledAtTimeLimit;
         while Instant::now() < limit && reason == ExitReason::KilledAtTimeLimit {
-            if self.child.try_wait().expect("our own child").is_some() {
+            if self.child.try_wait().expect("query the status of the predecessor").is_some() {
                 reason = ExitReason::Exited;
             }
             std::thread::sleep(POLL_INTERVAL);
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: what was observed, and the rules that were violated.
+//! The report of a run: its observations and the rules that were violated.
 use crate::observations::{Observations, Session, SessionEnd, Timestamp};
 use crate::oracle::{Violation, HARNESS_MARGIN};
 use crate::schedule::ScheduledFault;
@@ -7,17 +7,17 @@
 
 /// The outcome of a run.
 pub struct Report {
-    /// What was observed.
+    /// The observations of clients, backends, discovery and the harness.
     pub observations: Observations,
-    /// The violations, by their times since the beginning of the run.
+    /// The violations, sorted by their times since the start of the run.
     pub violations: Vec<Violation>,
-    /// System calls that failed by injection, in all processes.
+    /// Number of system calls that failed by injection, in all relay processes.
     pub injected_failures: i64,
-    /// How late the machine ran the harness' own threads at most.
+    /// The longest scheduling delay of the harness' own threads.
     pub longest_lateness: Duration,
 }
 
-/// A kind of fault, and an event of a session or process that happened while it lasted.
+/// A kind of fault, and a kind of event of a session or process that happened during the fault.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FaultEvent {
     /// The name of the fault's kind.
@@ -26,19 +26,20 @@
     pub event: &'static str,
 }
 
-/// An event of a session or process, by its name.
+/// An event of a session or process.
 struct NamedEvent {
     name: &'static str,
     at: Timestamp,
 }
 
 impl Report {
-    /// Whether the machine ran the harness in time, so that the times of its observations are evidence.
-    pub fn kept_time(&self) -> bool {
+    /// Whether scheduling delays of the harness stayed within the oracle's margin, so that the times of its
+    /// observations are reliable.
+    pub fn has_reliable_times(&self) -> bool {
         self.longest_lateness <= HARNESS_MARGIN
     }
 
-    /// The number of sessions by the first word of their answers; `none` for no answer.
+    /// Returns the number of sessions for each first word of an answer, with `none` for sessions without one.
     pub fn answers(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for session in self.observations.sessions.values() {
@@ -49,7 +50,7 @@
         counts
     }
 
-    /// How often each kind of event happened during each kind of fault.
+    /// Returns how often each kind of event happened during each kind of fault.
     pub fn coverage(&self, faults: &[ScheduledFault]) -> BTreeMap<FaultEvent, usize> {
         let events = self.events();
         let mut counts = BTreeMap::new();
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults: what fails, where, from when until when. A schedule is drawn from a seed and
+//! Schedules of faults: what fails, at which relay or backend, and when. A schedule is drawn from a seed and
 //! printed, so that a run can be repeated.
 use crate::backend::Behaviour;
 use crate::discovery::DiscoveryMode;
@@ -8,51 +8,52 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What fails. Relays and backends are given by their numbers.
+/// Kind of fault. Relays and backends are identified by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// System calls of a relay fail.
     SystemCalls {
         /// The relay.
         relay: usize,
-        /// What fails.
+        /// The kind of failure.
         fault: SystemFault,
-        /// How often in a thousand calls, or as the fault says.
+        /// Failures per thousand calls, or the unit that the `SystemFault` documents.
         value: i64,
     },
-    /// A relay is requested to stop, leaves the front's list, and starts again at the end.
+    /// A relay is requested to stop, the front removes it from its list, and it restarts at the fault's end.
     Stop {
         /// The relay.
         relay: usize,
     },
-    /// The same, while the front goes on sending clients to it.
+    /// A relay is requested to stop while the front continues to send clients to it, and restarts at the
+    /// fault's end.
     StopUnderTraffic {
         /// The relay.
         relay: usize,
     },
-    /// A relay is killed, and starts again at the end.
+    /// A relay is killed and restarts at the fault's end.
     Kill {
         /// The relay.
         relay: usize,
     },
-    /// A relay's process is paused again and again.
+    /// A relay's process is paused repeatedly.
     Pause {
         /// The relay.
         relay: usize,
         /// The length of each pause.
         each: Duration,
     },
-    /// A relay reloads its configuration again and again.
+    /// A relay reloads its configuration repeatedly.
     Reload {
         /// The relay.
         relay: usize,
     },
-    /// A relay reloads its configuration and is requested to stop right after.
+    /// A relay is requested to stop immediately after it was requested to reload its configuration.
     ReloadThenStop {
         /// The relay.
         relay: usize,
     },
-    /// A new process takes over from the running one.
+    /// A new process of a relay takes over from the running one.
     HotRestart {
         /// The relay.
         relay: usize,
@@ -61,14 +62,14 @@
     Backend {
         /// The backend.
         backend: usize,
-        /// How.
+        /// How the backend treats new sessions.
         behaviour: Behaviour,
     },
     /// The link to a backend misbehaves.
     Link {
         /// The backend.
         backend: usize,
-        /// How.
+        /// How the link forwards bytes.
         mode: LinkMode,
     },
     /// No relay has a route to a backend.
@@ -76,35 +77,35 @@
         /// The backend.
         backend: usize,
     },
-    /// All connections of a backend's sessions are reset at once.
+    /// All open session connections of a backend are reset simultaneously.
     ResetSessions {
         /// The backend.
         backend: usize,
     },
-    /// A backend drains, and is up again at the end.
+    /// A backend drains, and is listed as up again at the fault's end.
     Drain {
         /// The backend.
         backend: usize,
     },
-    /// A backend has just started and warms up.
+    /// A new backend is listed, which has just started and is warming up.
     NewBackend,
     /// Discovery misbehaves.
     Discovery {
-        /// How.
+        /// How discovery answers.
         mode: DiscoveryMode,
     },
-    /// Half of the clients cancel before they are answered.
+    /// Half of the clients close or reset the connection if they are not answered within a short random time.
     ClientsCancel,
     /// Clients stop in the middle of their first line and stay connected.
     PartialRequests,
-    /// First lines are sent in pieces.
+    /// Clients send their first lines in several pieces.
     SlowRequests,
-    /// Many clients reconnect at once.
+    /// Many clients reconnect simultaneously.
     ReconnectStorm,
 }
 
 impl FaultKind {
-    /// A name without the parameters, for the table of coverage.
+    /// Returns the name of the kind without its parameters, for the coverage report.
     pub fn name(&self) -> String {
         match self {
             FaultKind::SystemCalls { fault, .. } => format!("{fault:?}"),
@@ -119,14 +120,14 @@
     }
 }
 
-/// One fault of a schedule. Times are since the beginning of the run.
+/// One fault of a schedule. Times are relative to the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// What fails.
     pub kind: FaultKind,
-    /// The beginning.
+    /// Start time.
     pub from: Duration,
-    /// The end.
+    /// End time.
     pub until: Duration,
 }
 
@@ -136,23 +137,23 @@
     }
 }
 
-/// From the beginning of one episode to that of the next.
+/// Interval between the starts of two episodes.
 const EPISODE_INTERVAL: Duration = Duration::from_secs(6);
-/// The beginning of the first episode.
+/// Start time of the first episode.
 const FIRST_EPISODE: Duration = Duration::from_secs(2);
-/// Faults that overlap in one episode unless the command line says otherwise.
+/// Default number of faults that overlap in one episode.
 pub const FAULTS_PER_EPISODE: u64 = 3;
-/// The faults of an episode begin within this time.
+/// Exclusive upper bound of the time from an episode's start to the start of one of its faults.
 const MAX_START_OFFSET_MS: u64 = 1_200;
-/// A fault lasts at least so long.
+/// Minimum length of a fault.
 const MIN_LENGTH_MS: u64 = 600;
-/// A fault is shorter than this.
+/// Exclusive upper bound of a fault's length.
 const MAX_LENGTH_MS: u64 = 2_600;
 
-/// What a schedule is drawn for.
+/// Parameters from which a schedule is drawn.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleParameters {
-    /// Determines the schedule together with the other fields.
+    /// Seed of the schedule. The same parameters always give the same schedule.
     pub seed: u64,
     /// The length of the run.
     pub length: Duration,
@@ -160,24 +161,24 @@
     pub relays: usize,
     /// The number of backends.
     pub backends: usize,
-    /// Faults that overlap in one episode.
+    /// Number of faults that overlap in one episode.
     pub faults_per_episode: u64,
 }
 
-/// Draws a schedule: episodes of overlapping faults with quiet times between them, sorted by their
-/// beginnings.
+/// Draws a schedule of episodes, each with overlapping faults and followed by a period without faults. The
+/// faults are sorted by their start times.
 pub fn draw_schedule(parameters: &ScheduleParameters) -> Vec<ScheduledFault> {
     let mut random = Rand64::new(u128::from(parameters.seed) * 7_919 + 1);
     let mut schedule = Vec::new();
-    let mut episode = FIRST_EPISODE;
-    while episode + Duration::from_millis(MAX_START_OFFSET_MS + MAX_LENGTH_MS) < parameters.length {
+    let mut episode_start = FIRST_EPISODE;
+    while episode_start + Duration::from_millis(MAX_START_OFFSET_MS + MAX_LENGTH_MS) < parameters.length {
         for _ in 0..parameters.faults_per_episode {
-            let from = episode + Duration::from_millis(random.rand_range(0..MAX_START_OFFSET_MS));
+            let from = episode_start + Duration::from_millis(random.rand_range(0..MAX_START_OFFSET_MS));
             let until = from + Duration::from_millis(random.rand_range(MIN_LENGTH_MS..MAX_LENGTH_MS));
             let kind = draw_fault(&mut random, parameters);
             schedule.push(ScheduledFault { kind, from, until });
         }
-        episode += EPISODE_INTERVAL;
+        episode_start += EPISODE_INTERVAL;
     }
     schedule.sort_by_key(|fault| fault.from);
     schedule
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -1,18 +1,18 @@
-//! The configuration of the relays in a run, and what the oracle derives from it.
+//! The configuration of the relays in a run, and the settings that the oracle checks a run against.
 use crate::oracle::Settings;
 use crate::plan::Plan;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The time within which clients want an answer, and the relays' longest dial timeout.
+/// Request timeout of clients, which is also the relays' longest dial timeout.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_900);
 
-/// The target of the handshake, in milliseconds.
+/// Target duration of the handshake, in milliseconds.
 const HANDSHAKE_TARGET_MS: u64 = 300;
-/// The objective of the message latency of each priority, in milliseconds.
+/// Target message latency of each priority, in milliseconds.
 const MESSAGE_LATENCY_MS: u64 = 60;
 
-/// The relays' settings as the oracle holds them against a run.
+/// The relays' settings, which the oracle checks a run against.
 pub const SETTINGS: Settings = Settings {
     drain_grace: Duration::from_millis(250),
     idempotency_window: Duration::from_millis(1_000),
@@ -23,7 +23,8 @@
     capacity: 40.0,
 };
 
-/// The names of the listeners: requests that may be repeated, that may not, and that have an idempotency key.
+/// Names of the listeners. In this order, their requests may be repeated, may not be repeated, and have an
+/// idempotency key.
 pub const LISTENERS: [&str; 3] = ["low", "once", "referenced"];
 
 fn milliseconds(duration: Duration) -> u64 {
@@ -42,10 +43,10 @@
     })
 }
 
-/// The configuration that all relays of a run share; `known` is the endpoint list at the start.
+/// Returns the configuration that all relays of a run share. `known` is the endpoint list at the start.
 pub fn shared_configuration(plan: &Plan, known: Value) -> Value {
     let example = include_str!("../../deploy/example/relay.json");
-    let mut configuration: Value = serde_json::from_str(example).expect("the example is JSON");
+    let mut configuration: Value = serde_json::from_str(example).expect("parse deploy/example/relay.json");
     configuration["known"] = known;
     let settings = &mut configuration["settings"];
     settings["Listeners"] = json!([
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,5 +1,5 @@
-//! The oracle itself: regular observations violate no rule, and each rule is found violated where its fault
-//! is put in.
+//! The oracle itself. Valid observations violate no rule, and for each rule an invalid change to them is
+//! reported as a violation.
 use hallrelay_soak::observations::{
     Answer, Attempt, AttemptOutcome, ConnectionEnd, ExitReason, ListChange, ListDelivery, Observations,
     PartialRequest, Process, ProcessEnd, Session, SessionEnd,
@@ -36,8 +36,8 @@
     Some(ProcessEnd { at: ms(at), reason })
 }
 
-/// One relay, and one session that is open from 1.01 s until its client leaves at 3 s.
-fn regular(listener: &'static str) -> Observations {
+/// Observations of one relay and one session, which is open from 1.01 s until its client leaves at 3 s.
+fn valid_observations(listener: &'static str) -> Observations {
     let mut observations = Observations::default();
     observations.processes.push(Process {
         relay: 0,
@@ -62,19 +62,19 @@
     observations
 }
 
-/// The rules that are violated once a fault is put into regular observations.
-fn violated(listener: &'static str, change: impl FnOnce(&mut Observations, &mut Session)) -> Vec<Rule> {
-    let mut observations = regular(listener);
-    let mut session = observations.sessions.remove(&ID).expect("it is there");
+/// Returns the rules that are violated after a change to valid observations.
+fn violated_rules(listener: &'static str, change: impl FnOnce(&mut Observations, &mut Session)) -> Vec<Rule> {
+    let mut observations = valid_observations(listener);
+    let mut session = observations.sessions.remove(&ID).expect("find the session of valid_observations");
     change(&mut observations, &mut session);
     observations.sessions.insert(ID, session);
     check(&observations, &SETTINGS).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn regular_observations_violate_nothing() {
-    assert_eq!(violated("once", |_, _| {}), []);
-    let refused_after_busy = violated("once", |_, session| {
+fn valid_observations_violate_no_rule() {
+    assert_eq!(violated_rules("once", |_, _| {}), []);
+    let refused_after_busy = violated_rules("once", |_, session| {
         session.attempts = vec![attempt(0, 1_005, AttemptOutcome::Rejected, Some(1_006))];
         session.answer = answer(1_010, "BUSY");
         session.left_at = None;
@@ -83,39 +83,39 @@
 }
 
 #[test]
-fn answers_that_are_late_missing_or_two_are_found() {
-    let late = violated("low", |_, session| session.answer = answer(3_500, "BUSY"));
+fn late_missing_and_duplicate_answers_are_reported() {
+    let late = violated_rules("low", |_, session| session.answer = answer(3_500, "BUSY"));
     assert_eq!(late, [Rule::Answered]);
-    let missing = violated("low", |_, session| {
+    let missing = violated_rules("low", |_, session| {
         session.answer = None;
         session.left_at = None;
         session.ended = closed(1_500);
     });
     assert_eq!(missing, [Rule::Answered]);
-    let killed = violated("low", |observations, session| {
+    let killed = violated_rules("low", |observations, session| {
         session.answer = None;
         session.left_at = None;
         observations.processes[0].ended = exited(1_500, ExitReason::Killed);
     });
-    assert_eq!(killed, [], "a relay that was killed owes nothing");
-    let two = violated("low", |_, session| session.lines_after_answer = 1);
+    assert_eq!(killed, [], "a killed relay does not have to answer");
+    let two = violated_rules("low", |_, session| session.lines_after_answer = 1);
     assert_eq!(two, [Rule::OneAnswer]);
 }
 
 #[test]
-fn sessions_that_are_cut_off_or_ended_late_are_found() {
-    let cut = violated("low", |_, session| {
+fn interrupted_and_late_ended_sessions_are_reported() {
+    let cut = violated_rules("low", |_, session| {
         session.left_at = None;
         session.ended = closed(2_000);
     });
     assert_eq!(cut, [Rule::NotCutOff]);
-    let moved = violated("low", |_, session| {
+    let moved = violated_rules("low", |_, session| {
         session.left_at = None;
         session.move_announced = true;
         session.ended = closed(2_000);
     });
     assert_eq!(moved, []);
-    let late = violated("low", |_, session| {
+    let late = violated_rules("low", |_, session| {
         session.left_at = None;
         session.move_announced = true;
         session.ended = closed(3_500);
@@ -125,23 +125,26 @@
 }
 
 #[test]
-fn what_runs_twice_is_found() {
-    let again = |listener, first: Attempt, begun| {
-        violated(listener, |_, session| {
-            session.attempts = vec![first, attempt(1, begun, AttemptOutcome::Accepted, None)]
+fn forbidden_repeated_attempts_are_reported() {
+    let rules_of_second_attempt = |listener, first: Attempt, second_at| {
+        violated_rules(listener, |_, session| {
+            session.attempts = vec![first, attempt(1, second_at, AttemptOutcome::Accepted, None)]
         })
     };
     let unknown = attempt(0, 1_005, AttemptOutcome::Unknown, Some(1_006));
-    assert_eq!(again("once", unknown.clone(), 1_007), [Rule::NoDuplicate]);
-    assert_eq!(again("once", attempt(0, 1_005, AttemptOutcome::Rejected, Some(1_006)), 1_007), []);
-    assert_eq!(again("low", unknown.clone(), 1_007), []);
-    assert_eq!(again("referenced", unknown.clone(), 1_900), []);
-    assert_eq!(again("referenced", unknown, 2_200), [Rule::NoDuplicate]);
+    assert_eq!(rules_of_second_attempt("once", unknown.clone(), 1_007), [Rule::NoDuplicate]);
     assert_eq!(
-        again("low", attempt(0, 1_005, AttemptOutcome::Unknown, Some(2_000)), 1_007),
+        rules_of_second_attempt("once", attempt(0, 1_005, AttemptOutcome::Rejected, Some(1_006)), 1_007),
+        []
+    );
+    assert_eq!(rules_of_second_attempt("low", unknown.clone(), 1_007), []);
+    assert_eq!(rules_of_second_attempt("referenced", unknown.clone(), 1_900), []);
+    assert_eq!(rules_of_second_attempt("referenced", unknown, 2_200), [Rule::NoDuplicate]);
+    assert_eq!(
+        rules_of_second_attempt("low", attempt(0, 1_005, AttemptOutcome::Unknown, Some(2_000)), 1_007),
         [Rule::OneAttempt]
     );
-    let refused = violated("once", |_, session| {
+    let refused = violated_rules("once", |_, session| {
         session.attempts = vec![attempt(0, 1_005, AttemptOutcome::Unknown, Some(1_006))];
         session.answer = answer(1_010, "BUSY");
     });
@@ -149,9 +152,9 @@
 }
 
 #[test]
-fn what_goes_where_it_may_not_is_found() {
-    let drains = |delivered: Option<u64>, begun: u64| {
-        let mut observations = regular("low");
+fn attempts_after_drain_or_client_departure_are_reported() {
+    let rules_of_drain = |delivered: Option<u64>, attempted: u64| {
+        let mut observations = valid_observations("low");
         observations.list_changes.push(ListChange {
             backend: 0,
             draining: true,
@@ -160,18 +163,18 @@
         });
         let delivery = |at| ListDelivery { relay: 0, backend: 0, draining: true, at: ms(at) };
         observations.list_deliveries.extend(delivered.map(delivery));
-        let session = observations.sessions.get_mut(&ID).expect("it is there");
-        session.requested_at = ms(begun - 5);
+        let session = observations.sessions.get_mut(&ID).expect("find the session of valid_observations");
+        session.requested_at = ms(attempted - 5);
         session.left_at = None;
-        session.answer = answer(begun + 5, "UP r1");
-        session.attempts[0].started_at = ms(begun);
+        session.answer = answer(attempted + 5, "UP r1");
+        session.attempts[0].started_at = ms(attempted);
         check(&observations, &SETTINGS).into_iter().map(|violation| violation.rule).collect::<Vec<_>>()
     };
-    assert_eq!(drains(Some(600), 800), []);
-    assert_eq!(drains(Some(600), 1_000), [Rule::NoneToDraining]);
-    assert_eq!(drains(None, 6_700), [], "it counts as delivered 6 s after the change");
-    assert_eq!(drains(None, 7_000), [Rule::NoneToDraining]);
-    let gone = violated("low", |_, session| {
+    assert_eq!(rules_of_drain(Some(600), 800), []);
+    assert_eq!(rules_of_drain(Some(600), 1_000), [Rule::NoneToDraining]);
+    assert_eq!(rules_of_drain(None, 6_700), [], "the change counts as delivered after 6 s");
+    assert_eq!(rules_of_drain(None, 7_000), [Rule::NoneToDraining]);
+    let gone = violated_rules("low", |_, session| {
         session.answer = None;
         session.left_at = Some(ms(1_002));
         session.attempts[0].started_at = ms(1_200);
@@ -180,34 +183,39 @@
 }
 
 #[test]
-fn a_cold_backend_that_gets_too_much_is_found() {
-    let dials = |count: u64| {
-        let mut observations = regular("low");
+fn exceeded_warm_up_budget_is_reported() {
+    let rules_of_attempts = |count: u64| {
+        let mut observations = valid_observations("low");
         observations.list_changes.push(ListChange {
             backend: 0,
             draining: false,
             is_start: true,
             at: ms(900),
         });
-        let one = observations.sessions[&ID].clone();
+        let session = observations.sessions[&ID].clone();
         for number in 0..count {
-            observations.sessions.insert(100 + number, one.clone());
+            observations.sessions.insert(100 + number, session.clone());
         }
         check(&observations, &SETTINGS).into_iter().map(|violation| violation.rule).collect::<Vec<_>>()
     };
-    assert_eq!(dials(5), []);
-    assert_eq!(dials(40), [Rule::WarmUpBudget]);
+    assert_eq!(rules_of_attempts(5), []);
+    assert_eq!(rules_of_attempts(40), [Rule::WarmUpBudget]);
 }
 
 #[test]
-fn processes_that_end_or_start_badly_are_found() {
-    let ended =
-        |end| violated("low", |observations, _| observations.processes[0].ended = exited(20_000, end));
-    assert_eq!(ended(ExitReason::KilledAtTimeLimit), [Rule::StopInTime]);
-    assert_eq!(ended(ExitReason::Crashed), [Rule::NoCrash]);
-    assert_eq!(ended(ExitReason::Exited), []);
-    assert_eq!(violated("low", |observations, _| observations.processes[0].ready_at = None), [Rule::Ready]);
-    let late = PartialRequest { relay: 0, since: ms(1_000), ended_at: Some(ms(4_200)) };
-    let half = violated("low", |observations, _| observations.partial_requests.push(late));
-    assert_eq!(half, [Rule::PartialRequestEnded]);
+fn failed_starts_and_exits_are_reported() {
+    let rules_of_exit = |reason| {
+        violated_rules("low", |observations, _| observations.processes[0].ended = exited(20_000, reason))
+    };
+    assert_eq!(rules_of_exit(ExitReason::KilledAtTimeLimit), [Rule::StopInTime]);
+    assert_eq!(rules_of_exit(ExitReason::Crashed), [Rule::NoCrash]);
+    assert_eq!(rules_of_exit(ExitReason::Exited), []);
+    assert_eq!(
+        violated_rules("low", |observations, _| observations.processes[0].ready_at = None),
+        [Rule::Ready]
+    );
+    let late_end = PartialRequest { relay: 0, since: ms(1_000), ended_at: Some(ms(4_200)) };
+    let rules_of_partial_request =
+        violated_rules("low", |observations, _| observations.partial_requests.push(late_end));
+    assert_eq!(rules_of_partial_request, [Rule::PartialRequestEnded]);
 }
--- a/soak/tests/schedule.rs
+++ b/soak/tests/schedule.rs
@@ -1,11 +1,11 @@
-//! The schedules that are drawn from seeds, held against those that were recorded once.
+//! The schedules drawn from seeds match the recorded ones, so that a seed always reproduces its run.
 use hallrelay_soak::schedule::{draw_schedule, FaultKind, ScheduleParameters, FAULTS_PER_EPISODE};
 use std::fmt::Write;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A kind of fault in numbers: its own, and its parameters.
-fn numbers(kind: FaultKind) -> String {
+/// Encodes a kind of fault as its number and its parameters.
+fn encode_fault(kind: FaultKind) -> String {
     match kind {
         FaultKind::SystemCalls { relay, fault, value } => format!("0 {relay} {} {value}", fault as u64),
         FaultKind::Stop { relay } => format!("1 {relay}"),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn schedules_are_drawn_as_they_were_recorded() {
+fn drawn_schedules_match_recorded_schedules() {
     let mut text = String::new();
     for seed in 1..=24 {
         let parameters = ScheduleParameters {
@@ -42,13 +42,13 @@
         };
         for fault in draw_schedule(&parameters) {
             let (from, until) = (fault.from.as_millis(), fault.until.as_millis());
-            let _ = writeln!(text, "seed {seed}: {from} {until} {}", numbers(fault.kind));
+            _ = writeln!(text, "seed {seed}: {from} {until} {}", encode_fault(fault.kind));
         }
     }
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/schedules.txt");
     let Ok(recorded) = std::fs::read_to_string(&path) else {
-        std::fs::write(&path, text).expect("the fixture can be written");
+        std::fs::write(&path, text).expect("write schedules.txt");
         panic!("schedules.txt was missing and has been written");
     };
-    assert_eq!(recorded, text);
+    assert_eq!(recorded, text, "drawn schedules differ from tests/schedules.txt");
 }
--- a/soak/tests/single_faults.rs
+++ b/soak/tests/single_faults.rs
@@ -1,5 +1,5 @@
-//! One fault at a time against one relay process: each was found by the soak, or is the plainest test of a
-//! rule.
+//! One fault, or a fixed combination of faults, against one relay process. The soak found a bug with each
+//! fault, or the test is the simplest one of a rule. Some seeds of drawn schedules run as well.
 use hallrelay_soak::backend::Behaviour;
 use hallrelay_soak::discovery::DiscoveryMode;
 use hallrelay_soak::faults::SystemFault;
@@ -14,79 +14,86 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hallrelay-soak");
 const LENGTH: Duration = Duration::from_secs(8);
-/// More of them would take each other's processor time, and answers are judged by the clock.
+/// More concurrent runs would compete for processor time, and the rules of answers depend on time.
 const CONCURRENT_RUNS: usize = 4;
-/// Of one plan.
+/// Maximum number of runs of one plan.
 const MAX_RUNS: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static RUN_ENDED: Condvar = Condvar::new();
 
-/// The right to run, which passes on to another test when it is dropped.
+/// A permit to run, which is released to another test when it is dropped.
 struct RunPermit;
 
 impl RunPermit {
     fn acquire() -> RunPermit {
-        let running = RUNNING.lock().expect("nobody panics with it");
+        let running = RUNNING.lock().expect("lock the number of running plans");
         let is_full = |running: &mut usize| *running >= CONCURRENT_RUNS;
-        *RUN_ENDED.wait_while(running, is_full).expect("nobody panics with it") += 1;
+        *RUN_ENDED.wait_while(running, is_full).expect("wait for a run permit") += 1;
         RunPermit
     }
 }
 
 impl Drop for RunPermit {
     fn drop(&mut self) {
-        *RUNNING.lock().expect("nobody panics with it") -= 1;
+        *RUNNING.lock().expect("lock the number of running plans") -= 1;
         RUN_ENDED.notify_one();
     }
 }
 
-/// Runs a plan. The times of a run in which the machine kept the harness itself waiting tell nothing of the
-/// relay: it is run again, whatever it showed, unless it violated a rule that no delay explains. The last
-/// run counts in any case.
+/// Runs a plan. If the harness' own threads ran late, the observed times are not evidence about the relay.
+/// The plan is then run again, unless the run violated a rule that does not depend on time. The last run
+/// always counts.
 fn run(plan: &Plan) -> Report {
     let _permit = RunPermit::acquire();
     for _ in 1..MAX_RUNS {
         let report = harness::run(plan);
-        if report.kept_time() || report.violations.iter().any(|one| !one.rule.depends_on_time()) {
+        if report.has_reliable_times()
+            || report.violations.iter().any(|violation| !violation.rule.depends_on_time())
+        {
             return report;
         }
         let Report { longest_lateness, violations, .. } = report;
-        println!("seed {}: threads were {longest_lateness:?} late; run again", plan.seed);
+        println!("seed {}: harness threads ran {longest_lateness:?} late; running the plan again", plan.seed);
         violations.iter().for_each(|violation| println!("seed {}: {violation}", plan.seed));
     }
     harness::run(plan)
 }
 
-fn span(kind: FaultKind, from_ms: u64, until_ms: u64) -> ScheduledFault {
+fn scheduled_fault(kind: FaultKind, from_ms: u64, until_ms: u64) -> ScheduledFault {
     ScheduledFault { kind, from: Duration::from_millis(from_ms), until: Duration::from_millis(until_ms) }
 }
 
-/// `value` is a part of all calls in thousandths, or for slow calls the time that each takes, in
-/// milliseconds.
-fn calls(fault: SystemFault, value: i64) -> FaultKind {
+/// A system call fault of the relay. `value` is the number of failures per thousand calls, or for slow calls
+/// the delay of each in milliseconds.
+fn system_calls(fault: SystemFault, value: i64) -> FaultKind {
     FaultKind::SystemCalls { relay: 0, fault, value }
 }
 
-/// One relay and thirty sessions a second. Every run has a seed of its own, since folders go by it.
-fn alone(seed: u64, faults: Vec<ScheduledFault>) -> Report {
-    let plan = Plan::quiet(seed, LENGTH, PROGRAM.into());
+/// Runs one relay with 30 new sessions per second. Each run needs a different seed, because the names of the
+/// runs' folders contain the seed.
+fn run_single_relay(seed: u64, faults: Vec<ScheduledFault>) -> Report {
+    let plan = Plan::without_faults(seed, LENGTH, PROGRAM.into());
     let plan = Plan { relays: 1, sessions_per_second: 30.0, faults, ..plan };
     let report = run(&plan);
     let log = plan.folder.join("relay-0/log");
     println!(
-        "{} sessions: {:?}, {} calls failed",
+        "{} sessions: {:?}, {} failed system calls injected",
         report.observations.sessions.len(),
         report.answers(),
         report.injected_failures
     );
     report.violations.iter().for_each(|violation| println!("{violation}"));
-    assert!(report.observations.sessions.len() > 30, "hardly any session came: {}", log.display());
+    assert!(
+        report.observations.sessions.len() > 30,
+        "at most 30 sessions were requested; the relay's log is {}",
+        log.display()
+    );
     _ = std::fs::remove_dir_all(&plan.folder);
     report
 }
 
-fn breaks_nothing(report: &Report) {
+fn assert_no_violations(report: &Report) {
     assert!(
         report.violations.is_empty(),
         "{} violations, the first: {}",
@@ -96,157 +103,194 @@
 }
 
 #[test]
-fn a_quiet_run_breaks_nothing_and_serves_all() {
-    let report = alone(1_001, vec![]);
-    breaks_nothing(&report);
-    assert_eq!(report.answers().len(), 1, "all are up: {:?}", report.answers());
+fn all_sessions_succeed_without_faults() {
+    let report = run_single_relay(1_001, vec![]);
+    assert_no_violations(&report);
+    assert_eq!(report.answers().len(), 1, "sessions got different answers: {:?}", report.answers());
 }
 
 #[test]
-fn interrupted_reads_and_writes_lose_nobody() {
-    let report = alone(1_002, vec![span(calls(SystemFault::InterruptedIo, 30), 500, 7_500)]);
-    assert!(report.injected_failures > 20, "too few calls were interrupted");
-    breaks_nothing(&report);
+fn interrupted_reads_and_writes_lose_no_session() {
+    let report = run_single_relay(
+        1_002,
+        vec![scheduled_fault(system_calls(SystemFault::InterruptedIo, 30), 500, 7_500)],
+    );
+    assert!(report.injected_failures > 20, "at most 20 calls were interrupted");
+    assert_no_violations(&report);
 }
 
 #[test]
-fn reads_and_writes_of_one_byte_lose_nobody() {
-    let report = alone(1_003, vec![span(calls(SystemFault::ShortIo, 900), 500, 7_500)]);
-    assert!(report.injected_failures > 100);
-    breaks_nothing(&report);
+fn one_byte_transfers_lose_no_session() {
+    let report =
+        run_single_relay(1_003, vec![scheduled_fault(system_calls(SystemFault::ShortIo, 900), 500, 7_500)]);
+    assert!(report.injected_failures > 100, "{} one-byte transfers", report.injected_failures);
+    assert_no_violations(&report);
 }
 
 #[test]
-fn connections_to_backends_that_break_are_answered_or_moved() {
-    let report = alone(1_004, vec![span(calls(SystemFault::BrokenBackend, 30), 500, 7_500)]);
-    assert!(report.injected_failures > 20);
-    breaks_nothing(&report);
+fn sessions_are_answered_or_moved_when_backend_connections_break() {
+    let report = run_single_relay(
+        1_004,
+        vec![scheduled_fault(system_calls(SystemFault::BrokenBackend, 30), 500, 7_500)],
+    );
+    assert!(report.injected_failures > 20, "{} broken connections", report.injected_failures);
+    assert_no_violations(&report);
 }
 
 #[test]
-fn a_stop_while_clients_go_on_coming_ends_before_the_kill() {
-    let report = alone(1_005, vec![span(FaultKind::StopUnderTraffic { relay: 0 }, 1_000, 6_000)]);
-    let first = report.observations.processes[0].ended.expect("it was told to stop");
-    assert_eq!(first.reason, ExitReason::Exited, "it was still there as its time was up");
-    breaks_nothing(&report);
+fn stop_under_traffic_finishes_before_time_limit() {
+    let report = run_single_relay(
+        1_005,
+        vec![scheduled_fault(FaultKind::StopUnderTraffic { relay: 0 }, 1_000, 6_000)],
+    );
+    let first = report.observations.processes[0].ended.expect("find the exit of the stopped process");
+    assert_eq!(first.reason, ExitReason::Exited, "the process did not exit before its time limit");
+    assert_no_violations(&report);
 }
 
 #[test]
-fn a_second_without_local_addresses_refuses_nobody() {
-    let report = alone(1_006, vec![span(calls(SystemFault::Connect, 1_000), 2_000, 3_000)]);
-    breaks_nothing(&report);
+fn one_second_without_connect_refuses_no_session() {
+    let report = run_single_relay(
+        1_006,
+        vec![scheduled_fault(system_calls(SystemFault::Connect, 1_000), 2_000, 3_000)],
+    );
+    assert_no_violations(&report);
     let up = report.answers().get("UP").copied().unwrap_or(0);
-    assert_eq!(up, report.observations.sessions.len(), "they have 1.9 s: {:?}", report.answers());
+    assert_eq!(
+        up,
+        report.observations.sessions.len(),
+        "not all sessions were opened within their 1.9 s: {:?}",
+        report.answers()
+    );
 }
 
 #[test]
-fn a_second_without_sockets_refuses_nobody() {
-    let report = alone(1_007, vec![span(calls(SystemFault::Socket, 1_000), 2_000, 3_000)]);
-    breaks_nothing(&report);
+fn one_second_without_sockets_refuses_no_session() {
+    let report = run_single_relay(
+        1_007,
+        vec![scheduled_fault(system_calls(SystemFault::Socket, 1_000), 2_000, 3_000)],
+    );
+    assert_no_violations(&report);
     let up = report.answers().get("UP").copied().unwrap_or(0);
-    assert_eq!(up, report.observations.sessions.len(), "they have 1.9 s: {:?}", report.answers());
+    assert_eq!(
+        up,
+        report.observations.sessions.len(),
+        "not all sessions were opened within their 1.9 s: {:?}",
+        report.answers()
+    );
 }
 
 #[test]
-fn a_second_in_which_nothing_is_accepted_loses_nobody() {
-    let report = alone(1_008, vec![span(calls(SystemFault::Accept, 1_000), 2_000, 3_000)]);
-    breaks_nothing(&report);
+fn one_second_without_accept_loses_no_session() {
+    let report = run_single_relay(
+        1_008,
+        vec![scheduled_fault(system_calls(SystemFault::Accept, 1_000), 2_000, 3_000)],
+    );
+    assert_no_violations(&report);
 }
 
 #[test]
-fn a_hanging_backend_beside_a_standstill_loses_nobody() {
+fn hanging_backend_and_stalled_writes_lose_no_session() {
     let hangs = FaultKind::Backend { backend: 1, behaviour: Behaviour::Hangs };
-    let faults = vec![span(hangs, 1_000, 4_000), span(calls(SystemFault::StalledWrite, 30), 1_500, 3_500)];
-    breaks_nothing(&alone(1_009, faults));
+    let faults = vec![
+        scheduled_fault(hangs, 1_000, 4_000),
+        scheduled_fault(system_calls(SystemFault::StalledWrite, 30), 1_500, 3_500),
+    ];
+    assert_no_violations(&run_single_relay(1_009, faults));
 }
 
 #[test]
-fn a_disk_that_stands_still_holds_up_no_stop() {
+fn stop_finishes_before_time_limit_with_stalled_disk() {
     let drain = FaultKind::Drain { backend: 0 };
     let faults = vec![
-        span(calls(SystemFault::SlowSync, 8_000), 500, 7_000),
-        span(drain, 800, 1_500),
-        span(FaultKind::Stop { relay: 0 }, 1_000, 6_000),
+        scheduled_fault(system_calls(SystemFault::SlowSync, 8_000), 500, 7_000),
+        scheduled_fault(drain, 800, 1_500),
+        scheduled_fault(FaultKind::Stop { relay: 0 }, 1_000, 6_000),
     ];
-    // Of an odd seed, so that the relay keeps a store.
-    let report = alone(1_011, faults);
-    let first = report.observations.processes[0].ended.expect("it was told to stop");
-    assert_eq!(first.reason, ExitReason::Exited, "it was still there as its time was up");
-    breaks_nothing(&report);
+    // With an odd seed the relay keeps a store.
+    let report = run_single_relay(1_011, faults);
+    let first = report.observations.processes[0].ended.expect("find the exit of the stopped process");
+    assert_eq!(first.reason, ExitReason::Exited, "the process did not exit before its time limit");
+    assert_no_violations(&report);
 }
 
-/// The proof that the harness sees what goes wrong in a process: answers that do not go out are lost
-/// sessions.
+/// Proves that the harness detects faults inside a relay process: answers that are never sent are reported as
+/// missing.
 #[test]
-fn answers_that_are_swallowed_are_found_lost() {
-    let report = alone(1_012, vec![span(calls(SystemFault::LostWrite, 100), 500, 6_000)]);
+fn lost_answers_are_reported_as_violations() {
+    let report =
+        run_single_relay(1_012, vec![scheduled_fault(system_calls(SystemFault::LostWrite, 100), 500, 6_000)]);
     let lost = report.violations.iter().filter(|violation| violation.rule == Rule::Answered).count();
     assert!(
         report.injected_failures > 5 && lost > 0,
-        "{} swallowed, {lost} found lost",
+        "{} answers were lost, {lost} were reported as missing",
         report.injected_failures
     );
 }
 
-/// Schedules drawn from fixed seeds, as far as there is time for in each run of the tests.
+/// Schedules drawn from fixed seeds, as many as the time of a test run allows.
 #[test]
-fn overlapping_troubles_break_nothing() {
+fn drawn_overlapping_faults_violate_no_rule() {
     let seeds = [1, 11, 20, 40];
-    let runs = seeds.map(|seed| std::thread::spawn(move || drawn(seed)));
-    let broken: Vec<String> = runs.into_iter().flat_map(|run| run.join().expect("it ends")).collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let runs = seeds.map(|seed| std::thread::spawn(move || run_drawn_schedule(seed)));
+    let joined = runs.into_iter().flat_map(|run| run.join().expect("join the thread of a run"));
+    let violations: Vec<String> = joined.collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// What a drawn run violates, with its schedule.
-fn drawn(seed: u64) -> Vec<String> {
-    let plan = Plan::drawn(seed, Duration::from_secs(12), PROGRAM.into());
+/// Runs a drawn schedule and returns the violations. Prints the schedule if there are any.
+fn run_drawn_schedule(seed: u64) -> Vec<String> {
+    let plan = Plan::with_drawn_faults(seed, Duration::from_secs(12), PROGRAM.into());
     let report = run(&plan);
-    let broken: Vec<String> = report.violations.iter().map(|one| format!("seed {seed}: {one}")).collect();
-    if broken.is_empty() {
+    let violations: Vec<String> =
+        report.violations.iter().map(|violation| format!("seed {seed}: {violation}")).collect();
+    if violations.is_empty() {
         _ = std::fs::remove_dir_all(&plan.folder);
     } else {
         plan.faults.iter().for_each(|fault| println!("seed {seed}: {fault}"));
     }
-    broken
+    violations
 }
 
 #[test]
-fn drains_are_heard_in_time_where_reads_and_writes_are_short() {
-    let drain = |backend, from| span(FaultKind::Drain { backend }, from, from + 1_500);
+fn drains_are_known_in_time_with_short_transfers() {
+    let drain = |backend, from| scheduled_fault(FaultKind::Drain { backend }, from, from + 1_500);
     let faults = vec![
-        span(calls(SystemFault::ShortIo, 400), 500, 7_500),
+        scheduled_fault(system_calls(SystemFault::ShortIo, 400), 500, 7_500),
         drain(0, 1_000),
         drain(1, 2_700),
         drain(2, 4_300),
         drain(3, 5_900),
     ];
-    breaks_nothing(&alone(1_013, faults));
+    assert_no_violations(&run_single_relay(1_013, faults));
 }
 
-/// Two processes of one relay: the new one can't reach the list, and the old one's watch tells of a drain.
+/// During a hot restart the new process cannot reach discovery. The drain of a backend reaches only the watch
+/// of the old process, and must apply to both processes.
 #[test]
-fn a_drain_that_only_the_replaced_process_hears_holds_for_both() {
+fn drain_known_to_replaced_process_applies_to_successor() {
     let faults = vec![
-        span(FaultKind::Discovery { mode: DiscoveryMode::Rejects }, 900, 4_500),
-        span(FaultKind::HotRestart { relay: 0 }, 1_000, 2_000),
-        span(FaultKind::Drain { backend: 0 }, 2_000, 6_000),
+        scheduled_fault(FaultKind::Discovery { mode: DiscoveryMode::Rejects }, 900, 4_500),
+        scheduled_fault(FaultKind::HotRestart { relay: 0 }, 1_000, 2_000),
+        scheduled_fault(FaultKind::Drain { backend: 0 }, 2_000, 6_000),
     ];
-    breaks_nothing(&alone(1_014, faults));
+    assert_no_violations(&run_single_relay(1_014, faults));
 }
 
-/// There is no route to one backend, which the system reports at once: it is ranked unhealthy, and
-/// sessions do not try it one after the other.
+/// There is no route to one backend, which `connect` reports immediately. The relay must rank the backend as
+/// unhealthy, so that sessions do not all dial it first.
 #[test]
-fn a_backend_without_a_route_delays_few_sessions() {
-    /// Longer than a session takes whose first dial succeeds.
-    const DELAYED: Duration = Duration::from_millis(150);
-    let report = alone(1_015, vec![span(FaultKind::NoRoute { backend: 0 }, 1_000, 7_500)]);
-    breaks_nothing(&report);
+fn backend_without_route_delays_few_sessions() {
+    /// Longer than the time to an answer when the first dial succeeds.
+    const DELAY_THRESHOLD: Duration = Duration::from_millis(150);
+    let report =
+        run_single_relay(1_015, vec![scheduled_fault(FaultKind::NoRoute { backend: 0 }, 1_000, 7_500)]);
+    assert_no_violations(&report);
     let answers = report
         .observations
         .sessions
         .values()
-        .filter_map(|one| Some(one.answer.as_ref()?.at - one.requested_at));
-    let delayed = answers.filter(|after| *after > DELAYED).count();
-    assert!(delayed <= 4, "{delayed} of {} sessions", report.observations.sessions.len());
+        .filter_map(|session| Some(session.answer.as_ref()?.at - session.requested_at));
+    let delayed = answers.filter(|delay| *delay > DELAY_THRESHOLD).count();
+    assert!(delayed <= 4, "{delayed} of {} sessions were delayed", report.observations.sessions.len());
 }
