--- a/lab/src/command_line.rs
+++ b/lab/src/command_line.rs
@@ -4,7 +4,7 @@
 use hallrelay_lab::{losses, members};
 use std::path::PathBuf;
 
-/// Rehearses a fleet's days on one machine: emulated servers, list service and clients, real relays.
+/// Rehearses days of a fleet on one machine, with real relays and emulated servers, list service and clients.
 #[derive(Parser)]
 #[command(name = "hallrelay-lab", version)]
 pub struct CommandLine {
@@ -14,25 +14,25 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Play one day, audit it, and leave a page. Without a scenario: calm, then a crash, 20 s.
+    /// Play and audit one day, and write a report page. The default scenario lasts 20 s, with one crash.
     Rehearse {
-        /// The scenario, TOML.
+        /// The scenario, a TOML file.
         scenario: Option<PathBuf>,
         #[command(flatten)]
         options: PlayOptions,
-        /// Print the whole result as JSON.
+        /// Print the complete result as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Play two builds, or two scenarios, in turn on the same seeds; B over A with a 95% interval.
+    /// Play two builds or two scenarios alternately on the same seeds; print B over A with a 95% interval.
     Compare {
-        /// A relay's program, a scenario (.toml), or `own` for the relay that this laboratory was built with.
+        /// A relay program, a scenario (.toml), or `own` for the relay that is built into this program.
         a: String,
         b: String,
-        /// The day on which two builds are compared.
+        /// The scenario on which two builds are compared.
         #[arg(long)]
         scenario: Option<PathBuf>,
-        /// Pairs of days.
+        /// Number of pairs of days.
         #[arg(long, default_value_t = 5)]
         rounds: u64,
         #[command(flatten)]
@@ -40,16 +40,16 @@
         #[arg(long)]
         json: bool,
     },
-    /// Play a scenario over values of one of its keys.
+    /// Play a scenario with each of several values for one of its keys.
     Sweep {
         scenario: PathBuf,
         /// The key, such as load.rate or trouble[0].share.
         #[arg(long)]
         key: String,
-        /// Its values, as TOML, with commas between.
+        /// The values as TOML, separated by commas.
         #[arg(long)]
         values: String,
-        /// Days for each value.
+        /// Number of days for each value.
         #[arg(long, default_value_t = 1)]
         rounds: u64,
         #[command(flatten)]
@@ -57,25 +57,25 @@
         #[arg(long)]
         json: bool,
     },
-    /// Emulated servers and list service alone, to point a relay of one's own at, until interrupted.
+    /// Run the emulated servers and list service for a relay that you start yourself, until interrupted.
     ServeFleet {
         scenario: Option<PathBuf>,
-        /// Where that relay will listen.
+        /// Address on which that relay will listen.
         #[arg(long, default_value = "127.0.0.1:8443")]
         listen: std::net::SocketAddr,
-        /// Where the relay's configuration is written.
+        /// File to which the relay's configuration is written.
         #[arg(long, default_value = "relay.json")]
         config: PathBuf,
     },
-    /// What a relay costs: CPU for an open and for a line, at rest, memory a session.
+    /// Measure the cost of a relay: CPU per opened session, per line and when idle; memory per session.
     Cost {
-        /// Numbers of open sessions, with commas between.
+        /// Numbers of open sessions, separated by commas.
         #[arg(long, default_value = "1000,5000,9000", value_delimiter = ',')]
         sessions: Vec<usize>,
-        /// Sessions that open and end beside them.
+        /// Sessions that are opened and closed in addition.
         #[arg(long, default_value_t = 3000)]
         opens: usize,
-        /// Another build of the relay.
+        /// Relay program to measure instead of the built-in relay.
         #[arg(long)]
         relay: Option<PathBuf>,
         #[arg(long, default_value = "lab-out")]
@@ -83,60 +83,60 @@
         #[arg(long)]
         json: bool,
     },
-    /// What membership costs and finds, in virtual time: deaths known, false accusations, bytes, CPU.
+    /// Measure membership in virtual time: detection of dead relays, false suspicions, bytes, CPU.
     Members {
         #[command(flatten)]
         plan: members::Plan,
         #[arg(long)]
         json: bool,
     },
-    /// Account for lost service from the logs of all relays, written at -vv: where offered sessions went,
-    /// second by second and in sum.
+    /// Account for lost service from the logs of all relays, written at -vv: what happened to the offered
+    /// sessions, per second and in total.
     Losses {
         #[command(flatten)]
         plan: losses::Plan,
     },
-    /// Say again what a result was, and draw its page anew.
+    /// Print a stored result again, and optionally write its report page.
     Report {
         /// A result.json.
         result: PathBuf,
-        /// Where the page goes; none is drawn without.
+        /// File to which the page is written; without it, no page is written.
         #[arg(long)]
         html: Option<PathBuf>,
         #[arg(long)]
         json: bool,
     },
-    /// Read a scenario, say what it holds or which key is wrong, and start nothing.
+    /// Read a scenario and print a summary or the invalid key, without playing it.
     Check { scenario: PathBuf },
-    /// A relay, as rehearsals start it.
+    /// Run a relay, as rehearsals do.
     #[command(hide = true)]
     Relay(hallrelay_relay::cli::Cli),
 }
 
 #[derive(Args, Clone)]
 pub struct PlayOptions {
-    /// In virtual time, without sockets.
+    /// Play in virtual time, without sockets.
     #[arg(long = "virtual")]
     pub is_virtual: bool,
-    /// In place of the scenario's seed.
+    /// Seed to use instead of the scenario's.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Another build of the relay, in place of the one that this laboratory was built with.
+    /// Relay program to use instead of the built-in relay.
     #[arg(long)]
     pub relay: Option<PathBuf>,
-    /// Where results go.
+    /// Directory for results.
     #[arg(long, default_value = "lab-out")]
     pub out: PathBuf,
 }
 
 impl PlayOptions {
-    /// The build that is played where the command names none.
+    /// The build to play if the command does not name one.
     pub fn program(&self) -> Program {
         program(self.relay.clone())
     }
 }
 
-/// Another build, or the one that the laboratory was built with.
+/// The relay program at the path, or the built-in relay if there is none.
 pub fn program(relay: Option<PathBuf>) -> Program {
     relay.map_or(Program::Own, Program::At)
 }
--- a/lab/src/commands/compare.rs
+++ b/lab/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `hallrelay-lab compare`: two builds or two scenarios, in turn, over days of the same seeds.
+//! `hallrelay-lab compare`: plays two builds or two scenarios alternately, on days with the same seeds.
 use super::interrupt::Interrupt;
 use super::play::{write_results, Play};
 use super::{load, show, Status};
@@ -9,14 +9,14 @@
 use hallrelay_lab::relay_process::Program;
 use std::path::{Path, PathBuf};
 
-/// One side of a comparison: a day, and the build that plays it.
+/// One side of a comparison: a scenario and the build that plays it.
 struct Side {
     scenario: Scenario,
     program: Program,
 }
 
 impl Side {
-    /// By its argument: `own`, a scenario, or the program of a relay.
+    /// Parses the argument: `own`, a scenario, or the program of a relay.
     fn parse(side: &str, scenario: Option<&Path>, options: &PlayOptions) -> Result<Side, LabError> {
         if side == "own" {
             return Ok(Side { scenario: load(scenario)?, program: Program::Own });
@@ -50,7 +50,7 @@
     let (mut pairs, mut is_broken) = (Vec::new(), false);
     for round in 0..rounds.max(1) {
         let seed = options.seed.unwrap_or(sides[0].scenario.seed) + round;
-        // A and B are first in turn, so that a machine that grows slower affects both alike.
+        // The sides take turns in being first, so that a machine that becomes slower affects both equally.
         let order = if round.is_multiple_of(2) { [0, 1] } else { [1, 0] };
         let mut days = [None, None];
         for side in order {
@@ -69,7 +69,7 @@
             write_results(&outcome, &out)?;
             is_broken |= matches!(Status::of(&outcome), Status::Broken);
             if outcome.partial.is_some() {
-                println!("interrupted after {} pairs", pairs.len());
+                println!("interrupted after {} complete pairs", pairs.len());
                 return Ok(Status::Interrupted);
             }
             if !json {
--- a/lab/src/commands/cost.rs
+++ b/lab/src/commands/cost.rs
@@ -1,4 +1,4 @@
-//! `hallrelay-lab cost`: what a relay costs at some numbers of open sessions.
+//! `hallrelay-lab cost`: measures the cost of a relay at several numbers of open sessions.
 use super::{runtime, Status};
 use hallrelay_lab::cost;
 use hallrelay_lab::error::LabError;
@@ -6,7 +6,7 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-/// Measures each number in turn and prints a row for it.
+/// Measures at each number of sessions and prints a row for it.
 pub fn run(
     sessions: &[usize],
     opens: usize,
@@ -16,7 +16,7 @@
 ) -> Result<Status, LabError> {
     let mut rows = Vec::new();
     if !json {
-        println!("sessions  us an open  ms to UP p50  p99  us a line and back  idle core  kB a session");
+        println!("sessions    us/open  ms to UP p50  p99  us/line and answer  idle core    kB/session");
     }
     for &count in sessions {
         let measurement = cost::measure(count.max(1), opens.max(1), program, out);
--- a/lab/src/commands/interrupt.rs
+++ b/lab/src/commands/interrupt.rs
@@ -1,4 +1,4 @@
-//! Interrupts from the keyboard and requests to terminate.
+//! Handles SIGINT and SIGTERM.
 use hallrelay_lab::error::LabError;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 /// Interval at which the flag is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A flag that the first interrupt sets.
+/// A flag that is set by the first of these signals.
 pub struct Interrupt {
     is_set: Arc<AtomicBool>,
 }
 
 impl Interrupt {
-    /// Waits for SIGINT and SIGTERM on a thread of its own.
+    /// Starts a thread that waits for SIGINT and SIGTERM.
     pub fn listen() -> Result<Interrupt, LabError> {
         let is_set = Arc::new(AtomicBool::new(false));
         let flag = is_set.clone();
@@ -37,7 +37,7 @@
         self.is_set.load(Ordering::Relaxed)
     }
 
-    /// Completes once it is set.
+    /// Completes when the flag is set.
     pub async fn wait(&self) {
         while !self.is_set() {
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/lab/src/commands/mod.rs
+++ b/lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do.
+//! Implementation of the commands.
 mod compare;
 mod cost;
 mod interrupt;
@@ -17,18 +17,18 @@
 use std::path::Path;
 use tokio::runtime::Runtime;
 
-/// How a command that could be carried out ends.
+/// The result of a command that was carried out.
 pub enum Status {
-    /// All is well.
+    /// No rule was broken and no relay crashed.
     Success,
-    /// A rule is broken or a relay crashed.
+    /// A rule was broken or a relay crashed.
     Broken,
-    /// Somebody interrupted; what there is of results is written.
+    /// The user interrupted the command. Partial results are written.
     Interrupted,
 }
 
 impl Status {
-    /// By what a day was.
+    /// The status that follows from the outcome of a day.
     fn of(outcome: &Outcome) -> Status {
         let membership = outcome.membership.as_ref();
         let has_findings = membership.is_some_and(|membership| membership.finding_count > 0);
@@ -121,17 +121,17 @@
         scenario.server_count()
     );
     println!(
-        "{:.0} sessions at once, about {} descriptors",
+        "at most {:.0} concurrent sessions, about {} file descriptors",
         scenario.most_open(),
         sockets::descriptors_needed(&scenario)
     );
     Ok(Status::Success)
 }
 
-/// What is played where no scenario is given.
+/// The scenario that is played if none is given.
 const BUILT_IN: &str = include_str!("../../../deploy/example/scenarios/calm-then-crash.toml");
 
-/// A scenario's text, with its name in messages.
+/// The text of a scenario, and the name to use for it in messages.
 struct Source {
     name: String,
     text: String,
--- a/lab/src/commands/play.rs
+++ b/lab/src/commands/play.rs
@@ -1,4 +1,4 @@
-//! One day played, with its progress on the terminal, and its result files.
+//! Plays one day with a progress bar on the terminal, and writes its result files.
 use super::interrupt::Interrupt;
 use super::runtime;
 use hallrelay_config::scenario::Scenario;
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use tokio::task::LocalSet;
 
-/// Steps of the progress bar over a day.
+/// Number of steps of the progress bar.
 const PROGRESS_STEPS: u64 = 1000;
 
 /// A day to play.
@@ -19,17 +19,17 @@
     pub scenario: &'a Scenario,
     pub seed: u64,
     pub is_virtual: bool,
-    /// Build of the relay, for days on sockets.
+    /// The build of the relay, for days on sockets.
     pub program: &'a Program,
-    /// Folder for what relays write, on sockets.
+    /// Directory for the relays' files, for days on sockets.
     pub out: &'a Path,
     pub interrupt: &'a Interrupt,
-    /// Shown beside the progress.
+    /// Text next to the progress bar.
     pub label: &'a str,
 }
 
 impl Play<'_> {
-    /// Plays it to its end, or until it is interrupted.
+    /// Plays the day until it ends or is interrupted.
     pub fn run(&self) -> Result<Outcome, LabError> {
         let bar = progress_bar(self.label);
         let show = |part: f64| bar.set_position((part * PROGRESS_STEPS as f64) as u64);
@@ -49,7 +49,7 @@
     }
 }
 
-/// Shown on a terminal, and hidden in a pipe.
+/// The progress bar; hidden if stderr is not a terminal.
 fn progress_bar(label: &str) -> ProgressBar {
     let bar = match std::io::stderr().is_terminal() {
         true => ProgressBar::new(PROGRESS_STEPS),
@@ -62,13 +62,13 @@
     bar
 }
 
-/// Files of a day's result.
+/// Paths of the result files of a day.
 pub struct ResultFiles {
     pub result: PathBuf,
     pub page: PathBuf,
 }
 
-/// Writes the result as JSON, and the report page.
+/// Writes the result as JSON and the report page.
 pub fn write_results(outcome: &Outcome, out: &Path) -> Result<ResultFiles, LabError> {
     let files = ResultFiles { result: out.join("result.json"), page: out.join("page.html") };
     std::fs::create_dir_all(out).map_err(LabError::file(out))?;
--- a/lab/src/commands/serve_fleet.rs
+++ b/lab/src/commands/serve_fleet.rs
@@ -1,4 +1,4 @@
-//! `hallrelay-lab serve-fleet`: the emulated servers and discovery service alone.
+//! `hallrelay-lab serve-fleet`: runs the emulated servers and discovery service without a relay.
 use super::interrupt::Interrupt;
 use super::{load, runtime, Status};
 use hallrelay_emulator::day::Day;
@@ -9,7 +9,7 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-/// Serves the servers of a scenario until interrupted, and writes the configuration of a relay for them.
+/// Runs the servers of a scenario until interrupted, and writes a relay configuration that uses them.
 pub fn run(path: Option<&Path>, listen: SocketAddr, config: &Path) -> Result<Status, LabError> {
     let mut scenario = load(path)?;
     // One relay, and no emulated clients.
@@ -25,12 +25,12 @@
         host.accepts_foreign_clients.set(true);
         sockets::serve_fleet(&host).await?;
         sockets::write_config(&scenario, &sockets::relay_placement(0, seed, &host), &host, config)?;
-        println!("{servers} servers, list at {}", host.list_addresses.borrow()[0]);
+        println!("{servers} servers, list service at {}", host.list_addresses.borrow()[0]);
         println!("start a relay with: hallrelay serve --config {}", config.display());
-        println!("its clients connect to {listen}; interrupt to end");
+        println!("clients of the relay connect to {listen}; press Ctrl-C to stop");
         tokio::select! {
             () = host.clone().run() => {
-                println!("the day is over; the servers go on as they are");
+                println!("the day is over; the servers keep running in their current state");
                 interrupt.wait().await;
             }
             () = interrupt.wait() => {}
--- a/lab/src/commands/sweep.rs
+++ b/lab/src/commands/sweep.rs
@@ -1,4 +1,4 @@
-//! `hallrelay-lab sweep`: a scenario over values of one of its keys.
+//! `hallrelay-lab sweep`: plays a scenario with each of several values for one of its keys.
 use super::interrupt::Interrupt;
 use super::play::{write_results, Play};
 use super::{read, Status};
@@ -10,13 +10,13 @@
 use std::path::Path;
 use toml::Value;
 
-/// The scenario with the key at one of the values.
+/// The scenario with the key set to one of the values.
 struct Variant {
     value: Value,
     scenario: Scenario,
 }
 
-/// Plays all variants, after all have been parsed, and prints a row for each day.
+/// Parses all variants, then plays each of them, and prints a row for each day.
 pub fn run(
     path: &Path,
     key: &str,
@@ -90,7 +90,7 @@
 fn text_row(value: &Value, seed: u64, outcome: &Outcome) -> String {
     let rules = match outcome.breach_count {
         0 => "kept".to_string(),
-        breaches => format!("BROKEN {breaches}"),
+        breach_count => format!("BROKEN {breach_count}"),
     };
     format!(
         "{:>16} {seed:4}  {:7.4} {:7.4} {:7.4} {:7} {:6} {:4} {:5.2}  {rules}",
--- a/lab/src/comparison.rs
+++ b/lab/src/comparison.rs
@@ -1,10 +1,10 @@
-//! Paired comparison of two builds or two scenarios over days of the same seeds: ratio and difference of each
+//! Paired comparison of two builds or two scenarios on days with the same seeds: ratio and difference of each
 //! measure, with a 95% confidence interval.
 use hallrelay_emulator::service::Outcome;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// One figure of a day that can be compared.
+/// One figure of a day that is compared.
 struct Measure {
     name: &'static str,
     of: fn(&Outcome) -> f64,
@@ -22,7 +22,7 @@
     Measure { name: "relay MB", of: |o| o.relays.iter().map(|r| r.resident_mb).fold(0.0, f64::max) },
 ];
 
-/// One measure of both sides. Keys of its JSON are fixed.
+/// One measure of both sides. The keys of its JSON are fixed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// Name of the measure.
@@ -31,28 +31,28 @@
     pub a: f64,
     /// Mean of side B.
     pub b: f64,
-    /// B over A: geometric mean, lower and upper end of its 95% interval; none where a value is 0.
+    /// B over A: geometric mean, lower and upper end of its 95% interval; `None` if any value is 0.
     pub ratio: Option<[f64; 3]>,
-    /// B less A: mean, lower and upper end of its 95% interval; the ends are infinite for a single pair.
+    /// B minus A: mean, lower and upper end of its 95% interval; the ends are infinite for a single pair.
     pub difference: [f64; 3],
 }
 
-/// Days of both sides with the same seed.
+/// Outcomes of both sides for the same seed.
 pub struct Pair {
-    /// The day of side A.
+    /// Outcome of side A.
     pub a: Outcome,
-    /// The day of side B.
+    /// Outcome of side B.
     pub b: Outcome,
 }
 
-/// Quantiles of Student's t distribution for a 95% interval, by degrees of freedom from 1 on.
+/// Quantiles of Student's t distribution for a 95% interval; the first is for 1 degree of freedom.
 const T_QUANTILES: [f64; 15] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
 ];
-/// For more degrees of freedom than the table has.
+/// Quantile for more degrees of freedom than the table covers.
 const T_QUANTILE_BEYOND: f64 = 2.04;
 
-/// Half of the width of a 95% interval, in standard errors, for so many pairs.
+/// Half the width of a 95% interval for a number of pairs, in standard errors.
 fn t_quantile(pairs: usize) -> f64 {
     match pairs {
         0 | 1 => f64::INFINITY,
@@ -64,7 +64,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Mean, lower and upper end of its interval.
+/// The mean, and the lower and upper end of its 95% interval.
 fn interval(values: &[f64]) -> [f64; 3] {
     let mean = mean(values);
     if values.len() < 2 {
@@ -76,7 +76,7 @@
     [mean, mean - half_width, mean + half_width]
 }
 
-/// All measures of some pairs.
+/// Computes all measures of the pairs.
 pub fn rows(pairs: &[Pair]) -> Vec<Row> {
     MEASURES.iter().map(|measure| row(measure, pairs)).collect()
 }
@@ -96,10 +96,10 @@
     }
 }
 
-/// The rows as a table.
+/// Formats the rows as a table.
 pub fn text(rows: &[Row], pairs: usize) -> String {
-    let mut table = format!("{pairs} pairs, the same seeds, in turn; B over A with the 95% interval\n");
-    _ = writeln!(table, "{:20} {:>10} {:>10}  {:28} B less A", "", "A", "B", "B over A");
+    let mut table = format!("{pairs} pairs of days with equal seeds; B over A with the 95% interval\n");
+    _ = writeln!(table, "{:20} {:>10} {:>10}  {:28} B minus A", "", "A", "B", "B over A");
     for row in rows {
         let ratio =
             row.ratio.map_or("-".to_string(), |[mean, from, to]| format!("{mean:.4} ({from:.4} to {to:.4})"));
--- a/lab/src/cost/mod.rs
+++ b/lab/src/cost/mod.rs
@@ -1,6 +1,6 @@
-//! The cost of one relay: CPU for opening a session, for a line and its answer, at rest, and memory a
-//! session, at some numbers of open sessions. One relay process, emulated servers and plain clients on
-//! loopback; only the relay's own CPU time is counted.
+//! Measures the cost of one relay at several numbers of open sessions: CPU time for opening a session, for a
+//! line and its answer, and when idle; memory per session. One relay process runs with emulated servers and
+//! simple clients on loopback. Only the CPU time of the relay process is counted.
 mod sessions;
 mod usage;
 
@@ -17,55 +17,55 @@
 use std::time::{Duration, Instant};
 use usage::{cpu_ns, resident_kb};
 
-/// Why a measurement of costs failed.
+/// The reason why a cost measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CostError {
     /// A client can't connect to the relay.
-    #[error("a client cannot connect: {0}")]
+    #[error("a client cannot connect to the relay: {0}")]
     Connect(#[source] std::io::Error),
-    /// The relay does not read a client's first line.
-    #[error("the relay does not take a line")]
-    LineNotTaken,
-    /// The relay's answer is not `UP`.
-    #[error("a session is not taken: {answer}")]
+    /// The OPEN line can't be written.
+    #[error("cannot write the OPEN line: the relay closed the connection")]
+    OpenNotWritten,
+    /// The relay's answer to an OPEN line is not `UP`.
+    #[error("expected UP in answer to an OPEN line, got {answer}")]
     NotEstablished {
-        /// The answer.
+        /// The answer, or the reason why there is none.
         answer: String,
     },
-    /// An open session ended.
-    #[error("an open session ended")]
+    /// A session ended during the measurement.
+    #[error("a session ended while lines were sent on it")]
     SessionEnded,
     /// A client panicked.
     #[error(transparent)]
     Client(#[from] tokio::task::JoinError),
-    /// What the system counts of the relay can't be read.
-    #[error(transparent)]
-    Usage(std::io::Error),
-    /// The system counts no CPU time of the relay.
-    #[error("no CPU time is told")]
+    /// The CPU time or memory of the relay process can't be read.
+    #[error("cannot read the usage of the relay process from /proc: {0}")]
+    Usage(#[source] std::io::Error),
+    /// The system reports no CPU time for the relay process.
+    #[error("/proc reports no CPU time for the relay process")]
     NoCpuTime,
-    /// The system counts no memory of the relay.
-    #[error("no memory is told")]
+    /// The system reports no resident memory for the relay process.
+    #[error("/proc reports no resident memory (VmRSS) for the relay process")]
     NoMemory,
     /// The relay does not serve in time.
-    #[error("the relay does not answer PING")]
+    #[error("the relay process ended or did not answer PING within {} s", START_TIMEOUT.as_secs())]
     Unresponsive,
 }
 
-/// Costs at one number of open sessions. Keys of its JSON are fixed.
+/// Costs at one number of open sessions. The keys of its JSON are fixed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// Sessions that stay open.
     pub sessions: usize,
-    /// Microseconds of relay CPU for a session's opening and end, beside those that stay.
+    /// Relay CPU time in microseconds for opening and closing one more session.
     pub open_us: f64,
-    /// Milliseconds from the first line to `UP` of these, median and 99th percentile.
+    /// Milliseconds from connecting to `UP` for these additional sessions: median and 99th percentile.
     pub wait_ms: [f64; 2],
-    /// Microseconds of relay CPU for a line there and its answer back.
+    /// Relay CPU time in microseconds for a line and its answer.
     pub line_us: f64,
-    /// Part of a core that the relay uses while nothing happens.
+    /// Fraction of a core that the relay uses when no lines are sent.
     pub idle: f64,
-    /// Kilobytes of resident memory a session, over those of the relay with none.
+    /// Kilobytes of resident memory per session, in addition to the memory of a relay without sessions.
     pub memory_kb: f64,
 }
 
@@ -100,25 +100,26 @@
 rate = 0
 "#;
 
-/// Numbers of the first client of each set, so that no two have the same mark.
+/// Number of the first client of each set. The sets do not overlap, so that all marks are distinct.
 const LASTING: u64 = 1;
 const WARM_UP: u64 = 1 << 40;
 const SHORT: u64 = 1 << 41;
 
-/// Sessions that are opened and closed before anything is counted.
+/// Sessions that are opened and closed before the measurement begins.
 const WARM_UP_SESSIONS: usize = 100;
-/// Lines sent over all sessions together, about.
+/// Approximate number of lines sent on all sessions together.
 const LINES: usize = 20_000;
-/// Time for what was begun to end, before a count.
+/// Delay before a reading, so that pending work of the relay is finished.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// The same after all lasting sessions were opened.
 const SETTLE_TIME_OF_ALL: Duration = Duration::from_millis(500);
-/// Time over which the relay is observed at rest.
+/// Time for which the idle relay is measured.
 const IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// Measures one number of open sessions, with a relay of its own; `opens` more are opened and closed.
+/// Measures a new relay process with `sessions` open sessions; `opens` more are opened and closed.
 ///
 /// # Errors
-/// Where a port, descriptors or the relay's counts can't be had, or the relay does not serve.
+/// If no port or too few descriptors are available, the relay does not serve, or its usage can't be read.
 pub async fn measure(sessions: usize, opens: usize, program: &Program, out: &Path) -> Result<Row, LabError> {
     let scenario = scenario(sessions, opens)?;
     std::fs::create_dir_all(out).map_err(LabError::file(out))?;
@@ -140,13 +141,13 @@
     Ok(row)
 }
 
-/// The scenario of all measurements; raises the limit of descriptors for it.
+/// The scenario of all measurements. Raises the limit of file descriptors as needed.
 fn scenario(sessions: usize, opens: usize) -> Result<Scenario, LabError> {
     let mut scenario = scenario::parse("cost", DAY)?;
-    // What is needed, and as much again as the relay's own limits take off.
+    // The factor leaves room for what the relay's own limits subtract.
     scenario.relays.sockets = ((sessions + opens.min(2 * CONCURRENCY) + 64) * 5 / 2).max(1024);
     (scenario.load.standing, scenario.load.rate.0) = (sessions, 0.0);
-    // Two a session and none to spare for returns: this load is even.
+    // Two per session, without a reserve for returning clients, because this load is constant.
     raise_descriptor_limit(&scenario, 2 * (sessions + CONCURRENCY) as u64 + 400)?;
     scenario.load.standing = 0;
     Ok(scenario)
@@ -169,7 +170,7 @@
     sessions: usize,
     opens: usize,
 ) -> Result<Row, CostError> {
-    // What only the first sessions cost is not counted.
+    // Costs that only the first sessions cause are not counted.
     drop(open_all(listen, WARM_UP, WARM_UP_SESSIONS).await?);
     tokio::time::sleep(SETTLE_TIME).await;
     let empty_kb = resident_kb(relay.pid)?;
@@ -194,7 +195,7 @@
         drop(opened);
     }
     tokio::time::sleep(SETTLE_TIME).await;
-    // With what it uses at rest, which is little.
+    // This includes the CPU time of the idle relay, which is small.
     let open_us = (cpu_ns(relay.pid)? - before) / 1e3 / waits_ms.len() as f64;
     waits_ms.sort_by(f64::total_cmp);
     let wait_ms = [0.5, 0.99].map(|part| waits_ms[((waits_ms.len() - 1) as f64 * part) as usize]);
--- a/lab/src/cost/sessions.rs
+++ b/lab/src/cost/sessions.rs
@@ -1,4 +1,4 @@
-//! Clients of the cost measurement: they open sessions and send lines, some at a time.
+//! Clients of the cost measurement. They open sessions and send lines with limited concurrency.
 use super::CostError;
 use hallrelay_emulator::clients::mix;
 use hallrelay_emulator::net::lines::{write, Lines};
@@ -8,17 +8,17 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Sessions that open, and lines that are in flight, at once.
+/// Maximum number of sessions being opened, or of lines in flight, at the same time.
 pub(super) const CONCURRENCY: usize = 32;
 
-/// As long as messages of such clients are.
+/// A message of typical length.
 const LINE: &[u8] = b"a line as long as messages of such clients are\r\n";
 
-/// An open session; it ends as this value is dropped.
+/// An open session. Dropping it closes the connection.
 pub(super) struct OpenSession {
     stream: TcpStream,
     lines: Lines,
-    /// From the connect to `UP`.
+    /// Time from connecting to `UP`.
     pub(super) wait: Duration,
 }
 
@@ -29,7 +29,7 @@
     let mut lines = Lines::default();
     let line = format!("OPEN {mark:016x} {:016x} c=one,d=10000\r\n", mix(mark));
     if !write(&stream, line.as_bytes()).await {
-        return Err(CostError::LineNotTaken);
+        return Err(CostError::OpenNotWritten);
     }
     match lines.next(&stream).await {
         Ok(answer) if answer.starts_with("UP") => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Opens `count` sessions of clients numbered from `first` on, [`CONCURRENCY`] at a time.
+/// Opens `count` sessions of clients with consecutive numbers from `first`, [`CONCURRENCY`] at a time.
 pub(super) async fn open_all(
     addr: SocketAddr,
     first: u64,
@@ -66,7 +66,7 @@
     Ok(all)
 }
 
-/// Sends a line on each session and waits for its answer, `rounds` times, on [`CONCURRENCY`] at a time.
+/// Sends a line on each session and waits for its answer, `rounds` times, with [`CONCURRENCY`] tasks.
 pub(super) async fn send_lines(
     sessions: Vec<OpenSession>,
     rounds: usize,
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of the laboratory could not be carried out.
+//! Errors that prevent a command of the laboratory from being carried out.
 use crate::cost::CostError;
 use crate::losses::LogsError;
 use crate::scenario_keys::KeyError;
@@ -9,29 +9,29 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why a command could not be carried out. Its text is for the user; the program then exits with 2.
+/// The reason why a command could not be carried out. It is printed for the user, and the exit code is 2.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// A file or folder can't be read or written.
+    /// A file or directory can't be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// What the system answered.
+        /// The error that the system returned.
         source: std::io::Error,
     },
-    /// A result can't be read back.
-    #[error("{}: {source}", path.display())]
+    /// A result file is not valid.
+    #[error("{}: not a valid result: {source}", path.display())]
     ResultFile {
         /// The file.
         path: PathBuf,
-        /// Where it is not the JSON of a result.
+        /// The position of the error, and what was expected there.
         source: serde_json::Error,
     },
     /// A result can't be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A relay's configuration that follows from the scenario is not valid.
+    /// A relay configuration derived from the scenario is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
     /// A scenario is not valid.
@@ -44,110 +44,110 @@
     #[error("--values: {0}")]
     Values(#[source] KeyError),
     /// `--values` is empty.
-    #[error("--values: wanted one value at least")]
+    #[error("--values: expected at least one value")]
     NoValues,
     /// `--counts` of `members` is out of bounds.
-    #[error("--counts: wanted 1 to 1000 relays")]
+    #[error("--counts: expected 1 to 1000 relays")]
     RelayCounts,
     /// `--loss` of `members` is out of bounds.
-    #[error("--loss: wanted parts from 0 to below 1")]
+    #[error("--loss: expected fractions of at least 0 and less than 1")]
     LossParts,
     /// `--seconds` or `--rounds` of `members` is out of bounds.
-    #[error("--seconds: wanted more than 20, and --rounds 1 at least")]
+    #[error("expected --seconds above 20 and --rounds of at least 1")]
     DayLength,
-    /// A side of a comparison is nothing that can be played.
-    #[error("{side}: neither a scenario (.toml), nor a program, nor `own`")]
+    /// A side of a comparison is neither a scenario nor a build of the relay.
+    #[error("{side}: expected a scenario (.toml), an existing program file, or `own`")]
     UnknownSide {
         /// The argument.
         side: String,
     },
-    /// Another build of the relay was to be played in virtual time.
+    /// A comparison in virtual time names another build of the relay.
     #[error("{side}: another build can only be played on sockets, not with --virtual")]
     BuildInVirtualTime {
         /// The argument.
         side: String,
     },
-    /// A scenario with drains of relays was to be played on sockets.
-    #[error("trouble of kind \"relays-out\" is played with --virtual only")]
+    /// A scenario with drains of relays was given without `--virtual`.
+    #[error("a fault of kind \"relays-out\" can only be played with --virtual")]
     DrainsOnSockets,
-    /// The limit of open files is lower than what a day needs.
+    /// The limit of open files is too low for a day.
     #[error(
-        "this day wants about {needed} descriptors in this process ({sessions:.0} sessions at once, two \
-         each, and {listeners} listening sockets), and the limit of open files (RLIMIT_NOFILE) is \
-         {soft_limit}, {hard_limit} at most: lower load.rate, load.standing or relays.count, raise the limit \
-         with `ulimit -n`, or play it with --virtual"
+        "this day needs about {needed} file descriptors in this process ({sessions:.0} concurrent sessions \
+         with two each, and {listeners} listening sockets), but the limit of open files (RLIMIT_NOFILE) is \
+         {soft_limit} and can be raised to at most {hard_limit}: lower load.rate, load.standing or \
+         relays.count, raise the limit with `ulimit -n`, or play the day with --virtual"
     )]
     DescriptorLimit {
-        /// Descriptors that the day needs.
+        /// File descriptors that the day needs.
         needed: u64,
-        /// Sessions that may be open at once.
+        /// Highest expected number of concurrent sessions.
         sessions: f64,
         /// Listening sockets of the servers.
         listeners: usize,
-        /// The limit now.
+        /// The current limit.
         soft_limit: u64,
-        /// What it could be raised to.
+        /// The value to which the limit can be raised.
         hard_limit: u64,
     },
-    /// The ports from `relays.first_port` on exceed 65535.
-    #[error("relays.first_port: there are no ports behind it")]
+    /// The ports starting at `relays.first_port` exceed 65535.
+    #[error("relays.first_port: too high, the ports of the scenario end above 65535")]
     PortRange,
     /// A port of the scenario is in use.
-    #[error("relays.first_port: {addr} is not free: {source}")]
+    #[error("relays.first_port: cannot listen on {addr}: {source}")]
     PortInUse {
         /// The address.
         addr: SocketAddr,
-        /// What the system answered.
+        /// The error that the system returned.
         source: std::io::Error,
     },
-    /// More relays than have addresses of their own on loopback.
-    #[error("relays.count is {count}: on sockets {max} at most, play it with --virtual")]
+    /// The scenario has more relays than there are loopback addresses for them.
+    #[error("relays.count is {count}, at most {max} are possible on sockets: play the day with --virtual")]
     TooManyRelays {
         /// Relays of the scenario.
         count: usize,
         /// Largest number on sockets.
         max: usize,
     },
-    /// The emulated discovery service found no free port.
-    #[error("no free port for the list service")]
+    /// No free port was found for the emulated discovery service.
+    #[error("found no free port for the emulated list service")]
     NoDiscoveryPort,
-    /// The emulated fleet can't be set up; the text names the reason.
+    /// The emulated fleet can't be set up. The text is that of the source.
     #[error("{0}")]
     Emulator(#[source] Box<dyn Error + Send + Sync>),
-    /// Interrupts can't be waited for.
-    #[error(transparent)]
-    Signals(std::io::Error),
-    /// The asynchronous runtime does not start.
-    #[error("the runtime does not start: {0}")]
+    /// The runtime of the thread that waits for interrupts can't be started.
+    #[error("cannot start the runtime that waits for signals: {0}")]
+    Signals(#[source] std::io::Error),
+    /// The asynchronous runtime can't be started.
+    #[error("cannot start the runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The path of this program, which is the relay's too, is unknown.
-    #[error("this program is not found: {0}")]
+    /// The path of this program, which also contains the relay, is unknown.
+    #[error("cannot determine the path of this program to start it as a relay: {0}")]
     OwnProgram(#[source] std::io::Error),
-    /// A relay's process can't be started.
-    #[error("the relay does not start: {0}")]
+    /// A relay process can't be started.
+    #[error("cannot start the relay process: {0}")]
     RelaySpawn(#[source] std::io::Error),
-    /// A relay's process ended before its number was known.
-    #[error("the relay ended at once")]
+    /// A relay process ended before its process ID was known.
+    #[error("the relay process ended immediately after its start")]
     RelayEndedAtOnce,
-    /// A relay runs and does not serve.
+    /// A relay process runs but does not serve.
     #[error(
-        "relay {relay} does not answer PING within {} s; the last that it logged:\n{log}",
+        "relay {relay} did not answer PING within {} s; its last log lines:\n{log}",
         crate::sockets::START_TIMEOUT.as_secs()
     )]
     RelayUnresponsive {
         /// Index of the relay.
         relay: usize,
-        /// The last lines of its log.
+        /// Last lines of its log.
         log: String,
     },
-    /// A relay's process ended during its start.
-    #[error("relay {relay} ended before it served ({exit}); the last that it logged:\n{log}")]
+    /// A relay process ended during its start.
+    #[error("relay {relay} ended during its start ({exit}); its last log lines:\n{log}")]
     RelayEnded {
         /// Index of the relay.
         relay: usize,
         /// Its exit code or signal.
         exit: String,
-        /// The last lines of its log.
+        /// Last lines of its log.
         log: String,
     },
     /// A plot of the report page can't be drawn.
@@ -158,24 +158,24 @@
         /// The error of the plotting library.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// A measurement of costs failed.
+    /// A cost measurement failed.
     #[error(transparent)]
     Cost(#[from] CostError),
-    /// Logs can't be accounted for.
+    /// The logs of a day can't be read or evaluated.
     #[error(transparent)]
     Logs(#[from] LogsError),
-    /// The relay's own command line failed.
+    /// The command of the relay failed.
     #[error(transparent)]
     Relay(#[from] CliError),
 }
 
 impl LabError {
-    /// For `map_err`: adds the file or folder that the system's answer is about.
+    /// For `map_err`: adds the path of the file or directory to the system's error.
     pub fn file(path: &Path) -> impl Fn(std::io::Error) -> LabError + '_ {
         move |source| LabError::File { path: path.to_path_buf(), source }
     }
 
-    /// For `map_err`: an error of the emulated fleet.
+    /// For `map_err`: wraps an error of the emulated fleet.
     pub fn emulator(error: impl Into<Box<dyn Error + Send + Sync>>) -> LabError {
         LabError::Emulator(error.into())
     }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: scenarios played on sockets with processes of relays, or in virtual time with their
-//! reducers; reports and comparisons of such days; costs of a relay; accounts of its logs.
+//! The laboratory: plays scenarios on sockets with relay processes, or in virtual time with the relays'
+//! reducers; reports and compares the results; measures the cost of a relay; evaluates its logs.
 #![warn(missing_docs)]
 
 pub mod comparison;
--- a/lab/src/losses/account.rs
+++ b/lab/src/losses/account.rs
@@ -1,31 +1,31 @@
-//! Adds up attempts, ends and the state of the fleet by seconds of the day.
+//! Counts attempts, ends of sessions and the state of the fleet for each second of the day.
 use super::attempt::{Attempt, End, Gap, Moment, Origin};
 use super::backends::Backends;
 use super::histogram::Histogram;
-use super::open::{Open, Stay};
+use super::open::{OpenSessions, PlacedSession};
 use super::rows::{Attempts, Ends, Fleet, Losses, Probes, Second, Sessions, Wait};
 use hallrelay_balancer::types::{DialEnd, LoadReport, Micros};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Queue delay in seconds from which on a backend counts as queued.
+/// A load report with a queue delay above this, in seconds, counts as queued.
 const QUEUED_FROM_S: f64 = 0.1;
 
-/// What was counted in one second, or in all.
+/// Counts of one second, or of all seconds.
 #[derive(Clone, Debug, Default)]
 struct Counted {
     attempts: Attempts,
     sessions: Sessions,
     ends: Ends,
-    /// Milliseconds.
+    /// Time to `UP`, in milliseconds.
     wait: Histogram,
     checks_answered: u64,
     checks_failed: u64,
-    /// Thousandths.
+    /// Load over capacity, in thousandths.
     load: Histogram,
-    /// Reports of a queue delay.
+    /// Load reports with a queue delay.
     queue_reports: u64,
-    /// Those of them beyond [`QUEUED_FROM_S`].
+    /// Those of them with a delay above [`QUEUED_FROM_S`].
     queued_reports: u64,
 }
 
@@ -63,20 +63,20 @@
     }
 }
 
-/// All that is known of the day so far; logs may be read in any order.
+/// Everything counted so far. Logs may be read in any order.
 #[derive(Debug, Default)]
 pub struct Account {
-    /// What the lists state of the backends.
+    /// The backends as the lists state them.
     pub backends: Backends,
     seconds: BTreeMap<u32, Counted>,
-    stays: Vec<Stay>,
+    placed_sessions: Vec<PlacedSession>,
     /// Numbers of backends, by address or name.
     numbers: HashMap<String, u32>,
     gaps: BTreeMap<Gap, u64>,
 }
 
 impl Account {
-    /// Takes an attempt whose end is known.
+    /// Counts an attempt whose end is known.
     pub fn attempt(&mut self, attempt: &Attempt) {
         if let Some(gap) = attempt.gap() {
             *self.gaps.entry(gap).or_default() += 1;
@@ -108,12 +108,12 @@
         }
     }
 
-    /// The whole of it, by seconds up to the last moment of the day.
+    /// Returns the complete result, with all seconds up to the end of the day.
     pub fn finish(mut self, day_end: Micros) -> Losses {
         self.backends.finish();
         let last = (day_end / 1_000_000) as u32;
         let addresses = self.addresses();
-        let mut open = Open::new(std::mem::take(&mut self.stays), addresses);
+        let mut open = OpenSessions::new(std::mem::take(&mut self.placed_sessions), addresses);
         let (mut seconds, mut sum) = (Vec::new(), Counted::default());
         for second in 0..=last {
             let counted = self.seconds.remove(&second).unwrap_or_default();
@@ -126,8 +126,8 @@
         Losses { sum: sum.row(last, fleet), seconds, unaccounted: self.gaps, ..Losses::default() }
     }
 
-    /// Addresses of backends by their numbers; none where only a name is known that no list gives. A backend
-    /// that is known both by its name and by its address has one number from here on.
+    /// Addresses of backends by their numbers; `None` if only a name is known that is in no list. Backends
+    /// are renumbered, so that one known by both its name and its address has a single number.
     fn addresses(&mut self) -> Vec<Option<SocketAddr>> {
         let mut addresses = Vec::new();
         let mut number_of: HashMap<String, u32> = HashMap::new();
@@ -142,8 +142,8 @@
             }
             renumbered.insert(*number, new);
         }
-        for stay in &mut self.stays {
-            stay.backend = renumbered[&stay.backend];
+        for session in &mut self.placed_sessions {
+            session.backend = renumbered[&session.backend];
         }
         addresses
     }
@@ -171,12 +171,17 @@
             second.wait.add(u32::try_from(waited).unwrap_or(u32::MAX));
         }
         let end = attempt.end.unwrap_or(End::StillOpen);
-        // Where times of a log go back, no session ends before it is placed.
+        // The times of a log may go back; a session must not end before it is placed.
         let ended_at = if attempt.ended_at.day < placed.day { placed } else { attempt.ended_at };
         self.at(ended_at).ends.count(end);
         let to = (end != End::StillOpen).then_some(ended_at.second());
         let next = self.numbers.len() as u32;
         let backend = *self.numbers.entry(attempt.backend().to_string()).or_insert(next);
-        self.stays.push(Stay { from: placed.second(), to, group: attempt.opening.group, backend });
+        self.placed_sessions.push(PlacedSession {
+            from: placed.second(),
+            to,
+            group: attempt.opening.group,
+            backend,
+        });
     }
 }
--- a/lab/src/losses/attempt.rs
+++ b/lab/src/losses/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a client to open a session, from its first line to its end.
+//! One attempt of a client to open a session, from the client's first line to the end of the session.
 use super::parse::Opening;
 use hallrelay_balancer::types::{DialEnd, Micros};
 use serde::Serialize;
@@ -8,12 +8,12 @@
 pub struct Moment {
     /// Microseconds since the day began.
     pub day: Micros,
-    /// The relay's own clock, in microseconds; only differences within one log count.
+    /// The relay's own clock, in microseconds. Only differences within one log are meaningful.
     pub clock: Micros,
 }
 
 impl Moment {
-    /// The second of the day in which it lies.
+    /// The second of the day that contains this moment.
     pub fn second(self) -> u32 {
         (self.day / 1_000_000) as u32
     }
@@ -24,28 +24,28 @@
     }
 }
 
-/// Where an attempt comes from.
+/// The source of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A client's first line.
+    /// The first line of a client.
     Client,
-    /// The process before this one, which had it open at the backend of this name.
+    /// The previous process of the relay, which had the session open at the backend of this name.
     Process(String),
-    /// Its opening is not in the log.
+    /// Unknown, because the start of the attempt is not in the log.
     Missing,
 }
 
-/// One dial to a backend.
+/// One dial of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dial {
     pub at: Moment,
     /// Address of the backend.
     pub backend: String,
-    /// How it ended; none where the session was established, or the dial was in flight.
+    /// How it ended; `None` if the session was established or the dial is in flight.
     pub end: Option<DialEnd>,
 }
 
-/// State of the last dial of an attempt as the attempt was answered.
+/// State of the last dial of an attempt when the attempt was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LastDial {
     /// No dial was made.
@@ -56,74 +56,74 @@
     Ended(DialEnd),
 }
 
-/// What became of an attempt up to its answer.
+/// How an attempt was answered, or why it was not answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fate {
     /// It was placed on a backend.
     Placed,
-    /// Its backend answered `BYE` at once.
+    /// Its backend answered `BYE` immediately.
     ServedAtOnce,
     /// The relay answered `BUSY`.
     Rejected(LastDial),
     /// The relay answered `FAIL`.
     Failed(LastDial),
-    /// Its line was not of the protocol, named an unknown listener, or repeated the id of an open session.
+    /// Its line violated the protocol, named an unknown listener, or repeated the id of an open session.
     NotProtocol,
-    /// Its client left before it was answered.
+    /// Its client disconnected before it was answered.
     ClientLeft,
-    /// It was closed without an answer, long after its client's time was up.
+    /// It was closed without an answer, long after its client's deadline.
     TooLate,
-    /// The relay's process ended first.
+    /// The relay process ended before it was answered.
     RelayEnded,
-    /// It was undecided as the day ended.
+    /// It had not been answered at the end of the day.
     StillWaiting,
-    /// It is not known.
+    /// Unknown.
     Unaccounted(Gap),
 }
 
-/// How a session ended that had been placed.
+/// How a placed session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
     /// The client ended it.
     Client,
-    /// Its backend sent `BYE`: it was complete.
+    /// Its backend sent `BYE`: the session was complete.
     Complete,
     /// Its backend sent `MOVE`.
     MigratedByBackend,
     /// Its backend reset the connection.
     Reset,
-    /// Another end: its backend was silent, or a line was not of the protocol.
+    /// Another end: its backend became silent, or a line violated the protocol.
     Other,
     /// The relay migrated it.
     Migrated,
-    /// The relay migrated or ended it, since the relay itself drained, stopped or was replaced.
+    /// The relay migrated or ended it because the relay itself drained, stopped or was replaced.
     RelayStop,
     /// Another process of the relay adopted it.
     HandedOver,
-    /// The relay's process ended without a request to stop.
+    /// The relay process ended without a request to stop.
     RelayDied,
-    /// It was open as the day ended.
+    /// It was open at the end of the day.
     StillOpen,
-    /// It is not known.
+    /// Unknown.
     Unaccounted(Gap),
 }
 
-/// Why it is not known what became of an attempt.
+/// The reason why the outcome of an attempt is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Gap {
     /// The log ends long before the day does.
     LogEnds,
-    /// The number of the session was given to another one.
+    /// The number of the session was reused for another session before it ended.
     NumberReused,
-    /// It ended as an open session, and is not logged as placed.
+    /// It ended as an open session, but is not logged as placed.
     NeverPlaced,
-    /// It was dialled, placed or answered, and is not logged as opened.
+    /// It was dialled, placed or answered, but is not logged as opened.
     NeverOpened,
 }
 
 impl Gap {
-    /// For users.
+    /// Text for the output.
     pub fn description(self) -> &'static str {
         match self {
             Gap::LogEnds => "the log ends before the day",
@@ -134,7 +134,7 @@
     }
 }
 
-/// One attempt as its relay's log has it.
+/// One attempt as recorded in the log of its relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     pub relay: String,
@@ -144,10 +144,10 @@
     pub dials: Vec<Dial>,
     /// When it was placed.
     pub placed: Option<Moment>,
-    /// When it was answered, where it was not placed; else when the session ended.
+    /// When the session ended, or when the attempt was answered if it was not placed.
     pub ended_at: Moment,
     pub fate: Fate,
-    /// How the session ended, where it was placed.
+    /// How the session ended, if it was placed.
     pub end: Option<End>,
 }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Why it is not known what became of it.
+    /// The reason why its outcome is unknown, if it is.
     pub fn gap(&self) -> Option<Gap> {
         match (&self.fate, &self.end) {
             (Fate::Unaccounted(gap), _) | (_, Some(End::Unaccounted(gap))) => Some(*gap),
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The backend at which it was placed: its address, or its name where only that is known.
+    /// The backend on which it was placed: the address, or the name if only that is known.
     pub fn backend(&self) -> &str {
         match (self.dials.last(), &self.origin) {
             (Some(dial), _) => &dial.backend,
--- a/lab/src/losses/backends.rs
+++ b/lab/src/losses/backends.rs
@@ -1,10 +1,10 @@
-//! The backends over the day, as the endpoint lists of all relays state them.
+//! The backends during the day, as stated in the endpoint lists of all relays.
 use hallrelay_balancer::types::{Micros, Phase};
-use hallrelay_config::list::List;
+use hallrelay_config::list::{Instance, List};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What one version of the list states of a backend, since the moment at which the first relay received it.
+/// The entry of a backend in one version of the list, valid from when the first relay received that version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Listing {
     since: Micros,
@@ -13,43 +13,43 @@
     started_at: Micros,
 }
 
-/// A version of the list that named all backends.
+/// A version of the list that contained all backends.
 #[derive(Clone, Debug)]
 struct CompleteList {
     since: Micros,
     names: BTreeSet<String>,
 }
 
-/// How many backends were known, by state.
+/// Number of known backends by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Known {
-    /// Those in service.
+    /// Backends in service.
     pub ready: u64,
-    /// Those that drain.
+    /// Backends that are draining.
     pub draining: u64,
-    /// Those of them that started during the day.
+    /// Ready or draining backends that started during the day.
     pub started: u64,
 }
 
-/// The backends as the lists state them; logs may be read in any order.
+/// The backends as the lists state them. Logs may be read in any order.
 #[derive(Clone, Debug, Default)]
 pub struct Backends {
-    /// By instance and by version of the list.
+    /// By instance and version of the list.
     listings: BTreeMap<String, BTreeMap<u64, Listing>>,
     complete_lists: BTreeMap<u64, CompleteList>,
-    /// Addresses that were dialled or checked, and since when.
+    /// Addresses that were dialled or checked, with the time of the first use.
     used: BTreeMap<SocketAddr, Micros>,
 }
 
 impl Backends {
     /// Records a list that a relay received at a moment of the day.
     pub fn record_list(&mut self, at: Micros, list: &List) {
-        for one in &list.instances {
-            let listing = Listing { since: at, addr: one.addr, phase: one.phase, started_at: one.started_at };
-            self.insert(&one.id, list.generation, listing);
+        for instance in &list.instances {
+            let &Instance { addr, phase, started_at, .. } = instance;
+            self.insert(&instance.id, list.generation, Listing { since: at, addr, phase, started_at });
         }
         if list.is_complete {
-            let names = list.instances.iter().map(|one| one.id.clone()).collect();
+            let names = list.instances.iter().map(|instance| instance.id.clone()).collect();
             let complete =
                 self.complete_lists.entry(list.generation).or_insert(CompleteList { since: at, names });
             complete.since = complete.since.min(at);
@@ -62,7 +62,7 @@
         *since = at.min(*since);
     }
 
-    /// All logs are read: what complete lists leave out is removed by them.
+    /// Called after all logs were read: marks backends as gone that a complete list no longer contains.
     pub fn finish(&mut self) {
         for (generation, complete) in std::mem::take(&mut self.complete_lists) {
             let left_out: Vec<(String, Listing)> = self
@@ -83,7 +83,7 @@
         self.listings.get(name)?.last_key_value().map(|(_, listing)| listing.addr)
     }
 
-    /// How many are known at a moment. One that is used and that no list has named yet counts as ready.
+    /// Number of backends known at a moment. One that is used before a list contains it counts as ready.
     pub fn known(&self, at: Micros) -> Known {
         let mut known = Known::default();
         let mut named = BTreeSet::new();
@@ -101,7 +101,7 @@
         known
     }
 
-    /// Addresses of the backends that are known at a moment to have started during the day.
+    /// Addresses of the backends that, as far as known at a moment, started during the day.
     pub fn started(&self, at: Micros) -> BTreeSet<SocketAddr> {
         let newest = self.listings.values().filter_map(|versions| newest(versions, at));
         newest.filter(|listing| listing.started_at > 0).map(|listing| listing.addr).collect()
--- a/lab/src/losses/error.rs
+++ b/lab/src/losses/error.rs
@@ -1,52 +1,53 @@
-//! Why logs can't be accounted for.
+//! Errors of the evaluation of logs.
 use std::path::{Path, PathBuf};
 
-/// Why the logs of a day can't be read, or their account can't be trusted.
+/// The reason why the logs of a day can't be read, or why the result is not reliable.
 #[derive(Debug, thiserror::Error)]
 pub enum LogsError {
-    /// A log, or the folder, can't be read.
+    /// A log or the directory can't be read.
     #[error("{}: {source}", path.display())]
     File {
-        /// The log or the folder.
+        /// The log or the directory.
         path: PathBuf,
-        /// What the system answered.
+        /// The error that the system returned.
         source: std::io::Error,
     },
-    /// First and last line are more than a week apart.
-    #[error("{}: the logs are of more than a week", folder.display())]
+    /// The first and the last line are more than a week apart.
+    #[error("{}: the logs span more than a week", folder.display())]
     DayTooLong {
-        /// Where the logs are.
+        /// The directory of the logs.
         folder: PathBuf,
     },
-    /// No log holds an event of a session.
+    /// No log contains events or effects.
     #[error(
-        "{}: no events in {files} files *.log, {lines} lines; relays must log at -vv (serve -vv)",
+        "{}: no events in {files} files *.log with {lines} lines; relays must log at -vv (serve -vv)",
         folder.display()
     )]
     NoEvents {
-        /// Where the logs are.
+        /// The directory of the logs.
         folder: PathBuf,
-        /// Logs read.
+        /// Number of logs read.
         files: usize,
-        /// Lines read.
+        /// Number of lines read.
         lines: u64,
     },
-    /// The session to follow is in no log.
+    /// No log contains the session to follow.
     #[error("{}: no relay logged an OPEN with the id {id}", folder.display())]
     UnknownSession {
-        /// Where the logs are.
+        /// The directory of the logs.
         folder: PathBuf,
-        /// Its id, as in an OPEN line.
+        /// The id of the session, as in its OPEN line.
         id: u64,
     },
-    /// More attempts than may be are unaccounted for.
+    /// Too many attempts are unaccounted for.
     #[error(
-        "{percent:.1}% of the attempts are unaccounted for, over {max_percent}%: the logs are not whole"
+        "{percent:.1}% of the attempts are unaccounted for, at most {max_percent}% are accepted: \
+         the logs are incomplete"
     )]
     Incomplete {
-        /// Part of the attempts that is unaccounted for.
+        /// Percentage of the attempts that are unaccounted for.
         percent: f64,
-        /// Largest part accepted.
+        /// Highest percentage accepted.
         max_percent: f64,
     },
     /// The result can't be written as JSON.
@@ -55,7 +56,7 @@
 }
 
 impl LogsError {
-    /// For `map_err`: adds the file or folder that the system's answer is about.
+    /// For `map_err`: adds the path of the file or directory to the system's error.
     pub(super) fn file(path: &Path) -> impl Fn(std::io::Error) -> LogsError + '_ {
         move |source| LogsError::File { path: path.to_path_buf(), source }
     }
--- a/lab/src/losses/histogram.rs
+++ b/lab/src/losses/histogram.rs
@@ -1,4 +1,4 @@
-//! Counts of whole numbers, for medians and percentiles without keeping each value.
+//! Histogram of integers, for medians and percentiles without storing each value.
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -20,7 +20,8 @@
         self.total += other.total;
     }
 
-    /// The least value that a part of all values (0 to 1) does not exceed; none where there are none.
+    /// The smallest value that at least the given fraction (0 to 1) of all values does not exceed; `None` if
+    /// there are no values.
     pub fn quantile(&self, part: f64) -> Option<u32> {
         let rank = ((self.total as f64 * part).ceil() as u64).max(1);
         let mut before = 0;
--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -1,4 +1,4 @@
-//! Reads all logs of a folder, one after another, a line at a time.
+//! Reads all logs of a directory, one after another, line by line.
 use super::attempt::{Attempt, Moment};
 use super::error::LogsError;
 use super::parse::{self, Entry, Line, Time};
@@ -10,33 +10,33 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// The longest line that is read, in bytes: a list of thousands of backends is shorter.
+/// Longest line that is read, in bytes. A list of thousands of backends is shorter.
 const MAX_LINE_BYTES: u64 = 4 << 20;
 
-/// The longest day that is accounted for, second by second: a week.
+/// Longest time that the logs may span: a week, since a row is kept for each second.
 const MAX_DAY: Micros = 7 * 86_400_000_000;
 
-/// What comes out of the logs.
+/// Receives the contents of the logs.
 pub trait Reader {
     /// An attempt whose end is known.
     fn attempt(&mut self, attempt: Attempt);
-    /// A list of backends that a relay received, or began with.
+    /// A list of backends that a relay received or started with.
     fn list(&mut self, _at: Moment, _list: &List) {}
-    /// Another entry that is of no session.
+    /// Any other entry of a log, also those of sessions.
     fn entry(&mut self, _at: Moment, _entry: &Entry) {}
 }
 
 /// The logs of one day.
 pub struct Logs {
     files: Vec<PathBuf>,
-    /// The relays' clocks at the beginning of the day, for lines without a prefix.
+    /// Earliest clock time in any log. Lines without a prefix are dated relative to it.
     start: Micros,
-    /// The last moment in any of them.
+    /// The latest moment in any log.
     pub day_end: Micros,
 }
 
 impl Logs {
-    /// Finds all files `*.log` of a folder, and when the day begins and ends by them.
+    /// Finds all files `*.log` in a directory, and determines from them when the day begins and ends.
     pub fn find(folder: &Path) -> Result<Logs, LogsError> {
         let mut files = Vec::new();
         for entry in std::fs::read_dir(folder).map_err(LogsError::file(folder))? {
@@ -54,21 +54,21 @@
         Ok(logs)
     }
 
-    /// How many there are.
+    /// Number of logs.
     pub fn count(&self) -> usize {
         self.files.len()
     }
 
-    /// Reads all of them.
+    /// Reads all logs.
     pub fn read(&self, reader: &mut dyn Reader) -> Result<Read, LogsError> {
         let mut read = Read::default();
         for path in &self.files {
-            self.one(path, reader, &mut read)?;
+            self.read_file(path, reader, &mut read)?;
         }
         Ok(read)
     }
 
-    /// The first pass: when the day begins, and when it ends.
+    /// First pass: determines when the day begins and ends.
     fn span(&mut self) -> Result<(), LogsError> {
         let mut last = Vec::new();
         for path in &self.files {
@@ -90,11 +90,11 @@
         Moment { day: time.prefix.unwrap_or(since_start), clock: time.clock }
     }
 
-    fn one(&self, path: &Path, reader: &mut dyn Reader, read: &mut Read) -> Result<(), LogsError> {
+    fn read_file(&self, path: &Path, reader: &mut dyn Reader, read: &mut Read) -> Result<(), LogsError> {
         let name = path.file_stem().unwrap_or_default().to_string_lossy();
         let mut lines = Lines::open(path)?;
         let mut relay = RelayLog::new(&name);
-        // A configuration has no time; its list is valid from the next line on.
+        // A configuration has no time, so its list is dated with the next line.
         let mut configured = None;
         let mut entries = 0;
         while let Some(text) = lines.next()? {
@@ -132,7 +132,7 @@
     }
 }
 
-/// The lines of a file, each without its end.
+/// The lines of a file, each without its line ending.
 struct Lines {
     path: PathBuf,
     file: BufReader<File>,
@@ -145,9 +145,9 @@
         Ok(Lines { path: path.to_path_buf(), file: BufReader::new(file), line: Vec::new() })
     }
 
-    /// The next line; `Some(None)` for one that is no text or too long to be one of a log.
+    /// The next line; `Some(None)` if it is not UTF-8 or longer than any line of a log.
     fn next(&mut self) -> Result<Option<Option<&str>>, LogsError> {
-        let length = self.part()?;
+        let length = self.read_limited()?;
         if length == 0 {
             return Ok(None);
         }
@@ -159,8 +159,8 @@
         Ok(Some(text.map(|text| text.trim_end_matches(['\n', '\r']))))
     }
 
-    /// Reads up to the end of a line, or as much as a line may have; how many bytes.
-    fn part(&mut self) -> Result<usize, LogsError> {
+    /// Reads to the end of the line, but at most [`MAX_LINE_BYTES`]. Returns the number of bytes.
+    fn read_limited(&mut self) -> Result<usize, LogsError> {
         use std::io::Read;
         self.line.clear();
         let mut part = self.file.by_ref().take(MAX_LINE_BYTES);
@@ -168,7 +168,7 @@
     }
 
     fn skip_line(&mut self) -> Result<(), LogsError> {
-        while self.part()? > 0 && self.line.last() != Some(&b'\n') {}
+        while self.read_limited()? > 0 && self.line.last() != Some(&b'\n') {}
         Ok(())
     }
 }
--- a/lab/src/losses/mod.rs
+++ b/lab/src/losses/mod.rs
@@ -1,8 +1,8 @@
-//! Where offered sessions went, by the logs that relays wrote at `-vv`: which attempts were refused and why,
-//! how placed sessions ended, and the state of the fleet beside them, second by second.
+//! Determines what happened to offered sessions, from the logs that relays wrote at `-vv`: which attempts
+//! were refused and why, how placed sessions ended, and the state of the fleet in each second.
 //!
-//! Logs are streamed, one relay after another. A few numbers are stored for each placed session, the
-//! versions of the endpoint list, and the counts of each second.
+//! Logs are streamed, one relay after another. Only a few numbers for each placed session, the versions of
+//! the endpoint list and the counts of each second are kept in memory.
 mod account;
 mod attempt;
 mod backends;
@@ -26,26 +26,26 @@
 use rows::{Losses, Read};
 use std::path::{Path, PathBuf};
 
-/// Where more than this part of all attempts is unaccounted for, the result is not to be trusted.
+/// Fraction of all attempts that may be unaccounted for. Above it, the result is not reliable.
 pub const MAX_UNACCOUNTED: f64 = 0.05;
 
 /// Options of the command.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Plan {
-    /// A folder with the log of each relay (`*.log`), written at -vv.
+    /// A directory with the log of each relay (`*.log`), written at -vv.
     folder: PathBuf,
-    /// Follow one client through all relays: the id of one of its OPEN lines, as it is logged.
+    /// Follow one client through all relays, given the id of one of its OPEN lines as it is logged.
     #[arg(long, value_name = "ID")]
     session: Option<u64>,
     #[arg(long)]
     json: bool,
 }
 
-/// Reads the logs and prints their account, or the attempts of one client.
+/// Reads the logs and prints the result, or the attempts of one client.
 ///
 /// # Errors
-/// Logs that can't be read or have no events, an unknown session, or too much that is unaccounted for; the
-/// result is printed before that.
+/// If logs can't be read or contain no events, if the session is unknown, or if too many attempts are
+/// unaccounted for. In the last case the result is printed first.
 pub fn run(plan: &Plan) -> Result<(), LogsError> {
     match plan.session {
         Some(id) => {
@@ -60,20 +60,20 @@
     }
 }
 
-/// Where the offered sessions of a day went, by the logs in a folder.
+/// Determines what happened to the offered sessions of a day, from the logs in a directory.
 ///
 /// # Errors
-/// Logs that can't be read or have no events.
+/// If logs can't be read or contain no events.
 pub fn read(folder: &Path) -> Result<Losses, LogsError> {
     let logs = Logs::find(folder)?;
     let mut accountant = Accountant::default();
     let read = logs.read(&mut accountant)?;
-    has_events(folder, &logs, &read)?;
+    check_has_events(folder, &logs, &read)?;
     let losses = accountant.account.finish(logs.day_end);
     Ok(Losses { read, ..losses })
 }
 
-fn has_events(folder: &Path, logs: &Logs, read: &Read) -> Result<(), LogsError> {
+fn check_has_events(folder: &Path, logs: &Logs, read: &Read) -> Result<(), LogsError> {
     if read.entries > 0 {
         return Ok(());
     }
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-/// Adds what the logs hold to the account.
+/// Adds the contents of the logs to the account.
 #[derive(Default)]
 struct Accountant {
     account: Account,
--- a/lab/src/losses/open.rs
+++ b/lab/src/losses/open.rs
@@ -1,73 +1,75 @@
-//! Which sessions are open at the end of each second, and how far their groups are scattered over backends.
+//! Tracks which sessions are open at the end of each second, and over how many backends their groups spread.
 use super::backends::Backends;
 use super::rows::Fleet;
 use hallrelay_balancer::types::Micros;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A placed session.
+/// A placed session with its start and end.
 #[derive(Clone, Copy, Debug)]
-pub struct Stay {
+pub struct PlacedSession {
     /// The second in which it was placed.
     pub from: u32,
-    /// The second in which it ended; none where it was open as the day ended.
+    /// The second in which it ended; `None` if it was open at the end of the day.
     pub to: Option<u32>,
-    /// Its group; 0 is none.
+    /// Its group; 0 if it has none.
     pub group: u64,
-    /// The number of its backend.
+    /// Number of its backend.
     pub backend: u32,
 }
 
-impl Stay {
+impl PlacedSession {
     fn pair(&self) -> Pair {
         Pair { group: self.group, backend: self.backend }
     }
 }
 
-/// A group with a backend that holds a session of it.
+/// A group and a backend with an open session of this group.
 #[derive(PartialEq, Eq, Hash)]
 struct Pair {
     group: u64,
     backend: u32,
 }
 
-/// Sessions that are open, second by second.
-pub struct Open {
-    /// Sorted by their beginning, the last first.
-    coming: Vec<Stay>,
-    /// Sorted by their end, the last first.
-    going: Vec<Stay>,
+/// The open sessions, advanced second by second.
+pub struct OpenSessions {
+    /// Sessions that have not started yet, in descending order of their start.
+    by_start: Vec<PlacedSession>,
+    /// Sessions that have not ended yet, in descending order of their end.
+    by_end: Vec<PlacedSession>,
+    /// Number of open sessions by backend.
     on_backend: HashMap<u32, u64>,
-    /// Sessions by pair of group and backend.
+    /// Number of open sessions by pair of group and backend.
     pairs: HashMap<Pair, u64>,
-    /// Pairs by group.
+    /// Number of pairs by group.
     groups: HashMap<u64, u64>,
-    /// Addresses by the numbers of backends, where they are known.
+    /// Addresses of the backends by their numbers, if known.
     addresses: Vec<Option<SocketAddr>>,
 }
 
-impl Open {
-    /// Nothing is open yet; `addresses` are those of the backends by their numbers.
-    pub fn new(stays: Vec<Stay>, addresses: Vec<Option<SocketAddr>>) -> Open {
-        let mut going: Vec<Stay> = stays.iter().copied().filter(|stay| stay.to.is_some()).collect();
-        going.sort_by_key(|stay| std::cmp::Reverse(stay.to));
-        let mut coming = stays;
-        coming.sort_by_key(|stay| std::cmp::Reverse(stay.from));
+impl OpenSessions {
+    /// Starts before the first second; `addresses` are those of the backends by their numbers.
+    pub fn new(placed_sessions: Vec<PlacedSession>, addresses: Vec<Option<SocketAddr>>) -> OpenSessions {
+        let mut by_end: Vec<PlacedSession> =
+            placed_sessions.iter().copied().filter(|session| session.to.is_some()).collect();
+        by_end.sort_by_key(|session| std::cmp::Reverse(session.to));
+        let mut by_start = placed_sessions;
+        by_start.sort_by_key(|session| std::cmp::Reverse(session.from));
         let (on_backend, pairs, groups) = Default::default();
-        Open { coming, going, on_backend, pairs, groups, addresses }
+        OpenSessions { by_start, by_end, on_backend, pairs, groups, addresses }
     }
 
-    /// Goes on to the end of a second; seconds come in order.
+    /// Advances to the end of a second. Must be called with ascending seconds.
     pub fn advance(&mut self, second: u32) {
-        while let Some(stay) = self.coming.pop_if(|stay| stay.from <= second) {
-            self.add(stay);
+        while let Some(session) = self.by_start.pop_if(|session| session.from <= second) {
+            self.add(session);
         }
-        while let Some(stay) = self.going.pop_if(|stay| stay.to <= Some(second)) {
-            self.remove(stay);
+        while let Some(session) = self.by_end.pop_if(|session| session.to <= Some(second)) {
+            self.remove(session);
         }
     }
 
-    /// The fleet as it stands, by the lists received up to a moment.
+    /// The current state of the fleet, by the lists received up to a moment.
     pub fn fleet(&self, at: Micros, backends: &Backends) -> Fleet {
         let started = backends.started(at);
         let address = |number: &u32| self.addresses.get(*number as usize).copied().flatten();
@@ -87,28 +89,28 @@
         }
     }
 
-    fn add(&mut self, stay: Stay) {
-        *self.on_backend.entry(stay.backend).or_default() += 1;
-        if stay.group == 0 {
+    fn add(&mut self, session: PlacedSession) {
+        *self.on_backend.entry(session.backend).or_default() += 1;
+        if session.group == 0 {
             return;
         }
-        let sessions = self.pairs.entry(stay.pair()).or_default();
+        let sessions = self.pairs.entry(session.pair()).or_default();
         *sessions += 1;
         if *sessions == 1 {
-            *self.groups.entry(stay.group).or_default() += 1;
+            *self.groups.entry(session.group).or_default() += 1;
         }
     }
 
-    fn remove(&mut self, stay: Stay) {
-        take_one(&mut self.on_backend, stay.backend);
-        if stay.group != 0 && take_one(&mut self.pairs, stay.pair()) {
-            take_one(&mut self.groups, stay.group);
+    fn remove(&mut self, session: PlacedSession) {
+        decrement(&mut self.on_backend, session.backend);
+        if session.group != 0 && decrement(&mut self.pairs, session.pair()) {
+            decrement(&mut self.groups, session.group);
         }
     }
 }
 
-/// Takes one from a count; true where it was the last.
-fn take_one<K: std::hash::Hash + Eq>(counts: &mut HashMap<K, u64>, key: K) -> bool {
+/// Decrements a count and removes it at 0. Returns whether it was removed.
+fn decrement<K: std::hash::Hash + Eq>(counts: &mut HashMap<K, u64>, key: K) -> bool {
     let Some(count) = counts.get_mut(&key) else { return false };
     *count -= 1;
     let is_last = *count == 0;
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -1,56 +1,56 @@
-//! One line of a relay's log, parsed into the entries that the accounting needs.
+//! Parses lines of a relay's log into the entries that the evaluation needs.
 use super::fields;
 use hallrelay_balancer::types::{DialEnd, LoadReport, Micros, Phase, SessionId};
 use hallrelay_config::list::{self, Instance, List};
 use std::net::SocketAddr;
 
-/// Seconds of the day beyond which a prefix is ignored: a week.
-const MOST_SECONDS: f64 = 7.0 * 86_400.0;
+/// A prefix of at least this many seconds, a week, is ignored.
+const MAX_PREFIX_S: f64 = 7.0 * 86_400.0;
 
-/// What a line of a log is.
+/// A classified line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
     /// A line of a relay's log.
     Logged {
-        /// When.
+        /// When it was logged.
         time: Time,
-        /// What.
+        /// Its contents.
         entry: Entry,
     },
-    /// A process of the relay starts: its configuration, as a test environment may write it into the log,
-    /// with the list in it where that can be read. Such a line has no time of the day.
+    /// A relay process starts. This line is its configuration, which a test environment may write into the
+    /// log, with the endpoint list in it if that can be read. Such a line has no time of day.
     Configured(Option<List>),
-    /// Begins as an entry that matters, and ends before it is whole.
+    /// A relevant entry that is truncated.
     Cut,
-    /// Not in the form of a relay's log.
+    /// The line does not have the format of a relay's log.
     Unknown,
 }
 
 /// When a line was logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Time {
-    /// The prefix that a test environment may write, in microseconds since the day began.
+    /// Microseconds since the day began, from the prefix that a test environment may write.
     pub prefix: Option<Micros>,
-    /// The relay's own clock, in microseconds since the year began.
+    /// The relay's own clock, in microseconds since the start of the year.
     pub clock: Micros,
 }
 
-/// A client's first line, as far as it is accounted for.
+/// The parts of a client's first line that the evaluation needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opening {
-    /// The id of this attempt, as in its `OPEN` line.
+    /// The id in the `OPEN` line of this attempt.
     pub id: u64,
-    /// The client's idempotency key, the same in all its attempts; 0 is none.
+    /// The client's idempotency key, which is the same in all its attempts; 0 if it has none.
     pub key: u64,
-    /// Sessions of one group share work on a backend; 0 is none.
+    /// Sessions of one group share work on a backend; 0 if it has no group.
     pub group: u64,
-    /// The client is back after an interruption or a move.
+    /// The client returned after an interruption or a migration.
     pub returned: bool,
-    /// The connection was open at a backend before this process of the relay started.
+    /// The connection was open at a backend before this relay process started.
     pub pre_existing: bool,
 }
 
-/// The entries of a log that matter to the accounting, each after the event or effect of its name.
+/// The relevant entries of a log. Most have the name of the event or effect that was logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// The process serves.
@@ -62,14 +62,14 @@
     },
     /// A client's first line was read.
     SessionRequested {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
         /// Its first line.
         opening: Opening,
     },
-    /// A session that the process before this one had open, at a backend of this name.
+    /// A session was adopted that the previous process had open at the backend of this name.
     SessionAdopted {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
         /// Its first line.
         opening: Opening,
@@ -78,70 +78,70 @@
     },
     /// The relay dials a backend.
     Dial {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
         /// Address of the backend.
         addr: SocketAddr,
     },
     /// A dial ended before its session was established.
     DialEnded {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
         /// Number of the dial, from 0.
         dial: u32,
         /// How it ended.
         end: DialEnd,
     },
-    /// The session is established: lines are proxied.
+    /// The session is established, and its lines are proxied.
     StartProxying {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// An open session ended at its backend.
     SessionEnded {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
         /// How it ended.
         end: DialEnd,
     },
     /// A client has closed its side.
     ClientHalfClosed {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// A client's connection has ended.
     ClientDisconnected {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
-    /// Another process has adopted the session.
+    /// Another process of the relay has adopted the session.
     SessionHandedOver {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// The relay answers `BUSY`.
     Reject {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// The relay answers `FAIL`.
     TearDown {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// The relay answers `ERR`.
     ReportProtocolError {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// The relay closes the connection without an answer.
     CloseClient {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// The relay answers `MOVE`.
     Migrate {
-        /// Number of the session in its process.
+        /// Number of the session within its process.
         session_id: SessionId,
     },
     /// The relay's lifecycle changes.
@@ -149,7 +149,7 @@
         /// Whether it migrates its open sessions from now on.
         migrates_sessions: bool,
     },
-    /// The process ends by itself.
+    /// The process exits.
     Exit,
     /// The relay checks the health of a backend.
     HealthCheck {
@@ -163,56 +163,56 @@
         /// The load report in its answer.
         report: LoadReport,
     },
-    /// An endpoint list, or its changes, received.
+    /// The relay received an endpoint list or changes to it.
     EndpointList(List),
-    /// So many lines of the log were dropped, since they were logged faster than they could be written.
+    /// Number of log lines that were dropped because they were logged faster than they could be written.
     Dropped(u64),
-    /// An event or effect that the accounting does not need.
+    /// An event or effect that the evaluation does not need.
     OtherEvent,
-    /// A line of the log that is no event or effect.
+    /// A line of the log that is neither an event nor an effect.
     Other,
 }
 
 impl Entry {
-    /// Whether it is an event or an effect, which are logged at `-vv` alone.
+    /// Whether this is an event or an effect; both are logged only at `-vv`.
     pub fn is_event_or_effect(&self) -> bool {
         !matches!(self, Entry::Serving | Entry::Dropped(_) | Entry::Other)
     }
 }
 
-/// When a line was logged; none for what is no line of a log.
+/// When a line was logged; `None` if it does not have the format of a relay's log.
 pub fn time(text: &str) -> Option<Time> {
-    head(text).map(|(time, _)| time)
+    split_header(text).map(|(time, _)| time)
 }
 
-/// Parses one line, without its end.
+/// Parses one line without its line ending.
 pub fn line(text: &str) -> Line {
     if let Some(list) = configuration(text) {
         return Line::Configured(list);
     }
-    let Some((time, message)) = head(text) else { return Line::Unknown };
+    let Some((time, message)) = split_header(text) else { return Line::Unknown };
     match entry(message) {
         Some(entry) => Line::Logged { time, entry },
         None => Line::Cut,
     }
 }
 
-/// A line `[SECONDS] {JSON} ..`; the list of backends known at the start, where it can be read.
+/// Parses a line `[SECONDS] {JSON} ..` and returns the list of initially known backends, if it can be read.
 fn configuration(text: &str) -> Option<Option<List>> {
     let (seconds, json) = text.strip_prefix('[')?.split_once("] ")?;
     seconds.parse::<f64>().ok()?;
-    json.starts_with('{').then(|| known(json))
+    json.starts_with('{').then(|| known_backends(json))
 }
 
-/// The list in a configuration. What a test environment writes behind the configuration is no part of it.
-fn known(json: &str) -> Option<List> {
+/// The list in a configuration. Text that a test environment writes after the JSON object is ignored.
+fn known_backends(json: &str) -> Option<List> {
     let mut values = serde_json::Deserializer::from_str(json).into_iter::<serde_json::Value>();
     let configuration = values.next()?.ok()?;
     list::parse(configuration.get("known")?.to_string().as_bytes()).ok()
 }
 
-/// The time of a line and what follows its level.
-fn head(text: &str) -> Option<(Time, &str)> {
+/// Splits a line into its time and the message after its log level.
+fn split_header(text: &str) -> Option<(Time, &str)> {
     let (first, rest) = text.split_once(' ')?;
     let prefix = seconds(first);
     let dated = if prefix.is_some() { rest } else { text };
@@ -229,10 +229,10 @@
 
 fn seconds(text: &str) -> Option<Micros> {
     let seconds: f64 = text.parse().ok()?;
-    (0.0..MOST_SECONDS).contains(&seconds).then(|| (seconds * 1e6).round() as Micros)
+    (0.0..MAX_PREFIX_S).contains(&seconds).then(|| (seconds * 1e6).round() as Micros)
 }
 
-/// Days since the year began, in a year without a 29th of February (logs have no year).
+/// Days since the start of the year. Logs have no year, so a year without February 29 is assumed.
 fn day_of_year(month: &str, day: &str) -> Option<Micros> {
     const MONTHS: [(&str, Micros); 12] = [
         ("Jan", 0),
@@ -253,18 +253,18 @@
     (1..=31).contains(&day).then(|| before + Micros::from(day) - 1)
 }
 
-/// `05:10:06.202` in microseconds.
+/// Converts a time such as `05:10:06.202` to microseconds.
 fn time_of_day(text: &str) -> Option<Micros> {
     let mut parts = text.split(':');
     let hours: u8 = parts.next()?.parse().ok()?;
     let minutes: u8 = parts.next()?.parse().ok()?;
     let seconds: f64 = parts.next()?.parse().ok()?;
     let fits = hours < 24 && minutes < 60 && (0.0..61.0).contains(&seconds) && parts.next().is_none();
-    let whole = Micros::from(hours) * 3600 + Micros::from(minutes) * 60;
-    fits.then(|| whole * 1_000_000 + (seconds * 1e6).round() as Micros)
+    let full_minutes_s = Micros::from(hours) * 3600 + Micros::from(minutes) * 60;
+    fits.then(|| full_minutes_s * 1_000_000 + (seconds * 1e6).round() as Micros)
 }
 
-/// What follows the level of a line; none where an entry that matters is not whole.
+/// Parses the message after the log level; `None` if a relevant entry is truncated.
 fn entry(message: &str) -> Option<Entry> {
     if let Some(what) = message.strip_prefix("event, what: ") {
         return event(what);
@@ -281,7 +281,7 @@
     Some(Entry::Other)
 }
 
-/// Names that events had in logs of earlier versions, and their names today.
+/// Names of events in logs of earlier versions, with their current names.
 const EARLIER_EVENTS: [(&str, &str); 10] = [
     ("Came", "ClientConnected"),
     ("Opened", "SessionRequested"),
@@ -295,7 +295,7 @@
     ("Written", "FirstLineForwarded"),
 ];
 
-/// The same of effects.
+/// Names of effects in logs of earlier versions, with their current names.
 const EARLIER_EFFECTS: [(&str, &str); 7] = [
     ("Pass", "StartProxying"),
     ("Refuse", "Reject"),
@@ -306,20 +306,20 @@
     ("Note", "Log"),
 ];
 
-/// The name of today for one that may be of an earlier version.
+/// The current name for a name that may be from an earlier version.
 fn current_name<'a>(earlier: &[(&'static str, &'static str)], name: &'a str) -> &'a str {
     earlier.iter().find(|pair| pair.0 == name).map_or(name, |pair| pair.1)
 }
 
 fn event(what: &str) -> Option<Entry> {
-    let name = current_name(&EARLIER_EVENTS, whole_name(what)?);
+    let name = current_name(&EARLIER_EVENTS, complete_name(what)?);
     let session_id = || id(what, "session_id", "sess");
     Some(match name {
         "ClientConnected" => Entry::ClientConnected { connection_id: id(what, "connection_id", "conn")? },
-        "SessionRequested" => Entry::SessionRequested { session_id: session_id()?, opening: opened(what)? },
+        "SessionRequested" => Entry::SessionRequested { session_id: session_id()?, opening: opening(what)? },
         "SessionAdopted" => Entry::SessionAdopted {
             session_id: session_id()?,
-            opening: adopted(what)?,
+            opening: adopted_opening(what)?,
             backend: fields::text(what, "server")?.to_string(),
         },
         "DialEnded" => Entry::DialEnded {
@@ -338,7 +338,7 @@
 }
 
 fn effect(what: &str) -> Option<Entry> {
-    let name = current_name(&EARLIER_EFFECTS, whole_name(what)?);
+    let name = current_name(&EARLIER_EFFECTS, complete_name(what)?);
     let session_id = || id(what, "session_id", "sess");
     Some(match name {
         "Dial" => Entry::Dial { session_id: session_id()?, addr: fields::parsed(what, "addr")? },
@@ -357,30 +357,33 @@
     })
 }
 
-/// The id of a session or connection, under its name of today or of earlier versions.
+/// The id of a session or connection, whose field may have the current name or that of earlier versions.
 fn id(what: &str, field: &str, earlier: &str) -> Option<SessionId> {
     fields::parsed(what, field).or_else(|| fields::parsed(what, earlier))
 }
 
-/// The name of an event or effect; none where its line was cut.
-fn whole_name(what: &str) -> Option<&str> {
-    /// Events and effects without a field.
-    const BARE: [&str; 7] = [
+/// The name of an event or effect; `None` if its line was truncated.
+fn complete_name(what: &str) -> Option<&str> {
+    /// Events and effects without fields.
+    const WITHOUT_FIELDS: [&str; 7] = [
         "FirstLineForwarded",
         "ConfigurationRejected",
         "StopRequested",
         "Exit",
-        // Of earlier versions.
+        // Names in earlier versions.
         "Written",
         "Unfit",
         "Stop",
     ];
     let (name, fields) = fields::name(what);
-    let is_complete = if fields.trim().is_empty() { BARE.contains(&name) } else { fields::is_whole(fields) };
+    let is_complete = match fields.trim().is_empty() {
+        true => WITHOUT_FIELDS.contains(&name),
+        false => fields::is_balanced(fields),
+    };
     is_complete.then_some(name)
 }
 
-fn opened(what: &str) -> Option<Opening> {
+fn opening(what: &str) -> Option<Opening> {
     let at = fields::after(what, "at")?;
     Some(Opening {
         id: fields::parsed(what, "id")?,
@@ -391,9 +394,9 @@
     })
 }
 
-fn adopted(what: &str) -> Option<Opening> {
+fn adopted_opening(what: &str) -> Option<Opening> {
     Some(Opening {
-        // Older logs name it `mark`.
+        // Earlier versions logged this field as `mark`.
         id: fields::parsed(what, "id").or_else(|| fields::parsed(what, "mark"))?,
         key: fields::parsed(what, "key")?,
         group: fields::parsed(what, "group")?,
@@ -410,7 +413,7 @@
         "Timeout" => DialEnd::Timeout,
         "Unconnected" => DialEnd::Unconnected,
         "Reset" => DialEnd::Reset,
-        // Older logs have the second name of each.
+        // Logs of earlier versions have the second of these names.
         "Cancelled" | "Recalled" => DialEnd::Cancelled,
         "NotSent" | "Moot" => DialEnd::NotSent,
         _ => return None,
@@ -421,14 +424,14 @@
     if fields::after(what, "report")?.starts_with("None") {
         return Some(LoadReport::default());
     }
-    // As relays log it, and as earlier ones did.
-    let of = |field, earlier| {
+    // A field has its current name or that of earlier versions.
+    let number = |field, earlier| {
         fields::optional_number(what, field).or_else(|| fields::optional_number(what, earlier))
     };
     Some(LoadReport {
         load: fields::optional_number(what, "load")?,
-        queue_delay: of("queue_delay", "piled")?,
-        sessions: of("sessions", "held")?,
+        queue_delay: number("queue_delay", "piled")?,
+        sessions: number("sessions", "held")?,
     })
 }
 
@@ -443,27 +446,27 @@
     })
 }
 
-fn instance(fields_of: &str) -> Option<Instance> {
-    // Fields are looked up behind a space, which the first one lost.
-    let of = format!(" {fields_of}");
+fn instance(text: &str) -> Option<Instance> {
+    // A field is found by the space before it, which was split off from the first field.
+    let fields = format!(" {text}");
     Some(Instance {
-        id: fields::text(&of, "id")?.to_string(),
-        addr: fields::parsed(&of, "addr")?,
-        zone: fields::text(&of, "zone")?.to_string(),
-        cell: fields::parsed(&of, "cell")?,
-        phase: match fields::word(&of, "phase")? {
+        id: fields::text(&fields, "id")?.to_string(),
+        addr: fields::parsed(&fields, "addr")?,
+        zone: fields::text(&fields, "zone")?.to_string(),
+        cell: fields::parsed(&fields, "cell")?,
+        phase: match fields::word(&fields, "phase")? {
             "Ready" => Phase::Ready,
             "Draining" => Phase::Draining,
             "Gone" => Phase::Gone,
             _ => return None,
         },
-        started_at: fields::parsed(&of, "started_at").or_else(|| fields::parsed(&of, "came_up"))?,
+        started_at: fields::parsed(&fields, "started_at").or_else(|| fields::parsed(&fields, "came_up"))?,
     })
 }
 
-/// A note of the form `from serving to stopping` is a change of lifecycle.
-fn lifecycle(note: &str) -> Entry {
-    match note.strip_prefix("from ").and_then(|rest| rest.split_once(" to ")) {
+/// Parses a message such as `from serving to stopping`, which reports a change of the lifecycle.
+fn lifecycle(message: &str) -> Entry {
+    match message.strip_prefix("from ").and_then(|rest| rest.split_once(" to ")) {
         Some((_, "draining" | "stopping" | "replaced")) => Entry::Lifecycle { migrates_sessions: true },
         Some((_, "serving")) => Entry::Lifecycle { migrates_sessions: false },
         _ => Entry::OtherEvent,
--- a/lab/src/losses/print.rs
+++ b/lab/src/losses/print.rs
@@ -1,9 +1,9 @@
-//! The result as text: two tables by seconds, the sums, and what is not accounted for.
+//! Formats the result as text: three tables by seconds, the sums, and the attempts that are unaccounted for.
 use super::rows::{Attempts, Ends, Losses, Second};
 use super::trace::{Traced, TracedDial};
 use std::fmt::Write;
 
-/// The whole accounting.
+/// The complete result.
 pub fn losses(losses: &Losses) -> String {
     let mut text = read(losses);
     attempts_table(losses, &mut text);
@@ -23,7 +23,7 @@
     )
 }
 
-/// Attempts by the second in which they were opened, whenever they were answered.
+/// Attempts by the second in which they were opened, regardless of when they were answered.
 fn attempts_table(losses: &Losses, text: &mut String) {
     *text += "\nattempts, by the second in which they were opened\n";
     *text += "   s opened   back  no dial  after dials   left  other  waiting  unknown  placed\n";
@@ -49,9 +49,9 @@
     row(text, "sum", &losses.sum.attempts);
 }
 
-/// Sessions by the second in which they were placed, and ended.
+/// Sessions by the second in which they were placed or ended.
 fn sessions_table(losses: &Losses, text: &mut String) {
-    *text += "\nsessions, by the second in which they came up and ended\n";
+    *text += "\nsessions, by the second in which they were established or ended\n";
     *text +=
         "   s     up  over  med ms worst ms | client   done  sent  reset  other  moved   stop  on  died  \
               unknown |  open\n";
@@ -85,7 +85,7 @@
     row(text, "sum", &losses.sum);
 }
 
-/// The fleet at the end of each second, and the health checks in it.
+/// The fleet at the end of each second, and the health checks that ended in that second.
 fn fleet_table(losses: &Losses, text: &mut String) {
     *text += "\nthe fleet at the end of each second\n";
     *text += "   s   open on started | ready draining started | groups  pairs pairs/group | probes failed  \
@@ -113,7 +113,7 @@
     }
 }
 
-/// The sums in words, each with its part of what it is a sum of.
+/// The sums with a description, each with its percentage of all attempts or sessions.
 fn sums(losses: &Losses, text: &mut String) {
     let sum = &losses.sum;
     let (attempts, fates, after) = (&sum.attempts, &sum.attempts.fates, &sum.attempts.after_dials);
@@ -121,26 +121,26 @@
     _ = writeln!(text, "\n{:48} {:7}  back {}", "opened", attempts.opened, attempts.returned);
     fate(text, "refused without any dial", fates.rejected_undialled);
     fate(text, "failed without any dial", fates.failed_undialled);
-    fate(text, "answered after dials", after.total());
+    fate(text, "refused or failed after dials", after.total());
     for (name, count) in [
-        ("the last ended by error", after.error),
-        ("the last found it full", after.full),
-        ("the last timed out", after.timeout),
-        ("the last did not connect", after.unconnected),
-        ("the last was reset", after.reset),
-        ("the last was recalled", after.recalled),
-        ("the last was moot", after.moot),
-        ("the last ended by BYE", after.ok),
-        ("the last was still out", after.in_flight),
+        ("error", after.error),
+        ("backend full", after.full),
+        ("timeout", after.timeout),
+        ("unconnected", after.unconnected),
+        ("reset", after.reset),
+        ("recalled (MOVE)", after.recalled),
+        ("moot (no longer needed)", after.moot),
+        ("BYE", after.ok),
+        ("still in flight", after.in_flight),
     ] {
-        fate(text, &format!("  {name}"), count);
+        fate(text, &format!("  last dial: {name}"), count);
     }
-    fate(text, "the client left first", fates.client_left);
-    fate(text, "served at once (BYE)", fates.served_at_once);
-    fate(text, "not of the protocol", fates.not_protocol);
+    fate(text, "the client left before an answer", fates.client_left);
+    fate(text, "served immediately (BYE)", fates.served_at_once);
+    fate(text, "protocol error (ERR)", fates.not_protocol);
     fate(text, "closed without an answer", fates.too_late);
-    fate(text, "the relay's process ended first", fates.relay_ended);
-    fate(text, "still waiting as the day ends", fates.still_waiting);
+    fate(text, "the relay process ended before an answer", fates.relay_ended);
+    fate(text, "still waiting at the end of the day", fates.still_waiting);
     fate(text, "unaccounted for", fates.unaccounted);
     fate(text, "placed", fates.placed);
     let d = &attempts.dial_ends;
@@ -159,19 +159,19 @@
     let (median, worst) = (integer(sum.wait.median_ms), integer(sum.wait.worst_ms));
     _ = writeln!(
         text,
-        "{:48} {:7}  median {median} ms, worst {worst} ms; {} more taken over",
-        "came up", sum.sessions.established, sum.sessions.adopted
+        "{:48} {:7}  median {median} ms, worst {worst} ms; {} more adopted from another process",
+        "established", sum.sessions.established, sum.sessions.adopted
     );
     for (name, count) in [
         ("ended by the client", sum.ends.client),
-        ("done (BYE)", sum.ends.complete),
-        ("sent away by the backend", sum.ends.migrated_by_backend),
+        ("complete (BYE)", sum.ends.complete),
+        ("migrated by the backend (MOVE)", sum.ends.migrated_by_backend),
         ("reset by the backend", sum.ends.reset),
         ("ended otherwise", sum.ends.other),
-        ("moved by the relay", sum.ends.migrated),
-        ("moved as the relay stopped", sum.ends.relay_stop),
-        ("passed on to another process", sum.ends.handed_over),
-        ("the relay's process died", sum.ends.relay_died),
+        ("migrated by the relay", sum.ends.migrated),
+        ("migrated because the relay stopped", sum.ends.relay_stop),
+        ("handed over to another process", sum.ends.handed_over),
+        ("the relay process died", sum.ends.relay_died),
         ("unaccounted for", sum.ends.unaccounted),
         ("still open", sum.fleet.open),
     ] {
@@ -184,7 +184,7 @@
     _ = writeln!(text, "  {name:46} {count:7} {part:6.1}%");
 }
 
-/// The last line.
+/// The last line of the output.
 fn unaccounted(losses: &Losses, text: &mut String) {
     let kinds: Vec<String> =
         losses.unaccounted.iter().map(|(gap, count)| format!("{}: {count}", gap.description())).collect();
@@ -193,7 +193,7 @@
     _ = writeln!(text, "unaccounted for: {} attempts, {part:.2}%{kinds}", losses.unaccounted_total());
 }
 
-/// One client's attempts.
+/// The attempts of one client.
 pub fn attempts(attempts: &[Traced]) -> String {
     let mut text = String::new();
     for one in attempts {
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -1,34 +1,34 @@
-//! Follows the sessions of one relay's log, through all processes of that relay.
+//! Follows the sessions in the log of one relay, through all processes of that relay.
 use super::attempt::{Attempt, Dial, End, Fate, Gap, LastDial, Moment, Origin};
 use super::parse::{Entry, Opening};
 use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
 use std::collections::{BTreeMap, HashSet};
 
-/// Where the last line of a log is older than this at the end of the day, it is unknown what became of that
-/// which was undecided: relays log a timer or a health check each second or two.
+/// Relays log a timer or a health check every second or two. If the last line of a log is older than this at
+/// the end of the day, the log is incomplete and the outcome of pending attempts is unknown.
 const MAX_SILENCE: Micros = 5_000_000;
 
 /// The sessions of one relay.
 pub struct RelayLog {
     name: String,
-    /// Attempts that are undecided, and sessions that are open.
+    /// Pending attempts and open sessions.
     active: BTreeMap<SessionId, Attempt>,
-    /// Sessions that are over, and whose connections are not: what is still logged of them counts no more.
+    /// Sessions that have ended but whose connections are still open. Their further log entries are ignored.
     closing: HashSet<SessionId>,
-    /// The relay migrates its open sessions: it drains, stops or is replaced.
+    /// The relay migrates its open sessions because it drains, stops or is replaced.
     migrates_sessions: bool,
-    /// The highest number of a connection in this process; a lower one is of the next process.
+    /// Highest connection number of this process. A lower one belongs to the next process.
     newest_connection_id: SessionId,
     last: Moment,
-    /// How many processes the log has shown.
+    /// Number of processes found in the log.
     pub processes: u64,
     running: bool,
-    /// Attempts whose end is known, and that were not taken yet.
+    /// Attempts whose end is known and that were not returned by `take_done` yet.
     done: Vec<Attempt>,
 }
 
 impl RelayLog {
-    /// A relay whose log is read next.
+    /// A relay whose log has not been read yet.
     pub fn new(name: &str) -> RelayLog {
         RelayLog {
             name: name.to_string(),
@@ -43,14 +43,14 @@
         }
     }
 
-    /// A process starts: what its predecessor had left undecided ended with that.
+    /// A process starts. Pending attempts and open sessions of its predecessor ended with the predecessor.
     pub fn process_started(&mut self) {
         self.process_ended();
         self.closing.clear();
         (self.migrates_sessions, self.newest_connection_id) = (false, 0);
     }
 
-    /// The next entry of the log.
+    /// Handles the next entry of the log.
     pub fn entry(&mut self, at: Moment, entry: &Entry) {
         if let Entry::Serving = entry {
             self.process_started();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The log is over; `day_end` is the last moment in any log.
+    /// Handles the end of the log; `day_end` is the latest moment in any log.
     pub fn finish(&mut self, day_end: Micros) {
         let is_complete = self.last.day + MAX_SILENCE >= day_end;
         let (fate, end) = match is_complete {
@@ -106,7 +106,7 @@
         self.end_all(&fate, end);
     }
 
-    /// Takes the attempts whose end is known by now.
+    /// Returns and removes the attempts whose end is known.
     pub fn take_done(&mut self) -> impl Iterator<Item = Attempt> + '_ {
         self.done.drain(..)
     }
@@ -131,7 +131,7 @@
         let Some(attempt) = self.active.get_mut(&session_id).filter(|one| one.placed.is_none()) else {
             return;
         };
-        // The end of an earlier dial.
+        // This is the end of an earlier dial.
         if attempt.dials.len() != number as usize + 1 {
             return;
         }
@@ -165,7 +165,7 @@
     }
 
     fn protocol_violated(&mut self, at: Moment, session_id: SessionId) {
-        // Connections that never became a session are answered so as well.
+        // Connections that never became a session get this answer too.
         self.end(at, session_id, Fate::NotProtocol, End::Other);
     }
 
@@ -174,7 +174,7 @@
         self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
     }
 
-    /// A final answer of the relay's own; what it is called depends on the dials before it.
+    /// The relay sent a final answer of its own. The fate also depends on the last dial before it.
     fn answered(&mut self, at: Moment, session_id: SessionId, fate: fn(LastDial) -> Fate) {
         self.require_opening(at, session_id);
         let Some(attempt) = self.active.get(&session_id) else { return };
@@ -187,7 +187,7 @@
         self.closing.clear();
     }
 
-    /// What is undecided or open as a process ends, ends with it.
+    /// The process ended, and with it all pending attempts and open sessions.
     fn process_ended(&mut self) {
         let end = if self.migrates_sessions { End::RelayStop } else { End::RelayDied };
         self.end_all(&Fate::RelayEnded, end);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Where this is the first entry of an attempt, its opening is not in the log.
+    /// If this is the first entry of an attempt, its opening is not in the log: counts it as unaccounted for.
     fn require_opening(&mut self, at: Moment, session_id: SessionId) {
         if self.active.contains_key(&session_id) || !self.closing.insert(session_id) {
             return;
@@ -212,7 +212,7 @@
         self.finish_attempt(attempt, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
     }
 
-    /// The attempt is over: by `fate` where it was not placed, else by `end`.
+    /// Ends the attempt: with `end` if it was placed, otherwise with `fate`.
     fn end(&mut self, at: Moment, session_id: SessionId, fate: Fate, end: End) {
         let Some(attempt) = self.active.remove(&session_id) else { return };
         self.closing.insert(session_id);
--- a/lab/src/losses/rows.rs
+++ b/lab/src/losses/rows.rs
@@ -1,10 +1,10 @@
-//! The result: what is counted in each second and in sum, as it is printed and written as JSON.
+//! The result: the counts for each second and their sum, as printed and written as JSON.
 use super::attempt::{End, Fate, Gap, LastDial};
 use hallrelay_balancer::types::DialEnd;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A struct of counts that can be added to another one of its kind.
+/// Defines a struct of counts that can be added to another one of the same type.
 macro_rules! counts {
     ($(#[$about:meta])* $name:ident { $($(#[$field_about:meta])* $field:ident,)* }) => {
         $(#[$about])*
@@ -12,12 +12,12 @@
         pub struct $name { $($(#[$field_about])* pub $field: u64,)* }
 
         impl $name {
-            /// Adds the counts of another one.
+            /// Adds the counts of `other`.
             pub fn add(&mut self, other: &$name) {
                 $(self.$field += other.$field;)*
             }
 
-            /// All of them together.
+            /// Sum of all counts.
             pub fn total(&self) -> u64 {
                 0 $(+ self.$field)*
             }
@@ -25,17 +25,17 @@
     };
 }
 
-/// Defines what depends on the ends of a dial, from one list of them with their outer names: the counts of
-/// each, and the names themselves.
+/// Generates everything that lists all ends of a dial, from one list with their names in JSON: the structs
+/// with a count for each end, and the names themselves.
 macro_rules! dial_ends {
     ($($(#[$about:meta])* $end:ident => $field:ident,)*) => {
         counts! {
-            /// Dials by how they ended.
+            /// Number of dials by end.
             DialEnds { $($(#[$about])* $field,)* }
         }
 
         counts! {
-            /// Attempts that the relay answered after at least one dial, by the state of the last of them.
+            /// Attempts that the relay answered after at least one dial, by the state of the last dial.
             AfterDials {
                 $($(#[$about])* $field,)*
                 /// The dial was in flight.
@@ -45,20 +45,20 @@
         }
 
         impl DialEnds {
-            /// The count of an end.
+            /// The count for an end.
             pub fn of(&mut self, end: DialEnd) -> &mut u64 {
                 match end { $(DialEnd::$end => &mut self.$field,)* }
             }
         }
 
         impl AfterDials {
-            /// The count of an end.
+            /// The count for an end.
             pub fn of(&mut self, end: DialEnd) -> &mut u64 {
                 match end { $(DialEnd::$end => &mut self.$field,)* }
             }
         }
 
-        /// The outer name of an end: the key of its count in JSON.
+        /// The name of an end in JSON, where it is the key of its count.
         pub fn dial_end_name(end: DialEnd) -> &'static str {
             match end { $(DialEnd::$end => stringify!($field),)* }
         }
@@ -72,47 +72,47 @@
     Error => error,
     /// The backend sent `BUSY`.
     Full => full,
-    /// No answer in time.
+    /// The backend did not answer in time.
     Timeout => timeout,
-    /// No connection.
+    /// The backend could not be connected to.
     Unconnected => unconnected,
     /// The connection was reset.
     Reset => reset,
     /// The backend sent `MOVE`.
     Cancelled => recalled,
-    /// The relay needed it no more.
+    /// The relay no longer needed the dial.
     NotSent => moot,
 }
 
 counts! {
-    /// Attempts that clients opened, by what became of them.
+    /// Attempts of clients by outcome.
     Fates {
         /// Established on a backend.
         placed,
-        /// Answered `BYE` at once by the backend.
+        /// Answered `BYE` immediately by the backend.
         served_at_once,
         /// Answered `BUSY` without any dial.
         #[serde(rename = "refused_undialled")]
         rejected_undialled,
         /// Answered `FAIL` without any dial.
         failed_undialled,
-        /// Answered `ERR`: not of the protocol, an unknown listener, the id of an open session.
+        /// Answered `ERR`: protocol violation, unknown listener, or the id of an open session.
         not_protocol,
-        /// The client left before any answer.
+        /// The client disconnected before it was answered.
         client_left,
         /// Closed without an answer, long after the client's deadline.
         too_late,
-        /// The relay's process ended first.
+        /// The relay process ended before the attempt was answered.
         relay_ended,
-        /// Undecided as the day ended.
+        /// Not answered yet at the end of the day.
         still_waiting,
-        /// Not known.
+        /// Outcome unknown.
         unaccounted,
     }
 }
 
 counts! {
-    /// Sessions that began in this second.
+    /// Sessions that started in this second.
     Sessions {
         /// Placed on a backend for a client.
         #[serde(rename = "came_up")]
@@ -136,7 +136,7 @@
         migrated_by_backend,
         /// The backend reset the connection.
         reset,
-        /// A silent backend, or a line that was not of the protocol.
+        /// The backend became silent, or a line violated the protocol.
         #[serde(rename = "otherwise")]
         other,
         /// The relay migrated it.
@@ -147,33 +147,33 @@
         /// Another process of the relay adopted it.
         #[serde(rename = "passed_on")]
         handed_over,
-        /// The relay's process ended without a request to stop.
+        /// The relay process ended without a request to stop.
         relay_died,
-        /// Not known.
+        /// Unknown.
         unaccounted,
     }
 }
 
-/// Attempts that were opened in a second, whenever they were answered. `opened` is the sum of all fates and
-/// of all `after_dials`.
+/// Attempts opened in a second, regardless of when they were answered. `opened` is the sum of all `fates` and
+/// all `after_dials`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Attempts {
     /// First lines of clients.
     pub opened: u64,
-    /// Clients that are back after an interruption or a move.
+    /// Clients that returned after an interruption or a migration.
     pub returned: u64,
-    /// By what became of them, but for those in `after_dials`.
+    /// Attempts by outcome, except those in `after_dials`.
     pub fates: Fates,
-    /// Rejected or failed after dials.
+    /// Attempts that were rejected or failed after dials.
     pub after_dials: AfterDials,
-    /// All dials for them.
+    /// All dials for these attempts.
     pub dials: u64,
     /// Those dials that ended without an established session.
     pub dial_ends: DialEnds,
 }
 
 impl Attempts {
-    /// Counts what became of an attempt.
+    /// Counts the outcome of an attempt.
     pub fn count(&mut self, fate: &Fate) {
         let fates = &mut self.fates;
         let count = match fate {
@@ -209,7 +209,7 @@
 }
 
 impl Ends {
-    /// Counts an end; what is open as the day ends has none.
+    /// Counts an end. Sessions that are open at the end of the day have none.
     pub fn count(&mut self, end: End) {
         let count = match end {
             End::Client => &mut self.client,
@@ -228,28 +228,28 @@
     }
 }
 
-/// Time from a client's first line to the established session, of sessions placed in a second; none without
-/// such a session.
+/// Time from the client's first line until the session was established, for sessions placed in a second;
+/// `None` if there were none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Wait {
     /// Median, in milliseconds.
     pub median_ms: Option<u32>,
-    /// The longest, in milliseconds.
+    /// Maximum, in milliseconds.
     pub worst_ms: Option<u32>,
 }
 
-/// Answers to health checks in a second, with the load reports in them.
+/// Results of health checks in a second, with the load reports in their answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Probes {
     /// Checks that were answered.
     pub answered: u64,
     /// Checks that failed.
     pub failed: u64,
-    /// Median of the load over the backend's capacity.
+    /// Median of the reported load, as a fraction of the backend's capacity.
     pub load_median: Option<f64>,
-    /// Its 90th percentile.
+    /// 90th percentile of the reported load.
     pub load_p90: Option<f64>,
-    /// Part of the answers with a queue delay beyond 0.1 s, of those that report one.
+    /// Fraction of the reported queue delays that exceed 0.1 s.
     #[serde(rename = "piled_part")]
     pub queued_part: Option<f64>,
 }
@@ -259,80 +259,80 @@
 pub struct Fleet {
     /// Open sessions.
     pub open: u64,
-    /// Those on backends that started during the day.
+    /// Open sessions on backends that started during the day.
     pub open_on_started: u64,
     /// Backends in service.
     pub ready: u64,
-    /// Backends that drain.
+    /// Backends that are draining.
     pub draining: u64,
-    /// Backends of both kinds that started during the day.
+    /// Ready or draining backends that started during the day.
     pub started: u64,
     /// Groups with an open session.
     pub groups: u64,
-    /// Distinct pairs of a group and a backend with at least one open session of it.
+    /// Distinct pairs of a group and a backend with at least one open session of the group.
     pub pairs: u64,
-    /// Backends a group, in the mean.
+    /// Mean number of backends per group.
     pub pairs_per_group: Option<f64>,
 }
 
-/// One second of the day, or the sum of all.
+/// One second of the day, or the sum of all seconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Which second, from 0; in the sum the last one.
+    /// Index of the second, starting at 0; in the sum, the index of the last second.
     pub second: u32,
-    /// Attempts opened in it.
+    /// Attempts opened in this second.
     pub attempts: Attempts,
-    /// Sessions placed in it.
+    /// Sessions placed in this second.
     pub sessions: Sessions,
-    /// How long these had waited.
+    /// Time that these sessions waited to be established.
     pub wait: Wait,
-    /// Sessions that ended in it.
+    /// Sessions that ended in this second.
     pub ends: Ends,
-    /// Health checks that ended in it.
+    /// Health checks that ended in this second.
     pub probes: Probes,
-    /// At the end of the second; in the sum, at the end of the day.
+    /// State at the end of the second; in the sum, at the end of the day.
     pub fleet: Fleet,
 }
 
-/// What of the logs was read.
+/// Statistics about the logs that were read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Read {
     /// Relays with an event or effect in their log.
     pub relays: u64,
-    /// Processes of these relays, over the day.
+    /// Processes of these relays during the day.
     pub processes: u64,
     /// Lines of all logs.
     pub lines: u64,
-    /// Events and effects among them.
+    /// Lines with an event or effect.
     pub entries: u64,
-    /// Lines that are not of a relay's log, or are longer than any of it; skipped.
+    /// Skipped lines that do not have the format of a relay's log, or are too long for it.
     pub unknown: u64,
-    /// Lines that end in the middle; skipped.
+    /// Skipped lines that are truncated.
     pub cut: u64,
-    /// Lines that relays dropped, by their own count.
+    /// Lines that relays dropped, as reported by the relays.
     pub dropped: u64,
 }
 
-/// Where a day's offered sessions went.
+/// What happened to the offered sessions of a day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Losses {
-    /// What of the logs was read.
+    /// Statistics about the logs that were read.
     pub read: Read,
-    /// Each second of the day.
+    /// The seconds of the day.
     pub seconds: Vec<Second>,
-    /// All of them together.
+    /// The sum of all seconds.
     pub sum: Second,
-    /// Attempts of which it is not known what became, by reason.
+    /// Number of attempts with an unknown outcome, by reason.
     pub unaccounted: BTreeMap<Gap, u64>,
 }
 
 impl Losses {
-    /// Attempts that are unaccounted for.
+    /// Number of attempts that are unaccounted for.
     pub fn unaccounted_total(&self) -> u64 {
         self.unaccounted.values().sum()
     }
 
-    /// Attempts that are unaccounted for, as a part of all (0 to 1).
+    /// Fraction of all attempts (0 to 1) that are unaccounted for.
     pub fn unaccounted_part(&self) -> f64 {
         let unopened = self.unaccounted.get(&Gap::NeverOpened).copied().unwrap_or(0);
         let all = self.sum.attempts.opened + unopened;
--- a/lab/src/losses/trace.rs
+++ b/lab/src/losses/trace.rs
@@ -1,4 +1,4 @@
-//! One client's attempts at all relays, in the order in which it made them.
+//! All attempts of one client at all relays, in chronological order.
 use super::attempt::{Attempt, End, Fate, Origin};
 use super::error::LogsError;
 use super::logs::{Logs, Reader};
@@ -6,68 +6,68 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// One attempt, as it is printed.
+/// One attempt in the output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Traced {
-    /// Its id, as in its `OPEN` line.
+    /// The id in its `OPEN` line.
     pub id: u64,
-    /// The client's idempotency key, the same in all its attempts.
+    /// The client's idempotency key, which is the same in all its attempts.
     pub key: u64,
-    /// Sessions of one group share work on a backend; 0 is none.
+    /// Sessions of one group share work on a backend; 0 if it has no group.
     pub group: u64,
-    /// The relay, by the name of its log.
+    /// Name of the relay, taken from the file name of its log.
     pub relay: String,
-    /// Seconds of the day.
+    /// Time of the opening, in seconds of the day.
     pub opened: f64,
-    /// The client is back after an interruption or a move.
+    /// The client returned after an interruption or a migration.
     pub returned: bool,
-    /// It was adopted from another process of the relay, which had it open.
+    /// The session was adopted from another process of the relay, which had it open.
     #[serde(rename = "taken_over")]
     pub adopted: bool,
-    /// Its dials, in their order.
+    /// Its dials in chronological order.
     pub dials: Vec<TracedDial>,
-    /// Seconds of the day at which it was placed.
+    /// Time of the placement, in seconds of the day.
     pub placed: Option<f64>,
-    /// Seconds of the day at which it was answered, or at which the session ended.
+    /// Time of the final answer or of the end of the session, in seconds of the day.
     #[serde(rename = "over")]
     pub ended_at: f64,
-    /// What became of it, in words.
+    /// Description of its outcome.
     pub end: String,
 }
 
-/// One dial, as it is printed.
+/// One dial in the output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TracedDial {
-    /// Seconds of the day.
+    /// Time of the dial, in seconds of the day.
     pub at: f64,
     /// Address of the backend.
     pub backend: String,
-    /// How it ended; none where the session was established, or the dial was in flight.
+    /// How it ended; `None` if the session was established or the dial was in flight.
     pub end: Option<String>,
 }
 
-/// All attempts of the client that made the attempt of this id.
+/// Finds all attempts of the client that made the attempt with this id.
 pub fn follow(folder: &Path, id: u64) -> Result<Vec<Traced>, LogsError> {
     let logs = Logs::find(folder)?;
-    let mut search = Search { id, key: None };
-    let read = logs.read(&mut search)?;
-    super::has_events(folder, &logs, &read)?;
-    let Some(key) = search.key else {
+    let mut find_key = FindKey { id, key: None };
+    let read = logs.read(&mut find_key)?;
+    super::check_has_events(folder, &logs, &read)?;
+    let Some(key) = find_key.key else {
         return Err(LogsError::UnknownSession { folder: folder.to_path_buf(), id });
     };
-    let mut collect = Collect { id, key, found: Vec::new() };
+    let mut collect = CollectAttempts { id, key, found: Vec::new() };
     logs.read(&mut collect)?;
     collect.found.sort_by(|a, b| a.opened.total_cmp(&b.opened));
     Ok(collect.found)
 }
 
-/// The first pass: the key of the client.
-struct Search {
+/// First pass: finds the key of the client.
+struct FindKey {
     id: u64,
     key: Option<u64>,
 }
 
-impl Reader for Search {
+impl Reader for FindKey {
     fn attempt(&mut self, attempt: Attempt) {
         if attempt.opening.id == self.id && attempt.origin != Origin::Missing {
             self.key = Some(attempt.opening.key);
@@ -75,18 +75,18 @@
     }
 }
 
-/// The second pass: all attempts with this key; a key of 0 is none.
-struct Collect {
+/// Second pass: collects all attempts with this key, or only the one with this id if the key is 0 (none).
+struct CollectAttempts {
     id: u64,
     key: u64,
     found: Vec<Traced>,
 }
 
-impl Reader for Collect {
+impl Reader for CollectAttempts {
     fn attempt(&mut self, attempt: Attempt) {
         let opening = &attempt.opening;
-        let is_theirs = opening.id == self.id || (self.key != 0 && opening.key == self.key);
-        if is_theirs && attempt.origin != Origin::Missing {
+        let is_same_client = opening.id == self.id || (self.key != 0 && opening.key == self.key);
+        if is_same_client && attempt.origin != Origin::Missing {
             self.found.push(traced(&attempt));
         }
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,11 +7,11 @@
 use commands::Status;
 use std::process::ExitCode;
 
-/// A rule is broken or a relay crashed.
+/// A rule was broken or a relay crashed.
 const EXIT_BROKEN: u8 = 1;
 /// The command could not be carried out.
 const EXIT_ERROR: u8 = 2;
-/// Somebody interrupted.
+/// The user interrupted the command.
 const EXIT_INTERRUPTED: u8 = 130;
 
 fn main() -> ExitCode {
--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -1,6 +1,6 @@
-//! `hallrelay-lab members`: membership alone, in virtual time, without the relays around it. It measures how
-//! soon deaths are detected, how many live members are declared dead, and the cost; with all-to-all
-//! heartbeats as the baseline.
+//! `hallrelay-lab members`: simulates only the membership protocol, without the rest of the relays, in
+//! virtual time. It measures how soon deaths are detected, how many live members are declared dead, and the
+//! cost, and can use all-to-all heartbeats as the baseline.
 mod simulation;
 
 use crate::error::LabError;
@@ -14,33 +14,33 @@
 /// Options of the command.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Plan {
-    /// Numbers of relays, with commas between.
+    /// Numbers of relays, separated by commas.
     #[arg(long, default_value = "3,30,300", value_delimiter = ',')]
     pub counts: Vec<usize>,
-    /// Fractions of datagrams lost, with commas between.
+    /// Fractions of datagrams lost, separated by commas.
     #[arg(long, default_value = "0,0.05,0.2", value_delimiter = ',')]
     pub loss: Vec<f64>,
-    /// Seconds of each day; relays meet in the first 20 of them.
+    /// Length of each day in seconds, of which the first 20 are a warm-up.
     #[arg(long, default_value_t = 300)]
     pub seconds: u64,
-    /// Days of other seeds, on all cores.
+    /// Number of days with different seeds, simulated on all cores.
     #[arg(long, default_value_t = 4)]
     pub rounds: u64,
     /// Seed of the first day.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// A relay dies each so many seconds, and is back after half of that; 0 is never.
+    /// Seconds between deaths of a relay, which restarts after half of that; 0 for no deaths.
     #[arg(long, default_value_t = 30)]
     pub deaths: u64,
-    /// A relay stalls each so many seconds, for a third of that; 0 is never.
+    /// Seconds between stalls of a relay, which last a third of that; 0 for no stalls.
     #[arg(long, default_value_t = 0)]
     pub stalls: u64,
-    /// All-to-all heartbeats in place of membership.
+    /// Simulate all-to-all heartbeats instead of membership.
     #[arg(long = "beats")]
     pub heartbeats: bool,
 }
 
-/// Results for one number of relays and one loss. Keys of its JSON are fixed.
+/// Results for one number of relays and one loss rate. The keys of its JSON are fixed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     /// `members` or `beats`.
@@ -51,37 +51,37 @@
     pub relays: usize,
     /// Fraction of datagrams lost.
     pub loss: f64,
-    /// Days simulated.
+    /// Number of days simulated.
     pub days: u64,
-    /// Hours that were counted, over all days.
+    /// Hours measured, summed over all days.
     pub hours: f64,
-    /// From a death until each other relay detected it.
+    /// Times from a death until another relay detected it, for each other relay.
     #[serde(rename = "known")]
     pub detection: DetectionTimes,
-    /// From a death until all relays had detected it.
+    /// Times from a death until all other relays had detected it.
     #[serde(rename = "known_to_all")]
     pub detection_by_all: DetectionTimes,
-    /// Deaths that some relay did not detect before the dead one was back.
+    /// Deaths that at least one relay did not detect before the dead relay restarted.
     #[serde(rename = "missed")]
     pub undetected: usize,
-    /// Declarations of death of a relay that ran.
+    /// Declarations of death of a running relay.
     #[serde(rename = "falsely_gone")]
     pub falsely_dead: u64,
     /// Suspicions started.
     #[serde(rename = "accused")]
     pub suspicions: u64,
-    /// Datagrams a relay and second.
+    /// Datagrams sent per relay and second.
     pub datagrams: f64,
-    /// Bytes a relay and second.
+    /// Bytes sent per relay and second.
     pub bytes: f64,
-    /// Microseconds of CPU a relay and second, the simulation's own included.
+    /// Microseconds of CPU time per relay and second, including that of the simulation itself.
     pub cpu_us: f64,
 }
 
-/// Runs all days of a plan.
+/// Simulates all days of a plan.
 ///
 /// # Errors
-/// Where an option is out of its bounds.
+/// If an option is out of bounds.
 pub fn run(plan: &Plan) -> Result<Vec<Row>, LabError> {
     if plan.counts.iter().any(|n| *n == 0 || *n > 1_000) {
         return Err(LabError::RelayCounts);
@@ -122,7 +122,7 @@
     }
 }
 
-/// Simulates the days of all seeds, on all cores.
+/// Simulates the days with all seeds, on all cores.
 fn simulate_all(plan: &Plan, relays: usize, loss: f64) -> Counts {
     let next_round = AtomicUsize::new(0);
     let total = Mutex::new(Counts::default());
@@ -135,7 +135,7 @@
                     return;
                 }
                 let counts = Simulation::new(plan, relays, loss, plan.seed + round).run();
-                // No thread panics while it holds the lock.
+                // The lock is never poisoned, because no thread panics while it holds the lock.
                 let Ok(mut total) = total.lock() else { return };
                 total.add(counts);
             });
@@ -144,10 +144,10 @@
     total.into_inner().unwrap_or_default()
 }
 
-/// The rows as a table.
+/// Formats the rows as a table.
 pub fn text(rows: &[Row]) -> String {
     let mut table = String::from(
-        "virtual  relays  loss   hours  known s (p95, last)  to all (p95, last)  missed  false  accused  \
+        "virtual  relays  loss   hours   detected s (p95, max)  by all (p95, max)  missed  false  suspect  \
          datagrams/s  bytes/s  CPU us/s\n",
     );
     let times = |t: &DetectionTimes| format!("{:.2} ({:.2}, {:.2})", t.median, t.p95, t.last);
--- a/lab/src/members/simulation.rs
+++ b/lab/src/members/simulation.rs
@@ -1,5 +1,5 @@
-//! One day of membership or heartbeats alone, by its seed: deaths, stalls, datagrams and streams in virtual
-//! time.
+//! Simulates one day of membership or heartbeats from a seed, with deaths, stalls, datagrams and streams in
+//! virtual time.
 use super::Plan;
 use hallrelay_balancer::types::Micros;
 use hallrelay_emulator::clients::mix;
@@ -15,27 +15,27 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Latency from one relay to another, on a closed network.
+/// One-way latency between relays in the same network.
 const LATENCY: Micros = 500;
 const FLEET: &str = "members";
-/// Relays meet within this time; nothing is counted before.
+/// Time at the beginning of the day in which relays find each other and nothing is counted.
 pub(super) const WARM_UP: Micros = 20_000_000;
-/// Start of a day, in Unix time.
+/// Unix time at which a day begins.
 const BEGIN: Micros = 1_800_000_000_000_000;
-/// All relays start within this.
+/// Time at the beginning of the day within which all relays start.
 const START_WITHIN: Micros = 100_000;
-/// The first stall comes this long after the warm-up.
+/// Time from the end of the warm-up to the first stall.
 const FIRST_STALL: Micros = 1_000_000;
-/// A relay that stalled or was down may be declared dead for so long after it is back.
-const EXCUSED_FOR: Micros = 10_000_000;
-/// Configured addresses of each relay, as operators give; its own among them.
+/// Time after a restart or a stall in which a declaration of death is not counted as false.
+const GRACE_PERIOD: Micros = 10_000_000;
+/// Number of peer addresses in a relay's configuration, which may include its own.
 const PEERS: usize = 3;
-/// Bytes of a heartbeat: a name, a start and a lifecycle state.
+/// Size of a heartbeat with a name, a start time and a lifecycle state.
 const HEARTBEAT_BYTES: usize = 40;
-/// Random stream of the days.
+/// Stream number of the random generator.
 const RANDOM_STREAM: u64 = 7;
 
-/// Sums of one day, or of several.
+/// Sums over one or several days.
 #[derive(Default)]
 pub(super) struct Counts {
     pub(super) detection_times: Vec<Micros>,
@@ -81,7 +81,7 @@
 }
 
 enum Event {
-    /// A timer of the process with this number.
+    /// A timer of the process with this number expires.
     Timer {
         relay: usize,
         process: u32,
@@ -96,43 +96,43 @@
         to: usize,
         bytes: Vec<u8>,
     },
-    /// Some relay dies.
+    /// A random relay dies.
     Death,
     Start {
         relay: usize,
     },
-    /// Some relay stalls.
+    /// A random relay stalls.
     Stall,
-    Wake {
+    Resume {
         relay: usize,
     },
 }
 
 impl Event {
-    /// The relay whose process it comes to; none for what is done to processes.
+    /// The relay whose process handles the event; `None` for events that act on processes.
     fn receiver(&self) -> Option<usize> {
         match self {
             Event::Timer { relay, .. } => Some(*relay),
             Event::Datagram(arrival) => Some(arrival.to),
             Event::StreamRequest { to, .. } | Event::StreamResponse { to, .. } => Some(*to),
-            Event::Death | Event::Start { .. } | Event::Stall | Event::Wake { .. } => None,
+            Event::Death | Event::Start { .. } | Event::Stall | Event::Resume { .. } => None,
         }
     }
 }
 
 #[derive(Default)]
 struct SimulatedMember {
-    /// None while it is down.
+    /// `None` while the relay is down.
     protocol: Option<Protocol>,
-    /// Counts its processes.
+    /// Number of the current process, incremented at each start and death.
     process: u32,
-    /// While it stalls: what arrived meanwhile.
+    /// While the relay is stalled: the events that have arrived for it.
     stalled: Option<Vec<Event>>,
-    /// When it last went down or up, or woke.
+    /// Time of the last death, start or end of a stall.
     disturbed_at: Micros,
 }
 
-/// The last death, and who has not detected it yet.
+/// The last death, and the relays that have not detected it yet.
 struct Death {
     at: Micros,
     relay: usize,
@@ -197,7 +197,7 @@
                 self.handle(event);
             }
         }
-        // The queue's time is in it: an upper bound of what relays need.
+        // An upper bound for the relays' CPU time, because it includes the time of the event queue.
         self.counts.cpu_s = started.elapsed().as_secs_f64();
         self.counts
     }
@@ -241,18 +241,18 @@
             Event::Death => self.kill_one(),
             Event::Start { relay } => self.start(relay),
             Event::Stall => self.stall_one(),
-            Event::Wake { relay } => self.wake(relay),
+            Event::Resume { relay } => self.resume(relay),
         }
     }
 
-    /// Relays that run and do not stall.
+    /// Relays that are running and not stalled.
     fn running(&self) -> Vec<usize> {
         let is_running =
             |relay: &usize| self.relays[*relay].protocol.is_some() && self.relays[*relay].stalled.is_none();
         (0..self.relays.len()).filter(is_running).collect()
     }
 
-    /// Ends the wait for detections of the last death.
+    /// Stops waiting for detections of the last death.
     fn close_death(&mut self) {
         if self.death.take().is_some_and(|death| death.waiting_count > 0) {
             self.counts.undetected += 1;
@@ -261,7 +261,7 @@
 
     fn kill_one(&mut self) {
         let interval = self.plan.deaths * 1_000_000;
-        // At another moment of the relays' periods each time.
+        // The random offset makes deaths fall on different phases of the relays' periods.
         let next = self.now + interval + self.random.between([0, HEARTBEAT_INTERVAL]);
         self.queue.schedule(next, Event::Death);
         let running = self.running();
@@ -292,10 +292,10 @@
         if let Some(death) = &mut self.death {
             death.stop_waiting_for(relay);
         }
-        self.queue.schedule(self.now + interval / 3, Event::Wake { relay });
+        self.queue.schedule(self.now + interval / 3, Event::Resume { relay });
     }
 
-    fn wake(&mut self, relay: usize) {
+    fn resume(&mut self, relay: usize) {
         self.relays[relay].disturbed_at = self.now;
         for event in self.relays[relay].stalled.take().into_iter().flatten() {
             self.queue.schedule(self.now, event);
@@ -408,7 +408,7 @@
             }
             Effect::OpenStream { to, bytes } => {
                 self.count_bytes(bytes.len());
-                // There and back to connect, and there with the frame.
+                // A round trip to connect, and one way for the frame.
                 let at = self.now + 3 * LATENCY;
                 self.queue.schedule(at, Event::StreamRequest { from: relay, to: relay_at(to), bytes });
             }
@@ -426,18 +426,18 @@
             | Effect::ReplyOnStream { bytes: None, .. }
             | Effect::SetListening { .. }
             | Effect::Log { .. } => {}
-            // Membership has no user here.
+            // There is no user of membership in this simulation.
             Effect::EndpointListRequested { .. }
             | Effect::EndpointListReceived { .. }
             | Effect::UserMessageReceived { .. } => {}
         }
     }
 
-    /// A relay declared another dead.
+    /// A relay declared another one dead.
     fn declared_dead(&mut self, observer: usize, subject: usize) {
         let relay = &self.relays[subject];
         let is_running = relay.protocol.is_some() && relay.stalled.is_none();
-        if is_running && self.now > relay.disturbed_at + EXCUSED_FOR {
+        if is_running && self.now > relay.disturbed_at + GRACE_PERIOD {
             self.counts.falsely_dead += 1;
         }
         let death = self.death.as_mut();
--- a/lab/src/relay_process.rs
+++ b/lab/src/relay_process.rs
@@ -1,5 +1,5 @@
-//! Processes of relays: started with a configuration of their own, observed, signalled, killed. None outlives
-//! the laboratory.
+//! Starts, observes, signals and kills relay processes, each with its own configuration. No relay process
+//! outlives the laboratory.
 use crate::error::LabError;
 use hallrelay_emulator::service::RelayFigures;
 use std::fs::OpenOptions;
@@ -8,12 +8,12 @@
 use std::process::{ExitStatus, Stdio};
 use tokio::process::{Child, Command};
 
-/// Which build of the relay is started.
+/// The build of the relay to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Program {
-    /// The one that this laboratory was built with, as a process of its own.
+    /// The relay that is built into this program, started as a separate process.
     Own,
-    /// The program of another build.
+    /// The program file of another build.
     At(PathBuf),
 }
 
@@ -31,23 +31,23 @@
     }
 }
 
-/// Settings of a relay that are read from the environment; a relay of the laboratory gets none of them.
+/// Environment variables with settings of a relay. They are removed for relays of the laboratory.
 const SETTINGS_IN_ENVIRONMENT: [&str; 5] =
     ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_OPERATOR"];
 
-/// A relay's process; it is killed as this value is dropped.
+/// A relay process. Dropping this value kills the process.
 pub struct Process {
     child: Child,
-    /// Its number in the system.
+    /// The process ID.
     pub pid: u32,
 }
 
 impl Process {
-    /// Starts a relay with a configuration file. It logs to the end of `log`; processes of one relay that are
-    /// to find each other, for a hot restart, share `hot_restart_folder`.
+    /// Starts a relay with a configuration file. Its log is appended to `log`. Processes of one relay that
+    /// must find each other for a hot restart share `hot_restart_folder`.
     ///
     /// # Errors
-    /// Where the log can't be opened or the program can't be started.
+    /// If the log can't be opened or the program can't be started.
     pub fn start(
         program: &Program,
         config: &Path,
@@ -65,9 +65,9 @@
             None => command.env_remove("TMPDIR"),
         };
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log_file).kill_on_drop(true);
-        // An interrupt from the keyboard is for the laboratory, which ends them itself.
+        // Keeps Ctrl-C away from the relays; the laboratory handles it and ends them itself.
         command.process_group(0);
-        // SAFETY: prctl is safe to call between fork and exec; it only sets what happens as the parent ends.
+        // SAFETY: prctl is safe to call between fork and exec; it only sets the signal for the parent's end.
         unsafe {
             command.pre_exec(|| match libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) {
                 0 => Ok(()),
@@ -79,30 +79,30 @@
         Ok(Process { child, pid })
     }
 
-    /// Sends it a signal, such as `SIGTERM`.
+    /// Sends a signal to the process, such as `SIGTERM`.
     pub fn signal(&self, signal: i32) {
         // SAFETY: the process is our own child, and is not reaped as long as this value lives.
         unsafe { libc::kill(self.pid as i32, signal) };
     }
 
-    /// How it ended; none while it runs.
+    /// Exit status of the process; `None` while it runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub async fn kill(&mut self) {
         _ = self.child.kill().await;
     }
 
-    /// Its CPU seconds, peak of resident memory and descriptors now, as the system counts them; none where
-    /// they can't be read, as after its end.
+    /// CPU seconds, peak resident memory and current number of descriptors, as reported in `/proc`; `None` if
+    /// they can't be read, for example because the process has ended.
     pub fn usage(&self) -> Option<RelayFigures> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid)).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        // Fields 14 and 15 of the whole line, user and system time, in ticks.
+        // Fields 14 and 15 of the line are user and system time in ticks.
         let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-        // SAFETY: sysconf reads a constant.
+        // SAFETY: sysconf only reads a constant.
         let per_second = unsafe { libc::sysconf(libc::_SC_CLK_TCK) }.max(1) as f64;
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid)).ok()?;
         let resident = status.lines().find(|l| l.starts_with("VmHWM:"))?.split_whitespace().nth(1)?;
@@ -116,7 +116,7 @@
     }
 }
 
-/// How a process ended: `exit 1`, `signal 9`.
+/// Describes how a process ended: `exit 1`, `signal 9`.
 pub fn describe_exit(status: ExitStatus) -> String {
     match (status.code(), status.signal()) {
         (Some(code), _) => format!("exit {code}"),
@@ -125,7 +125,7 @@
     }
 }
 
-/// The last five lines of a log; empty where it can't be read.
+/// The last five lines of a log; empty if it can't be read.
 pub fn log_tail(log: &Path) -> String {
     const LINES: usize = 5;
     let text = std::fs::read_to_string(log).unwrap_or_default();
--- a/lab/src/report/html.rs
+++ b/lab/src/report/html.rs
@@ -1,6 +1,6 @@
 //! HTML for report pages.
 
-/// Text with the characters escaped that have a meaning in HTML.
+/// Escapes characters that have a meaning in HTML.
 pub(super) fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
--- a/lab/src/report/membership.rs
+++ b/lab/src/report/membership.rs
@@ -1,23 +1,23 @@
-//! What the membership audit found, as some lines of text and as a part of the report page: a lane for each
-//! relay.
+//! Results of the membership audit: as lines of text, and as a section of the report page with a lane for
+//! each relay.
 use super::html::escape;
 use hallrelay_emulator::membership_audit::{DetectionTimes, LaneEntry, MembershipOutcome};
 use hallrelay_emulator::node::name;
 use hallrelay_emulator::service::Outcome;
 use std::fmt::Write;
 
-/// Findings that the text names.
+/// Maximum number of findings in the text.
 const NAMED_FINDINGS: usize = 3;
 /// Height of a lane in pixels.
 const LANE_HEIGHT: usize = 18;
-/// Where the lanes start, behind the relays' names.
+/// Left edge of the lanes in pixels, after the names of the relays.
 const LANES_LEFT: f64 = 80.0;
-/// Width of a lane.
+/// Width of a lane in pixels.
 const LANE_WIDTH: f64 = 900.0;
-/// Words of lanes that the legend has.
+/// States of lanes that are shown in the legend.
 const LEGEND: [&str; 5] = ["whole", "parts missing", "cut off", "stalled", "down"];
 
-/// Appends the lines of text.
+/// Appends the results as lines of text.
 pub(super) fn text(membership: &MembershipOutcome, out: &mut String) {
     detection_text("deaths", &membership.deaths, out);
     detection_text("returns", &membership.returns, out);
@@ -27,14 +27,14 @@
         "datagrams between relays: {sent} sent, {arrived} arrived, {lost} lost, {damaged} damaged"
     );
     if membership.finding_count == 0 {
-        _ = writeln!(out, "beliefs: nothing that was never true, nobody falsely gone, all known in time");
+        _ = writeln!(out, "membership views: no false state, no false death, all changes detected in time");
         return;
     }
-    _ = writeln!(out, "beliefs: WRONG {} times", membership.finding_count);
+    _ = writeln!(out, "membership views: WRONG {} times", membership.finding_count);
     for finding in membership.findings.iter().take(NAMED_FINDINGS) {
         _ = writeln!(
             out,
-            "  {} at {:.1} s: {} of {}: {}",
+            "  {} at {:.1} s: {} about {}: {}",
             finding.violation.as_str(),
             finding.at,
             name(finding.observer),
@@ -49,12 +49,12 @@
         let DetectionTimes { count, median, p95, last } = times;
         _ = writeln!(
             out,
-            "{what} known to others after {median:.2} s (95 in 100 {p95:.2}, the last {last:.2}; {count})"
+            "{what} detected by others after {median:.2} s (p95 {p95:.2}, max {last:.2}; {count} detections)"
         );
     }
 }
 
-/// Colour of a lane's word.
+/// Colour of a state in the lanes.
 fn colour(word: &str) -> &'static str {
     match word {
         "whole" => "#7fbf7f",
@@ -66,9 +66,9 @@
     }
 }
 
-/// The part of the report page.
+/// The section of the report page.
 pub(super) fn page(outcome: &Outcome, membership: &MembershipOutcome) -> String {
-    let mut page = String::from("<h2>What each relay believed</h2><p>");
+    let mut page = String::from("<h2>Membership view of each relay</h2><p>");
     for word in LEGEND {
         _ = write!(page, "<span style=\"background:{};padding:0 .6em\">{word}</span> ", colour(word));
     }
@@ -77,16 +77,16 @@
     if !membership.findings.is_empty() {
         page += &findings(membership);
     }
-    page += "<details><summary>Who believed what of whom</summary><pre>";
+    page += "<details><summary>All changes of membership views</summary><pre>";
     for change in &membership.view_changes {
         let subject = escape(&change.subject);
         let state = escape(&change.state);
-        _ = writeln!(page, "{:8.2} s  {} of {subject}: {state}", change.at, name(change.observer));
+        _ = writeln!(page, "{:8.2} s  {} about {subject}: {state}", change.at, name(change.observer));
     }
     page + "</pre></details>"
 }
 
-/// Horizontal place of a second of the day.
+/// Horizontal position of a second of the day, in pixels.
 fn x_of(outcome: &Outcome, at: f64) -> f64 {
     LANES_LEFT + LANE_WIDTH * (at / outcome.length_s.max(0.1)).clamp(0.0, 1.0)
 }
@@ -134,13 +134,13 @@
 }
 
 fn findings(membership: &MembershipOutcome) -> String {
-    let mut html = String::from("<h2 class=\"bad\">Beliefs that were wrong</h2><pre>");
+    let mut html = String::from("<h2 class=\"bad\">Wrong membership views</h2><pre>");
     for finding in &membership.findings {
         let observer = name(finding.observer);
         let subject = escape(&finding.subject);
         let details = escape(&finding.details);
         let violation = finding.violation.as_str();
-        _ = writeln!(html, "{:8.2} s  {violation}: {observer} of {subject}: {details}", finding.at);
+        _ = writeln!(html, "{:8.2} s  {violation}: {observer} about {subject}: {details}", finding.at);
     }
     html + "</pre>"
 }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a day: some lines of text, and a self-contained HTML page.
+//! The report of a day: a summary as text, and a self-contained HTML page.
 mod html;
 mod membership;
 mod page;
@@ -9,8 +9,8 @@
 pub use page::page;
 pub use text::text;
 
-/// How the day was played.
-fn played(outcome: &Outcome) -> &'static str {
+/// Describes how the day was played.
+fn mode_description(outcome: &Outcome) -> &'static str {
     if outcome.mode == "virtual" {
         "in virtual time (emulated)"
     } else {
--- a/lab/src/report/page.rs
+++ b/lab/src/report/page.rs
@@ -1,22 +1,22 @@
 //! The report of a day as an HTML page.
 use super::html::escape;
 use super::plot::{plot, Series};
-use super::{membership, played, text};
+use super::{membership, mode_description, text};
 use crate::error::LabError;
 use hallrelay_emulator::service::{Outcome, Sample};
 use std::fmt::Write;
 
-/// Most servers that get a line each in the plot of loads; of more, quantiles are drawn.
+/// Maximum number of servers that get a line each in the plot of loads. For more, quantiles are drawn.
 const MAX_SERVER_LINES: usize = 16;
 
-/// Names of the quantiles of server loads.
+/// Quantiles of server loads that are drawn, with their names.
 const LOAD_QUANTILES: [(&str, f64); 5] =
-    [("least", 0.0), ("lower tenth", 0.1), ("middle", 0.5), ("upper tenth", 0.9), ("most", 1.0)];
+    [("minimum", 0.0), ("p10", 0.1), ("median", 0.5), ("p90", 0.9), ("maximum", 1.0)];
 
-/// One self-contained page.
+/// Generates the self-contained page.
 ///
 /// # Errors
-/// Where a plot can't be drawn.
+/// If a plot can't be drawn.
 pub fn page(outcome: &Outcome) -> Result<String, LabError> {
     let mut page = head(outcome);
     page += &plots(outcome)?;
@@ -27,7 +27,7 @@
     if !outcome.breaches.is_empty() {
         page += &breaches(outcome);
     }
-    page += "<h2>What happened</h2><pre>";
+    page += "<h2>Events</h2><pre>";
     for entry in &outcome.log {
         _ = writeln!(page, "{:8.2} s  {}", entry.at, escape(&entry.text));
     }
@@ -43,9 +43,9 @@
         pre{{background:#f4f4f4;padding:1em;overflow:auto}}table{{border-collapse:collapse}}\
         td,th{{padding:2px 10px;text-align:right;border-bottom:1px solid #ddd}}\
         .bad{{color:#b00020}}svg{{max-width:100%;height:auto}}</style></head><body>\
-        <h1>{name}</h1><p>{played}, seed {seed}: <b{class}>{verdict}</b></p><pre>{text}</pre>",
+        <h1>{name}</h1><p>{mode}, seed {seed}: <b{class}>{verdict}</b></p><pre>{text}</pre>",
         name = escape(&outcome.name),
-        played = played(outcome),
+        mode = mode_description(outcome),
         seed = outcome.seed,
         class = if has_no_breach { "" } else { " class=\"bad\"" },
         verdict = if has_no_breach { "all four rules kept" } else { "RULES BROKEN" },
@@ -53,7 +53,7 @@
     )
 }
 
-/// One value of each sample as a line of a plot.
+/// The line of a plot with one value of each sample.
 fn series(outcome: &Outcome, name: &str, value: &dyn Fn(&Sample) -> f64) -> Series {
     Series {
         name: name.to_string(),
@@ -67,16 +67,16 @@
     let states = [
         line("wanted", &|s| f64::from(s.wanted)),
         line("open", &|s| f64::from(s.open)),
-        line("asking", &|s| f64::from(s.requesting)),
-        line("away", &|s| f64::from(s.waiting)),
+        line("requesting", &|s| f64::from(s.requesting)),
+        line("waiting to retry", &|s| f64::from(s.waiting)),
     ];
     let moves = [line("moves", &|s| s.moves as f64), line("breaks", &|s| s.breaks as f64)];
     let plots = [
-        plot(outcome, "Service", "part of the utility asked for", &service)?,
+        plot(outcome, "Service", "fraction of the requested utility", &service)?,
         plot(outcome, "Sessions by state", "clients", &states)?,
-        plot(outcome, "Load by server", "load asked over what it can do", &server_loads(outcome))?,
-        plot(outcome, "Refusals and failures, summed up", "tries", &failures(outcome))?,
-        plot(outcome, "Moves and breaks, summed up", "sessions", &moves)?,
+        plot(outcome, "Load by server", "offered load / capacity", &server_loads(outcome))?,
+        plot(outcome, "Refusals and failures, cumulative", "attempts", &failures(outcome))?,
+        plot(outcome, "Moves and breaks, cumulative", "sessions", &moves)?,
     ];
     Ok(plots.concat())
 }
@@ -113,11 +113,11 @@
     lines
 }
 
-/// The table of times from first lines to `UP`.
+/// The table of times from the first line to `UP`.
 fn waits(outcome: &Outcome) -> String {
     let mut table = String::from(
-        "<h2>From the first line to UP</h2><table><tr><th>listener</th><th>p50 ms</th><th>p99 ms</th>\
-        <th>p99.9 ms</th><th>most ms</th><th>in handshake target</th></tr>",
+        "<h2>Time from the first line to UP</h2><table><tr><th>listener</th><th>p50 ms</th>\
+        <th>p99 ms</th><th>p99.9 ms</th><th>max ms</th><th>within handshake target</th></tr>",
     );
     for listener in &outcome.listeners {
         let in_target = if listener.established > 0 {
--- a/lab/src/report/plot.rs
+++ b/lab/src/report/plot.rs
@@ -7,20 +7,20 @@
 
 /// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (1000, 300);
-/// A fault is drawn as this part of the day at least, `1 / n`, so that one of a moment still shows.
+/// A fault is drawn with at least `1 / BANDS_PER_DAY` of the width, so that a momentary one is visible.
 const BANDS_PER_DAY: f64 = 300.0;
 
 /// One line of a plot.
 pub(super) struct Series {
     pub(super) name: String,
-    /// Second of the day, and value.
+    /// Pairs of the second of the day and the value.
     pub(super) points: Vec<(f64, f64)>,
 }
 
 type DrawError = DrawingAreaErrorKind<std::io::Error>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// Lines over the time of the day, with the faults as bands behind them.
+/// Draws lines over the time of the day, with the faults as bands in the background.
 pub(super) fn plot(outcome: &Outcome, title: &str, unit: &str, lines: &[Series]) -> Result<String, LabError> {
     draw(outcome, title, unit, lines)
         .map_err(|source| LabError::Plot { title: title.to_string(), source: Box::new(source) })
--- a/lab/src/report/text.rs
+++ b/lab/src/report/text.rs
@@ -1,12 +1,12 @@
 //! The report of a day as text.
-use super::{membership, played};
+use super::{membership, mode_description};
 use hallrelay_emulator::service::{ListenerFigures, Outcome};
 use std::fmt::Write;
 
-/// Breaches that the text names; the page has all.
+/// Maximum number of breaches in the text; the page has all of them.
 const NAMED_BREACHES: usize = 3;
 
-/// Ten lines or so: what happened, and whether the rules held.
+/// Formats the summary of a day and whether any rule was broken, in about ten lines.
 pub fn text(outcome: &Outcome) -> String {
     let mut out = String::new();
     service(outcome, &mut out);
@@ -16,7 +16,7 @@
     if outcome.stale_dials > 0 {
         _ = writeln!(
             out,
-            "{} dials to servers that the relay had been told to leave before it restarted",
+            "{} dials to servers whose drain the relay knew of before it restarted",
             outcome.stale_dials
         );
     }
@@ -28,7 +28,7 @@
     if malformed_clients.connected > 0 {
         _ = writeln!(
             out,
-            "bad clients: {} came, {} answered, {} left waiting",
+            "bad clients: {} connected, {} answered, {} not answered",
             malformed_clients.connected, malformed_clients.answered, malformed_clients.unanswered
         );
     }
@@ -46,7 +46,7 @@
         "{}: {:.1} s {}, seed {}{partial}",
         outcome.name,
         outcome.length_s,
-        played(outcome),
+        mode_description(outcome),
         outcome.seed
     );
     _ = writeln!(
@@ -60,8 +60,8 @@
     let sum = |count: fn(&ListenerFigures) -> u64| outcome.listeners.iter().map(count).sum::<u64>();
     _ = writeln!(
         out,
-        "sessions: {} asked for ({} tries), {} up, {} refused, {} torn down, {} given up by clients; \
-         {} open at most",
+        "sessions: {} requested ({} attempts), {} established, {} refused, {} failed or closed, \
+         {} abandoned by clients; at most {} open",
         sum(|listener| listener.first_attempts),
         sum(|listener| listener.attempts),
         sum(|listener| listener.established),
@@ -74,8 +74,8 @@
         let [p50, p99, p999, longest] = listener.wait_ms;
         _ = writeln!(
             out,
-            "{}: service {:.3}, up in {p50:.1} ms (p99 {p99:.1}, p99.9 {p999:.1}, \
-             most {longest:.0}), {} refused",
+            "{}: service {:.3}, median {p50:.1} ms to UP (p99 {p99:.1}, p99.9 {p999:.1}, \
+             max {longest:.0}), {} refused",
             listener.name, listener.service, listener.rejected
         );
     }
@@ -84,7 +84,7 @@
 fn backends(outcome: &Outcome, out: &mut String) {
     _ = writeln!(
         out,
-        "{} moves, {} breaks, {} dials, {} probes, {} cold servers fell over",
+        "{} moves, {} breaks, {} dials, {} probes, {} overloads of cold servers",
         outcome.moves, outcome.breaks, outcome.dials, outcome.probes, outcome.overloads
     );
 }
@@ -93,8 +93,8 @@
     let Some(drains) = &outcome.outs else { return };
     _ = writeln!(
         out,
-        "relays let out {} of {} wanted (told to wait {} times), {} at a time at most, {} with the dead; \
-         over what may: {}; {:.0} s in all",
+        "drains of relays: {} granted of {} requested ({} times deferred), at most {} at the same time, \
+         at most {} relays unavailable; {} beyond the limit; {:.0} s in total",
         drains.granted,
         drains.requested,
         drains.deferred,
@@ -110,7 +110,7 @@
     let bands: Vec<String> =
         bands.map(|band| format!("{} {:.0} to {:.0} s", band.kind, band.from, band.to)).collect();
     let bands = if bands.is_empty() { "none".to_string() } else { bands.join(", ") };
-    _ = writeln!(out, "troubles: {bands}");
+    _ = writeln!(out, "faults: {bands}");
 }
 
 fn relays(outcome: &Outcome, out: &mut String) {
@@ -120,7 +120,7 @@
     let crashed = if crashed > 0 { format!("; {crashed} CRASHED") } else { String::new() };
     _ = writeln!(
         out,
-        "relays: {}{crashed}; the emulator ran {:.0} ms late at most",
+        "relays: {}{crashed}; maximum delay of the emulator {:.0} ms",
         usage.join("; "),
         outcome.max_delay_ms
     );
--- a/lab/src/scenario_keys.rs
+++ b/lab/src/scenario_keys.rs
@@ -1,34 +1,34 @@
-//! Sets single keys in the text of a scenario, such as `load.rate` or `trouble[0].share`.
+//! Sets individual keys in the text of a scenario, such as `load.rate` or `trouble[0].share`.
 use toml::{Table, Value};
 
-/// Why a key can't be set.
+/// The reason why a key can't be set.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// A part of the key is not in the scenario, and can't be added.
-    #[error("{key}: there is no {step} in the scenario")]
+    /// A part of the key does not exist in the scenario and can't be added.
+    #[error("{key}: the scenario has no {step}")]
     MissingStep {
         /// The key.
         key: String,
-        /// Its part between dots.
+        /// The part of the key, between two dots, that does not exist.
         step: String,
     },
     /// An index between brackets is not a number.
-    #[error("{key}: {index} is no number")]
+    #[error("{key}: expected a number in brackets, got {index}")]
     InvalidIndex {
         /// The key.
         key: String,
-        /// What is behind the opening bracket.
+        /// The text after the opening bracket.
         index: String,
     },
-    /// A text is not TOML.
+    /// A text is not valid TOML.
     #[error("{}", .0.message())]
     Parse(#[source] toml::de::Error),
-    /// The changed scenario can't be written.
+    /// The changed scenario can't be serialized.
     #[error(transparent)]
     Write(toml::ser::Error),
 }
 
-/// One part of a key, between dots: `name` or `name[index]`.
+/// One part of a key, separated by dots: `name` or `name[index]`.
 struct Step<'a> {
     name: &'a str,
     index: Option<usize>,
@@ -43,11 +43,11 @@
     }
 }
 
-/// The value at a key such as `trouble[0].share` of a table. Missing tables and values are added; missing
-/// entries of lists are not.
+/// Finds the value at a key such as `trouble[0].share` in a table. Missing tables and values are added,
+/// missing list entries are not.
 ///
 /// # Errors
-/// Where the key is not of that form, or leads through something that is no table or list.
+/// If the key is malformed, or if it leads through a value that is neither a table nor a list.
 fn entry<'a>(table: &'a mut Table, key: &str) -> Result<&'a mut Value, KeyError> {
     let missing = |step: &str| KeyError::MissingStep { key: key.to_string(), step: step.to_string() };
     let (mut here, mut top): (Option<&'a mut Value>, _) = (None, Some(table));
@@ -67,20 +67,20 @@
     here.ok_or_else(|| missing(key))
 }
 
-/// A scenario's text with one key set to a value.
+/// Returns the text of a scenario with one key set to a value.
 ///
 /// # Errors
-/// Where the text is not TOML, or as [`entry`].
+/// If the text is not valid TOML, and for the reasons given at [`entry`].
 pub fn set(text: &str, key: &str, value: &Value) -> Result<String, KeyError> {
     let mut table: Table = toml::from_str(text).map_err(KeyError::Parse)?;
     *entry(&mut table, key)? = value.clone();
     toml::to_string(&table).map_err(KeyError::Write)
 }
 
-/// Parses one TOML value, or several with commas between.
+/// Parses one TOML value, or several separated by commas.
 ///
 /// # Errors
-/// Where the text is not that.
+/// If the text is not valid TOML.
 pub fn values(text: &str) -> Result<Vec<Value>, KeyError> {
     let table: Table = toml::from_str(&format!("values = [{text}]")).map_err(KeyError::Parse)?;
     Ok(table["values"].as_array().cloned().unwrap_or_default())
--- a/lab/src/sockets/descriptors.rs
+++ b/lab/src/sockets/descriptors.rs
@@ -1,11 +1,11 @@
-//! Whether this process may open as many descriptors as a day needs.
+//! Checks and raises the limit of file descriptors for a day.
 use crate::error::LabError;
 use hallrelay_config::scenario::Scenario;
 
-/// Margin for sessions that come and go, and for clients that return all at once.
+/// Factor for sessions that open while others close, and for clients that all return at the same time.
 const SESSION_MARGIN: f64 = 1.34;
 
-/// Descriptors that the laboratory needs for a day: two a session, those that listen, and some more.
+/// File descriptors that the laboratory needs for a day: two per session, listening sockets, and a reserve.
 pub fn descriptors_needed(scenario: &Scenario) -> u64 {
     let sessions = (scenario.most_open() * 2.0 * SESSION_MARGIN) as u64;
     let listeners = (scenario.relays.count * scenario.server_count()) as u64;
@@ -13,13 +13,14 @@
     sessions + listeners + 10 * scenario.relays.count as u64 + bad_clients + 64
 }
 
-/// Raises the soft limit of open files, as far as the system allows without privileges.
+/// Raises the soft limit of open files to `needed`, if the hard limit allows it.
 ///
 /// # Errors
-/// Where it stays below `needed`. A limit that can't be read is no error: an open that fails reports it.
+/// If the limit stays below `needed`. It is not an error if the limit can't be read: opening a file then
+/// fails when the limit is reached.
 pub fn raise_descriptor_limit(scenario: &Scenario, needed: u64) -> Result<(), LabError> {
     let mut limit = libc::rlimit { rlim_cur: 0, rlim_max: 0 };
-    // SAFETY: both calls get a plain struct that outlives them.
+    // SAFETY: the pointers are to a plain struct that outlives the calls.
     unsafe {
         if libc::getrlimit(libc::RLIMIT_NOFILE, &raw mut limit) != 0 {
             return Ok(());
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -1,5 +1,5 @@
-//! A day on sockets: processes of relays, and the emulated clients, servers and discovery service around them
-//! on loopback addresses.
+//! Plays a day on sockets: relay processes, with emulated clients, servers and discovery service on loopback
+//! addresses.
 mod descriptors;
 mod relays;
 
@@ -19,44 +19,44 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A relay that does not answer `PING` so long after its start is given up.
+/// A relay must answer `PING` within this time after its start, otherwise the command fails.
 pub const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Most relays on sockets: each has addresses of its own towards each server, 127.16 to 127.79.
+/// Maximum number of relays on sockets. Each uses its own addresses for the servers, in 127.16 to 127.79.
 const MAX_RELAYS: usize = 64;
 
-/// Interval at which ends of processes are noticed and views are polled.
+/// Interval at which relay processes are checked for their end and views are polled.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// CPU and memory of relays are read at every so many checks.
+/// Number of checks per reading of the relays' CPU time and memory.
 const CHECKS_PER_USAGE: u64 = 5;
 
-/// How a day on sockets is played.
+/// Options of a day on sockets.
 pub struct Options<'a> {
-    /// Which build of the relay.
+    /// The build of the relay.
     pub program: Program,
-    /// Folder for configurations, logs and stores of the relays.
+    /// Directory for configurations, logs and stores of the relays.
     pub out: &'a Path,
-    /// Called with the part of the day that is done, from 0 to 1.
+    /// Called with the completed fraction of the day, from 0 to 1.
     pub progress: &'a dyn Fn(f64),
 }
 
-/// A day as it is played.
+/// A day while it is played.
 struct SocketDay<'a> {
     scenario: &'a Scenario,
     seed: u64,
     host: Shared,
-    /// Addresses for the emulated links, where relays know each other.
+    /// Addresses for the emulated links, if the relays form a fleet.
     addresses: Option<RelayAddresses>,
     relays: Vec<ManagedRelay>,
     options: &'a Options<'a>,
 }
 
 /// Plays a day until its end, or until `interrupted` completes; the outcome is then marked as partial. All
-/// that it started has ended when this returns, or is dropped.
+/// relay processes have ended when this returns or is dropped.
 ///
 /// # Errors
-/// Where the day can't be played on sockets, ports or descriptors are missing, or a relay does not start.
+/// If the day can't be played on sockets, if ports or descriptors are missing, or if a relay does not start.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
@@ -73,7 +73,7 @@
         endpoint_addresses(relay_count, scenario.server_count()).map_err(LabError::emulator)?;
     let relay_addresses = relay_addresses(scenario)?;
     let clock = Clock::anchored();
-    // Relays start and standing sessions come up before the day begins.
+    // Before the day begins, relays start and standing sessions are established.
     let preparation = 1_000_000 + scenario.load.standing as u64 * 500;
     let day = Day::new(scenario, seed, clock.now() + preparation);
     let host = Host::new(day, clock, server_addresses, relay_addresses);
@@ -96,7 +96,7 @@
     Ok(day.finish(partial).await)
 }
 
-/// What must hold before anything is started; makes the folder of results.
+/// Checks everything that is required before the start, and creates the directory for results.
 fn check_limits(scenario: &Scenario, out: &Path) -> Result<(), LabError> {
     if scenario.faults.iter().any(|fault| fault.kind == FaultKind::RelaysOut) {
         return Err(LabError::DrainsOnSockets);
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// Where the relays listen: free ports of an address each, or those that the scenario names.
+/// Addresses on which the relays listen: a free port on a separate address each, or the scenario's ports.
 fn relay_addresses(scenario: &Scenario) -> Result<Vec<SocketAddr>, LabError> {
     let address = |relay: usize| {
         if scenario.relays.first_port == 0 {
@@ -127,7 +127,7 @@
 }
 
 impl SocketDay<'_> {
-    /// Plays the day; returns why it ended before its time, if it did.
+    /// Plays the day. If it ended early, returns the reason.
     async fn play(&mut self, interrupted: impl Future<Output = ()>) -> Result<Option<String>, LabError> {
         let host = self.host.clone();
         let mut day = std::pin::pin!(host.clone().run());
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Notices ended processes, and reads what the others use at each fifth check.
+    /// Reports ended processes, and at every fifth check reads the resource usage of the others.
     fn check_relays(&mut self, checks: u64) {
         let (now, begin, end) = {
             let day = self.host.day.borrow();
@@ -165,7 +165,7 @@
             if self.relays[relay].process.is_none() {
                 continue;
             }
-            if let Some(event) = self.relays[relay].notice_end() {
+            if let Some(event) = self.relays[relay].check_end() {
                 let text = format!("relay {relay} {event}");
                 self.host.with(|day, now, _| day.service.log_event(now, text));
                 self.host.relay_ended(relay);
@@ -192,10 +192,10 @@
     }
 }
 
-/// Starts the emulated servers and the discovery services of all relays; they end with the runtime.
+/// Starts the emulated servers and the discovery services of all relays. They end with the runtime.
 ///
 /// # Errors
-/// Where a discovery service finds no free port.
+/// If there is no free port for a discovery service.
 pub async fn serve_fleet(host: &Shared) -> Result<(), LabError> {
     for relay in 0..host.servers.len() {
         let discovery = list::bind(relay, host).await.ok_or(LabError::NoDiscoveryPort)?;
@@ -207,16 +207,16 @@
     Ok(())
 }
 
-/// Addresses in a relay's configuration; without an operator port, a store and other relays.
+/// Settings of a relay that depend on its place in the day, without an operator port, a store and membership.
 pub fn relay_placement(relay: usize, seed: u64, host: &Shared) -> RelayPlacement {
     let (listen, discovery) = (host.relays.borrow()[relay], host.list_addresses.borrow()[relay]);
     RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, membership: None }
 }
 
-/// Writes a relay's configuration as operators would write it.
+/// Writes the configuration file of a relay.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// If the file can't be written.
 pub fn write_config(
     scenario: &Scenario,
     placement: &RelayPlacement,
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -1,4 +1,4 @@
-//! Processes of relays during a day on sockets: starts, hot restarts, stops and stalls.
+//! Relay processes during a day on sockets: starts, hot restarts, stops and stalls.
 use super::{relay_placement, write_config, SocketDay, START_TIMEOUT};
 use crate::error::LabError;
 use crate::relay_process::{describe_exit, log_tail, Process};
@@ -17,29 +17,29 @@
 
 /// Interval at which starting and ending processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A successor that is not ready after so many polls (6 s) does not stop its predecessor.
+/// Polls (6 s) within which a successor must be ready. Otherwise its predecessor is not stopped.
 const READINESS_POLLS: u32 = 300;
 
-/// A relay with its running process.
+/// A relay with its current process.
 pub(super) struct ManagedRelay {
     pub(super) process: Option<Process>,
-    /// Its process was requested to stop, so that its end is no crash.
+    /// The process was requested to stop, so its end is not a crash.
     is_stopping: bool,
     pub(super) figures: RelayFigures,
-    /// CPU seconds of the processes before this one.
+    /// CPU seconds of all earlier processes.
     previous_cpu_s: f64,
     config: PathBuf,
     log: PathBuf,
-    /// Where this process answers operators; none where none calls.
+    /// Operator address of the process; `None` if this day needs none.
     operator: Option<SocketAddr>,
-    /// It is stopped by a signal.
+    /// The process is stopped by SIGSTOP.
     is_stalled: bool,
-    /// A poll of its view is in flight.
+    /// A poll of the relay's view is in flight.
     is_polled: Rc<Cell<bool>>,
 }
 
 impl ManagedRelay {
-    /// A relay without a process. What an earlier day left of it in the folder is removed.
+    /// A relay without a process. Removes its log and store that an earlier day left in the directory.
     pub(super) fn new(relay: usize, out: &Path) -> ManagedRelay {
         let file = |extension: &str| out.join(format!("relay-{relay}.{extension}"));
         _ = std::fs::remove_file(file("log"));
@@ -57,8 +57,8 @@
         }
     }
 
-    /// What has happened, where the process has ended since the last check.
-    pub(super) fn notice_end(&mut self) -> Option<String> {
+    /// If the process has ended since the last check, returns a description of how it ended.
+    pub(super) fn check_end(&mut self) -> Option<String> {
         let status = self.process.as_mut()?.exit_status()?;
         self.process = None;
         self.previous_cpu_s = self.figures.cpu_s;
@@ -71,7 +71,7 @@
         Some(format!("{event} ({})", describe_exit(status)))
     }
 
-    /// Reads what its process uses.
+    /// Reads and records the resource usage of the process.
     pub(super) fn record_usage(&mut self) {
         let Some(usage) = self.process.as_ref().and_then(Process::usage) else { return };
         self.figures.cpu_s = self.previous_cpu_s + usage.cpu_s;
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Starts a process of a relay, beside one that may run, with a configuration of its own.
+    /// Starts a relay process with a new configuration. Another process of the relay may still be running.
     fn spawn_process(&mut self, relay: usize) -> Result<Process, LabError> {
         let has_hot_restarts = self.scenario.faults.iter().any(|t| t.kind == FaultKind::RelayReplaced);
         let has_operator = self.scenario.relays.fleet || has_hot_restarts;
@@ -101,14 +101,14 @@
             true => Some(free_port(ip).map_err(LabError::emulator)?),
             false => None,
         };
-        let place = self.place(relay, seed);
+        let placement = self.placement(relay, seed);
         let r = &self.relays[relay];
-        write_config(self.scenario, &place, &self.host, &r.config)?;
+        write_config(self.scenario, &placement, &self.host, &r.config)?;
         let hot_restart_folder = has_operator.then_some(self.options.out);
         Process::start(&self.options.program, &r.config, &r.log, hot_restart_folder)
     }
 
-    fn place(&self, relay: usize, seed: u64) -> RelayPlacement {
+    fn placement(&self, relay: usize, seed: u64) -> RelayPlacement {
         let membership = self
             .addresses
             .as_ref()
@@ -119,7 +119,7 @@
         RelayPlacement { operator, state, membership, ..relay_placement(relay, seed, &self.host) }
     }
 
-    /// Polls all relays that run for their views of each other.
+    /// Polls all running relays for their views of the membership.
     pub(super) fn poll_views(&self) {
         for (relay, r) in self.relays.iter().enumerate() {
             let is_running = r.process.is_some() && !r.is_stalled;
@@ -140,7 +140,7 @@
     /// Waits until a relay answers `PING`.
     ///
     /// # Errors
-    /// Where it does not in time, or its process ends.
+    /// If the relay does not answer in time, or its process ends.
     pub(super) async fn wait_until_serving(&mut self, relay: usize) -> Result<(), LabError> {
         let host = self.host.clone();
         let mut started = std::pin::pin!(host.relay_started(relay, START_TIMEOUT));
@@ -161,13 +161,13 @@
         }
     }
 
-    /// Applies a fault or an operation of the scenario to a relay's process.
+    /// Applies a fault or an operation of the scenario to a relay process.
     pub(super) async fn apply_action(&mut self, relay: usize, action: RelayAction) -> Result<(), LabError> {
         match action {
             RelayAction::Kill => self.kill(relay).await,
             RelayAction::Stop => self.request_stop(relay),
             RelayAction::Start => self.restart(relay).await?,
-            // Such a scenario is not played on sockets.
+            // Scenarios with drains of relays are rejected before the start.
             RelayAction::RequestLease(_) => {}
             RelayAction::Stall => self.set_stalled(relay, true),
             RelayAction::Resume => self.set_stalled(relay, false),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Kills the process that may run, and starts another one.
+    /// Kills the process if one is running, and starts another one.
     async fn restart(&mut self, relay: usize) -> Result<(), LabError> {
         self.kill(relay).await;
         self.start(relay)?;
@@ -207,7 +207,8 @@
         }
     }
 
-    /// A new process takes over from the running one, which is requested to stop once the new one is ready.
+    /// Starts a new process that takes over from the running one, and requests the old one to stop when the
+    /// new one is ready.
     fn hot_restart(&mut self, relay: usize) -> Result<(), LabError> {
         if self.relays[relay].process.is_none() {
             return Ok(());
@@ -234,7 +235,7 @@
         Ok(())
     }
 
-    /// Moves the discovery service to another port, and lets the relay reload its configuration.
+    /// Moves the discovery service to another port and makes the relay reload its configuration.
     async fn reload(&mut self, relay: usize) -> Result<(), LabError> {
         let host = &self.host;
         let before = host.list_addresses.borrow()[relay];
@@ -242,15 +243,15 @@
         while host.list_addresses.borrow()[relay] == before {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let (place, r) = (self.place(relay, 1), &self.relays[relay]);
-        write_config(self.scenario, &place, host, &r.config)?;
+        let (placement, r) = (self.placement(relay, 1), &self.relays[relay]);
+        write_config(self.scenario, &placement, host, &r.config)?;
         if let Some(process) = &r.process {
             process.signal(libc::SIGHUP);
         }
         Ok(())
     }
 
-    /// Kills the process; its clients come back.
+    /// Kills the process, if one is running. Its clients will return.
     async fn kill(&mut self, relay: usize) {
         let r = &mut self.relays[relay];
         r.record_usage();
--- a/lab/src/virt/clients.rs
+++ b/lab/src/virt/clients.rs
@@ -1,4 +1,4 @@
-//! The client side of relays: first lines, answers and ends, as sockets would carry them.
+//! Connections between clients and relays: first lines, answers and disconnections.
 use super::events::QueuedEvent;
 use super::state::ClientSession;
 use super::VirtualDay;
@@ -9,7 +9,7 @@
 use hallrelay_relay::reducer::Event;
 
 impl VirtualDay<'_> {
-    /// A client connects, or leaves.
+    /// A client connects or disconnects.
     pub(super) fn client_action(&mut self, action: ClientAction) {
         match action {
             ClientAction::Open(request) => {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A client closes its connection, which its relay sees later.
+    /// A client closes its connection. Its relay notices after the latency.
     fn disconnect_client(&mut self, mark: u64) {
         self.day.audit.client_left(self.now, mark);
         let Some(request) = self.requests.remove(&mark) else { return };
@@ -35,7 +35,7 @@
     pub(super) fn receive_first_line(&mut self, request: ClientRequest) {
         let (relay, mark) = (request.relay, request.mark);
         if !self.requests.contains_key(&mark) {
-            return; // The client has left meanwhile.
+            return; // The client has disconnected in the meantime.
         }
         if self.relays[relay].state_machine.is_none() {
             return self.receive_answer(mark, ClientEvent::Unreachable, 0);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// An answer, or the end of its connection, arrives at a client. All but `UP` end the session.
+    /// An answer, or the end of its connection, arrives at a client. Everything except `UP` ends the session.
     pub(super) fn receive_answer(&mut self, mark: u64, received: ClientEvent, receipt: u64) {
         let answer = match received {
             ClientEvent::Established => Some(Answer::Up(receipt)),
@@ -108,7 +108,7 @@
         self.step(relay, Event::ClientDisconnected { session_id });
     }
 
-    /// Sends a client its final answer; a dial that is in flight for it is abandoned.
+    /// Sends a client its final answer. A dial in flight for it is abandoned.
     pub(super) fn send_final_answer(&mut self, relay: usize, session_id: SessionId, answer: ClientEvent) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         session.is_over = true;
@@ -119,7 +119,7 @@
         self.schedule_after(self.client_latency(), QueuedEvent::Answer { mark, answer, receipt: 0 });
     }
 
-    /// Tells a client that its session is established.
+    /// Answers a client that its session is established.
     pub(super) fn start_proxying(&mut self, relay: usize, session_id: SessionId) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         session.is_open = true;
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -1,4 +1,4 @@
-//! The server side of relays: dials, and what servers send on their connections.
+//! Connections between relays and servers: dials, and what servers send on them.
 use super::events::QueuedEvent;
 use super::state::{server_at, BackendConnection};
 use super::VirtualDay;
@@ -22,8 +22,11 @@
         timeout: Micros,
     ) {
         let server = server_at(addr);
-        let reach = self.day.servers.reachability(server, relay);
-        let fault = if reach == Reachability::Open { self.day.servers.draw_wire_fault(server) } else { None };
+        let reachability = self.day.servers.reachability(server, relay);
+        let fault = match reachability {
+            Reachability::Open => self.day.servers.draw_wire_fault(server),
+            Reachability::Refused | Reachability::Unresponsive => None,
+        };
         let r = &mut self.relays[relay];
         let connect_timeout = r.limits.connect_timeout;
         let session = r.sessions.get_mut(&session_id);
@@ -32,7 +35,7 @@
         }
         let Some(mark) = r.mark_of(session_id) else { return };
         let latency = self.server_latency();
-        let unconnected_after = match (reach, fault) {
+        let unconnected_after = match (reachability, fault) {
             (Reachability::Refused, _) | (_, Some(ConnectionFault::Refused)) => Some(2 * latency),
             (Reachability::Unresponsive, _) | (_, Some(ConnectionFault::NeverUp)) => {
                 Some(timeout.min(connect_timeout))
@@ -61,24 +64,24 @@
             fault,
         };
         self.dials.insert(connection, in_flight);
-        // A round trip to connect, and the first line.
+        // A round trip to connect, and one way for the first line.
         self.schedule_after(3 * latency, QueuedEvent::DialReceived { connection });
         self.schedule_after(timeout, QueuedEvent::DialTimeout { process, session_id, dial });
     }
 
     fn dial_request(&self, relay: usize, server: usize, mark: u64) -> DialRequest {
-        let mut dialled = DialRequest { server, relay, ..DialRequest::default() };
+        let mut dial_request = DialRequest { server, relay, ..DialRequest::default() };
         if let Some(request) = self.requests.get(&mark) {
-            dialled.listener = request.listener;
-            dialled.key = request.key;
-            dialled.group = request.group;
-            dialled.is_pre_existing = request.pre_existing_at.is_some();
-            dialled.lifetime = request.ended_after;
+            dial_request.listener = request.listener;
+            dial_request.key = request.key;
+            dial_request.group = request.group;
+            dial_request.is_pre_existing = request.pre_existing_at.is_some();
+            dial_request.lifetime = request.ended_after;
         }
-        dialled
+        dial_request
     }
 
-    /// A dial's first line arrives at its server, unless a fault of the wire ends it.
+    /// The first line of a dial arrives at the server, unless a connection fault ends the dial.
     pub(super) fn dial_received(&mut self, connection: ConnectionId, todo: &mut DriverActions) {
         let Some(dial) = self.dials.get_mut(&connection) else { return };
         let (relay, server, mark) = (dial.process.relay, dial.server, dial.mark);
@@ -101,7 +104,7 @@
         }
     }
 
-    /// The time of a dial is over: the relay closes it before it does anything else.
+    /// A dial times out: the relay closes its connection before it does anything else.
     pub(super) fn dial_timeout(
         &mut self,
         relay: usize,
@@ -118,7 +121,7 @@
         self.step(relay, Event::DialEnded { session_id, dial, end: DialEnd::Timeout, report: None });
     }
 
-    /// A connection's end arrives at its server.
+    /// The end of a connection arrives at the server.
     pub(super) fn close_connection(&mut self, connection: ConnectionId, todo: &mut DriverActions) {
         let Some(dial) = self.dials.remove(&connection) else { return };
         if dial.is_received {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// A dial ends before its session is established; its relay sees that later.
+    /// A dial ends before its session is established. Its relay notices after the latency.
     fn dial_failed(&mut self, connection: ConnectionId, end: DialEnd) {
         let Some(dial) = self.dials.remove(&connection) else { return };
         let is_current = self.is_current(dial.process);
@@ -141,7 +144,7 @@
         }
     }
 
-    /// A server ends an open session; its client gets to know why.
+    /// A server ends an open session. The client is sent the reason.
     fn session_ended(&mut self, connection: ConnectionId, end: DialEnd) {
         let Some(dial) = self.dials.remove(&connection) else { return };
         let is_current = self.is_current(dial.process);
@@ -158,8 +161,8 @@
         self.schedule_after(latency + self.client_latency(), answer);
     }
 
-    /// What the emulated servers send on connections, and changes of their reachability; what else they put
-    /// out goes back to the models.
+    /// Handles lines and resets from the emulated servers, and changes of their reachability. Their other
+    /// outputs go back to the models.
     pub(super) fn server_output(&mut self, output: ServerEvent, todo: &mut DriverActions) {
         match output {
             ServerEvent::Line { connection, line } => self.server_line(connection, line),
@@ -180,18 +183,18 @@
         }
     }
 
-    /// Relays that a server no longer answers will end their open sessions there.
+    /// Relays to which a server no longer responds will end their open sessions at this server.
     fn reachability_changed(&mut self, server: usize) {
         for relay in 0..self.relays.len() {
             if self.day.servers.reachability(server, relay) != Reachability::Unresponsive {
                 continue;
             }
-            let is_there = |connection: Option<ConnectionId>| {
+            let is_at_server = |connection: Option<ConnectionId>| {
                 let dial = connection.and_then(|connection| self.dials.get(&connection));
                 dial.is_some_and(|dial| dial.server == server)
             };
             let sessions = self.relays[relay].sessions.iter();
-            let open = sessions.filter(|(_, session)| session.is_open && is_there(session.connection));
+            let open = sessions.filter(|(_, session)| session.is_open && is_at_server(session.connection));
             let open: Vec<SessionId> = open.map(|(session_id, _)| *session_id).collect();
             for session_id in open {
                 self.schedule_silence_timeout(relay, session_id);
@@ -205,9 +208,9 @@
         let (mark, server, is_established) = (dial.mark, dial.server, dial.is_established);
         let (process, session_id, number) = (dial.process, dial.session_id, dial.dial);
         let relay = process.relay;
-        let is_heard = self.day.servers.can_send(server, relay);
+        let can_send = self.day.servers.can_send(server, relay);
         let session = self.relays[relay].sessions.get(&session_id);
-        let is_there = session.is_some_and(|session| session.connection == Some(connection));
+        let is_connected = session.is_some_and(|session| session.connection == Some(connection));
         match line {
             ServerLine::Busy => self.day.audit.dial_ended(self.now, mark, server, DialOutcome::NeverRan),
             ServerLine::Err | ServerLine::Bye | ServerLine::Move => {
@@ -216,7 +219,7 @@
             ServerLine::Up => self.day.audit.session_established(self.now, mark, server, connection),
             ServerLine::Load(_) => {}
         }
-        if !self.is_current(process) || !is_there || !is_heard {
+        if !self.is_current(process) || !is_connected || !can_send {
             return;
         }
         let latency = self.server_latency();
@@ -225,7 +228,8 @@
                 let established = Event::SessionEstablished { session_id, dial: number };
                 self.notify_after(latency, relay, established);
             }
-            // Nine of ten lines: without latency, since an event less in the queue saves much of the time.
+            // Nine out of ten lines are of this kind. They are delivered without latency, because not queuing
+            // an event for each of them saves much of the running time.
             ServerLine::Load(load) if is_established => {
                 self.step(relay, Event::LoadReported { session_id, load })
             }
--- a/lab/src/virt/discovery.rs
+++ b/lab/src/virt/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service, and the relays' watches of the endpoint list.
+//! The discovery service and the relays' watches of the endpoint list.
 use super::events::QueuedEvent;
 use super::state::{address_of, ProcessId, Watch};
 use super::VirtualDay;
@@ -8,7 +8,7 @@
 use hallrelay_relay::reducer::Event;
 
 impl VirtualDay<'_> {
-    /// A relay opens a watch: the answer comes after a round trip, or the watch fails.
+    /// A relay opens a watch. It is answered after a round trip, or it fails.
     pub(super) fn open_watch(&mut self, process: ProcessId, watch: u32, since: Option<u64>) {
         let relay = process.relay;
         let round_trip = 2 * self.server_latency();
@@ -25,10 +25,10 @@
         }
     }
 
-    /// Sends on a watch what has changed since the last time, or the complete list.
+    /// Sends on a watch the changes since the last time, or the complete list.
     pub(super) fn send_watch_event(&mut self, relay: usize, watch: u32, todo: &mut DriverActions) {
         if self.day.list_cut[relay] {
-            return; // Sent once the link is restored.
+            return; // The link is cut; this is sent when it is restored.
         }
         let endpoints = &self.day.servers.endpoints;
         let mut watches = self.relays[relay].watches.iter_mut();
@@ -47,7 +47,7 @@
             ..List::default()
         };
         if is_complete {
-            // What a complete list leaves out is removed.
+            // A complete list removes the servers that it does not contain.
             let removed: Vec<usize> = (0..self.day.servers.len())
                 .filter(|&server| self.day.servers.endpoints.entry(server).phase == Phase::Gone)
                 .collect();
@@ -57,7 +57,7 @@
         self.notify_after(self.server_latency(), relay, Event::EndpointListReceived { watch, list });
     }
 
-    /// A server as the endpoint list has it.
+    /// The entry of a server in the endpoint list.
     fn instance(&self, server: usize) -> Instance {
         let endpoints = &self.day.servers.endpoints;
         let (identity, entry) = (&endpoints.identities[server], endpoints.entry(server));
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The list, or a link to the discovery service, has changed: notifies all watches that it reaches.
+    /// The list, or a link to the discovery service, has changed: notifies all reachable watches.
     pub(super) fn send_watch_events(&mut self) {
         for relay in 0..self.relays.len() {
             if self.day.list_cut[relay] {
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Nothing comes on a relay's watches any more: it doubts them after a while, and its next request is
-    /// not answered either.
+    /// Watches over a cut link no longer receive anything. The relay notices at the watch timeout, and its
+    /// next request is not answered either, so that the watches fail after both timeouts.
     fn fail_silent_watches(&mut self, relay: usize) {
         let limits = &self.relays[relay].limits;
         let noticed_after = limits.discovery_watch_timeout + limits.discovery_answer_timeout;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Closes all watches, as the discovery service goes down.
+    /// Closes all watches because the discovery service goes down.
     pub(super) fn break_watches(&mut self) {
         let latency = self.server_latency();
         for relay in 0..self.relays.len() {
