--- a/lab/src/virt/effects.rs
+++ b/lab/src/virt/effects.rs
@@ -1,4 +1,4 @@
-//! Effects of a relay's reducer, carried out as its tasks would.
+//! Carries out the effects of a relay's reducer, as the relay's tasks would.
 use super::events::QueuedEvent;
 use super::state::{server_at, ProcessId};
 use super::VirtualDay;
@@ -9,13 +9,13 @@
 use hallrelay_recovery::Record;
 use hallrelay_relay::reducer::{Effect, Event};
 
-/// Time to sync a disk.
+/// Time for syncing a write to disk.
 const SYNC_TIME: Micros = 2_000;
 
 impl VirtualDay<'_> {
-    /// Carries out all effects of one step, in their order.
+    /// Carries out all effects of one step in order.
     pub(super) fn carry_out(&mut self, relay: usize, effects: Vec<Effect>) {
-        // The process that made them: one of them may end it.
+        // Determined first, because one of the effects may end the process that made them.
         let process = self.process_id(relay);
         for effect in effects {
             self.carry_out_one(process, effect);
@@ -60,7 +60,7 @@
             Effect::PersistVoterWrites { voter_start, number, records } => {
                 self.persist_voter_writes(relay, voter_start, number, records);
             }
-            // For sockets that carry no sessions, logs and metrics.
+            // These concern sockets without sessions, logs and metrics.
             Effect::Pong { .. }
             | Effect::RejectPing { .. }
             | Effect::ForgetServer { .. }
@@ -69,7 +69,7 @@
             | Effect::SetAccepting { .. }
             | Effect::SetDraining { .. }
             | Effect::Log { .. } => {}
-            // For hot restarts: a virtual relay has no successor, and its store is its own.
+            // These concern hot restarts, which are not simulated: no other process uses the store.
             Effect::SetStoreOwnership { .. }
             | Effect::SetTakeoverListener { .. }
             | Effect::SendToProcess { .. }
@@ -86,7 +86,7 @@
         self.notify_after(SYNC_TIME, relay, Event::VoterWritesDurable { voter_start, number });
     }
 
-    /// A health check arrives at a server: its result goes back to the relay, or the check times out.
+    /// A health check arrives at a server. The relay receives its result, or the check times out.
     pub(super) fn check_health(
         &mut self,
         relay: usize,
--- a/lab/src/virt/events.rs
+++ b/lab/src/virt/events.rs
@@ -1,4 +1,4 @@
-//! What waits in the queue of a virtual day, and the handling of each when it is due.
+//! The events in the queue of a virtual day, and their handling when they are due.
 use super::membership::Transmission;
 use super::state::ProcessId;
 use super::VirtualDay;
@@ -8,9 +8,10 @@
 use hallrelay_emulator::servers::ConnectionId;
 use hallrelay_relay::reducer::{Event, Timer};
 
-/// Something that happens at a later moment.
+/// An event that is due at a later moment.
 pub(super) enum QueuedEvent {
-    /// An event for a relay's reducer; boxed, as the largest variant sets the size of all.
+    /// An event for a relay's reducer. It is boxed because every queue entry would otherwise be as large as
+    /// the largest variant.
     Relay {
         process: ProcessId,
         event: Box<Event>,
@@ -19,19 +20,19 @@
         process: ProcessId,
         timer: Timer,
     },
-    /// A client's first line arrives at its relay.
+    /// A client's first line arrives at its relay. Boxed for the same reason.
     FirstLine(Box<ClientRequest>),
     ClientDisconnected {
         process: ProcessId,
         session_id: SessionId,
     },
-    /// An answer arrives at a client.
+    /// A relay's answer, or the end of its connection, arrives at a client.
     Answer {
         mark: u64,
         answer: ClientEvent,
         receipt: u64,
     },
-    /// A dial's first line arrives at its server.
+    /// The first line of a dial arrives at the server.
     DialReceived {
         connection: ConnectionId,
     },
@@ -40,7 +41,7 @@
         session_id: SessionId,
         dial: u32,
     },
-    /// The end of a connection arrives at its server.
+    /// The end of a connection arrives at the server.
     ConnectionClosed {
         connection: ConnectionId,
     },
@@ -56,24 +57,24 @@
         process: ProcessId,
         watch: u32,
     },
-    /// Something arrives from another relay.
+    /// A datagram or a stream's frame arrives from another relay.
     Transmission {
         from: usize,
         to: usize,
         transmission: Transmission,
     },
-    /// All relays are polled for their views of each other.
+    /// All relays are polled for their views of the membership.
     PollViews,
-    /// An operator requests a drain, once more.
+    /// An operator retries the request for a drain.
     RequestDrain {
         relay: usize,
-        stay: Micros,
+        duration: Micros,
     },
     /// An operator ends a drain.
     Activate {
         relay: usize,
     },
-    /// The time for an answer to a client's message is over.
+    /// The server has not answered a client's message in time.
     SilenceTimeout {
         process: ProcessId,
         session_id: SessionId,
@@ -82,7 +83,7 @@
 }
 
 impl QueuedEvent {
-    /// The process that it was scheduled for; it is void once that has ended.
+    /// The process for which the event was scheduled. After the end of this process, the event is ignored.
     fn process(&self) -> Option<ProcessId> {
         match self {
             Self::Relay { process, .. }
@@ -103,12 +104,12 @@
         }
     }
 
-    /// The relay whose process handles it, and must run for that.
+    /// The relay whose process must be running to handle the event; `None` if no process is needed.
     fn receiver(&self) -> Option<usize> {
         match self {
             Self::FirstLine(request) => Some(request.relay),
             Self::Transmission { to, .. } => Some(*to),
-            // Handled by the server and the discovery service, whatever the process does.
+            // The server and the discovery service handle these, even if the process is stalled.
             Self::HealthCheck { .. } | Self::WatchEvent { .. } => None,
             other => other.process().map(|process| process.relay),
         }
@@ -116,7 +117,7 @@
 }
 
 impl VirtualDay<'_> {
-    /// Handles what is due; what a stalled process should receive waits until it runs on.
+    /// Handles a due event. An event for a stalled process is kept until the process resumes.
     pub(super) fn handle(&mut self, event: QueuedEvent, todo: &mut DriverActions) {
         if let Some(waiting) = event.receiver().and_then(|relay| self.relays[relay].stalled.as_mut()) {
             return waiting.push(event);
@@ -148,13 +149,13 @@
                 self.receive_transmission(from, to, transmission);
             }
             QueuedEvent::PollViews => self.poll_views(),
-            QueuedEvent::RequestDrain { relay, stay } => self.request_drain(relay, stay),
+            QueuedEvent::RequestDrain { relay, duration } => self.request_drain(relay, duration),
             QueuedEvent::Activate { relay } => self.activate(relay),
         }
     }
 
     fn relay_event(&mut self, relay: usize, event: Event) {
-        // An open session that its relay has seen the end of has no connection any more.
+        // Once the relay has seen the end of an open session, the session has no connection any more.
         if let Event::SessionEnded { session_id, .. } = &event {
             if let Some(session) = self.relays[relay].sessions.get_mut(session_id) {
                 (session.is_open, session.connection) = (false, None);
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -1,5 +1,5 @@
-//! Membership in virtual time: datagrams and streams between relays over the emulated links, stalls of their
-//! processes, and polls of their views.
+//! Membership in virtual time: datagrams and streams between relays over the emulated links, stalls of relay
+//! processes, and polls of the relays' views.
 use super::events::QueuedEvent;
 use super::VirtualDay;
 use hallrelay_balancer::types::Micros;
@@ -11,17 +11,17 @@
 use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest};
 use std::net::SocketAddr;
 
-/// Where a relay is advertised.
+/// The address at which a relay is advertised.
 pub(super) fn advertised(relay: usize) -> SocketAddr {
     SocketAddr::from(([127, 10, (relay >> 8) as u8, relay as u8], 7946))
 }
 
-/// Where a relay itself listens.
+/// The address on which a relay listens.
 fn listen(relay: usize) -> SocketAddr {
     SocketAddr::from(([127, 9, (relay >> 8) as u8, relay as u8], 7946))
 }
 
-/// The relay that is advertised at an address, if it is one of so many.
+/// The relay that is advertised at an address, if it is one of the first `count`.
 fn relay_at(addr: SocketAddr, count: usize) -> Option<usize> {
     let SocketAddr::V4(addr) = addr else { return None };
     let [_, net, high, low] = addr.ip().octets();
@@ -29,12 +29,12 @@
     (net == 10 && relay < count).then_some(relay)
 }
 
-/// Where a relay listens, and where all relays are advertised.
+/// The address on which a relay listens, and the advertised addresses of all relays.
 pub(super) fn addresses(relay: usize, count: usize) -> MembershipAddresses {
     MembershipAddresses { listen: listen(relay), advertised: (0..count).map(advertised).collect() }
 }
 
-/// Time between polls of all views: a tenth of a second where that costs little.
+/// Interval between polls of all views: 100 ms for few relays, longer for many to limit the cost.
 fn poll_interval(relays: usize) -> Micros {
     match relays {
         0..=16 => 100_000,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Something in flight from one relay to another.
+/// Data in flight from one relay to another.
 pub(super) enum Transmission {
     Datagram(Vec<u8>),
     /// The frame on a stream that the sender opened.
@@ -53,7 +53,7 @@
 }
 
 impl VirtualDay<'_> {
-    /// Carries out an effect that is for membership's sockets.
+    /// Carries out an effect for the membership sockets.
     pub(super) fn carry_out_membership(&mut self, from: usize, effect: MembershipEffect) {
         let count = self.relays.len();
         match effect {
@@ -65,7 +65,7 @@
             }
             MembershipEffect::OpenStream { to, bytes } => {
                 let Some(to) = relay_at(to, count) else { return };
-                // There and back to connect, and there with the frame.
+                // A round trip to connect, and one way for the frame.
                 if let Some(latency) = self.day.links.stream_latency(from, to) {
                     let transmission = Transmission::StreamRequest(bytes);
                     self.schedule_after(3 * latency, QueuedEvent::Transmission { from, to, transmission });
@@ -79,7 +79,7 @@
                 }
             }
             MembershipEffect::ReplyOnStream { bytes: None, .. } | MembershipEffect::SetListening { .. } => {}
-            // The reducer has carried these out.
+            // The reducer has already handled these.
             MembershipEffect::SetTimer { .. }
             | MembershipEffect::Log { .. }
             | MembershipEffect::MemberChanged { .. }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A relay receives something; what is no packet of its fleet is dropped, as its sockets do.
+    /// A relay receives data. As on sockets, data that is not a packet of its fleet is dropped.
     pub(super) fn receive_transmission(&mut self, from: usize, to: usize, transmission: Transmission) {
         let (bytes, max_bytes) = match &transmission {
             Transmission::Datagram(bytes) => (bytes, MAX_DATAGRAM_BYTES),
@@ -121,7 +121,7 @@
         self.step(to, Event::Membership(event));
     }
 
-    /// A relay's process stalls; what arrives meanwhile waits.
+    /// Stalls a relay process. Events that arrive in the meantime are kept.
     pub(super) fn stall(&mut self, relay: usize) {
         if self.relays[relay].state_machine.is_some() && self.relays[relay].stalled.is_none() {
             self.relays[relay].stalled = Some(Vec::new());
@@ -130,8 +130,8 @@
         }
     }
 
-    /// A relay's process runs on; what arrived meanwhile is there at once, in its order.
-    pub(super) fn wake(&mut self, relay: usize) {
+    /// Resumes a relay process. Events that arrived in the meantime are due immediately, in order.
+    pub(super) fn resume(&mut self, relay: usize) {
         let Some(waiting) = self.relays[relay].stalled.take() else { return };
         self.day.audit.relay_woke(self.now, relay);
         self.day.membership_audit.process_changed(self.now, relay, ProcessState::Up);
--- a/lab/src/virt/processes.rs
+++ b/lab/src/virt/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of relays: their configuration, start, steps, end and store.
+//! Relay processes: configuration, start, steps, end and store.
 use super::events::QueuedEvent;
 use super::membership;
 use super::state::{address_of, RecordKey};
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 impl VirtualDay<'_> {
-    /// Configuration of one process of a relay.
+    /// The configuration of one process of a relay.
     pub(super) fn configuration(&self, relay: usize, incarnation: u32) -> Result<Node, LabError> {
         let relays = &self.day.scenario.relays;
         let place = RelayPlacement {
@@ -32,7 +32,7 @@
         Ok(config::parse(text.to_string().as_bytes(), &Overrides::default())?)
     }
 
-    /// Starts a process, with what its store holds.
+    /// Starts a process, which loads the contents of the relay's store.
     pub(super) fn start_process(&mut self, relay: usize) -> Result<(), LabError> {
         let incarnation = self.relays[relay].incarnation + 1;
         let node = self.configuration(relay, incarnation)?;
@@ -64,7 +64,7 @@
         stored
     }
 
-    /// Ends a process: its connections are reset on both sides.
+    /// Ends a process. Its connections to clients and servers are closed.
     pub(super) fn end_process(&mut self, relay: usize) {
         let r = &mut self.relays[relay];
         if r.state_machine.take().is_none() {
@@ -93,7 +93,8 @@
         }
     }
 
-    /// A process exits by itself: sessions that are left should have been answered or migrated.
+    /// A process exits on its own. All its sessions should have been answered or migrated before; the audit
+    /// records those that were not.
     pub(super) fn process_exits(&mut self, relay: usize) {
         for session in self.relays[relay].sessions.values().filter(|session| !session.is_over) {
             if session.is_open {
@@ -112,7 +113,7 @@
         self.step(relay, Event::StopRequested);
     }
 
-    /// Hands an event to the process, if one runs, and carries out its effects.
+    /// Passes an event to the process, if one is running, and carries out the effects.
     pub(super) fn step(&mut self, relay: usize, event: Event) {
         let Some(state_machine) = self.relays[relay].state_machine.as_mut() else { return };
         let mut effects = Vec::new();
@@ -120,7 +121,7 @@
         self.carry_out(relay, effects);
     }
 
-    /// Writes a record to the relay's store, or removes it.
+    /// Writes a record to the relay's store or removes it.
     pub(super) fn persist(&mut self, relay: usize, record: Record) {
         let key = RecordKey { kind: record.kind.number(), name: record.name };
         let records = &mut self.relays[relay].stored_records;
--- a/lab/src/virt/state.rs
+++ b/lab/src/virt/state.rs
@@ -1,4 +1,4 @@
-//! What a relay's sockets, watches and store hold in virtual time.
+//! The state of a relay's sockets, watches and store in virtual time.
 use super::events::QueuedEvent;
 use super::StateMachine;
 use hallrelay_balancer::types::SessionId;
@@ -12,22 +12,22 @@
 #[derive(Clone, Copy)]
 pub(super) struct ProcessId {
     pub(super) relay: usize,
-    /// Grows whenever a process of this relay starts or ends.
+    /// Incremented whenever a process of this relay starts or ends.
     pub(super) incarnation: u32,
 }
 
-/// A session as its relay's sockets have it.
+/// The state of a client's session at its relay.
 pub(super) struct ClientSession {
-    /// Identifier that the client gave.
+    /// Id of the session in the client's first line.
     pub(super) mark: u64,
-    /// Dials so far.
+    /// Number of dials so far.
     pub(super) dials: u32,
-    /// The connection to a server, of a dial or of the open session.
+    /// The connection to a server, for a dial or for the open session.
     pub(super) connection: Option<ConnectionId>,
     pub(super) is_open: bool,
-    /// The relay suspects its server.
+    /// The relay suspects the server of the session.
     pub(super) is_suspect: bool,
-    /// Its client has left, or has had its final answer.
+    /// The session has ended, or the client was sent its final answer.
     pub(super) is_over: bool,
 }
 
@@ -45,19 +45,19 @@
     pub(super) mark: u64,
     pub(super) server: usize,
     pub(super) request: DialRequest,
-    /// The server has received its first line.
+    /// The server has received the first line.
     pub(super) is_received: bool,
     pub(super) is_established: bool,
-    /// Fault of the wire that it meets.
+    /// Fault that affects this connection.
     pub(super) fault: Option<ConnectionFault>,
 }
 
 /// A relay's watch of the endpoint list.
 pub(super) struct Watch {
     pub(super) id: u32,
-    /// Generation of the list that the relay has.
+    /// Generation of the list that the relay already has.
     pub(super) since: Option<u64>,
-    /// Its first answer was sent; changes follow.
+    /// The first answer was sent; from now on, changes are sent.
     pub(super) is_answered: bool,
 }
 
@@ -68,23 +68,23 @@
     pub(super) name: String,
 }
 
-/// A relay with all that is around its reducer.
+/// A relay: its state machine, and the state of its sockets, watches and store.
 pub(super) struct VirtualRelay {
-    /// None while no process runs.
+    /// `None` while no process runs.
     pub(super) state_machine: Option<Box<dyn StateMachine>>,
     pub(super) incarnation: u32,
     pub(super) sessions: BTreeMap<SessionId, ClientSession>,
     pub(super) session_ids_by_mark: BTreeMap<u64, SessionId>,
-    /// Marks of sessions whose client has disconnected: a faulty relay may dial for them still.
+    /// Marks of sessions whose client has disconnected. A faulty relay may still dial for them.
     pub(super) disconnected: BTreeMap<SessionId, u64>,
     pub(super) watches: Vec<Watch>,
     pub(super) last_session_id: SessionId,
-    /// Processes started.
+    /// Number of processes started.
     pub(super) starts: u32,
     pub(super) limits: Limits,
-    /// What its store holds; it outlives the process.
+    /// Contents of the relay's store, which outlive the process.
     pub(super) stored_records: BTreeMap<RecordKey, Vec<u8>>,
-    /// While it stalls: what arrived meanwhile.
+    /// While the process is stalled: the events that have arrived for it.
     pub(super) stalled: Option<Vec<QueuedEvent>>,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The mark of a session whose client is there, or has disconnected from this process.
+    /// The mark of a session whose client is connected, or has disconnected, during the current process.
     pub(super) fn mark_of(&self, session_id: SessionId) -> Option<u64> {
         let session = self.sessions.get(&session_id).map(|session| session.mark);
         session.or(self.disconnected.get(&session_id).copied())
