--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -1,5 +1,5 @@
-//! The auditor against relays with a fault planted in them: each breaks one rule, and the auditor names that
-//! rule and the session. The same day with an honest relay keeps all four.
+//! Tests the audit with faulty relays. Each fault breaks one rule, and the audit must report this rule and
+//! the session. With a correct relay, the same day must break no rule.
 use hallrelay_balancer::types::{DialEnd, Micros, Phase};
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::service::Outcome;
@@ -8,49 +8,52 @@
 use std::net::SocketAddr;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Plant {
+enum RelayFault {
     None,
     /// Some sessions are never answered.
-    Mute,
-    /// A refusal is said twice.
-    SaysTwice,
-    /// Dials go on for sessions that were refused.
-    DialsAfterEnd,
-    /// A second dial while the first is out.
-    TwoAtOnce,
-    /// A dial that may have run is told as one that never ran.
-    TakesRanForNever,
-    /// What the list tells of drains and ends is not heard.
-    DeafToDrains,
-    /// A start is not heard as one, and all goes to the server that started.
-    PushesTheCold,
-    /// An open session is let go without a word as the relay stops.
-    LeavesOpen,
+    NoAnswer,
+    /// Rejections are sent twice.
+    RejectsTwice,
+    /// Sessions are dialled after they were rejected.
+    DialsAfterRejection,
+    /// A second dial starts while the first is in flight.
+    ConcurrentDials,
+    /// A dial that may have run is handled like one that never ran.
+    IgnoresMayHaveRun,
+    /// Draining and removed servers in the endpoint list are ignored.
+    IgnoresDrains,
+    /// The start of a server is ignored, and all sessions are dialled there.
+    OverloadsColdServer,
+    /// The relay stops without migrating its open sessions.
+    DropsOpenSessions,
 }
 
-struct Double {
+struct FaultyRelay {
     inner: Reducer,
-    plant: Plant,
-    cold: Option<SocketAddr>,
+    fault: RelayFault,
+    cold_server: Option<SocketAddr>,
     last_dial: Option<SocketAddr>,
-    /// Sessions that were refused, and when they will be dialled all the same.
-    refused: Vec<(Micros, u32)>,
+    /// Rejected sessions, and the times at which they will be dialled nevertheless.
+    rejected: Vec<(Micros, u32)>,
 }
 
-impl Double {
+impl FaultyRelay {
     fn event(&mut self, event: Event) -> Event {
-        match (self.plant, event) {
-            (Plant::TakesRanForNever, Event::DialEnded { session_id, dial, end: DialEnd::Error, report }) => {
-                Event::DialEnded { session_id, dial, end: DialEnd::Unconnected, report }
-            }
-            (Plant::DeafToDrains, Event::EndpointListReceived { watch, mut list }) => {
-                list.instances.retain(|one| one.phase == Phase::Ready);
+        match (self.fault, event) {
+            (
+                RelayFault::IgnoresMayHaveRun,
+                Event::DialEnded { session_id, dial, end: DialEnd::Error, report },
+            ) => Event::DialEnded { session_id, dial, end: DialEnd::Unconnected, report },
+            (RelayFault::IgnoresDrains, Event::EndpointListReceived { watch, mut list }) => {
+                list.instances.retain(|instance| instance.phase == Phase::Ready);
                 Event::EndpointListReceived { watch, list }
             }
-            (Plant::PushesTheCold, Event::EndpointListReceived { watch, mut list }) => {
-                for one in list.instances.iter_mut().filter(|one| one.started_at > 0) {
-                    one.started_at = 0;
-                    self.cold = Some(one.addr).filter(|_| one.phase == Phase::Ready).or(self.cold);
+            (RelayFault::OverloadsColdServer, Event::EndpointListReceived { watch, mut list }) => {
+                for instance in list.instances.iter_mut().filter(|instance| instance.started_at > 0) {
+                    instance.started_at = 0;
+                    if instance.phase == Phase::Ready {
+                        self.cold_server = Some(instance.addr);
+                    }
                 }
                 Event::EndpointListReceived { watch, list }
             }
@@ -58,45 +61,45 @@
         }
     }
 
-    fn effects(&mut self, now: Micros, fresh: Vec<Effect>, out: &mut Vec<Effect>) {
-        for effect in fresh {
-            match (self.plant, &effect) {
-                (Plant::Mute, Effect::Dial { session_id, .. } | Effect::TearDown { session_id })
+    fn effects(&mut self, now: Micros, effects: Vec<Effect>, out: &mut Vec<Effect>) {
+        for effect in effects {
+            match (self.fault, &effect) {
+                (RelayFault::NoAnswer, Effect::Dial { session_id, .. } | Effect::TearDown { session_id })
                     if session_id % 10 == 0 => {}
-                (Plant::SaysTwice, Effect::Reject { .. }) => out.extend([effect.clone(), effect]),
-                (Plant::DialsAfterEnd, Effect::Reject { session_id, .. }) => {
-                    self.refused.push((now + 200_000, *session_id));
+                (RelayFault::RejectsTwice, Effect::Reject { .. }) => out.extend([effect.clone(), effect]),
+                (RelayFault::DialsAfterRejection, Effect::Reject { session_id, .. }) => {
+                    self.rejected.push((now + 200_000, *session_id));
                     out.push(effect);
                 }
                 (
-                    Plant::TwoAtOnce,
-                    Effect::Dial { session_id, dial, server, timeout: wait, addr, start_within: begin },
+                    RelayFault::ConcurrentDials,
+                    Effect::Dial { session_id, dial, server, timeout, addr, start_within },
                 ) => {
                     let second = Effect::Dial {
                         session_id: *session_id,
                         dial: dial + 1,
                         server: *server,
                         addr: *addr,
-                        timeout: *wait,
-                        start_within: *begin,
+                        timeout: *timeout,
+                        start_within: *start_within,
                     };
                     out.extend([effect, second]);
                 }
                 (
-                    Plant::PushesTheCold,
-                    Effect::Dial { session_id, dial, server, timeout: wait, addr, start_within: begin },
+                    RelayFault::OverloadsColdServer,
+                    Effect::Dial { session_id, dial, server, timeout, addr, start_within },
                 ) => {
-                    let addr = self.cold.unwrap_or(*addr);
+                    let addr = self.cold_server.unwrap_or(*addr);
                     out.push(Effect::Dial {
                         session_id: *session_id,
                         dial: *dial,
                         server: *server,
                         addr,
-                        timeout: *wait,
-                        start_within: *begin,
+                        timeout: *timeout,
+                        start_within: *start_within,
                     });
                 }
-                (Plant::LeavesOpen, Effect::Migrate { .. }) => {}
+                (RelayFault::DropsOpenSessions, Effect::Migrate { .. }) => {}
                 (_, Effect::Dial { addr, .. }) => {
                     self.last_dial = Some(*addr);
                     out.push(effect);
@@ -104,9 +107,9 @@
                 _ => out.push(effect),
             }
         }
-        let due = self.refused.iter().position(|(at, _)| *at <= now);
-        if let (Some(at), Some(addr)) = (due, self.last_dial) {
-            let (_, session_id) = self.refused.remove(at);
+        let due = self.rejected.iter().position(|(at, _)| *at <= now);
+        if let (Some(index), Some(addr)) = (due, self.last_dial) {
+            let (_, session_id) = self.rejected.remove(index);
             out.push(Effect::Dial {
                 server: None,
                 session_id,
@@ -119,105 +122,107 @@
     }
 }
 
-impl virt::StateMachine for Double {
+impl virt::StateMachine for FaultyRelay {
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.inner.start(now, out);
     }
 
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
-        let stops = event == Event::StopRequested && self.plant == Plant::LeavesOpen;
-        let (event, mut fresh) = (self.event(event), Vec::new());
-        self.inner.step(now, event, &mut fresh);
-        self.effects(now, fresh, out);
-        if stops {
+        let exits = event == Event::StopRequested && self.fault == RelayFault::DropsOpenSessions;
+        let (event, mut effects) = (self.event(event), Vec::new());
+        self.inner.step(now, event, &mut effects);
+        self.effects(now, effects, out);
+        if exits {
             out.push(Effect::Exit);
         }
     }
 }
 
-fn day(more: &str, sets: &[(&str, &str)]) -> Scenario {
-    let mut text = include_str!("troubles/base.toml").to_string() + more;
-    for (key, value) in sets {
-        text = scenario_keys::set(&text, key, &scenario_keys::values(value).expect("a value")[0])
-            .expect("a key");
+fn scenario(faults: &str, settings: &[(&str, &str)]) -> Scenario {
+    let mut text = include_str!("troubles/base.toml").to_string() + faults;
+    for (key, value) in settings {
+        let values = scenario_keys::values(value).expect("parse the value");
+        text = scenario_keys::set(&text, key, &values[0]).expect("set the key");
     }
-    scenario::parse("double", &text).expect("a sound scenario")
+    scenario::parse("double", &text).expect("parse the scenario")
 }
 
-fn play(s: &Scenario, plant: Plant) -> Outcome {
-    let make: virt::StateMachineFactory = Box::new(move |node| {
-        Box::new(Double {
+fn play(scenario: &Scenario, fault: RelayFault) -> Outcome {
+    let factory: virt::StateMachineFactory = Box::new(move |node| {
+        Box::new(FaultyRelay {
             inner: Reducer::new(node, None),
-            plant,
-            cold: None,
+            fault,
+            cold_server: None,
             last_dial: None,
-            refused: vec![],
+            rejected: vec![],
         })
     });
-    virt::run(s, s.seed, make, &mut |_| true).expect("it plays")
+    virt::run(scenario, scenario.seed, factory, &mut |_| true).expect("play the scenario")
 }
 
-fn broken_by(s: &Scenario, plant: Plant, rule: u8, what: &str) {
-    let honest = play(s, Plant::None);
-    assert_eq!(honest.breaches, [], "{plant:?}: the honest relay");
-    let o = play(s, plant);
-    assert!(o.breach_count > 0, "{plant:?} was not caught");
-    let found = o.breaches.iter().find(|b| b.rule == rule && b.details.contains(what));
-    let b = found.unwrap_or_else(|| panic!("{plant:?}: no breach of {rule} '{what}' in {:?}", o.breaches));
+fn assert_breach(scenario: &Scenario, fault: RelayFault, rule: u8, details: &str) {
+    let correct = play(scenario, RelayFault::None);
+    assert_eq!(correct.breaches, [], "{fault:?}: breaches without the fault");
+    let outcome = play(scenario, fault);
+    assert!(outcome.breach_count > 0, "{fault:?}: no breach reported");
+    let found = outcome.breaches.iter().find(|b| b.rule == rule && b.details.contains(details));
+    let breach = found.unwrap_or_else(|| {
+        panic!("{fault:?}: no breach of rule {rule} with '{details}' in {:?}", outcome.breaches)
+    });
     if rule != 4 {
-        assert_ne!(b.session, "none");
-        assert!(!b.trace.is_empty(), "{plant:?}: no lines are named");
+        assert_ne!(breach.session, "none");
+        assert!(!breach.trace.is_empty(), "{fault:?}: the breach has no trace");
     }
 }
 
-const CROWDED: &str = "\n[[trouble]]\nkind = \"burst\"\nat_s = 3\nlength_s = 10\nstrength = 8\n";
+const OVERLOAD: &str = "\n[[trouble]]\nkind = \"burst\"\nat_s = 3\nlength_s = 10\nstrength = 8\n";
 
 #[test]
-fn rule_1_no_answer() {
-    broken_by(&day("", &[]), Plant::Mute, 1, "no answer within the dial timeout");
+fn missing_answer_breaks_rule_1() {
+    assert_breach(&scenario("", &[]), RelayFault::NoAnswer, 1, "no answer within the dial timeout");
 }
 
 #[test]
-fn rule_1_a_second_answer() {
-    broken_by(&day(CROWDED, &[]), Plant::SaysTwice, 1, "after the final answer");
+fn second_answer_breaks_rule_1() {
+    assert_breach(&scenario(OVERLOAD, &[]), RelayFault::RejectsTwice, 1, "after the final answer");
 }
 
 #[test]
-fn rule_1_dialled_after_the_end() {
-    broken_by(&day(CROWDED, &[]), Plant::DialsAfterEnd, 1, "after it was over");
+fn dial_after_rejection_breaks_rule_1() {
+    assert_breach(&scenario(OVERLOAD, &[]), RelayFault::DialsAfterRejection, 1, "after it was over");
 }
 
 #[test]
-fn rule_1_open_sessions_left() {
+fn dropped_open_sessions_break_rule_1() {
     let stop = "\n[[trouble]]\nkind = \"relay-stopped\"\nat_s = 8\nlength_s = 5\nshare = 0.5\n";
-    broken_by(&day(stop, &[]), Plant::LeavesOpen, 1, "cut off without MOVE");
+    assert_breach(&scenario(stop, &[]), RelayFault::DropsOpenSessions, 1, "cut off without MOVE");
 }
 
 #[test]
-fn rule_2_two_dials_at_once() {
-    broken_by(&day("", &[]), Plant::TwoAtOnce, 2, "while a dial is out");
+fn concurrent_dials_break_rule_2() {
+    assert_breach(&scenario("", &[]), RelayFault::ConcurrentDials, 2, "while a dial is out");
 }
 
 #[test]
-fn rule_2_once_only_twice() {
+fn repeated_once_only_session_breaks_rule_2() {
     let failing = "\n[[trouble]]\nkind = \"failing\"\nat_s = 3\nlength_s = 12\nshare = 0.5\nstrength = 0.8\n";
-    let s = day(failing, &[("listener[1].repeat", "\"once-only\""), ("load.rate", "20")]);
-    broken_by(&s, Plant::TakesRanForNever, 2, "may have run before");
+    let scenario = scenario(failing, &[("listener[1].repeat", "\"once-only\""), ("load.rate", "20")]);
+    assert_breach(&scenario, RelayFault::IgnoresMayHaveRun, 2, "may have run before");
 }
 
 #[test]
-fn rule_3_a_drain_unheard() {
+fn dial_to_draining_server_breaks_rule_3() {
     let drain = "\n[[trouble]]\nkind = \"drain\"\nat_s = 4\nlength_s = 12\nshare = 0.4\n";
-    // Drains as long as the day, or there would be nobody to dial.
-    let s = day(drain, &[("servers.drain_s", "15"), ("load.rate", "30")]);
-    broken_by(&s, Plant::DeafToDrains, 3, "told to be shut");
+    // The servers drain until the end of the day: otherwise there would be no draining server left to dial.
+    let scenario = scenario(drain, &[("servers.drain_s", "15"), ("load.rate", "30")]);
+    assert_breach(&scenario, RelayFault::IgnoresDrains, 3, "told to be shut");
 }
 
 #[test]
-fn rule_4_a_cold_server_pushed_over() {
+fn overloaded_cold_server_breaks_rule_4() {
     let crash = "\n[[trouble]]\nkind = \"crash\"\nat_s = 4\nlength_s = 2\nshare = 0.1\n";
-    let back = "\n[[trouble]]\nkind = \"reconnect\"\nat_s = 8\nshare = 0.9\nstrength = 1\n";
-    let sets = [("servers.cold_s", "20"), ("servers.cap_per_core", "400"), ("load.standing", "200")];
-    let s = day(&format!("{crash}{back}"), &sets);
-    broken_by(&s, Plant::PushesTheCold, 4, "fell over");
+    let reconnect = "\n[[trouble]]\nkind = \"reconnect\"\nat_s = 8\nshare = 0.9\nstrength = 1\n";
+    let settings = [("servers.cold_s", "20"), ("servers.cap_per_core", "400"), ("load.standing", "200")];
+    let scenario = scenario(&format!("{crash}{reconnect}"), &settings);
+    assert_breach(&scenario, RelayFault::OverloadsColdServer, 4, "fell over");
 }
--- a/lab/tests/drains.rs
+++ b/lab/tests/drains.rs
@@ -1,5 +1,6 @@
-//! Drains that are agreed, in virtual time, with voters killed, stalled and cut off: the count from outside,
-//! and a relay that takes no notice of what is agreed, which that count is to see.
+//! Drains of relays in virtual time, which the voters must agree on while some of them are killed, stalled
+//! and cut off. The laboratory counts draining relays independently; this count must also detect a relay that
+//! drains without the agreement of the others.
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_config::scenario::{self, Scenario};
@@ -8,30 +9,30 @@
 use hallrelay_recovery::StoredState;
 use hallrelay_relay::reducer::{Effect, Event, LifecycleStatus, OperatorReply, OperatorRequest, Reducer};
 
-fn day() -> Scenario {
+fn parse_scenario() -> Scenario {
     let text = include_str!("../../deploy/example/scenarios/relays-in-turn.toml");
-    scenario::parse("relays-in-turn", text).expect("a scenario")
+    scenario::parse("relays-in-turn", text).expect("parse the scenario")
 }
 
-fn outs(seed: u64, maker: virt::StateMachineFactory) -> LeaseFigures {
-    let outcome = virt::run(&day(), seed, maker, &mut |_| true).expect("a day");
+fn count_drains(seed: u64, factory: virt::StateMachineFactory) -> LeaseFigures {
+    let outcome = virt::run(&parse_scenario(), seed, factory, &mut |_| true).expect("play the scenario");
     assert_eq!(outcome.breaches, [], "seed {seed}");
-    outcome.outs.expect("relays were wanted out")
+    outcome.outs.expect("the scenario requests drains")
 }
 
 #[test]
-fn one_is_out_at_a_time_and_each_has_its_turn() {
+fn relays_drain_one_at_a_time() {
     for seed in 1..=3 {
-        let outs = outs(seed, virt::reducers());
-        assert_eq!((outs.over, outs.max_draining), (0, 1), "seed {seed}");
-        assert!(outs.granted >= 10 && outs.deferred > 50, "seed {seed}: {outs:?}");
+        let drains = count_drains(seed, virt::reducers());
+        assert_eq!((drains.over, drains.max_draining), (0, 1), "seed {seed}");
+        assert!(drains.granted >= 10 && drains.deferred > 50, "seed {seed}: {drains:?}");
     }
 }
 
-/// It says that it drains as it is asked, whatever the others agree on.
-struct Headstrong(Reducer);
+/// Accepts every request for a drain without asking the other relays.
+struct UnilateralDrain(Reducer);
 
-impl virt::StateMachine for Headstrong {
+impl virt::StateMachine for UnilateralDrain {
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.0.start(now, out);
     }
@@ -50,9 +51,9 @@
 }
 
 #[test]
-fn who_takes_no_notice_is_seen() {
-    let maker =
-        |node: Node| -> Box<dyn virt::StateMachine> { Box::new(Headstrong(Reducer::new(node, None))) };
-    let outs = outs(1, Box::new(maker));
-    assert!(outs.over > 0 && outs.max_draining > 6, "{outs:?}");
+fn drains_without_agreement_exceed_the_limit() {
+    let factory =
+        |node: Node| -> Box<dyn virt::StateMachine> { Box::new(UnilateralDrain(Reducer::new(node, None))) };
+    let drains = count_drains(1, Box::new(factory));
+    assert!(drains.over > 0 && drains.max_draining > 6, "{drains:?}");
 }
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Real processes that know each other, and the rig between them: ways cut and split, a process that stands
-//! still, one that is killed, one in a loop, one replaced. Verdicts by counts and order, never by tight
+//! Membership between real relay processes over emulated links, while links are cut and split, and processes
+//! are stalled, killed, restarted in a loop and replaced. The tests check counts and order, but no tight
 //! times.
 use hallrelay_emulator::service::Outcome;
 use std::path::PathBuf;
@@ -8,39 +8,40 @@
 const LAB: &str = env!("CARGO_BIN_EXE_hallrelay-lab");
 const BASE: &str = include_str!("troubles/base.toml");
 
-fn rehearse(name: &str, relays: &str, length: u32, more: &str) -> (Outcome, Option<i32>) {
+fn rehearse(name: &str, relays: &str, length_s: u32, faults: &str) -> (Outcome, Option<i32>) {
     let folder = std::env::temp_dir().join(format!("hallrelay-lab-{}-{name}", std::process::id()));
     _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("create the test directory");
     let text = BASE.replace("count = 2", &format!("{relays}\nfleet = true"));
-    let text = text.replace("length_s = 24", &format!("length_s = {length}"));
+    let text = text.replace("length_s = 24", &format!("length_s = {length_s}"));
     let path = folder.join("day.toml");
-    std::fs::write(&path, text + more).expect("a scenario");
+    std::fs::write(&path, text + faults).expect("write the scenario");
     let mut command = Command::new(LAB);
     command.arg("rehearse").arg(&path).arg("--out").arg(folder.join("o")).arg("--json");
-    let output = command.stdin(Stdio::null()).output().expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr);
-    let o = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {said}"));
+    let output = command.stdin(Stdio::null()).output().expect("run the laboratory");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    let o = serde_json::from_slice(&output.stdout).unwrap_or_else(|e| panic!("{e}: {stderr}"));
     _ = std::fs::remove_dir_all(&folder);
     (o, output.status.code())
 }
 
-/// Whether one relay was held to be in a state by at least so many others.
-fn held(o: &Outcome, subject: &str, state: &str) -> usize {
-    let changes = &o.membership.as_ref().expect("they know each other").view_changes;
-    let by: std::collections::BTreeSet<usize> =
+/// Number of relays that saw the subject in a state at any time.
+fn observer_count(o: &Outcome, subject: &str, state: &str) -> usize {
+    let changes = &o.membership.as_ref().expect("the outcome has membership").view_changes;
+    let observers: std::collections::BTreeSet<usize> =
         changes.iter().filter(|b| b.subject == subject && b.state == state).map(|b| b.observer).collect();
-    by.len()
+    observers.len()
 }
 
-fn last_words(o: &Outcome) -> Vec<&str> {
-    let lanes = &o.membership.as_ref().expect("they know each other").lanes;
-    lanes.iter().map(|lane| lane.last().map_or("", |word| word.word.as_str())).collect()
+/// The last state in the lane of each relay.
+fn final_states(o: &Outcome) -> Vec<&str> {
+    let lanes = &o.membership.as_ref().expect("the outcome has membership").lanes;
+    lanes.iter().map(|lane| lane.last().map_or("", |entry| entry.word.as_str())).collect()
 }
 
 #[test]
-fn cuts_stalls_kills_and_restarts_between_five_processes() {
-    let more = r#"
+fn stalls_kills_and_stops_are_told_apart() {
+    let faults = r#"
 [[trouble]]
 kind = "link-cut"
 at_s = 1
@@ -68,34 +69,34 @@
 length_s = 30
 relays = [1]
 "#;
-    let (o, code) = rehearse("cuts", "count = 5", 30, more);
-    let membership = o.membership.as_ref().expect("they know each other");
+    let (o, code) = rehearse("cuts", "count = 5", 30, faults);
+    let membership = o.membership.as_ref().expect("the outcome has membership");
     assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
-    // Who stood still, who died, who left: told apart, and known to those who could.
+    // Relay 2 was stalled, relay 3 killed and relay 1 stopped: the relays that could detect it, did.
     assert!(
-        held(&o, "relay-2", "gone") >= 3 && held(&o, "relay-3", "gone") >= 3,
+        observer_count(&o, "relay-2", "gone") >= 3 && observer_count(&o, "relay-3", "gone") >= 3,
         "{:?}",
         membership.view_changes
     );
     assert!(
-        held(&o, "relay-1", "left") >= 3 && held(&o, "relay-1", "gone") == 0,
+        observer_count(&o, "relay-1", "left") >= 3 && observer_count(&o, "relay-1", "gone") == 0,
         "{:?}",
         membership.view_changes
     );
     assert_eq!(
-        (held(&o, "relay-4", "gone"), held(&o, "relay-0", "gone")),
+        (observer_count(&o, "relay-4", "gone"), observer_count(&o, "relay-0", "gone")),
         (0, 0),
         "{:?}",
         membership.view_changes
     );
     assert!(membership.deaths.count >= 3 && membership.returns.count >= 3);
-    assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 7, "a kill and a replacement");
+    assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 7, "five, a kill and a replacement");
     assert!(o.relays.iter().all(|r| !r.crashed));
 }
 
 #[test]
-fn halves_of_six_processes_split_and_heal_with_loss_and_one_in_a_loop() {
-    let more = r#"
+fn split_fleet_reunites_despite_loss_and_restart_loop() {
+    let faults = r#"
 [[trouble]]
 kind = "link-split"
 at_s = 4
@@ -118,24 +119,25 @@
 every_s = 0.8
 relays = [5]
 "#;
-    let (o, code) = rehearse("halves", "count = 6", 36, more);
-    let membership = o.membership.as_ref().expect("they know each other");
+    let (o, code) = rehearse("halves", "count = 6", 36, faults);
+    let membership = o.membership.as_ref().expect("the outcome has membership");
     assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
     assert!(
-        held(&o, "relay-0", "gone") >= 2 && held(&o, "relay-3", "gone") >= 2,
+        observer_count(&o, "relay-0", "gone") >= 2 && observer_count(&o, "relay-3", "gone") >= 2,
         "{:?}",
         membership.view_changes
     );
-    assert_eq!(last_words(&o), ["whole"; 6], "{:?}", membership.lanes);
+    assert_eq!(final_states(&o), ["whole"; 6], "{:?}", membership.lanes);
     let [sent, arrived, lost, damaged] = membership.datagrams;
     assert!(lost > 50 && damaged > 50 && sent >= arrived, "{:?}", membership.datagrams);
 }
 
-/// Relays, servers and list service go dark at once, twice for the relays; as they return two relays are cut
-/// off from each other. Verdicts by the rules, those about drains told before the cut among them.
+/// Relays, servers and the list service fail at the same time, and two relays fail a second time. While the
+/// relays return, the link between two of them is cut. No rule may be broken, including those about drains
+/// that were announced before the failure.
 #[test]
-fn power_is_lost_and_returns_while_links_are_cut() {
-    let more = r#"
+fn fleet_recovers_from_power_loss_during_link_cut() {
+    let faults = r#"
 [[trouble]]
 kind = "drain"
 at_s = 2
@@ -168,19 +170,18 @@
 to = [1]
 "#;
     let relays = "count = 4\nstate = true\nknown = \"first\"\nretry_after_ms = 1500";
-    let (o, code) = rehearse("power", relays, 32, more);
-    let membership = o.membership.as_ref().expect("they know each other");
+    let (o, code) = rehearse("power", relays, 32, faults);
+    let membership = o.membership.as_ref().expect("the outcome has membership");
     assert_eq!((&membership.findings, &o.breaches, code), (&vec![], &vec![], Some(0)), "{:?}", o.log);
     assert_eq!((o.stale_dials, o.overloads), (0, 0), "{:?}", o.log);
     assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 10);
-    assert_eq!(last_words(&o), ["whole"; 4], "{:?}", membership.lanes);
-    let last = o.samples.last().expect("some");
-    assert!(last.open > 20, "clients are served again: {last:?}");
+    assert_eq!(final_states(&o), ["whole"; 4], "{:?}", membership.lanes);
+    let last = o.samples.last().expect("the outcome has samples");
+    assert!(last.open > 20, "clients are not served again: {last:?}");
 }
 
-/// What is wrong is named with file, line and key, and nothing starts.
 #[test]
-fn faulty_troubles_between_relays() {
+fn invalid_faults_between_relays_are_reported_with_key() {
     let cut = "[[trouble]]\nkind = \"link-cut\"\nat_s = 2\nlength_s = 3\n";
     let cases = [
         ("", cut.to_string(), "relays.fleet is not true"),
@@ -208,23 +209,23 @@
         ("fleet = true\nseeds = 0", String::new(), "relays.seeds: wanted 1 at least"),
     ];
     let folder = std::env::temp_dir().join(format!("hallrelay-lab-{}-ways", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let refused = |text: &str, wanted: &str| {
+    std::fs::create_dir_all(&folder).expect("create the test directory");
+    let check_fails = |text: &str, expected: &str| {
         let path = folder.join("day.toml");
-        std::fs::write(&path, text).expect("a scenario");
-        let output = Command::new(LAB).arg("check").arg(&path).output().expect("it runs");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{wanted}");
-        assert!(said.contains("day.toml:") && said.contains(wanted), "{wanted}: {said}");
-        said
+        std::fs::write(&path, text).expect("write the scenario");
+        let output = Command::new(LAB).arg("check").arg(&path).output().expect("run the laboratory");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{expected}");
+        assert!(stderr.contains("day.toml:") && stderr.contains(expected), "{expected}: {stderr}");
+        stderr
     };
-    for (relays, trouble, wanted) in cases {
-        refused(&(BASE.replace("count = 2", &format!("count = 2\n{relays}")) + &trouble), wanted);
+    for (relays, fault, expected) in cases {
+        check_fails(&(BASE.replace("count = 2", &format!("count = 2\n{relays}")) + &fault), expected);
     }
-    // The old name of a table.
-    let said = refused(&BASE.replace("[servers]", "[fleet]"), "fleet: is called servers now");
-    let line = BASE.split("[servers]").next().expect("the text before").matches('\n').count() + 1;
-    assert!(said.contains(&format!("day.toml:{line}: ")), "{said}");
+    // The table had this name in earlier versions.
+    let stderr = check_fails(&BASE.replace("[servers]", "[fleet]"), "fleet: is called servers now");
+    let line = BASE.split("[servers]").next().expect("find [servers]").matches('\n').count() + 1;
+    assert!(stderr.contains(&format!("day.toml:{line}: ")), "{stderr}");
     let path: PathBuf = folder;
     _ = std::fs::remove_dir_all(path);
 }
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -1,5 +1,5 @@
-//! The form of a relay's log, as `hallrelay-lab losses` reads it, against the types and the program that
-//! write it: a change of either is noticed here.
+//! Tests that `hallrelay-lab losses` reads logs in the format in which the relay's types and the relay
+//! program write them, so that a change on either side is detected.
 use hallrelay_balancer::types::{DialEnd, LoadReport, Phase};
 use hallrelay_config::list::{Instance, List};
 use hallrelay_lab::losses::parse::{line, Entry, Line, Opening};
@@ -11,7 +11,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// What a relay's line about an event or an effect is parsed to.
+/// Parses the log line for an event or an effect.
 fn parsed(kind: &str, what: &dyn Debug) -> Entry {
     match line(&format!("Mar 04 12:00:00.001 TRCE {kind}, what: {what:?}")) {
         Line::Logged { entry, .. } => entry,
@@ -41,26 +41,23 @@
 }
 
 #[test]
-fn openings_are_read_as_they_are_logged() {
-    for (at, standing) in [(None, false), (Some("oak"), true)] {
-        let opening = Opening { id: 11, key: 22, group: 33, returned: true, pre_existing: standing };
+fn openings_are_parsed_from_logged_events() {
+    for (at, pre_existing) in [(None, false), (Some("oak"), true)] {
+        let opening = Opening { id: 11, key: 22, group: 33, returned: true, pre_existing };
         let entry = event(Event::SessionRequested { session_id: 7, open: open(at), time_remaining: 5 });
         assert_eq!(entry, Entry::SessionRequested { session_id: 7, opening });
     }
-    let mut inherited = Event::SessionAdopted { session_id: 8, state: Default::default() };
-    if let Event::SessionAdopted { state: session, .. } = &mut inherited {
+    let mut adopted = Event::SessionAdopted { session_id: 8, state: Default::default() };
+    if let Event::SessionAdopted { state: session, .. } = &mut adopted {
         (session.id, session.key, session.group, session.returned) = (11, 22, 33, true);
         session.server = "oak".to_string();
     }
     let opening = Opening { id: 11, key: 22, group: 33, returned: true, pre_existing: false };
-    assert_eq!(
-        event(inherited),
-        Entry::SessionAdopted { session_id: 8, opening, backend: "oak".to_string() }
-    );
+    assert_eq!(event(adopted), Entry::SessionAdopted { session_id: 8, opening, backend: "oak".to_string() });
 }
 
 #[test]
-fn events_of_sessions_are_read_as_they_are_logged() {
+fn session_events_are_parsed_from_logged_events() {
     use DialEnd::{Cancelled, Error, Full, NotSent, Ok, Reset, Timeout, Unconnected};
     for end in [Ok, Error, Full, Timeout, Unconnected, Reset, Cancelled, NotSent] {
         let report = Some(LoadReport { load: Some(0.5), queue_delay: None, sessions: Some(3.0) });
@@ -92,8 +89,8 @@
 }
 
 #[test]
-fn effects_are_read_as_they_are_logged() {
-    let addr = "127.0.1.1:8000".parse().expect("an address");
+fn effects_are_parsed_from_logged_effects() {
+    let addr = "127.0.1.1:8000".parse().expect("parse the address");
     let dial = Effect::Dial { session_id: 1, dial: 2, server: Some(9), addr, timeout: 3, start_within: 4 };
     assert_eq!(effect(dial), Entry::Dial { session_id: 1, addr });
     assert_eq!(effect(Effect::StartProxying { session_id: 1 }), Entry::StartProxying { session_id: 1 });
@@ -107,32 +104,32 @@
     assert_eq!(effect(Effect::Migrate { session_id: 1 }), Entry::Migrate { session_id: 1 });
     assert_eq!(effect(Effect::HealthCheck { server: 9, addr }), Entry::HealthCheck { addr });
     assert_eq!(effect(Effect::Exit), Entry::Exit);
-    let notes =
+    let changes =
         [("serving", "stopping", true), ("draining", "serving", false), ("serving", "draining", true)];
-    for (from, to, leaves) in notes {
-        let what = format!("from {from} to {to}");
-        assert_eq!(effect(Effect::Log { message: what }), Entry::Lifecycle { migrates_sessions: leaves });
+    for (from, to, migrates_sessions) in changes {
+        let message = format!("from {from} to {to}");
+        assert_eq!(effect(Effect::Log { message }), Entry::Lifecycle { migrates_sessions });
     }
     assert_eq!(effect(Effect::Log { message: "something else".to_string() }), Entry::OtherEvent);
 }
 
 #[test]
-fn probes_and_lists_are_read_as_they_are_logged() {
+fn health_checks_and_lists_are_parsed_from_logged_events() {
     let report = LoadReport { load: Some(0.005), queue_delay: Some(1.0), sessions: None };
-    let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Ok, report: Some(report) };
-    assert_eq!(event(probed), Entry::HealthCheckEnded { end: DialEnd::Ok, report });
-    let probed = Event::HealthCheckEnded { server: 1, end: DialEnd::Timeout, report: None };
+    let check_ended = Event::HealthCheckEnded { server: 1, end: DialEnd::Ok, report: Some(report) };
+    assert_eq!(event(check_ended), Entry::HealthCheckEnded { end: DialEnd::Ok, report });
+    let check_ended = Event::HealthCheckEnded { server: 1, end: DialEnd::Timeout, report: None };
     assert_eq!(
-        event(probed),
+        event(check_ended),
         Entry::HealthCheckEnded { end: DialEnd::Timeout, report: LoadReport::default() }
     );
-    let instance = |id: &str, phase, came_up| Instance {
+    let instance = |id: &str, phase, started_at| Instance {
         id: id.to_string(),
-        addr: "127.0.1.1:8000".parse().expect("an address"),
+        addr: "127.0.1.1:8000".parse().expect("parse the address"),
         zone: "north, phase: Gone".to_string(),
         cell: 3,
         phase,
-        started_at: came_up,
+        started_at,
     };
     let instances = vec![
         instance("oak", Phase::Ready, 0),
@@ -149,69 +146,69 @@
 }
 
 #[test]
-fn a_line_that_is_cut_anywhere_is_no_entry() {
+fn line_truncated_anywhere_is_not_an_entry() {
     let what = Event::SessionRequested { session_id: 7, open: open(Some("oak")), time_remaining: 5 };
     let text = format!("Mar 04 12:00:00.001 TRCE event, what: {what:?}");
-    let from = text.find("what: ").expect("it is there") + "what: ".len();
+    let from = text.find("what: ").expect("find the event") + "what: ".len();
     for end in from..text.len() {
         assert_eq!(line(&text[..end]), Line::Cut, "{}", &text[..end]);
     }
 }
 
-/// A backend that takes one session and ends it well.
+/// Starts a backend that accepts one session and completes it. Returns its address.
 fn backend() -> (String, std::thread::JoinHandle<()>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let place = listener.local_addr().expect("an address").to_string();
+    let listening_socket = TcpListener::bind("127.0.0.1:0").expect("bind the backend's port");
+    let addr = listening_socket.local_addr().expect("read the backend's address").to_string();
     let serve = move || {
-        // Connections that bring no session are probes, which the configuration forbids.
-        let (mut stream, _) = listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time");
+        // The configuration disables probes, so that the first connection is that of the session.
+        let (mut stream, _) = listening_socket.accept().expect("accept the relay's connection");
+        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set the read timeout");
         let mut line = String::new();
-        BufReader::new(&stream).read_line(&mut line).expect("a line");
+        BufReader::new(&stream).read_line(&mut line).expect("read the first line");
         assert!(line.starts_with("OPEN "), "{line}");
-        stream.write_all(b"UP\r\n").expect("it goes out");
+        stream.write_all(b"UP\r\n").expect("send UP");
         std::thread::sleep(Duration::from_millis(50));
-        stream.write_all(b"BYE\r\n").expect("it goes out");
+        stream.write_all(b"BYE\r\n").expect("send BYE");
     };
-    (place, std::thread::spawn(serve))
+    (addr, std::thread::spawn(serve))
 }
 
 /// The configuration of a relay that knows one backend.
 fn configuration(backend: &str) -> String {
     let example = include_str!("../../deploy/example/relay.json");
-    let mut value: serde_json::Value = serde_json::from_str(example).expect("JSON");
+    let mut value: serde_json::Value = serde_json::from_str(example).expect("parse the example");
     value["known"]["instances"] = serde_json::json!([{"instanceId": "oak", "hostPort": backend,
         "zone": "here", "cell": 0, "lifecycle": "up", "startedAtMs": 0}]);
     value["settings"]["Ceilings"]["MayProbe"] = false.into();
     value.to_string()
 }
 
-/// Asks a relay for a session, as soon as it takes connections; all that it answers.
-fn client(place: &str, line: &str) -> String {
-    let until = Instant::now() + Duration::from_secs(10);
+/// Requests a session when the relay accepts connections. Returns everything that the relay sends.
+fn request_session(addr: &str, line: &str) -> String {
+    let deadline = Instant::now() + Duration::from_secs(10);
     let mut stream = loop {
-        match TcpStream::connect(place) {
+        match TcpStream::connect(addr) {
             Ok(stream) => break stream,
-            Err(e) => assert!(Instant::now() < until, "{place}: {e}"),
+            Err(e) => assert!(Instant::now() < deadline, "{addr}: {e}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     };
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time");
-    stream.write_all(line.as_bytes()).expect("it goes out");
-    let mut heard = String::new();
-    std::io::Read::read_to_string(&mut stream, &mut heard).expect("an answer and its end");
-    heard
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set the read timeout");
+    stream.write_all(line.as_bytes()).expect("send the first line");
+    let mut received = String::new();
+    std::io::Read::read_to_string(&mut stream, &mut received).expect("read until the relay closes");
+    received
 }
 
-/// A process that is ended with the test, however that ends.
+/// A relay process. Dropping this value kills it, also when the test fails.
 struct RelayProcess(std::process::Child);
 
 impl RelayProcess {
-    /// Tells it to stop, and waits until it has.
+    /// Requests the process to stop and waits for its end.
     fn stop(&mut self) {
-        // SAFETY: a signal to a process that this test has started and has not waited for.
+        // SAFETY: this test has started the process and has not waited for it yet.
         unsafe { libc::kill(self.0.id() as i32, libc::SIGTERM) };
-        self.0.wait().expect("it ends");
+        self.0.wait().expect("wait for the relay's end");
     }
 }
 
@@ -222,31 +219,32 @@
     }
 }
 
-/// A real relay's process: its log is accounted for whole.
 #[test]
-fn the_log_of_a_real_relay_is_accounted_for() {
+fn log_of_relay_process_is_fully_accounted_for() {
     let folder = std::env::temp_dir().join(format!("hallrelay-losses-form-{}", std::process::id()));
     _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("create the test directory");
     let (backend, serving) = backend();
-    std::fs::write(folder.join("relay.json"), configuration(&backend)).expect("a configuration");
-    let log = std::fs::File::create(folder.join("west.log")).expect("a log");
-    let free = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
-    let place = free.to_string();
-    let started = Command::new(env!("CARGO_BIN_EXE_hallrelay-lab"))
+    std::fs::write(folder.join("relay.json"), configuration(&backend)).expect("write the configuration");
+    let log = std::fs::File::create(folder.join("west.log")).expect("create the log");
+    let free_port = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let addr = free_port.local_addr().expect("read the bound address").to_string();
+    drop(free_port);
+    let child = Command::new(env!("CARGO_BIN_EXE_hallrelay-lab"))
         .args(["relay", "serve", "-vv", "--config"])
         .arg(folder.join("relay.json"))
-        .args(["--listen", &place, "--discovery", "127.0.0.1:1"])
+        .args(["--listen", &addr, "--discovery", "127.0.0.1:1"])
         .env("TMPDIR", &folder)
         .stdin(Stdio::null())
         .stderr(log)
         .spawn();
-    let mut relay = RelayProcess(started.expect("it starts"));
-    let placed = client(&place, "OPEN 000000000000000a 000000000000004d c=schedule-view,d=1800,g=7\r\n");
-    let unknown = client(&place, "OPEN 000000000000000b 000000000000004e c=no-such,d=1800\r\n");
+    let mut relay = RelayProcess(child.expect("start the relay"));
+    let placed =
+        request_session(&addr, "OPEN 000000000000000a 000000000000004d c=schedule-view,d=1800,g=7\r\n");
+    let unknown = request_session(&addr, "OPEN 000000000000000b 000000000000004e c=no-such,d=1800\r\n");
     relay.stop();
-    serving.join().expect("the backend served");
-    let losses = hallrelay_lab::losses::read(&folder).expect("it is read");
+    serving.join().expect("join the backend");
+    let losses = hallrelay_lab::losses::read(&folder).expect("read the log");
     _ = std::fs::remove_dir_all(&folder);
     assert_eq!((placed.as_str(), unknown.as_str()), ("UP\r\nBYE\r\n", "ERR\r\n"));
     let sum = &losses.sum;
--- a/lab/tests/membership_audit.rs
+++ b/lab/tests/membership_audit.rs
@@ -1,5 +1,5 @@
-//! The membership audit against relays with a fault planted in them: each fault is found and named, and the
-//! same day with honest relays finds nothing.
+//! Tests the membership audit with one faulty relay. The audit must report each fault as the right violation,
+//! and nothing on the same day without the fault.
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::{self, Scenario};
 use hallrelay_emulator::membership_audit::Violation;
@@ -10,52 +10,58 @@
 use hallrelay_relay::reducer::{Effect, Event, Reducer, Timer};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Plant {
+enum RelayFault {
     None,
-    /// Hears neither relay 1 nor what others say of it, and no answers.
-    DeafToOne,
-    /// Concludes nothing, and takes no bad news from others.
-    Credulous,
-    /// Says that it started later than it did.
+    /// Ignores datagrams from relay 1, updates about it, and all answers.
+    IgnoresOneRelay,
+    /// Never suspects a member itself, and accepts only updates that a member is alive.
+    IgnoresDeaths,
+    /// Announces a later start time than its own.
     WrongStart,
-    /// Says that it leaves, and does not.
-    SaysItLeaves,
-    /// Hears nobody.
-    Deaf,
+    /// Announces that it leaves, but continues to run.
+    FalseLeave,
+    /// Receives nothing from other relays.
+    ReceivesNothing,
 }
 
-/// Relay 0 has the fault.
-struct Double {
+/// A relay with a fault, which only relay 0 has.
+struct FaultyRelay {
     inner: Reducer,
-    plant: Plant,
+    fault: RelayFault,
     fleet: String,
 }
 
-const ONE: &str = "relay-1";
+const IGNORED_RELAY: &str = "relay-1";
 
-impl Double {
-    /// What of an event comes through.
+impl FaultyRelay {
+    /// The event as the relay receives it, or `None` if the fault suppresses it.
     fn event(&self, event: Event) -> Option<Event> {
-        match (self.plant, event) {
+        match (self.fault, event) {
             (
-                Plant::Deaf,
+                RelayFault::ReceivesNothing,
                 Event::Membership(
                     MembershipEvent::DatagramReceived { .. } | MembershipEvent::StreamResponse { .. },
                 ),
             ) => None,
-            (Plant::DeafToOne, Event::Membership(MembershipEvent::DatagramReceived { from, mut packet })) => {
-                packet.updates.retain(|update| *update.name != *ONE);
-                // Others answer for it.
-                let answers = matches!(packet.body, MessageBody::Ack { .. });
-                (*packet.sender.name != *ONE && !answers)
+            (
+                RelayFault::IgnoresOneRelay,
+                Event::Membership(MembershipEvent::DatagramReceived { from, mut packet }),
+            ) => {
+                packet.updates.retain(|update| *update.name != *IGNORED_RELAY);
+                // Answers may come from relays that probed relay 1 on behalf of this one.
+                let is_answer = matches!(packet.body, MessageBody::Ack { .. });
+                (*packet.sender.name != *IGNORED_RELAY && !is_answer)
                     .then_some(Event::Membership(MembershipEvent::DatagramReceived { from, packet }))
             }
-            (Plant::Credulous, Event::Membership(MembershipEvent::DatagramReceived { from, mut packet })) => {
+            (
+                RelayFault::IgnoresDeaths,
+                Event::Membership(MembershipEvent::DatagramReceived { from, mut packet }),
+            ) => {
                 packet.updates.retain(|update| update.state == MemberState::Alive);
                 Some(Event::Membership(MembershipEvent::DatagramReceived { from, packet }))
             }
             (
-                Plant::Credulous,
+                RelayFault::IgnoresDeaths,
                 Event::Membership(MembershipEvent::StreamResponse { .. }) | Event::Timer(Timer::Membership),
             ) => None,
             (_, event) => Some(event),
@@ -64,10 +70,11 @@
 
     fn effect(&self, effect: Effect) -> Effect {
         let Effect::Membership(MembershipEffect::SendDatagram { to, bytes }) = effect else { return effect };
-        let mut packet = decode(&self.fleet, &bytes, MAX_DATAGRAM_BYTES).expect("its own");
-        match self.plant {
-            Plant::WrongStart => packet.sender.incarnation.start += 1_000_000_000,
-            Plant::SaysItLeaves => packet.sender.state = MemberState::Left,
+        let mut packet =
+            decode(&self.fleet, &bytes, MAX_DATAGRAM_BYTES).expect("decode a packet of the relay itself");
+        match self.fault {
+            RelayFault::WrongStart => packet.sender.incarnation.start += 1_000_000_000,
+            RelayFault::FalseLeave => packet.sender.state = MemberState::Left,
             _ => return Effect::Membership(MembershipEffect::SendDatagram { to, bytes }),
         }
         let updates: Vec<Vec<u8>> = packet.updates.iter().map(encode_update).collect();
@@ -78,70 +85,75 @@
     }
 }
 
-impl virt::StateMachine for Double {
+impl virt::StateMachine for FaultyRelay {
     fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let mut fresh = Vec::new();
-        self.inner.start(now, &mut fresh);
-        out.extend(fresh.into_iter().map(|effect| self.effect(effect)));
+        let mut effects = Vec::new();
+        self.inner.start(now, &mut effects);
+        out.extend(effects.into_iter().map(|effect| self.effect(effect)));
     }
 
     fn step(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         let Some(event) = self.event(event) else { return };
-        let mut fresh = Vec::new();
-        self.inner.step(now, event, &mut fresh);
-        out.extend(fresh.into_iter().map(|effect| self.effect(effect)));
+        let mut effects = Vec::new();
+        self.inner.step(now, event, &mut effects);
+        out.extend(effects.into_iter().map(|effect| self.effect(effect)));
     }
 }
 
-fn day(more: &str) -> Scenario {
-    let mut text = include_str!("troubles/base.toml").to_string() + more;
+fn scenario(faults: &str) -> Scenario {
+    let mut text = include_str!("troubles/base.toml").to_string() + faults;
     for (key, value) in [("relays.fleet", "true"), ("relays.count", "5"), ("length_s", "60")] {
-        text = scenario_keys::set(&text, key, &scenario_keys::values(value).expect("a value")[0])
-            .expect("a key");
+        let values = scenario_keys::values(value).expect("parse the value");
+        text = scenario_keys::set(&text, key, &values[0]).expect("set the key");
     }
-    scenario::parse("double", &text).expect("a sound scenario")
+    scenario::parse("double", &text).expect("parse the scenario")
 }
 
-fn play(s: &Scenario, plant: Plant) -> Outcome {
-    let make: virt::StateMachineFactory = Box::new(move |node| {
-        let plant = if node.name == "relay-0" { plant } else { Plant::None };
-        let fleet = node.fleet.as_ref().expect("they know each other").name.clone();
-        Box::new(Double { inner: Reducer::new(node, None), plant, fleet })
+fn play(scenario: &Scenario, fault: RelayFault) -> Outcome {
+    let factory: virt::StateMachineFactory = Box::new(move |node| {
+        let fault = if node.name == "relay-0" { fault } else { RelayFault::None };
+        let fleet = node.fleet.as_ref().expect("the relay has membership").name.clone();
+        Box::new(FaultyRelay { inner: Reducer::new(node, None), fault, fleet })
     });
-    virt::run(s, s.seed, make, &mut |_| true).expect("it plays")
+    virt::run(scenario, scenario.seed, factory, &mut |_| true).expect("play the scenario")
 }
 
-fn found_by(s: &Scenario, plant: Plant, violation: Violation, what: &str) {
-    let honest = play(s, Plant::None).membership.expect("an audit");
-    assert_eq!(honest.findings, [], "{plant:?}: the honest relays");
-    let faulty = play(s, plant).membership.expect("an audit");
-    let found = faulty.findings.iter().find(|f| f.violation == violation && f.details.contains(what));
-    assert!(found.is_some(), "{plant:?}: no {violation:?} '{what}' in {:?}", faulty.findings);
+fn assert_finding(scenario: &Scenario, fault: RelayFault, violation: Violation, details: &str) {
+    let correct = play(scenario, RelayFault::None).membership.expect("the outcome has membership");
+    assert_eq!(correct.findings, [], "{fault:?}: findings without the fault");
+    let faulty = play(scenario, fault).membership.expect("the outcome has membership");
+    let found = faulty.findings.iter().find(|f| f.violation == violation && f.details.contains(details));
+    assert!(found.is_some(), "{fault:?}: no {violation:?} with '{details}' in {:?}", faulty.findings);
 }
 
 const KILLED: &str = "\n[[trouble]]\nkind = \"relay-killed\"\nat_s = 5\nlength_s = 50\nrelays = [3]\n";
 
 #[test]
-fn who_calls_one_gone_that_is_there() {
-    found_by(&day(""), Plant::DeafToOne, Violation::FalselyDead, "neither stopped nor cut off");
+fn false_death_is_reported() {
+    let details = "neither stopped nor cut off";
+    assert_finding(&scenario(""), RelayFault::IgnoresOneRelay, Violation::FalselyDead, details);
 }
 
 #[test]
-fn who_never_learns_of_a_death() {
-    found_by(&day(KILLED), Plant::Credulous, Violation::NeverDetected, "has been dead for 20 s");
+fn undetected_death_is_reported() {
+    let details = "has been dead for 20 s";
+    assert_finding(&scenario(KILLED), RelayFault::IgnoresDeaths, Violation::NeverDetected, details);
 }
 
 #[test]
-fn who_says_a_start_that_never_was() {
-    found_by(&day(""), Plant::WrongStart, Violation::NeverTrue, "never had the start number");
+fn wrong_start_number_is_reported() {
+    let details = "never had the start number";
+    assert_finding(&scenario(""), RelayFault::WrongStart, Violation::NeverTrue, details);
 }
 
 #[test]
-fn who_says_that_it_leaves_and_stays() {
-    found_by(&day(""), Plant::SaysItLeaves, Violation::NeverTrue, "was never told to stop");
+fn false_leave_is_reported() {
+    let details = "was never told to stop";
+    assert_finding(&scenario(""), RelayFault::FalseLeave, Violation::NeverTrue, details);
 }
 
 #[test]
-fn who_calls_itself_cut_off_and_is_not() {
-    found_by(&day(""), Plant::Deaf, Violation::NotPartitioned, "hears 1 of 5");
+fn false_partition_is_reported() {
+    let details = "hears 1 of 5";
+    assert_finding(&scenario(""), RelayFault::ReceivesNothing, Violation::NotPartitioned, details);
 }
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -1,31 +1,30 @@
-//! Plays each file of `troubles/` in virtual time, behind `base.toml`: all rules must hold, the same seed
-//! must give the same day to the byte, and what the file expects must come of it. Lines of the notation:
-//!   `# set KEY = VALUE`                          changes a key of the scenario
-//!   `# expect MEASURE < NUMBER [from A to B]`    or `>`; service can be that of some seconds
-//!   `# expect log TEXT`                          a line of the log holds this
-//! Measures: service, refused, failed, moves, breaks, dials, open, cold_falls, starts (of relays), stale
-//! (dials to servers that a relay had been told to leave before it restarted); of relays
-//! that know each other: findings (beliefs that were wrong), gone (times that one called another so), deaths
-//! (known to one other each), last_known (seconds till the last one knew), damaged (datagrams),
-//! whole_at_end (relays that then call the fleet whole).
+//! Plays each file in `troubles/`, appended to `base.toml`, in virtual time. No rule may be broken, the same
+//! seed must give the same day to the byte, and the expectations in the file must be met. Its lines can be:
+//!   `# set KEY = VALUE`                          sets a key of the scenario
+//!   `# expect MEASURE < NUMBER [from A to B]`    or `>`; the range of seconds applies to service only
+//!   `# expect log TEXT`                          a line of the log must contain the text
+//! Measures: service, refused, failed, moves, breaks, dials, open (maximum), cold_falls (overloads of cold
+//! servers), starts (of relays), stale (dials to servers whose drain a relay knew of before it restarted).
+//! Measures of the membership: findings (of the membership audit), gone (times that a relay declared another
+//! dead), deaths (detections by one other relay each), last_known (longest time to a detection, in seconds),
+//! damaged (datagrams), whole_at_end (relays that consider the fleet complete at the end).
 use hallrelay_config::scenario;
 use hallrelay_emulator::membership_audit::MembershipOutcome;
-use hallrelay_emulator::service::Outcome;
+use hallrelay_emulator::service::{ListenerFigures, Outcome};
 use hallrelay_lab::{scenario_keys, virt};
 use std::path::Path;
 
-fn measure(o: &Outcome, name: &str, within: Option<(f64, f64)>) -> Result<f64, String> {
-    let sum =
-        |f: fn(&hallrelay_emulator::service::ListenerFigures) -> u64| o.listeners.iter().map(f).sum::<u64>();
+fn measure(o: &Outcome, name: &str, range: Option<(f64, f64)>) -> Result<f64, String> {
+    let sum = |f: fn(&ListenerFigures) -> u64| o.listeners.iter().map(f).sum::<u64>();
     Ok(match name {
         "service" => {
-            let (from, to) = within.unwrap_or((0.0, f64::MAX));
-            let some = o.samples.iter().filter(|s| s.at > from && s.at <= to).map(|s| s.service);
-            let some: Vec<f64> = some.collect();
-            if some.is_empty() {
-                return Err("no sample is in that time".to_string());
+            let (from, to) = range.unwrap_or((0.0, f64::MAX));
+            let values = o.samples.iter().filter(|s| s.at > from && s.at <= to).map(|s| s.service);
+            let values: Vec<f64> = values.collect();
+            if values.is_empty() {
+                return Err(format!("no sample from {from} to {to} s"));
             }
-            some.iter().sum::<f64>() / some.len() as f64
+            values.iter().sum::<f64>() / values.len() as f64
         }
         "refused" => sum(|l| l.rejected) as f64,
         "failed" => sum(|l| l.failed + l.closed) as f64,
@@ -50,7 +49,7 @@
 }
 
 fn membership(o: &Outcome) -> Result<&MembershipOutcome, String> {
-    o.membership.as_ref().ok_or("the relays know nothing of each other".to_string())
+    o.membership.as_ref().ok_or("the scenario has no membership (relays.fleet)".to_string())
 }
 
 fn expect(o: &Outcome, line: &str) -> Result<(), String> {
@@ -58,32 +57,34 @@
     if let ["log", text @ ..] = &words[..] {
         let text = text.join(" ");
         let found = o.log.iter().any(|m| m.text.contains(&text));
-        return if found { Ok(()) } else { Err(format!("nothing in the log holds '{text}'")) };
+        return if found { Ok(()) } else { Err(format!("no line of the log contains '{text}'")) };
     }
-    let num = |word: &str| word.parse::<f64>().map_err(|_| format!("'{word}' is not a number"));
-    let (name, sign, wanted, within) = match words[..] {
-        [name, sign, wanted] => (name, sign, num(wanted)?, None),
-        [name, sign, wanted, "from", a, "to", b] => (name, sign, num(wanted)?, Some((num(a)?, num(b)?))),
-        _ => return Err("not of the notation".to_string()),
+    let number = |word: &str| word.parse::<f64>().map_err(|_| format!("'{word}' is not a number"));
+    let (name, operator, bound, range) = match words[..] {
+        [name, operator, bound] => (name, operator, number(bound)?, None),
+        [name, operator, bound, "from", a, "to", b] => {
+            (name, operator, number(bound)?, Some((number(a)?, number(b)?)))
+        }
+        _ => return Err("expected MEASURE < NUMBER [from A to B] or log TEXT".to_string()),
     };
-    let is = measure(o, name, within)?;
-    let holds = match sign {
-        "<" => is < wanted,
-        ">" => is > wanted,
-        other => return Err(format!("unknown sign '{other}'")),
+    let value = measure(o, name, range)?;
+    let is_met = match operator {
+        "<" => value < bound,
+        ">" => value > bound,
+        other => return Err(format!("unknown operator '{other}'")),
     };
-    if holds {
+    if is_met {
         Ok(())
     } else {
-        Err(format!("{name} is {is}"))
+        Err(format!("{name} is {value}"))
     }
 }
 
 fn play(base: &str, path: &Path) -> Result<(), String> {
-    let own = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
-    let mut text = format!("{base}\n{own}");
-    for line in own.lines().filter_map(|l| l.strip_prefix("# set ")) {
-        let (key, value) = line.split_once(" = ").ok_or("a set line says KEY = VALUE")?;
+    let file = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
+    let mut text = format!("{base}\n{file}");
+    for line in file.lines().filter_map(|l| l.strip_prefix("# set ")) {
+        let (key, value) = line.split_once(" = ").ok_or("expected # set KEY = VALUE")?;
         let values = scenario_keys::values(value).map_err(|e| e.to_string())?;
         text = scenario_keys::set(&text, key, &values[0]).map_err(|e| e.to_string())?;
     }
@@ -92,46 +93,47 @@
     let o = day()?;
     let bytes = |o: &Outcome| serde_json::to_string(o).map_err(|e| e.to_string());
     if bytes(&o)? != bytes(&day()?)? {
-        return Err("the same seed gave another day".to_string());
+        return Err("two runs with the same seed differ".to_string());
     }
     if let Some(b) = o.breaches.first() {
         let count = o.breach_count;
         return Err(format!("{count} breaches, first rule {}: {} {:?}", b.rule, b.details, b.trace));
     }
     let mut expected = 0;
-    for line in own.lines().filter_map(|l| l.strip_prefix("# expect ")) {
+    for line in file.lines().filter_map(|l| l.strip_prefix("# expect ")) {
         expected += 1;
         expect(&o, line).map_err(|why| format!("'{line}': {why}"))?;
     }
     if expected == 0 {
-        return Err("it expects nothing".to_string());
+        return Err("the file has no # expect line".to_string());
     }
     Ok(())
 }
 
-/// A day with a test of its own, so that its failure hides no other's.
+/// This file has a separate test, so that its failure does not hide failures of other files.
 const ONLY_RELAY: &str = "only-relay-restarts.toml";
 
 #[test]
 fn the_only_relay_restarts() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/troubles");
-    let base = std::fs::read_to_string(folder.join("base.toml")).expect("the base is there");
+    let base = std::fs::read_to_string(folder.join("base.toml")).expect("read base.toml");
     if let Err(why) = play(&base, &folder.join(ONLY_RELAY)) {
         panic!("{ONLY_RELAY}: {why}");
     }
 }
 
 #[test]
-fn each_trouble_alone_and_some_together() {
+fn fault_scenarios_meet_their_expectations() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/troubles");
-    let base = std::fs::read_to_string(folder.join("base.toml")).expect("the base is there");
-    let files = std::fs::read_dir(&folder).expect("the folder is there").map(|f| f.expect("an entry").path());
+    let base = std::fs::read_to_string(folder.join("base.toml")).expect("read base.toml");
+    let entries = std::fs::read_dir(&folder).expect("list the scenario files");
+    let files = entries.map(|entry| entry.expect("read a directory entry").path());
     let mut files: Vec<_> = files.filter(|p| !p.ends_with("base.toml") && !p.ends_with(ONLY_RELAY)).collect();
     files.sort();
     assert!(files.len() > 25, "only {} files", files.len());
-    let faults: Vec<String> = files
+    let failures: Vec<String> = files
         .iter()
         .filter_map(|path| play(&base, path).err().map(|why| format!("{}: {why}", path.display())))
         .collect();
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
