--- a/lab/src/commands/compare.rs
+++ b/lab/src/commands/compare.rs
@@ -34,7 +34,7 @@
     }
 }
 
-const NAMES: [&str; 2] = ["a", "b"];
+const SIDE_NAMES: [&str; 2] = ["a", "b"];
 
 /// Plays the pairs and prints the comparison.
 pub fn run(
@@ -54,7 +54,7 @@
         let order = if round.is_multiple_of(2) { [0, 1] } else { [1, 0] };
         let mut days = [None, None];
         for side in order {
-            let name = NAMES[side];
+            let name = SIDE_NAMES[side];
             let out = options.out.join(format!("compare-{seed}-{name}"));
             let play = Play {
                 scenario: &sides[side].scenario,
--- a/lab/src/commands/play.rs
+++ b/lab/src/commands/play.rs
@@ -32,10 +32,10 @@
     /// Plays the day until it ends or is interrupted.
     pub fn run(&self) -> Result<Outcome, LabError> {
         let bar = progress_bar(self.label);
-        let show = |part: f64| bar.set_position((part * PROGRESS_STEPS as f64) as u64);
+        let show = |fraction: f64| bar.set_position((fraction * PROGRESS_STEPS as f64) as u64);
         let outcome = if self.is_virtual {
-            virt::run(self.scenario, self.seed, virt::reducers(), &mut |part| {
-                show(part);
+            virt::run(self.scenario, self.seed, virt::reducers(), &mut |fraction| {
+                show(fraction);
                 !self.interrupt.is_set()
             })
         } else {
--- a/lab/src/cost/mod.rs
+++ b/lab/src/cost/mod.rs
@@ -101,9 +101,9 @@
 "#;
 
 /// Number of the first client of each set. The sets do not overlap, so that all marks are distinct.
-const LASTING: u64 = 1;
-const WARM_UP: u64 = 1 << 40;
-const SHORT: u64 = 1 << 41;
+const FIRST_LASTING_CLIENT: u64 = 1;
+const FIRST_WARM_UP_CLIENT: u64 = 1 << 40;
+const FIRST_SHORT_CLIENT: u64 = 1 << 41;
 
 /// Sessions that are opened and closed before the measurement begins.
 const WARM_UP_SESSIONS: usize = 100;
@@ -111,7 +111,7 @@
 const LINES: usize = 20_000;
 /// Delay before a reading, so that pending work of the relay is finished.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// The same after all lasting sessions were opened.
+/// Longer delay after all lasting sessions were opened.
 const SETTLE_TIME_OF_ALL: Duration = Duration::from_millis(500);
 /// Time for which the idle relay is measured.
 const IDLE_TIME: Duration = Duration::from_secs(2);
@@ -144,7 +144,7 @@
 /// The scenario of all measurements. Raises the limit of file descriptors as needed.
 fn scenario(sessions: usize, opens: usize) -> Result<Scenario, LabError> {
     let mut scenario = scenario::parse("cost", DAY)?;
-    // The factor leaves room for what the relay's own limits subtract.
+    // The relay can't use all of its sockets for sessions, because its own limits subtract some.
     scenario.relays.sockets = ((sessions + opens.min(2 * CONCURRENCY) + 64) * 5 / 2).max(1024);
     (scenario.load.standing, scenario.load.rate.0) = (sessions, 0.0);
     // Two per session, without a reserve for returning clients, because this load is constant.
@@ -171,10 +171,10 @@
     opens: usize,
 ) -> Result<Row, CostError> {
     // Costs that only the first sessions cause are not counted.
-    drop(open_all(listen, WARM_UP, WARM_UP_SESSIONS).await?);
+    drop(open_all(listen, FIRST_WARM_UP_CLIENT, WARM_UP_SESSIONS).await?);
     tokio::time::sleep(SETTLE_TIME).await;
     let empty_kb = resident_kb(relay.pid)?;
-    let lasting = open_all(listen, LASTING, sessions).await?;
+    let lasting = open_all(listen, FIRST_LASTING_CLIENT, sessions).await?;
     tokio::time::sleep(SETTLE_TIME_OF_ALL).await;
     let memory_kb = (resident_kb(relay.pid)? - empty_kb) / sessions as f64;
 
@@ -190,7 +190,8 @@
     let mut waits_ms = Vec::with_capacity(opens);
     let before = cpu_ns(relay.pid)?;
     for batch in 0..opens.div_ceil(CONCURRENCY) {
-        let opened = open_all(listen, SHORT + (batch * CONCURRENCY) as u64, CONCURRENCY).await?;
+        let first = FIRST_SHORT_CLIENT + (batch * CONCURRENCY) as u64;
+        let opened = open_all(listen, first, CONCURRENCY).await?;
         waits_ms.extend(opened.iter().map(|session| session.wait.as_secs_f64() * 1e3));
         drop(opened);
     }
@@ -198,7 +199,7 @@
     // This includes the CPU time of the idle relay, which is small.
     let open_us = (cpu_ns(relay.pid)? - before) / 1e3 / waits_ms.len() as f64;
     waits_ms.sort_by(f64::total_cmp);
-    let wait_ms = [0.5, 0.99].map(|part| waits_ms[((waits_ms.len() - 1) as f64 * part) as usize]);
+    let wait_ms = [0.5, 0.99].map(|fraction| waits_ms[((waits_ms.len() - 1) as f64 * fraction) as usize]);
     drop(lasting);
     Ok(Row { sessions, open_us, wait_ms, line_us, idle, memory_kb })
 }
--- a/lab/src/cost/sessions.rs
+++ b/lab/src/cost/sessions.rs
@@ -71,15 +71,15 @@
     sessions: Vec<OpenSession>,
     rounds: usize,
 ) -> Result<Vec<OpenSession>, CostError> {
-    let mut parts: Vec<Vec<OpenSession>> = (0..CONCURRENCY).map(|_| Vec::new()).collect();
+    let mut batches: Vec<Vec<OpenSession>> = (0..CONCURRENCY).map(|_| Vec::new()).collect();
     for (i, session) in sessions.into_iter().enumerate() {
-        parts[i % CONCURRENCY].push(session);
+        batches[i % CONCURRENCY].push(session);
     }
     let mut tasks = Vec::new();
-    for mut part in parts {
+    for mut batch in batches {
         tasks.push(tokio::task::spawn_local(async move {
             for _ in 0..rounds {
-                for session in &mut part {
+                for session in &mut batch {
                     let is_sent = write(&session.stream, LINE).await;
                     let answer = session.lines.next(&session.stream).await;
                     if !is_sent || answer.is_err() {
@@ -87,7 +87,7 @@
                     }
                 }
             }
-            Ok(part)
+            Ok(batch)
         }));
     }
     let mut all = Vec::new();
--- a/lab/src/losses/account.rs
+++ b/lab/src/losses/account.rs
@@ -43,7 +43,7 @@
     }
 
     fn row(&self, second: u32, fleet: Fleet) -> Second {
-        let load = |part: f64| Some(f64::from(self.load.quantile(part)?) / 1e3);
+        let load = |fraction: f64| Some(f64::from(self.load.quantile(fraction)?) / 1e3);
         let queued_part = || self.queued_reports as f64 / self.queue_reports as f64;
         Second {
             second,
@@ -160,7 +160,7 @@
         for end in attempt.dials.iter().filter_map(|dial| dial.end) {
             *attempts.dial_ends.of(end) += 1;
         }
-        attempts.count(&attempt.fate);
+        attempts.count(&attempt.outcome);
     }
 
     fn count_session(&mut self, attempt: &Attempt, placed: Moment) {
--- a/lab/src/losses/attempt.rs
+++ b/lab/src/losses/attempt.rs
@@ -58,7 +58,7 @@
 
 /// How an attempt was answered, or why it was not answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// It was placed on a backend.
     Placed,
     /// Its backend answered `BYE` immediately.
@@ -146,7 +146,7 @@
     pub placed: Option<Moment>,
     /// When the session ended, or when the attempt was answered if it was not placed.
     pub ended_at: Moment,
-    pub fate: Fate,
+    pub outcome: AttemptOutcome,
     /// How the session ended, if it was placed.
     pub end: Option<End>,
 }
@@ -161,7 +161,7 @@
             dials: Vec::new(),
             placed: None,
             ended_at: opened,
-            fate: Fate::StillWaiting,
+            outcome: AttemptOutcome::StillWaiting,
             end: None,
         }
     }
@@ -177,8 +177,8 @@
 
     /// The reason why its outcome is unknown, if it is.
     pub fn gap(&self) -> Option<Gap> {
-        match (&self.fate, &self.end) {
-            (Fate::Unaccounted(gap), _) | (_, Some(End::Unaccounted(gap))) => Some(*gap),
+        match (&self.outcome, &self.end) {
+            (AttemptOutcome::Unaccounted(gap), _) | (_, Some(End::Unaccounted(gap))) => Some(*gap),
             _ => None,
         }
     }
--- a/lab/src/losses/histogram.rs
+++ b/lab/src/losses/histogram.rs
@@ -22,8 +22,8 @@
 
     /// The smallest value that at least the given fraction (0 to 1) of all values does not exceed; `None` if
     /// there are no values.
-    pub fn quantile(&self, part: f64) -> Option<u32> {
-        let rank = ((self.total as f64 * part).ceil() as u64).max(1);
+    pub fn quantile(&self, fraction: f64) -> Option<u32> {
+        let rank = ((self.total as f64 * fraction).ceil() as u64).max(1);
         let mut before = 0;
         self.counts.iter().find_map(|(value, count)| {
             before += count;
--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -163,8 +163,8 @@
     fn read_limited(&mut self) -> Result<usize, LogsError> {
         use std::io::Read;
         self.line.clear();
-        let mut part = self.file.by_ref().take(MAX_LINE_BYTES);
-        part.read_until(b'\n', &mut self.line).map_err(LogsError::file(&self.path))
+        let mut limited = self.file.by_ref().take(MAX_LINE_BYTES);
+        limited.read_until(b'\n', &mut self.line).map_err(LogsError::file(&self.path))
     }
 
     fn skip_line(&mut self) -> Result<(), LogsError> {
--- a/lab/src/losses/mod.rs
+++ b/lab/src/losses/mod.rs
@@ -81,11 +81,11 @@
 }
 
 fn check_complete(losses: &Losses) -> Result<(), LogsError> {
-    let part = losses.unaccounted_part();
-    if part <= MAX_UNACCOUNTED {
+    let fraction = losses.unaccounted_fraction();
+    if fraction <= MAX_UNACCOUNTED {
         return Ok(());
     }
-    Err(LogsError::Incomplete { percent: 100.0 * part, max_percent: 100.0 * MAX_UNACCOUNTED })
+    Err(LogsError::Incomplete { percent: 100.0 * fraction, max_percent: 100.0 * MAX_UNACCOUNTED })
 }
 
 fn show<T: serde::Serialize>(json: bool, value: &T, text: impl Fn() -> String) -> Result<(), LogsError> {
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -248,7 +248,7 @@
         ("Nov", 304),
         ("Dec", 334),
     ];
-    let before = MONTHS.iter().find(|one| one.0 == month)?.1;
+    let before = MONTHS.iter().find(|(name, _)| *name == month)?.1;
     let day: u8 = day.parse().ok()?;
     (1..=31).contains(&day).then(|| before + Micros::from(day) - 1)
 }
--- a/lab/src/losses/print.rs
+++ b/lab/src/losses/print.rs
@@ -26,21 +26,22 @@
 /// Attempts by the second in which they were opened, regardless of when they were answered.
 fn attempts_table(losses: &Losses, text: &mut String) {
     *text += "\nattempts, by the second in which they were opened\n";
-    *text += "   s opened   back  no dial  after dials   left  other  waiting  unknown  placed\n";
+    *text += "   s opened return  no dial  after dials   left  other  waiting  unknown  placed\n";
     let row = |text: &mut String, name: &str, a: &Attempts| {
-        let fates = &a.fates;
-        let undialled = fates.rejected_undialled + fates.failed_undialled;
-        let other = fates.served_at_once + fates.not_protocol + fates.too_late + fates.relay_ended;
+        let outcomes = &a.outcomes;
+        let undialled = outcomes.rejected_undialled + outcomes.failed_undialled;
+        let other =
+            outcomes.served_at_once + outcomes.not_protocol + outcomes.too_late + outcomes.relay_ended;
         _ = writeln!(
             text,
             "{name:>4} {:6} {:6} {undialled:8} {:12} {:6} {other:6} {:8} {:8} {:7}",
             a.opened,
             a.returned,
             a.after_dials.total(),
-            fates.client_left,
-            fates.still_waiting,
-            fates.unaccounted,
-            fates.placed
+            outcomes.client_left,
+            outcomes.still_waiting,
+            outcomes.unaccounted,
+            outcomes.placed
         );
     };
     for second in &losses.seconds {
@@ -53,7 +54,7 @@
 fn sessions_table(losses: &Losses, text: &mut String) {
     *text += "\nsessions, by the second in which they were established or ended\n";
     *text +=
-        "   s     up  over  med ms worst ms | client   done  sent  reset  other  moved   stop  on  died  \
+        "   s     up adopt  med ms worst ms | client   done  MOVE  reset  other  moved   stop h/o  died  \
               unknown |  open\n";
     let row = |text: &mut String, name: &str, s: &Second| {
         let Ends {
@@ -89,7 +90,7 @@
 fn fleet_table(losses: &Losses, text: &mut String) {
     *text += "\nthe fleet at the end of each second\n";
     *text += "   s   open on started | ready draining started | groups  pairs pairs/group | probes failed  \
-              load p50    p90  piled up\n";
+              load p50    p90    queued\n";
     for second in &losses.seconds {
         let (f, p) = (&second.fleet, &second.probes);
         _ = writeln!(
@@ -116,12 +117,12 @@
 /// The sums with a description, each with its percentage of all attempts or sessions.
 fn sums(losses: &Losses, text: &mut String) {
     let sum = &losses.sum;
-    let (attempts, fates, after) = (&sum.attempts, &sum.attempts.fates, &sum.attempts.after_dials);
-    let fate = |text: &mut String, name: &str, count: u64| row(text, name, count, attempts.opened);
-    _ = writeln!(text, "\n{:48} {:7}  back {}", "opened", attempts.opened, attempts.returned);
-    fate(text, "refused without any dial", fates.rejected_undialled);
-    fate(text, "failed without any dial", fates.failed_undialled);
-    fate(text, "refused or failed after dials", after.total());
+    let (attempts, outcomes, after) = (&sum.attempts, &sum.attempts.outcomes, &sum.attempts.after_dials);
+    let outcome = |text: &mut String, name: &str, count: u64| row(text, name, count, attempts.opened);
+    _ = writeln!(text, "\n{:48} {:7}  returned {}", "opened", attempts.opened, attempts.returned);
+    outcome(text, "refused without any dial", outcomes.rejected_undialled);
+    outcome(text, "failed without any dial", outcomes.failed_undialled);
+    outcome(text, "refused or failed after dials", after.total());
     for (name, count) in [
         ("error", after.error),
         ("backend full", after.full),
@@ -133,16 +134,16 @@
         ("BYE", after.ok),
         ("still in flight", after.in_flight),
     ] {
-        fate(text, &format!("  last dial: {name}"), count);
+        outcome(text, &format!("  last dial: {name}"), count);
     }
-    fate(text, "the client left before an answer", fates.client_left);
-    fate(text, "served immediately (BYE)", fates.served_at_once);
-    fate(text, "protocol error (ERR)", fates.not_protocol);
-    fate(text, "closed without an answer", fates.too_late);
-    fate(text, "the relay process ended before an answer", fates.relay_ended);
-    fate(text, "still waiting at the end of the day", fates.still_waiting);
-    fate(text, "unaccounted for", fates.unaccounted);
-    fate(text, "placed", fates.placed);
+    outcome(text, "the client left before an answer", outcomes.client_left);
+    outcome(text, "served immediately (BYE)", outcomes.served_at_once);
+    outcome(text, "protocol error (ERR)", outcomes.not_protocol);
+    outcome(text, "closed without an answer", outcomes.too_late);
+    outcome(text, "the relay process ended before an answer", outcomes.relay_ended);
+    outcome(text, "still waiting at the end of the day", outcomes.still_waiting);
+    outcome(text, "unaccounted for", outcomes.unaccounted);
+    outcome(text, "placed", outcomes.placed);
     let d = &attempts.dial_ends;
     _ = writeln!(
         text,
@@ -180,8 +181,8 @@
 }
 
 fn row(text: &mut String, name: &str, count: u64, of: u64) {
-    let part = 100.0 * count as f64 / of.max(1) as f64;
-    _ = writeln!(text, "  {name:46} {count:7} {part:6.1}%");
+    let percent = 100.0 * count as f64 / of.max(1) as f64;
+    _ = writeln!(text, "  {name:46} {count:7} {percent:6.1}%");
 }
 
 /// The last line of the output.
@@ -189,26 +190,26 @@
     let kinds: Vec<String> =
         losses.unaccounted.iter().map(|(gap, count)| format!("{}: {count}", gap.description())).collect();
     let kinds = if kinds.is_empty() { String::new() } else { format!(" ({})", kinds.join("; ")) };
-    let part = 100.0 * losses.unaccounted_part();
-    _ = writeln!(text, "unaccounted for: {} attempts, {part:.2}%{kinds}", losses.unaccounted_total());
+    let percent = 100.0 * losses.unaccounted_fraction();
+    _ = writeln!(text, "unaccounted for: {} attempts, {percent:.2}%{kinds}", losses.unaccounted_total());
 }
 
 /// The attempts of one client.
 pub fn attempts(attempts: &[Traced]) -> String {
     let mut text = String::new();
-    for one in attempts {
-        let back = if one.returned { ", back" } else { "" };
-        let adopted = if one.adopted { ", taken over" } else { "" };
+    for attempt in attempts {
+        let returned = if attempt.returned { ", returned" } else { "" };
+        let adopted = if attempt.adopted { ", adopted" } else { "" };
         _ = writeln!(
             text,
-            "{:8.3} s  {} id {} key {} group {}{back}{adopted}",
-            one.opened, one.relay, one.id, one.key, one.group
+            "{:8.3} s  {} id {} key {} group {}{returned}{adopted}",
+            attempt.opened, attempt.relay, attempt.id, attempt.key, attempt.group
         );
-        one.dials.iter().for_each(|dial| dialled(dial, &mut text));
-        if let Some(placed) = one.placed {
+        attempt.dials.iter().for_each(|dial| dialled(dial, &mut text));
+        if let Some(placed) = attempt.placed {
             _ = writeln!(text, "{placed:8.3} s    placed");
         }
-        _ = writeln!(text, "{:8.3} s    {}", one.ended_at, one.end);
+        _ = writeln!(text, "{:8.3} s    {}", attempt.ended_at, attempt.end);
     }
     text
 }
@@ -226,6 +227,6 @@
     value.map_or("-".to_string(), |value| format!("{value:.2}"))
 }
 
-fn percent(part: Option<f64>) -> String {
-    part.map_or("-".to_string(), |part| format!("{:.0}%", 100.0 * part))
+fn percent(fraction: Option<f64>) -> String {
+    fraction.map_or("-".to_string(), |fraction| format!("{:.0}%", 100.0 * fraction))
 }
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -1,5 +1,5 @@
 //! Follows the sessions in the log of one relay, through all processes of that relay.
-use super::attempt::{Attempt, Dial, End, Fate, Gap, LastDial, Moment, Origin};
+use super::attempt::{Attempt, AttemptOutcome, Dial, End, Gap, LastDial, Moment, Origin};
 use super::parse::{Entry, Opening};
 use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
 use std::collections::{BTreeMap, HashSet};
@@ -17,7 +17,8 @@
     closing: HashSet<SessionId>,
     /// The relay migrates its open sessions because it drains, stops or is replaced.
     migrates_sessions: bool,
-    /// Highest connection number of this process. A lower one belongs to the next process.
+    /// Highest connection number of this process. A connection without a higher number belongs to the next
+    /// process.
     newest_connection_id: SessionId,
     last: Moment,
     /// Number of processes found in the log.
@@ -80,12 +81,14 @@
                 self.client_ended(at, *session_id)
             }
             Entry::SessionHandedOver { session_id } => {
-                self.end(at, *session_id, Fate::ClientLeft, End::HandedOver)
+                self.end(at, *session_id, AttemptOutcome::ClientLeft, End::HandedOver)
             }
-            Entry::Reject { session_id } => self.answered(at, *session_id, Fate::Rejected),
-            Entry::TearDown { session_id } => self.answered(at, *session_id, Fate::Failed),
+            Entry::Reject { session_id } => self.answered(at, *session_id, AttemptOutcome::Rejected),
+            Entry::TearDown { session_id } => self.answered(at, *session_id, AttemptOutcome::Failed),
             Entry::ReportProtocolError { session_id } => self.protocol_violated(at, *session_id),
-            Entry::CloseClient { session_id } => self.end(at, *session_id, Fate::TooLate, End::Other),
+            Entry::CloseClient { session_id } => {
+                self.end(at, *session_id, AttemptOutcome::TooLate, End::Other)
+            }
             Entry::Migrate { session_id } => self.migrated(at, *session_id),
             Entry::Lifecycle { migrates_sessions } => self.migrates_sessions = *migrates_sessions,
             Entry::Exit => self.exits(),
@@ -99,11 +102,11 @@
     /// Handles the end of the log; `day_end` is the latest moment in any log.
     pub fn finish(&mut self, day_end: Micros) {
         let is_complete = self.last.day + MAX_SILENCE >= day_end;
-        let (fate, end) = match is_complete {
-            true => (Fate::StillWaiting, End::StillOpen),
-            false => (Fate::Unaccounted(Gap::LogEnds), End::Unaccounted(Gap::LogEnds)),
+        let (outcome, end) = match is_complete {
+            true => (AttemptOutcome::StillWaiting, End::StillOpen),
+            false => (AttemptOutcome::Unaccounted(Gap::LogEnds), End::Unaccounted(Gap::LogEnds)),
         };
-        self.end_all(&fate, end);
+        self.end_all(&outcome, end);
     }
 
     /// Returns and removes the attempts whose end is known.
@@ -114,7 +117,7 @@
     fn begin(&mut self, at: Moment, session_id: SessionId, opening: &Opening, origin: Origin) {
         if let Some(before) = self.active.remove(&session_id) {
             let gap = Gap::NumberReused;
-            self.finish_attempt(before, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
+            self.finish_attempt(before, at, &AttemptOutcome::Unaccounted(gap), End::Unaccounted(gap));
         }
         self.closing.remove(&session_id);
         self.active.insert(session_id, Attempt::new(&self.name, at, opening.clone(), origin));
@@ -128,7 +131,8 @@
     }
 
     fn dial_ended(&mut self, at: Moment, session_id: SessionId, number: u32, end: DialEnd) {
-        let Some(attempt) = self.active.get_mut(&session_id).filter(|one| one.placed.is_none()) else {
+        let Some(attempt) = self.active.get_mut(&session_id).filter(|attempt| attempt.placed.is_none())
+        else {
             return;
         };
         // This is the end of an earlier dial.
@@ -139,7 +143,7 @@
             dial.end = Some(end);
         }
         if end == DialEnd::Ok && !attempt.opening.pre_existing {
-            self.end(at, session_id, Fate::ServedAtOnce, End::Other);
+            self.end(at, session_id, AttemptOutcome::ServedAtOnce, End::Other);
         }
     }
 
@@ -157,29 +161,29 @@
             DialEnd::Reset => End::Reset,
             _ => End::Other,
         };
-        self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.end(at, session_id, AttemptOutcome::Unaccounted(Gap::NeverPlaced), end);
     }
 
     fn client_ended(&mut self, at: Moment, session_id: SessionId) {
-        self.end(at, session_id, Fate::ClientLeft, End::Client);
+        self.end(at, session_id, AttemptOutcome::ClientLeft, End::Client);
     }
 
     fn protocol_violated(&mut self, at: Moment, session_id: SessionId) {
         // Connections that never became a session get this answer too.
-        self.end(at, session_id, Fate::NotProtocol, End::Other);
+        self.end(at, session_id, AttemptOutcome::NotProtocol, End::Other);
     }
 
     fn migrated(&mut self, at: Moment, session_id: SessionId) {
         let end = if self.migrates_sessions { End::RelayStop } else { End::Migrated };
-        self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.end(at, session_id, AttemptOutcome::Unaccounted(Gap::NeverPlaced), end);
     }
 
-    /// The relay sent a final answer of its own. The fate also depends on the last dial before it.
-    fn answered(&mut self, at: Moment, session_id: SessionId, fate: fn(LastDial) -> Fate) {
+    /// The relay sent a final answer of its own. The outcome also depends on the last dial before it.
+    fn answered(&mut self, at: Moment, session_id: SessionId, outcome: fn(LastDial) -> AttemptOutcome) {
         self.require_opening(at, session_id);
         let Some(attempt) = self.active.get(&session_id) else { return };
-        let fate = fate(attempt.last_dial());
-        self.end(at, session_id, fate, End::Other);
+        let outcome = outcome(attempt.last_dial());
+        self.end(at, session_id, outcome, End::Other);
     }
 
     fn exits(&mut self) {
@@ -190,14 +194,14 @@
     /// The process ended, and with it all pending attempts and open sessions.
     fn process_ended(&mut self) {
         let end = if self.migrates_sessions { End::RelayStop } else { End::RelayDied };
-        self.end_all(&Fate::RelayEnded, end);
+        self.end_all(&AttemptOutcome::RelayEnded, end);
         self.running = false;
     }
 
-    fn end_all(&mut self, fate: &Fate, end: End) {
+    fn end_all(&mut self, outcome: &AttemptOutcome, end: End) {
         let at = self.last;
         for (_, attempt) in std::mem::take(&mut self.active) {
-            self.finish_attempt(attempt, at, fate, end);
+            self.finish_attempt(attempt, at, outcome, end);
         }
     }
 
@@ -209,21 +213,21 @@
         let opening = Opening { id: 0, key: 0, group: 0, returned: false, pre_existing: false };
         let attempt = Attempt::new(&self.name, at, opening, Origin::Missing);
         let gap = Gap::NeverOpened;
-        self.finish_attempt(attempt, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
+        self.finish_attempt(attempt, at, &AttemptOutcome::Unaccounted(gap), End::Unaccounted(gap));
     }
 
-    /// Ends the attempt: with `end` if it was placed, otherwise with `fate`.
-    fn end(&mut self, at: Moment, session_id: SessionId, fate: Fate, end: End) {
+    /// Ends the attempt: with `end` if it was placed, otherwise with `outcome`.
+    fn end(&mut self, at: Moment, session_id: SessionId, outcome: AttemptOutcome, end: End) {
         let Some(attempt) = self.active.remove(&session_id) else { return };
         self.closing.insert(session_id);
-        self.finish_attempt(attempt, at, &fate, end);
+        self.finish_attempt(attempt, at, &outcome, end);
     }
 
-    fn finish_attempt(&mut self, mut attempt: Attempt, at: Moment, fate: &Fate, end: End) {
+    fn finish_attempt(&mut self, mut attempt: Attempt, at: Moment, outcome: &AttemptOutcome, end: End) {
         attempt.ended_at = at;
-        (attempt.fate, attempt.end) = match attempt.placed {
-            Some(_) => (Fate::Placed, Some(end)),
-            None => (fate.clone(), None),
+        (attempt.outcome, attempt.end) = match attempt.placed {
+            Some(_) => (AttemptOutcome::Placed, Some(end)),
+            None => (outcome.clone(), None),
         };
         self.done.push(attempt);
     }
--- a/lab/src/losses/rows.rs
+++ b/lab/src/losses/rows.rs
@@ -1,5 +1,5 @@
 //! The result: the counts for each second and their sum, as printed and written as JSON.
-use super::attempt::{End, Fate, Gap, LastDial};
+use super::attempt::{AttemptOutcome, End, Gap, LastDial};
 use hallrelay_balancer::types::DialEnd;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -86,7 +86,7 @@
 
 counts! {
     /// Attempts of clients by outcome.
-    Fates {
+    OutcomeCounts {
         /// Established on a backend.
         placed,
         /// Answered `BYE` immediately by the backend.
@@ -154,8 +154,8 @@
     }
 }
 
-/// Attempts opened in a second, regardless of when they were answered. `opened` is the sum of all `fates` and
-/// all `after_dials`.
+/// Attempts opened in a second, regardless of when they were answered. `opened` is the sum of all `outcomes`
+/// and all `after_dials`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Attempts {
     /// First lines of clients.
@@ -163,7 +163,8 @@
     /// Clients that returned after an interruption or a migration.
     pub returned: u64,
     /// Attempts by outcome, except those in `after_dials`.
-    pub fates: Fates,
+    #[serde(rename = "fates")]
+    pub outcomes: OutcomeCounts,
     /// Attempts that were rejected or failed after dials.
     pub after_dials: AfterDials,
     /// All dials for these attempts.
@@ -174,25 +175,25 @@
 
 impl Attempts {
     /// Counts the outcome of an attempt.
-    pub fn count(&mut self, fate: &Fate) {
-        let fates = &mut self.fates;
-        let count = match fate {
-            Fate::Placed => &mut fates.placed,
-            Fate::ServedAtOnce => &mut fates.served_at_once,
-            Fate::Rejected(LastDial::None) => &mut fates.rejected_undialled,
-            Fate::Failed(LastDial::None) => &mut fates.failed_undialled,
-            Fate::Rejected(LastDial::InFlight) | Fate::Failed(LastDial::InFlight) => {
+    pub fn count(&mut self, outcome: &AttemptOutcome) {
+        let outcomes = &mut self.outcomes;
+        let count = match outcome {
+            AttemptOutcome::Placed => &mut outcomes.placed,
+            AttemptOutcome::ServedAtOnce => &mut outcomes.served_at_once,
+            AttemptOutcome::Rejected(LastDial::None) => &mut outcomes.rejected_undialled,
+            AttemptOutcome::Failed(LastDial::None) => &mut outcomes.failed_undialled,
+            AttemptOutcome::Rejected(LastDial::InFlight) | AttemptOutcome::Failed(LastDial::InFlight) => {
                 &mut self.after_dials.in_flight
             }
-            Fate::Rejected(LastDial::Ended(end)) | Fate::Failed(LastDial::Ended(end)) => {
+            AttemptOutcome::Rejected(LastDial::Ended(end)) | AttemptOutcome::Failed(LastDial::Ended(end)) => {
                 self.after_dials.of(*end)
             }
-            Fate::NotProtocol => &mut fates.not_protocol,
-            Fate::ClientLeft => &mut fates.client_left,
-            Fate::TooLate => &mut fates.too_late,
-            Fate::RelayEnded => &mut fates.relay_ended,
-            Fate::StillWaiting => &mut fates.still_waiting,
-            Fate::Unaccounted(_) => &mut fates.unaccounted,
+            AttemptOutcome::NotProtocol => &mut outcomes.not_protocol,
+            AttemptOutcome::ClientLeft => &mut outcomes.client_left,
+            AttemptOutcome::TooLate => &mut outcomes.too_late,
+            AttemptOutcome::RelayEnded => &mut outcomes.relay_ended,
+            AttemptOutcome::StillWaiting => &mut outcomes.still_waiting,
+            AttemptOutcome::Unaccounted(_) => &mut outcomes.unaccounted,
         };
         *count += 1;
     }
@@ -202,7 +203,7 @@
         self.opened += other.opened;
         self.returned += other.returned;
         self.dials += other.dials;
-        self.fates.add(&other.fates);
+        self.outcomes.add(&other.outcomes);
         self.after_dials.add(&other.after_dials);
         self.dial_ends.add(&other.dial_ends);
     }
@@ -333,7 +334,7 @@
     }
 
     /// Fraction of all attempts (0 to 1) that are unaccounted for.
-    pub fn unaccounted_part(&self) -> f64 {
+    pub fn unaccounted_fraction(&self) -> f64 {
         let unopened = self.unaccounted.get(&Gap::NeverOpened).copied().unwrap_or(0);
         let all = self.sum.attempts.opened + unopened;
         self.unaccounted_total() as f64 / all.max(1) as f64
--- a/lab/src/losses/trace.rs
+++ b/lab/src/losses/trace.rs
@@ -1,5 +1,5 @@
 //! All attempts of one client at all relays, in chronological order.
-use super::attempt::{Attempt, End, Fate, Origin};
+use super::attempt::{Attempt, AttemptOutcome, End, Origin};
 use super::error::LogsError;
 use super::logs::{Logs, Reader};
 use super::rows::dial_end_name;
@@ -114,18 +114,18 @@
 }
 
 fn description(attempt: &Attempt) -> &'static str {
-    match (&attempt.fate, attempt.end) {
+    match (&attempt.outcome, attempt.end) {
         (_, Some(end)) => end_description(end),
-        (Fate::Placed, None) => "placed",
-        (Fate::ServedAtOnce, _) => "served at once",
-        (Fate::Rejected(_), _) => "refused",
-        (Fate::Failed(_), _) => "failed",
-        (Fate::NotProtocol, _) => "not of the protocol",
-        (Fate::ClientLeft, _) => "the client left before it was answered",
-        (Fate::TooLate, _) => "closed without an answer",
-        (Fate::RelayEnded, _) => "the relay's process ended first",
-        (Fate::StillWaiting, _) => "still waiting as the day ends",
-        (Fate::Unaccounted(gap), _) => gap.description(),
+        (AttemptOutcome::Placed, None) => "placed",
+        (AttemptOutcome::ServedAtOnce, _) => "served at once",
+        (AttemptOutcome::Rejected(_), _) => "refused",
+        (AttemptOutcome::Failed(_), _) => "failed",
+        (AttemptOutcome::NotProtocol, _) => "not of the protocol",
+        (AttemptOutcome::ClientLeft, _) => "the client left before it was answered",
+        (AttemptOutcome::TooLate, _) => "closed without an answer",
+        (AttemptOutcome::RelayEnded, _) => "the relay's process ended first",
+        (AttemptOutcome::StillWaiting, _) => "still waiting as the day ends",
+        (AttemptOutcome::Unaccounted(gap), _) => gap.description(),
     }
 }
 
--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -86,7 +86,7 @@
     if plan.counts.iter().any(|n| *n == 0 || *n > 1_000) {
         return Err(LabError::RelayCounts);
     }
-    if plan.loss.iter().any(|part| !(0.0..1.0).contains(part)) {
+    if plan.loss.iter().any(|loss| !(0.0..1.0).contains(loss)) {
         return Err(LabError::LossParts);
     }
     if plan.seconds * 1_000_000 <= WARM_UP || plan.rounds == 0 {
--- a/lab/src/members/simulation.rs
+++ b/lab/src/members/simulation.rs
@@ -238,9 +238,9 @@
                 let Ok(packet) = decode(FLEET, &bytes, MAX_FRAME_BYTES) else { return };
                 self.step(to, MembershipEvent::StreamResponse { packet: Box::new(packet) });
             }
-            Event::Death => self.kill_one(),
+            Event::Death => self.kill_random_relay(),
             Event::Start { relay } => self.start(relay),
-            Event::Stall => self.stall_one(),
+            Event::Stall => self.stall_random_relay(),
             Event::Resume { relay } => self.resume(relay),
         }
     }
@@ -259,7 +259,7 @@
         }
     }
 
-    fn kill_one(&mut self) {
+    fn kill_random_relay(&mut self) {
         let interval = self.plan.deaths * 1_000_000;
         // The random offset makes deaths fall on different phases of the relays' periods.
         let next = self.now + interval + self.random.between([0, HEARTBEAT_INTERVAL]);
@@ -283,7 +283,7 @@
         self.queue.schedule(self.now + interval / 2, Event::Start { relay: index });
     }
 
-    fn stall_one(&mut self) {
+    fn stall_random_relay(&mut self) {
         let interval = self.plan.stalls * 1_000_000;
         self.queue.schedule(self.now + interval, Event::Stall);
         let running = self.running();
--- a/lab/src/report/page.rs
+++ b/lab/src/report/page.rs
@@ -91,14 +91,14 @@
     }
     let quantiles = LOAD_QUANTILES.iter();
     quantiles
-        .map(|&(name, part)| series(outcome, name, &|sample| load_quantile(&sample.loads, part)))
+        .map(|&(name, fraction)| series(outcome, name, &|sample| load_quantile(&sample.loads, fraction)))
         .collect()
 }
 
-fn load_quantile(loads: &[f32], part: f64) -> f64 {
+fn load_quantile(loads: &[f32], fraction: f64) -> f64 {
     let mut sorted = loads.to_vec();
     sorted.sort_by(f32::total_cmp);
-    let index = ((sorted.len().max(1) - 1) as f64 * part).round() as usize;
+    let index = ((sorted.len().max(1) - 1) as f64 * fraction).round() as usize;
     sorted.get(index).copied().map_or(0.0, f64::from)
 }
 
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -90,7 +90,8 @@
 
     /// Starts a relay process with a new configuration. Another process of the relay may still be running.
     fn spawn_process(&mut self, relay: usize) -> Result<Process, LabError> {
-        let has_hot_restarts = self.scenario.faults.iter().any(|t| t.kind == FaultKind::RelayReplaced);
+        let has_hot_restarts =
+            self.scenario.faults.iter().any(|fault| fault.kind == FaultKind::RelayReplaced);
         let has_operator = self.scenario.relays.fleet || has_hot_restarts;
         let r = &mut self.relays[relay];
         r.figures.starts += 1;
--- a/lab/tests/losses.rs
+++ b/lab/tests/losses.rs
@@ -150,9 +150,9 @@
 fn sessions_of_restarted_relay_are_kept_apart() {
     let (losses, code) = evaluate("restart", &[("west.log", RESTART)]);
     assert_eq!((code, number(&losses, "/read/processes")), (Some(0), 3));
-    let fates = &losses["sum"]["attempts"]["fates"];
-    assert_eq!((number(fates, "/placed"), number(fates, "/refused_undialled")), (2, 2));
-    assert_eq!(number(fates, "/relay_ended"), 1);
+    let outcomes = &losses["sum"]["attempts"]["fates"];
+    assert_eq!((number(outcomes, "/placed"), number(outcomes, "/refused_undialled")), (2, 2));
+    assert_eq!(number(outcomes, "/relay_ended"), 1);
     assert_eq!(number(&losses, "/sum/ends/relay_died"), 2);
     // The open sessions ended with the last line of their process.
     assert_eq!(number(&losses, "/seconds/0/ends/relay_died"), 1);
@@ -291,9 +291,9 @@
     };
     for (at, placed) in [("at: Some(\"oak\")", 1), ("at: None", 0)] {
         let (losses, _) = evaluate("standing", &[("west.log", &with(at))]);
-        let fates = &losses["sum"]["attempts"]["fates"];
+        let outcomes = &losses["sum"]["attempts"]["fates"];
         assert_eq!(
-            (number(fates, "/placed"), number(fates, "/served_at_once")),
+            (number(outcomes, "/placed"), number(outcomes, "/served_at_once")),
             (placed, 1 - placed),
             "{at}"
         );
@@ -352,7 +352,7 @@
                   0.200 s    dial 127.0.1.2:8000\n   \
                   0.250 s    placed\n   \
                   1.000 s    reset by the backend\n   \
-                  1.200 s  east id 703 key 77 group 7, back\n   \
+                  1.200 s  east id 703 key 77 group 7, returned\n   \
                   1.200 s    refused\n";
     assert_eq!((ran.out.as_str(), ran.code), (expected, Some(0)));
     let ran = run(&folder.0, &["--session", "703", "--json"]);
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -249,7 +249,7 @@
     assert_eq!((placed.as_str(), unknown.as_str()), ("UP\r\nBYE\r\n", "ERR\r\n"));
     let sum = &losses.sum;
     assert_eq!((losses.read.processes, sum.attempts.opened), (1, 2), "{losses:?}");
-    assert_eq!((sum.attempts.fates.placed, sum.attempts.fates.not_protocol), (1, 1));
+    assert_eq!((sum.attempts.outcomes.placed, sum.attempts.outcomes.not_protocol), (1, 1));
     assert_eq!((sum.ends.complete, sum.sessions.established, sum.fleet.open), (1, 1, 0));
     assert_eq!((sum.fleet.ready, losses.unaccounted_total()), (1, 0));
     assert_eq!((losses.read.cut, losses.read.unknown), (0, 0));
--- a/lab/tests/sockets.rs
+++ b/lab/tests/sockets.rs
@@ -152,7 +152,8 @@
     let line = format!("ulimit -n 300; exec {LAB} rehearse {} --out {}", path.display(), folder.display());
     command.arg("-c").arg(line);
     let error = error_of(&folder, &mut command);
-    assert!(error.contains("RLIMIT_NOFILE) is 300") && error.contains("18000 concurrent"), "{error}");
+    assert!(error.contains("RLIMIT_NOFILE) is 300"), "{error}");
+    assert!(error.contains("18000 concurrent sessions"), "{error}");
     _ = std::fs::remove_dir_all(&folder);
 }
 
