--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -147,7 +147,7 @@
 /// Formats the rows as a table.
 pub fn text(rows: &[Row]) -> String {
     let mut table = String::from(
-        "virtual  relays  loss   hours   detected s (p95, max)  by all (p95, max)  missed  false  suspect  \
+        "virtual  relays  loss   hours  detect s (p95, max)   by all (p95, max)  missed  false  suspect  \
          datagrams/s  bytes/s  CPU us/s\n",
     );
     let times = |t: &DetectionTimes| format!("{:.2} ({:.2}, {:.2})", t.median, t.p95, t.last);
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -69,10 +69,10 @@
     day: Day,
     queue: EventQueue<QueuedEvent>,
     relays: Vec<VirtualRelay>,
-    /// Connections to servers by number. A hash map is allowed because it is never iterated: its iteration
-    /// order would make days with the same seed differ.
+    /// Connections to servers by number. This can be a hash map because it is only looked up and never
+    /// iterated; its random iteration order would make days with the same seed differ.
     dials: HashMap<ConnectionId, BackendConnection>,
-    /// Requests of clients that have not disconnected, by mark. Never iterated either.
+    /// Requests of clients that have not disconnected, by mark. Also only looked up and never iterated.
     requests: HashMap<u64, ClientRequest>,
     last_connection: ConnectionId,
     now: Micros,
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn stalls_kills_and_stops_are_told_apart() {
+fn stalled_killed_and_stopped_relays_are_distinguished() {
     let faults = r#"
 [[trouble]]
 kind = "link-cut"
--- a/lab/tests/losses.rs
+++ b/lab/tests/losses.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn time_to_establishment_is_reported_per_second_and_in_sum() {
+fn waiting_time_is_reported_per_second_and_in_sum() {
     let (losses, _) = evaluate("wait", &[("west.log", ENDS)]);
     let wait = |at: &str| losses.pointer(at).cloned().expect("find the waiting time");
     assert_eq!(wait("/seconds/0/wait"), json!({"median_ms": 20, "worst_ms": 20}));
@@ -145,7 +145,7 @@
 }
 
 /// Pending attempts end with their process, and the next process reuses session numbers. Its start is
-/// recognized by the log line `serving` or, without this line, by a lower connection number.
+/// recognized by the log line `serving` or, without it, by a connection number that is not higher.
 #[test]
 fn sessions_of_restarted_relay_are_kept_apart() {
     let (losses, code) = evaluate("restart", &[("west.log", RESTART)]);
@@ -338,7 +338,7 @@
 fn dropped_lines_are_counted() {
     let dropped =
         "6.500 Mar 04 12:00:06.500 ERRO slog-async: logger dropped messages due to channel overflow, \
-                count: 12\n";
+         count: 12\n";
     let (losses, _) = evaluate("dropped", &[("west.log", &(STAYS.to_string() + dropped))]);
     assert_eq!(number(&losses, "/read/dropped"), 12);
 }
