--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -448,19 +448,19 @@
 
 fn instance(text: &str) -> Option<Instance> {
     // A field is found by the space before it, which was split off from the first field.
-    let fields = format!(" {text}");
+    let padded = format!(" {text}");
     Some(Instance {
-        id: fields::text(&fields, "id")?.to_string(),
-        addr: fields::parsed(&fields, "addr")?,
-        zone: fields::text(&fields, "zone")?.to_string(),
-        cell: fields::parsed(&fields, "cell")?,
-        phase: match fields::word(&fields, "phase")? {
+        id: fields::text(&padded, "id")?.to_string(),
+        addr: fields::parsed(&padded, "addr")?,
+        zone: fields::text(&padded, "zone")?.to_string(),
+        cell: fields::parsed(&padded, "cell")?,
+        phase: match fields::word(&padded, "phase")? {
             "Ready" => Phase::Ready,
             "Draining" => Phase::Draining,
             "Gone" => Phase::Gone,
             _ => return None,
         },
-        started_at: fields::parsed(&fields, "started_at").or_else(|| fields::parsed(&fields, "came_up"))?,
+        started_at: fields::parsed(&padded, "started_at").or_else(|| fields::parsed(&padded, "came_up"))?,
     })
 }
 
