--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -1,34 +1,35 @@
-//! Follows the sessions of one relay's log, through all processes of that relay.
-use super::attempt::{Attempt, Dial, End, Fate, Gap, LastDial, Moment, Origin};
+//! Follows the sessions in the log of one relay, through all processes of that relay.
+use super::attempt::{Attempt, AttemptOutcome, Dial, End, Gap, LastDial, Moment, Origin};
 use super::parse::{Entry, Opening};
 use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
 use std::collections::{BTreeMap, HashSet};
 
-/// Where the last line of a log is older than this at the end of the day, it is unknown what became of that
-/// which was undecided: relays log a timer or a health check each second or two.
+/// Relays log a timer or a health check every second or two. If the last line of a log is older than this at
+/// the end of the day, the log is incomplete and the outcome of pending attempts is unknown.
 const MAX_SILENCE: Micros = 5_000_000;
 
 /// The sessions of one relay.
 pub struct RelayLog {
     name: String,
-    /// Attempts that are undecided, and sessions that are open.
+    /// Pending attempts and open sessions.
     active: BTreeMap<SessionId, Attempt>,
-    /// Sessions that are over, and whose connections are not: what is still logged of them counts no more.
+    /// Sessions that have ended but whose connections are still open. Their further log entries are ignored.
     closing: HashSet<SessionId>,
-    /// The relay migrates its open sessions: it drains, stops or is replaced.
+    /// The relay migrates its open sessions because it drains, stops or is replaced.
     migrates_sessions: bool,
-    /// The highest number of a connection in this process; a lower one is of the next process.
+    /// Highest connection number of this process. A connection without a higher number belongs to the next
+    /// process.
     newest_connection_id: SessionId,
     last: Moment,
-    /// How many processes the log has shown.
+    /// Number of processes found in the log.
     pub processes: u64,
     running: bool,
-    /// Attempts whose end is known, and that were not taken yet.
+    /// Attempts whose end is known and that were not returned by `take_done` yet.
     done: Vec<Attempt>,
 }
 
 impl RelayLog {
-    /// A relay whose log is read next.
+    /// A relay whose log has not been read yet.
     pub fn new(name: &str) -> RelayLog {
         RelayLog {
             name: name.to_string(),
@@ -43,14 +44,14 @@
         }
     }
 
-    /// A process starts: what its predecessor had left undecided ended with that.
+    /// A process starts. Pending attempts and open sessions of its predecessor ended with the predecessor.
     pub fn process_started(&mut self) {
         self.process_ended();
         self.closing.clear();
         (self.migrates_sessions, self.newest_connection_id) = (false, 0);
     }
 
-    /// The next entry of the log.
+    /// Handles the next entry of the log.
     pub fn entry(&mut self, at: Moment, entry: &Entry) {
         if let Entry::Serving = entry {
             self.process_started();
@@ -80,12 +81,14 @@
                 self.client_ended(at, *session_id)
             }
             Entry::SessionHandedOver { session_id } => {
-                self.end(at, *session_id, Fate::ClientLeft, End::HandedOver)
+                self.end(at, *session_id, AttemptOutcome::ClientLeft, End::HandedOver)
             }
-            Entry::Reject { session_id } => self.answered(at, *session_id, Fate::Rejected),
-            Entry::TearDown { session_id } => self.answered(at, *session_id, Fate::Failed),
+            Entry::Reject { session_id } => self.answered(at, *session_id, AttemptOutcome::Rejected),
+            Entry::TearDown { session_id } => self.answered(at, *session_id, AttemptOutcome::Failed),
             Entry::ReportProtocolError { session_id } => self.protocol_violated(at, *session_id),
-            Entry::CloseClient { session_id } => self.end(at, *session_id, Fate::TooLate, End::Other),
+            Entry::CloseClient { session_id } => {
+                self.end(at, *session_id, AttemptOutcome::TooLate, End::Other)
+            }
             Entry::Migrate { session_id } => self.migrated(at, *session_id),
             Entry::Lifecycle { migrates_sessions } => self.migrates_sessions = *migrates_sessions,
             Entry::Exit => self.exits(),
@@ -96,17 +99,17 @@
         }
     }
 
-    /// The log is over; `day_end` is the last moment in any log.
+    /// Handles the end of the log; `day_end` is the latest moment in any log.
     pub fn finish(&mut self, day_end: Micros) {
         let is_complete = self.last.day + MAX_SILENCE >= day_end;
-        let (fate, end) = match is_complete {
-            true => (Fate::StillWaiting, End::StillOpen),
-            false => (Fate::Unaccounted(Gap::LogEnds), End::Unaccounted(Gap::LogEnds)),
+        let (outcome, end) = match is_complete {
+            true => (AttemptOutcome::StillWaiting, End::StillOpen),
+            false => (AttemptOutcome::Unaccounted(Gap::LogEnds), End::Unaccounted(Gap::LogEnds)),
         };
-        self.end_all(&fate, end);
+        self.end_all(&outcome, end);
     }
 
-    /// Takes the attempts whose end is known by now.
+    /// Returns and removes the attempts whose end is known.
     pub fn take_done(&mut self) -> impl Iterator<Item = Attempt> + '_ {
         self.done.drain(..)
     }
@@ -114,7 +117,7 @@
     fn begin(&mut self, at: Moment, session_id: SessionId, opening: &Opening, origin: Origin) {
         if let Some(before) = self.active.remove(&session_id) {
             let gap = Gap::NumberReused;
-            self.finish_attempt(before, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
+            self.finish_attempt(before, at, &AttemptOutcome::Unaccounted(gap), End::Unaccounted(gap));
         }
         self.closing.remove(&session_id);
         self.active.insert(session_id, Attempt::new(&self.name, at, opening.clone(), origin));
@@ -128,10 +131,11 @@
     }
 
     fn dial_ended(&mut self, at: Moment, session_id: SessionId, number: u32, end: DialEnd) {
-        let Some(attempt) = self.active.get_mut(&session_id).filter(|one| one.placed.is_none()) else {
+        let Some(attempt) = self.active.get_mut(&session_id).filter(|attempt| attempt.placed.is_none())
+        else {
             return;
         };
-        // The end of an earlier dial.
+        // This is the end of an earlier dial.
         if attempt.dials.len() != number as usize + 1 {
             return;
         }
@@ -139,7 +143,7 @@
             dial.end = Some(end);
         }
         if end == DialEnd::Ok && !attempt.opening.pre_existing {
-            self.end(at, session_id, Fate::ServedAtOnce, End::Other);
+            self.end(at, session_id, AttemptOutcome::ServedAtOnce, End::Other);
         }
     }
 
@@ -157,29 +161,29 @@
             DialEnd::Reset => End::Reset,
             _ => End::Other,
         };
-        self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.end(at, session_id, AttemptOutcome::Unaccounted(Gap::NeverPlaced), end);
     }
 
     fn client_ended(&mut self, at: Moment, session_id: SessionId) {
-        self.end(at, session_id, Fate::ClientLeft, End::Client);
+        self.end(at, session_id, AttemptOutcome::ClientLeft, End::Client);
     }
 
     fn protocol_violated(&mut self, at: Moment, session_id: SessionId) {
-        // Connections that never became a session are answered so as well.
-        self.end(at, session_id, Fate::NotProtocol, End::Other);
+        // Connections that never became a session get this answer too.
+        self.end(at, session_id, AttemptOutcome::NotProtocol, End::Other);
     }
 
     fn migrated(&mut self, at: Moment, session_id: SessionId) {
         let end = if self.migrates_sessions { End::RelayStop } else { End::Migrated };
-        self.end(at, session_id, Fate::Unaccounted(Gap::NeverPlaced), end);
+        self.end(at, session_id, AttemptOutcome::Unaccounted(Gap::NeverPlaced), end);
     }
 
-    /// A final answer of the relay's own; what it is called depends on the dials before it.
-    fn answered(&mut self, at: Moment, session_id: SessionId, fate: fn(LastDial) -> Fate) {
+    /// The relay sent a final answer of its own. The outcome also depends on the last dial before it.
+    fn answered(&mut self, at: Moment, session_id: SessionId, outcome: fn(LastDial) -> AttemptOutcome) {
         self.require_opening(at, session_id);
         let Some(attempt) = self.active.get(&session_id) else { return };
-        let fate = fate(attempt.last_dial());
-        self.end(at, session_id, fate, End::Other);
+        let outcome = outcome(attempt.last_dial());
+        self.end(at, session_id, outcome, End::Other);
     }
 
     fn exits(&mut self) {
@@ -187,21 +191,21 @@
         self.closing.clear();
     }
 
-    /// What is undecided or open as a process ends, ends with it.
+    /// The process ended, and with it all pending attempts and open sessions.
     fn process_ended(&mut self) {
         let end = if self.migrates_sessions { End::RelayStop } else { End::RelayDied };
-        self.end_all(&Fate::RelayEnded, end);
+        self.end_all(&AttemptOutcome::RelayEnded, end);
         self.running = false;
     }
 
-    fn end_all(&mut self, fate: &Fate, end: End) {
+    fn end_all(&mut self, outcome: &AttemptOutcome, end: End) {
         let at = self.last;
         for (_, attempt) in std::mem::take(&mut self.active) {
-            self.finish_attempt(attempt, at, fate, end);
+            self.finish_attempt(attempt, at, outcome, end);
         }
     }
 
-    /// Where this is the first entry of an attempt, its opening is not in the log.
+    /// If this is the first entry of an attempt, its opening is not in the log: counts it as unaccounted for.
     fn require_opening(&mut self, at: Moment, session_id: SessionId) {
         if self.active.contains_key(&session_id) || !self.closing.insert(session_id) {
             return;
@@ -209,21 +213,21 @@
         let opening = Opening { id: 0, key: 0, group: 0, returned: false, pre_existing: false };
         let attempt = Attempt::new(&self.name, at, opening, Origin::Missing);
         let gap = Gap::NeverOpened;
-        self.finish_attempt(attempt, at, &Fate::Unaccounted(gap), End::Unaccounted(gap));
+        self.finish_attempt(attempt, at, &AttemptOutcome::Unaccounted(gap), End::Unaccounted(gap));
     }
 
-    /// The attempt is over: by `fate` where it was not placed, else by `end`.
-    fn end(&mut self, at: Moment, session_id: SessionId, fate: Fate, end: End) {
+    /// Ends the attempt: with `end` if it was placed, otherwise with `outcome`.
+    fn end(&mut self, at: Moment, session_id: SessionId, outcome: AttemptOutcome, end: End) {
         let Some(attempt) = self.active.remove(&session_id) else { return };
         self.closing.insert(session_id);
-        self.finish_attempt(attempt, at, &fate, end);
+        self.finish_attempt(attempt, at, &outcome, end);
     }
 
-    fn finish_attempt(&mut self, mut attempt: Attempt, at: Moment, fate: &Fate, end: End) {
+    fn finish_attempt(&mut self, mut attempt: Attempt, at: Moment, outcome: &AttemptOutcome, end: End) {
         attempt.ended_at = at;
-        (attempt.fate, attempt.end) = match attempt.placed {
-            Some(_) => (Fate::Placed, Some(end)),
-            None => (fate.clone(), None),
+        (attempt.outcome, attempt.end) = match attempt.placed {
+            Some(_) => (AttemptOutcome::Placed, Some(end)),
+            None => (outcome.clone(), None),
         };
         self.done.push(attempt);
     }
