--- a/emulator/src/audit/answers.rs
+++ b/emulator/src/audit/answers.rs
@@ -1,4 +1,4 @@
-//! Rule 1, one final answer in time, and the part of rule 2 that is about rejections.
+//! Rule 1 (one final answer in time), and the part of rule 2 that concerns rejections.
 use super::session::{Answer, Session, TraceEvent};
 use super::{Audit, PendingAnswer};
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
@@ -9,16 +9,16 @@
     pub mark: u64,
     /// Relay that took the connection.
     pub relay: usize,
-    /// Listener that it is for.
+    /// Listener that the session is for.
     pub listener: usize,
-    /// What is left of the dial timeout.
+    /// Time left until the dial timeout.
     pub wait: Micros,
-    /// It was open at its backend before the relay started.
+    /// The session was open at its backend before the relay started.
     pub is_pre_existing: bool,
 }
 
 impl Audit {
-    /// A client requests a session.
+    /// A client has sent its request for a session.
     pub fn session_requested(&mut self, now: Micros, request: &RequestSent) {
         let RequestSent { mark, relay, listener, wait, is_pre_existing } = *request;
         self.sessions_seen += 1;
@@ -28,18 +28,18 @@
         self.trace(now, mark, TraceEvent::Requested { relay });
     }
 
-    /// A client was answered, or its connection ended.
+    /// A client has received an answer, or its connection has ended.
     pub fn client_answered(&mut self, now: Micros, mark: u64, answer: &Answer) {
         let name = answer.as_str();
         self.trace(now, mark, TraceEvent::Answered(name));
         let slack = self.rules.slack;
         let Some(session) = self.sessions.get_mut(&mark) else { return };
         if session.answered_at.is_some() {
-            let details = format!("{name} comes after the final answer");
+            let details = format!("{name} arrives after the final answer");
             return self.record_breach(1, now, mark, details);
         }
         if session.left_at.is_some() {
-            // It was in flight as the client left.
+            // The answer was in flight when the client left.
             return;
         }
         let deadline = session.deadline;
@@ -48,7 +48,7 @@
         self.deadlines.remove(&PendingAnswer { deadline: deadline + slack, mark });
         if now > deadline + slack && !is_excused {
             let late_ms = (now - deadline) as f64 / 1e3;
-            let details = format!("{name} comes {late_ms:.1} ms after the dial timeout");
+            let details = format!("{name} arrives {late_ms:.1} ms after the dial timeout");
             self.record_breach(1, now, mark, details);
         }
         self.check_answer(now, mark, answer);
@@ -58,7 +58,7 @@
         let Some(session) = self.sessions.get_mut(&mark) else { return };
         match *answer {
             Answer::Up(receipt) if session.receipt != Some(receipt) => {
-                let details = "UP with a receipt that no server gave".to_string();
+                let details = "UP with a receipt that no server issued".to_string();
                 self.record_breach(1, now, mark, details);
             }
             Answer::Up(_) => session.is_established = true,
@@ -69,12 +69,12 @@
                     Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. }
                 );
                 if !may_repeat && !cannot_run {
-                    self.record_breach(2, now, mark, "refused, though it may have run".to_string());
+                    self.record_breach(2, now, mark, "rejected, though it may have run".to_string());
                 }
             }
             Answer::Closed => {
                 if self.relays[session.relay].is_up && !session.is_excused {
-                    let details = "the connection ends without an answer".to_string();
+                    let details = "the connection ended without an answer".to_string();
                     self.record_breach(1, now, mark, details);
                 }
             }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A client has left, by itself.
+    /// A client has left on its own.
     pub fn client_left(&mut self, now: Micros, mark: u64) {
         self.trace(now, mark, TraceEvent::ClientLeft);
         let Some(session) = self.sessions.get_mut(&mark) else { return };
@@ -100,17 +100,17 @@
     pub fn connection_cut(&mut self, now: Micros, mark: u64) {
         let session = self.sessions.get(&mark);
         if session.is_some_and(|session| self.relays[session.relay].is_up) {
-            let details = "cut off without MOVE while its server answers".to_string();
+            let details = "cut off without MOVE while its server still answers".to_string();
             self.record_breach(1, now, mark, details);
         }
     }
 
-    /// Whether a session's client got `UP`.
+    /// Whether a session's client has received `UP`.
     pub fn is_established(&self, mark: u64) -> bool {
         self.sessions.get(&mark).is_some_and(|session| session.is_established)
     }
 
-    /// Finds the answers that are overdue.
+    /// Records a breach for each session whose final answer is overdue.
     pub fn check_deadlines(&mut self, now: Micros) {
         while let Some(&pending) = self.deadlines.first().filter(|pending| pending.deadline < now) {
             self.deadlines.remove(&pending);
--- a/emulator/src/audit/dials.rs
+++ b/emulator/src/audit/dials.rs
@@ -1,10 +1,10 @@
-//! Rules 1 and 2 as backends see them: dials of sessions that have ended, dials beyond the maximum, and
-//! retries that are not safe.
+//! Rules 1 and 2 as observed at the backends: dials of sessions that have ended, dials beyond the maximum,
+//! and unsafe retries.
 use super::session::{DialOutcome, FirstRun, Session, TraceEvent};
 use super::Audit;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
-/// A session's first line at a backend.
+/// A session's first line, received by a backend.
 #[derive(Clone, Copy)]
 pub struct DialReceived {
     /// The session's mark.
@@ -24,7 +24,7 @@
         self.dials_seen += 1;
         self.trace(now, mark, TraceEvent::DialReceived { backend });
         let Some(session) = self.sessions.get_mut(&mark) else {
-            let details = format!("{} gets a line that no client sent", self.backends[backend].name);
+            let details = format!("{} received a line that no client sent", self.backends[backend].name);
             return self.record_breach(1, now, mark, details);
         };
         session.dials += 1;
@@ -37,7 +37,7 @@
         self.check_drain(now, dial, is_pre_existing);
     }
 
-    /// What a dial breaks of rules 1 and 2; `other` is the backend at which another dial was in flight.
+    /// Breaches of rules 1 and 2 by a dial; `other` is the backend at which another dial was in flight.
     fn dial_breaches(&self, dial: &DialReceived, other: Option<usize>) -> Vec<DialBreach> {
         let mut breaches = Vec::new();
         let Some(session) = self.sessions.get(&dial.mark) else { return breaches };
@@ -52,7 +52,7 @@
         }
         let max_dials = self.rules.max_dials;
         if session.dials > max_dials && !session.is_pre_existing {
-            let details = format!("dialled {} times, {max_dials} at most", session.dials);
+            let details = format!("dialled {} times; the maximum is {max_dials}", session.dials);
             breaches.push(DialBreach { rule: 2, details });
         }
         if session.first_run.is_some_and(|run| !self.may_dial_again(session, run, dial)) {
@@ -62,7 +62,7 @@
         breaches
     }
 
-    /// Whether a session had ended, or was established, before a dial of it was sent.
+    /// Whether a session had ended, or had been established, before a dial of it was sent.
     fn is_over(&self, session: &Session, first_byte_at: Micros) -> bool {
         if session.is_established && session.answered_at.is_some() {
             return true;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A backend has received a line that is not what a client sent, or whose client has left.
+    /// A backend has received a line that differs from what the client sent, or whose client has left.
     pub fn unexpected_line(
         &mut self,
         now: Micros,
@@ -105,13 +105,13 @@
         }
         let name = &self.backends[backend].name;
         let details = match session {
-            None => format!("{name} gets a line that no client sent: {line:.80}"),
+            None => format!("{name} received a line that no client sent: {line:.80}"),
             Some(_) => format!("dialled at {name} after it was over"),
         };
         self.record_breach(1, now, mark, details);
     }
 
-    /// A backend sends `UP`, with a receipt.
+    /// A backend has sent `UP` with a receipt.
     pub fn session_established(&mut self, now: Micros, mark: u64, backend: usize, receipt: u64) {
         self.trace(now, mark, TraceEvent::Established { backend });
         if let Some(session) = self.sessions.get_mut(&mark) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A dial has ended, or the open session that it established.
+    /// A dial has ended, or the open session that it established has.
     pub fn dial_ended(&mut self, now: Micros, mark: u64, backend: usize, outcome: DialOutcome) {
         self.trace(now, mark, TraceEvent::DialEnded { backend, outcome });
         let Some(session) = self.sessions.get_mut(&mark) else { return };
@@ -133,7 +133,7 @@
     }
 }
 
-/// A rule that a dial breaks.
+/// A rule that a dial broke.
 struct DialBreach {
     rule: u8,
     details: String,
--- a/emulator/src/audit/drains.rs
+++ b/emulator/src/audit/drains.rs
@@ -1,12 +1,12 @@
-//! Rule 3: a relay that was notified that a backend drains, or that has not polled the list service for too
-//! long, sends no session there.
+//! Rule 3: a relay must not send sessions to a backend after it was notified that the backend drains, or
+//! while the relay has not polled the list service for too long.
 use super::dials::DialReceived;
 use super::Audit;
 use hallrelay_balancer::types::{Micros, Phase};
 
-/// Notifications so shortly before a process ended may be missing from its store.
+/// Notifications received this shortly before a process ended may be missing from its store.
 const STORE_DELAY: Micros = 1_000_000;
-/// Poll intervals that a relay has after a failed call of discovery.
+/// After a failed discovery call a relay has this many poll intervals until its next poll is overdue.
 const FAILED_CALL_ALLOWANCE: Micros = 4;
 
 impl Audit {
@@ -14,7 +14,7 @@
         let relay = &self.relays[dial.relay];
         let backend = &self.backends[dial.backend];
         let allowed = self.rules.drain_grace + self.rules.slack;
-        // A relay that has not polled within its allowance counts as notified.
+        // A relay that has not polled within its allowance is treated as notified.
         let deemed_notified_at = backend
             .draining_since
             .map(|since| since.max(relay.started_at) + self.rules.poll_within * relay.poll_allowance);
@@ -47,13 +47,13 @@
         relay.poll_allowance = 1;
     }
 
-    /// The list service itself has a backend in a phase from now on.
+    /// The list service now lists a backend in this phase.
     pub fn endpoint_listed(&mut self, now: Micros, backend: usize, phase: Phase) {
         let draining_since = &mut self.backends[backend].draining_since;
         *draining_since = if phase == Phase::Ready { None } else { draining_since.or(Some(now)) };
     }
 
-    /// A relay's call of the list service failed.
+    /// A relay's call to the list service failed.
     pub fn list_call_failed(&mut self, relay: usize) {
         self.relays[relay].poll_allowance = FAILED_CALL_ALLOWANCE;
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A relay's process goes on after a stall; what it was notified of meanwhile it learns now.
+    /// A relay's process has resumed after a stall. Notifications sent during the stall count from now.
     pub fn relay_woke(&mut self, now: Micros, relay: usize) {
         self.check_deadlines(now);
         let relay = &mut self.relays[relay];
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -1,10 +1,10 @@
-//! Audits the four rules: it sees both sides of each session and the endpoint list, and proves or disproves
-//! that relays obey the rules. It shares nothing with relays and balancer, and knows them only by what
-//! passes.
+//! Audits the four rules. The auditor sees both sides of each session and the endpoint list, and checks
+//! whether the relays obey the rules. It shares no code with relay and balancer, and knows them only by
+//! their traffic.
 //!
 //! Rule 1: a client gets one final answer in time, and nothing after it. Rule 2: a session is dialled again
-//! only where that is safe. Rule 3: no session goes to a backend that the relay was notified is draining.
-//! Rule 4: no backend that warms up is overloaded by relays that know it.
+//! only if that is safe. Rule 3: no session is sent to a backend that the relay was notified is draining.
+//! Rule 4: no backend that is warming up is overloaded by relays that were notified of its start.
 mod answers;
 mod dials;
 mod drains;
@@ -20,44 +20,44 @@
 use session::{Session, TraceEvent};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Breaches that are recorded with their traces; further ones are counted.
+/// Maximum number of breaches recorded with their traces; further ones are only counted.
 const MAX_BREACHES: usize = 50;
-/// A session is forgotten so long after it has ended: nothing can come for it any more.
-const FORGET_AFTER: Micros = 60_000_000;
+/// Retention of ended sessions. After this time no event of the session can still arrive.
+const ENDED_SESSION_RETENTION: Micros = 60_000_000;
 
-/// A rule that was broken once.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Breach {
     /// Number of the rule, 1 to 4.
     pub rule: u8,
-    /// Microseconds since the day began.
+    /// Microseconds since the start of the day.
     pub at: Micros,
-    /// The session, or `none`.
+    /// Description of the session, or `none`.
     pub session: String,
-    /// What was seen.
+    /// Description of the breach.
     #[serde(rename = "what")]
     pub details: String,
-    /// What passed for the session, with times.
+    /// Timed trace of the session.
     #[serde(rename = "lines")]
     pub trace: Vec<String>,
 }
 
-/// What the scenario allows. Times in microseconds.
+/// Limits set by the scenario. Times are in microseconds.
 struct Rules {
-    /// Allowance for what the host itself delays.
+    /// Allowance for delays caused by the host that runs the emulation.
     slack: Micros,
-    /// What was in flight as a relay or a client ended a session may arrive for this long.
+    /// After a relay or a client has ended a session, data that was in flight may arrive for this long.
     in_flight: Micros,
-    /// From being notified of a drain to the last dial.
+    /// Time allowed from the notification of a drain to the last dial.
     drain_grace: Micros,
-    /// Interval in which a relay has to poll the list service.
+    /// Interval within which a relay must poll the list service.
     poll_within: Micros,
     max_dials: u32,
     /// By listener.
     idempotency: Vec<Idempotency>,
 }
 
-/// A backend, and where it is.
+/// A backend and its location.
 pub struct BackendPlace {
     /// Its id in the endpoint list.
     pub name: String,
@@ -67,66 +67,66 @@
     pub cell: u16,
 }
 
-/// A backend as the rules see it.
+/// State of a backend that the rules depend on.
 struct Backend {
     name: String,
     zone: usize,
     cell: u16,
-    /// Since when the list service has it draining or removed.
+    /// Time at which the list service first listed it as draining or removed.
     draining_since: Option<Micros>,
 }
 
-/// A relay's process and what it was notified of.
+/// State of a relay's process, and the notifications that it received.
 struct AuditedRelay {
     is_up: bool,
     started_at: Micros,
     ended_at: Micros,
     /// Stalled by the fault injector.
     is_stalled: bool,
-    /// How many times `poll_within` it has until it counts as notified.
+    /// Number of `poll_within` intervals until the relay is treated as notified.
     poll_allowance: Micros,
-    /// By backend: since when this process has been notified that it drains.
+    /// By backend: when this process was notified that the backend drains.
     notified: Vec<Option<Micros>>,
-    /// By backend: since when an earlier process had been notified, where nothing else was notified since.
+    /// By backend: when an earlier process was notified, if no notification has replaced that since.
     notified_earlier: Vec<Option<Micros>>,
 }
 
-/// A final answer that is pending, ordered by its deadline.
+/// A pending final answer, ordered by its deadline.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingAnswer {
     deadline: Micros,
     mark: u64,
 }
 
-/// The auditor of one day.
+/// Auditor of one day.
 pub struct Audit {
     begin: Micros,
     rules: Rules,
     listeners: Vec<String>,
     backends: Vec<Backend>,
-    /// By mark.
+    /// By session mark.
     sessions: BTreeMap<u64, Session>,
-    /// Deadlines of final answers that are pending.
+    /// Deadlines of pending final answers.
     deadlines: BTreeSet<PendingAnswer>,
     relays: Vec<AuditedRelay>,
-    /// Whether relays store what they must know, so that a notification outlives the process.
+    /// Whether relays persist notifications, so that these survive a restart of the process.
     relays_have_stores: bool,
-    /// Dials to a backend whose drain the relay was notified of, by this process or an earlier one.
+    /// Dials to a backend after this process or an earlier one was notified that it drains.
     pub stale_dials: u64,
-    /// The first breaches.
+    /// The first `MAX_BREACHES` breaches.
     pub breaches: Vec<Breach>,
-    /// Breaches beyond those that are recorded.
+    /// Number of breaches beyond the recorded ones.
     unrecorded_breaches: u64,
-    /// Sessions requested.
+    /// Number of sessions requested.
     pub sessions_seen: u64,
-    /// Dials received by backends.
+    /// Number of dials received by backends.
     pub dials_seen: u64,
-    /// Overloads of backends that were warming up, whoever caused them.
+    /// Number of overloads of backends that were warming up, regardless of their cause.
     pub overloads: u32,
 }
 
 impl Audit {
-    /// An auditor for a scenario's relays and for these backends.
+    /// Creates an auditor for a scenario's relays and these backends.
     pub fn new(scenario: &Scenario, backends: Vec<BackendPlace>, begin: Micros) -> Audit {
         let slack = scenario.rules.slack_ms.us();
         let backends = backends.into_iter().map(|place| Backend {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Number of all breaches.
+    /// Total number of breaches.
     pub fn breach_count(&self) -> u64 {
         self.breaches.len() as u64 + self.unrecorded_breaches
     }
@@ -206,26 +206,27 @@
         self.sessions.retain(|_, session| session.relay != relay);
     }
 
-    /// A relay's process stalls, by the fault injector: it can answer nobody meanwhile.
+    /// The fault injector has stalled a relay's process, which cannot answer until it resumes.
     pub fn relay_stalled(&mut self, relay: usize) {
         self.relays[relay].is_stalled = true;
     }
 
-    /// Rule 4: a backend that was warming up was overloaded; `blamed` where relays caused it that knew it.
+    /// Rule 4: a backend was overloaded while it warmed up. `blamed` is set if relays that were notified of
+    /// its start caused the overload.
     pub fn backend_overloaded(&mut self, now: Micros, backend: usize, blamed: bool) {
         self.overloads += 1;
         if blamed {
             let name = &self.backends[backend].name;
-            let details = format!("{name} fell over by what relays sent that knew it was cold");
+            let details = format!("{name} fell over while cold: overloaded by relays notified of its start");
             self.record_breach(4, now, 0, details);
         }
     }
 
-    /// Forgets sessions that ended long ago.
-    pub fn forget_ended(&mut self, now: Micros) {
+    /// Removes sessions that ended before the retention period.
+    pub fn remove_ended(&mut self, now: Micros) {
         self.sessions.retain(|_, session| {
             let ended = session.left_at.or(session.answered_at.filter(|_| !session.is_established));
-            session.dialling.is_some() || ended.is_none_or(|at| now < at + FORGET_AFTER)
+            session.dialling.is_some() || ended.is_none_or(|at| now < at + ENDED_SESSION_RETENTION)
         });
     }
 }
--- a/emulator/src/audit/session.rs
+++ b/emulator/src/audit/session.rs
@@ -1,19 +1,19 @@
-//! What the auditor holds of one session, and what passed for it.
+//! The auditor's state of one session, and the session's trace.
 use hallrelay_balancer::types::Micros;
 
-/// Entries that are recorded of a session's trace.
+/// Maximum number of entries recorded in a session's trace.
 const MAX_TRACE: usize = 64;
 
-/// What a client was answered.
+/// Answer that a client received.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// `UP`, with the receipt that a backend gave.
+    /// `UP`, with the receipt issued by a backend.
     Up(u64),
-    /// `BUSY`: a retry is harmless.
+    /// `BUSY`: the session never ran, so a retry is safe.
     Busy,
     /// An error.
     Failed,
-    /// The end of the connection, without an answer.
+    /// End of the connection without an answer.
     Closed,
 }
 
@@ -23,21 +23,21 @@
             Answer::Up(_) => "UP",
             Answer::Busy => "BUSY",
             Answer::Failed => "an error",
-            Answer::Closed => "the end without an answer",
+            Answer::Closed => "the end of the connection",
         }
     }
 }
 
-/// How a dial ended, as its backend saw it.
+/// Outcome of a dial as observed by its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialOutcome {
     /// Rejected: the session never ran.
     NeverRan,
-    /// The session ran, or may have.
+    /// The session ran, or may have run.
     MayHaveRun,
 }
 
-/// What passed for a session.
+/// An event in a session's trace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum TraceEvent {
     Requested { relay: usize },
@@ -53,7 +53,7 @@
     event: TraceEvent,
 }
 
-/// Where and when a session may have run first.
+/// First backend at which a session may have run, and when.
 #[derive(Clone, Copy)]
 pub(super) struct FirstRun {
     pub at: Micros,
@@ -65,18 +65,18 @@
     pub relay: usize,
     pub deadline: Micros,
     pub answered_at: Option<Micros>,
-    /// Its deadline came while its relay stalled: no answer is due any more, and there may be none.
+    /// The deadline passed while the relay was stalled: an answer is no longer required.
     pub is_excused: bool,
-    /// The client got `UP`.
+    /// The client has received `UP`.
     pub is_established: bool,
     pub left_at: Option<Micros>,
     pub dials: u32,
     /// The backend at which a dial is in flight.
     pub dialling: Option<usize>,
     pub first_run: Option<FirstRun>,
-    /// The receipt that a backend gave.
+    /// Receipt issued by a backend.
     pub receipt: Option<u64>,
-    /// It was open at its backend before the relay started.
+    /// The session was open at its backend before the relay started.
     pub is_pre_existing: bool,
     trace: Vec<TraceEntry>,
 }
@@ -106,26 +106,26 @@
         }
     }
 
-    /// It may have run at a backend from now on.
+    /// Records that the session may run at a backend from now on.
     pub(super) fn may_have_run(&mut self, at: Micros, backend: usize) {
         self.first_run = self.first_run.or(Some(FirstRun { at, backend }));
     }
 
-    /// The trace as text, with milliseconds since the day began.
+    /// The trace as text, with times in milliseconds since the start of the day.
     pub(super) fn trace_text<'a>(&self, begin: Micros, name: impl Fn(usize) -> &'a String) -> Vec<String> {
         let text = |entry: &TraceEntry| {
             let ms = (entry.at - begin.min(entry.at)) as f64 / 1e3;
             let event = match entry.event {
-                TraceEvent::Requested { relay } => format!("client asks relay {relay}"),
-                TraceEvent::DialReceived { backend } => format!("line comes to {}", name(backend)),
+                TraceEvent::Requested { relay } => format!("client sends its request to relay {relay}"),
+                TraceEvent::DialReceived { backend } => format!("{} receives the first line", name(backend)),
                 TraceEvent::DialEnded { backend, outcome: DialOutcome::NeverRan } => {
-                    format!("dial at {} is over: never ran", name(backend))
+                    format!("dial at {} ended: the session never ran", name(backend))
                 }
                 TraceEvent::DialEnded { backend, outcome: DialOutcome::MayHaveRun } => {
-                    format!("dial at {} is over: ran or may have", name(backend))
+                    format!("dial at {} ended: the session ran or may have run", name(backend))
                 }
-                TraceEvent::Established { backend } => format!("{} says UP", name(backend)),
-                TraceEvent::Answered(answer) => format!("client hears {answer}"),
+                TraceEvent::Established { backend } => format!("{} sends UP", name(backend)),
+                TraceEvent::Answered(answer) => format!("client receives {answer}"),
                 TraceEvent::ClientLeft => "client leaves".to_string(),
             };
             format!("{ms:10.3} ms  {event}")
--- a/emulator/src/clients/arrivals.rs
+++ b/emulator/src/clients/arrivals.rs
@@ -2,13 +2,13 @@
 use super::{mix, Client, ClientAction, ClientState, Clients, Event};
 use hallrelay_balancer::types::Micros;
 
-/// Interval at which arrivals are drawn, with the rate that holds at its start.
+/// Interval at which arrivals are drawn, at the rate that applies at its start.
 const RATE_REVIEW_INTERVAL: Micros = 100_000;
-/// Arrivals per second below which none are expected.
+/// Lower bound of the arrival rate per second, to avoid a division by zero.
 const MIN_RATE: f64 = 1e-9;
-/// The shortest lifetime of a client.
+/// Minimum lifetime of a client.
 const MIN_LIFETIME: Micros = 200_000;
-/// How long after its lifetime a client waits for the server to end its session.
+/// How long a client waits after its lifetime for the server to end its session.
 const MAX_BYE_DELAY: Micros = 1_000_000;
 
 impl Clients {
@@ -18,10 +18,10 @@
         let relay_count = self.scenario.relays.count;
         for index in 0..self.scenario.load.standing {
             let id = self.add_client(self.begin);
-            // Marks the relay as serving at once, without waiting for its answer to `PING`.
+            // Marks the relay as serving immediately, without waiting for its answer to `PING`.
             let relay = index % relay_count;
             self.front.set_serving(relay);
-            let client = self.clients.get_mut(&id).expect("was added just now");
+            let client = self.clients.get_mut(&id).expect("the client was just added");
             client.pre_existing_at = Some(index % server_count.max(1));
             self.request(id, Some(relay), out);
         }
@@ -51,7 +51,7 @@
         load.rate.0 * step_factor * self.arrival_factor * (1.0 + load.wave.0 * phase.sin())
     }
 
-    /// From now on clients arrive at a multiple of the scenario's rate.
+    /// Sets the arrival rate to a multiple of the scenario's rate.
     pub fn set_arrival_factor(&mut self, factor: f64) {
         self.arrival_factor = factor;
     }
@@ -67,7 +67,7 @@
         drawn.unwrap_or(listeners.len() - 1)
     }
 
-    /// Draws a client that waits to send its first request. Returns its number.
+    /// Draws a new client that waits to send its first request. Returns its number.
     pub(super) fn add_client(&mut self, now: Micros) -> u64 {
         self.last_number += 1;
         let id = self.last_number;
@@ -101,7 +101,7 @@
         id
     }
 
-    /// A client leaves; one whose session the server is to end waits for that a little longer.
+    /// Ends a client's lifetime. If the server is to end its session, the client first waits for that.
     pub(super) fn end_lifetime(&mut self, id: u64, out: &mut Vec<ClientAction>) {
         let Some(client) = self.clients.get(&id) else { return };
         let latest_end = client.until + MAX_BYE_DELAY;
--- a/emulator/src/clients/front.rs
+++ b/emulator/src/clients/front.rs
@@ -1,11 +1,11 @@
-//! The front: which relays it distributes clients to.
+//! The front: selects the relays to which it distributes clients.
 use super::{Clients, Event};
 use hallrelay_balancer::types::Micros;
 
-/// What the front knows of each relay.
+/// The front's state of each relay.
 pub(super) struct Front {
     is_serving: Vec<bool>,
-    /// How often each relay has started to serve.
+    /// Number of times that each relay has started to serve.
     starts: Vec<u32>,
 }
 
@@ -14,7 +14,7 @@
         Front { is_serving: vec![false; relay_count], starts: vec![0; relay_count] }
     }
 
-    /// The relays that it distributes clients to.
+    /// The relays to which the front distributes clients.
     pub(super) fn serving(&self) -> Vec<usize> {
         (0..self.is_serving.len()).filter(|&relay| self.is_serving[relay]).collect()
     }
@@ -23,7 +23,7 @@
         self.is_serving[relay] = true;
     }
 
-    /// The front learns whether a relay serves, unless the relay has started again since.
+    /// Applies a notice that a relay serves or has ended, unless the relay has started again since.
     pub(super) fn update(&mut self, relay: usize, is_serving: bool, starts: u32) {
         if starts == self.starts[relay] {
             self.is_serving[relay] = is_serving;
@@ -32,8 +32,8 @@
 }
 
 impl Clients {
-    /// A relay answers `PING`, or has ended. The front learns of a start at once and of an end some time
-    /// later.
+    /// A relay answers `PING`, or has ended. The front learns of a start immediately, and of an end after a
+    /// delay.
     pub fn set_relay_serving(&mut self, now: Micros, relay: usize, is_serving: bool) {
         self.now = self.now.max(now);
         let notice = self.scenario.clients.front_notice_s.map(|s| s.us());
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Clients, and the front that distributes them over the relays. No I/O: open-loop arrivals, lifetimes, and
-//! what each client does after an answer, a migration or a break.
+//! Clients, and the front that distributes them over the relays. No I/O. Covers open-loop arrivals,
+//! lifetimes, and the reaction of each client to an answer, a migration or a break.
 mod arrivals;
 mod front;
 mod sessions;
@@ -13,54 +13,54 @@
 
 /// Random stream of the clients.
 const RANDOM_STREAM: u64 = 4;
-/// Upper bound of the histograms of waits, in microseconds.
+/// Upper bound of the histograms of handshake times, in microseconds.
 const MAX_WAIT: u64 = 120_000_000;
 
-/// A connection's first line, and who sends it where.
+/// A connection's first line, with its sender and destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Mark of the connection; no mark is used twice.
+    /// Mark of the connection; marks are never reused.
     pub mark: u64,
-    /// Relay that it goes to.
+    /// Relay that receives the request.
     pub relay: usize,
-    /// Listener that it is for.
+    /// Listener that the request is for.
     pub listener: usize,
     /// Key of the client, the same for all its connections.
     pub key: u64,
     /// Group of the client; 0 is none.
     pub group: u64,
-    /// The client had a session, and is back after a break or a migration.
+    /// The client had a session before, and returns after a break or a migration.
     pub returned: bool,
-    /// It is a retry after an attempt that failed.
+    /// The request is a retry after a failed attempt.
     pub retry: bool,
     /// How long the client waits for its answer, in microseconds.
     pub dial_timeout: Micros,
-    /// The server at which the session was open before the day.
+    /// Server at which the session was open before the day.
     pub pre_existing_at: Option<usize>,
-    /// When the server is to end the session, in microseconds from now; none where the client will leave.
+    /// When the server is to end the session, in microseconds from now; none if the client leaves.
     pub ended_after: Option<Micros>,
 }
 
-/// What a client does.
+/// Action of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientAction {
     /// Opens a connection and sends its first line.
     Open(ClientRequest),
-    /// Ends its connection, whatever its state.
+    /// Closes its connection in any state.
     Leave {
         /// Mark of the connection.
         mark: u64,
     },
 }
 
-/// What happens to a connection, as its client sees it. All but `Established` end it.
+/// Event of a connection as seen by its client. All events but `Established` end the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
     /// The session is established.
     Established,
-    /// It was rejected, with a time in microseconds after which to retry; 0 where none was named.
+    /// The session was rejected, with a retry delay in microseconds; 0 if the relay named none.
     Rejected(Micros),
-    /// It got an error.
+    /// The attempt got an error.
     Failed,
     /// The connection ended without a line, before or after the answer.
     Closed,
@@ -78,9 +78,9 @@
     Requesting { mark: u64, since: Micros },
     /// Has an open session.
     Open { mark: u64 },
-    /// Will send its next request later.
+    /// Waits before its next request.
     Waiting,
-    /// Requests nothing any more, though its lifetime is not over.
+    /// Sends no further requests, though its lifetime has not ended.
     GivenUp,
 }
 
@@ -100,25 +100,25 @@
     group: u64,
     /// End of its lifetime.
     until: Micros,
-    /// The server is to end its session.
+    /// Whether the server is to end its session.
     is_ended_by_server: bool,
     state: ClientState,
     retries_left: u32,
-    /// It had a session before.
+    /// Whether it had a session before.
     has_returned: bool,
-    /// Requests in a row that found no relay.
+    /// Consecutive requests for which no relay was available.
     relay_misses: u32,
-    /// Start of its window of idempotency: its first request since it had a session.
+    /// Start of the idempotency window: the first request since the client last had a session.
     first_request_at: Micros,
-    /// The server at which its session was open before the day, until it is established.
+    /// Server at which the session was open before the day, until the session is established.
     pre_existing_at: Option<usize>,
 }
 
-/// What is scheduled.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrival,
-    /// The arrivals until the next review are drawn.
+    /// Draws the arrivals until the next review.
     RateReview,
     Request {
         client: u64,
@@ -133,7 +133,7 @@
     FrontUpdate {
         relay: usize,
         is_serving: bool,
-        /// The relay's starts as this was scheduled.
+        /// Number of the relay's starts when this event was scheduled.
         starts: u32,
     },
 }
@@ -143,7 +143,7 @@
 pub struct Counts {
     /// Clients that arrived.
     pub first_attempts: u64,
-    /// First lines.
+    /// First lines sent.
     pub attempts: u64,
     /// Sessions established.
     pub established: u64,
@@ -157,7 +157,7 @@
     pub unreachable: u64,
     /// Attempts that got no answer in time.
     pub unanswered: u64,
-    /// Clients that have given up.
+    /// Clients that gave up.
     pub given_up: u64,
     /// Sessions established within the handshake target.
     pub within_target: u64,
@@ -170,24 +170,24 @@
     end: Micros,
     /// By number, counted from 1.
     clients: BTreeMap<u64, Client>,
-    /// Clients by the marks of their connections; looked up and never iterated.
+    /// Clients by the marks of their connections. Never iterated, as a hash map has no stable order.
     by_mark: HashMap<u64, u64>,
     events: EventQueue<Event>,
     front: Front,
     random: Random,
     arrival_factor: f64,
     now: Micros,
-    /// Last number given to a client or a connection.
+    /// Last number assigned to a client or a connection.
     last_number: u64,
-    /// Marks of connections that clients end in the next step.
+    /// Marks of connections that clients close in the next step.
     marks_to_leave: Vec<u64>,
-    /// By listener: clients that are to be served.
+    /// By listener: clients whose lifetime has not ended.
     pub wanted: Vec<u32>,
     /// By listener.
     pub counts: Vec<Counts>,
-    /// Open sessions that migrated.
+    /// Number of open sessions that migrated.
     pub moves: u64,
-    /// Open sessions that ended otherwise, and not by their client or at their time.
+    /// Number of open sessions that ended early for another reason than a migration or their client.
     pub breaks: u64,
     /// By listener: microseconds from the first line until the session was established.
     pub waits: Vec<hdrhistogram::Histogram<u64>>,
@@ -195,16 +195,17 @@
     pub open: u32,
     /// Clients that await an answer.
     pub requesting: u32,
-    /// Clients that will send their next request later.
+    /// Clients that wait before their next request.
     pub waiting: u32,
 }
 
 impl Clients {
-    /// No client yet, for a day that begins at a time.
+    /// Creates an empty set of clients for a day that begins at `begin`.
     pub fn new(scenario: &Scenario, seed: u64, begin: Micros) -> Clients {
         let mut events = EventQueue::default();
         events.schedule(begin, Event::RateReview);
-        let histogram = || hdrhistogram::Histogram::new_with_bounds(1, MAX_WAIT, 3).expect("valid bounds");
+        let histogram =
+            || hdrhistogram::Histogram::new_with_bounds(1, MAX_WAIT, 3).expect("create a histogram of waits");
         let listener_count = scenario.listeners.len();
         Clients {
             scenario: scenario.clone(),
@@ -230,12 +231,12 @@
         }
     }
 
-    /// When `step` has something to do next; none where never.
+    /// Time of the next event; none if nothing is scheduled.
     pub fn next_at(&self) -> Option<Micros> {
         self.events.next_at()
     }
 
-    /// Does all that is due by now, in order of time.
+    /// Processes everything that is due by now, in chronological order.
     pub fn step(&mut self, now: Micros, out: &mut Vec<ClientAction>) {
         while let Some((at, event)) = self.events.pop_due(now) {
             self.now = self.now.max(at);
@@ -257,7 +258,7 @@
         out.extend(self.marks_to_leave.drain(..).map(|mark| ClientAction::Leave { mark }));
     }
 
-    /// Changes a client's state, and the counts by state.
+    /// Changes a client's state and updates the counts by state.
     fn set_state(&mut self, client: u64, state: ClientState) {
         let Some(found) = self.clients.get_mut(&client) else { return };
         let previous = std::mem::replace(&mut found.state, state);
@@ -277,13 +278,13 @@
         self.clients.remove(&client);
     }
 
-    /// Whether the client of a connection is still there.
+    /// Whether the client of a connection is still present.
     pub fn is_present(&self, mark: u64) -> bool {
         self.by_mark.contains_key(&mark)
     }
 }
 
-/// Spreads numbers evenly over 64 bits (the finalizer of splitmix64).
+/// Distributes numbers evenly over 64 bits (the finalizer of splitmix64).
 pub fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/emulator/src/clients/sessions.rs
+++ b/emulator/src/clients/sessions.rs
@@ -1,16 +1,16 @@
-//! Requests of clients, and what they do after each event of their connections.
+//! Requests of clients, and their reactions to events of their connections.
 use super::{mix, ClientAction, ClientEvent, ClientRequest, ClientState, Clients, Event};
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
-/// Dial timeout of a session that was open before the day.
+/// Dial timeout of sessions that were open before the day.
 const PRE_EXISTING_DIAL_TIMEOUT: Micros = 40_000_000;
-/// First backoff of a client that found no relay; doubled with each further one.
+/// First backoff of a client for which no relay was available; each further one doubles it.
 const RELAY_MISS_BACKOFF: Micros = 100_000;
-/// The backoff is doubled this often at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Clients {
-    /// A client opens a connection to a relay, or to one that the front draws.
+    /// A client opens a connection to the given relay, or to one drawn by the front.
     pub(super) fn request(&mut self, id: u64, relay: Option<usize>, out: &mut Vec<ClientAction>) {
         let Some(client) = self.clients.get(&id) else { return };
         if self.now >= client.until || client.state != ClientState::Waiting {
@@ -22,7 +22,7 @@
             None if serving.is_empty() => return self.back_off(id),
             None => serving[self.random.below(serving.len())],
         };
-        // Marks do not repeat, and do not show which client they are of.
+        // Marks are unique, and do not reveal their client.
         self.last_number += 1;
         let mark = mix(self.last_number ^ (self.random.bits() << 24)) | 1;
         let client = &self.clients[&id];
@@ -45,13 +45,13 @@
         self.counts[client.listener].attempts += 1;
         self.by_mark.insert(mark, id);
         self.set_state(id, ClientState::Requesting { mark, since: self.now });
-        // A little longer than the timeout, so that late answers are seen.
+        // Waits a little beyond the timeout, so that late answers are still seen.
         let margin = 2 * self.scenario.rules.slack_ms.us();
         self.events.schedule(self.now + dial_timeout + margin, Event::AnswerTimeout { mark });
         out.push(ClientAction::Open(request));
     }
 
-    /// The front has no relay for a client: it retries after a backoff.
+    /// No relay is available for a client: it retries after a backoff.
     fn back_off(&mut self, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.relay_misses = (client.relay_misses + 1).min(MAX_BACKOFF_DOUBLINGS);
@@ -60,7 +60,7 @@
         self.events.schedule(self.now + backoff + jitter, Event::Request { client: id });
     }
 
-    /// A client that got no answer in time ends its connection.
+    /// A client that got no answer in time closes its connection.
     pub(super) fn answer_timed_out(&mut self, mark: u64, out: &mut Vec<ClientAction>) {
         let Some(&id) = self.by_mark.get(&mark) else { return };
         let client = &self.clients[&id];
@@ -74,10 +74,10 @@
         self.retry(id, 0, false);
     }
 
-    /// Retries after a wait of at least `after`, or gives up; `never_ran` where a retry is safe for sure.
+    /// Retries after a wait of at least `after`, or gives up. `never_ran` means that a retry is always safe.
     fn retry(&mut self, id: u64, after: Micros, never_ran: bool) {
         self.set_state(id, ClientState::Waiting);
-        let client = self.clients.get_mut(&id).expect("is there");
+        let client = self.clients.get_mut(&id).expect("a client that retries must be present");
         let may_repeat = never_ran
             || match self.scenario.listeners[client.listener].repeats() {
                 Idempotency::Idempotent => true,
@@ -95,7 +95,7 @@
         self.events.schedule(self.now + after.max(wait), Event::Request { client: id });
     }
 
-    /// Something happens to a connection. Returns false where its client has left.
+    /// Handles an event of a connection. Returns false if its client has left.
     pub fn handle(&mut self, now: Micros, mark: u64, event: ClientEvent) -> bool {
         self.now = self.now.max(now);
         let Some(&id) = self.by_mark.get(&mark) else { return false };
@@ -116,10 +116,10 @@
     }
 
     fn session_established(&mut self, id: u64, mark: u64, since: Micros) {
-        let client = self.clients.get_mut(&id).expect("is there");
+        let client = self.clients.get_mut(&id).expect("the client of an established session must be present");
         let wait = self.now - since;
         let listener = client.listener;
-        // Sessions that were open before the day have waited for nothing.
+        // Sessions that were open before the day have no handshake time.
         if client.pre_existing_at.is_none() {
             _ = self.waits[listener].record(wait.max(1));
         }
@@ -138,7 +138,7 @@
     fn session_ended(&mut self, id: u64, event: ClientEvent) {
         match event {
             ClientEvent::Ended if self.now >= self.clients[&id].until => self.remove(id),
-            // A little early: the client requests nothing more.
+            // Slightly early: the client sends no further request.
             ClientEvent::Ended => self.set_state(id, ClientState::GivenUp),
             ClientEvent::Migrated => {
                 self.moves += 1;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// An attempt has ended without a session.
+    /// An attempt has ended without establishing a session.
     fn attempt_ended(&mut self, id: u64, event: ClientEvent) {
         let counts = &mut self.counts[self.clients[&id].listener];
         let mut after = 0;
@@ -174,17 +174,17 @@
         self.retry(id, after, never_ran);
     }
 
-    /// A client comes back within a range of time.
+    /// Schedules the return of a client, after a time drawn from a range.
     fn return_later(&mut self, id: u64, within: [Micros; 2]) {
         self.set_state(id, ClientState::Waiting);
-        let client = self.clients.get_mut(&id).expect("is there");
+        let client = self.clients.get_mut(&id).expect("a client that returns must be present");
         client.has_returned = true;
         client.first_request_at = self.now;
         let at = self.now + self.random.between(within);
         self.events.schedule(at, Event::Request { client: id });
     }
 
-    /// A fraction of the clients with an open session end it at once, and come back within a time.
+    /// A fraction of the clients with an open session closes it immediately and returns within a time.
     pub fn reconnect(&mut self, now: Micros, fraction: f64, within: Micros) {
         self.now = self.now.max(now);
         let ids: Vec<u64> = self.clients.keys().copied().collect();
--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -117,7 +117,7 @@
         }
         if now >= self.forget_at {
             self.forget_at = now + FORGET_INTERVAL;
-            self.audit.forget_ended(now);
+            self.audit.remove_ended(now);
         }
     }
 
--- a/emulator/src/membership_audit.rs
+++ b/emulator/src/membership_audit.rs
@@ -1,35 +1,35 @@
 //! Audits the relays' views of each other against the facts: what the fault injector did to their processes
-//! and links, and what each process reported of itself. No I/O. Times of findings are in seconds since the
-//! start.
+//! and links, and what each process reported about itself. No I/O. Times of findings are in seconds since
+//! the start of the day.
 use crate::node::{name, number};
 use hallrelay_balancer::types::Micros;
 use hallrelay_membership::status::Status;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a relay's process is, by what the fault injector did to it.
+/// State of a relay's process as set by the fault injector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It does not run.
+    /// Not running.
     Down,
-    /// It runs.
+    /// Running.
     Up,
-    /// It is stopped by a signal, and will go on.
+    /// Stopped by a signal; it will resume.
     Stalled,
-    /// It was requested to stop, and has not ended yet.
+    /// Requested to stop, and has not exited yet.
     Stopping,
 }
 
-/// What is wrong with a view.
+/// Error in a relay's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Violation {
-    /// A relay was held to be dead that was neither stopped nor cut off.
+    /// A relay was considered dead though it was neither stopped nor cut off.
     #[serde(rename = "FalselyGone")]
     FalselyDead,
-    /// A death or a return was not detected by a relay that could have detected it.
+    /// A failure or a return was not detected by a relay that could have detected it.
     #[serde(rename = "NeverLearnt")]
     NeverDetected,
-    /// A name, a start or a departure that there never was.
+    /// A view contains a name, a start or a departure that never existed.
     NeverTrue,
     /// A relay reported that it is partitioned, though it was not and most relays were up.
     #[serde(rename = "NotCutOff")]
@@ -37,7 +37,7 @@
 }
 
 impl Violation {
-    /// The word of reports.
+    /// Name of the violation in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Violation::FalselyDead => "FalselyGone",
@@ -48,60 +48,61 @@
     }
 }
 
-/// One wrong view.
+/// One incorrect view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finding {
     /// When it was found, in seconds since the day began.
     pub at: f64,
-    /// What is wrong.
+    /// Kind of the violation.
     #[serde(rename = "wrong")]
     pub violation: Violation,
-    /// Number of the relay whose view it is.
+    /// Number of the relay that holds the view.
     pub observer: usize,
-    /// Name of the relay that the view is of.
+    /// Name of the relay that the view is about.
     pub subject: String,
-    /// Details.
+    /// Description of what was found.
     #[serde(rename = "what")]
     pub details: String,
 }
 
-/// The state that one relay held another to be in, from a moment on.
+/// State that one relay considered another to be in, from a point in time on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ViewChange {
-    /// From when on, in seconds since the day began.
+    /// Start of the state, in seconds since the start of the day.
     pub at: f64,
-    /// Number of the relay whose view it is.
+    /// Number of the relay that holds the view.
     pub observer: usize,
-    /// Name of the relay that the view is of.
+    /// Name of the relay that the view is about.
     pub subject: String,
-    /// Word of the state.
+    /// Name of the state.
     pub state: String,
 }
 
-/// What a relay reported of its whole view from a moment on; `down` and `stalled` are the fault injector's.
+/// View that a relay reported about the cluster from a point in time on. `down` and `stalled` are set by the
+/// fault injector.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LaneEntry {
-    /// From when on, in seconds since the day began.
+    /// Start of this entry, in seconds since the start of the day.
     pub at: f64,
-    /// The word.
+    /// The reported view.
     pub word: String,
 }
 
 /// Seconds from an event until other relays detected it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DetectionTimes {
-    /// How many detections there were.
+    /// Number of detections.
     pub count: usize,
     /// Median.
     pub median: f64,
     /// 95th percentile.
     pub p95: f64,
-    /// The last one.
+    /// Maximum.
     pub last: f64,
 }
 
 impl DetectionTimes {
-    /// Summary of times in microseconds; zeros where there are none.
+    /// Summarizes times in microseconds; all zero if there are none.
     pub fn of(times: &[Micros]) -> DetectionTimes {
         let mut sorted = times.to_vec();
         sorted.sort_unstable();
@@ -118,53 +119,53 @@
     }
 }
 
-/// What was found in a day.
+/// Result of the audit of one day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipOutcome {
-    /// Detections of deaths.
+    /// Detection times of failures.
     pub deaths: DetectionTimes,
-    /// Detections of returns.
+    /// Detection times of returns.
     pub returns: DetectionTimes,
-    /// The first findings.
+    /// The first `MAX_FINDINGS` findings.
     pub findings: Vec<Finding>,
-    /// Number of all findings.
+    /// Total number of findings.
     #[serde(rename = "findings_in_all")]
     pub finding_count: u64,
-    /// By relay, what it reported, in order of time.
+    /// By relay: the views that it reported, in chronological order.
     pub lanes: Vec<Vec<LaneEntry>>,
-    /// The first changes of views, in order of time.
+    /// The first changes of views, in chronological order.
     #[serde(rename = "beliefs")]
     pub view_changes: Vec<ViewChange>,
-    /// Datagrams sent, arrived, lost, corrupted, as the emulated links counted them.
+    /// Datagrams sent, arrived, lost and corrupted, as counted by the emulated links.
     pub datagrams: [u64; 4],
 }
 
-/// Findings that are recorded; further ones are counted.
+/// Maximum number of findings recorded; further ones are only counted.
 const MAX_FINDINGS: usize = 100;
-/// Changes of views that are recorded.
+/// Maximum number of view changes recorded.
 const MAX_VIEW_CHANGES: usize = 20_000;
-/// A stop or a cut excuses a wrong view for so long after it has ended.
+/// An incorrect view is excused until this long after a stop or a cut has ended.
 const EXCUSED_FOR: Micros = 20_000_000;
-/// Whoever can detect a death or a return does so within this.
+/// Every relay that can detect a failure or a return must do so within this time.
 const DETECTION_LIMIT: Micros = 20_000_000;
-/// A process reads its clock at most this long after the fault injector has started it.
+/// A process reads its clock at most this long after the fault injector started it.
 const MAX_START_DELAY: Micros = 5_000_000;
 
-/// The facts of one relay.
+/// The facts about one relay.
 struct AuditedMember {
     process: ProcessState,
-    /// When its process was started last.
+    /// When its process was last started.
     started_at: Micros,
-    /// When its process last went up or down, stalled or woke.
+    /// When its process last went up or down, stalled or resumed.
     process_changed_at: Micros,
-    /// When a link of it was last cut.
+    /// When one of its links was last cut.
     last_cut: Micros,
     /// Whether it was ever requested to stop.
     was_stop_requested: bool,
-    /// Starts that it reported itself.
+    /// Start numbers that it reported itself.
     starts: BTreeSet<u64>,
-    /// Last word of its lane.
-    word: String,
+    /// View of its last lane entry.
+    reported_view: String,
 }
 
 impl AuditedMember {
@@ -176,24 +177,24 @@
             last_cut: 0,
             was_stop_requested: false,
             starts: BTreeSet::new(),
-            word: String::new(),
+            reported_view: String::new(),
         }
     }
 }
 
-/// A death or a return, and the relays that have not detected it yet.
+/// A failure or a return, and the relays that have not detected it yet.
 struct PendingDetection {
     subject: usize,
     at: Micros,
     is_death: bool,
-    /// The relay announced that it leaves, so it does not measure the failure detector.
+    /// The relay announced its departure, so this does not measure the failure detector.
     was_announced: bool,
-    /// Starts reported before a return.
+    /// Start numbers reported before a return.
     earlier_starts: BTreeSet<u64>,
     observers: BTreeSet<usize>,
 }
 
-/// Whose view, and of whom.
+/// Identifies a view: who holds it, and about which member.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ViewKey {
     observer: usize,
@@ -201,14 +202,14 @@
     subject: String,
 }
 
-/// What an observer held of a member last.
+/// Last view that an observer reported about a member.
 #[derive(Clone, PartialEq)]
 struct View {
     state: String,
     start: u64,
 }
 
-/// The auditor of one day.
+/// Auditor of one day.
 pub struct MembershipAudit {
     begin: Micros,
     now: Micros,
@@ -221,7 +222,7 @@
 }
 
 impl MembershipAudit {
-    /// An auditor of so many relays, all of them down.
+    /// Creates an auditor of `count` relays, all of them down.
     pub fn new(count: usize, begin: Micros) -> MembershipAudit {
         MembershipAudit {
             begin,
@@ -248,15 +249,15 @@
         }
     }
 
-    fn record_word(&mut self, relay: usize, word: &str) {
-        if self.relays[relay].word != word {
-            self.relays[relay].word = word.to_string();
+    fn record_lane_entry(&mut self, relay: usize, word: &str) {
+        if self.relays[relay].reported_view != word {
+            self.relays[relay].reported_view = word.to_string();
             let at = self.seconds();
             self.outcome.lanes[relay].push(LaneEntry { at, word: word.to_string() });
         }
     }
 
-    /// The fault injector changed the state of a relay's process.
+    /// The fault injector has changed the state of a relay's process.
     pub fn process_changed(&mut self, now: Micros, index: usize, process: ProcessState) {
         self.now = self.now.max(now);
         let relay = &mut self.relays[index];
@@ -264,7 +265,7 @@
         if previous == process {
             return;
         }
-        let died = process == ProcessState::Down;
+        let went_down = process == ProcessState::Down;
         let returned = previous == ProcessState::Down && process == ProcessState::Up;
         relay.process_changed_at = now;
         relay.was_stop_requested |= process == ProcessState::Stopping;
@@ -272,17 +273,17 @@
             relay.started_at = now;
         }
         match process {
-            ProcessState::Down => self.record_word(index, "down"),
-            ProcessState::Stalled => self.record_word(index, "stalled"),
+            ProcessState::Down => self.record_lane_entry(index, "down"),
+            ProcessState::Stalled => self.record_lane_entry(index, "stalled"),
             ProcessState::Up | ProcessState::Stopping => {}
         }
-        if died || returned {
-            self.expect_detection(index, died, previous == ProcessState::Stopping);
+        if went_down || returned {
+            self.expect_detection(index, went_down, previous == ProcessState::Stopping);
         }
     }
 
-    /// A death or a return is to be detected by all relays that are up. It replaces what was to be detected
-    /// of this relay before, and ends what this relay was to detect.
+    /// Expects all relays that are up to detect a failure or a return. This replaces the pending detection of
+    /// the same relay, and removes this relay as an observer of others.
     fn expect_detection(&mut self, subject: usize, is_death: bool, was_announced: bool) {
         self.pending.retain(|pending| pending.subject != subject);
         for pending in &mut self.pending {
@@ -310,7 +311,7 @@
         });
     }
 
-    /// Links of these relays are cut just now.
+    /// Records that the links of these relays are cut now.
     pub fn links_cut(&mut self, now: Micros, is_cut: impl Fn(usize) -> bool) {
         for (index, relay) in self.relays.iter_mut().enumerate() {
             if is_cut(index) {
@@ -319,12 +320,12 @@
         }
     }
 
-    /// Whether a cut of the relay's links excuses a wrong view of it, or by it.
+    /// Whether a cut of the relay's links excuses an incorrect view about it or held by it.
     fn is_excused_by_cut(&self, index: usize) -> bool {
         self.now < self.relays[index].last_cut + EXCUSED_FOR
     }
 
-    /// The same, or a stop of its process.
+    /// As `is_excused_by_cut`, and also excused by a stop of its process.
     fn is_excused(&self, index: usize) -> bool {
         let relay = &self.relays[index];
         let was_stopped =
@@ -332,12 +333,13 @@
         self.is_excused_by_cut(index) || was_stopped
     }
 
-    /// Most of what a relay receives comes from others: where any was stopped, few may be reachable.
+    /// Whether any relay is excused. Most of what a relay receives is passed on by other relays, so that one
+    /// stopped relay may leave few members reachable.
     fn is_any_excused(&self) -> bool {
         (0..self.relays.len()).any(|index| self.is_excused(index))
     }
 
-    /// A relay reported its view.
+    /// A relay has reported its view.
     pub fn status_reported(&mut self, now: Micros, observer: usize, status: &Status) {
         self.now = self.now.max(now);
         let can_report = matches!(self.relays[observer].process, ProcessState::Up | ProcessState::Stopping);
@@ -345,7 +347,7 @@
             return;
         }
         self.relays[observer].starts.insert(status.start);
-        self.record_word(observer, &status.view);
+        self.record_lane_entry(observer, &status.view);
         self.check_partition(observer, status);
         for member in &status.members {
             if member.name == status.name {
@@ -387,7 +389,7 @@
             let details = "there is no relay of this name".to_string();
             return self.record_finding(Violation::NeverTrue, observer, subject, details);
         };
-        // A start is the time of the start, or one more than that of an earlier process.
+        // A start number is the time of the start, or one more than the number of an earlier process.
         if view.start > self.relays[index].started_at + MAX_START_DELAY {
             let details = format!("never had the start number {}", view.start);
             self.record_finding(Violation::NeverTrue, observer, subject, details);
@@ -417,8 +419,8 @@
         }
     }
 
-    /// Finds the deaths and returns that should have been detected by now. An observer that was stopped or
-    /// cut off could not detect them, and nobody could while the subject was cut off.
+    /// Records each failure or return that should have been detected by now. An observer that was stopped or
+    /// cut off could not detect it, and no relay could while the subject was cut off.
     pub fn check_pending(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let is_late = |pending: &mut PendingDetection| now >= pending.at + DETECTION_LIMIT;
@@ -437,7 +439,7 @@
         }
     }
 
-    /// What was found up to now.
+    /// Findings and detection times up to now.
     pub fn outcome(&self) -> MembershipOutcome {
         MembershipOutcome {
             deaths: DetectionTimes::of(&self.death_times),
--- a/emulator/src/net/host.rs
+++ b/emulator/src/net/host.rs
@@ -7,7 +7,7 @@
 use crate::membership_audit::ProcessState;
 use crate::script::RelayCommand;
 use crate::servers::{ConnectionId, ServerEvent, ServerLine};
-use crate::service::BadFigures;
+use crate::service::MalformedClientFigures;
 use hallrelay_balancer::types::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,7 +83,7 @@
     /// How late the models were stepped at most, in microseconds.
     pub max_delay: Cell<Micros>,
     /// Counts of clients that speak no protocol.
-    pub malformed_clients: RefCell<BadFigures>,
+    pub malformed_clients: RefCell<MalformedClientFigures>,
     /// Whether first lines of clients that are not the models' are taken as well; the auditor does not see
     /// them.
     pub accepts_foreign_clients: Cell<bool>,
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -1,5 +1,5 @@
-//! Faults of a scenario as single actions at their times. What they affect is drawn from the seed; they may
-//! overlap, and each ends by itself.
+//! Faults of a scenario as single actions at given times. The servers and relays affected are drawn from
+//! the seed. Faults may overlap, and each one ends on its own.
 mod schedule;
 
 use crate::event_queue::EventQueue;
@@ -10,58 +10,59 @@
 use schedule::FaultSchedule;
 use std::rc::Rc;
 
-/// One action of a day's script. Servers, relays, zones and faults go by their numbers in the scenario.
+/// One action of a day's script. Servers, relays, zones and faults are identified by their numbers in the
+/// scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A server's process dies, or its machine goes silent.
+    /// A server's process crashes, or its machine stops responding.
     Crash {
         /// The server.
         server: usize,
-        /// The machine goes silent: nothing is reset.
+        /// The machine stops responding: no connection is reset.
         is_silent: bool,
-        /// When it starts again; none where it never does.
+        /// Time at which it starts again; none if it never does.
         until: Option<Micros>,
     },
-    /// A server starts, and warms up.
+    /// A server starts and warms up.
     Start {
         /// The server.
         server: usize,
     },
-    /// A server is slower.
+    /// A server becomes slower.
     SetSlowdown {
         /// The server.
         server: usize,
-        /// The fault that it comes from; slowdowns of several faults multiply.
+        /// Fault that causes it; slowdowns of several faults are multiplied.
         fault_id: usize,
-        /// How many times slower it is; 1 ends what this fault did.
+        /// Slowdown factor; 1 ends the slowdown caused by this fault.
         factor: f64,
     },
-    /// A server stalls, or goes on.
+    /// A server stalls or resumes.
     SetStalled {
         /// The server.
         server: usize,
-        /// Whether it stalls.
+        /// Whether it is stalled.
         is_stalled: bool,
     },
-    /// A fraction of a server's new sessions gets an error at once.
+    /// A fraction of a server's new sessions gets an error immediately.
     SetFailing {
         /// The server.
         server: usize,
-        /// From 0 to 1.
+        /// Fraction from 0 to 1.
         fraction: f64,
     },
-    /// A server's load reports are published late.
+    /// A server's load reports are published with a delay.
     SetReportDelay {
         /// The server.
         server: usize,
-        /// Delay beyond the usual one, in microseconds.
+        /// Delay in addition to the usual one, in microseconds.
         delay: Micros,
     },
-    /// A server reports a multiple of its load.
+    /// A server reports a multiple of its actual load.
     SetReportFactor {
         /// The server.
         server: usize,
-        /// 1 is the truth.
+        /// Factor; 1 reports the actual load.
         factor: f64,
     },
     /// A server starts to drain.
@@ -69,7 +70,7 @@
         /// The server.
         server: usize,
     },
-    /// A zone and the others are cut off from each other, or reach each other again.
+    /// A zone is cut off from all others, or reachable again.
     SetZoneCut {
         /// The zone.
         zone: usize,
@@ -78,69 +79,69 @@
     },
     /// Session set-ups at the shared store take longer.
     SetStoreSlowdown {
-        /// How many times longer; 1 is usual.
+        /// Slowdown factor; 1 is the usual speed.
         factor: f64,
     },
-    /// New connections to a server meet a fault.
+    /// New connections to a server are affected by a fault.
     SetWireFault {
         /// The server.
         server: usize,
         /// The fault; none ends it.
         fault: Option<WireFault>,
     },
-    /// A server gets work that does not come through relays.
+    /// A server receives load that bypasses the relays.
     SetBypassLoad {
         /// The server.
         server: usize,
-        /// Cores of speed 1 that it takes.
+        /// Cores of speed 1 taken by this load.
         cores: f64,
     },
-    /// Clients arrive at another rate.
+    /// The arrival rate of clients changes.
     SetArrivalRate {
         /// Multiple of the scenario's rate.
         factor: f64,
     },
-    /// Open clients end their connections at once, and come back.
+    /// Clients with an open session close their connections immediately and return.
     Reconnect {
-        /// Fraction of them, from 0 to 1.
+        /// Fraction of these clients, from 0 to 1.
         fraction: f64,
-        /// They are back within this, in microseconds.
+        /// Time within which they return, in microseconds.
         within: Micros,
     },
-    /// Discovery becomes unavailable, or is back.
+    /// Discovery becomes unavailable or available again.
     SetDiscoveryDown {
         /// Whether it is unavailable.
         is_down: bool,
     },
     /// Discovery learns of changes later than usual.
     SetDiscoveryDelay {
-        /// In microseconds.
+        /// Delay in microseconds.
         delay: Micros,
     },
-    /// Something is done to a relay.
+    /// A command for a relay.
     Relay(RelayCommand),
     /// A fault of links between relays starts.
     StartLinkFault {
-        /// The fault that it comes from.
+        /// Fault that causes it.
         fault_id: usize,
-        /// Links that it affects.
+        /// Affected links.
         links: Rc<LinkSet>,
-        /// What it does to them.
+        /// Effect on these links.
         fault: LinkFault,
     },
     /// A fault of links between relays ends.
     EndLinkFault {
-        /// The fault that it comes from.
+        /// Fault that caused it.
         fault_id: usize,
     },
-    /// A relay and discovery are cut off from each other, or reach each other again.
+    /// A relay and discovery are cut off from each other, or reachable again.
     SetDiscoveryCut {
         /// The relay.
         relay: usize,
         /// Whether it is cut off.
         is_cut: bool,
     },
-    /// A relay and a server are cut off from each other, or reach each other again.
+    /// A relay and a server are cut off from each other, or reachable again.
     SetServerCut {
         /// The relay.
         relay: usize,
@@ -149,65 +150,65 @@
         /// Whether they are cut off.
         is_cut: bool,
     },
-    /// A fault begins or ends: a line of the day's log.
+    /// Writes a line to the day's log when a fault begins or ends.
     Log {
         /// The line.
         text: String,
     },
 }
 
-/// A fault that new connections to a server meet.
+/// A fault that affects new connections to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WireFault {
-    /// What befalls them.
+    /// Effect on a connection.
     pub fault: ConnectionFault,
-    /// Fraction of the connections, from 0 to 1.
+    /// Fraction of the connections affected, from 0 to 1.
     pub fraction: f64,
 }
 
-/// Something that is done to one relay.
+/// An action on one relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayCommand {
     /// The relay.
     pub relay: usize,
-    /// What is done.
+    /// The action.
     pub action: RelayAction,
 }
 
-/// What is done to a relay's process.
+/// Action on a relay's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayAction {
-    /// It is killed.
+    /// Kills it.
     Kill,
-    /// It is requested to stop, and drains.
+    /// Requests it to stop, so that it drains.
     Stop,
-    /// It is started; one that runs is killed before.
+    /// Starts it; if it runs, it is killed first.
     Start,
-    /// It loads a changed configuration.
+    /// Makes it load a changed configuration.
     Reload,
-    /// It is stopped by a signal, and will go on.
+    /// Stops it by a signal until it is resumed.
     Stall,
-    /// It goes on after a stall.
+    /// Resumes it after a stall.
     Resume,
-    /// Another process takes over from it in a hot restart.
+    /// Starts another process that takes over from it in a hot restart.
     Replace,
-    /// An operator requests a lease to take it out of service for so many microseconds, and repeats the
-    /// request until it is granted.
+    /// An operator requests a lease to take it out of service for this many microseconds, and repeats the
+    /// request until the lease is granted.
     RequestLease(Micros),
 }
 
-/// The time of one fault, in microseconds since the day began.
+/// Period of one fault, in microseconds since the start of the day.
 #[derive(Clone, Debug)]
 pub struct FaultPeriod {
-    /// Kind in lower case, words apart.
+    /// Kind in lower case, with spaces between words.
     pub kind: String,
-    /// Its beginning.
+    /// Start of the fault.
     pub from: Micros,
-    /// Its end, or that of the day where it is sooner.
+    /// End of the fault, or of the day if that is earlier.
     pub to: Micros,
 }
 
-/// A kind of fault in lower case, words apart, as logs and reports have it.
+/// Name of a kind of fault in logs and reports: lower case, with spaces between words.
 pub fn kind_text(kind: FaultKind) -> String {
     let mut text = String::new();
     for character in format!("{kind:?}").chars() {
@@ -219,7 +220,7 @@
     text
 }
 
-/// The times of a scenario's faults, in its order.
+/// Periods of a scenario's faults, in the order of the scenario.
 pub fn fault_periods(scenario: &Scenario) -> Vec<FaultPeriod> {
     let period = |fault: &Fault| {
         let from = fault.at_s.us();
@@ -229,7 +230,7 @@
     scenario.faults.iter().map(period).collect()
 }
 
-/// All actions of a day that begins at a time.
+/// All actions of a day that begins at `begin`.
 pub fn actions(scenario: &Scenario, begin: Micros, random: &mut Random) -> EventQueue<Action> {
     let mut actions = EventQueue::default();
     for (fault_id, fault) in scenario.faults.iter().enumerate() {
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -7,19 +7,19 @@
 use hallrelay_config::scenario::{Drains, Fault, FaultKind, Scenario};
 use std::rc::Rc;
 
-/// How long an operator takes a relay out where the scenario sets no time.
+/// How long an operator takes a relay out of service if the scenario sets no time.
 const DEFAULT_LEASE: Micros = 3_000_000;
-/// In which clients are back after a reconnect storm where the scenario sets no time.
+/// Time within which clients return after a reconnect storm if the scenario sets no time.
 const DEFAULT_RECONNECT_WITHIN: Micros = 1_000_000;
-/// The shortest time that a server is out between drain and start.
+/// Minimum time that a server is down between the end of its drain and its next start.
 const MIN_RELEASE_OUTAGE: Micros = 1_000_000;
-/// How long a server is out in a deployment.
+/// How long each server is down in a deployment.
 const DEPLOY_OUTAGE: Micros = 2_000_000;
-/// Fraction of the servers that a deployment takes at a time where the scenario sets none.
+/// Fraction of the servers that a deployment restarts at a time if the scenario sets none.
 const DEFAULT_DEPLOY_FRACTION: f64 = 0.2;
-/// How long the clients of a server that drains at once need to leave it.
+/// Time that clients need to leave a server that drains all its sessions at once.
 const IMMEDIATE_DRAIN: Micros = 500_000;
-/// Interval between the pauses of a server, drawn anew for each.
+/// Range of the interval between pauses of a server; drawn again for each pause.
 const PAUSE_INTERVAL: [Micros; 2] = [2_000_000, 4_000_000];
 
 /// Schedules the actions of one fault.
@@ -39,7 +39,7 @@
         self.actions.schedule(at, Action::Log { text });
     }
 
-    /// Schedules all that the fault does.
+    /// Schedules all actions of the fault.
     pub(super) fn add(&mut self) {
         let strength = self.fault.strength.0;
         match self.fault.kind {
@@ -93,12 +93,12 @@
         }
     }
 
-    /// The strength, which the scenario has in seconds.
+    /// The strength as a time; the scenario has it in seconds.
     fn strength_as_time(&self) -> Micros {
         (self.fault.strength.0 * 1e6) as Micros
     }
 
-    /// Draws the fault's share of so many servers or relays, at least one.
+    /// Draws the fault's share of `of` servers or relays, at least one.
     fn draw(&mut self, of: usize) -> Vec<usize> {
         let count = ((of as f64 * self.fault.share.0).round() as usize).clamp(1, of.max(1));
         let mut drawn: Vec<usize> = (0..of).collect();
@@ -114,7 +114,7 @@
         self.draw(self.scenario.server_count())
     }
 
-    /// The relays that it names, or a share of them.
+    /// The relays that the fault names, or else a random share of all relays.
     fn affected_relays(&mut self) -> Vec<usize> {
         if self.fault.relays.is_empty() {
             self.draw(self.scenario.relays.count)
@@ -123,20 +123,20 @@
         }
     }
 
-    /// An action as it starts, and one with another value as it ends.
+    /// Schedules an action at the start of the fault, and one with another value at its end.
     fn during<T>(&mut self, value: T, value_after: T, action: impl Fn(T) -> Action) {
         self.actions.schedule(self.from, action(value));
         self.actions.schedule(self.to, action(value_after));
     }
 
-    /// The same for each server that it affects.
+    /// As `during`, for each affected server.
     fn on_servers<T: Copy>(&mut self, value: T, value_after: T, action: impl Fn(usize, T) -> Action) {
         for server in self.draw_servers() {
             self.during(value, value_after, |value| action(server, value));
         }
     }
 
-    /// An action for each relay that it affects, and one as it ends.
+    /// Schedules an action for each affected relay, and optionally another one at the end of the fault.
     fn on_relays(&mut self, action: RelayAction, action_after: Option<RelayAction>) {
         let end = self.to.max(self.from + 1);
         for relay in self.affected_relays() {
@@ -172,7 +172,7 @@
         self.during(factor, 1.0, |factor| Action::SetStoreSlowdown { factor });
     }
 
-    /// Servers stall for a fraction (`strength`) of each interval.
+    /// Stalls servers for a fraction (`strength`) of each interval.
     fn pause_servers(&mut self) {
         for server in self.draw_servers() {
             let mut at = self.from + self.random.between([0, PAUSE_INTERVAL[0]]);
@@ -200,7 +200,7 @@
         self.during(true, false, |is_cut| Action::SetZoneCut { zone, is_cut });
     }
 
-    /// The named relays, or all: the share is one of the servers.
+    /// Affects the named relays, or all of them: the share applies to the servers.
     fn cut_servers(&mut self) {
         let relays = if self.fault.relays.is_empty() {
             (0..self.scenario.relays.count).collect()
@@ -233,7 +233,7 @@
         self.on_relays(RelayAction::RequestLease(length), None);
     }
 
-    /// Kills relays again and again; each runs for as long as it is down.
+    /// Kills relays repeatedly. Between kills each one runs for as long as it was down.
     fn crash_loop(&mut self) {
         let interval = self.fault.every_s.us();
         for relay in self.affected_relays() {
@@ -268,7 +268,7 @@
         self.actions.schedule(to, Action::EndLinkFault { fault_id });
     }
 
-    /// All the time, or for the first half of each interval.
+    /// Applies the fault throughout, or during the first half of each interval if one is set.
     fn intermittent_link_fault(&mut self, fault: LinkFault) {
         let interval = self.fault.every_s.us();
         if interval == 0 {
@@ -288,9 +288,9 @@
         }
     }
 
-    /// Drains a server, ends its process and starts it anew after an outage.
+    /// Drains a server, ends its process, and starts it again after an outage.
     fn release(&mut self, at: Micros, outage: Micros, server: usize) {
-        // The process ends after discovery has reported the drain and the clients have left.
+        // The process ends only after discovery has reported the drain and the clients have left.
         let reported_after = self.scenario.list.notice_s[1].us();
         let drained_after = match self.scenario.servers.drains {
             Drains::BitByBit => self.scenario.servers.drain_s.us(),
@@ -303,7 +303,7 @@
         self.actions.schedule(starts_at, Action::Start { server });
     }
 
-    /// Releases all servers that it affects, in groups one after the other within its length.
+    /// Releases all affected servers in consecutive groups, spread over the length of the fault.
     fn deploy(&mut self) {
         let strength = self.fault.strength.0;
         let fraction = if strength > 0.0 { strength.min(1.0) } else { DEFAULT_DEPLOY_FRACTION };
--- a/emulator/src/servers/connections.rs
+++ b/emulator/src/servers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of relays to servers, and whether they reach each other.
+//! Connections of relays to servers, and their reachability from each other.
 use super::*;
 
 /// A session's connection at a server.
@@ -11,9 +11,9 @@
     pub is_open: bool,
     /// Demand of the session; 0 until it is open.
     pub load: Cores,
-    /// Usual load, in sessions of usual load.
+    /// Usual load, as a multiple of the load of an average session.
     pub usual_load: f64,
-    /// Work of its set-up.
+    /// Work of the session's set-up.
     pub setup: Work,
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes a connection out of all sums.
+    /// Removes a connection and subtracts it from all totals.
     pub(super) fn remove_connection(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         let node = &mut self.nodes[connection.server];
@@ -51,7 +51,7 @@
         Some(connection)
     }
 
-    /// The server ends a session with a last line.
+    /// The server ends a session with a final line.
     pub(super) fn end_session(
         &mut self,
         connection: ConnectionId,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The relay has ended a connection, or its sending on it.
+    /// The relay has closed a connection, or its sending direction.
     pub fn connection_closed(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<ServerEvent>) {
         self.now = self.now.max(now);
         let Some(server) = self.connections.get(&connection).map(|found| found.server) else { return };
@@ -76,7 +76,7 @@
         self.remove_connection(connection);
     }
 
-    /// Whether a server has a connection.
+    /// Whether a connection exists at its server.
     pub fn has_connection(&self, connection: ConnectionId) -> bool {
         self.connections.contains_key(&connection)
     }
@@ -90,12 +90,12 @@
         is_zone_cut || self.cut_paths.contains(&CutPath { server, relay })
     }
 
-    /// Whether what a server sends reaches a relay now.
+    /// Whether data sent by a server reaches a relay now.
     pub fn can_send(&self, server: usize, relay: usize) -> bool {
         self.nodes[server].server.state != ServerState::Silent && !self.is_cut(server, relay)
     }
 
-    /// What a relay meets that connects now.
+    /// How a server responds to a connection attempt by a relay now.
     pub fn reachability(&self, server: usize, relay: usize) -> Reachability {
         let node = &self.nodes[server];
         match node.server.state {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Draws the fault that a new connection to a server meets, if any.
+    /// Draws the fault that affects a new connection to a server, if any.
     pub fn draw_wire_fault(&mut self, server: usize) -> Option<ConnectionFault> {
         let wire = self.nodes[server].wire_fault?;
         (self.random.fraction() < wire.fraction).then_some(wire.fault)
--- a/emulator/src/servers/discovery.rs
+++ b/emulator/src/servers/discovery.rs
@@ -1,11 +1,11 @@
-//! What discovery knows of servers, and which relays it has notified.
+//! Discovery's state of the servers, and which relays it has notified.
 use super::*;
 use crate::list::Entry;
 use hallrelay_balancer::types::Phase;
 
 impl Servers {
-    /// Discovery has notified a relay of servers: demand that comes through it counts as notified from now
-    /// on.
+    /// Discovery has notified a relay of servers. From now on demand that arrives through this relay counts
+    /// as notified.
     pub fn relay_notified(
         &mut self,
         now: Micros,
@@ -25,14 +25,14 @@
         }
     }
 
-    /// A relay has started anew, and was notified of nothing.
+    /// A relay has restarted and has received no notification yet.
     pub fn relay_restarted(&mut self, relay: usize) {
         for node in &mut self.nodes {
             node.notified_of_start[relay] = false;
         }
     }
 
-    /// Discovery learns of a server's state within a range of time.
+    /// Schedules discovery to learn of a server's state, after a time drawn from a range.
     pub(super) fn schedule_discovery_update(&mut self, server: usize, within: [Micros; 2]) {
         let at = self.now + self.random.between(within) + self.discovery_delay;
         self.events.schedule(at, Event::DiscoveryUpdate(server));
@@ -48,7 +48,7 @@
         let started_at = server.started_at;
         if self.endpoints.update(index, Entry { phase, started_at }) {
             let id = &self.endpoints.identities[index].id;
-            out.push(ServerEvent::Log(format!("the list tells that {id} is {phase:?}").to_lowercase()));
+            out.push(ServerEvent::Log(format!("discovery reports that {id} is {phase:?}").to_lowercase()));
             out.push(ServerEvent::EndpointListChanged);
         }
     }
--- a/emulator/src/servers/faults.rs
+++ b/emulator/src/servers/faults.rs
@@ -1,4 +1,4 @@
-//! The script's actions on servers: crashes, starts, drains, faults.
+//! Actions of the script on servers: crashes, starts, drains, faults.
 use super::*;
 use hallrelay_config::scenario::Drains;
 
@@ -62,11 +62,11 @@
         let node = &mut self.nodes[server];
         let demand = (cores * CORE as f64) as Cores;
         let previous = std::mem::replace(&mut node.bypass_load, demand);
-        // It comes from nobody that was notified of a start.
+        // This load bypasses relays, so it never counts as notified.
         node.server.change_demand(demand, previous, false);
     }
 
-    /// Starts the drain of a server: its sessions are ended once discovery may have reported it.
+    /// Starts to drain a server. Its sessions are ended only once discovery may have reported the drain.
     fn drain(&mut self, server: usize) {
         let node = &mut self.nodes[server];
         if node.server.state != ServerState::Up || node.server.is_draining {
@@ -109,7 +109,8 @@
 
     fn start(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let node = &mut self.nodes[server];
-        // Where two faults affect one server, it starts as the later one ends. An overloaded one stays down.
+        // If several faults affect one server, it starts when the last of them ends. An overloaded server
+        // stays down.
         let stays = matches!(node.server.state, ServerState::Up | ServerState::Overloaded);
         if self.now < node.down_until || stays {
             return;
@@ -119,7 +120,7 @@
         let now = self.now;
         let node = &mut self.nodes[server];
         node.server.restart(now);
-        // Discovery has whole milliseconds.
+        // Discovery reports start times in whole milliseconds.
         node.server.started_at = now / 1000 * 1000;
         node.notified_of_start.fill(false);
         node.demand_by_relay.fill(0);
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -1,5 +1,5 @@
-//! All servers: their sessions, the shared store, load reports, faults, and what discovery knows of them. No
-//! I/O: what reaches a server is a call with its time, what servers send is appended as events.
+//! All servers: their sessions, the shared store, load reports, faults, and discovery's state of them. No
+//! I/O: input to a server is a call with its time, output of servers is appended as events.
 mod connections;
 mod discovery;
 mod faults;
@@ -18,21 +18,21 @@
 use reports::PublishedReport;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Sessions may be set up this long before a day begins, in microseconds.
+/// Sessions may be set up at most this long before the start of a day, in microseconds.
 pub const SETUP_BEFORE_DAY: Micros = 60_000_000;
 /// Interval at which a server sends its message delay.
 const DELAY_INTERVAL: Micros = 1_000_000;
-/// The shortest interval at which a server that warms up is advanced.
+/// Minimum interval at which a server that is warming up is advanced.
 const MIN_WARM_UP_INTERVAL: Micros = 1_000;
 /// Random stream of the servers.
 const RANDOM_STREAM: u64 = 1;
-/// Random stream that decides what faults affect.
+/// Random stream for drawing which servers and relays faults affect.
 const SCRIPT_RANDOM_STREAM: u64 = 2;
 
-/// A relay's connection to a server, numbered by the driver; no number is used twice.
+/// Identifies a relay's connection to a server. Assigned by the driver and never reused.
 pub type ConnectionId = u64;
 
-/// A session's first line, as it comes to a server.
+/// A session's first line as received by a server.
 #[derive(Clone, Debug, Default)]
 pub struct DialRequest {
     /// Server that is dialled.
@@ -45,9 +45,9 @@
     pub key: u64,
     /// Group of the session; 0 is none.
     pub group: u64,
-    /// The session was open here before the relay started.
+    /// The session was open at this server before the relay started.
     pub is_pre_existing: bool,
-    /// When the server is to end it with `BYE`, in microseconds from now; none where the client will leave.
+    /// When the server is to end the session with `BYE`, in microseconds from now; none if the client leaves.
     pub lifetime: Option<Micros>,
 }
 
@@ -56,9 +56,9 @@
 pub enum ServerLine {
     /// The session is established.
     Up,
-    /// The session is rejected, and has not run.
+    /// The session is rejected and has not run.
     Busy,
-    /// The session failed, and may have run.
+    /// The session failed and may have run.
     Err,
     /// The session has ended.
     Bye,
@@ -68,10 +68,10 @@
     Load(f64),
 }
 
-/// What servers and the day's script do, for whoever drives them.
+/// Output of the servers and of the day's script, for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
-    /// A line on a connection; all but `UP` and `LOAD` end it.
+    /// A line on a connection; all lines but `UP` and `LOAD` end it.
     Line {
         /// The connection.
         connection: ConnectionId,
@@ -90,36 +90,36 @@
     },
     /// The endpoint list has changed.
     EndpointListChanged,
-    /// Discovery becomes unavailable, or is back.
+    /// Discovery becomes unavailable or available again.
     DiscoveryDown {
         /// Whether it is unavailable.
         down: bool,
     },
-    /// A server that was warming up was overloaded.
+    /// A server was overloaded while it warmed up.
     Overloaded {
         /// The server.
         server: usize,
-        /// Whether it was by relays that were notified of its start.
+        /// Whether relays that were notified of its start caused the overload.
         blamed: bool,
     },
-    /// What the script does to others than servers: arrivals, clients, relays, links.
+    /// An action of the script on arrivals, clients, relays or links.
     Action(Action),
     /// A line of the day's log.
     Log(String),
 }
 
-/// What connecting to a server meets.
+/// Response of a server to a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It connects.
+    /// The connection is accepted.
     Open,
-    /// It is refused.
+    /// The connection is refused.
     Refused,
-    /// Nothing answers.
+    /// There is no response.
     Unresponsive,
 }
 
-/// What is scheduled for servers and their connections.
+/// A scheduled event of a server or a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
     /// The set-up of a session is done.
@@ -128,19 +128,19 @@
     LoadChange(ConnectionId),
     /// The server ends a session.
     SessionEnd(ConnectionId),
-    /// A drain ends a session.
+    /// A session ends because its server drains.
     DrainSession(ConnectionId),
     /// A server takes its load report.
     Report(usize),
     /// A server sends its message delay.
     DelayReport(usize),
-    /// A server that warms up is advanced.
+    /// A server that is warming up is advanced.
     WarmUpStep(usize),
     /// Discovery learns of a server's state.
     DiscoveryUpdate(usize),
 }
 
-/// A server with its connections and the faults that are in force for it.
+/// A server with its connections and active faults.
 struct Node {
     server: Server,
     zone: usize,
@@ -150,9 +150,9 @@
     /// Open sessions by listener.
     open_by_listener: Vec<u32>,
     demand_by_relay: Vec<Cores>,
-    /// By relay: whether it was notified of the last start.
+    /// By relay: whether it was notified of the server's last start.
     notified_of_start: Vec<bool>,
-    /// Load reports, the oldest first; one that is visible stays until the next one is.
+    /// Load reports, oldest first. A visible report stays until the next one becomes visible.
     reports: VecDeque<PublishedReport>,
     report_interval: Micros,
     /// Slowdown factors by the faults that cause them.
@@ -162,7 +162,7 @@
     report_factor: f64,
     wire_fault: Option<WireFault>,
     down_until: Micros,
-    /// Demand that does not come through relays.
+    /// Demand that bypasses relays.
     bypass_load: Cores,
 }
 
@@ -190,7 +190,7 @@
     }
 }
 
-/// Counts over the day.
+/// Totals over the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// First lines received.
@@ -199,7 +199,7 @@
     pub probes: u64,
     /// Work of session set-ups.
     pub setup: Work,
-    /// Work of set-ups of sessions that never opened.
+    /// Work of set-ups whose sessions never opened.
     pub wasted: Work,
     /// Servers overloaded while they warmed up.
     pub overloads: u32,
@@ -216,7 +216,7 @@
 pub struct Servers {
     scenario: Scenario,
     nodes: Vec<Node>,
-    /// Looked up and never iterated.
+    /// Never iterated, as a hash map has no stable order.
     connections: HashMap<ConnectionId, Connection>,
     events: EventQueue<Event>,
     actions: EventQueue<Action>,
@@ -226,7 +226,7 @@
     /// By zone: whether it is cut off.
     cut_zones: Vec<bool>,
     cut_paths: BTreeSet<CutPath>,
-    /// When the shared store has done all set-ups that were queued.
+    /// When the shared store will have processed all queued set-ups.
     store_free_at: Micros,
     store_slowdown: f64,
     random: Random,
@@ -235,7 +235,7 @@
     now: Micros,
 }
 
-/// The machine of a kind, whose speed differs by a random part.
+/// Draws a machine of a kind; its speed deviates randomly.
 fn draw_machine(kind: &Kind, scenario: &Scenario, random: &mut Random) -> Machine {
     let speed_deviation = 1.0 + kind.speed_off.0 * (2.0 * random.fraction() - 1.0);
     Machine {
@@ -250,7 +250,7 @@
 }
 
 impl Servers {
-    /// The servers of a scenario, all up since long ago, for a day that begins at a time.
+    /// The servers of a scenario for a day that begins at `begin`. All have been up for a long time.
     pub fn new(scenario: &Scenario, seed: u64, begin: Micros) -> Servers {
         let mut servers = Servers {
             cut_zones: vec![false; scenario.servers.zones.len()],
@@ -309,12 +309,13 @@
         self.nodes.is_empty()
     }
 
-    /// When `step` has something to do next; none where never.
+    /// Time of the next event or action; none if nothing is scheduled.
     pub fn next_at(&self) -> Option<Micros> {
         [self.events.next_at(), self.actions.next_at()].into_iter().flatten().min()
     }
 
-    /// Does all that is due by now, in order of time; of one time, the script's actions first.
+    /// Processes everything that is due by now in chronological order. At equal times, actions of the script
+    /// come first.
     pub fn step(&mut self, now: Micros, out: &mut Vec<ServerEvent>) {
         loop {
             let event_at = self.events.next_at();
@@ -355,7 +356,7 @@
         }
     }
 
-    /// Advances a server that warms up a hundred times in an overload window, as its own window is divided.
+    /// Advances a server that is warming up once per bucket of its work window, 100 times per window.
     fn warm_up_step(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         self.advance(server, out);
         let advanced = &self.nodes[server].server;
@@ -382,8 +383,8 @@
         self.schedule_discovery_update(server, self.scenario.list.notice_s.map(|s| s.us()));
     }
 
-    /// For the service figure: open sessions by listener, and the latency of a message in microseconds; none
-    /// where the server is down.
+    /// For the service figure: open sessions by listener, and the latency of a message in microseconds (none
+    /// if the server is down).
     pub fn open_sessions(
         &mut self,
         now: Micros,
@@ -398,12 +399,12 @@
         (delay, &node.open_by_listener)
     }
 
-    /// All work that the servers received so far, of set-ups and sessions.
+    /// Total work that the servers have received for set-ups and sessions.
     pub fn total_work(&self) -> Work {
         self.nodes.iter().map(|node| node.server.total_work).sum()
     }
 
-    /// Demand over capacity of a server; 0 where it is down.
+    /// Demand over capacity of a server; 0 if it is down.
     pub fn load(&self, server: usize) -> f64 {
         match self.nodes[server].server.state {
             ServerState::Up => self.nodes[server].server.load(self.now),
@@ -427,12 +428,12 @@
     }
 }
 
-/// Cores that a session of usual load takes.
+/// Demand of a session of usual load.
 fn session_cores(scenario: &Scenario) -> Cores {
     (CORE as f64 / scenario.servers.per_core.0) as Cores
 }
 
-/// Cores that a group takes at each server that has a session of it.
+/// Additional demand of a group at each server that has at least one of its sessions.
 fn group_cores(scenario: &Scenario) -> Cores {
     (session_cores(scenario) as f64 * scenario.servers.group_cost.0) as Cores
 }
--- a/emulator/src/servers/reports.rs
+++ b/emulator/src/servers/reports.rs
@@ -1,8 +1,8 @@
-//! Load reports of servers: taken at intervals, visible some time later.
+//! Load reports of servers: taken at intervals, and visible after a delay.
 use super::*;
 use hallrelay_balancer::types::LoadReport;
 
-/// What a server reports of its load.
+/// Load figures in a server's report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadFigures {
     /// Connections.
@@ -14,7 +14,7 @@
 }
 
 impl LoadFigures {
-    /// The same as a relay has it.
+    /// Converts the figures to a relay's load report.
     pub fn report(self) -> LoadReport {
         LoadReport {
             load: Some(self.load),
@@ -24,13 +24,13 @@
     }
 }
 
-/// A load report, and from when on health checks are answered with it.
+/// A load report, and when probes start to return it.
 pub(super) struct PublishedReport {
     pub visible_at: Micros,
     pub figures: LoadFigures,
 }
 
-/// A factor of mean 1 and a standard deviation.
+/// Draws a factor with mean 1 and the given standard deviation.
 fn draw_noise(random: &mut Random, deviation: f64) -> f64 {
     (1.0 + deviation * random.normal()).max(0.0)
 }
@@ -56,7 +56,7 @@
         self.events.schedule(now + node.report_interval, Event::Report(server));
     }
 
-    /// A health check has come. Returns when it is answered, and with what.
+    /// A server receives a probe. Returns the time of the answer and the figures in it.
     pub fn answer_probe(
         &mut self,
         now: Micros,
@@ -82,7 +82,7 @@
         (answered_at, figures)
     }
 
-    /// A server that lags sends its message delay in milliseconds, on one connection of each relay.
+    /// Sends the message delay of a lagging server in milliseconds, on one connection of each relay.
     pub(super) fn send_delay(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let objectives = self.scenario.listeners.iter().map(|listener| listener.message_target_ms.us());
         let lowest_objective = objectives.min().unwrap_or(0);
--- a/emulator/src/servers/sessions.rs
+++ b/emulator/src/servers/sessions.rs
@@ -1,19 +1,19 @@
-//! Sessions at a server: dial, set-up, and the load while they are open.
+//! Sessions at a server: dials, set-up, and load while they are open.
 use super::*;
 
-/// A session waits at the shared store this long at most; beyond that it is rejected.
+/// Maximum time that a session waits for the shared store; sessions that would wait longer are rejected.
 const MAX_STORE_DELAY: Micros = 2_000_000;
-/// Rejecting a session is a tenth of the work of setting it up.
+/// Rejecting a session takes a tenth of the work of its set-up.
 const REJECTION_COST_DIVISOR: Work = 10;
-/// Interval at which a set-up is retried whose server stalls.
+/// Interval at which the set-up of a session is retried while its server stalls.
 const STALL_RETRY_INTERVAL: Micros = 10_000;
-/// The shortest interval between changes of a session's load.
+/// Minimum interval between load changes of a session.
 const MIN_LOAD_CHANGE_INTERVAL: Micros = 50_000;
-/// Random stream of a client's usual load, with its key as the seed.
+/// Random stream of a client's usual load; the seed is the client's key.
 const CLIENT_RANDOM_STREAM: u64 = 3;
 
 impl Servers {
-    /// The last byte of a session's first line was received.
+    /// A server has received the last byte of a session's first line.
     pub fn dial_received(
         &mut self,
         now: Micros,
@@ -26,7 +26,7 @@
         let server = request.server;
         self.advance(server, out);
         self.counts.dials += 1;
-        // A session that was open before costs no set-up.
+        // A session that was open before the relay started needs no set-up.
         let setup = self.scenario.servers.setup_ms.us() * CORE * u64::from(!request.is_pre_existing);
         if self.nodes[server].server.state != ServerState::Up {
             return;
@@ -51,18 +51,18 @@
         }
     }
 
-    /// Whether a server rejects a session: it is at its cap, drains, or the store's queue is full.
+    /// Whether a server rejects a session: it is at its cap, it drains, or the store's queue is full.
     fn is_full(&self, request: &DialRequest) -> bool {
         let node = &self.nodes[request.server];
         let cap = self.scenario.servers.cap_per_core as usize * node.server.machine.cores as usize;
         let is_store_full = self.store_free_at > self.now + MAX_STORE_DELAY;
-        let takes_nothing_new = node.server.is_draining || is_store_full;
-        node.connections.len() >= cap || (takes_nothing_new && !request.is_pre_existing)
+        let admits_no_new_session = node.server.is_draining || is_store_full;
+        node.connections.len() >= cap || (admits_no_new_session && !request.is_pre_existing)
     }
 
     fn set_up_session(&mut self, id: ConnectionId, request: &DialRequest, setup: Work, set_up_at: Micros) {
         let listener = &self.scenario.listeners[request.listener];
-        // The usual load of a client is the same at each server.
+        // The usual load of a client is the same at all servers.
         let mut client_random = Random::new(request.key, CLIENT_RANDOM_STREAM);
         let usual_load = listener.load.0 * client_random.log_normal(listener.load_sigma.0);
         let connection = Connection {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Queues one session at the shared store. Returns when it is stored.
+    /// Queues one session at the shared store. Returns the time at which it is stored.
     fn queue_at_store(&mut self) -> Micros {
         let rate = self.scenario.servers.store_per_s.0;
         if rate <= 0.0 {
@@ -95,7 +95,7 @@
         self.store_free_at
     }
 
-    /// Draws the load that an open session has from now on.
+    /// Draws the new load of an open session.
     fn draw_load(&mut self, id: ConnectionId) -> Option<Cores> {
         let connection = self.connections.get(&id)?;
         let deviation = self.scenario.listeners[connection.listener].swing_sigma.0;
@@ -103,14 +103,14 @@
         Some((connection.usual_load * swing * session_cores(&self.scenario) as f64) as Cores)
     }
 
-    /// Draws the time until the load of a session changes, in microseconds.
+    /// Draws the time until the next load change of a session, in microseconds.
     fn draw_load_change(&mut self, listener: usize) -> Micros {
         let mean = self.scenario.listeners[listener].change_s.us() as f64;
         let after = self.random.exponential(mean) as Micros;
         after.max(MIN_LOAD_CHANGE_INTERVAL)
     }
 
-    /// The set-up of a session is done: it opens.
+    /// The set-up of a session is complete: the session opens.
     pub(super) fn session_ready(&mut self, id: ConnectionId, out: &mut Vec<ServerEvent>) {
         let Some(server) = self.connections.get(&id).map(|connection| connection.server) else { return };
         if self.nodes[server].server.state != ServerState::Up {
--- a/emulator/src/service/mod.rs
+++ b/emulator/src/service/mod.rs
@@ -2,7 +2,8 @@
 mod outcome;
 
 pub use outcome::{
-    BadFigures, BandFigures, LeaseFigures, ListenerFigures, Mark, Outcome, RelayFigures, Sample,
+    FaultFigures, LeaseFigures, ListenerFigures, LogLine, MalformedClientFigures, Outcome, RelayFigures,
+    Sample,
 };
 
 use crate::audit::Audit;
@@ -12,16 +13,16 @@
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 
-/// Interval at which service is counted, in microseconds.
+/// Interval at which served sessions are counted, in microseconds.
 pub const TICK: Micros = 100_000;
-/// Samples of a day, whatever its length.
+/// Number of samples taken per day, regardless of its length.
 const SAMPLE_COUNT: Micros = 300;
-/// Lines of the log that are recorded.
+/// Maximum number of lines recorded in the log.
 const MAX_LOG_LINES: usize = 20_000;
-/// Length of the window of which the worst is found; a shorter day is one window.
+/// Length in seconds of the window whose worst service is reported. A shorter day is a single window.
 const WINDOW_S: usize = 10;
 
-/// Utility of session time, in seconds by priority weight.
+/// Utility of session time: seconds multiplied by the priority weight.
 #[derive(Clone, Copy, Default)]
 struct Utility {
     requested: f64,
@@ -34,7 +35,7 @@
         self.served += served;
     }
 
-    /// The fraction well served, from 0 to 1; 1 where nothing was requested.
+    /// Fraction well served, from 0 to 1; 1 if nothing was requested.
     fn fraction(self) -> f64 {
         fraction(self.served, self.requested)
     }
@@ -48,15 +49,15 @@
     }
 }
 
-/// Counts what was requested and well served.
+/// Counts the session time that was requested and well served.
 pub struct Service {
     begin: Micros,
     counted_until: Micros,
     sample_interval: Micros,
     next_sample_at: Micros,
-    /// By listener: seconds of sessions requested.
+    /// By listener: seconds of session time requested.
     requested: Vec<f64>,
-    /// By listener: seconds of sessions served within the latency objective.
+    /// By listener: seconds of session time served within the latency objective.
     served: Vec<f64>,
     /// By second of the day.
     seconds: Vec<Utility>,
@@ -64,16 +65,16 @@
     weights: Vec<f64>,
     /// By listener: latency objective of messages.
     objectives: Vec<Micros>,
-    /// Samples up to now.
+    /// Samples taken so far.
     pub samples: Vec<Sample>,
-    /// The first lines of the log.
-    pub log: Vec<Mark>,
+    /// The first `MAX_LOG_LINES` lines of the log.
+    pub log: Vec<LogLine>,
     max_open: u32,
     since_sample: Utility,
 }
 
 impl Service {
-    /// Nothing counted, for a day that begins at a time.
+    /// Creates an empty count for a day that begins at `begin`.
     pub fn new(scenario: &Scenario, begin: Micros) -> Service {
         let listeners = &scenario.listeners;
         let sample_interval = (scenario.length_s.us() / SAMPLE_COUNT).max(TICK) / TICK * TICK;
@@ -99,10 +100,10 @@
         self.counted_until + TICK
     }
 
-    /// Adds a line to the log; those beyond the maximum are dropped.
+    /// Adds a line to the log; lines beyond the maximum are dropped.
     pub fn log_event(&mut self, now: Micros, text: String) {
         if self.log.len() < MAX_LOG_LINES {
-            self.log.push(Mark { at: (now - self.begin.min(now)) as f64 / 1e6, text });
+            self.log.push(LogLine { at: (now - self.begin.min(now)) as f64 / 1e6, text });
         }
     }
 
@@ -148,7 +149,7 @@
         }
         for (listener, &sessions) in served_sessions.iter().enumerate() {
             let requested = f64::from(clients.wanted[listener]) * elapsed_s;
-            // Sessions outlive their clients' requests by a moment, which does not count.
+            // A session may outlive its client's request briefly; that time does not count.
             let served = (f64::from(sessions) * elapsed_s).min(requested);
             self.requested[listener] += requested;
             self.served[listener] += served;
@@ -176,7 +177,7 @@
         });
     }
 
-    /// The outcome up to now; what only a driver knows is left at its default.
+    /// The outcome so far. Fields that only a driver knows keep their defaults.
     pub fn outcome(
         &self,
         scenario: &Scenario,
@@ -259,7 +260,7 @@
     }
 }
 
-/// Prices and the service figure of an outcome, as the scenario's goal has them.
+/// Completes an outcome with prices and the service figure, as weighted by the scenario's goal.
 fn with_figure(scenario: &Scenario, clients: &Clients, outcome: Outcome) -> Outcome {
     let goal = &scenario.goal;
     let arrivals: u64 = clients.counts.iter().map(|counts| counts.first_attempts).sum();
@@ -276,9 +277,9 @@
     Outcome { figure: parts.iter().sum::<f64>() - prices, prices, ..outcome }
 }
 
-fn fault_figures(scenario: &Scenario) -> Vec<BandFigures> {
+fn fault_figures(scenario: &Scenario) -> Vec<FaultFigures> {
     let periods = script::fault_periods(scenario).into_iter();
-    let figures = periods.map(|period| BandFigures {
+    let figures = periods.map(|period| FaultFigures {
         kind: period.kind,
         from: period.from as f64 / 1e6,
         to: period.to as f64 / 1e6,
--- a/emulator/src/service/outcome.rs
+++ b/emulator/src/service/outcome.rs
@@ -1,44 +1,44 @@
-//! The outcome of a run. Result files have some fields under older names.
+//! The outcome of a run. The result files keep older names for some fields.
 use crate::audit::Breach;
 use crate::membership_audit::MembershipOutcome;
 use serde::{Deserialize, Serialize};
 
-/// The state of the day at one moment.
+/// State of the day at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Seconds since the day began.
+    /// Seconds since the start of the day.
     pub at: f64,
     /// Clients that await an answer.
     #[serde(rename = "asking")]
     pub requesting: u32,
     /// Clients with an open session.
     pub open: u32,
-    /// Clients that will send their next request later.
+    /// Clients that wait before their next request.
     #[serde(rename = "away")]
     pub waiting: u32,
-    /// Clients that are to be served.
+    /// Clients whose lifetime has not ended: each wants a session.
     pub wanted: u32,
-    /// Utility well served since the last sample, as a fraction of what was requested.
+    /// Utility well served since the previous sample, as a fraction of the utility requested.
     pub service: f64,
-    /// By listener: attempts rejected since the day began.
+    /// By listener: attempts rejected since the start of the day.
     #[serde(rename = "refused")]
     pub rejected: Vec<u64>,
-    /// Attempts that failed, were closed or got no answer since the day began.
+    /// Attempts that failed, were closed or got no answer since the start of the day.
     pub failed: u64,
-    /// Sessions that migrated since the day began.
+    /// Sessions that migrated since the start of the day.
     pub moves: u64,
-    /// Sessions that broke since the day began.
+    /// Sessions that broke since the start of the day.
     pub breaks: u64,
     /// By server: demand over capacity.
     pub loads: Vec<f32>,
 }
 
-/// Counts of one listener over the day.
+/// Totals of one listener over the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListenerFigures {
     /// Name of the listener.
     pub name: String,
-    /// Session time well served, as a fraction of what was requested.
+    /// Session time well served, as a fraction of the session time requested.
     pub service: f64,
     /// Clients that arrived.
     #[serde(rename = "first_tries")]
@@ -61,7 +61,7 @@
     pub unreachable: u64,
     /// Attempts that got no answer in time.
     pub unanswered: u64,
-    /// Clients that have given up.
+    /// Clients that gave up.
     pub given_up: u64,
     /// Sessions established within the handshake target.
     #[serde(rename = "in_target")]
@@ -72,25 +72,25 @@
 
 /// A line of the day's log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Mark {
-    /// Seconds since the day began.
+pub struct LogLine {
+    /// Seconds since the start of the day.
     pub at: f64,
     /// The line.
     pub text: String,
 }
 
-/// The time of one fault, in seconds since the day began.
+/// Period of one fault, in seconds since the start of the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BandFigures {
-    /// Kind in lower case, words apart.
+pub struct FaultFigures {
+    /// Kind in lower case, with spaces between words.
     pub kind: String,
-    /// Its beginning.
+    /// Start of the fault.
     pub from: f64,
-    /// Its end.
+    /// End of the fault.
     pub to: f64,
 }
 
-/// All that a run leaves.
+/// The complete result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// Name of the scenario.
@@ -100,15 +100,15 @@
     /// `sockets` or `virtual`.
     #[serde(rename = "way")]
     pub mode: String,
-    /// Seconds that the day lasted.
+    /// Length of the day in seconds.
     pub length_s: f64,
-    /// Why it ended before its time, if it did.
+    /// Why the run ended early, if it did.
     pub partial: Option<String>,
-    /// The service figure: its parts as the scenario's goal weights them, less prices.
+    /// The service figure: its parts as weighted by the scenario's goal, minus prices.
     pub figure: f64,
-    /// Utility well served over the day, as a fraction of what was requested.
+    /// Utility well served over the day, as a fraction of the utility requested.
     pub whole: f64,
-    /// The same for the worst ten seconds.
+    /// The same for the worst 10 s.
     pub worst_window: f64,
     /// The same for the worst listener.
     pub worst_listener: f64,
@@ -124,45 +124,45 @@
     pub dials: u64,
     /// Health checks that servers answered.
     pub probes: u64,
-    /// Work of set-ups without a session, as a fraction of all work.
+    /// Work of set-ups whose sessions never opened, as a fraction of all work.
     pub wasted: f64,
-    /// The most sessions open at once.
+    /// Maximum number of sessions open at the same time.
     #[serde(rename = "most_open")]
     pub max_open: u32,
-    /// Servers overloaded while they warmed up.
+    /// Number of overloads of servers that were warming up.
     #[serde(rename = "cold_falls")]
     pub overloads: u32,
     /// The first breaches of the rules.
     pub breaches: Vec<Breach>,
-    /// Number of all breaches.
+    /// Total number of breaches.
     #[serde(rename = "breaches_in_all")]
     pub breach_count: u64,
     /// Sessions that the auditor saw.
     pub sessions_seen: u64,
-    /// Times of the scenario's faults.
+    /// Periods of the scenario's faults.
     #[serde(rename = "troubles")]
-    pub faults: Vec<BandFigures>,
+    pub faults: Vec<FaultFigures>,
     /// The day's log.
-    pub log: Vec<Mark>,
-    /// Samples at even intervals.
+    pub log: Vec<LogLine>,
+    /// Samples at equal intervals.
     pub samples: Vec<Sample>,
     /// Names of the servers.
     pub servers: Vec<String>,
-    /// By relay; in virtual time only its starts.
+    /// By relay. In virtual time only the number of starts is set.
     pub relays: Vec<RelayFigures>,
-    /// The most milliseconds that the emulation ran behind the clock; 0 in virtual time.
+    /// Maximum delay of the emulation behind its clock, in milliseconds; 0 in virtual time.
     #[serde(rename = "late_ms")]
     pub max_delay_ms: f64,
-    /// Clients that speak no protocol.
+    /// Clients that send malformed input.
     #[serde(rename = "bad_clients")]
-    pub malformed_clients: BadFigures,
-    /// Dials to a server whose drain the relay was notified of, by this process or an earlier one.
+    pub malformed_clients: MalformedClientFigures,
+    /// Dials to a server after this process or an earlier one was notified that it drains.
     #[serde(default, skip_serializing_if = "is_none")]
     pub stale_dials: u64,
-    /// What the membership audit found, where the relays know each other.
+    /// Result of the membership audit, if the relays form a cluster.
     #[serde(default, rename = "fleet", skip_serializing_if = "Option::is_none")]
     pub membership: Option<MembershipOutcome>,
-    /// Leases of relays, where the scenario requests any.
+    /// Leases of relays, if the scenario requests any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outs: Option<LeaseFigures>,
 }
@@ -171,55 +171,55 @@
     *count == 0
 }
 
-/// Leases that an operator requested for relays, and what was counted from outside.
+/// Leases that an operator requested for relays, and availability counted from outside.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseFigures {
-    /// Relays that a lease was requested for.
+    /// Relays for which a lease was requested.
     #[serde(rename = "wanted")]
     pub requested: usize,
     /// Leases granted.
     #[serde(rename = "let_out")]
     pub granted: usize,
-    /// Answers that a lease is not granted yet.
+    /// Answers that deferred a lease.
     #[serde(rename = "held")]
     pub deferred: u64,
-    /// The most relays draining at once.
+    /// Maximum number of relays that drained at the same time.
     #[serde(rename = "most_draining")]
     pub max_draining: usize,
-    /// The most relays draining, dead or stalled at once.
+    /// Maximum number of relays that were draining, dead or stalled at the same time.
     #[serde(rename = "most_away")]
     pub max_unavailable: usize,
-    /// Leases granted while more relays drained than the budget allows.
+    /// Leases granted while more relays were draining than the budget allows.
     pub over: u64,
-    /// Seconds from the first request until the last relay was back; 0 where not all were.
+    /// Seconds from the first request until the last relay was back; 0 if not all came back.
     #[serde(rename = "took_s")]
     pub duration_s: f64,
 }
 
-/// What the system counted of a relay's processes.
+/// Resource usage of a relay's processes, as reported by the operating system.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayFigures {
-    /// CPU seconds of all its processes.
+    /// CPU time in seconds of all its processes.
     pub cpu_s: f64,
-    /// The most resident memory, in MiB.
+    /// Maximum resident memory, in MiB.
     pub resident_mb: f64,
-    /// The most descriptors that were open at once.
+    /// Maximum number of open file descriptors.
     pub descriptors: u64,
-    /// Processes started.
+    /// Number of processes started.
     pub starts: u32,
-    /// A process ended by itself, though nobody had requested it.
+    /// A process ended without having been requested to.
     pub crashed: bool,
 }
 
-/// Clients that speak no protocol: how many got their error or end in time.
+/// Clients that send malformed input, by whether they got an error or the end of the connection in time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BadFigures {
+pub struct MalformedClientFigures {
     /// Clients that connected.
     #[serde(rename = "came")]
     pub connected: u64,
-    /// Those that got an error or an end in time.
+    /// Clients that got an error or the end of the connection in time.
     pub answered: u64,
-    /// Those that did not.
+    /// Clients that did not.
     #[serde(rename = "left_waiting")]
     pub unanswered: u64,
 }
