--- a/emulator/src/day.rs
+++ b/emulator/src/day.rs
@@ -1,4 +1,4 @@
-//! One day: servers, clients, auditors and the service figure together, for whoever drives them.
+//! One day: combines servers, clients, auditors and the service figure for a driver.
 use crate::audit::{Audit, BackendPlace};
 use crate::clients::{ClientAction, Clients};
 use crate::links::{Arrival, Links};
@@ -9,22 +9,22 @@
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::scenario::Scenario;
 
-/// Interval at which the auditor forgets sessions that ended long ago, in microseconds.
-const FORGET_INTERVAL: Micros = 10_000_000;
+/// Interval at which the auditor removes sessions that ended long ago, in microseconds.
+const CLEANUP_INTERVAL: Micros = 10_000_000;
 
 /// All models of one day.
 pub struct Day {
-    /// What is played.
+    /// The scenario.
     pub scenario: Scenario,
     /// Seed of all random draws.
     pub seed: u64,
-    /// When the day begins, in microseconds of the driver's clock.
+    /// Start of the day, in microseconds of the driver's clock.
     pub begin: Micros,
-    /// When it ends.
+    /// End of the day.
     pub end: Micros,
-    /// All servers, and what discovery knows of them.
+    /// All servers, and discovery's state of them.
     pub servers: Servers,
-    /// All clients, and the front.
+    /// All clients and the front.
     pub clients: Clients,
     /// Auditor of the four rules.
     pub audit: Audit,
@@ -36,28 +36,28 @@
     pub membership_audit: MembershipAudit,
     /// By relay: whether it is cut off from discovery.
     pub list_cut: Vec<bool>,
-    forget_at: Micros,
+    next_cleanup_at: Micros,
 }
 
-/// What the driver has to do, beyond what its own calls returned.
+/// What the driver has to carry out, in addition to what its own calls returned.
 #[derive(Default)]
 pub struct DriverActions {
     /// Lines and resets on connections, and changes of reachability.
     pub server_events: Vec<ServerEvent>,
-    /// What clients do.
+    /// Actions of clients.
     pub client_actions: Vec<ClientAction>,
-    /// What is done to relays.
+    /// Actions on relays.
     pub relay_commands: Vec<RelayCommand>,
-    /// Whether discovery is unavailable from now on; none where that does not change.
+    /// Whether discovery is unavailable from now on; none if that does not change.
     pub discovery_down: Option<bool>,
-    /// The endpoint list, or who is cut off from discovery, has changed.
+    /// The endpoint list has changed, or which relays are cut off from discovery.
     pub list_changed: bool,
-    /// Datagrams between relays that were held, and go on now.
+    /// Datagrams between relays that were held and are released now.
     pub arrivals: Vec<Arrival>,
 }
 
 impl DriverActions {
-    /// Whether there is nothing to do.
+    /// Whether there is nothing to carry out.
     pub fn is_empty(&self) -> bool {
         self.server_events.is_empty()
             && self.client_actions.is_empty()
@@ -69,7 +69,7 @@
 }
 
 impl Day {
-    /// A scenario with a seed, from `begin` on.
+    /// Creates the day of a scenario with a seed, starting at `begin`.
     pub fn new(scenario: &Scenario, seed: u64, begin: Micros) -> Day {
         let servers = Servers::new(scenario, seed, begin);
         let identities = servers.endpoints.identities.iter().enumerate();
@@ -91,17 +91,17 @@
             membership_audit: MembershipAudit::new(scenario.relays.count, begin),
             list_cut: vec![false; scenario.relays.count],
             servers,
-            forget_at: begin,
+            next_cleanup_at: begin,
         }
     }
 
-    /// When `step` is due next.
+    /// Time at which `step` is due next.
     pub fn next_at(&self) -> Micros {
         let times = [self.servers.next_at(), self.clients.next_at()];
         times.into_iter().flatten().fold(self.service.next_at(), Micros::min)
     }
 
-    /// Does all that is due by now, and appends what the driver has to do.
+    /// Processes everything that is due by now, and appends what the driver has to carry out.
     pub fn step(&mut self, now: Micros, todo: &mut DriverActions) {
         self.servers.step(now, &mut todo.server_events);
         self.take_internal_events(now, todo);
@@ -115,14 +115,14 @@
             }
             self.take_internal_events(now, todo);
         }
-        if now >= self.forget_at {
-            self.forget_at = now + FORGET_INTERVAL;
+        if now >= self.next_cleanup_at {
+            self.next_cleanup_at = now + CLEANUP_INTERVAL;
             self.audit.remove_ended(now);
         }
     }
 
-    /// Handles the events that are not the driver's: changes of the endpoint list, overloads, script
-    /// actions, the log.
+    /// Handles events that are not for the driver: changes of the endpoint list, overloads, script actions
+    /// and log lines.
     pub fn take_internal_events(&mut self, now: Micros, todo: &mut DriverActions) {
         let is_for_driver = |event: &ServerEvent| {
             matches!(
@@ -132,7 +132,7 @@
                     | ServerEvent::ReachabilityChanged { .. }
             )
         };
-        // Nearly always all of them are.
+        // Fast path: in most calls all events are for the driver.
         if todo.server_events.iter().all(is_for_driver) {
             return;
         }
@@ -168,7 +168,7 @@
                 self.audit_link_cuts(now);
             }
             Action::EndLinkFault { fault_id } => {
-                // Before the end: links are cut until now.
+                // Audited before the fault ends: the links are cut until now.
                 self.audit_link_cuts(now);
                 self.links.end_fault(now, fault_id, &mut todo.arrivals);
             }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Discovery has sent a relay the present state of these servers.
+    /// Discovery has sent a relay the current state of these servers.
     pub fn list_sent(&mut self, now: Micros, relay: usize, servers: &[usize], out: &mut Vec<ServerEvent>) {
         self.servers.relay_notified(now, relay, servers, out);
         for &server in servers {
@@ -193,7 +193,7 @@
         self.membership_audit.links_cut(now, |relay| self.links.is_cut(relay));
     }
 
-    /// The outcome up to now; what only the driver knows is left at its default.
+    /// The outcome so far. Fields that only the driver knows keep their defaults.
     pub fn outcome(&self) -> Outcome {
         let mut outcome =
             self.service.outcome(&self.scenario, self.seed, &self.servers, &self.clients, &self.audit);
--- a/emulator/src/event_queue.rs
+++ b/emulator/src/event_queue.rs
@@ -1,9 +1,9 @@
-//! Events of virtual time, in the order of their times.
+//! Events of virtual time, in chronological order.
 use hallrelay_balancer::types::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Events by time; those of one time in the order in which they were scheduled.
+/// Events by time; events with equal times keep the order in which they were scheduled.
 pub struct EventQueue<T> {
     heap: BinaryHeap<Reverse<Scheduled<T>>>,
     scheduled_count: u64,
@@ -59,7 +59,7 @@
         self.heap.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
-    /// Takes the next event with its time, if that has come.
+    /// Removes and returns the next event with its time, if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<(Micros, T)> {
         if self.next_at()? > now {
             return None;
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Models of the systems that a relay serves. Servers, discovery, clients, front and auditors do no I/O: they
-//! are stepped in whole microseconds, draw chance from a seed, and give the same outputs for the same inputs.
-//! `net` puts them on sockets of 127.0.0.0/8.
+//! Models of the systems that a relay serves. Servers, discovery, clients, front and auditors do no I/O. They
+//! are stepped in whole microseconds, draw random numbers from a seed, and are deterministic. `net` runs them
+//! on sockets of 127.0.0.0/8.
 #![warn(missing_docs)]
 
 pub mod audit;
--- a/emulator/src/links.rs
+++ b/emulator/src/links.rs
@@ -1,11 +1,11 @@
 //! Emulated links between relays, one for each ordered pair: datagrams are dropped, duplicated, delayed,
-//! reordered, corrupted or held. No I/O: what is sent comes back with the times at which it arrives.
+//! reordered, corrupted or held. No I/O: datagrams that are sent are returned with their arrival times.
 use crate::random::Random;
 use hallrelay_balancer::types::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A set of links, each from one relay to another, of so many relays numbered from 0.
+/// A set of links, each from one relay to another. Relays are numbered from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkSet {
     relay_count: usize,
@@ -13,12 +13,12 @@
 }
 
 impl LinkSet {
-    /// No link.
+    /// The empty set.
     pub fn none(relay_count: usize) -> LinkSet {
         LinkSet { relay_count, contains: vec![false; relay_count * relay_count] }
     }
 
-    /// From each of some to each of others, and back unless `one_way`. An empty list stands for all relays.
+    /// Links from each of `from` to each of `to`, and back unless `one_way`. An empty list means all relays.
     pub fn between(relay_count: usize, from: &[usize], to: &[usize], one_way: bool) -> LinkSet {
         let all: Vec<usize> = (0..relay_count).collect();
         let or_all = |some: &[usize]| if some.is_empty() { all.clone() } else { some.to_vec() };
@@ -34,7 +34,8 @@
         links
     }
 
-    /// All links but those within a group and those of the bridge. Without groups, two halves.
+    /// All links except those within a group and those of the bridge. Without groups, splits the relays into
+    /// two halves.
     pub fn partition(relay_count: usize, groups: &[Vec<usize>], bridge: Option<usize>) -> LinkSet {
         let halves = [(0..relay_count / 2).collect(), (relay_count / 2..relay_count).collect()];
         let groups = if groups.is_empty() { &halves[..] } else { groups };
@@ -78,20 +79,20 @@
     Loss(f64),
     /// A fraction arrives twice.
     Duplicate(f64),
-    /// Each is delayed by a random time between two; it may be overtaken.
+    /// Each datagram is delayed by a random time in a range, and may be overtaken.
     Delay([Micros; 2]),
-    /// A fraction is delayed by a random time between two.
+    /// A fraction is delayed by a random time in a range.
     Reorder(f64, [Micros; 2]),
     /// One byte of a fraction is changed.
     Corrupt(f64),
-    /// All are held until the fault ends; streams fail.
+    /// All datagrams are held until the fault ends, and streams fail.
     Hold,
 }
 
-/// A datagram that arrives.
+/// A datagram and its arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it arrives.
+    /// Time of arrival.
     pub at: Micros,
     /// Relay that sent it.
     pub from: usize,
@@ -101,12 +102,12 @@
     pub bytes: Vec<u8>,
 }
 
-/// Datagrams over all links.
+/// Counts of datagrams over all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
     /// Sent by relays.
     pub sent: u64,
-    /// Arrived, or scheduled to; duplicates count.
+    /// Arrived, or scheduled to arrive; duplicates count.
     pub arrived: u64,
     /// Dropped.
     pub lost: u64,
@@ -114,43 +115,43 @@
     pub corrupted: u64,
 }
 
-/// A fault in force.
+/// An active fault.
 struct ActiveFault {
     links: Rc<LinkSet>,
     fault: LinkFault,
 }
 
-/// A datagram that a `Hold` fault holds back.
+/// A datagram held by a `Hold` fault.
 struct HeldDatagram {
     fault_id: usize,
     arrival: Arrival,
 }
 
-/// What becomes of one datagram.
-struct Fate {
+/// Effect of the active faults on one datagram.
+struct Delivery {
     copies: usize,
     delay: Micros,
     held_by: Option<usize>,
 }
 
-/// All links, and the faults in force.
+/// All links and active faults.
 pub struct Links {
-    /// From one relay to another, without a fault.
+    /// Latency from one relay to another without a fault.
     latency: Micros,
     faults: BTreeMap<usize, ActiveFault>,
     held: Vec<HeldDatagram>,
     random: Random,
-    /// Counted since the start.
+    /// Totals since the start.
     pub counts: DatagramCounts,
 }
 
-/// Datagrams that are held at most; the oldest are dropped first.
+/// Maximum number of held datagrams; beyond it the oldest one is dropped.
 const MAX_HELD: usize = 1 << 16;
-/// Random stream of the links: a day without link faults draws nothing from it.
+/// Random stream of the links. A day without link faults draws nothing from it.
 const RANDOM_STREAM: u64 = 0x11_4b5;
 
 impl Links {
-    /// Links without faults.
+    /// Creates links without faults.
     pub fn new(latency: Micros, seed: u64) -> Links {
         Links {
             latency,
@@ -161,12 +162,12 @@
         }
     }
 
-    /// A fault starts, under an id of its own.
+    /// Starts a fault under a unique id.
     pub fn start_fault(&mut self, fault_id: usize, links: Rc<LinkSet>, fault: LinkFault) {
         self.faults.insert(fault_id, ActiveFault { links, fault });
     }
 
-    /// A fault ends; what it held is sent now.
+    /// Ends a fault; the datagrams that it held are sent now.
     pub fn end_fault(&mut self, now: Micros, fault_id: usize, out: &mut Vec<Arrival>) {
         self.faults.remove(&fault_id);
         let at = now + self.latency;
@@ -179,14 +180,14 @@
     /// A relay sends a datagram.
     pub fn send(&mut self, now: Micros, from: usize, to: usize, mut bytes: Vec<u8>, out: &mut Vec<Arrival>) {
         self.counts.sent += 1;
-        let fate = self.fate(from, to, &mut bytes);
-        if fate.copies == 0 {
+        let delivery = self.draw_delivery(from, to, &mut bytes);
+        if delivery.copies == 0 {
             self.counts.lost += 1;
         }
-        for _ in 0..fate.copies {
-            let at = now + self.latency + fate.delay;
+        for _ in 0..delivery.copies {
+            let at = now + self.latency + delivery.delay;
             let arrival = Arrival { at, from, to, bytes: bytes.clone() };
-            match fate.held_by {
+            match delivery.held_by {
                 Some(fault_id) => self.hold(HeldDatagram { fault_id, arrival }),
                 None => {
                     self.counts.arrived += 1;
@@ -196,20 +197,20 @@
         }
     }
 
-    /// Draws what the faults in force do to a datagram, and corrupts it where one of them does.
-    fn fate(&mut self, from: usize, to: usize, bytes: &mut [u8]) -> Fate {
-        let mut fate = Fate { copies: 1, delay: 0, held_by: None };
+    /// Draws the effect of the active faults on a datagram, and corrupts it if one of them does so.
+    fn draw_delivery(&mut self, from: usize, to: usize, bytes: &mut [u8]) -> Delivery {
+        let mut delivery = Delivery { copies: 1, delay: 0, held_by: None };
         for (fault_id, active) in &self.faults {
             if !active.links.contains(from, to) {
                 continue;
             }
             match active.fault {
-                LinkFault::Cut => fate.copies = 0,
-                LinkFault::Loss(fraction) if self.random.fraction() < fraction => fate.copies = 0,
-                LinkFault::Duplicate(fraction) if self.random.fraction() < fraction => fate.copies *= 2,
-                LinkFault::Delay(times) => fate.delay += self.random.between(times),
+                LinkFault::Cut => delivery.copies = 0,
+                LinkFault::Loss(fraction) if self.random.fraction() < fraction => delivery.copies = 0,
+                LinkFault::Duplicate(fraction) if self.random.fraction() < fraction => delivery.copies *= 2,
+                LinkFault::Delay(times) => delivery.delay += self.random.between(times),
                 LinkFault::Reorder(fraction, times) if self.random.fraction() < fraction => {
-                    fate.delay += self.random.between(times);
+                    delivery.delay += self.random.between(times);
                 }
                 LinkFault::Corrupt(fraction) if self.random.fraction() < fraction => {
                     let index = self.random.below(bytes.len());
@@ -218,14 +219,14 @@
                         self.counts.corrupted += 1;
                     }
                 }
-                LinkFault::Hold => fate.held_by = Some(*fault_id),
+                LinkFault::Hold => delivery.held_by = Some(*fault_id),
                 LinkFault::Loss(_)
                 | LinkFault::Duplicate(_)
                 | LinkFault::Reorder(..)
                 | LinkFault::Corrupt(_) => {}
             }
         }
-        fate
+        delivery
     }
 
     fn hold(&mut self, held: HeldDatagram) {
@@ -236,8 +237,8 @@
         self.held.push(held);
     }
 
-    /// Latency of a stream from one relay to another; none where it cannot be open just now. Streams recover
-    /// from loss, duplication and corruption, so only delays count.
+    /// Latency of a stream from one relay to another; none if it cannot be open now. Streams recover from
+    /// loss, duplication and corruption, so only delays count.
     pub fn stream_latency(&mut self, from: usize, to: usize) -> Option<Micros> {
         let mut latency = self.latency;
         for active in self.faults.values() {
@@ -251,7 +252,7 @@
         Some(latency)
     }
 
-    /// Whether a fault in force stops all datagrams on one of a relay's links.
+    /// Whether an active fault stops all datagrams on one of a relay's links.
     pub fn is_cut(&self, relay: usize) -> bool {
         let stops_all = |fault: &LinkFault| matches!(fault, LinkFault::Cut | LinkFault::Hold);
         self.faults.values().any(|active| stops_all(&active.fault) && active.links.touches(relay))
--- a/emulator/src/list.rs
+++ b/emulator/src/list.rs
@@ -1,25 +1,25 @@
-//! The endpoint list as the list service has it: its version, and what changed since another.
+//! The endpoint list as the list service has it: its version, and the changes since an earlier version.
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::word;
 use serde_json::{json, Value};
 
-/// What changes of a backend.
+/// The part of a backend's listing that changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Ready, draining or removed.
     pub phase: Phase,
-    /// When it started last; 0 is long ago.
+    /// Time of its last start; 0 means long ago.
     pub started_at: Micros,
 }
 
-/// What never changes of a backend.
+/// The part of a backend's listing that never changes.
 #[derive(Clone, Debug)]
 pub struct BackendIdentity {
     /// Its id in the list.
     pub id: String,
     /// Name of its zone.
     pub zone: String,
-    /// Its type of machine.
+    /// Type of its machine.
     pub kind: String,
     /// Its cell.
     pub cell: u16,
@@ -29,34 +29,34 @@
 #[derive(Clone, Debug)]
 struct ListedBackend {
     entry: Entry,
-    /// The version that it changed with last.
+    /// Version in which it last changed.
     changed_in: u64,
 }
 
-/// The whole list. Backends are numbered from 0.
+/// The complete list. Backends are numbered from 0.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     /// By backend.
     pub identities: Vec<BackendIdentity>,
-    /// Version; raised with each change.
+    /// Version; incremented with each change.
     pub generation: u64,
     backends: Vec<ListedBackend>,
 }
 
 impl EndpointList {
-    /// All backends ready, since long ago.
+    /// Creates a list with all backends ready since long ago.
     pub fn new(identities: Vec<BackendIdentity>) -> EndpointList {
         let entry = Entry { phase: Phase::Ready, started_at: 0 };
         let backends = vec![ListedBackend { entry, changed_in: 1 }; identities.len()];
         EndpointList { identities, generation: 1, backends }
     }
 
-    /// What the list has of a backend.
+    /// The entry of a backend.
     pub fn entry(&self, backend: usize) -> Entry {
         self.backends[backend].entry
     }
 
-    /// Sets what the list has of a backend. Returns whether that changes it.
+    /// Sets the entry of a backend. Returns whether it changed.
     pub fn update(&mut self, backend: usize, entry: Entry) -> bool {
         if self.backends[backend].entry == entry {
             return false;
@@ -66,12 +66,12 @@
         true
     }
 
-    /// The backends that are not removed.
+    /// Backends that are not removed.
     pub fn present(&self) -> Vec<usize> {
         self.select(|backend| backend.entry.phase != Phase::Gone)
     }
 
-    /// The backends that changed after a version.
+    /// Backends that changed after a version.
     pub fn changed_since(&self, generation: u64) -> Vec<usize> {
         self.select(|backend| backend.changed_in > generation)
     }
@@ -80,13 +80,13 @@
         (0..self.backends.len()).filter(|&i| is_selected(&self.backends[i])).collect()
     }
 
-    /// The list as it was at first, in discovery's JSON.
+    /// The initial list in discovery's JSON format.
     pub fn initial_json(&self, addr: impl Fn(usize) -> String) -> Value {
         let all: Vec<usize> = (0..self.identities.len()).collect();
         EndpointList::new(self.identities.clone()).json(true, &all, addr)
     }
 
-    /// Some backends in discovery's JSON; `reset` where they are the whole list. Addresses may differ by
+    /// Some backends in discovery's JSON format; `reset` marks the complete list. Addresses may differ by
     /// relay.
     pub fn json(&self, reset: bool, backends: &[usize], addr: impl Fn(usize) -> String) -> Value {
         let instance = |&i: &usize| {
--- a/emulator/src/net/addresses.rs
+++ b/emulator/src/net/addresses.rs
@@ -3,17 +3,17 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// Ports that are searched for a free one. The system gives none of them to outgoing connections, so none is
-/// taken while its server is down.
+/// First port searched for a free one. The system assigns none of these ports to outgoing connections, so no
+/// port is taken while its server is down.
 const FIRST_PORT: u64 = 10_000;
-/// Number of those ports.
+/// Number of ports that are searched.
 const PORT_COUNT: u64 = 20_000;
 
-/// Why an address cannot be had.
+/// Why no address is available.
 #[derive(Debug, thiserror::Error)]
 pub enum AddressError {
-    /// The system does not let the address be bound.
-    #[error("{addr} cannot be listened on: {source}")]
+    /// The system does not allow binding the address.
+    #[error("cannot listen on {addr}: {source}")]
     Bind {
         /// The address.
         addr: SocketAddr,
@@ -21,7 +21,7 @@
         source: io::Error,
     },
     /// All ports of an address are in use.
-    #[error("no port of {ip} is free: {}", .last.as_ref().map(ToString::to_string).unwrap_or_default())]
+    #[error("no free port on {ip}: {}", .last.as_ref().map(ToString::to_string).unwrap_or_default())]
     NoneFree {
         /// The address.
         ip: Ipv4Addr,
@@ -29,7 +29,7 @@
         last: Option<io::Error>,
     },
     /// A relay's address on the emulated links cannot be bound.
-    #[error("the ways between relays: {addr}: {source}")]
+    #[error("cannot bind {addr} for the emulated links between relays: {source}")]
     Link {
         /// The address.
         addr: SocketAddr,
@@ -44,12 +44,12 @@
     }
 }
 
-/// A free port of an address.
+/// Finds a free port of an address.
 ///
 /// # Errors
-/// Where the address cannot be bound, or none of its ports is free.
+/// If the address cannot be bound, or none of its ports is free.
 pub fn free_port(ip: Ipv4Addr) -> Result<SocketAddr, AddressError> {
-    // Programs that run beside each other start their search at different ports.
+    // Programs that run at the same time start their searches at different ports.
     let start = mix(u64::from(std::process::id()) << 32 | u64::from(u32::from(ip)));
     let mut last = None;
     for offset in 0..PORT_COUNT {
@@ -64,13 +64,13 @@
     Err(AddressError::NoneFree { ip, last })
 }
 
-/// Where servers listen, by relay and server: one address for each pair, so that each side knows the other
-/// by it. All are bound once, to see that they are free. Up to 64 relays.
+/// Addresses of the servers by relay and server. Each pair has an address of its own, so that each side can
+/// identify the other by it. All are bound once to check that they are free. Supports at most 64 relays.
 ///
 /// # Errors
-/// Where an address cannot be had.
+/// If an address is not available.
 pub fn endpoint_addresses(relays: usize, servers: usize) -> Result<Vec<Vec<SocketAddr>>, AddressError> {
-    // 127.16 to 127.79 are the relays' sides, apart from 127.0.0.1 where others listen.
+    // 127.16 to 127.79 identify relays. Other sockets listen on 127.0.0.1.
     let address = |relay: usize, server: usize| {
         let ip = Ipv4Addr::new(127, 16 + relay as u8, (server / 250) as u8, (server % 250 + 1) as u8);
         free_port(ip)
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets: one task for each connection, from its first line to its end.
+//! Clients on sockets: one task per connection, from its first line until its end.
 use super::lines::{self, Lines, ReadError};
 use super::{Host, LeaveCommand, Shared};
 use crate::audit::{Answer, RequestSent};
@@ -10,14 +10,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{interval_at, timeout, Instant, Interval, MissedTickBehavior};
 
-/// In which a relay has to answer `PING`.
+/// Time within which a relay must answer `PING`.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// A relay that does not take a connection within this counts as dead.
+/// A relay that does not accept a connection within this time is treated as dead.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client waits for lines after its final answer, which there may not be.
+/// How long a client waits for lines after its final answer. Any such line breaks rule 1.
 const AFTER_ANSWER: Duration = Duration::from_millis(500);
 
-/// Whether a relay answers `PING`.
+/// Returns whether a relay answers `PING`.
 pub async fn ping(addr: SocketAddr) -> bool {
     let answer = async {
         let stream = TcpStream::connect(addr).await.ok()?;
@@ -39,7 +39,7 @@
     host.with(|day, now, _| day.clients.handle(now, mark, event));
 }
 
-fn left(mark: u64, host: &Rc<Host>) {
+fn report_left(mark: u64, host: &Rc<Host>) {
     host.with(|day, now, _| day.audit.client_left(now, mark));
 }
 
@@ -51,7 +51,7 @@
     let mut lines = Lines::default();
     let line = tokio::select! {
         line = lines.next(&stream) => line,
-        _ = commands.recv() => return left(mark, host),
+        _ = commands.recv() => return report_left(mark, host),
     };
     let has_line = line.is_ok();
     let (answer, event) = match line {
@@ -71,10 +71,10 @@
             host.with(|day, now, _| day.audit.client_answered(now, mark, &Answer::Failed));
         }
     }
-    left(mark, host);
+    report_left(mark, host);
 }
 
-/// Connects to the relay and sends the first line; none where that fails.
+/// Connects to the relay and sends the first line; none if either fails.
 async fn send_first_line(request: &ClientRequest, host: &Rc<Host>) -> Option<TcpStream> {
     let addr = host.relays.borrow()[request.relay];
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?;
@@ -100,7 +100,7 @@
     Some(stream)
 }
 
-/// What an answer means for the auditor and for the client.
+/// Parses an answer for the auditor and for the client.
 fn parse_answer(line: &str) -> (Answer, ClientEvent) {
     match line.split_once(' ').unwrap_or((line, "")) {
         ("UP", receipt) => {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Times at which a client sends messages; clients are spread over the period.
+/// Timer for the messages that a client sends. Clients are spread over the period.
 fn message_times(mark: u64, host: &Rc<Host>) -> Interval {
     let period = Duration::from_micros(host.day.borrow().scenario.clients.message_s.us());
     let offset = Duration::from_micros(mix(mark) % period.as_micros().max(1) as u64);
@@ -144,7 +144,7 @@
                 Ok(_) => {}
                 Err(ReadError::Ended | ReadError::Reset | ReadError::TooLong) => break,
             },
-            _ = commands.recv() => return left(mark, host),
+            _ = commands.recv() => return report_left(mark, host),
             _ = message_times.tick() => {
                 message_count += 1;
                 if !lines::write(stream, format!("message {message_count}\r\n").as_bytes()).await {
@@ -157,5 +157,5 @@
         host.client_cut_off(mark);
     }
     handle(mark, last_event, host);
-    left(mark, host);
+    report_left(mark, host);
 }
--- a/emulator/src/net/host.rs
+++ b/emulator/src/net/host.rs
@@ -1,4 +1,4 @@
-//! What all tasks share: the models, the connections that are open, and the channels between tasks.
+//! State shared by all tasks: the models, the open connections, and the channels between tasks.
 use super::{client, lines, Clock};
 use crate::audit::DialOutcome;
 use crate::clients::{ClientAction, ClientRequest};
@@ -17,25 +17,26 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch, Notify};
 
-/// Commands that wait for a client's task.
+/// Maximum number of commands queued for a client's task.
 const CLIENT_COMMAND_CAPACITY: usize = 2;
-/// Places in a connection's channel that loads leave to lines that must not be lost.
+/// Places in a connection's command queue that are reserved for lines that must not be lost. `LOAD` lines
+/// may be lost and do not use them.
 const RESERVED_COMMAND_CAPACITY: usize = 4;
-/// Interval at which a relay that starts is sent `PING`.
+/// Interval between `PING` requests to a relay that starts.
 const PING_INTERVAL: Duration = Duration::from_millis(20);
-/// Size of the buffer for bytes that nobody reads.
+/// Size of the buffer for input that is discarded.
 const DISCARD_BUFFER_BYTES: usize = 1 << 16;
 
-/// What a server's connection is to do.
+/// Command for the task of a server's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionCommand {
     /// Send a line.
     Send(ServerLine),
-    /// End by a reset.
+    /// End the connection by a reset.
     Reset,
 }
 
-/// A client's connection is to end.
+/// Command for a client's task to close its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaveCommand;
 
@@ -47,55 +48,54 @@
     pub descriptor: RawFd,
 }
 
-/// All that the tasks share.
+/// State shared by all tasks.
 pub struct Host {
     /// The models.
     pub day: RefCell<Day>,
-    /// Time of the models.
+    /// Clock of the models.
     pub clock: Clock,
     connections: RefCell<BTreeMap<ConnectionId, ServerConnection>>,
-    /// Those connections by the marks of their sessions.
+    /// Connections by the marks of their sessions.
     by_mark: RefCell<BTreeMap<u64, BTreeSet<ConnectionId>>>,
     pub(super) clients: RefCell<BTreeMap<u64, mpsc::Sender<LeaveCommand>>>,
-    /// Requests of the clients that are there, by mark: servers compare first lines with them.
+    /// Requests of the present clients by mark; servers compare first lines with them.
     pub(super) requests: RefCell<BTreeMap<u64, ClientRequest>>,
     last_connection: Cell<ConnectionId>,
-    /// Where servers listen, by relay and server.
+    /// Addresses of the servers, by relay and server.
     pub servers: Vec<Vec<SocketAddr>>,
-    /// Where relays listen.
+    /// Addresses of the relays.
     pub relays: RefCell<Vec<SocketAddr>>,
-    /// Incremented whenever the reachability of a server may have changed.
+    /// Incremented when the reachability of a server may have changed.
     pub(super) reachability: watch::Sender<u64>,
-    /// Incremented whenever the endpoint list changes, and discovery becomes unavailable or available again.
+    /// Incremented when the endpoint list changes, and when discovery becomes unavailable or available again.
     pub(super) list_changes: watch::Sender<u64>,
     /// Whether discovery is unavailable.
     pub list_down: Cell<bool>,
-    /// By relay: incremented whenever its discovery moves to another address.
+    /// By relay: incremented when its discovery moves to another address.
     pub list_moves: RefCell<Vec<watch::Sender<u64>>>,
-    /// By relay: where its discovery listens.
+    /// By relay: address of its discovery.
     pub list_addresses: RefCell<Vec<SocketAddr>>,
-    /// Datagrams between relays that were held, and go on.
+    /// Datagrams between relays that were held and have been released.
     pub(super) arrivals: RefCell<Vec<Arrival>>,
     pub(super) arrivals_released: Notify,
     relay_commands: RefCell<Vec<RelayCommand>>,
     relay_command_due: Notify,
     models_called: Notify,
-    /// How late the models were stepped at most, in microseconds.
+    /// Maximum delay of a step of the models behind its due time, in microseconds.
     pub max_delay: Cell<Micros>,
-    /// Counts of clients that speak no protocol.
+    /// Counts of clients that send malformed input.
     pub malformed_clients: RefCell<MalformedClientFigures>,
-    /// Whether first lines of clients that are not the models' are taken as well; the auditor does not see
-    /// them.
+    /// Whether first lines of clients outside the models are accepted as well. The auditor does not see them.
     pub accepts_foreign_clients: Cell<bool>,
-    /// Where bytes go that nobody reads.
+    /// Buffer for input that is discarded.
     pub(super) discarded: RefCell<Vec<u8>>,
 }
 
-/// The host as tasks share it.
+/// The host as shared by tasks.
 pub type Shared = Rc<Host>;
 
 impl Host {
-    /// A host for a day; `servers` and `relays` are where they listen.
+    /// Creates a host for a day; `servers` and `relays` are their addresses.
     pub fn new(day: Day, clock: Clock, servers: Vec<Vec<SocketAddr>>, relays: Vec<SocketAddr>) -> Shared {
         let relay_count = relays.len();
         let no_address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -126,12 +126,12 @@
         })
     }
 
-    /// The time now, in microseconds.
+    /// The current time, in microseconds.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Calls the models, and carries out what comes of it.
+    /// Calls the models, and carries out the actions that result.
     pub fn with<T>(self: &Rc<Host>, call: impl FnOnce(&mut Day, Micros, &mut DriverActions) -> T) -> T {
         let mut todo = DriverActions::default();
         let now = self.now();
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Steps the models when they are due, until the day is over.
+    /// Steps the models when they are due, until the end of the day.
     pub async fn run(self: Rc<Host>) {
         loop {
             let (next, end) = {
@@ -239,13 +239,13 @@
                     self.max_delay.set(self.max_delay.get().max(now.saturating_sub(next)));
                     self.with(|day, now, todo| day.step(now, todo));
                 }
-                // What a call has scheduled may be due sooner.
+                // A call may have scheduled something that is due sooner.
                 () = self.models_called.notified() => {}
             }
         }
     }
 
-    /// Waits for what is to be done to relays.
+    /// Waits for the next actions on relays.
     pub async fn next_relay_commands(&self) -> Vec<RelayCommand> {
         loop {
             let due = std::mem::take(&mut *self.relay_commands.borrow_mut());
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Adds a session's connection. Returns its number.
+    /// Adds a session's connection and returns its id.
     pub(super) fn add_connection(&self, connection: ServerConnection) -> ConnectionId {
         let id = self.last_connection.get() + 1;
         self.last_connection.set(id);
@@ -277,13 +277,14 @@
         Some(connection)
     }
 
-    /// The connections of a session, in the order in which they were accepted.
+    /// Connections of a session in the order in which they were accepted.
     fn connections_of(&self, mark: u64) -> Vec<ConnectionId> {
         self.by_mark.borrow().get(&mark).map(|ids| ids.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Ends the connections of a session that its relay has closed, though their tasks have not read that
-    /// yet: the auditor must not see a dial begin before the one before it has ended.
+    /// Ends connections of a session that its relay has closed, even if their tasks have not read that yet.
+    /// Such a dial counts as over: the order in which tasks run must not make the auditor see it as open when
+    /// the next dial begins.
     pub(super) fn close_ended_connections(self: &Rc<Host>, mark: u64) {
         let has_ended = |id: &ConnectionId| {
             let connections = self.connections.borrow();
@@ -303,7 +304,8 @@
         });
     }
 
-    /// A client's open connection ended without a line: wrong where its server still has it and is up.
+    /// A client's open connection ended without a line. This is a breach if its server still has the
+    /// connection and is up.
     pub(super) fn client_cut_off(self: &Rc<Host>, mark: u64) {
         let Some(&id) = self.connections_of(mark).first() else { return };
         let Some(server) = self.connections.borrow().get(&id).map(|found| found.server) else { return };
@@ -324,7 +326,7 @@
         });
     }
 
-    /// A relay drains: it admits nothing new, and goes on with the sessions that it has.
+    /// A relay drains: it admits no new sessions and continues to serve its open ones.
     pub fn relay_stopping(self: &Rc<Host>, relay: usize) {
         self.with(|day, now, _| {
             day.clients.set_relay_serving(now, relay, false);
@@ -332,7 +334,7 @@
         });
     }
 
-    /// A relay's process stalls from now on, or goes on.
+    /// A relay's process stalls or resumes.
     pub fn set_relay_stalled(self: &Rc<Host>, relay: usize, is_stalled: bool) {
         self.with(|day, now, _| {
             let process = if is_stalled { ProcessState::Stalled } else { ProcessState::Up };
@@ -345,7 +347,7 @@
         });
     }
 
-    /// A relay's process has started. Returns whether it answers `PING` within a time.
+    /// A relay's process has started. Returns whether it answers `PING` within a time limit.
     pub async fn relay_started(self: &Rc<Host>, relay: usize, within: Duration) -> bool {
         self.with(|day, now, _| {
             day.audit.relay_started(now, relay);
--- a/emulator/src/net/lines.rs
+++ b/emulator/src/net/lines.rs
@@ -1,36 +1,36 @@
-//! The lines of the protocol as servers and clients have them. Parsed apart from the relay's own parsers, so
-//! that a fault there is not repeated here.
+//! Protocol lines as used by servers and clients. They are parsed independently of the relay's parsers, so
+//! that a bug in those is not repeated here.
 use crate::clients::ClientRequest;
 use std::io::ErrorKind;
 use std::os::fd::RawFd;
 use tokio::net::TcpStream;
 
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 2048;
 
-/// Bytes that have come, cut into lines.
+/// Splits received bytes into lines.
 #[derive(Default)]
 pub struct Lines {
     bytes: Vec<u8>,
-    /// Where the next line starts.
+    /// Offset of the next line.
     start: usize,
 }
 
-/// Why there is no line.
+/// Why no line was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// The other side has ended its sending.
+    /// The other side has closed its sending direction.
     Ended,
-    /// The connection was reset, or failed otherwise.
+    /// The connection was reset, or failed in another way.
     Reset,
-    /// The line is longer than any may be.
+    /// The line exceeds the maximum length.
     TooLong,
 }
 
 impl Lines {
     const MAX_LINE_BYTES: usize = 4096;
 
-    /// The next line without its end; none until all of it has come.
+    /// The next line without its terminator; none until it has been received completely.
     pub fn take(&mut self) -> Option<String> {
         let rest = &self.bytes[self.start..];
         let length = rest.windows(2).position(|pair| pair == b"\r\n")?;
@@ -43,10 +43,10 @@
         Some(line)
     }
 
-    /// Waits for the next line. Nothing is lost where the future is dropped.
+    /// Waits for the next line. Cancel-safe: no input is lost if the future is dropped.
     ///
     /// # Errors
-    /// Where the connection ends, or the line is longer than 4096 bytes.
+    /// If the connection ends, or the line is longer than 4096 bytes.
     pub async fn next(&mut self, stream: &TcpStream) -> Result<String, ReadError> {
         loop {
             if let Some(line) = self.take() {
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Waits for more bytes.
+    /// Waits for more input.
     ///
     /// # Errors
-    /// Where the connection ends.
+    /// If the connection ends.
     pub async fn fill(&mut self, stream: &TcpStream) -> Result<(), ReadError> {
         self.bytes.drain(..std::mem::take(&mut self.start));
         loop {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Writes all bytes. Returns false where the connection has ended.
+/// Writes all bytes. Returns false if the connection has ended.
 pub async fn write(stream: &TcpStream, bytes: &[u8]) -> bool {
     let mut rest = bytes;
     while !rest.is_empty() {
@@ -97,16 +97,16 @@
     true
 }
 
-/// Whether the other side has ended a connection, and nothing of it is left to read.
+/// Whether the other side has ended a connection and no unread input is left.
 pub fn has_ended(descriptor: RawFd) -> bool {
     let mut byte = 0u8;
-    // SAFETY: one byte is read into one byte; a closed descriptor only gives an error.
+    // SAFETY: at most one byte is read into a buffer of one byte; a closed descriptor only causes an error.
     let count =
         unsafe { libc::recv(descriptor, (&raw mut byte).cast(), 1, libc::MSG_PEEK | libc::MSG_DONTWAIT) };
     count == 0 || (count < 0 && std::io::Error::last_os_error().kind() != ErrorKind::WouldBlock)
 }
 
-/// A client's first line, without its end.
+/// Formats a client's first line, without its terminator.
 pub fn first_line(request: &ClientRequest, listener: &str, pre_existing_at: Option<&str>) -> String {
     let ClientRequest { mark, key, dial_timeout, .. } = *request;
     let mut line = format!("OPEN {mark:016x} {key:016x} c={listener},d={}", dial_timeout / 1000);
@@ -125,16 +125,16 @@
     line
 }
 
-/// A first line as a server reads it.
+/// A first line as parsed by a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FirstLine {
     /// Mark of the connection.
     pub mark: u64,
-    /// The line without what a relay may change: the time that is left.
+    /// The line without the remaining time, which a relay may change.
     pub unchanged: String,
 }
 
-/// Parses a first line; none where it is malformed.
+/// Parses a first line; none if it is malformed.
 pub fn parse_first_line(line: &str) -> Option<FirstLine> {
     let mut words = line.split(' ');
     let (Some("OPEN"), Some(mark), Some(key), Some(pairs), None) =
--- a/emulator/src/net/links.rs
+++ b/emulator/src/net/links.rs
@@ -1,6 +1,6 @@
-//! Emulated links on sockets: each relay is advertised at an address of the proxy's, which receives what
+//! Emulated links on sockets. Each relay is advertised at an address of a proxy. The proxy receives what
 //! others send to the relay, passes it through the emulated links, and forwards it from the sender's own
-//! advertised address. The address that it sends from identifies the sender.
+//! advertised address. The source address identifies the sender.
 use super::{free_port, AddressError, Shared};
 use crate::links::Arrival;
 use hallrelay_balancer::types::Micros;
@@ -13,26 +13,26 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::Notify;
 
-/// Addresses of all relays, by their numbers.
+/// Addresses of all relays, by number.
 #[derive(Clone, Debug, Default)]
 pub struct RelayAddresses {
-    /// Where the relays listen for each other.
+    /// Addresses on which the relays listen for each other.
     pub listen: Vec<SocketAddr>,
-    /// Where the proxy listens in their place.
+    /// Addresses on which the proxy listens on their behalf.
     pub advertised: Vec<SocketAddr>,
 }
 
 impl RelayAddresses {
-    /// Free ports for so many relays.
+    /// Finds free ports for `count` relays.
     ///
     /// # Errors
-    /// Where a port cannot be had.
+    /// If no port is free on one of the addresses.
     pub fn free(count: usize) -> Result<RelayAddresses, AddressError> {
         let in_net = |net: u8| -> Result<Vec<SocketAddr>, AddressError> {
             let ip = |relay: usize| Ipv4Addr::new(127, net, (relay / 250) as u8, (relay % 250 + 1) as u8);
             (0..count).map(|relay| free_port(ip(relay))).collect()
         };
-        // Apart from backends (127.16 on), relays (127.8) and operators (127.11).
+        // Distinct from backends (127.16 and up), relays (127.8) and operators (127.11).
         Ok(RelayAddresses { listen: in_net(9)?, advertised: in_net(10)? })
     }
 
@@ -41,16 +41,16 @@
     }
 }
 
-/// A stream on a link that is cut is closed after this, as relays close theirs.
+/// A stream on a link that is cut is closed after this time, as relays close theirs.
 const CUT_STREAM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Interval at which an open stream's link is checked for a cut.
+/// Interval at which the link of an open stream is checked for a cut.
 const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A datagram that is due within this is forwarded at once: timers have no finer resolution.
+/// A datagram due within this time is forwarded immediately, as timers have no finer resolution.
 const TIMER_RESOLUTION: Micros = 1_000;
-/// With no datagram scheduled the queue is checked at this interval.
+/// Interval at which the queue is checked while no datagram is scheduled.
 const IDLE_INTERVAL: Micros = 1_000_000;
 
-/// Order of datagrams: by time, then as they were scheduled.
+/// Orders datagrams by time, then in the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduleKey {
     at: Micros,
@@ -60,7 +60,7 @@
 struct LinkProxy {
     host: Shared,
     addresses: RelayAddresses,
-    /// By relay, the socket at its advertised address.
+    /// By relay: the socket at its advertised address.
     sockets: Vec<UdpSocket>,
     /// Datagrams that arrive later.
     scheduled: RefCell<BTreeMap<ScheduleKey, Arrival>>,
@@ -68,17 +68,17 @@
     datagram_scheduled: Notify,
 }
 
-/// Starts forwarding what relays send each other; it ends with the runtime.
+/// Starts forwarding between relays. Forwarding ends with the runtime.
 ///
 /// # Errors
-/// Where an advertised address cannot be bound.
+/// If an advertised address cannot be bound.
 pub async fn serve(addresses: RelayAddresses, host: &Shared) -> Result<(), AddressError> {
     let mut sockets = Vec::new();
-    let mut listeners = Vec::new();
+    let mut listening_sockets = Vec::new();
     for &addr in &addresses.advertised {
         let with_addr = |source| AddressError::Link { addr, source };
         sockets.push(UdpSocket::bind(addr).await.map_err(with_addr)?);
-        listeners.push(TcpListener::bind(addr).await.map_err(with_addr)?);
+        listening_sockets.push(TcpListener::bind(addr).await.map_err(with_addr)?);
     }
     let proxy = Rc::new(LinkProxy {
         host: host.clone(),
@@ -88,9 +88,9 @@
         last_order: Cell::new(0),
         datagram_scheduled: Notify::new(),
     });
-    for (to, listener) in listeners.into_iter().enumerate() {
+    for (to, listening_socket) in listening_sockets.into_iter().enumerate() {
         tokio::task::spawn_local(proxy.clone().receive_datagrams(to));
-        tokio::task::spawn_local(proxy.clone().accept_streams(to, listener));
+        tokio::task::spawn_local(proxy.clone().accept_streams(to, listening_socket));
     }
     tokio::task::spawn_local(proxy.forward_scheduled());
     Ok(())
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A relay that is down has no socket there: the datagram is lost.
+    /// Forwards a datagram. If its destination is down there is no socket, and the datagram is lost.
     fn forward(&self, arrival: &Arrival) {
         let to = self.addresses.listen[arrival.to];
         _ = self.sockets[arrival.from].try_send_to(&arrival.bytes, to);
@@ -153,9 +153,9 @@
         std::mem::replace(&mut *scheduled, later).into_values().collect()
     }
 
-    async fn accept_streams(self: Rc<LinkProxy>, to: usize, listener: TcpListener) {
+    async fn accept_streams(self: Rc<LinkProxy>, to: usize, listening_socket: TcpListener) {
         loop {
-            let Ok((stream, from)) = listener.accept().await else { continue };
+            let Ok((stream, from)) = listening_socket.accept().await else { continue };
             let Some(from) = self.addresses.relay_at(from.ip()) else { continue };
             tokio::task::spawn_local(self.clone().forward_stream(from, to, stream));
         }
@@ -176,12 +176,12 @@
         let Ok(mut outbound) = socket.connect(self.addresses.listen[to]).await else { return };
         tokio::select! {
             _ = copy_bidirectional(&mut inbound, &mut outbound) => {}
-            () = self.held_by_cut(from, to) => {}
+            () = self.wait_for_cut_timeout(from, to) => {}
         }
     }
 
-    /// Returns once the link has been cut for as long as a stream is held.
-    async fn held_by_cut(&self, from: usize, to: usize) {
+    /// Returns when the link has been cut for `CUT_STREAM_TIMEOUT`.
+    async fn wait_for_cut_timeout(&self, from: usize, to: usize) {
         while self.stream_latency(from, to).is_some() {
             tokio::time::sleep(CUT_CHECK_INTERVAL).await;
         }
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -1,5 +1,5 @@
-//! Discovery on sockets: HTTP/1.1, the whole endpoint list or a watch on its changes, one address for each
-//! relay.
+//! Discovery on sockets: HTTP/1.1 with the complete endpoint list or a watch on its changes, at one address
+//! per relay.
 use super::{Host, Shared};
 use bytes::Bytes;
 use http_body_util::channel::{Channel, Sender};
@@ -15,24 +15,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Interval at which a path that is cut is checked.
+/// Interval at which a cut between relay and discovery is checked for its end.
 const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long connections at an old address stay open after a move.
+/// How long connections to the old address stay open after a move.
 const MOVE_GRACE: Duration = Duration::from_millis(1_500);
-/// Interval at which an empty line is written to a watch without changes.
+/// Interval at which an empty line is written to a watch while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Lines that wait to be written to a watch.
+/// Maximum number of lines queued for a watch.
 const WATCH_CAPACITY: usize = 4;
 
 type Body = http_body_util::combinators::UnsyncBoxBody<Bytes, Infallible>;
 
-/// Serves one relay's discovery at a free port, and at another one each time that it moves.
+/// Serves one relay's discovery on a free port, and on another one after each move.
 pub async fn serve(relay: usize, first: TcpListener, host: Shared) {
     let mut moves = host.list_moves.borrow()[relay].subscribe();
-    let mut listener = first;
+    let mut listening_socket = first;
     loop {
         let moved = tokio::select! {
-            accepted = listener.accept() => {
+            accepted = listening_socket.accept() => {
                 if let Ok((stream, _)) = accepted {
                     tokio::task::spawn_local(run_connection(relay, stream, moves.clone(), host.clone()));
                 }
@@ -44,21 +44,21 @@
             return;
         }
         if let Some(next) = bind(relay, &host).await {
-            listener = next;
+            listening_socket = next;
         }
     }
 }
 
-/// Binds a free port for a relay's discovery, and sets its address in the host. None where that fails.
+/// Binds a free port for a relay's discovery and stores its address in the host. None if that fails.
 pub async fn bind(relay: usize, host: &Rc<Host>) -> Option<TcpListener> {
-    let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.ok()?;
-    host.list_addresses.borrow_mut()[relay] = listener.local_addr().ok()?;
-    Some(listener)
+    let listening_socket = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.ok()?;
+    host.list_addresses.borrow_mut()[relay] = listening_socket.local_addr().ok()?;
+    Some(listening_socket)
 }
 
 async fn run_connection(relay: usize, stream: TcpStream, mut moves: watch::Receiver<u64>, host: Shared) {
     _ = stream.set_nodelay(true);
-    // A client that waits too long gives up by itself.
+    // A relay that waits too long times out on its own.
     wait_until_reachable(relay, &host).await;
     moves.mark_unchanged();
     let service = service_fn(|request: Request<Incoming>| {
@@ -69,7 +69,7 @@
     let mut changes = host.list_changes.subscribe();
     tokio::select! {
         _ = served => {}
-        // Open connections end as discovery becomes unavailable.
+        // Open connections end when discovery becomes unavailable.
         () = async {
             while !host.list_down.get() {
                 if changes.changed().await.is_err() {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Waits as long as a relay and its discovery are cut off from each other.
+/// Waits while a relay and its discovery are cut off from each other.
 async fn wait_until_reachable(relay: usize, host: &Shared) {
     while host.day.borrow().list_cut[relay] {
         tokio::time::sleep(CUT_CHECK_INTERVAL).await;
@@ -100,10 +100,10 @@
 fn respond(relay: usize, request: &Request<Incoming>, host: &Shared) -> Response<Body> {
     if host.list_down.get() {
         host.day.borrow_mut().audit.list_call_failed(relay);
-        return response(StatusCode::SERVICE_UNAVAILABLE, "down\n");
+        return response(StatusCode::SERVICE_UNAVAILABLE, "discovery is unavailable\n");
     }
     if request.uri().path() != "/registry/instances" {
-        return response(StatusCode::NOT_FOUND, "no such place\n");
+        return response(StatusCode::NOT_FOUND, "not found; use /registry/instances\n");
     }
     let query = request.uri().query().unwrap_or("");
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -123,17 +123,17 @@
     json.to_string() + "\n"
 }
 
-/// The whole list, of which the relay counts as notified.
+/// The complete list. The relay counts as notified of all of it.
 fn full_list(relay: usize, host: &Shared) -> String {
     let present = host.day.borrow().servers.endpoints.present();
     let line = json_line(relay, true, &present, host);
-    // Servers that the list leaves out are removed, which is news as well.
+    // Servers missing from the list are removed, and the relay is notified of that as well.
     let all: Vec<usize> = (0..host.day.borrow().servers.len()).collect();
     host.with(|day, now, todo| day.list_sent(now, relay, &all, &mut todo.server_events));
     line
 }
 
-/// Writes the changes after a version, or the whole list and all changes, as long as somebody reads.
+/// Writes the changes after a version, or the complete list and then all changes, while the relay reads.
 async fn watch_changes(
     relay: usize,
     since: Option<u64>,
--- a/emulator/src/net/malformed.rs
+++ b/emulator/src/net/malformed.rs
@@ -1,4 +1,5 @@
-//! Clients that speak no protocol. Each is to get an error or an end in time; it reads what it is sent.
+//! Clients that send malformed input. Each must get an error or the end of the connection in time. They read
+//! what the relay sends.
 use super::lines::{self, Lines};
 use super::Shared;
 use crate::random::Random;
@@ -8,16 +9,17 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// In which such a client is to get an error or an end; twice that where it sends megabytes first.
+/// Time within which such a client must get an error or the end of the connection; doubled for clients that
+/// send megabytes first.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// None are sent this long before the end of the day, since their answers would not be seen.
+/// No such client starts this shortly before the end of the day, since its answer would not be seen.
 const LAST_BEFORE_END: Micros = 7_000_000;
 /// Random stream of these clients.
 const RANDOM_STREAM: u64 = 6;
-/// How often a client sends its rejected line again.
+/// Number of times that a client sends its rejected line again.
 const REPEATS: usize = 5;
 
-/// Sends them as the scenario has it, until the day is over.
+/// Starts these clients at the scenario's rate until the end of the day.
 pub async fn run(host: Shared) {
     let (rate, kinds, begin, end, seed) = {
         let day = host.day.borrow();
@@ -39,7 +41,7 @@
 
 async fn run_client(kind: BadSort, relay: usize, draw: u64, host: Shared) {
     let addr = host.relays.borrow()[relay];
-    // A relay that is down need not answer.
+    // A relay that is down does not have to answer.
     let Ok(Ok(stream)) = timeout(ANSWER_TIMEOUT, TcpStream::connect(addr)).await else { return };
     host.malformed_clients.borrow_mut().connected += 1;
     let limit = if kind == BadSort::Huge { ANSWER_TIMEOUT * 2 } else { ANSWER_TIMEOUT };
@@ -56,7 +58,7 @@
     format!("OPEN {mark:016x} {:016x} c={listener},d={timeout_ms}\r\n", mark | 1)
 }
 
-/// What a client of a kind sends.
+/// Input sent by a client of this kind.
 fn bytes_to_send(kind: BadSort, draw: u64, host: &Shared) -> Vec<u8> {
     let listener = host.day.borrow().scenario.listeners[0].name.clone();
     let valid = first_line(draw, &listener, "1000");
@@ -80,11 +82,11 @@
     }
 }
 
-/// Returns when the relay has answered or ended the connection.
+/// Returns when the relay has answered or has ended the connection.
 async fn await_answer(kind: BadSort, draw: u64, stream: &TcpStream, host: &Shared) {
     let bytes = bytes_to_send(kind, draw, host);
     if kind == BadSort::Half {
-        // It closes the connection itself, and awaits nothing.
+        // This client closes the connection itself and expects no answer.
         _ = lines::write(stream, &bytes).await;
         return;
     }
@@ -103,7 +105,7 @@
     }
 }
 
-/// Sends a line that was rejected again on new connections; each is to be ended as well.
+/// Sends a rejected line again on new connections, each of which the relay must end as well.
 async fn repeat_rejected(stream: &TcpStream, bytes: &[u8]) {
     for _ in 0..REPEATS {
         let Ok(addr) = stream.peer_addr() else { return };
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The models on sockets of 127.0.0.0/8: servers, discovery, clients and front, in one process and one
-//! thread. The models decide; tasks here carry bytes and call the models.
+//! The models on sockets of 127.0.0.0/8: servers, discovery, clients and front in one process and one
+//! thread. The models make all decisions; the tasks here transfer bytes and call the models.
 mod addresses;
 pub mod client;
 mod clock;
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -1,4 +1,4 @@
-//! Servers on sockets: they listen, refuse or do not respond as the models have it, with one task for each
+//! Servers on sockets. They accept, refuse or do not respond as the models decide, with one task per
 //! connection.
 use super::host::ServerConnection;
 use super::lines::{self, FirstLine, Lines, ReadError};
@@ -17,19 +17,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Connections that the system completes before they are accepted.
+/// Maximum number of connections that the system completes before they are accepted.
 const BACKLOG: i32 = 1024;
-/// Connections that fill a backlog of 0, so that further ones get no response.
+/// Number of connections that fill a backlog of 0, so that further ones get no response.
 const FILLER_COUNT: usize = 4;
-/// Commands that wait for a connection's task.
+/// Maximum number of commands queued for a connection's task.
 const COMMAND_CAPACITY: usize = 16;
-/// Backoff after an address could not be bound.
+/// Backoff after a failure to bind an address.
 const BIND_BACKOFF: Duration = Duration::from_millis(100);
-/// Backoff after a connection could not be accepted, as where no descriptor is free.
+/// Backoff after a failure to accept a connection, for example because no descriptor is free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// What a server that reads slowly waits before each answer.
+/// Delay of a server with a slow reader before each answer.
 const SLOW_READER_DELAY: Duration = Duration::from_secs(1);
-/// How long a connection is read on after its last line, so that the line is not lost to a reset.
+/// How long input is still read after the last line, so that a reset does not discard that line.
 const LINGER: Duration = Duration::from_millis(500);
 
 fn listening_socket(addr: SocketAddr, backlog: i32) -> io::Result<Socket> {
@@ -41,7 +41,7 @@
     Ok(socket)
 }
 
-/// A connection that nobody accepts.
+/// Opens a connection that is never accepted.
 fn filler(addr: SocketAddr) -> Option<Socket> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None).ok()?;
     socket.set_nonblocking(true).ok()?;
@@ -49,7 +49,7 @@
     Some(socket)
 }
 
-/// Listens as one server towards one relay, as long as the runtime exists.
+/// Listens as one server for one relay, for the lifetime of the runtime.
 pub async fn listen(server: usize, relay: usize, host: Shared) {
     let addr = host.servers[relay][server];
     let mut changes = host.reachability.subscribe();
@@ -66,7 +66,7 @@
         let socket = match listening_socket(addr, backlog) {
             Ok(socket) => socket,
             Err(error) => {
-                let text = format!("{addr} cannot be listened on: {error}");
+                let text = format!("cannot listen on {addr}: {error}");
                 host.with(|day, now, _| day.service.log_event(now, text));
                 tokio::time::sleep(BIND_BACKOFF).await;
                 continue;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Accepts connections as long as the server is open to the relay.
+/// Accepts connections while the server is open to the relay.
 async fn accept(
     server: usize,
     relay: usize,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Ends a connection by a reset.
+/// Sets a connection to end by a reset when it is closed.
 fn reset(stream: &TcpStream) {
     _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -143,30 +143,30 @@
     is_open: bool,
 }
 
-/// Whether a connection's task goes on.
+/// Whether a connection's task continues.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
-    /// The connection is closed, and its session is over by the relay's doing.
+    /// The connection is closed; the relay has ended its session.
     Close,
-    /// The connection has ended already.
+    /// The connection has already ended.
     Ended,
 }
 
-/// The task of one connection.
+/// Task of one connection.
 struct ConnectionTask {
     server: usize,
     relay: usize,
     descriptor: RawFd,
-    /// What befalls the connection.
+    /// Fault that affects the connection.
     fault: Option<ConnectionFault>,
     stream: TcpStream,
-    /// For the models to send commands to this task.
+    /// Channel on which the models send commands to this task.
     sender: mpsc::Sender<ConnectionCommand>,
     reachability: watch::Receiver<u64>,
     host: Shared,
     session: Option<Session>,
-    /// When the first line was received; none once a session has taken it.
+    /// When the first line was received; none after a session has taken it.
     first_byte_at: Option<Micros>,
 }
 
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Waits as long as nothing that the server sends reaches the relay.
+    /// Waits while data sent by the server cannot reach the relay.
     async fn wait_until_reachable(&mut self) {
         while !self.host.day.borrow().servers.can_send(self.server, self.relay) {
             if self.reachability.changed().await.is_err() {
@@ -211,7 +211,7 @@
             Some(session) if session.is_open => self.echo(&line).await,
             _ if line == "PING" || line == "STATS" => self.answer_probe(&line).await,
             None => self.handle_first_line(&line).await,
-            // Lines before the answer are dropped.
+            // Lines received before the answer are dropped.
             Some(_) => Flow::Continue,
         }
     }
@@ -221,7 +221,7 @@
         if self.fault == Some(ConnectionFault::SlowReader) {
             tokio::time::sleep(SLOW_READER_DELAY).await;
         }
-        // The server may have gone silent meanwhile.
+        // The server may have stopped responding in the meantime.
         self.wait_until_reachable().await;
         self.write(&format!("{line}\r\n")).await
     }
@@ -271,12 +271,12 @@
         Flow::Continue
     }
 
-    /// Makes a session known to auditor and models; none where its first line is not one of a client.
+    /// Registers a session with the auditor and the models; none if its first line is not that of a client.
     fn start_session(&self, line: &str, first_byte_at: Micros) -> Option<ConnectionId> {
         let host = &self.host;
         let request = known_request(line, host).or_else(|| foreign_request(line, host));
         let Some(request) = request else {
-            // The auditor knows a client that has left meanwhile, and decides what is wrong.
+            // The auditor knows which clients have left meanwhile, and decides whether this is a breach.
             let mark = lines::parse_first_line(line).map_or(0, |first_line| first_line.mark);
             let server = self.server;
             host.with(|day, now, _| day.audit.unexpected_line(now, first_byte_at, mark, server, line));
@@ -341,7 +341,7 @@
         Flow::Ended
     }
 
-    /// Ends the connection once the relay has read the last line.
+    /// Ends the connection after the relay has read the last line.
     async fn end_after_last_line(&mut self) {
         if let Some(session) = self.session.take() {
             self.host.remove_connection(session.id);
@@ -351,7 +351,7 @@
     }
 }
 
-/// Reads on until the other side ends the connection.
+/// Discards input until the other side ends the connection.
 async fn discard(stream: &TcpStream, host: &Rc<Host>) {
     while stream.readable().await.is_ok() {
         match stream.try_read(&mut host.discarded.borrow_mut()) {
@@ -362,7 +362,7 @@
     }
 }
 
-/// Takes a connection and sends nothing.
+/// Holds a connection open without sending anything.
 async fn hold(stream: &TcpStream, mut commands: mpsc::Receiver<ConnectionCommand>, host: &Rc<Host>) {
     tokio::select! {
         _ = commands.recv() => {}
@@ -370,7 +370,7 @@
     }
 }
 
-/// The request of a client of the models, where its first line is as that client sent it.
+/// The request of a client in the models, if the first line is what that client sent.
 fn known_request(line: &str, host: &Rc<Host>) -> Option<ClientRequest> {
     let FirstLine { mark, unchanged } = lines::parse_first_line(line)?;
     let request = host.requests.borrow().get(&mark)?.clone();
@@ -382,7 +382,7 @@
     (lines::parse_first_line(&sent)?.unchanged == unchanged).then_some(request)
 }
 
-/// The request of a client that is not the models', where such are taken.
+/// The request of a client outside the models, if such clients are accepted.
 fn foreign_request(line: &str, host: &Rc<Host>) -> Option<ClientRequest> {
     let first_line = lines::parse_first_line(line).filter(|_| host.accepts_foreign_clients.get())?;
     let FirstLine { mark, unchanged } = first_line;
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -1,39 +1,39 @@
-//! A relay's configuration for a scenario, as the text that operators write.
+//! A relay's configuration for a scenario, in the format that operators write.
 use crate::list::EndpointList;
 use hallrelay_config::scenario::{KnownList, Listener, Ring, Scenario, Sort};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The longest `Retry-After` in microseconds where the scenario names none.
+/// Maximum `Retry-After` in microseconds if the scenario sets none.
 const DEFAULT_MAX_RETRY_AFTER: u64 = 1_500_000;
-/// Cap on open sessions that no scenario comes near.
+/// Limit of open sessions, far above that of any scenario.
 const MAX_OPEN_SESSIONS: u64 = 1_000_000;
 
-/// Where one relay listens, and what it is given at its start.
+/// Addresses of one relay, and its parameters at start.
 #[derive(Clone, Debug)]
 pub struct RelayPlacement {
     /// Number of the relay.
     pub relay: usize,
-    /// Where it listens for clients.
+    /// Address on which it listens for clients.
     pub listen: SocketAddr,
-    /// Where its discovery listens.
+    /// Address of its discovery.
     pub discovery: SocketAddr,
     /// Seed of its random draws.
     pub seed: u64,
-    /// Where it listens for operators; none where nobody calls.
+    /// Address on which it listens for operators; none if the operator API is not used.
     pub operator: Option<SocketAddr>,
-    /// Directory of its store; none where it stores nothing.
+    /// Directory of its store; none if it has no store.
     pub state: Option<String>,
-    /// Its addresses for the other relays; none where they do not know each other.
+    /// Its addresses for the other relays; none if the relays do not form a cluster.
     pub membership: Option<MembershipAddresses>,
 }
 
-/// Where relays reach each other.
+/// Addresses at which relays reach each other.
 #[derive(Clone, Debug)]
 pub struct MembershipAddresses {
-    /// Where this relay listens for the others.
+    /// Address on which this relay listens for the others.
     pub listen: SocketAddr,
-    /// By relay: where the others reach it.
+    /// By relay: address at which the others reach it.
     pub advertised: Vec<SocketAddr>,
 }
 
@@ -57,7 +57,7 @@
         "DialTimeout": ms(listener.dial_timeout_ms.us())})
 }
 
-/// The balancer's settings of a relay.
+/// The balancer settings of a relay.
 pub fn settings(scenario: &Scenario, relay: usize) -> Value {
     let s = scenario;
     let listeners: Vec<Value> = s.listeners.iter().map(listener_settings).collect();
@@ -82,8 +82,8 @@
         "Instances": s.relays.count, "SlotNo": relay})
 }
 
-/// A relay's whole configuration, with the endpoint list that it last knew; `addr` gives the address at which
-/// it reaches a server.
+/// A relay's complete configuration, with the endpoint list that it last knew. `addr` returns the address at
+/// which it reaches a server.
 pub fn text(
     scenario: &Scenario,
     placement: &RelayPlacement,
@@ -122,7 +122,7 @@
     format!("relay-{relay}")
 }
 
-/// Number of the relay of a name; none where it is no relay's.
+/// Number of the relay with a name; none if the name is not that of a relay.
 pub fn number(name: &str) -> Option<usize> {
     name.strip_prefix("relay-")?.parse().ok()
 }
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,5 +1,5 @@
-//! One server: its capacity, the demand on it and the work that is queued. Loads are whole millionths of a
-//! core of speed 1, work is such a load times microseconds, so that sums are exact.
+//! One server: its capacity, the demand on it, and its queued work. Loads are integer millionths of a core
+//! of speed 1, and work is such a load multiplied by microseconds, so that sums are exact.
 use hallrelay_balancer::types::Micros;
 
 /// Millionths of a core of speed 1.
@@ -10,49 +10,50 @@
 /// One core of speed 1.
 pub const CORE: Cores = 1_000_000;
 
-/// What a machine is, whatever happens to it.
+/// Fixed properties of a machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Number of cores.
     pub cores: u32,
     /// Speed of one core.
     pub speed: Cores,
-    /// Fraction of its capacity with which it starts, from 0 to 1.
+    /// Fraction of its capacity that is available at its start, from 0 to 1.
     pub initial_capacity: f64,
-    /// How long it warms up after a start, in microseconds.
+    /// Duration of the warm-up after a start, in microseconds.
     pub warm_up: Micros,
-    /// Whether it gets its whole capacity at once when it has warmed up; otherwise linearly until then.
+    /// Whether its full capacity becomes available only at the end of the warm-up; otherwise capacity grows
+    /// linearly until then.
     pub warms_at_end: bool,
-    /// Work that overloads it while it warms up, as a multiple of what it can do in the overload window.
+    /// Work that overloads it during the warm-up, as a multiple of its capacity over the overload window.
     pub overload_multiple: f64,
     /// Overload window, in microseconds.
     pub overload_window: Micros,
 }
 
-/// Whether a server serves, and if not, how connections to it fail.
+/// Whether a server serves, and how connections to it fail otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     /// It serves.
     Up,
-    /// The process is dead: connections are reset and refused.
+    /// The process has exited: connections are reset and refused.
     Down,
-    /// The machine sends nothing any more, and resets nothing.
+    /// The machine sends nothing, not even resets.
     Silent,
     /// It was overloaded while it warmed up, and stays down.
     Overloaded,
 }
 
-/// Work received in a window of time, as a ring of buckets.
+/// Work received in a time window, as a ring of buckets.
 #[derive(Clone, Debug)]
 struct WorkWindow {
     bucket_width: Micros,
-    /// The bucket that is filled now, counted from the start.
+    /// Bucket that is being filled, counted from the start.
     last_bucket: u64,
     buckets: [Work; WorkWindow::BUCKETS],
 }
 
 impl WorkWindow {
-    /// Old work leaves the window in steps of a bucket.
+    /// Work leaves the window in steps of one bucket.
     const BUCKETS: usize = 100;
 
     fn new(length: Micros) -> WorkWindow {
@@ -76,7 +77,7 @@
     }
 }
 
-/// One server. Calls come in order of time; those that change the demand are preceded by `advance`.
+/// One server. Calls are made in chronological order, and `advance` precedes calls that change the demand.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// The machine it runs on.
@@ -85,29 +86,29 @@
     pub state: ServerState,
     /// Whether it drains.
     pub is_draining: bool,
-    /// When it started last; 0 is long ago.
+    /// Time of its last start; 0 means long ago.
     pub started_at: Micros,
-    /// How many times slower than usual it is, in millionths; 1,000,000 is the usual speed.
+    /// Slowdown factor in millionths; 1,000,000 is the usual speed.
     pub slowdown: u64,
-    /// Since when it does no work at all; none where it works.
+    /// Since when it processes no work; none if it is not stalled.
     pub stalled_since: Option<Micros>,
-    /// All work received since it was created.
+    /// Total work received since it was created.
     pub total_work: Work,
     demand: Cores,
     queued_work: Work,
     advanced_to: Micros,
     recent_work: WorkWindow,
-    /// The part of it received through relays that were notified of the start.
+    /// Part of the recent work that came through relays notified of the start.
     recent_notified_work: WorkWindow,
-    /// The part of the demand that comes through such relays.
+    /// Part of the demand that comes through these relays.
     notified_demand: Cores,
 }
 
 impl Server {
-    /// Queued work beyond this, in time at full capacity, is dropped.
+    /// Maximum queued work, as time at full capacity; work beyond it is dropped.
     const MAX_QUEUE_DELAY: Micros = 4_000_000;
 
-    /// A server that is up, started long ago and has no demand.
+    /// Creates a server that is up, started long ago and has no demand.
     pub fn new(machine: Machine, now: Micros) -> Server {
         let window = WorkWindow::new(machine.overload_window);
         Server {
@@ -132,7 +133,7 @@
         self.started_at > 0 && now < self.started_at + self.machine.warm_up
     }
 
-    /// The part of its full capacity that it has now, from 0 to 1.
+    /// Fraction of its full capacity that is available now, from 0 to 1.
     fn warm_up_fraction(&self, now: Micros) -> f64 {
         if !self.is_warming_up(now) {
             return 1.0;
@@ -142,7 +143,7 @@
         self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * gained
     }
 
-    /// Capacity of all its cores now, were it not stalled; at least 1.
+    /// Current capacity of all cores, as if not stalled; at least 1.
     pub fn capacity(&self, now: Micros) -> Cores {
         let full = Cores::from(self.machine.cores) * self.machine.speed;
         let slowed = full as u128 * u128::from(CORE) / u128::from(self.slowdown.max(CORE));
@@ -159,7 +160,7 @@
         self.demand as f64 / self.capacity(now) as f64
     }
 
-    /// Starts anew, warming up, without demand and queued work.
+    /// Restarts the server: it warms up, without demand or queued work.
     pub fn restart(&mut self, now: Micros) {
         let window = WorkWindow::new(self.machine.overload_window);
         self.state = ServerState::Up;
@@ -173,10 +174,10 @@
         self.recent_notified_work = window;
     }
 
-    /// Brings the work up to now. Returns whether the server is overloaded by it.
+    /// Advances the work to `now`. Returns whether this overloads the server.
     pub fn advance(&mut self, now: Micros) -> bool {
-        // Capacity and window of a server that warms up are read in steps of a bucket; all else is constant
-        // in between.
+        // While the server warms up, capacity and window are evaluated once per bucket. Everything else is
+        // constant between calls.
         while self.advanced_to < now {
             let warming_up = self.is_warming_up(self.advanced_to) && self.state == ServerState::Up;
             let until = if warming_up { self.next_bucket_at().min(now) } else { now };
@@ -215,7 +216,7 @@
         self.check_overload(from)
     }
 
-    /// The budget holds for any window of the length: a multiple of what it can do in that time.
+    /// The budget applies to every window of that length: a multiple of the capacity over the window.
     fn check_overload(&mut self, now: Micros) -> bool {
         let window = self.machine.overload_window as f64;
         let budget = self.machine.overload_multiple * self.capacity(now) as f64 * window;
@@ -226,13 +227,13 @@
         is_overloaded
     }
 
-    /// Whether relays that were notified of the start caused an overload: two thirds of the work was
-    /// received through them.
+    /// Whether relays that were notified of the start caused an overload, that is, if at least two thirds of
+    /// the work came through them.
     pub fn is_overload_by_notified(&self) -> bool {
         self.recent_notified_work.sum() * 3 >= self.recent_work.sum() * 2
     }
 
-    /// Queues work that comes at once. Returns whether the server is overloaded by it.
+    /// Queues work that arrives at one moment. Returns whether this overloads the server.
     pub fn add_work(&mut self, now: Micros, work: Work, is_notified: bool) -> bool {
         if self.state != ServerState::Up {
             return false;
@@ -248,7 +249,7 @@
         self.check_overload(now)
     }
 
-    /// Changes the demand; `is_notified` where it comes through a relay that was notified of the start.
+    /// Changes the demand. `is_notified` means that it comes through a relay notified of the start.
     pub fn change_demand(&mut self, added: Cores, removed: Cores, is_notified: bool) {
         self.demand = (self.demand + added).saturating_sub(removed);
         if is_notified {
@@ -256,7 +257,7 @@
         }
     }
 
-    /// A relay has been notified of the start: its demand counts as such from now on.
+    /// A relay has been notified of the start: its demand counts as notified from now on.
     pub fn relay_notified(&mut self, demand: Cores) {
         self.notified_demand = (self.notified_demand + demand).min(self.demand);
     }
@@ -266,13 +267,13 @@
         self.queued_work as f64 / self.capacity(now) as f64 / 1e6
     }
 
-    /// Latency of a message that comes now, in microseconds.
+    /// Latency of a message that arrives now, in microseconds.
     pub fn message_delay(&self, now: Micros) -> Micros {
         let stalled_for = self.stalled_since.map_or(0, |since| now.saturating_sub(since));
         stalled_for + self.queued_work / self.capacity(now)
     }
 
-    /// When work that comes now is done: one core does it, after all that is queued.
+    /// Completion time of work that arrives now: one core processes it after all queued work.
     pub fn completion_time(&self, now: Micros, work: Work) -> Micros {
         let core_speed =
             (self.machine.speed as u128 * u128::from(CORE) / u128::from(self.slowdown.max(CORE))).max(1);
--- a/emulator/tests/lines.rs
+++ b/emulator/tests/lines.rs
@@ -1,9 +1,10 @@
-//! First lines as clients write and servers read them.
+//! First lines as clients format them and servers parse them.
 use hallrelay_emulator::clients::ClientRequest;
 use hallrelay_emulator::net::lines::{first_line, parse_first_line};
 
+/// A relay may change only the remaining time of a first line.
 #[test]
-fn a_line_is_the_clients_own_whatever_wait_it_names() {
+fn first_line_identifies_request_ignoring_timeout() {
     let request = ClientRequest {
         mark: 0xab,
         relay: 0,
@@ -18,7 +19,7 @@
     };
     let line = first_line(&request, "low", None);
     assert_eq!(line, "OPEN 00000000000000ab 0000000000000007 c=low,d=1800,g=0000000000000009,again=1");
-    let parsed = parse_first_line(&line).expect("it is well formed");
+    let parsed = parse_first_line(&line).expect("parse the line that first_line formatted");
     assert_eq!(parsed.mark, 0xab);
     assert_eq!(parse_first_line(&line.replace("d=1800", "d=7")), Some(parsed.clone()));
     assert_ne!(parse_first_line(&line.replace("c=low", "c=high")), Some(parsed));
--- a/emulator/tests/server.rs
+++ b/emulator/tests/server.rs
@@ -1,4 +1,4 @@
-//! One server by itself: overload while it warms up, queued work, warm-up.
+//! A single server: overload while it warms up, queued work, and capacity during warm-up.
 use hallrelay_emulator::server::{Machine, Server, ServerState, CORE};
 
 fn machine() -> Machine {
@@ -19,9 +19,9 @@
     server
 }
 
-/// Its capacity is half a core while it warms up, so 1.5 cores for two seconds overload it.
+/// The capacity is 0.5 cores during warm-up, so a demand of 1.5 cores for 2 s overloads the server.
 #[test]
-fn falls_at_multiple_and_time_and_not_one_step_below() {
+fn sustained_demand_overloads_exactly_at_the_budget() {
     for (demand, until, is_overloaded) in [
         (1_500_000, 3_000_000, true),
         (1_500_000, 2_999_999, false),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn falls_by_one_burst_of_the_whole_budget() {
+fn burst_of_the_full_budget_overloads() {
     let budget = 1_500_000 * 2_000_000;
     let mut server = started();
     assert!(!server.add_work(1_000_000, budget - 1, true));
@@ -47,9 +47,9 @@
     assert!(!unnotified.is_overload_by_notified());
 }
 
-/// Work older than the window does not count; a server that has warmed up is never overloaded.
+/// Work older than the window does not count, and a server that has warmed up is never overloaded.
 #[test]
-fn old_work_leaves_the_window_and_warm_servers_stand() {
+fn neither_old_work_nor_warm_server_overloads() {
     let mut server = started();
     server.add_work(1_000_000, 1_500_000 * 1_900_000, true);
     assert!(!server.advance(3_100_000));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn work_piles_up_and_is_worked_off() {
+fn excess_work_is_queued_and_processed_later() {
     let mut server = Server::new(machine(), 0);
     server.change_demand(3_000_000, 0, true);
     server.advance(1_000_000);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn warms_bit_by_bit() {
+fn capacity_grows_linearly_during_warm_up() {
     let mut server = Server::new(Machine { warms_at_end: false, ..machine() }, 0);
     server.restart(1_000_000);
     assert_eq!(server.capacity(1_000_000), 500_000);
