--- a/emulator/src/membership_audit.rs
+++ b/emulator/src/membership_audit.rs
@@ -51,7 +51,7 @@
 /// One incorrect view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finding {
-    /// When it was found, in seconds since the day began.
+    /// When it was found, in seconds since the start of the day.
     pub at: f64,
     /// Kind of the violation.
     #[serde(rename = "wrong")]
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -14,7 +14,7 @@
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// A relay that does not accept a connection within this time is treated as dead.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client waits for lines after its final answer. Any such line breaks rule 1.
+/// Time that a client waits for lines after its final answer, since any such line breaks rule 1.
 const AFTER_ANSWER: Duration = Duration::from_millis(500);
 
 /// Returns whether a relay answers `PING`.
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -100,10 +100,10 @@
 fn respond(relay: usize, request: &Request<Incoming>, host: &Shared) -> Response<Body> {
     if host.list_down.get() {
         host.day.borrow_mut().audit.list_call_failed(relay);
-        return response(StatusCode::SERVICE_UNAVAILABLE, "discovery is unavailable\n");
+        return response(StatusCode::SERVICE_UNAVAILABLE, "down\n");
     }
     if request.uri().path() != "/registry/instances" {
-        return response(StatusCode::NOT_FOUND, "not found; use /registry/instances\n");
+        return response(StatusCode::NOT_FOUND, "no such place\n");
     }
     let query = request.uri().query().unwrap_or("");
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 struct WorkWindow {
     bucket_width: Micros,
-    /// Bucket that is being filled, counted from the start.
+    /// Bucket that is being filled, counted from the server's start.
     last_bucket: u64,
     buckets: [Work; WorkWindow::BUCKETS],
 }
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -195,7 +195,7 @@
 pub struct Counts {
     /// First lines received.
     pub dials: u64,
-    /// Health checks answered.
+    /// Probes answered.
     pub probes: u64,
     /// Work of session set-ups.
     pub setup: Work,
@@ -230,7 +230,7 @@
     store_free_at: Micros,
     store_slowdown: f64,
     random: Random,
-    /// Counts since the day began.
+    /// Counts since the start of the day.
     pub counts: Counts,
     now: Micros,
 }
--- a/emulator/src/service/outcome.rs
+++ b/emulator/src/service/outcome.rs
@@ -108,11 +108,11 @@
     pub figure: f64,
     /// Utility well served over the day, as a fraction of the utility requested.
     pub whole: f64,
-    /// The same for the worst 10 s.
+    /// Utility well served in the worst 10 s, as a fraction of the utility requested in them.
     pub worst_window: f64,
-    /// The same for the worst listener.
+    /// Session time well served for the worst listener, as a fraction of its session time requested.
     pub worst_listener: f64,
-    /// Prices of migrations, health checks, dials and wasted work.
+    /// Prices of migrations, probes, dials and wasted work.
     pub prices: f64,
     /// By listener.
     pub listeners: Vec<ListenerFigures>,
@@ -122,7 +122,7 @@
     pub breaks: u64,
     /// First lines that servers received.
     pub dials: u64,
-    /// Health checks that servers answered.
+    /// Probes that servers answered.
     pub probes: u64,
     /// Work of set-ups whose sessions never opened, as a fraction of all work.
     pub wasted: f64,
