--- a/disruption/src/analysis.rs
+++ b/disruption/src/analysis.rs
@@ -2,15 +2,16 @@
 //! same time.
 use serde::{Deserialize, Serialize};
 
-/// Number of standard errors by which the failure rate must exceed the bound for an early failure.
+/// Number of standard errors by which the new build's failure rate must exceed the allowed rate for an early
+/// failure. The allowed rate is that of the old build plus the margin of the policy.
 const EARLY_STANDARD_ERRORS: f64 = 3.0;
 /// An analysis may fail early once it has this fraction (1/4) of the required sessions.
 const EARLY_DIVISOR: u64 = 4;
-/// Bounds of the failure rate for the estimate of the standard error.
+/// Bounds of the failure rate in the estimate of the standard error, which would be 0 at a rate of 0 or 1.
 const ESTIMATE_BOUNDS: (f64, f64) = (0.01, 0.99);
 
-/// Numbers of all sessions and of failed sessions, which were refused, failed, or were reset after they were
-/// established.
+/// Numbers of all sessions and of the failed ones. A failed session was refused, failed, or was reset after
+/// it was established.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionCounts {
     /// Sessions that received a final response, or ended after they were established.
@@ -26,7 +27,7 @@
         self.failed += other.failed;
     }
 
-    /// The counts since an earlier count.
+    /// The difference between these counts and earlier ones.
     pub fn since(self, earlier: SessionCounts) -> SessionCounts {
         SessionCounts {
             sessions: self.sessions.saturating_sub(earlier.sessions),
@@ -59,7 +60,7 @@
 pub struct Verdict {
     /// Whether the rollout may continue.
     pub passed: bool,
-    /// The session counts, for operators.
+    /// The reason of the verdict, for operators: the numbers of all and of failed sessions.
     pub reason: String,
 }
 
--- a/disruption/src/command.rs
+++ b/disruption/src/command.rs
@@ -1,4 +1,8 @@
 //! The commands of the replicated log, their encoding, and the outcome of applying them.
+//!
+//! A lease is the right of one target to be out of service. A request asks for the lease. A grant gives it
+//! under a new number, the lease id, and makes the target its holder. A disruption is the time during which a
+//! holder is out of service.
 use crate::budget::Budget;
 use crate::error::CommandError;
 use crate::limits::{MAX_BUDGETS, MAX_NAME_BYTES, MAX_REASON_BYTES};
@@ -6,9 +10,10 @@
 use crate::target::{FailureDomain, HealthState, Target};
 use serde::{Deserialize, Serialize};
 
-/// Version of the encoding of commands and states, and of the effect of commands. It must be raised with each
-/// change that an older voter would apply differently. A voter that receives a later version stops applying
-/// commands, so all voters must run a new build before its new commands are used.
+/// Version of the encoding of commands and states, and of the effect of commands. Raise it with each change
+/// after which a voter of an older build would decode or apply a command differently. A voter that receives a
+/// command of another version stops applying commands. All voters must therefore run the new build before
+/// its new commands are used.
 pub const VERSION: u8 = 1;
 
 /// A command of the replicated log.
@@ -21,7 +26,7 @@
     Observe {
         /// The observed target.
         target: Target,
-        /// The failure domains that it belongs to.
+        /// Its zone, its kind of machine and its group.
         domain: FailureDomain,
         /// Its health.
         health: HealthState,
@@ -44,24 +49,24 @@
     Withdraw {
         /// The requested target.
         target: Target,
-        /// The request's id.
+        /// The id of the request.
         request_id: u64,
     },
     /// Begins a granted disruption. The holder goes out of service only once this command is committed.
     Begin {
-        /// The holder.
+        /// The holder of the lease.
         target: Target,
-        /// The grant.
+        /// The lease id of the grant.
         lease_id: u64,
     },
     /// Ends a grant whose disruption was not begun in time.
     Expire {
-        /// The holder.
+        /// The holder of the lease.
         target: Target,
-        /// The grant.
+        /// The lease id of the grant.
         lease_id: u64,
     },
-    /// Ends a disruption: the target returns to service, or has returned.
+    /// Ends a disruption: the target should be serving again. Its lease ends once it is observed to be up.
     Return {
         /// The returning target.
         target: Target,
@@ -70,23 +75,23 @@
     Reclaim {
         /// The target.
         target: Target,
-        /// The person, by name.
+        /// The name of that person.
         requested_by: String,
     },
     /// Starts a rollout if none is in progress.
     StartRollout {
-        /// Its plan.
+        /// The plan of the rollout.
         plan: RolloutPlan,
     },
-    /// Reports that a target that was out for the rollout was updated, or that the update failed.
+    /// Reports the result of the update, or of the rollback, of a target that is out for the rollout.
     MarkDone {
         /// The target.
         target: Target,
-        /// The grant under which it was taken out of service.
+        /// The lease id of the grant under which the target went out of service.
         lease_id: u64,
-        /// Whether the update succeeded.
+        /// Whether the update or the rollback succeeded.
         succeeded: bool,
-        /// Why the update failed; empty if it succeeded.
+        /// Why it failed; empty if it succeeded.
         reason: String,
     },
     /// Records the verdict of the leader's analysis of a wave.
@@ -95,7 +100,7 @@
         wave: u64,
         /// Whether the rollout may continue.
         passed: bool,
-        /// The session counts, for operators.
+        /// The reason of the verdict, for operators: the numbers of all and of failed sessions.
         reason: String,
     },
     /// Halts the rollout. It begins no disruption after this command.
@@ -105,7 +110,7 @@
         /// The reason, for operators.
         reason: String,
     },
-    /// Resumes a halted rollout, forwards or back as before the halt.
+    /// Resumes a halted rollout: the update if that was halted, or the rollback.
     Resume {
         /// The person who resumes it.
         requested_by: String,
@@ -124,12 +129,12 @@
     Done,
     /// The request is granted.
     Granted {
-        /// The grant, which the holder may begin.
+        /// The lease id of the grant, with which the holder may begin its disruption.
         lease_id: u64,
     },
     /// The target is already out of service for the same request.
     AlreadyOut {
-        /// Its grant.
+        /// The lease id of the grant under which the target went out of service.
         lease_id: u64,
     },
     /// The target has another request.
@@ -157,8 +162,8 @@
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// Decodes the output of `encode`. Fails with `UnsupportedVersion` for other bytes, and with
-    /// `LimitExceeded` for a command that does not pass [`validate`](Command::validate).
+    /// Decodes the output of `encode`. Fails with `UnsupportedVersion` for another version and for malformed
+    /// bytes, and with `LimitExceeded` for a command that does not pass [`validate`](Command::validate).
     pub fn decode(bytes: &[u8]) -> Result<Command, CommandError> {
         let Some((&VERSION, rest)) = bytes.split_first() else {
             return Err(CommandError::UnsupportedVersion);
@@ -168,7 +173,8 @@
         Ok(command)
     }
 
-    /// Checks names, reasons and counts against the limits.
+    /// Checks names, reasons and counts against the limits, and a plan with [`RolloutPlan::validate`]. The
+    /// error does not tell which one is out of bounds; its text lists the limits.
     pub fn validate(&self) -> Result<(), CommandError> {
         let name_fits = |text: &str| text.len() <= MAX_NAME_BYTES;
         let reason_fits = |text: &str| text.len() <= MAX_REASON_BYTES;
--- a/disruption/src/lease.rs
+++ b/disruption/src/lease.rs
@@ -1,4 +1,5 @@
-//! The lease of one target: the right to be out of service, from the request until the return.
+//! The lease of one target: the right to be out of service, from the request until the return. A granted
+//! lease makes the target its holder.
 use crate::error::CommandError;
 use crate::target::{FailureDomain, HealthState};
 use serde::{Deserialize, Serialize};
@@ -13,7 +14,7 @@
     InService,
     /// The lease is requested, but a budget has no capacity for it.
     Waiting,
-    /// The holder may go out of service, but has not begun to.
+    /// The holder may go out of service, but its disruption has not begun.
     Granted,
     /// The holder is out of service.
     Out,
@@ -99,7 +100,7 @@
     pub health: HealthState,
     /// The stage on the way out of service and back.
     pub state: LeaseState,
-    /// Number of the grant, a monotonically increasing fencing token; 0 without a grant.
+    /// Lease id: the number of the grant, a monotonically increasing fencing token; 0 without a grant.
     pub lease_id: u64,
     /// Number of the request, its idempotency key; 0 without a request.
     pub request_id: u64,
--- a/disruption/src/plan.rs
+++ b/disruption/src/plan.rs
@@ -5,15 +5,16 @@
 use crate::target::TargetKind;
 use serde::{Deserialize, Serialize};
 
-/// One wave of a rollout. It has the named targets, and further targets in the order of their names. The
-/// number of further targets is the sum of the count and the share.
+/// One wave of a rollout: the targets in `names`, and `count` plus `share_ppm` other targets. The others are
+/// taken in the order of their names from the targets that no wave names and no earlier wave selected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Wave {
     /// Names of targets that belong to this wave.
     pub names: Vec<String>,
-    /// Number of further targets.
+    /// Number of targets to select in addition to `names`.
     pub count: u32,
-    /// Further targets as a share of all known targets, in millionths, rounded up.
+    /// Number of targets to select in addition to `names` and `count`: a share of all known targets of the
+    /// plan's kind, in millionths, rounded up.
     #[serde(rename = "part")]
     pub share_ppm: u32,
 }
@@ -37,7 +38,8 @@
 }
 
 impl RolloutPlan {
-    /// Checks the plan against the limits. Each wave must select targets.
+    /// Checks the plan against the limits. Each wave must name a target or have a count or share above 0.
+    /// The text of [`InvalidPlan`] lists all conditions, not the one that is not met.
     pub fn validate(&self) -> Result<(), InvalidPlan> {
         let fits = |text: &String| !text.is_empty() && text.len() <= MAX_NAME_BYTES;
         let selects = |wave: &Wave| !wave.names.is_empty() || wave.count > 0 || wave.share_ppm > 0;
--- a/disruption/src/rollout.rs
+++ b/disruption/src/rollout.rs
@@ -1,12 +1,13 @@
 //! A rollout takes waves of relays or backends out of service, waits for the deployer to update them, and
-//! returns them to service. It is part of the replicated state and advances only by commands. Therefore a
-//! relay that crashes loses no step, and no disruption begins after a halt is committed.
+//! returns them to service. The deployer installs the builds and reports each result with the command
+//! `MarkDone`. The rollout is part of the replicated state and advances only by commands. Therefore the crash
+//! of a relay loses no step, and no disruption begins after a halt is committed.
 use crate::error::CommandError;
 use crate::plan::{RolloutPlan, Wave};
 use crate::target::Target;
 use serde::{Deserialize, Serialize};
 
-/// The progress of one target.
+/// The progress of one target of a rollout. "It" is the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemState {
     /// Its update has not begun.
@@ -18,7 +19,7 @@
     Updated,
     /// It has the new build and is in service.
     Complete,
-    /// Its lease is requested for the return to the old build.
+    /// Its lease is requested for the rollback. The deployer installs the old build once it is granted.
     RollingBack,
     /// It has the old build again but has not been observed to be up yet.
     Reverted,
--- a/disruption/src/state/leases.rs
+++ b/disruption/src/state/leases.rs
@@ -16,8 +16,8 @@
         self.leases.get_mut(target).ok_or(CommandError::UnknownTarget)?.apply(event)
     }
 
-    /// Applies an event to a target's lease if the grant is the current one. A late command for an earlier
-    /// grant is stale.
+    /// Applies an event to a target's lease if `lease_id` is that of its current grant. A late command for an
+    /// earlier grant is stale, and so is lease id 0, which stands for no grant.
     pub(super) fn apply_to_grant(
         &mut self,
         target: &Target,
@@ -97,6 +97,7 @@
         if before == LeaseState::InService && waiting >= MAX_WAITING && !request.force {
             return Err(CommandError::LimitExceeded);
         }
+        // Numbers may be skipped: a request that is repeated or rejected below leaves its number unused.
         self.last_queue_number += 1;
         if before == LeaseState::Returning {
             // The target may be requested again once it is in service.
--- a/disruption/src/state/rollout.rs
+++ b/disruption/src/state/rollout.rs
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Records that a target that was out for the rollout was changed. A failure halts the rollout.
+    /// Records the result of the update or rollback of a target that is out for the rollout. A failure halts
+    /// the rollout.
     pub(super) fn mark_done(
         &mut self,
         target: &Target,
@@ -95,7 +96,7 @@
             return self.control_rollout(RolloutEvent::Failed, &reason);
         }
         item.state = next;
-        // The target is out, so the return event applies.
+        // The target is out of service, so this cannot be rejected.
         self.return_to_service(target)
     }
 
--- a/disruption/src/target.rs
+++ b/disruption/src/target.rs
@@ -53,14 +53,15 @@
     }
 }
 
-/// The failure domains that a target belongs to. An empty name is a valid domain.
+/// The failure domains that a target belongs to: one zone, one kind of machine and one group, by name.
+/// Targets with the same name of a zone, kind or group share that domain, also if the name is empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FailureDomain {
     /// The availability zone.
     pub zone: String,
-    /// The kind of machine.
+    /// The kind of machine. It is not the [`TargetKind`].
     pub kind: String,
-    /// A group of relays, or a backend's cell.
+    /// The group of a relay, or the cell of a backend.
     pub group: String,
 }
 
--- a/disruption/tests/leases.rs
+++ b/disruption/tests/leases.rs
@@ -35,6 +35,10 @@
     state.apply(&Command::Request { target: relay(name), request_id, requested_by, reason, force })
 }
 
+fn assert_granted(outcome: &Outcome) {
+    assert!(matches!(outcome, Outcome::Granted { .. }), "expected a grant, got {outcome:?}");
+}
+
 /// The budget that blocks a waiting request.
 fn blocked_by(outcome: Outcome) -> BlockedBy {
     match outcome {
@@ -95,13 +99,13 @@
     // A quarter of 6 relays is 1. Half of a zone is 1 of 2 relays, or 2 of 4.
     let half = budget(Scope::Zone, None, Some(500_000));
     let mut s = fleet(vec![half.clone()]);
-    assert!(matches!(request(&mut s, "a", 1, false), Outcome::Granted { .. }));
-    assert!(matches!(request(&mut s, "b", 2, false), Outcome::Granted { .. }));
+    assert_granted(&request(&mut s, "a", 1, false));
+    assert_granted(&request(&mut s, "b", 2, false));
     assert_eq!(blocked_by(request(&mut s, "c", 3, false)).limit, "at most 2 relay of zone east");
-    assert!(matches!(request(&mut s, "e", 4, false), Outcome::Granted { .. }));
+    assert_granted(&request(&mut s, "e", 4, false));
     assert_eq!(blocked_by(request(&mut s, "f", 5, false)).limit, "at most 1 relay of zone west");
     let mut s = fleet(vec![half, budget(Scope::Fleet, Some(3), Some(250_000))]);
-    assert!(matches!(request(&mut s, "a", 1, false), Outcome::Granted { .. }));
+    assert_granted(&request(&mut s, "a", 1, false));
     assert_eq!(blocked_by(request(&mut s, "e", 2, false)).limit, "at most 1 relay of the fleet");
 }
 
@@ -133,7 +137,7 @@
     let mut s = fleet(vec![budget(Scope::Fleet, Some(0), None)]);
     blocked_by(request(&mut s, "a", 1, false));
     assert_eq!(request(&mut s, "b", 2, true), Outcome::Granted { lease_id: 1 }, "a forced request");
-    assert!(s.lease(&relay("b")).expect("look up the lease of relay b").forced);
+    assert!(s.lease(&relay("b")).expect("look up the lease of relay b").forced, "relay b: lease not forced");
     assert_eq!(s.apply(&Command::Withdraw { target: relay("a"), request_id: 1 }), Outcome::Done);
     assert_eq!(lease_state(&s, "a"), LeaseState::InService);
     assert_eq!(request(&mut s, "unknown", 3, false), Outcome::Rejected(CommandError::UnknownTarget));
@@ -154,7 +158,7 @@
     assert_eq!(Command::decode(&[2, 0]), Err(CommandError::UnsupportedVersion));
     assert_eq!(Command::decode(&[]), Err(CommandError::UnsupportedVersion));
     let mut bytes = Command::Return { target: relay("a") }.encode();
-    assert!(Command::decode(&bytes).is_ok());
+    assert_eq!(Command::decode(&bytes), Ok(Command::Return { target: relay("a") }));
     bytes.truncate(2);
     assert_eq!(Command::decode(&bytes), Err(CommandError::UnsupportedVersion));
 }
--- a/model_checker/src/cluster/canonical.rs
+++ b/model_checker/src/cluster/canonical.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Drops messages of an earlier term than their recipient's, except membership messages.
+/// Drops the messages of an earlier term than that of their recipient, except membership messages, which a
+/// recipient handles in any term.
 fn drop_stale_messages(state: &mut ClusterState) {
     let terms: Vec<Term> =
         state.servers.iter().map(|server| server.node.as_ref().map_or(0, Node::term)).collect();
--- a/model_checker/src/cluster/enabled.rs
+++ b/model_checker/src/cluster/enabled.rs
@@ -5,7 +5,8 @@
 use hallrelay_raft::Node;
 
 impl ClusterModel {
-    /// All enabled transitions: those of servers, then of holders, then of messages.
+    /// All enabled transitions: for each server its own and, if it is a leader, those between it and the
+    /// holders; then the failures of holders; then the messages.
     pub(super) fn enabled(&self, state: &ClusterState) -> Vec<Transition> {
         let mut enabled = Vec::new();
         for server in 0..state.servers.len() {
@@ -27,8 +28,9 @@
         node: &Node,
         enabled: &mut Vec<Transition>,
     ) {
-        // With slow disks each server times out only once, which reduces the states to a quarter.
-        let may_time_out = !self.slow_disks || state.timed_out & 1 << server == 0;
+        // With slow disks each server times out at most once. This reduces the number of states to a quarter.
+        // Paths on which one server times out twice are not searched then.
+        let may_time_out = !self.slow_disks || !state.has_timed_out(server);
         if state.limits.election_timeouts > 0 && may_time_out {
             enabled.push(Transition::ElectionTimeout(server));
         }
@@ -38,8 +40,9 @@
         if !state.servers[server].pending_writes.is_empty() {
             enabled.push(Transition::WriteDurable(server));
         }
-        // Without a leader in the initial state the servers are symmetric, so crashes of one server suffice.
-        if state.limits.crashes > 0 && (self.starts_with_leader || server + 1 == self.voters) {
+        // Without a leader in the initial state the servers differ only in their ids, so crashes of the last
+        // server stand for those of any other. The scenarios with disk losses start with a leader.
+        if state.limits.crashes > 0 && (self.starts_with_leader || server + 1 == self.voter_count) {
             enabled.push(Transition::Crash(server));
         }
         if state.limits.disk_losses > 0 {
@@ -51,14 +54,15 @@
     }
 }
 
-/// Adds the transitions of a leader on behalf of each holder.
+/// Adds the transitions between a leader and each holder: the requests of the holder that this leader
+/// receives, and the leader's own proposals about the holder's lease and health.
 fn add_leader_transitions(state: &ClusterState, leader: usize, enabled: &mut Vec<Transition>) {
     for (position, holder) in state.holders.iter().enumerate() {
         let is_up = holder.health == Health::Up;
-        if state.limits.requests > 0 && holder.lease_id == 0 && is_up {
+        if state.limits.requests > 0 && !holder.has_lease() && is_up {
             enabled.push(Transition::RequestLease { holder: position, leader });
         }
-        if state.limits.requests > 0 && holder.lease_id > 0 && !holder.is_out && is_up {
+        if state.limits.requests > 0 && holder.has_lease() && !holder.is_out && is_up {
             enabled.push(Transition::BeginDisruption { holder: position, leader });
         }
         if holder.is_out && is_up {
@@ -73,12 +77,13 @@
     }
 }
 
-/// Adds the failure, the start and the warm-up of the first holder.
+/// Adds the failure, the start and the warm-up of the first holder. Other holders do not fail: holders differ
+/// only in their names unless the first one starts disrupted, so the first stands for any other.
 fn add_holder_transitions(state: &ClusterState, enabled: &mut Vec<Transition>) {
     let Some(holder) = state.holders.first() else { return };
     match holder.health {
         Health::Up => {
-            let may_fail = state.limits.holder_failures > 0 && !holder.is_out && holder.lease_id == 0;
+            let may_fail = state.limits.holder_failures > 0 && !holder.is_out && !holder.has_lease();
             if may_fail {
                 enabled.push(Transition::HolderFails(0));
             }
--- a/model_checker/src/cluster/execution.rs
+++ b/model_checker/src/cluster/execution.rs
@@ -5,8 +5,9 @@
 use hallrelay_disruption::{Command, HealthState, Outcome, State as StateMachine};
 use hallrelay_raft::{Effect, Event, Id, Message, MessageBody, Node, Role, Snapshot, Term, Voter, Write};
 
-/// Maximum number of holders. Proposals are numbered `request * HOLDERS + holder`.
-const HOLDERS: u64 = 8;
+/// Maximum number of holders. A proposal id is `request * MAX_HOLDERS + holder`, so that the holder follows
+/// from the id.
+const MAX_HOLDERS: u64 = 8;
 /// Maximum number of messages and writes that are handled until none is pending.
 const MAX_SETTLE_STEPS: usize = 400;
 
@@ -58,7 +59,8 @@
                 Effect::LeadershipChanged { is_leader: true, term } => {
                     record_leader(state, id_of(position), term);
                 }
-                // The search chooses when timers expire. A rejected proposal has no effect in the model.
+                // The search decides when a timer expires, so the model sets none. A rejected proposal has no
+                // effect in the model.
                 Effect::LeadershipChanged { .. }
                 | Effect::SetTimer(_)
                 | Effect::ProposalRejected { .. }
@@ -85,13 +87,13 @@
         self.step(state, position, Event::WritesDurable(number));
     }
 
-    /// Applies a committed command. If it was proposed at this server, the holder receives the outcome.
+    /// Applies a committed command. If the command was proposed at this server, the holder gets its outcome.
     fn apply(&self, state: &mut ClusterState, position: usize, command: &[u8], proposal_id: Option<u64>) {
         let Ok(command) = Command::decode(command) else { return };
         let committed_health = committed_health(&command);
         let command = self.mutated_command(command);
         let outcome = state.server_mut(position).state_machine.apply(&command);
-        let holder = proposal_id.map(|proposal_id| (proposal_id % HOLDERS) as usize);
+        let holder = proposal_id.map(|proposal_id| (proposal_id % MAX_HOLDERS) as usize);
         let Some(holder) = holder.filter(|holder| *holder < state.holders.len()) else { return };
         match committed_health {
             Some(HealthState::Up) => {
@@ -152,7 +154,7 @@
         command: &Command,
     ) {
         state.last_request += 1;
-        let proposal_id = state.last_request * HOLDERS + holder as u64;
+        let proposal_id = state.last_request * MAX_HOLDERS + holder as u64;
         self.step(state, position, Event::Propose { proposal_id, command: command.encode() });
     }
 
@@ -193,7 +195,8 @@
     /// Delivers messages and completes writes until none is pending.
     pub(super) fn settle(&self, state: &mut ClusterState) {
         for _ in 0..MAX_SETTLE_STEPS {
-            let writing = (0..self.voters).find(|server| !state.servers[*server].pending_writes.is_empty());
+            let writing =
+                (0..self.voter_count).find(|server| !state.servers[*server].pending_writes.is_empty());
             if let Some(server) = writing {
                 self.complete_write(state, server);
                 continue;
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Lets a leader grant a request from its own state, before it proposes the command.
+    /// Lets a leader grant a request from its own state without the log (`Mutation::GrantsWithoutLog`).
     pub(super) fn grant_without_log(&self, state: &mut ClusterState, position: usize, holder: usize) {
         let request = request_lease(holder, state.holders[holder].request);
         let mut state_machine = state.servers[position].state_machine.clone();
--- a/model_checker/src/cluster/initial.rs
+++ b/model_checker/src/cluster/initial.rs
@@ -11,14 +11,14 @@
 impl ClusterModel {
     pub(super) fn initial(&self) -> ClusterState {
         let mut state = self.stopped_cluster();
-        for server in 0..self.voters {
+        for server in 0..self.voter_count {
             self.start_server(&mut state, server);
         }
         if self.starts_with_leader {
             self.elect_first(&mut state);
         } else {
-            // At each server an election timeout has expired without a leader.
-            for server in 0..self.voters {
+            // An election timeout has expired at each server, so that each one may grant a pre-vote.
+            for server in 0..self.voter_count {
                 self.step(&mut state, server, Event::TimerExpired(Timer::ElectionTimeout));
             }
             state.in_flight.clear();
@@ -27,9 +27,10 @@
         state
     }
 
-    /// A cluster of servers that are not started and have the same snapshot on their disks.
+    /// A cluster of servers that are not started. All disks have the same snapshot, that of the initial state
+    /// machine.
     fn stopped_cluster(&self) -> ClusterState {
-        let mut holders = vec![Holder::default(); self.holders];
+        let mut holders = vec![Holder::default(); self.holder_count];
         let mut grants = BTreeMap::new();
         if self.starts_disrupted {
             holders[0] = Holder { request: 1, lease_id: 1, is_out: true, ..Holder::default() };
@@ -44,7 +45,7 @@
         let disk = PersistentState { term: 1, snapshot, ..PersistentState::default() };
         let server = Server { disk, incarnation: 1, ..Server::default() };
         ClusterState {
-            servers: (0..self.voters).map(|_| Arc::new(server.clone())).collect(),
+            servers: (0..self.voter_count).map(|_| Arc::new(server.clone())).collect(),
             in_flight: BTreeMap::new(),
             delayed: BTreeSet::new(),
             holders,
@@ -67,7 +68,7 @@
         };
         let mut state_machine = StateMachine::default();
         state_machine.apply(&Command::SetBudgets(vec![budget]));
-        for holder in 0..self.holders {
+        for holder in 0..self.holder_count {
             state_machine.apply(&Command::Observe {
                 target: holder_name(holder),
                 domain: FailureDomain::default(),
@@ -90,7 +91,7 @@
     /// Elects the first server and delivers all messages.
     fn elect_first(&self, state: &mut ClusterState) {
         // A voter grants a pre-vote once its own election timeout has expired.
-        for server in (0..self.voters).rev() {
+        for server in (0..self.voter_count).rev() {
             self.step(state, server, Event::TimerExpired(Timer::ElectionTimeout));
             state.in_flight.clear();
         }
--- a/model_checker/src/cluster/mod.rs
+++ b/model_checker/src/cluster/mod.rs
@@ -1,5 +1,6 @@
 //! A model of a small Raft cluster whose state machine grants disruption leases. It consists of voters with
-//! their disks, the messages between them, and lease holders that request disruptions.
+//! their disks, the messages between them, and lease holders. A holder is a relay that requests a lease, the
+//! right to be out of service; the disruption is the time during which it is out of service.
 //!
 //! The voters and the state machine execute the program's own code. The model has no clock: an election
 //! timeout may expire in any state, so the checked properties do not depend on time.
@@ -29,12 +30,12 @@
 #[derive(Clone, Debug)]
 pub struct ClusterModel {
     /// The number of voters. Their ids start at 1.
-    pub voters: usize,
+    pub voter_count: usize,
     /// The number of lease holders, at most 8.
-    pub holders: usize,
+    pub holder_count: usize,
     /// How often each kind of event may occur on any path from the initial state.
     pub limits: EventLimits,
-    /// The deliberate defect.
+    /// The deliberate defect that the search must find, or none.
     pub mutation: Mutation,
     /// Whether the first voter is the leader in the initial state, with no message in flight.
     pub starts_with_leader: bool,
@@ -47,7 +48,7 @@
 
 impl ClusterModel {
     fn ids(&self) -> Vec<Id> {
-        (0..self.voters).map(id_of).collect()
+        (0..self.voter_count).map(id_of).collect()
     }
 
     fn first_voters(&self) -> Vec<Voter> {
--- a/model_checker/src/cluster/recovery.rs
+++ b/model_checker/src/cluster/recovery.rs
@@ -8,12 +8,12 @@
 
 /// Maximum number of election timeouts, one server after another, before a cluster counts as stuck.
 const MAX_ROUNDS: usize = 24;
-/// The id of the last request, which no other request has.
+/// The id of the request that must be granted at the end. It is above all other request ids.
 const FINAL_REQUEST: u64 = 1 << 40;
 
 impl ClusterModel {
     /// Lets the servers time out one after another, with all messages delivered and all writes durable, until
-    /// a leader grants a lease. Returns whether a leader did.
+    /// a leader grants a lease. Returns whether one was granted within `MAX_ROUNDS` timeouts.
     pub(super) fn recovers(&self, state: &ClusterState) -> bool {
         let mut state = state.clone();
         state.in_flight.clear();
@@ -22,7 +22,7 @@
             if self.leader_grants(&mut state) {
                 return true;
             }
-            self.step(&mut state, round % self.voters, Event::TimerExpired(Timer::ElectionTimeout));
+            self.step(&mut state, round % self.voter_count, Event::TimerExpired(Timer::ElectionTimeout));
             self.settle(&mut state);
         }
         false
@@ -30,7 +30,7 @@
 
     /// Returns whether there is a leader that is still leader after a heartbeat and grants a lease.
     fn leader_grants(&self, state: &mut ClusterState) -> bool {
-        let leader = (0..self.voters).find(|server| state.node(*server).is_some_and(is_leader));
+        let leader = (0..self.voter_count).find(|server| state.node(*server).is_some_and(is_leader));
         let Some(leader) = leader else { return false };
         self.step(state, leader, Event::TimerExpired(Timer::HeartbeatTimeout));
         self.settle(state);
@@ -39,7 +39,7 @@
 
     /// Ends all disruptions and requests a lease. Returns whether it is granted.
     fn grants_lease(&self, state: &mut ClusterState, leader: usize) -> bool {
-        for holder in 0..self.holders {
+        for holder in 0..self.holder_count {
             state.holders[holder] = Holder::default();
             let target = holder_name(holder);
             let is_up =
--- a/model_checker/src/cluster/state.rs
+++ b/model_checker/src/cluster/state.rs
@@ -42,6 +42,7 @@
     /// `None` until the first start of the process.
     pub node: Option<Node>,
     pub disk: PersistentState,
+    /// Identifies the disk. A lost disk is replaced by one with the next incarnation.
     pub incarnation: u64,
     /// Requested writes that are not durable, in order.
     pub pending_writes: VecDeque<PendingWrite>,
@@ -64,13 +65,20 @@
     pub request: u64,
     /// The id of the lease granted to it; 0 for none.
     pub lease_id: u64,
-    /// Whether its disruption has begun.
+    /// Whether the holder is out of service, that is, its disruption has begun.
     pub is_out: bool,
     pub health: Health,
-    /// The health that a leader proposed last.
+    /// The last health of this holder that a leader proposed.
     pub reported_health: Health,
 }
 
+impl Holder {
+    /// Returns whether the holder was granted a lease that it has not returned.
+    pub(super) fn has_lease(&self) -> bool {
+        self.lease_id != 0
+    }
+}
+
 /// The kind of a message. A newer message makes an older one of the same channel obsolete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum MessageKind {
@@ -94,7 +102,8 @@
         }
     }
 
-    /// The kind of message that a recipient may send in response. It is delivered in the same transition.
+    /// The kind of message that a recipient may send in response. The response is delivered in the transition
+    /// that delivers the message.
     pub(super) fn immediate_response(self) -> Option<MessageKind> {
         match self {
             MessageKind::Membership => Some(MessageKind::VoteRequest),
@@ -120,7 +129,7 @@
     }
 }
 
-/// The holder and the request for which a grant was given.
+/// The holder that received a grant, and the id of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantOwner {
     pub holder: usize,
@@ -141,10 +150,11 @@
     pub(super) limits: EventLimits,
     /// The leader of each term.
     pub(super) leaders: BTreeMap<Term, Id>,
+    /// All grants by their lease ids.
     pub(super) grants: BTreeMap<u64, GrantOwner>,
     /// Holders whose last committed health is not up.
     pub(super) unhealthy_holders: BTreeSet<usize>,
-    /// Bit set of the servers whose election timeout has expired.
+    /// Bit set of the servers whose election timeout has expired; bit 0 is the first server.
     pub(super) timed_out: u8,
     /// The last number assigned to a request or proposal.
     pub(super) last_request: u64,
@@ -162,6 +172,11 @@
         self.servers[server].node.as_ref()
     }
 
+    /// Returns whether a server's election timeout has expired on the path to this state.
+    pub(super) fn has_timed_out(&self, server: usize) -> bool {
+        self.timed_out & 1 << server != 0
+    }
+
     /// Records a violated invariant, unless another was recorded before.
     pub(super) fn violate(&mut self, invariant: &'static str) {
         self.violated = self.violated.or(Some(invariant));
--- a/model_checker/src/main.rs
+++ b/model_checker/src/main.rs
@@ -73,7 +73,8 @@
     ExitCode::from(u8::from(!as_expected))
 }
 
-/// Returns whether the search finds each planted mutation, or no violation if none is planted.
+/// Returns whether the search finds each planted mutation, or no violation if none is planted. Prints each
+/// search.
 fn check_scenario(scenario: &Scenario, planted: bool, bounds: &Bounds) -> bool {
     let mutations = if planted { scenario.mutations } else { &[Mutation::None] };
     let mut as_expected = true;
--- a/model_checker/src/rollout/mod.rs
+++ b/model_checker/src/rollout/mod.rs
@@ -16,7 +16,7 @@
 
 /// Number of backends: one in the first wave, two in the second, and one that is in no wave.
 const BACKENDS: usize = 4;
-/// The position of the backend that is in no wave.
+/// The position of the only backend that is in no wave.
 const UNPLANNED_BACKEND: usize = 3;
 /// Maximum number of backends that may be out of service at a time.
 const BUDGET: usize = 2;
@@ -51,7 +51,7 @@
 /// The parameters of the model.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutModel {
-    /// The deliberate defect.
+    /// The deliberate defect that the search must find, or none.
     pub mutation: Mutation,
     /// Maximum number of failures on any path from the initial state.
     pub failures: u8,
--- a/model_checker/src/rollout/transition.rs
+++ b/model_checker/src/rollout/transition.rs
@@ -1,11 +1,14 @@
 //! The transitions of the rollout model.
+//!
+//! A step is the update or the rollback of one backend. Its deployer, who installs the build, reports the
+//! result with the command `MarkDone`.
 use hallrelay_disruption::HealthState;
 use std::fmt::{Display, Formatter};
 
 /// A transition of the rollout model. Backends are identified by their positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// A deployer reports the result of a step.
+    /// A deployer reports the result of the step at a backend.
     ReportStep {
         /// The backend.
         backend: usize,
@@ -30,9 +33,9 @@
     Resume,
     /// An operator rolls the rollout back.
     RollBack,
-    /// An operator takes the backend that is in no wave out of service.
+    /// An operator takes the unplanned backend out of service, the only one that is in no wave.
     TakeOut,
-    /// The backend that is in no wave returns to service.
+    /// The unplanned backend returns to service.
     Return,
     /// The leader changes.
     LeaderChange,
--- a/model_checker/src/scenarios.rs
+++ b/model_checker/src/scenarios.rs
@@ -4,11 +4,11 @@
 
 /// A scenario of the cluster model, called "scene" on the command line.
 pub struct Scenario {
-    /// Its name on the command line.
+    /// The name of the scenario on the command line.
     pub name: &'static str,
     /// The parameters without a mutation.
     model: ClusterModel,
-    /// The mutations that a search of this scenario must find.
+    /// The mutations for which a search of this scenario must find a counterexample.
     pub mutations: &'static [Mutation],
 }
 
@@ -34,8 +34,8 @@
 
 /// Three voters, of which the first is the leader, and one holder.
 const BASE: ClusterModel = ClusterModel {
-    voters: 3,
-    holders: 1,
+    voter_count: 3,
+    holder_count: 1,
     limits: NO_EVENTS,
     mutation: Mutation::None,
     starts_with_leader: true,
@@ -70,7 +70,7 @@
     Scenario {
         name: "holders",
         model: ClusterModel {
-            holders: 2,
+            holder_count: 2,
             limits: EventLimits { requests: 4, expirations: 1, ..NO_EVENTS },
             ..BASE
         },
@@ -80,7 +80,7 @@
     Scenario {
         name: "leaders",
         model: ClusterModel {
-            holders: 2,
+            holder_count: 2,
             limits: EventLimits { election_timeouts: 2, delays: 1, requests: 2, ..NO_EVENTS },
             ..BASE
         },
@@ -106,7 +106,7 @@
     Scenario {
         name: "unplanned",
         model: ClusterModel {
-            holders: 2,
+            holder_count: 2,
             limits: EventLimits { election_timeouts: 1, requests: 2, holder_failures: 1, ..NO_EVENTS },
             ..BASE
         },
@@ -116,7 +116,7 @@
     Scenario {
         name: "snapshots",
         model: ClusterModel {
-            holders: 2,
+            holder_count: 2,
             limits: EventLimits {
                 election_timeouts: 1,
                 requests: 2,
--- a/model_checker/src/search.rs
+++ b/model_checker/src/search.rs
@@ -47,7 +47,7 @@
     pub max_states: usize,
     /// Maximum number of transitions from the initial state.
     pub max_depth: usize,
-    /// One state in this many is checked for recovery; 0 disables the check.
+    /// One of this many states is checked with [`Model::can_recover`]; 0 disables the check.
     pub recovery_sampling: u64,
 }
 
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy)]
 struct Edge {
     parent: Fingerprint,
-    /// Its position among the parent's transitions.
+    /// The position of the transition among those of the parent.
     transition: u32,
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// The newly found states at the next depth.
+/// The states that were first found at one depth, and the first violation of an invariant among them.
 struct Level<S> {
     states: Vec<FingerprintedState<S>>,
     violation: Option<Violation>,
@@ -193,6 +193,7 @@
     fn next_level(&mut self, level: &[FingerprintedState<M::State>]) -> Result<Level<M::State>, Violation> {
         let mut next = Level { states: Vec::new(), violation: None };
         for batch in level.chunks(BATCH_STATES) {
+            // The level that reaches this bound stays incomplete; `run` then returns.
             if self.report.states >= self.bounds.max_states {
                 break;
             }
--- a/model_checker/tests/scenarios.rs
+++ b/model_checker/tests/scenarios.rs
@@ -73,7 +73,7 @@
     let bounds = Bounds { max_states: 2_000_000, max_depth: usize::MAX, recovery_sampling: 1 };
     let report = search(&model(rollout::Mutation::None), &bounds);
     assert_eq!(report.counterexample, None);
-    assert!(report.exhaustive && report.recovery_checks == report.states);
+    assert!(report.exhaustive && report.recovery_checks == report.states, "all states checked: {report:?}");
     assert_eq!((report.states, report.transitions), (8_140, 17_732));
     let violated = |mutation| search(&model(mutation), &bounds).counterexample.map(|found| found.property);
     assert_eq!(violated(rollout::Mutation::HaltForgotten), Some("no disruption begins after a halt"));
--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -5,9 +5,10 @@
 //! The crate does no I/O and reads no clock: [`Node::step`] takes an [`Event`] and appends the [`Effect`]s
 //! that the host carries out in order. The host chooses the random election timeouts.
 //!
-//! A voter is identified by its name and by the incarnation of its disk. A server that lost its disk is a new
-//! voter. Its messages do not count until the other voters have added it to the configuration, so it can
-//! neither vote twice in one term nor lose an entry that it had acknowledged. See `docs/release.md`.
+//! A voter is identified by the server's id and by the incarnation of the server's disk. A server that lost
+//! its disk has another incarnation and is therefore a new voter. Its messages do not count until the other
+//! voters have added it to the configuration, so it can neither vote twice in one term nor lose an entry that
+//! it had acknowledged. See `docs/release.md`.
 #![warn(missing_docs)]
 
 pub mod log;
@@ -22,7 +23,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A server's name as a number.
+/// Identifies a server, whatever its disk. The host derives the id from the server's name.
 pub type Id = u32;
 /// A term of Raft (section 5.1); 0 is before the first election.
 pub type Term = u64;
@@ -32,7 +33,7 @@
 /// A server with a particular disk. A server that lost its disk is a different voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
-    /// The server's name.
+    /// The server's id.
     pub id: Id,
     /// Identifies the server's disk. In the recipient of a message, [`ANY_DISK`] matches any incarnation.
     pub incarnation: u64,
--- a/raft/src/log.rs
+++ b/raft/src/log.rs
@@ -2,13 +2,14 @@
 use crate::{Index, Term, Voter, MAX_BATCH_BYTES, MAX_BATCH_ENTRIES};
 use serde::{Deserialize, Serialize};
 
-/// Size in bytes that a batch accounts for an entry without a command.
+/// Size in bytes at which `batch_from` counts an entry without a command.
 const FIXED_ENTRY_BYTES: usize = 64;
 
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// A leader's first entry. Committing it also commits the entries of earlier terms (section 8).
+    /// The first entry of a leader in its term. Committing it also commits the entries of earlier terms
+    /// (section 8).
     Noop,
     /// A command for the state machine.
     Command(Vec<u8>),
--- a/raft/src/node/durability.rs
+++ b/raft/src/node/durability.rs
@@ -6,7 +6,7 @@
 use crate::{Index, Message, MessageBody, Voter, Write};
 use std::collections::VecDeque;
 
-/// A message that waits for a write.
+/// A message that is sent once a write and all earlier ones are durable.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct DelayedMessage {
     /// The number of the write.
@@ -14,7 +14,7 @@
     message: Message,
 }
 
-/// The end of the log once a write is durable.
+/// The last index of the log as of a write, which becomes the durable index once the write is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct LogEnd {
     write: u64,
--- a/raft/src/node/election.rs
+++ b/raft/src/node/election.rs
@@ -70,7 +70,7 @@
     }
 
     /// Grants the pre-vote if no leader is active and the candidate's log is up-to-date. A denial carries
-    /// this voter's term, so that a candidate with an older term enters it.
+    /// this voter's term, so that a candidate with an older term enters this term.
     pub(super) fn handle_request_pre_vote(
         &mut self,
         from: Voter,
--- a/raft/src/node/membership.rs
+++ b/raft/src/node/membership.rs
@@ -2,27 +2,33 @@
 //!
 //! Invariant (thesis, section 4.1): a configuration differs from the previous one by one voter, so any quorum
 //! of one overlaps any quorum of the other.
+//!
+//! A voter is a server with a particular disk. The incarnation identifies the disk: a server that lost its
+//! disk starts with another incarnation and announces it. To the cluster it is then a new voter, which
+//! replaces the previous one.
 use super::role::Trigger;
 use super::{Effect, Node, Role};
-use crate::{Entry, Id, MessageBody, Payload, Voter, Write};
+use crate::{Entry, Id, MessageBody, Payload, Voter, Write, ANY_DISK};
 
 /// The last announcement of a server that is not a voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Announcement {
-    /// The incarnation of its disk.
+    /// The incarnation of the disk that the server has now.
     incarnation: u64,
+    /// The server has neither log nor snapshot.
     uninitialized: bool,
 }
 
 impl Node {
-    /// Announces to all other configured servers that this one is running and is not a voter.
+    /// Announces to all other configured servers that this one is running and is not a voter. The message is
+    /// addressed to the disk that the recipient last announced, or to any disk if it never did.
     pub(super) fn announce(&mut self, effects: &mut Vec<Effect>) {
         let uninitialized = self.role == Role::Uninitialized;
         for id in self.configured.clone() {
             if id == self.own.id {
                 continue;
             }
-            let incarnation = self.announced.get(&id).map_or(0, |announced| announced.incarnation);
+            let incarnation = self.announced.get(&id).map_or(ANY_DISK, |announced| announced.incarnation);
             self.send(Voter { id, incarnation }, MessageBody::Announce { uninitialized }, effects);
         }
         if self.configured == [self.own.id] {
@@ -43,7 +49,8 @@
         let announcement = Announcement { incarnation: from.incarnation, uninitialized };
         let previous = self.announced.insert(from.id, announcement);
         if self.role == Role::Uninitialized {
-            // Only announcements to this incarnation count for the bootstrap.
+            // The bootstrap starts on an announcement that is addressed to this server's disk: its sender has
+            // received an announcement of that disk. Any other new sender is sent one here.
             if to == self.own {
                 self.bootstrap_if_ready(effects);
             } else if previous.is_none_or(|previous| previous.incarnation != from.incarnation) {
@@ -71,10 +78,11 @@
         }
     }
 
-    /// Creates the cluster once all other configured servers have announced to this incarnation that they
-    /// are uninitialized. Only the server with the smallest name creates it. If any server has a log, a
-    /// cluster exists already and adds this server.
+    /// Creates the cluster if this server has the smallest id of all configured servers and each other server
+    /// has announced that it is uninitialized. A server with a log does not announce that. It belongs to an
+    /// existing cluster, whose leader adds this server in `reconcile_configuration`.
     fn bootstrap_if_ready(&mut self, effects: &mut Vec<Effect>) {
+        // The configured ids are sorted.
         if self.configured.first() != Some(&self.own.id) {
             return;
         }
@@ -115,8 +123,9 @@
         self.transition(Trigger::Bootstrapped, effects);
     }
 
-    /// A leader changes the voters, one at a time, until they match the configured servers. Each change waits
-    /// until the previous one and an entry of the leader's own term are committed (thesis, section 4.1).
+    /// A leader changes the voters, one at a time, until they match the configured servers. It makes the next
+    /// change only after the previous change is committed, and only after an entry of the leader's own term
+    /// is committed (thesis, section 4.1).
     pub(super) fn reconcile_configuration(&mut self, effects: &mut Vec<Effect>) {
         let configuration_is_committed = self.log.configuration().index <= self.commit_index;
         let own_term_is_committed = self.log.term(self.commit_index) == Some(self.term);
@@ -135,14 +144,15 @@
         self.append_entry(Payload::Configuration(voters), effects);
     }
 
-    /// A voter that is no longer configured, or whose server announced another incarnation of its disk.
+    /// A voter that is no longer configured, or whose server announced another disk, so that the voter's disk
+    /// is lost. A leader does not remove itself.
     fn voter_to_remove(&self) -> Option<Voter> {
-        let has_lost_disk = |voter: &Voter| {
+        let announced_other_disk = |voter: &Voter| {
             let announced = self.announced.get(&voter.id);
             announced.is_some_and(|announced| announced.incarnation != voter.incarnation)
         };
         let is_obsolete = |voter: &&Voter| {
-            **voter != self.own && (has_lost_disk(voter) || !self.configured.contains(&voter.id))
+            **voter != self.own && (announced_other_disk(voter) || !self.configured.contains(&voter.id))
         };
         self.voters().iter().find(is_obsolete).copied()
     }
--- a/raft/src/node/mod.rs
+++ b/raft/src/node/mod.rs
@@ -42,7 +42,7 @@
     WritesDurable(u64),
     /// The host proposes a command for the log.
     Propose {
-        /// Returned in the effect that reports the command's outcome.
+        /// Identifies the proposal in the effect that reports its outcome.
         proposal_id: u64,
         /// The encoded command, at most `MAX_COMMAND_BYTES`.
         command: Vec<u8>,
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node {
     own: Voter,
-    /// Names of all servers that should be voters, sorted.
+    /// Ids of all servers that should be voters, sorted.
     configured: Vec<Id>,
     role: Role,
     /// `currentTerm` of figure 2.
@@ -126,7 +126,7 @@
     votes_granted: BTreeSet<Voter>,
     /// The leader's knowledge of the logs of the other voters.
     progress: BTreeMap<Voter, Progress>,
-    /// Servers that announced that they are not voters.
+    /// The last announcement of each server that announced that it is not a voter.
     announced: BTreeMap<Id, Announcement>,
     pending_writes: PendingWrites,
     /// Proposals that this leader appended to its log, by index.
@@ -134,8 +134,8 @@
 }
 
 impl Node {
-    /// Starts a voter from its persistent state. `configured` names all servers that should be voters,
-    /// including this one; names beyond `MAX_VOTERS` are ignored.
+    /// Starts a voter from its persistent state. `configured` has the ids of all servers that should be
+    /// voters, including this one. Only the `MAX_VOTERS` smallest ids are used.
     pub fn new(
         own: Voter,
         mut configured: Vec<Id>,
@@ -270,7 +270,8 @@
         }
     }
 
-    /// Returns whether another server sent a message to this server with its current disk.
+    /// Returns whether a message is from another server and addressed to this one, with its current disk or
+    /// with any disk.
     fn is_recipient(&self, message: &Message) -> bool {
         let to = message.to;
         let incarnation_matches = to.incarnation == ANY_DISK || to.incarnation == self.own.incarnation;
--- a/raft/src/storage.rs
+++ b/raft/src/storage.rs
@@ -1,7 +1,8 @@
 //! The persistent state of a voter, and the writes that change it.
 use crate::{Entry, Index, Snapshot, Term, Voter};
 
-/// A change of the persistent state. Writes are carried out in order; a later one replaces what it covers.
+/// A change of the persistent state. Writes are carried out in the order in which they are requested; a later
+/// one replaces what it covers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Write {
     /// The current term and the vote given in it.
