--- a/hot_restart/src/message.rs
+++ b/hot_restart/src/message.rs
@@ -14,9 +14,9 @@
     Hello {
         /// [`VERSION`] of the sender.
         version: u32,
-        /// Name of the relay, which must be that of the receiver.
+        /// Name of the sender's relay. The receiver rejects any name but its own.
         name: String,
-        /// Address of the listening socket, which must be that of the receiver.
+        /// Address on which the sender will listen. The receiver rejects any address but its own.
         listen: String,
     },
     /// The old process offers its listening socket, which it passes with this message.
@@ -82,7 +82,7 @@
     pub exclusions: Option<ExclusionList>,
 }
 
-/// Backends that the replicated log excludes.
+/// Backends that get no new sessions according to the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Vec<String>)", into = "(u64, Vec<String>)")]
 pub struct ExclusionList {
@@ -159,7 +159,7 @@
     pub age: u64,
     /// Used part of the server's capacity.
     pub load: f64,
-    /// Time for which queued work waits, in seconds.
+    /// Time for which work waits in the server's queue, in seconds.
     pub queue_delay: f64,
     /// Number of sessions at the server.
     pub sessions: f64,
@@ -177,13 +177,14 @@
     }
 }
 
-/// The slot in which a relay last placed a session on a server in slow start.
+/// The slot that a relay last used at a server in slow start. A slot is one dial that the relay may make to a
+/// server that warms up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, f64)", into = "(u64, f64)")]
 pub struct SlowStartSlot {
-    /// Age of the slot in microseconds.
+    /// Time since the slot was used, in microseconds.
     pub age: u64,
-    /// Part of the interval between slots for which the next slot waits.
+    /// Fraction of the interval between slots that must pass before the next slot.
     pub interval_fraction: f64,
 }
 
--- a/hot_restart/src/ownership.rs
+++ b/hot_restart/src/ownership.rs
@@ -9,8 +9,8 @@
 pub type ProcessId = u32;
 
 /// Longest time from the offer until the successor is ready, in microseconds. The successor reads its
-/// configuration and the endpoint list in this time. A tool that starts a successor waits 6 s for a ready
-/// answer.
+/// configuration and the endpoint list in this time. A tool that starts a successor waits 6 s for the answer
+/// that it is ready.
 pub const READY_TIMEOUT: u64 = 10_000_000;
 
 /// An input of the state machine. Trace logs print events with `{:?}`, including the field name `peer`.
@@ -197,7 +197,9 @@
             }
             message => {
                 let text = format!("{message:?}");
-                actions.push(OwnershipAction::Log(format!("received an unexpected message: {text:.60}")));
+                actions.push(OwnershipAction::Log(format!(
+                    "received an unexpected message from process {process}: {text:.60}"
+                )));
                 reject(process, "out of turn", actions);
                 self.disconnected(process, actions);
             }
@@ -241,7 +243,8 @@
     }
 
     fn ready_timeout(&mut self, process: ProcessId, actions: &mut Vec<OwnershipAction>) {
-        // The timer of an earlier offer. The last offer was made to another process or is no longer pending.
+        // This timer belongs to an earlier offer: the latest one was made to another process or is no longer
+        // pending.
         if self.successor != Successor::Offered(process) {
             return;
         }
--- a/hot_restart/tests/ownership.rs
+++ b/hot_restart/tests/ownership.rs
@@ -216,7 +216,8 @@
         "{error}"
     );
     let long = Message::Hello { version: VERSION, name: "n".repeat(300), listen: "a:1".into() };
-    assert!(decode(encode(&long).expect("encode a short message").trim_ascii_end()).is_err());
+    let decoded = decode(encode(&long).expect("encode a short message").trim_ascii_end());
+    assert!(decoded.is_err(), "a name of 300 bytes must be rejected: {decoded:?}");
     for change in [
         |s: &mut RelayState| s.session_load = -1.0,
         |s: &mut RelayState| s.servers[0].recently_placed = 1e12,
@@ -226,12 +227,16 @@
         let mut state = state();
         change(&mut state);
         let line = encode(&Message::TakeOver(Box::new(state))).expect("encode a short message");
-        assert!(decode(line.trim_ascii_end()).is_err());
+        let decoded = decode(line.trim_ascii_end());
+        assert!(decoded.is_err(), "a value out of bounds must be rejected: {decoded:?}");
     }
-    assert!(decode(b"{\"ready\":{},\"more\":1}").is_err());
-    assert!(decode(&vec![b' '; MAX_MESSAGE_BYTES + 1]).is_err());
+    let decoded = decode(b"{\"ready\":{},\"more\":1}");
+    assert!(decoded.is_err(), "an unknown key must be rejected: {decoded:?}");
+    let decoded = decode(&vec![b' '; MAX_MESSAGE_BYTES + 1]);
+    assert!(decoded.is_err(), "a line over the longest length must be rejected: {decoded:?}");
     let too_long = Message::Rejected { reason: "x".repeat(MAX_MESSAGE_BYTES) };
-    assert!(encode(&too_long).is_err());
+    let length = encode(&too_long).map(|line| line.len());
+    assert!(length.is_err(), "a message over the longest length must be rejected: {length:?}");
 }
 
 #[test]
--- a/membership/src/apply.rs
+++ b/membership/src/apply.rs
@@ -66,7 +66,8 @@
             return self.confirm_suspicion(&update);
         }
         if precedence == Precedence::Same {
-            // The stored report came from the member itself or on a shorter path than the reporter's copy.
+            // The stored metadata is kept. It came from the member itself or on a shorter path than the
+            // reporter's copy.
             update.metadata = held.update.metadata.clone();
         }
         self.replace_update(update, outcome, out);
@@ -138,7 +139,7 @@
         let is_same_start = start == self.incarnation.start;
         let is_not_older = is_same_start && counter >= self.incarnation.counter;
         let is_refutable = is_not_older && update.state != MemberState::Alive;
-        // The statement came from another process that represented this relay.
+        // A counter above this process's own came from another process that represented this relay.
         let is_ahead = is_same_start && counter > self.incarnation.counter;
         if is_later_start {
             // An earlier process started with a clock that was ahead. The start of this process must still be
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -25,8 +25,9 @@
 /// A queued update.
 struct Broadcast {
     encoded: Vec<u8>,
+    /// Number of messages that have carried the update.
     transmits: u32,
-    /// Position in the order of queueing.
+    /// Position in the order in which updates were queued.
     id: u64,
 }
 
@@ -81,7 +82,8 @@
 }
 
 impl Membership {
-    /// SWIM's lambda log n. The configured number of relays counts if fewer members are known.
+    /// Number of messages that carry an update: SWIM's lambda log n. The configured number of relays counts
+    /// if fewer members are known. The `+ 2` is for this relay and for memberlist's log (n + 1).
     fn retransmit_limit(&self) -> u32 {
         let members = (self.members.live().len() + 2).max(self.local.configured_relays);
         let log_members = (members as f64).log10().ceil() as u32;
@@ -93,8 +95,9 @@
         self.broadcasts.push(update, self.now);
     }
 
-    /// Sends a message with as many updates as fit. A suspicion or death of the receiver itself comes first,
-    /// so that the receiver can refute it (Lifeguard's buddy system).
+    /// Sends a message with as many updates as fit. If the receiver counts as suspect, dead or left here, or
+    /// has another address, that update comes first, so that the receiver can refute it (Lifeguard's buddy
+    /// system).
     pub(crate) fn send_message(
         &mut self,
         to: SocketAddr,
@@ -109,6 +112,7 @@
         let queued = order.iter().map(|(_, broadcast)| broadcast.encoded.as_slice());
         let updates = about_receiver.iter().map(Vec::as_slice).chain(queued);
         let packet = encode(&self.local.fleet, &self.own_update(), body, updates, MAX_DATAGRAM_BYTES);
+        // The update about the receiver is not taken from the queue, so it is not counted.
         let sent = packet.update_count.saturating_sub(usize::from(about_receiver.is_some()));
         let sent: Vec<Rc<str>> = order[..sent].iter().map(|(name, _)| (*name).clone()).collect();
         let limit = self.retransmit_limit();
--- a/membership/src/join.rs
+++ b/membership/src/join.rs
@@ -16,7 +16,7 @@
 const FIRST_JOIN_WITHIN: Micros = 100 * MILLISECOND;
 /// Number of configured addresses contacted per attempt to join.
 const JOIN_FANOUT: usize = 2;
-/// Delay between the first member that a relay learns of and its first probe. Members that have not learnt of
+/// Time for which a relay does not probe after it learns of its first live member. Members that do not know
 /// the new relay yet drop its pings as those of an unknown sender, and the new relay would suspect them.
 const JOIN_GRACE: Micros = 2_000 * MILLISECOND;
 
@@ -91,9 +91,9 @@
     }
 
     /// Contacts a dead member. A ping carries the member's death, so a member that was only partitioned
-    /// refutes it. A member that restarted and reaches no configured address drops the ping because its
-    /// sender is unknown; a stream tells it who this relay is. Among all relays that try this, about one
-    /// opens a stream at a time.
+    /// refutes it. A member that restarted and reaches no configured address does not know this relay and
+    /// drops the ping, but it accepts a stream, which makes this relay known. Each of n live relays opens a
+    /// stream with a probability of 1 in n, so that about one of them does at a time.
     fn rejoin_dead(&mut self, name: &Rc<str>, out: &mut Vec<Effect>) {
         let Some(addr) = self.members.addr_of(name) else { return };
         if self.random_below(self.members.live().len() + 1) == 0 {
@@ -103,7 +103,7 @@
         self.send_message(addr, Some(name), MessageBody::Ping { sequence }, out);
     }
 
-    /// Configured addresses without a known member. A dead member at its current address is a known one.
+    /// Configured addresses that are not the current address of a known member, whether live or dead.
     fn addresses_without_member(&self) -> Vec<SocketAddr> {
         let has_member = |addr: &SocketAddr| *addr == self.local.addr || self.members.has_member_at(*addr);
         self.local.peers.iter().copied().filter(|addr| !has_member(addr)).collect()
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! Group Membership Protocol", DSN 2002) with suspicion and incarnation numbers, plus the three parts of
 //! Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure
 //! Detection", DSN-W 2018): timeouts that grow while the local relay itself is slow, a suspicion timeout that
-//! shrinks with each independent confirmation, and messages to a suspect that carry its suspicion first.
+//! shrinks with each independent confirmation, and messages to a suspect that carry the suspicion first.
 //! `docs/fleet.md` describes the messages and the differences from the papers.
 //!
 //! The package does no I/O and reads no clock: [`Membership::step`] takes the time and an [`Event`] and
--- a/membership/src/members.rs
+++ b/membership/src/members.rs
@@ -17,10 +17,10 @@
     pub since: Micros,
     /// Time at which this relay last received something from the member itself.
     pub last_received: Option<Micros>,
-    /// The member that sent the last update about this one; `None` if this one sent it itself.
+    /// The other member that sent the last update about this member; `None` if this member sent it itself.
     pub source: Option<Rc<str>>,
-    /// The member through which the last indirect probe reached this one; `None` after an answer to a direct
-    /// probe.
+    /// The member that forwarded the answer to the last answered probe of this member; `None` if this member
+    /// answered directly.
     pub reached_through: Option<Rc<str>>,
 }
 
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -113,8 +113,9 @@
         1 + self.members.iter().filter(is_reachable).count()
     }
 
-    /// Time for which a member counts as reachable. In a round of probes, which takes one probe period per
-    /// member, each member is received from twice.
+    /// Time for which a member counts as reachable after something was received from it: two rounds of
+    /// probes. A round takes one probe period per member. In a round this relay receives two datagrams from
+    /// each member: the answer to its own probe, and the member's probe.
     fn reachable_window(&self) -> Micros {
         MIN_REACHABLE_WINDOW.max(2 * PROBE_PERIOD * self.members.live().len() as Micros)
     }
@@ -165,8 +166,8 @@
         if packet.sender.name != self.local.name {
             return;
         }
-        // The member stays the same: it keeps the start of its first process, and its next statement must be
-        // newer.
+        // For other members this process is the same member as the previous one. The start of the first
+        // process therefore stays, and the raised counter makes the updates of this process newer.
         self.incarnation = packet.sender.incarnation;
         self.incarnation.counter += 1;
         for update in packet.updates {
@@ -284,9 +285,9 @@
         }
     }
 
-    /// Handles a stall of this process. A stalled process receives nothing, which says nothing about the
-    /// other members: it cancels its probes without a result, extends the suspicions by the missed time, and
-    /// raises its own local health score (Lifeguard).
+    /// Handles a stall of this process. A stalled process receives no answers, so missing answers are no
+    /// evidence against other members. It cancels its probes without a result, extends the suspicions by the
+    /// length of the stall, and raises its own local health score (Lifeguard).
     fn recover_from_stall(&mut self, delay: Micros, out: &mut Vec<Effect>) {
         self.counters.stalls += 1;
         let missed_periods = (delay / PROBE_PERIOD).max(1);
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -41,10 +41,10 @@
         /// Address of the member to ping.
         addr: SocketAddr,
     },
-    /// Lifeguard's nack: the target of a `PingRequest` has not answered yet. It shows that the path between
-    /// the sender of the nack and the requester works.
+    /// Lifeguard's nack: the target of a `PingRequest` has not answered yet. The nack shows that the path
+    /// between its sender and the requester works.
     Nack {
-        /// Sequence number of the answered probe.
+        /// Sequence number of the requester's probe.
         sequence: u32,
     },
     /// Carries only updates.
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The packet has another protocol version.
-    #[error("unsupported protocol version")]
+    #[error("unsupported protocol version, wanted {PROTOCOL_VERSION}")]
     UnsupportedVersion,
     /// The packet is too long or too short, has a wrong checksum, or contains a value out of bounds.
     #[error("malformed packet")]
@@ -111,7 +111,8 @@
     Malformed,
     /// [`DecodeError::WrongFleet`].
     WrongFleet,
-    /// The sender's address is neither configured nor that of a member.
+    /// The sender's address is neither configured nor that of a member, or is not the one that the sender
+    /// reports. Stream requests with an invalid body count too.
     UnknownSender,
     /// More datagrams arrived within a second than are processed.
     RateLimited,
--- a/membership/src/name_conflict.rs
+++ b/membership/src/name_conflict.rs
@@ -8,15 +8,15 @@
 /// Time for which a conflict is reported after the other process was last seen.
 const CONFLICT_RETENTION: Micros = 30_000 * MILLISECOND;
 
-/// Another process that uses this relay's name. Both processes keep running; other members attribute the name
-/// to the one that started later.
+/// Another process that uses this relay's name. Both processes keep running. Other members attribute the name
+/// to the process that started later, and with equal starts to the one with the higher address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameConflict {
     /// Address of the other process.
     pub addr: SocketAddr,
-    /// Start of the other process.
+    /// Start of the other process, in microseconds of Unix time.
     pub start: u64,
-    /// Time at which it was last seen.
+    /// Time at which the other process was last seen.
     pub seen_at: Micros,
 }
 
@@ -26,8 +26,7 @@
         self.conflict.filter(|conflict| self.now < conflict.seen_at + CONFLICT_RETENTION)
     }
 
-    /// Whether the other process keeps the name: the one with the later start does, and with equal starts the
-    /// one with the higher address.
+    /// Whether the other process keeps the name, by the rule of [`NameConflict`].
     pub(crate) fn is_overridden_by(&self, conflict: &NameConflict) -> bool {
         (conflict.start, conflict.addr) > (self.incarnation.start, self.local.addr)
     }
--- a/membership/src/peer_heartbeats.rs
+++ b/membership/src/peer_heartbeats.rs
@@ -26,7 +26,7 @@
         (0..self.last_received.len()).filter(|peer| *peer != self.local)
     }
 
-    /// Records a received heartbeat. Returns whether its sender counted as dead.
+    /// Records a received heartbeat. Returns whether the sender counted as dead until now.
     pub fn receive(&mut self, from: usize, now: Micros) -> bool {
         self.last_received[from] = now;
         std::mem::replace(&mut self.is_dead[from], false)
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -14,8 +14,8 @@
 const PING_RETRY_DELAY: Micros = 100 * MILLISECOND;
 /// Delay between the first ping and the indirect probes. The rest of the period is left for their answers.
 const INDIRECT_PROBE_DELAY: Micros = 200 * MILLISECOND;
-/// Delay before a member sends a nack for an unanswered ping on another's behalf, within the requester's
-/// period.
+/// Delay before a member that pings on another's behalf sends a nack for the missing answer. The nack must
+/// arrive within the requester's probe period.
 const NACK_DELAY: Micros = 100 * MILLISECOND;
 /// SWIM's k: number of members that are asked to ping the target.
 const INDIRECT_PROBES: usize = 3;
@@ -35,7 +35,9 @@
     indirect_at: Micros,
     /// Time at which the probe fails.
     deadline: Micros,
+    /// Number of members that were asked to ping the target.
     requests: u32,
+    /// Number of nacks received from these members.
     nacks: u32,
 }
 
@@ -116,8 +118,9 @@
 
     /// SWIM's round-robin selection, but without the shuffle: the clock determines the number of the period,
     /// and each relay probes the member that many positions after itself in the order of names. With equal
-    /// clocks and views, each member is probed once in every period, and by all others in a round. Otherwise
-    /// some members wait one or two periods longer.
+    /// clocks and views, each member is probed once in every period, and by each other member once in a
+    /// round, which has as many periods as there are other members. With unequal clocks or views some members
+    /// wait one or two periods longer.
     fn probe_target(&self) -> Option<Rc<str>> {
         let live = self.members.live();
         if live.is_empty() {
--- a/membership/src/receive.rs
+++ b/membership/src/receive.rs
@@ -11,8 +11,8 @@
         self.counters.packets_received += 1;
         let Packet { sender, body, updates, .. } = packet;
         if sender.name == self.local.name {
-            // A datagram to a configured address that is this relay's own, or of another process with its
-            // name.
+            // This relay sent the datagram to itself, because its own address is in the configured list, or
+            // another process uses its name.
             return self.apply_update_about_self(&sender, out);
         }
         let is_known = self.members.is_member_addr(from) || self.local.peers.contains(&from);
--- a/membership/src/status.rs
+++ b/membership/src/status.rs
@@ -26,7 +26,8 @@
     /// Number of relays from which this one received something recently, including itself.
     #[serde(rename = "hears")]
     pub reachable_relays: usize,
-    /// `whole`, `parts missing` or `cut off`; `silent` if another process represents this relay.
+    /// `whole`: all known and configured relays are alive; `parts missing`: some are not; `cut off`: less
+    /// than half are reachable; `silent`: another process represents this relay.
     #[serde(rename = "believes")]
     pub view: String,
     /// Lifeguard's local health score, from 0 (healthy) to 8.
@@ -72,7 +73,8 @@
     /// did.
     #[serde(rename = "heard_ms")]
     pub last_received_ms: Option<u64>,
-    /// Name of the member that sent the last update about this one; `None` if this one sent it itself.
+    /// Name of the other member that sent the last update about this member; `None` if this member sent it
+    /// itself.
     #[serde(rename = "told_by")]
     pub source: Option<String>,
     /// Names of the members that suspect this one.
@@ -167,7 +169,7 @@
         }
     }
 
-    /// The state word for the complete view.
+    /// The state word for the fleet as this relay sees it.
     fn view(&self) -> &'static str {
         let count = |state: MemberState| self.members().filter(|member| member.state() == state).count();
         let alive = 1 + count(MemberState::Alive);
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -30,6 +30,7 @@
     started_at: Micros,
     /// Time of the next final ping, or of declaring the member dead.
     deadline: Micros,
+    /// Number of final pings sent so far.
     final_pings: u32,
 }
 
@@ -38,7 +39,8 @@
         self.deadline
     }
 
-    /// Extends the suspicion by the duration of a stall of this process.
+    /// Extends the suspicion by the duration of a stall of this process, and at least until
+    /// [`MIN_SUSPICION_TIMEOUT`] from now.
     pub(crate) fn extend(&mut self, stalled_for: Micros, now: Micros) {
         let deadline = self.deadline.saturating_add(stalled_for);
         self.deadline = deadline.max(now + MIN_SUSPICION_TIMEOUT);
@@ -117,8 +119,8 @@
     }
 }
 
-/// Lifeguard's suspicion timeout: the longest with one reporter, the shortest with all confirmations, and in
-/// between decreasing with the logarithm of their number. `member_count` includes this relay.
+/// Lifeguard's suspicion timeout. It is longest with one reporter and shortest with all confirmations. In
+/// between it falls with the logarithm of the number of confirmations. `member_count` includes this relay.
 fn suspicion_timeout(reporter_count: usize, member_count: usize) -> Micros {
     let log_members = (member_count as f64).log10().max(1.0);
     let by_log = (MIN_SUSPICION_TIMEOUT_PER_LOG as f64 * log_members) as Micros;
--- a/membership/src/update.rs
+++ b/membership/src/update.rs
@@ -13,7 +13,8 @@
     /// Start of the process, in microseconds of Unix time. If the clock has gone back since an earlier
     /// process at the same address started, it is one more than the start of that process.
     pub start: u64,
-    /// Raised to refute a suspicion, and whenever the member's own report changes.
+    /// Raised to refute a suspicion, and whenever more than the session counts of the member's own report
+    /// changes.
     pub counter: u32,
 }
 
--- a/membership/tests/messages.rs
+++ b/membership/tests/messages.rs
@@ -47,7 +47,8 @@
     let body = bodies[rng.rand_range(0..4) as usize].clone();
     let encoded: Vec<Vec<u8>> = updates.iter().map(encode_update).collect();
     let packet = encode(&fleet, &sender, body.clone(), encoded.iter().map(Vec::as_slice), max_bytes);
-    assert!(packet.bytes.len() <= max_bytes && packet.update_count <= updates.len());
+    let (length, count) = (packet.bytes.len(), packet.update_count);
+    assert!(length <= max_bytes && count <= updates.len(), "{length} of {max_bytes} bytes, {count} updates");
     let updates = updates[..packet.update_count].to_vec();
     (Packet { fleet, sender, body, updates }, packet.bytes)
 }
@@ -123,10 +124,10 @@
         bytes[1..5].copy_from_slice(&sum.to_le_bytes());
         if let Ok(packet) = decode("trunk", &bytes, MAX_DATAGRAM_BYTES) {
             valid += 1;
-            let all = packet.updates.iter().chain([&packet.sender]);
-            assert!(all
-                .clone()
-                .all(|u| !u.name.is_empty() && u.name.len() <= MAX_NAME_BYTES && u.addr.port() != 0));
+            for u in packet.updates.iter().chain([&packet.sender]) {
+                let is_name = !u.name.is_empty() && u.name.len() <= MAX_NAME_BYTES;
+                assert!(is_name && u.addr.port() != 0, "decoded an update out of its bounds: {u:?}");
+            }
         }
     }
     assert!(valid > 1_000, "too few of the packets are valid: {valid}");
--- a/recovery/src/record.rs
+++ b/recovery/src/record.rs
@@ -13,13 +13,14 @@
 /// Kinds of records. The number of a kind is the kind of its keys in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordKind {
-    /// The relay to which the store belongs, and its start number.
+    /// The relay to which the store belongs, and the start number of that relay.
     RelayIdentity = 1,
     /// The source and the version of the endpoint list.
     ListVersion = 2,
     /// One server as last listed, by its name. Draining and removed servers are included.
     Server = 3,
-    /// The slot that this relay last used at a server in slow start, by the server's name.
+    /// The slot that this relay last used at a server in slow start, by the server's name. A slot is one dial
+    /// that this relay may make to a server that warms up.
     SlowStartSlot = 4,
     /// A voter's incarnation, current term and vote.
     Vote = 5,
@@ -27,7 +28,7 @@
     LogEntry = 6,
     /// The snapshot that replaces the earlier entries of the replicated log.
     Snapshot = 7,
-    /// Backends that the replicated log excludes.
+    /// Backends that get no new sessions according to the replicated log.
     Exclusions = 8,
 }
 
--- a/recovery/src/recover.rs
+++ b/recovery/src/recover.rs
@@ -5,7 +5,7 @@
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{Instance, List};
 
-/// Longest age of a removed server's record. By then the server is missing from every list.
+/// Longest age of a server's record. By then a removed server is missing from every list.
 const SERVER_MAX_AGE: Micros = 7 * 86_400_000_000;
 
 /// A slot at a server in slow start that this relay has already used.
@@ -58,7 +58,7 @@
     pub list: List,
     /// Slots at servers in slow start that are already used.
     pub slow_start_slots: Vec<SlowStartSlot>,
-    /// Smallest start number that the relay may use.
+    /// Smallest start number that the relay may use; 0 if it has no store of its own.
     pub min_start_number: u64,
     /// Records that are no longer needed.
     pub obsolete: Vec<ObsoleteRecord>,
@@ -75,7 +75,7 @@
 /// A store of another relay is not used. Of two lists from the same source, the later version takes
 /// precedence. Versions of different sources cannot be compared, so that the configured list takes precedence
 /// over a stored one of another source. A server that was draining or removed keeps that state until a later
-/// version of the same list changes it or the server has restarted.
+/// version from the same source changes it or the server has restarted.
 pub fn recover(input: &RecoverInput) -> Recovered {
     let list = List { is_complete: true, ..input.configured.clone() };
     let recovery = Recovery { input, recovered: Recovered { list, ..Recovered::default() } };
@@ -136,7 +136,10 @@
         self.apply_stored_phases(&servers);
         self.recover_slow_start_slots();
         if self.age(stored.last_written_at).is_none() {
-            self.log("the clock is before the last write to the store; ages are unknown".to_string());
+            let (now, last) = (self.input.now, stored.last_written_at);
+            self.log(format!(
+                "the clock ({now} us) is before the last write to the store ({last} us); ages are unknown"
+            ));
         }
         if stored.unreadable > 0 {
             self.log(format!("{} records of the store cannot be decoded and are ignored", stored.unreadable));
@@ -152,8 +155,8 @@
         self.recovered.obsolete.push(ObsoleteRecord { kind, name: name.to_string() });
     }
 
-    /// Time since a record was written. `None` if the clock cannot be trusted: it is before the time of
-    /// writing or before the last write to the store.
+    /// Time since a record was written. `None` if the clock cannot be trusted, because it is before that time
+    /// or before the last write to the store.
     fn age(&self, written_at: Micros) -> Option<Micros> {
         if self.input.now < self.input.stored.last_written_at {
             return None;
@@ -219,8 +222,8 @@
         self.recovered.unstored = unstored.cloned().collect();
     }
 
-    /// Applies the stored draining or removed state to servers of the list, unless the list is a later
-    /// version of the one with that state or the server has restarted.
+    /// Applies the stored draining or removed state to servers of the list. A state does not apply if the
+    /// list is a later version from the same source, or if the server has restarted since.
     fn apply_stored_phases(&mut self, servers: &[&StoredServer]) {
         let is_same_source = self.stored_generation().is_some();
         let generation = self.recovered.list.generation;
--- a/recovery/src/stored.rs
+++ b/recovery/src/stored.rs
@@ -10,7 +10,7 @@
 /// One server as last listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredServer {
-    /// Version of the list.
+    /// Version of the endpoint list from which the server was stored.
     pub generation: u64,
     /// Time of writing by the system clock.
     pub written_at: Micros,
@@ -18,7 +18,7 @@
     pub instance: Instance,
 }
 
-/// Backends that the replicated log excludes.
+/// Backends that get no new sessions according to the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Exclusions {
     /// Index of the last applied log entry.
@@ -48,7 +48,8 @@
     pub exclusions: Exclusions,
     /// Latest time at which a record was written, by the system clock.
     pub last_written_at: Micros,
-    /// Number of ignored records: those of another version or kind, and those that cannot be decoded.
+    /// Number of ignored records: those of another version or an unknown kind, and those that cannot be
+    /// decoded.
     pub unreadable: usize,
 }
 
--- a/recovery/tests/fixtures.rs
+++ b/recovery/tests/fixtures.rs
@@ -182,13 +182,13 @@
 fn truncated_log_and_unfinished_compaction_are_repaired() {
     let directory = Temporary::copy_of("torn");
     let torn = (fixture_log("torn").len() - fixture_log("voter").len()) as u64;
-    assert!(torn > 0 && directory.0.join(NEXT_LOG_FILE).exists());
+    assert!(torn > 0 && directory.0.join(NEXT_LOG_FILE).exists(), "{torn} torn bytes, or no {NEXT_LOG_FILE}");
     let store = directory.open();
     assert_eq!(store.summary(), LogSummary { records: 9, torn_bytes: torn, generation: 1 });
     assert_eq!(read(&store), expected());
     drop(store);
     assert_eq!(directory.log(), fixture_log("voter"));
-    assert!(!directory.0.join(NEXT_LOG_FILE).exists());
+    assert!(!directory.0.join(NEXT_LOG_FILE).exists(), "{NEXT_LOG_FILE} must be removed");
 }
 
 #[test]
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -8,8 +8,9 @@
     /// The disk reported an error. The contents of a file after a failed write are unknown.
     #[error("disk error: {0}")]
     Disk(#[from] io::Error),
-    /// The file is not a log of this store. It is left unchanged.
-    #[error("the file is not a hallrelay store")]
+    /// The header of the log file is intact but does not have the magic bytes of a store. The file is left
+    /// unchanged.
+    #[error("the log file is not that of a hallrelay store")]
     NotAStore,
     /// The log file has another format, most likely a later one. It is left unchanged.
     #[error("the store's format is {found}, wanted {wanted}")]
@@ -21,7 +22,7 @@
     },
     /// A key's name is longer than [`MAX_NAME_BYTES`](crate::format::MAX_NAME_BYTES) or a value longer than
     /// [`MAX_VALUE_BYTES`](crate::format::MAX_VALUE_BYTES).
-    #[error("a key has over {MAX_NAME_BYTES} bytes or a value over {MAX_VALUE_BYTES} bytes")]
+    #[error("the name of a key is over {MAX_NAME_BYTES} bytes or a value over {MAX_VALUE_BYTES} bytes")]
     EntryTooLarge,
     /// A batch is larger than [`MAX_RECORD_BYTES`](crate::format::MAX_RECORD_BYTES).
     #[error("a batch has {bytes} bytes, at most {max} are allowed")]
--- a/store/src/faulty_disk.rs
+++ b/store/src/faulty_disk.rs
@@ -83,6 +83,7 @@
 
 impl Random {
     fn new(seed: u64) -> Random {
+        // A state of 0 would yield only zeros.
         Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
@@ -185,7 +186,8 @@
         self
     }
 
-    /// The contents of a file, for tests that damage them. Unsynced changes of the file are discarded.
+    /// The durable contents of a file, for tests that damage them; `None` if the file does not exist. The
+    /// unsynced changes of the file are discarded.
     pub fn bytes(&mut self, name: &str) -> Option<&mut Vec<u8>> {
         let file = self.names.get(name).and_then(|file| self.files.get_mut(*file))?;
         file.unsynced.clear();
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -16,7 +16,7 @@
 const COMPACTION_MIN_BYTES: u64 = 64 << 10;
 /// Smallest capacity of a store, in bytes.
 const MIN_CAPACITY: u64 = 4 * COMPACTION_MIN_BYTES;
-/// Size of the records and writes of a compaction, in bytes: as much as is read at once. A record of this
+/// Least size of the records and writes of a compaction, in bytes, except for the last ones. A record of this
 /// size holds about a thousand values, so that the cost of its frame is negligible.
 const COMPACTION_CHUNK_BYTES: usize = 64 << 10;
 
@@ -25,7 +25,7 @@
 pub struct StoreSize {
     /// Length of the log file, in bytes.
     pub file_bytes: u64,
-    /// Length of the current values in bytes, if each had its own record.
+    /// Length in bytes that the current values would have if each had its own record.
     pub live_bytes: u64,
 }
 
@@ -215,8 +215,8 @@
         let file_bytes = self.write_next_log(generation)?;
         self.disk.sync(NEXT_LOG_FILE)?;
         self.disk.rename(NEXT_LOG_FILE, LOG_FILE)?;
-        // Both files hold the same values, so that either may have the name after a power loss. No commit to
-        // the new file succeeds before its name is durable.
+        // Both files hold the same values, so after a power loss either of them may be the log file. No
+        // commit to the new file succeeds before its new name is durable.
         self.generation = generation;
         self.end = file_bytes;
         self.tail_uncertain = false;
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -58,8 +58,7 @@
 
 impl Channel {
     fn lock(&self) -> MutexGuard<'_, Shared> {
-        // No code panics while it holds the lock, so that the data is consistent even if the lock was
-        // poisoned.
+        // No code panics while it holds the lock, so the lock is not poisoned and the data is consistent.
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -180,7 +179,7 @@
         Err(error) => {
             shared.health.failures += 1;
             shared.health.last_error = Some(error.to_string());
-            // A change that was queued in the meantime is newer.
+            // A change of the same key that was queued in the meantime is newer and stays.
             for (key, value) in work.queue {
                 shared.queue.entry(key).or_insert(value);
             }
--- a/store/tests/power_loss.rs
+++ b/store/tests/power_loss.rs
@@ -87,7 +87,7 @@
             assert_eq!(values(&reopened), expected, "log truncated to {len} bytes, then a commit");
         }
     }
-    assert_eq!(reached, states.len() - 1);
+    assert_eq!(reached, states.len() - 1, "the complete log must give all batches");
 }
 
 #[test]
@@ -248,7 +248,10 @@
     later[16..20].copy_from_slice(&sum.to_le_bytes());
     std::fs::write(path.join(LOG_FILE), &later).expect("write the log file of a later format");
     let refused = Store::open(Directory::open(&path).expect("lock the directory"), CAPACITY).map(|_| ());
-    assert!(matches!(refused, Err(e @ StoreError::Format { .. }) if e.to_string().contains("format is 9")));
+    assert!(
+        matches!(&refused, Err(e @ StoreError::Format { .. }) if e.to_string().contains("format is 9")),
+        "format 9 must be refused: {refused:?}"
+    );
     assert_eq!(std::fs::read(path.join(LOG_FILE)).expect("read the log file"), later);
     _ = std::fs::remove_dir_all(&path);
 }
