--- a/disruption/src/command.rs
+++ b/disruption/src/command.rs
@@ -26,9 +26,9 @@
     Observe {
         /// The observed target.
         target: Target,
-        /// Its zone, its kind of machine and its group.
+        /// The zone, the kind of machine and the group of the target.
         domain: FailureDomain,
-        /// Its health.
+        /// The health of the target.
         health: HealthState,
     },
     /// Requests a lease. The request id is an idempotency key: a request repeated with the same id is the
--- a/disruption/src/rollout.rs
+++ b/disruption/src/rollout.rs
@@ -7,7 +7,7 @@
 use crate::target::Target;
 use serde::{Deserialize, Serialize};
 
-/// The progress of one target of a rollout. "It" is the target.
+/// The progress of one target of a rollout. In the descriptions, "it" is the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemState {
     /// Its update has not begun.
@@ -19,7 +19,8 @@
     Updated,
     /// It has the new build and is in service.
     Complete,
-    /// Its lease is requested for the rollback. The deployer installs the old build once it is granted.
+    /// Its lease is requested for the rollback. The deployer installs the old build once the lease is
+    /// granted.
     RollingBack,
     /// It has the old build again but has not been observed to be up yet.
     Reverted,
--- a/disruption/src/state/leases.rs
+++ b/disruption/src/state/leases.rs
@@ -17,7 +17,7 @@
     }
 
     /// Applies an event to a target's lease if `lease_id` is that of its current grant. A late command for an
-    /// earlier grant is stale, and so is lease id 0, which stands for no grant.
+    /// earlier grant is stale, and so is lease id 0, which means no grant.
     pub(super) fn apply_to_grant(
         &mut self,
         target: &Target,
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// Lifeguard's suspicion timeout. It is longest with one reporter and shortest with all confirmations. In
-/// between it falls with the logarithm of the number of confirmations. `member_count` includes this relay.
+/// Lifeguard's suspicion timeout. It is longest with one reporter, decreases with the logarithm of the number
+/// of confirmations, and is shortest with all confirmations. `member_count` includes this relay.
 fn suspicion_timeout(reporter_count: usize, member_count: usize) -> Micros {
     let log_members = (member_count as f64).log10().max(1.0);
     let by_log = (MIN_SUSPICION_TIMEOUT_PER_LOG as f64 * log_members) as Micros;
--- a/membership/tests/fixtures.rs
+++ b/membership/tests/fixtures.rs
@@ -187,9 +187,8 @@
     };
     assert_eq!(decoded_updates("gossip.bin", MAX_DATAGRAM_BYTES), Ok(8));
     assert_eq!(decoded_updates("exchanged.bin", MAX_FRAME_BYTES), Ok(300));
-    assert!(
-        decoded_updates("gossip_full.bin", MAX_DATAGRAM_BYTES).is_ok_and(|count| (20..100).contains(&count))
-    );
+    let count = decoded_updates("gossip_full.bin", MAX_DATAGRAM_BYTES);
+    assert!(count.is_ok_and(|count| (20..100).contains(&count)), "gossip_full.bin: {count:?} updates");
 }
 
 /// A process that takes over a relay reads the member table that its predecessor wrote.
--- a/model_checker/src/cluster/enabled.rs
+++ b/model_checker/src/cluster/enabled.rs
@@ -41,7 +41,7 @@
             enabled.push(Transition::WriteDurable(server));
         }
         // Without a leader in the initial state the servers differ only in their ids, so crashes of the last
-        // server stand for those of any other. The scenarios with disk losses start with a leader.
+        // server represent those of any server. The scenarios with disk losses start with a leader.
         if state.limits.crashes > 0 && (self.starts_with_leader || server + 1 == self.voter_count) {
             enabled.push(Transition::Crash(server));
         }
@@ -78,7 +78,7 @@
 }
 
 /// Adds the failure, the start and the warm-up of the first holder. Other holders do not fail: holders differ
-/// only in their names unless the first one starts disrupted, so the first stands for any other.
+/// only in their names unless the first one starts disrupted, so the first represents any holder.
 fn add_holder_transitions(state: &ClusterState, enabled: &mut Vec<Transition>) {
     let Some(holder) = state.holders.first() else { return };
     match holder.health {
--- a/model_checker/src/cluster/state.rs
+++ b/model_checker/src/cluster/state.rs
@@ -73,7 +73,8 @@
 }
 
 impl Holder {
-    /// Returns whether the holder was granted a lease that it has not returned.
+    /// Returns whether the holder was granted a lease that it has not returned. A holder does not learn that
+    /// its lease has expired.
     pub(super) fn has_lease(&self) -> bool {
         self.lease_id != 0
     }
--- a/model_checker/tests/scenarios.rs
+++ b/model_checker/tests/scenarios.rs
@@ -63,6 +63,7 @@
             found.push(*mutation);
         }
     }
+    // The two large ones are counted without a search.
     assert_eq!(found.len() + 2, Mutation::ALL.len(), "each mutation belongs to a scenario: {found:?}");
 }
 
--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -23,7 +23,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a server, whatever its disk. The host derives the id from the server's name.
+/// Identifies a server, regardless of its disk. The host derives the id from the server's name.
 pub type Id = u32;
 /// A term of Raft (section 5.1); 0 is before the first election.
 pub type Term = u64;
--- a/raft/src/node/membership.rs
+++ b/raft/src/node/membership.rs
@@ -49,8 +49,8 @@
         let announcement = Announcement { incarnation: from.incarnation, uninitialized };
         let previous = self.announced.insert(from.id, announcement);
         if self.role == Role::Uninitialized {
-            // The bootstrap starts on an announcement that is addressed to this server's disk: its sender has
-            // received an announcement of that disk. Any other new sender is sent one here.
+            // The bootstrap starts on an announcement that is addressed to this server's disk. Its sender has
+            // received an announcement of this disk. Any other new sender receives one here.
             if to == self.own {
                 self.bootstrap_if_ready(effects);
             } else if previous.is_none_or(|previous| previous.incarnation != from.incarnation) {
--- a/raft/tests/fixtures.rs
+++ b/raft/tests/fixtures.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// The bytes of a recorded line; `None` if there is no such line yet.
+/// The bytes of the recorded line with a name; `None` if the file or the line does not exist yet.
 fn recorded_bytes(file: &str, name: &str) -> Option<Vec<u8>> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file);
     let text = std::fs::read_to_string(path).ok()?;
@@ -122,7 +122,7 @@
     check_encoding("snapshots.hex", &[("empty", Snapshot::default()), ("some", snapshot())]);
 }
 
-/// The record in the store: the disk's incarnation, the term and the vote.
+/// The record of a vote in the store: the incarnation of the voter's disk, the term and the vote.
 type StoredVote = (u64, Term, Option<Voter>);
 
 #[test]
--- a/raft/tests/recorded_runs.rs
+++ b/raft/tests/recorded_runs.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-/// Linear congruential generator with Knuth's MMIX constants. It uses the upper half of the state.
+/// Linear congruential generator with Knuth's MMIX constants. Results use the upper 31 bits of the state.
 struct Random(u64);
 
 impl Random {
@@ -19,6 +19,7 @@
     node: Node,
     disk: PersistentState,
     incarnation: u64,
+    /// Requested writes that are not durable yet, by their numbers.
     pending: VecDeque<(u64, Write)>,
 }
 
@@ -155,7 +156,7 @@
         );
         let role = node.role().as_str();
         self.count("role", role);
-        // The network loses the oldest messages beyond 60.
+        // The network holds 60 messages and loses the oldest ones beyond that.
         let excess = self.network.len().saturating_sub(60);
         self.network.drain(..excess);
     }
@@ -173,7 +174,7 @@
         self.record(position, &line, effects);
     }
 
-    /// Restarts a server from its disk, in one of four cases with one configured voter fewer.
+    /// Restarts a server from its disk. In one of four cases the last server is no longer configured.
     fn restart(&mut self, position: usize, cause: &str) {
         let size = self.servers.len() as u32;
         let fewer = u32::from(self.random.below(4) == 0 && size > 1);
@@ -189,7 +190,8 @@
         if self.network.is_empty() {
             return;
         }
-        // Two of three messages are delivered in order; some are duplicated or lost.
+        // The oldest message is delivered in two of three cases, a random one otherwise. One message in 20
+        // stays in the network for another delivery, and one in 20 is lost.
         let range = if self.random.below(3) == 0 { self.network.len() } else { 1 };
         let chosen = self.random.below(range);
         let message = match self.random.below(20) {
--- a/recovery/src/recover.rs
+++ b/recovery/src/recover.rs
@@ -58,7 +58,7 @@
     pub list: List,
     /// Slots at servers in slow start that are already used.
     pub slow_start_slots: Vec<SlowStartSlot>,
-    /// Smallest start number that the relay may use; 0 if it has no store of its own.
+    /// Smallest start number that the relay may use; 0 if no earlier start of this relay is stored.
     pub min_start_number: u64,
     /// Records that are no longer needed.
     pub obsolete: Vec<ObsoleteRecord>,
