--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,6 +1,7 @@
 //! Admission control: whether a session is dialled, waits for load reports, or is rejected. The thresholds
 //! are those of HEU, section 7 of Bartolini's "Session based access control in geographically replicated
-//! Internet services".
+//! Internet services" ("the paper" in this crate): c is the capacity of the fleet, c_id the maximum number of
+//! sessions of a relay, x_busy the load of the fleet, and x_cong the capacity of its congested servers.
 
 use crate::balancer::{Balancer, REPORT_LAG};
 use crate::estimate::FleetEstimate;
@@ -11,21 +12,22 @@
 
 /// The fraction of the thresholds that is reserved for high-priority sessions (the paper's k_reserved).
 pub(crate) const HIGH_PRIORITY_RESERVE: f64 = 0.15;
-/// The mean age of the reports above which admission waits for newer ones before it rejects a session, if the
-/// session has time to wait.
+/// The mean age of the load reports above which admission waits for newer reports before it rejects a
+/// session, if the session has time to wait.
 const MAX_REPORT_AGE: Micros = 2 * REPORT_LAG;
 /// The interval after which a relay that may not probe dials a server regardless of the thresholds, because
 /// such a relay gets a new report only from a dial.
 const BLIND_DIAL_INTERVAL: Micros = 3 * REPORT_LAG;
 
 impl Balancer {
-    /// Decides the admission of a session: it is dialled at a server, waits for reports until its report
-    /// deadline, or gets its final answer immediately.
+    /// Decides the admission of a session: the session is dialled at a server, waits for reports until its
+    /// report deadline, or gets its final answer immediately. The final answer is a rejection, or the end of
+    /// the session without one (`give_up_event`).
     ///
     /// The rules apply in this order:
     /// 1. A session that may not be dialled again gets its final answer.
-    /// 2. A session whose pool has old reports waits for new ones.
-    /// 3. A session over the thresholds gets a spare slow-start slot, or its final answer.
+    /// 2. A session waits if servers of its pool, the servers on which it may be placed, have old reports.
+    /// 3. A session that the thresholds do not admit gets a spare slow-start slot, or its final answer.
     /// 4. A session selected by throttling is rejected.
     /// 5. Any other session is dialled at the server of its pool with the lowest cost.
     pub(crate) fn evaluate(&mut self, id: SessionId) -> Event {
@@ -57,14 +59,14 @@
         Event::Placed
     }
 
-    /// Whether the thresholds reject a session's first dial. Retries are exempt, because the session was
-    /// already admitted.
+    /// Whether the thresholds do not admit a session's first dial. Retries are exempt, because the session
+    /// was already admitted.
     fn is_over_thresholds(&self, session: &Session, fleet: &FleetEstimate) -> bool {
         let is_blind_dial = !self.site.may_probe && self.now - self.last_dial_at >= BLIND_DIAL_INTERVAL;
         session.dials == 0 && !is_blind_dial && !self.admits(session, fleet)
     }
 
-    /// Whether the thresholds of HEU admit a session. Loads and capacities are in servers.
+    /// Whether the thresholds of HEU admit a session. Loads and capacities are in units of one server.
     ///
     /// All sessions are admitted while the number of this relay's sessions is below t_id and the load of the
     /// fleet is below t_servers - x_cong. Here t_id and t_servers are c_id and c, each reduced by the
@@ -95,8 +97,9 @@
         session.policy.listener.priority_weight >= (lowest + highest) / 2.0
     }
 
-    /// The servers of a pool whose reports a session waits for: those that answer, whose reports are older
-    /// than `REPORT_LAG`, and whose probes the credit covers. Empty after the session's report deadline.
+    /// The servers of a pool whose reports a session waits for. Such a server answers, its last report is
+    /// missing or older than `REPORT_LAG`, and it is being probed or the probe credit covers a probe of it.
+    /// Empty after the session's report deadline.
     fn reports_to_await(&self, session: &Session, pool: &[ServerId]) -> Vec<ServerId> {
         if self.now >= session.report_deadline {
             return Vec::new();
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -1,4 +1,6 @@
-//! One relay: the state on which its decisions depend, and the step that turns an input into effects.
+//! The balancer of one relay: the state on which its decisions depend, and the step that turns an input into
+//! effects. "The paper" in the crate's comments is the one that the module `admission` cites. A slot is one
+//! dial that this relay may make to a warming server (see the module `slow_start`).
 
 use crate::estimate::FleetEstimate;
 use crate::interarrival::MeanInterarrival;
@@ -14,8 +16,8 @@
 /// The load at or above which a server counts as full, as a fraction of the saturating load. Below it, all
 /// sessions of the server are served in time, and a migration gains nothing.
 pub(crate) const FULL_LOAD: f64 = 0.75;
-/// Minimum number of own sessions from which the fleet is extrapolated. With fewer, the sampling error
-/// exceeds a quarter.
+/// Minimum number of this relay's own sessions from which a value of the fleet is extrapolated. With fewer,
+/// the sampling error exceeds a quarter of the value.
 pub(crate) const MIN_SAMPLE_SESSIONS: u32 = 16;
 /// The delay of load reports, from the measurement of a load to the arrival of the answer that contains it.
 pub(crate) const REPORT_LAG: Micros = SECOND;
@@ -51,15 +53,15 @@
     pub(crate) sessions: BTreeMap<SessionId, Session>,
     /// Sessions that wait for reports, in the order of their requests.
     pub(crate) awaiting_reports: Vec<SessionId>,
-    /// Number of own sessions of each group on each server, dialled and established.
+    /// Number of this relay's sessions of each group on each server, including those being dialled.
     pub(crate) group_sessions: BTreeMap<GroupKey, u32>,
-    /// Running mean of the sessions' loads, in the unit of the inputs. 0 before the first one.
+    /// Running mean of the loads in `Input::SessionLoad`, in the unit of that input. 0 before the first load.
     mean_session_load: f64,
-    /// Number of sessions of this relay, dialled and established (the paper's n).
+    /// Number of sessions of this relay, including those being dialled (the paper's n).
     pub(crate) own_sessions: u32,
     /// Arrivals of sessions that may take a slot at a warming server, including rejected sessions.
     pub(crate) slot_arrivals: MeanInterarrival,
-    /// Sessions dialled minus sessions that ended, weighted by their load.
+    /// Sessions that this relay dialled minus sessions that ended, weighted by their load.
     pub(crate) net_sessions: RollingSum,
     /// Sessions of this relay that ended, minus those that returned to it.
     pub(crate) disconnects: RollingSum,
@@ -73,7 +75,7 @@
     /// The queue delay above which a server is congested, in seconds. It is the shortest message objective.
     pub(crate) queue_delay_limit: f64,
     pub(crate) estimate: FleetEstimate,
-    /// Number of further probes that may be sent.
+    /// Number of probes that may still be sent. Each new session adds credit, each probe takes 1 from it.
     pub(crate) probe_credit: f64,
     /// Number of consecutive failed watches, limited to the last index of `WATCH_BACKOFF`.
     pub(crate) watch_failures: u32,
@@ -81,8 +83,8 @@
 }
 
 impl Balancer {
-    /// Creates a relay without servers and sessions. `seed` determines all its random numbers. `site` must
-    /// have at least one listener.
+    /// Creates the balancer of a relay without servers and sessions. `seed` determines all of its random
+    /// numbers. `site` must have at least one listener.
     pub fn new(site: SiteConfig, seed: u64) -> Balancer {
         /// Assumed load of one session on a server before the first reports.
         const INITIAL_SESSION_LOAD: f64 = 0.02;
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Sets the weight of a session: its load divided by the running mean over about 50 such inputs.
+    /// Sets the weight of a session: its load divided by the running mean of about the last 50 loads.
     fn record_session_load(&mut self, id: SessionId, load: f64) {
         const GAIN: f64 = 0.02;
         /// Bounds of the weight. A session with the mean load has weight 1.0.
--- a/balancer/src/dialing.rs
+++ b/balancer/src/dialing.rs
@@ -1,5 +1,5 @@
-//! Dials: how a session is dialled or waits for reports, what the result of a dial shows about the server,
-//! and how sessions are counted.
+//! Dials: how a session is dialled or waits for load reports, what the result of a dial shows about the
+//! server, and how sessions are counted.
 
 use crate::balancer::{Balancer, GroupKey, REPORTS_TIMER, SECOND};
 use crate::retry::PossibleRun;
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Evaluates those waiting sessions again that have all their reports or whose report deadline has
-    /// passed. `answered` is the server whose probe ended.
+    /// Evaluates each waiting session again that has all of its awaited reports or whose report deadline has
+    /// passed. `answered` is the server whose probe ended, or `None` if a timer expired.
     pub(crate) fn reevaluate_waiting(&mut self, answered: Option<ServerId>, effects: &mut Vec<Effect>) {
         let mut due = Vec::new();
         self.awaiting_reports.retain(|&id| {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Records the result of a session's last dial: the server's report and faults, and whether the session
-    /// may have run.
+    /// Records how a session's last dial, or the session established by it, ended: the server's report and
+    /// faults, and whether the request may have run.
     pub(crate) fn record_dial_end(&mut self, id: SessionId, end: DialEnd, report: Option<LoadReport>) {
         let may_have_run = !matches!(end, DialEnd::Unconnected | DialEnd::Full | DialEnd::NotSent);
         if may_have_run {
@@ -67,7 +67,8 @@
         let Some(server) = self.servers.get_mut(&session.server) else { return };
         let is_fault = matches!(end, DialEnd::Error | DialEnd::Reset | DialEnd::Timeout);
         if is_fault {
-            // The client retries immediately, which puts the same load on the fleet again.
+            // The client retries immediately, which puts the same load on the fleet again. With weight 0 the
+            // end of this session does not lower the estimated load.
             session.weight = 0.0;
         }
         if may_have_run {
@@ -81,8 +82,8 @@
         server.record_report(self.now, report);
     }
 
-    /// Counts a session as placed on its server (`change` is 1) or as ended there (-1), in all sums that
-    /// correct the last reports until newer ones arrive.
+    /// Counts a session as placed on its server (`change` is 1) or as ended there (`change` is -1), in all
+    /// sums that correct the last load reports until newer reports arrive.
     pub(crate) fn count_session(&mut self, id: SessionId, change: i32) {
         let session = &self.sessions[&id];
         let group_key = GroupKey { server: session.server, group: session.request.group };
@@ -104,11 +105,11 @@
         }
     }
 
-    /// Whether sessions of this relay that ended in the last 8 s may still return. If none is missing, a
-    /// returned session has only moved from another relay, and the reports already include its load.
+    /// Whether sessions of this relay that ended in the last 8 s may still return. If no such session is
+    /// missing, a returned session comes from another relay, and the load reports already include its load.
     fn has_missing_sessions(&self) -> bool {
         const WINDOW: Micros = 8 * SECOND;
-        /// The excess of returned over ended sessions that is considered random, as a fraction of this
+        /// The number by which returned sessions may exceed ended ones at random, as a fraction of this
         /// relay's sessions.
         const CHANCE_RATIO: f64 = 0.2;
         self.disconnects.sum(self.now, WINDOW) >= -CHANCE_RATIO * f64::from(self.own_sessions)
--- a/balancer/src/estimate.rs
+++ b/balancer/src/estimate.rs
@@ -1,5 +1,6 @@
 //! The estimate of the fleet's load and capacity, from the load reports that one relay has received and the
-//! sessions that it has placed since then. Loads and capacities are in servers.
+//! sessions that it has placed since then. Loads and capacities of the fleet are in units of one server. "The
+//! paper" is the one that the module `admission` cites.
 
 use crate::balancer::{Balancer, MIN_SAMPLE_SESSIONS, REPORT_LAG, SECOND};
 use crate::outlier::HealthTier;
@@ -20,9 +21,10 @@
     pub(crate) mean_load: f64,
     /// Load of one session on a server, as a fraction of the server. Within `SESSION_LOAD`.
     pub(crate) session_load: f64,
-    /// Load of one session for the budget of a warming server. Within `SLOT_SESSION_LOAD`.
+    /// Load of one session, as used for the budget of a warming server. Within `SLOT_SESSION_LOAD`.
     pub(crate) slot_session_load: f64,
-    /// Factor by which this relay's change of sessions is multiplied to estimate the change of all relays.
+    /// Factor by which the change of this relay's number of sessions is multiplied to estimate the change of
+    /// all relays' number of sessions.
     pub(crate) fleet_factor: f64,
     /// Mean age of the reports, in microseconds.
     pub(crate) report_age: Micros,
@@ -33,11 +35,11 @@
 
 /// Bounds of the load of one session on a server, for predictions of load.
 pub(crate) const SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.05;
-/// Bounds of the load of one session for a warming server's budget, as derived from reports. The upper bound
-/// is the load on a server that five sessions saturate.
+/// Bounds of the load of one session, as used for a warming server's budget. The upper bound is the load of
+/// one session on a server that five sessions saturate.
 pub(crate) const SLOT_SESSION_LOAD: RangeInclusive<f64> = 0.002..=0.2;
 
-/// The age up to which a queue delay counts. A new one arrives every second.
+/// The age up to which a queue delay counts. A new queue delay arrives every second.
 const QUEUE_DELAY_AGE: Micros = 2 * SECOND;
 
 /// Sums over the servers that take new sessions and answer, each weighted by its warm-up fraction.
@@ -50,7 +52,7 @@
     unreported_congested: f64,
     /// Capacity of the servers that have reported: the sample that the following sums cover.
     reported: f64,
-    /// Load including queued work, at most 1 per server.
+    /// Reported load plus queue delay, at most 1 per server.
     load: f64,
     /// Reported load.
     demand: f64,
@@ -109,11 +111,11 @@
         sample
     }
 
-    /// The factor from this relay's change of sessions to that of all relays, at most the number of relays.
-    /// With few sessions a relay's own change is mostly random. With a hundred it is representative of the
-    /// fleet.
+    /// The factor from the change of this relay's number of sessions to the change of all relays' number, at
+    /// most the number of relays. The change at a relay with few sessions is mostly random, so it is scaled
+    /// less. The change at a relay with a hundred sessions is representative of the fleet.
     fn fleet_factor(&self) -> f64 {
-        /// Number of own sessions with which the factor is half of the number of relays.
+        /// Number of this relay's sessions at which the factor is half of the number of relays.
         const HALF_TRUSTED: f64 = 8.0;
         let own_sessions = f64::from(self.own_sessions);
         f64::from(self.site.relay_count) * own_sessions / (own_sessions + HALF_TRUSTED)
@@ -135,9 +137,10 @@
         estimate.busy = busy.max(0.0);
     }
 
-    /// Estimates the load of one session on a server: the reported load divided by the reported sessions. A
-    /// relay with many sessions, or without reported numbers of sessions, divides by its own sessions times
-    /// the number of relays instead, and takes a running mean over some seconds.
+    /// Estimates the load of one session on a server: the reported load divided by the reported number of
+    /// sessions. If this relay has many sessions, or if no server reports its number of sessions, the divisor
+    /// is this relay's number of sessions times the number of relays, and the result enters a running mean
+    /// over some seconds.
     fn estimate_session_load(&self, sample: &FleetSample, estimate: &mut FleetEstimate) {
         /// Weight of the previous estimate, as a number of sessions added to the reported ones.
         const PRIOR_SESSIONS: f64 = 8.0;
@@ -169,7 +172,8 @@
     /// of the fleet before the first report, plus the queue delay and the load of the sessions placed on the
     /// server since the report. The load of a congested server is at least 1.0.
     pub(crate) fn current_load(&self, server: &Server, fleet: &FleetEstimate) -> f64 {
-        /// Maximum number of sessions of all relays that one own session represents. More is mostly random.
+        /// Maximum number of sessions of all relays that one session of this relay represents. With a higher
+        /// factor the estimate would be mostly random.
         const MAX_FLEET_FACTOR: f64 = 4.0;
         let report_age = server.last_report_at.map_or(0, |reported_at| self.now - reported_at);
         let placed = server.net_sessions.sum(self.now, report_age + REPORT_LAG);
@@ -184,13 +188,14 @@
 }
 
 impl FleetSample {
-    /// The load that counts as busy (the paper's x_busy), in servers of the sample.
+    /// The load that counts as busy (the paper's x_busy), summed over the servers of the sample.
     ///
-    /// If the other servers have spare capacity for the load of the congested ones, that load counts only in
-    /// proportion to the congested fraction. It is already included in x_cong, and if it counted fully, a
-    /// single slow server would make the relays reject all sessions.
+    /// If the other servers have spare capacity, the load of the congested servers counts only in proportion
+    /// to the congested fraction of the sample's capacity. Admission already subtracts these servers as
+    /// x_cong. If their load counted fully as well, a single slow server would make the relays reject all
+    /// sessions.
     fn counted_load(&self) -> f64 {
-        /// The mean load below which the other servers have spare capacity.
+        /// The mean load of the servers that are not congested below which they have spare capacity.
         const SPARE_CAPACITY_LOAD: f64 = 0.6;
         let has_spare_capacity =
             self.load - self.congested_load < SPARE_CAPACITY_LOAD * (self.reported - self.congested);
--- a/balancer/src/interarrival.rs
+++ b/balancer/src/interarrival.rs
@@ -9,10 +9,10 @@
 }
 
 impl MeanInterarrival {
-    /// The mean before the first interval, in microseconds: that of a relay with few sessions.
+    /// The mean before the first interval, in microseconds. It is the mean of a relay with few sessions.
     const INITIAL_MEAN: f64 = 12e6;
-    /// The weight of the newest interval. It is large enough to follow a burst, and gives the mean a standard
-    /// deviation of a quarter of its value.
+    /// The weight of the newest interval in the mean. It is large enough for the mean to follow a burst, and
+    /// gives the mean a standard deviation of a quarter of its value.
     const NEWEST_WEIGHT: f64 = 1.0 / 8.0;
 
     /// Records an arrival at `now`.
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -6,11 +6,11 @@
 //!
 //! Four rules hold at all times. The comments of the modules refer to them by number:
 //! 1. Each session gets exactly one final answer before its deadline, and no effect follows that answer.
-//! 2. No session runs twice. A session that may run only once is retried or rejected only if no earlier dial
-//!    can have run.
+//! 2. No session runs twice: of a session that may run only once, at most one dial runs on a server. Such a
+//!    session is dialled again or rejected only if no earlier dial can have run.
 //! 3. A server gets no new session once the drain grace has passed since this relay was notified that the
 //!    server is draining or was removed.
-//! 4. All relays together do not overload a server in slow start.
+//! 4. All relays together do not overload a server that warms up after its start (slow start).
 #![deny(missing_docs)]
 
 mod admission;
--- a/balancer/src/probes.rs
+++ b/balancer/src/probes.rs
@@ -1,8 +1,8 @@
 //! Probes for load reports: the probe credit, the choice of the server to probe, and the handling of results.
 //!
-//! Probes have no fixed interval. Each session adds credit for a number of probes. The number is larger if a
-//! probe costs less. The credit is spent first on the pools of sessions that wait for reports. The rest is
-//! spent on the servers whose last probe is the oldest.
+//! A probe is a small request to a server for a load report. Probes have no fixed interval. Each session adds
+//! credit for a number of probes, which is larger if a probe costs less. The credit is spent first on the
+//! pools of sessions that wait for reports. The rest is spent on the servers whose last probe is the oldest.
 
 use crate::balancer::{Balancer, PROBE_TIMER, SECOND};
 use crate::placement::POOL_SIZE;
@@ -10,23 +10,25 @@
 
 /// Maximum cost of the probes per session, as a fraction of the session's value.
 const PROBE_SPENDING: f64 = 0.008;
-/// Maximum credit that one session adds, in probes of each server of a pool.
+/// Maximum credit that one session adds, as a number of probes for each server of a full pool.
 const MAX_POOLS_PER_SESSION: f64 = 4.0;
 /// Credit that a returned session adds, as a fraction of a new session's credit.
 const RETURNED_SHARE: f64 = 0.5;
-/// Maximum credit, in probes of each server.
+/// Maximum credit, as a number of probes for each server.
 const MAX_CREDIT_ROUNDS: f64 = 8.0;
-/// Number of sessions whose pools the credit must cover before other servers are probed.
+/// Number of sessions for whose pools the credit must suffice before other servers are probed.
 const RESERVED_SESSIONS: f64 = 6.0;
-/// The time over which the spare credit, above the reserve for those sessions, is spent.
+/// The time over which the spare credit is spent: the credit above the reserve for `RESERVED_SESSIONS`.
 const SPENDING_TIME: Micros = 8 * SECOND;
-/// Minimum spare credit assumed for the interval between probes, in probes.
+/// Minimum spare credit, in probes, from which the interval between probes is computed. It limits that
+/// interval to `SPENDING_TIME` divided by this number.
 const MIN_PACED_PROBES: f64 = 4.0;
 /// Minimum mean interval between two probes of the same server.
 const MIN_PROBE_INTERVAL: Micros = SECOND / 2;
 
 impl Balancer {
-    /// Adds the credit of a session, in probes: `PROBE_SPENDING` divided by the cost of a probe.
+    /// Adds the credit of a new session, in probes: `PROBE_SPENDING` divided by the cost of a probe, within
+    /// the limits above.
     pub(crate) fn add_probe_credit(&mut self, returned: bool) {
         let affordable_probes = PROBE_SPENDING / self.site.probe_cost.max(1e-6);
         let credit = affordable_probes.min(MAX_POOLS_PER_SESSION * POOL_SIZE as f64);
@@ -46,8 +48,8 @@
         effects.push(Effect::Probe { server: server_id });
     }
 
-    /// Sets the timer for the next probe. If the credit exceeds the reserve for waiting sessions, probes the
-    /// server whose last probe is the oldest.
+    /// Sets the timer for the next probe. If the spare credit is at least one probe, probes the server whose
+    /// last probe is the oldest.
     pub(crate) fn probe_tick(&mut self, effects: &mut Vec<Effect>) {
         if !self.site.may_probe {
             return;
--- a/balancer/src/random.rs
+++ b/balancer/src/random.rs
@@ -19,7 +19,8 @@
         self.0.rand_range(0..end)
     }
 
-    /// Returns true with the given probability, in steps of 0.001, and always if it is at least 1.
+    /// Returns true with the given probability, which is rounded up to a multiple of 0.001. Always returns
+    /// true if the probability is at least 1.
     pub(crate) fn random_bool(&mut self, probability: f64) -> bool {
         (self.below(1000) as f64) < probability * 1000.0
     }
--- a/balancer/src/rebalance.rs
+++ b/balancer/src/rebalance.rs
@@ -1,4 +1,5 @@
-//! Rebalancing: which established sessions are migrated away from a server that becomes full.
+//! Rebalancing: which established sessions are migrated away from a server that becomes full. A migration
+//! asks a session's client to reconnect, so that the session is placed again.
 
 use crate::balancer::{Balancer, GroupKey, FULL_LOAD, REPORT_LAG};
 use crate::estimate::FleetEstimate;
@@ -12,15 +13,16 @@
 struct Candidate {
     /// Whether the session is migrated only after all unprotected candidates.
     is_protected: bool,
-    /// Load that the migration frees on the server, in sessions.
+    /// Load that the migration frees on the server, in units of one session's load.
     freed: f64,
     id: SessionId,
 }
 
 impl Balancer {
-    /// Migrates sessions from a server that becomes full to servers where they lose less service. The
-    /// sessions that free the most load are migrated first. If the server sheds load, high-priority sessions
-    /// are migrated last. Called after each probe and each message delay of the server.
+    /// Migrates sessions away from a server that becomes full, if they lose less service on another server.
+    /// The sessions that free the most load are migrated first. If the server sheds load (`is_shedding`),
+    /// sessions are migrated even without a better server, and high-priority sessions last. Called after each
+    /// probe and each measured message delay of the server.
     pub(crate) fn rebalance(&mut self, server_id: ServerId, effects: &mut Vec<Effect>) {
         if !self.is_rebalance_due(server_id) {
             return;
@@ -33,8 +35,8 @@
         let excess = self.excess_load(server, load, is_shedding, &fleet);
         let mut surplus = candidates.iter().map(|candidate| candidate.freed).sum::<f64>() * excess / load;
         for Candidate { freed, id, .. } in candidates {
-            // If the surplus is less than the next session frees, that session is migrated with the
-            // probability of the ratio, so that all relays together migrate the right number of sessions.
+            // If the surplus is less than the load that the next session frees, that session is migrated with
+            // a probability of `surplus / freed`, so that all relays together migrate the right number.
             if surplus < freed && !self.random.random_bool(surplus / freed) {
                 break;
             }
@@ -48,8 +50,8 @@
         }
     }
 
-    /// Whether a server is ready, its load is at least `FULL_LOAD`, and its last migrations are at least
-    /// `REPORT_LAG` old, so that reports include them.
+    /// Whether a server is ready, its load is at least `FULL_LOAD`, and this relay's last migrations from it
+    /// are at least `REPORT_LAG` old, so that load reports show their effect.
     fn is_rebalance_due(&self, server_id: ServerId) -> bool {
         let Some(server) = self.servers.get(&server_id) else { return false };
         self.now - server.last_rebalance_at >= REPORT_LAG
@@ -57,9 +59,10 @@
             && self.current_load(server, &self.estimate) >= FULL_LOAD
     }
 
-    /// Whether a server sheds sessions so that its remaining sessions are served, even if no better server
-    /// exists for the migrated ones. It does so if it is unhealthy, a report received in this step puts its
-    /// load above 1.0, and more than half of the fleet's capacity is congested.
+    /// Whether a server sheds load: some of its sessions are migrated so that the others are served, even if
+    /// no better server exists for the migrated sessions. The server sheds load if it is unhealthy, a report
+    /// received in this step puts its load above 1.0, and more than half of the fleet's capacity is
+    /// congested.
     fn is_shedding(&self, server: &Server, load: f64, fleet: &FleetEstimate) -> bool {
         server.last_report_at == Some(self.now)
             && load > 1.0
@@ -67,8 +70,8 @@
             && fleet.congested > fleet.capacity / 2.0
     }
 
-    /// The established sessions of a server in the order of their migration: low priority first if the server
-    /// sheds load, then the ones that free the most load.
+    /// The established sessions of a server in the order of their migration: those that free the most load
+    /// first. If the server sheds load, all low-priority sessions precede the high-priority ones.
     fn migration_candidates(&self, server_id: ServerId, is_shedding: bool) -> Vec<Candidate> {
         let is_established_there =
             |session: &Session| session.server == server_id && session.state == State::Established;
@@ -84,17 +87,17 @@
         candidates
     }
 
-    /// The load that a session's migration frees on its server, in sessions. For the last session of a group
-    /// it includes the group's cost.
+    /// The load that a session's migration frees on its server, in units of one session's load. If the
+    /// session is this relay's only session of its group there, the load includes the group's cost.
     fn freed_sessions(&self, session: &Session) -> f64 {
         let key = GroupKey { server: session.server, group: session.request.group };
         let is_last_of_group = self.group_sessions.get(&key) == Some(&1);
         session.weight + if is_last_of_group { GROUP_COST } else { 0.0 }
     }
 
-    /// The load to move away from a server, as a fraction of the server. It is half of the server's load
-    /// above the fleet's mean. It is all of it if the server sheds load, or if the server is unhealthy and
-    /// the fleet has spare capacity.
+    /// The load to move away from a server, as a fraction of the server. It is half of the amount by which
+    /// the server's load exceeds the fleet's mean load. It is the full amount if the server sheds load, or if
+    /// the server is unhealthy and the fleet has spare capacity.
     fn excess_load(&self, server: &Server, load: f64, is_shedding: bool, fleet: &FleetEstimate) -> f64 {
         let has_spare_capacity = fleet.busy < FULL_LOAD * fleet.capacity - fleet.congested;
         let is_urgent = is_shedding || (self.is_unhealthy(server) && has_spare_capacity);
@@ -111,8 +114,8 @@
     }
 
     /// The cost of a session on its current server minus its cost on the cheapest other server of its pool,
-    /// as a fraction of a session's value. The other server must be healthy and not full with the session.
-    /// Negative infinity if there is no such server.
+    /// as a fraction of a session's value. The other server must be healthy and must not become full by the
+    /// session. Negative infinity if the pool has no such server.
     fn migration_gain(&self, id: SessionId, load: f64, fleet: &FleetEstimate) -> f64 {
         /// The load above which further load adds no cost, because the service is lost anyway.
         const MAX_COUNTED_LOAD: f64 = 1.2;
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,5 +1,6 @@
 //! Retries and final answers (rules 1 and 2): at which servers a session may be dialled again after a dial
-//! that may have run, how long a dial may take, and how a session ends when no further dial is possible.
+//! that may have run, how long a dial may take, and how a session ends when no further dial is possible. A
+//! dial "may have run" if a server may have executed the request that it sent.
 
 use crate::session::{Event, Session};
 use crate::types::{Endpoint, Idempotency, KeyScope, Micros};
@@ -20,9 +21,9 @@
         now >= self.deadline || self.dials >= self.policy.max_dials
     }
 
-    /// Whether the session may be dialled at a server without running twice. After a dial that may have run,
-    /// only two kinds of session may be dialled again: idempotent ones, and those with an idempotency key, as
-    /// long as the dial is within the key's window and scope.
+    /// Whether the session may be dialled at a server without the harm of running twice. After a dial that
+    /// may have run, only two kinds of session may be dialled again: idempotent sessions, and sessions with
+    /// an idempotency key. The latter may be dialled only within the key's window and scope.
     pub(crate) fn may_be_dialled_at(&self, endpoint: &Endpoint, now: Micros) -> bool {
         let Some(run) = self.may_have_run else { return true };
         match self.policy.listener.idempotency {
@@ -36,8 +37,9 @@
     }
 
     /// The event that ends the session if it cannot be placed. A rejection signals to the client that a retry
-    /// is harmless. That is true if no dial may have run, or if every server tolerates or drops repeated
-    /// dials. Otherwise the session is torn down.
+    /// is harmless. A retry is harmless if no dial may have run, or if all servers tolerate repeated requests
+    /// (idempotent) or drop them (keyed for all servers). Otherwise the session is torn down without a
+    /// rejection.
     pub(crate) fn give_up_event(&self) -> Event {
         let is_harmless = matches!(
             self.policy.listener.idempotency,
@@ -51,9 +53,9 @@
     }
 
     /// The timeout of the dial that starts now, in microseconds. `dials` already includes this dial. For an
-    /// idempotent session it is the handshake objective, doubled with each dial up to a factor of 256, which
-    /// leaves time for a retry. The last dial of an idempotent session, and every dial of any other session,
-    /// gets all the time until the client's deadline.
+    /// idempotent session the timeout is twice the handshake objective, doubled with each further dial up to
+    /// a factor of 256, which leaves time for a retry. The last dial of an idempotent session, and every dial
+    /// of any other session, gets all the time until the client's deadline.
     pub(crate) fn dial_timeout(&self, now: Micros) -> Micros {
         let remaining = self.deadline - now;
         let listener = &self.policy.listener;
--- a/balancer/src/rolling_sum.rs
+++ b/balancer/src/rolling_sum.rs
@@ -2,11 +2,12 @@
 
 use crate::types::Micros;
 
-/// A sum over at most the last 8 s. That is long enough to measure rates, and short enough for a fault that
-/// has ended to lose its effect.
+/// A sum over at most the last 8 s (16 buckets of 0.5 s). That is long enough to measure rates, and short
+/// enough for a fault that has ended to lose its effect soon.
 #[derive(Default)]
 pub(crate) struct RollingSum {
-    /// The index of the newest bucket, counted from time 0.
+    /// The number of the newest bucket, counted from time 0. Its index in `buckets` is the remainder of the
+    /// division by `BUCKETS`.
     newest: u64,
     buckets: [f32; RollingSum::BUCKETS as usize],
 }
@@ -25,8 +26,8 @@
         self.buckets[RollingSum::index(bucket)] += value as f32;
     }
 
-    /// Returns the sum from the start of the bucket that contains `now - age` until now. It covers at most
-    /// the last `BUCKETS` buckets.
+    /// Returns the sum from the start of the bucket that contains `now - age` until now. The sum covers at
+    /// most the last `BUCKETS` buckets, including the one that contains `now`.
     pub(crate) fn sum(&self, now: Micros, age: Micros) -> f64 {
         let first_bucket = (now / RollingSum::BUCKET_WIDTH + 1).saturating_sub(RollingSum::BUCKETS);
         let oldest = (now.saturating_sub(age) / RollingSum::BUCKET_WIDTH).max(first_bucket);
--- a/balancer/src/server.rs
+++ b/balancer/src/server.rs
@@ -25,14 +25,16 @@
     /// Whether a probe is in flight.
     pub(crate) probe_pending: bool,
     pub(crate) last_rebalance_at: Micros,
-    /// Sessions placed on the server, minus those that ended, weighted by their load.
+    /// Sessions that this relay placed on the server, minus those that ended, weighted by their load.
     pub(crate) net_sessions: RollingSum,
     pub(crate) dials: RollingSum,
-    /// Dials and established sessions that ended because of a server fault.
+    /// Number of dials and established sessions that ended because of a server fault: an error, a timeout or
+    /// a reset connection.
     pub(crate) faults: RollingSum,
 }
 
-/// The last message delay that was measured on a session of this relay.
+/// The last message delay of a server that was measured on a session of this relay: the time from a message
+/// to its answer.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MessageDelay {
     pub(crate) seconds: f64,
@@ -40,7 +42,7 @@
 }
 
 impl Server {
-    /// Records a report that contains a load. A report without a load is ignored.
+    /// Records a load report. A report that contains no load is ignored.
     pub(crate) fn record_report(&mut self, now: Micros, report: Option<LoadReport>) {
         if let Some(LoadReport { load: Some(load), queue_delay, sessions }) = report {
             self.last_report_at = Some(now);
--- a/balancer/src/session.rs
+++ b/balancer/src/session.rs
@@ -8,7 +8,7 @@
 /// The states of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Admission is being decided. This state never outlasts a step.
+    /// Admission is being decided. No session is in this state after a call of `Balancer::step`.
     #[default]
     Evaluating,
     /// The session waits for load reports.
@@ -23,13 +23,13 @@
 /// The events of a session. They come from inputs or result from an evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// A server was selected.
+    /// A server was selected for the session.
     Placed,
     /// The session waits for newer reports.
     ReportsAwaited,
     /// The session cannot be placed, and a retry by the client is harmless.
     Rejected,
-    /// The session cannot be placed after a dial that may have run and must not be repeated.
+    /// The session cannot be placed, and a retry by the client might run the request twice.
     Aborted,
     /// The session is new, or its awaited reports have arrived, or its report deadline has passed.
     EvaluationDue,
@@ -78,13 +78,15 @@
 }
 
 impl State {
-    /// Whether a session in this state counts as a session of its server. Sessions being dialled count too.
+    /// Whether a session in this state counts as a session of its server. A session that is being dialled
+    /// counts too.
     fn occupies_server(self) -> bool {
         matches!(self, State::Dialling | State::Established | State::Migrating)
     }
 }
 
-/// The rules of a session: those of its listener at the time of its request. Later settings do not apply.
+/// The rules of a session: the settings of its listener at the time of its request. Later settings do not
+/// apply to the session.
 #[derive(Default)]
 pub(crate) struct SessionPolicy {
     pub(crate) listener: Listener,
@@ -96,7 +98,8 @@
 pub(crate) struct Session {
     pub(crate) request: AdmissionRequest,
     pub(crate) policy: Rc<SessionPolicy>,
-    /// Whether the session is in excess in a reconnect storm, so that it is not sent to a warming server.
+    /// Whether the session returns in a reconnect storm and exceeds what the warming servers sustain
+    /// (`is_in_reconnect_storm`). Such a session is not sent to a warming server.
     pub(crate) in_reconnect_storm: bool,
     /// The key of the rendezvous hashing that ranks servers for the session's pool: its group, or a random
     /// number if it has no group.
@@ -104,25 +107,28 @@
     /// When the client's timeout expires.
     pub(crate) deadline: Micros,
     pub(crate) state: State,
-    /// The server on which the session is established or at which it is dialled.
+    /// The server on which the session is established or at which it was last dialled. 0 before the first
+    /// dial.
     pub(crate) server: ServerId,
     pub(crate) dials: u32,
     /// When the last dial started.
     pub(crate) dialled_at: Micros,
     /// The servers at which the session was dialled, in order.
     pub(crate) dialled_servers: Vec<ServerId>,
+    /// The first dial whose request a server may have run. `None` if there is no such dial.
     pub(crate) may_have_run: Option<PossibleRun>,
     /// The servers whose reports the session waits for.
     pub(crate) awaited_reports: Vec<ServerId>,
     /// The time until which the session may wait for reports.
     pub(crate) report_deadline: Micros,
-    /// The load of the session divided by the mean of this relay's sessions. 1.0 before the load is known, 0
-    /// after a fault.
+    /// The load of the session divided by the mean load of this relay's sessions. It is 1.0 before the load
+    /// is known, and 0 after a dial or session ended because of a server fault.
     pub(crate) weight: f64,
 }
 
 impl Balancer {
-    /// Adds a session with the current rules of its listener, and counts its arrival.
+    /// Adds a session with the current rules of its listener, and counts its arrival. Its group becomes 0 (no
+    /// group) if groups are disabled.
     pub(crate) fn register(&mut self, id: SessionId, mut session: Session) {
         let last_listener = self.policies.len() - 1;
         session.policy = self.policies[session.request.listener.min(last_listener)].clone();
@@ -130,7 +136,7 @@
         let request = session.request;
         let handshake_target = session.policy.listener.handshake_target;
         session.deadline = self.now + request.time_remaining;
-        // Waiting for at most half of the objective leaves time for the dial.
+        // Waiting for reports for at most half of the handshake objective leaves time for the dial.
         session.report_deadline = self.now + handshake_target.min(request.time_remaining) / 2;
         session.weight = 1.0;
         session.hash_key = if request.group != 0 { request.group } else { self.random.next_u64() };
@@ -144,12 +150,13 @@
         self.sessions.insert(id, session);
     }
 
-    /// Whether a dial is the last one of its session.
+    /// Whether a dial is the most recent dial of a session. `dial` is its index, from 0.
     pub(crate) fn is_last_dial(&self, id: SessionId, dial: u32) -> bool {
         self.sessions.get(&id).is_some_and(|session| session.dials == dial + 1)
     }
 
-    /// Applies an event to a session, and then every event that results from the action of a transition.
+    /// Applies an event to a session, and then the events that result from the actions of its transitions. An
+    /// event that the session's state does not expect is ignored.
     pub(crate) fn advance(&mut self, id: SessionId, event: Event, effects: &mut Vec<Effect>) {
         let mut next_event = Some(event);
         while let Some(event) = next_event.take() {
@@ -184,8 +191,9 @@
         None
     }
 
-    /// The Retry-After of a rejection, in microseconds. It is 0.5 s to 1.5 s, because newer reports arrive by
-    /// then, and random, so that clients do not all return at the same time. It is at most `max_retry_after`.
+    /// The Retry-After of a rejection, in microseconds. It is random between 0.5 s and 1.5 s: newer load
+    /// reports arrive in that time, and clients do not all return at the same moment. It is at most
+    /// `max_retry_after`, and 0 if Retry-After is not sent to clients.
     fn retry_after(&mut self) -> Micros {
         let retry_after = SECOND / 2 + self.random.below(SECOND);
         retry_after.min(self.site.max_retry_after.unwrap_or(0))
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,21 +1,23 @@
 //! Slow start: how many sessions all relays together send to a server while it warms up (rule 4).
 //!
-//! **The budget.** Within one warm-up a warming server sustains `overload_multiple` times the sessions that
-//! saturate it, in proportion to the capacity that it is certain to have at its age. It fails if it gets more
-//! than that within `overload_window`. The budget consists of a rate, in sessions per microsecond from all
-//! relays, and the number of sessions in one overload window at that rate.
+//! **The budget.** At full capacity a server sustains new sessions at a rate of `overload_multiple` times the
+//! sessions that saturate it per `warm_up`. A warming server sustains a fraction of that rate: the fraction
+//! of its capacity that it is certain to have at its age. It fails if it gets more sessions than that rate
+//! allows within one `overload_window`. The budget consists of the rate, in sessions per microsecond from all
+//! relays together, and the number of sessions in one overload window at that rate.
 //!
-//! **Slots.** Relays do not communicate, so each has a fixed share of the budget. After a dial at a warming
-//! server, a relay waits for an interval until its next slot there opens. The shares are oversubscribed,
-//! because not every relay has a session when its slot opens. The time that a relay waits for a session after
-//! its slot has opened shortens its next interval.
+//! **Slots.** A slot is one dial that a relay may make at a warming server. Relays do not communicate, so
+//! each has a fixed share of the budget. After a dial at a warming server, a relay waits for an interval
+//! until its next slot at the server opens. The shares are oversubscribed: together they exceed the budget,
+//! because not every relay has a session when its slot opens. The mean time that a relay waits for a session
+//! after a slot has opened is subtracted from its interval.
 //!
-//! **Unused slots.** A slot that is not used stays open, and in a reconnect storm all relays have a session
-//! at the same moment. Two rules enforce the budget in that case. First, a hash selects at most as many
-//! relays as the budget sustains, and only these may use their unused slots (`is_selected_for_slots`).
-//! Second, returning sessions in excess of the combined budgets of all warming servers are not sent to these
-//! servers (`is_in_reconnect_storm`). Neither rule applies if there are so few relays that all their slots
-//! together exceed a budget only by a random deviation (`is_small_fleet`).
+//! **Unused slots.** A slot that is not used stays open. In a reconnect storm, when many clients return at
+//! once, all relays have a session at the same moment. Two rules enforce the budget in that case. First, a
+//! hash selects about as many relays as the budget sustains, and only these relays may use their slots
+//! (`is_selected_for_slots`). Second, returning sessions in excess of the combined budgets of all warming
+//! servers are not sent to these servers (`is_in_reconnect_storm`). Neither rule applies if there are so few
+//! relays that all their slots together exceed a budget only by a random deviation (`is_small_fleet`).
 
 use crate::balancer::{Balancer, FULL_LOAD, REPORT_LAG, SECOND};
 use crate::estimate::FleetEstimate;
@@ -44,8 +46,9 @@
 }
 
 impl Balancer {
-    /// The fraction of its capacity that a server is certain to have at its age. It rises linearly from the
-    /// initial capacity to 1 over the warm-up. It is 1 if the start is long ago or not known.
+    /// The fraction of its capacity that a server is certain to have at its age. The fraction rises linearly
+    /// from the initial capacity to 1 over the warm-up. It is 1 if the server's start is long ago or not
+    /// known.
     pub(crate) fn warm_up_fraction(&self, server: &Server) -> f64 {
         let age =
             self.now.saturating_sub(server.endpoint.started_at) as f64 / self.site.warm_up.max(1) as f64;
@@ -65,8 +68,9 @@
         Budget { rate, per_window: self.site.overload_window as f64 * rate }
     }
 
-    /// The wait for the first slot at a server that has just started. Because its capacity is lowest then,
-    /// the first slots of the relays are spread over one interval. The order of the relays differs by server.
+    /// The wait for the first slot at a server that has just started. Because the server's capacity is lowest
+    /// then, the first slots of the relays are spread over one interval. The order of the relays differs from
+    /// server to server.
     pub(crate) fn first_slot_wait(&self, endpoint: &Endpoint) -> SlotWait {
         let position = hash(u64::from(endpoint.server)).wrapping_add(u64::from(self.site.relay_index));
         let relays = u64::from(self.site.relay_count.max(1));
@@ -75,8 +79,8 @@
     }
 
     /// Whether the slow-start rule allows a session to be sent to a server. Every session may be sent to a
-    /// warm server. A session may be sent to a warming server only if this relay has an open slot there that
-    /// it may use, and the session is not in excess in a reconnect storm.
+    /// warm server. A session may be sent to a warming server only if this relay has an open slot there, is
+    /// selected to use it, and the session is not in excess in a reconnect storm.
     pub(crate) fn has_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
         if !self.is_warming_up(server) {
             return true;
@@ -91,9 +95,9 @@
         waited >= self.slot_interval(server, fleet, server.slot_wait.interval_fraction)
     }
 
-    /// Whether a session that the admission thresholds reject may use an open slot. The capacity of a slot is
-    /// available only to this relay and is lost if unused. The slot may be used only if slots are rare and
-    /// the server is healthy and not full.
+    /// Whether a session that the admission thresholds do not admit may use an open slot of this relay at a
+    /// server. Only this relay can use the capacity of its slot, and unused capacity is lost. The session may
+    /// use the slot only if slots are rare and the server is healthy and not full.
     pub(crate) fn is_spare_slot(&self, server: &Server, session: &Session, fleet: &FleetEstimate) -> bool {
         /// With few relays, slots open every 1 s to 2 s, and sessions in such slots would defeat the
         /// thresholds.
@@ -105,13 +109,13 @@
             && self.current_load(server, fleet) < FULL_LOAD
     }
 
-    /// The time from the start of this relay's wait to its next slot at a warming server, in microseconds.
-    /// `fraction` is the fraction of the full interval to wait.
+    /// The time from the start of this relay's wait until its next slot at a warming server opens, in
+    /// microseconds. `fraction` is the fraction of the full interval to wait (`SlotWait::interval_fraction`).
     ///
-    /// The interval is the inverse of this relay's share of the budget, minus the mean wait for a session
-    /// after the slot has opened, so that a busy relay uses exactly its share. The oversubscription limits
-    /// how far the interval shrinks. If the server has warmed up further since the last slot, the interval is
-    /// based on its mean capacity in that time instead of its current capacity.
+    /// The interval is the inverse of this relay's share of the budget's rate, minus the mean wait for a
+    /// session after the slot has opened, so that a busy relay uses exactly its share. The oversubscription
+    /// limits how far the interval shrinks. The server has warmed up further since the wait started, so the
+    /// interval is based on the server's mean capacity in that time instead of its current capacity.
     fn slot_interval(&self, server: &Server, fleet: &FleetEstimate, fraction: f64) -> f64 {
         let relays = f64::from(self.site.relay_count);
         let share = fraction * relays / self.budget(server, fleet.slot_session_load).rate;
@@ -124,14 +128,15 @@
     }
 
     /// The maximum factor by which a relay's rate may exceed its share: 1.4 for one relay, nearly 4 for a
-    /// hundred, and always below 5. With more relays sharing a budget, fewer of them have a session when
-    /// their slot opens.
+    /// hundred relays, and always below 5. The more relays share a budget, the smaller is the fraction of
+    /// them that has a session when its slot opens.
     fn oversubscription(&self) -> f64 {
         let others = f64::from(self.site.relay_count - 1);
         1.4 + 3.6 * others / (others + 40.0)
     }
 
-    /// Mean time between sessions of this relay that have a given server in their pool, in microseconds.
+    /// Mean time between two sessions of this relay that have the same given server in their pool, in
+    /// microseconds. It is the mean wait for a session after a slot at the server has opened.
     fn mean_session_wait(&self, fleet: &FleetEstimate) -> f64 {
         self.slot_arrivals.mean() * sessions_per_pool_entry(fleet)
     }
@@ -142,11 +147,12 @@
     /// In a reconnect storm every relay has a session at the same moment, so all unused slots would be used
     /// simultaneously. Their number is the number of relays, times the fraction of relays with an unused
     /// slot, times the probability that a session's pool contains the server. Each relay is therefore
-    /// selected with a probability of the budget divided by that number. The selection is a hash of the relay
-    /// and the server's start. It is constant during the warm-up, so that no overload window gets sessions
-    /// from two different sets of relays.
+    /// selected with a probability of the sustained slots (the budget of one overload window plus a random
+    /// deviation) divided by that number. The selection compares this probability with a hash of the relay,
+    /// the server and the server's start. The hash is constant during the warm-up, so that no overload window
+    /// gets sessions from two different sets of relays.
     fn is_selected_for_slots(&self, server: &Server, fleet: &FleetEstimate) -> bool {
-        /// Number of sessions that one relay places before it detects a reconnect storm.
+        /// Mean number of sessions that one relay places before it detects a reconnect storm.
         const SESSIONS_AT_ONCE: f64 = 1.3;
         let budget = self.budget(server, fleet.slot_session_load).per_window;
         if self.is_small_fleet(budget) {
@@ -165,21 +171,23 @@
         draw as f64 <= sustained_slots / simultaneous_slots * u64::MAX as f64
     }
 
-    /// Whether the slots of all relays, used at the same time, exceed a budget at most by a random deviation.
-    /// In that case the slots alone enforce the budget. `budget` is in sessions per overload window.
+    /// Whether the fleet is so small that one slot of every relay, all used at the same time, exceeds a
+    /// budget at most by a random deviation. In that case the slots alone enforce the budget. `budget` is in
+    /// sessions per overload window.
     fn is_small_fleet(&self, budget: f64) -> bool {
         f64::from(self.site.relay_count) <= budget + 2.0 * budget.sqrt() + 2.0
     }
 
-    /// Whether a returning session is in excess for the warming servers. The decision is random, with a
+    /// Whether a returning session exceeds what the warming servers sustain. The decision is random, with a
     /// probability that keeps the servers within their budgets.
     ///
     /// The number of other sessions that returned to this relay, times the number of relays, is an unbiased
-    /// estimate for the fleet. The number is taken over one overload window or, if that gives more, from the
-    /// mean rate over a longer window. If the estimate exceeds the sessions that all warming servers sustain
-    /// within one window (their budgets plus one each), a session is in excess with a probability equal to
-    /// the fraction of the estimate above that sum. Servers that a small fleet cannot overload are not
-    /// counted.
+    /// estimate of the sessions that returned to all relays. The number for this relay is the larger of two:
+    /// the sessions within the last overload window, and the sessions per overload window at the mean rate
+    /// over a longer window. If the estimate exceeds the sessions that all warming servers sustain within one
+    /// overload window (their budgets plus one each), a session is in excess with a probability equal to the
+    /// fraction of the estimate above that sum. Servers that this fleet is too small to overload
+    /// (`is_small_fleet`) are not counted.
     pub(crate) fn is_in_reconnect_storm(&mut self) -> bool {
         const LONG_WINDOW: Micros = 4 * SECOND;
         // On average a rolling sum covers half a bucket more than its age. The session itself is subtracted.
@@ -196,8 +204,8 @@
     }
 }
 
-/// Mean number of sessions of which one has a given server in its pool: the uncongested capacity divided by
-/// the size of a pool, at least 1.
+/// Mean number of sessions per session that has a given server in its pool: the uncongested capacity of the
+/// fleet, in units of one server, divided by the size of a pool. At least 1.
 fn sessions_per_pool_entry(fleet: &FleetEstimate) -> f64 {
     ((fleet.capacity - fleet.congested) / POOL_SIZE as f64).max(1.0)
 }
--- a/balancer/src/snapshot.rs
+++ b/balancer/src/snapshot.rs
@@ -1,5 +1,5 @@
 //! The state that a process hands over to its successor in a hot restart. Both processes are the same relay
-//! and have one share of each slow-start budget.
+//! and have one common share of each slow-start budget, so the waits for slots are handed over too.
 
 use crate::balancer::Balancer;
 use crate::estimate::{clamp, SESSION_LOAD, SLOT_SESSION_LOAD};
@@ -7,7 +7,7 @@
 use crate::slow_start::SlotWait;
 use crate::types::{LoadReport, Micros, PastReport, ServerId, ServerSnapshot, SlotSnapshot, Snapshot};
 
-/// The time over which placed sessions are handed over, in microseconds: the full window of a rolling sum.
+/// The window of the placed sessions that are handed over, in microseconds: the full window of a rolling sum.
 const RECENT_SESSIONS_WINDOW: Micros = 8_000_000;
 
 impl Balancer {
@@ -17,7 +17,8 @@
         Snapshot { session_load: self.estimate.slot_session_load, servers }
     }
 
-    /// Restores the state of the predecessor. If this process has a newer report of a server, it keeps that.
+    /// Restores the state of the predecessor. If this process has a newer report of a server, it keeps the
+    /// newer report. Servers that this process does not know are skipped.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         self.estimate.session_load = clamp(snapshot.session_load, &SESSION_LOAD);
         self.estimate.slot_session_load = clamp(snapshot.session_load, &SLOT_SESSION_LOAD);
--- a/balancer/src/throttle.rs
+++ b/balancer/src/throttle.rs
@@ -1,7 +1,7 @@
 //! Client-side throttling of dials (Beyer et al., "Site Reliability Engineering", chapter 21). If servers
-//! accept too small a fraction of this relay's dials, the relay rejects sessions itself, with a probability
-//! derived from the excess dials. This protects dependencies that all servers share and that no load report
-//! covers.
+//! accept too small a fraction of this relay's dials, the relay rejects some sessions without a dial. The
+//! probability of such a rejection is derived from the excess dials. This protects dependencies that all
+//! servers share and that no load report covers.
 
 use crate::admission::HIGH_PRIORITY_RESERVE;
 use crate::balancer::{Balancer, SECOND};
@@ -14,14 +14,16 @@
 /// The ratio of dials to accepted dials above which a high-priority session may be rejected. For other
 /// sessions the ratio is lower by the fraction `HIGH_PRIORITY_RESERVE`.
 const MAX_DIALS_PER_ACCEPT: f64 = 1.5;
-/// Number of dials in the fleet that are never throttled, because fewer dials are too small a sample.
+/// Number of dials of all relays within `WINDOW` up to which no session is throttled, because so few dials
+/// are too small a sample. Each relay has an equal part of this number.
 const MIN_FLEET_DIALS: f64 = 8.0;
-/// Minimum number of servers with faults in the window for a shared fault. A single server may be an outlier.
+/// Minimum number of servers with faults within `WINDOW` from which a fault counts as shared by all servers.
+/// A single server may be an outlier.
 const MIN_FAULTY_SERVERS: usize = 2;
 
 impl Balancer {
-    /// Counts the last dial of a session that is being dialled, and counts it as accepted if the server
-    /// accepted it within the handshake objective.
+    /// Counts the current dial of a session that is being dialled. The dial also counts as accepted if the
+    /// server accepted it within the handshake objective.
     pub(crate) fn count_dial(&mut self, id: SessionId, is_accepted: bool) {
         let Some(session) = self.sessions.get(&id).filter(|session| session.state == State::Dialling) else {
             return;
@@ -32,9 +34,9 @@
         self.accepts.add(self.now, f64::from(is_in_time));
     }
 
-    /// Whether the throttling rule rejects a session. The probability is (excess dials) / (dials + 1) over
-    /// `WINDOW`, and a rejected session counts as a dial. Even if no dial is accepted, the rule lets one dial
-    /// pass per window, which shows when the fault is over.
+    /// Whether throttling rejects a session. The probability is (excess dials) / (dials + 1) over `WINDOW`,
+    /// and a rejected session counts as a dial. Even if no dial is accepted, about one dial per window
+    /// passes, which shows when the fault is over.
     pub(crate) fn is_throttled(&mut self, is_high_priority: bool) -> bool {
         let dials = self.recent(&self.dials);
         let excess = self.excess_dials(dials, is_high_priority);
@@ -44,7 +46,7 @@
         is_throttled
     }
 
-    /// Number of dials beyond those that the accepted dials allow. Negative if there are fewer.
+    /// Number of dials above the number that the accepted dials allow. Negative if there are fewer dials.
     fn excess_dials(&self, dials: f64, is_high_priority: bool) -> f64 {
         let exempt_dials = MIN_FLEET_DIALS / f64::from(self.site.relay_count);
         let priority_factor = if is_high_priority { 1.0 } else { 1.0 - HIGH_PRIORITY_RESERVE };
--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -2,7 +2,9 @@
 //!
 //! Times are integer microseconds on the caller's clock. Ages and durations are also in microseconds unless
 //! their documentation names another unit. Loads and capacities are fractions of one server, where 1.0 means
-//! saturated.
+//! saturated. A server *warms up* after its start: its capacity rises over some time, and a *slow start*
+//! limits its new sessions in that time. A *slot* is one dial that this relay may make to a warming server.
+//! A request *has run* if a server executed it.
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
@@ -11,20 +13,20 @@
 /// The number that the caller assigned to a server. All relays of a fleet must use the same number for it.
 pub type ServerId = u32;
 
-/// Whether a session may be dialled again after one of its dials may have run on a server.
+/// Whether a session may be dialled again after a server may have run the request of an earlier dial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeated dial is harmless.
+    /// A request that runs several times does no harm, so a dial may be repeated.
     #[default]
     Idempotent,
     /// Dials carry an idempotency key, and servers within `scope` drop repeated dials.
     Keyed {
         /// The servers that share the key.
         scope: KeyScope,
-        /// Time for which servers keep a key, from the first dial that may have run.
+        /// Time for which servers keep a key, from the start of the first dial that may have run.
         window: Micros,
     },
-    /// A dial that may have run must not be repeated.
+    /// A session must not be dialled again after a dial that may have run.
     NonIdempotent,
 }
 
@@ -42,14 +44,14 @@
 /// A class of sessions that share the same rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listener {
-    /// The priority weight of a session, at least 0. Listeners in the upper half of the site's range of
-    /// weights have high priority.
+    /// The priority weight of a session, at least 0. A listener has high priority if its weight is at or
+    /// above the midpoint between the lowest and the highest weight of the site's listeners.
     pub priority_weight: f64,
-    /// Whether a dial may be repeated.
+    /// Whether a session may be dialled again after a dial that may have run.
     pub idempotency: Idempotency,
     /// Latency objective from the request to the established session.
     pub handshake_target: Micros,
-    /// Latency objective of a message on an established session.
+    /// Latency objective of a message on an established session, from the message to its answer.
     pub message_target: Micros,
 }
 
@@ -72,7 +74,8 @@
     pub groups_enabled: bool,
     /// Maximum number of dials of one session. At least 1.
     pub max_dials: u32,
-    /// Maximum number of sessions of this relay, dialled and established (the paper's c_id).
+    /// Maximum number of sessions of this relay, including those being dialled. It is c_id of Bartolini's
+    /// paper on session based access control, which the module `admission` cites.
     pub max_sessions: u32,
     /// The longest Retry-After that clients respect. `None` if Retry-After is not sent to clients.
     pub max_retry_after: Option<Micros>,
@@ -80,12 +83,15 @@
     pub warm_up: Micros,
     /// The fraction of its capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// The sessions that a warming server can accept within one warm-up, as a multiple of the sessions that
-    /// saturate it.
+    /// Maximum rate of new sessions that a server sustains at the end of its warm-up: the number of sessions
+    /// per `warm_up`, as a multiple of the number that saturates the server. Earlier in the warm-up the rate
+    /// is lower, in proportion to the server's capacity.
     pub overload_multiple: f64,
-    /// The time for which a warming server can exceed that rate before it fails.
+    /// The window over which that rate is measured. A warming server fails if it gets more sessions within
+    /// one window than the rate allows.
     pub overload_window: Micros,
-    /// Cost of placing a session in another zone, as a fraction of a session's value. 0 if zones are ignored.
+    /// Cost of placing a session in another zone, as a fraction of the value of one served session. 0 if
+    /// zones are ignored.
     pub cross_zone_cost: f64,
     /// Cost of migrating a session, as a fraction of a session's value.
     pub migration_cost: f64,
@@ -149,10 +155,11 @@
     WatchFailed,
 }
 
-/// The result of a dial, an established session or a probe.
+/// How a dial, an established session or a probe ended. The request is the session's request, which the relay
+/// sends to the server when it dials, or the request of the probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialEnd {
-    /// The request was served.
+    /// The server served the request: the session ended normally, or the probe was answered.
     Ok,
     /// The server answered with an error; the request may have run.
     Error,
@@ -164,9 +171,12 @@
     Unconnected,
     /// The connection was reset; the request may have run.
     Reset,
-    /// The server ended it with `MOVE`, or the caller cancelled it; the request may have run.
+    /// The server sent `MOVE`, which ends a dial or session and makes the client reconnect, or the caller
+    /// cancelled the dial or probe. The request may have run.
     Cancelled,
-    /// The request was not sent: its deadline had passed, or this machine could not start the dial.
+    /// The dial or probe ended before its request was sent: the deadline for sending had passed, or this
+    /// machine could not start it. The request did not run. Unlike a dial in [`Input::DialNotStarted`], such
+    /// a dial counts as one of the session's `max_dials`.
     NotSent,
 }
 
@@ -175,13 +185,14 @@
 pub struct AdmissionRequest {
     /// The index of the session's listener. An index beyond the last listener selects the last one.
     pub listener: usize,
-    /// The client's identifier, which is the same when the client returns. 0 means none.
+    /// The client's identifier, which is the same when the client returns. 0 means none. It is not an
+    /// idempotency key.
     pub key: u64,
     /// The session's group: sessions of the same group share work on a server. 0 means none.
     pub group: u64,
     /// Whether the client returns after its session was lost or migrated.
     pub returned: bool,
-    /// The remaining time of the client's timeout.
+    /// The time until the client's timeout expires.
     pub time_remaining: Micros,
 }
 
@@ -194,7 +205,7 @@
     pub servers: Vec<ServerSnapshot>,
 }
 
-/// A relay's state for one server. Its times are ages.
+/// A relay's state for one server. Times are given as ages when the snapshot is taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerSnapshot {
     /// The server.
@@ -203,9 +214,9 @@
     pub report: Option<PastReport>,
     /// Number of consecutive failed probes and connection attempts.
     pub misses: u32,
-    /// Sessions placed on the server in the last seconds, minus those that ended.
+    /// Sessions placed on the server in the last 8 s, minus those that ended, weighted by their load.
     pub recent_sessions: f64,
-    /// The state of this relay's slow-start slot at the server.
+    /// The relay's wait for its next slot at the server.
     pub slot: SlotSnapshot,
 }
 
@@ -218,16 +229,18 @@
     pub report: LoadReport,
 }
 
-/// The state of a relay's slow-start slot at a server.
+/// A relay's wait for its next slot at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlotSnapshot {
-    /// Time since the interval to the next slot started.
+    /// Time since the start of the wait: since the relay's last dial at the server, or since the relay was
+    /// notified of the server's start.
     pub age: Micros,
-    /// The fraction of the full interval after which the next slot opens.
+    /// Length of the wait, as a fraction of the full interval between two slots. It is 1.0 after a dial.
+    /// Before the first slot it is less, so that the first slots of all relays are spread over one interval.
     pub interval_fraction: f64,
 }
 
-/// The inputs of a relay.
+/// The inputs of a relay's balancer.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The site's settings have changed. Existing sessions keep the rules that applied at their request.
@@ -248,7 +261,8 @@
         /// Its request.
         request: AdmissionRequest,
     },
-    /// A session was already established before this relay started to decide.
+    /// A session was already established before this balancer was created, for example by the predecessor
+    /// process.
     SessionAdopted {
         /// The session, not known before.
         session: SessionId,
@@ -286,12 +300,13 @@
         dial: u32,
         /// The result of the dial.
         end: DialEnd,
-        /// Whether the session has ended; otherwise it is placed again.
+        /// Whether the session has ended for good. Otherwise the balancer may dial it again.
         settled: bool,
         /// The load report that was received with the result.
         report: Option<LoadReport>,
     },
-    /// This machine could not start the last dial. It does not count as a dial of the session.
+    /// A fault of this machine prevented the start of the last dial. The dial does not count as one of the
+    /// session's `max_dials`.
     DialNotStarted {
         /// The session.
         session: SessionId,
@@ -319,7 +334,7 @@
     },
 }
 
-/// The effects that a relay requests from its caller.
+/// The effects that a balancer requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Dial a server for a session.
@@ -330,7 +345,8 @@
         server: ServerId,
         /// The timeout of the dial.
         timeout: Micros,
-        /// The time within which the request must be sent. `None` unless its idempotency key limits it.
+        /// The time within which the request must be sent, so that servers still keep its idempotency key.
+        /// `None` if no key limits it.
         send_within: Option<Micros>,
     },
     /// Reject a session. The client may retry.
@@ -340,7 +356,8 @@
         /// Retry-After for the client. 0 if it is not sent to clients.
         retry_after: Micros,
     },
-    /// Close a session that may have run. The client must not get a rejection, because it would retry.
+    /// Close a session whose request may have run and must not run again. The client must not get a
+    /// rejection, because it would then retry.
     TearDown {
         /// The session.
         session: SessionId,
@@ -355,7 +372,7 @@
         /// The server.
         server: ServerId,
     },
-    /// Pass [`Input::TimerExpired`] to the relay after a delay.
+    /// Pass [`Input::TimerExpired`] to the balancer after a delay.
     SetTimer {
         /// The delay from now.
         after: Micros,
