--- a/balancer/src/types.rs
+++ b/balancer/src/types.rs
@@ -300,7 +300,7 @@
         dial: u32,
         /// The result of the dial.
         end: DialEnd,
-        /// Whether the session has ended for good. Otherwise the balancer may dial it again.
+        /// Whether the session has ended. Otherwise the balancer may dial it again.
         settled: bool,
         /// The load report that was received with the result.
         report: Option<LoadReport>,
--- a/balancer/tests/decisions_trace/main.rs
+++ b/balancer/tests/decisions_trace/main.rs
@@ -4,7 +4,8 @@
 //!
 //! The time and the effects of each input are added to a hash. `fixtures/decisions.txt` contains the expected
 //! hash after every 100 inputs, which locates the first changed decision. A line of the fixture consists of
-//! the site, the number of inputs, the hash, and the number of effects of each kind up to that input.
+//! the site, the number of inputs, the hash, and the number of effects of each kind (in the order of
+//! `encode`) up to that input.
 mod config;
 mod site;
 
--- a/balancer/tests/decisions_trace/site.rs
+++ b/balancer/tests/decisions_trace/site.rs
@@ -35,8 +35,11 @@
 ];
 
 struct Backend {
+    /// The backend's entry in the endpoint list.
     entry: Endpoint,
+    /// A divisor of the reported load: a backend with a higher capacity reports a lower load per session.
     capacity: f64,
+    /// Number of established sessions.
     open: u32,
 }
 
@@ -67,8 +70,10 @@
     last_server: ServerId,
     condition: Condition,
     condition_ends: Micros,
+    /// Number of inputs passed to the relay.
     inputs: u32,
     hash: TraceHash,
+    /// Number of effects of each kind, by the index that `encode` returns.
     effects: [u64; 7],
     number: u32,
     lines: String,
@@ -168,8 +173,8 @@
         effects.into_iter().for_each(|effect| self.schedule_answer(effect));
     }
 
-    /// Adds the relay's state to the hash, because later decisions depend on it, and writes a line of the
-    /// trace.
+    /// Adds the relay's state to the hash, because later decisions depend on that state, and writes a line of
+    /// the trace.
     fn write_line(&mut self) {
         let snapshot = self.relay.snapshot(self.now);
         self.hash.add(snapshot.session_load.to_bits());
@@ -336,7 +341,7 @@
         established.get(index).copied()
     }
 
-    /// Passes a random input to the relay that is not an answer to an effect.
+    /// Passes a random input to the relay. Unlike scheduled inputs, it is not an answer to an effect.
     fn step_random_input(&mut self) {
         match self.below(100) {
             0..50 => {
@@ -395,7 +400,7 @@
                 self.step(Input::Configure(Box::new(config)));
             }
             96..98 => self.restore_snapshot(),
-            // The session does not exist.
+            // No session has the number 1,000,000: the relay must ignore inputs about unknown sessions.
             98 => self.step(Input::SessionEnded { session: 1_000_000 }),
             _ => self.step(Input::SessionEstablished { session: 1_000_000, dial: 0 }),
         }
--- a/sim_adapter/src/fields.rs
+++ b/sim_adapter/src/fields.rs
@@ -2,7 +2,8 @@
 
 use hallrelay_balancer::types::Micros;
 
-/// The bytes of a record or header whose full length has already been checked.
+/// The bytes of a record or header. The caller has checked that they are complete; an offset beyond them
+/// panics.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(pub &'a [u8]);
 
--- a/sim_adapter/src/frame.rs
+++ b/sim_adapter/src/frame.rs
@@ -1,5 +1,7 @@
-//! Frames of the simulator's protocol. A frame consists of a length, a header, records of fixed size, and a
-//! tail with data to which the records refer. Numbers are little-endian, and fields are not padded.
+//! Frames of the simulator's protocol. A frame consists of a length (32 bits, without the length field
+//! itself), a header, records of fixed size, and a tail with data to which the records refer. The header
+//! consists of the time of the batch (8 bytes), the number of records (4 bytes) and the number of the batch
+//! (4 bytes). Numbers are little-endian, and fields are not padded.
 
 use crate::error::WireError;
 use crate::fields::Fields;
@@ -8,12 +10,12 @@
 use hallrelay_config::facts::ReportOrder;
 use std::io::{ErrorKind, Read};
 
-/// Size of a frame's header, in bytes.
+/// Size of a frame's header, in bytes. The length field is not part of the header.
 pub const HEADER: usize = 16;
 /// Size of an event record, in bytes.
 pub const EVENT: usize = 56;
 
-/// Reads the next frame, without its length. Returns false at the end of the input.
+/// Reads the next frame into `frame`, without its length field. Returns false at the end of the input.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     let Some(length) = read_length(input)? else { return Ok(false) };
     frame.clear();
@@ -46,7 +48,7 @@
     pub now: Micros,
     /// Number of events in the batch.
     pub count: usize,
-    /// Number of the batch, which the reply repeats.
+    /// Number that the simulator assigned to the batch. The reply repeats it.
     pub number: u32,
     records: &'a [u8],
     tail: &'a [u8],
@@ -68,8 +70,8 @@
         Ok(Batch { now: header.micros(0), count, number, records, tail })
     }
 
-    /// Decodes one event. Returns the number of its relay and the event. `report_order` returns the order of
-    /// the values in a relay's load reports.
+    /// Decodes the event at `index`. Returns the number of the event's relay and the event. `report_order`
+    /// returns the order of the values in the load reports that the relay with a given number receives.
     pub fn event(
         &self,
         index: usize,
--- a/sim_adapter/src/main.rs
+++ b/sim_adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Adapter between the simulator and the balancer. It reads batches of events for many relays from standard
-//! input, and writes the effects of each batch to standard output.
+//! Adapter between the simulator and the balancer. The adapter reads batches of events for many relays from
+//! standard input, and writes the balancers' effects for each batch to standard output. An *instance* is one
+//! relay of the simulated fleet.
 #![deny(missing_docs)]
 
 mod error;
@@ -29,7 +30,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u16, Instance>,
-    /// Buffer for the effects of one event, empty between events.
+    /// Buffer for the effects of one event. It is empty between events, and kept to avoid allocations.
     effects: Vec<Effect>,
 }
 
--- a/sim_adapter/src/record.rs
+++ b/sim_adapter/src/record.rs
@@ -23,7 +23,7 @@
     Stop,
     /// An input for the relay.
     Input(Input),
-    /// An event that the protocol allows, but that the balancer does not use.
+    /// An event that the protocol defines, but that the balancer does not use.
     Unused,
 }
 
@@ -86,6 +86,7 @@
     }
 
     fn request(&self, offsets: RequestOffsets) -> AdmissionRequest {
+        /// The flag of a client that returns after its session was lost or migrated.
         const RETURNED: u8 = 16;
         AdmissionRequest {
             listener: self.fields.u16(offsets.listener) as usize,
@@ -112,8 +113,8 @@
         })
     }
 
-    /// Decodes a measurement of a session. Returns `None` if the balancer does not use this kind
-    /// of measurement.
+    /// Decodes a measurement of a session: its load, or its message delay, which the protocol encodes in
+    /// milliseconds. Returns `None` if the balancer does not use this kind of measurement.
     fn measurement(&self) -> Option<Input> {
         let session = self.fields.u32(3);
         let value = self.fields.f32(14);
@@ -136,8 +137,8 @@
         Ok(Input::EndpointList { update, endpoints })
     }
 
-    /// Returns the bytes of items in the tail. The offset of the first item and the number of items are at
-    /// `offset` and `offset + 4` of the record.
+    /// Returns the bytes of the items in the tail to which this record refers. The record contains the
+    /// position of the first item in the tail at `offset`, and the number of items at `offset + 4`.
     fn tail_items(&self, offset: usize, item_size: usize) -> Result<&'a [u8], RecordError> {
         let start = self.fields.u32(offset) as usize;
         let count = self.fields.u32(offset + 4) as usize;
@@ -146,8 +147,8 @@
         items.ok_or(RecordError::OutsideTail { count, start, length: self.tail.len() })
     }
 
-    /// Decodes a load report, whose values are in the order of the site's fields. A negative or non-finite
-    /// value counts as not reported.
+    /// Decodes the load report at `offset`: the number of values, then the values in `report_order`. Returns
+    /// `None` if the report has no values. A negative or non-finite value counts as not reported.
     fn report(&self, offset: usize) -> Result<Option<LoadReport>, RecordError> {
         let count = self.fields.u8(offset) as usize;
         if count > REPORT_VALUES {
--- a/sim_adapter/src/reply.rs
+++ b/sim_adapter/src/reply.rs
@@ -1,11 +1,12 @@
-//! Encoding of replies: the effects of a batch as records of fixed size, and a tail for texts.
+//! Encoding of replies. A reply is a frame with the effects of a batch as records of fixed size, and a tail
+//! with the error texts to which records refer.
 
 use hallrelay_balancer::types::{Effect, Micros};
 
 /// Size of a record, in bytes.
 const RECORD: usize = 24;
-/// Size of the frame's first three fields, in bytes: its length, the number of records, and the number of the
-/// batch.
+/// Size of the first three fields of a reply, in bytes: its length, the number of records, and the number of
+/// the batch. Unlike the header of a batch, it includes the length field.
 const HEADER: usize = 12;
 
 /// Codes of the records.
@@ -76,7 +77,7 @@
         self.tail.extend_from_slice(text.as_bytes());
     }
 
-    /// Returns the encoded frame.
+    /// Returns the encoded frame. Its length field does not include its own 4 bytes.
     pub fn into_frame(mut self) -> Vec<u8> {
         let length = (self.records.len() + self.tail.len() - 4) as u32;
         self.records[..4].copy_from_slice(&length.to_le_bytes());
