--- a/tests/helpers/loopback.rs
+++ b/tests/helpers/loopback.rs
@@ -1,7 +1,7 @@
-//! `LoopbackSubject` is the relay on sockets of 127.0.0.1. An input is `PARTY ACTION [TEXT]`. Letters
+//! `LoopbackSubject` is the relay with sockets on 127.0.0.1. An input is `PARTY ACTION [TEXT]`. Letters
 //! are clients; the digits `1` and `2` are backends of the first endpoint list; `list` is discovery, and
 //! `moved` is its new address. A client connects when a line first names it, and a backend or discovery
-//! accepts when it is first waited for.
+//! accepts a connection when a line first names it.
 //! Actions:
 //!   `send-line` sends TEXT and a line end (`\n` in it is a line end too), `send` sends TEXT only,
 //!   `close` closes the connection, `stop-listening` closes the listening socket, `send-until-blocked`
@@ -21,9 +21,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longest wait for a connection or line that must come.
+/// Longest wait for an expected connection or line.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Wait for a connection that must not come, and write timeout of `send-until-blocked`.
+/// Time within which `expect-no-connection` must see no connection, and write timeout of
+/// `send-until-blocked`.
 const QUIET_TIME: Duration = Duration::from_millis(300);
 
 /// The effect of an `expect` action that holds.
@@ -35,7 +36,7 @@
     listening_sockets: BTreeMap<String, TcpListener>,
     connections: BTreeMap<String, BufReader<TcpStream>>,
     results: Vec<String>,
-    /// What `send-until-blocked` sent.
+    /// The lines that `send-until-blocked` sent. The last one may be partial.
     sent_lines: String,
     /// The configuration that the relay reads on SIGHUP.
     configuration: Arc<Mutex<Value>>,
@@ -165,7 +166,7 @@
             }
             "expect-close" => {
                 let mut received = Vec::new();
-                // A reset is an end too.
+                // A read error is ignored, because a reset is also an end of the connection.
                 _ = self.connection(party)?.read_to_end(&mut received);
                 let early = format!("{} bytes before the end of the connection", received.len());
                 self.results.push(if received.is_empty() { AS_EXPECTED.into() } else { early });
@@ -187,7 +188,7 @@
                 self.results.push(if received { "data or an end".into() } else { AS_EXPECTED.into() });
             }
             "send-until-blocked" => {
-                // More than all buffers on the path hold, so that a write blocks at some point.
+                // These lines are larger than all buffers on the path, so that a write blocks at some point.
                 let stream = self.connection(party)?.get_mut();
                 stream.set_write_timeout(Some(QUIET_TIME)).map_err(fault)?;
                 let lines: String = (0..2_000_000).map(|i| format!("line {i}\r\n")).collect();
@@ -215,7 +216,7 @@
                 });
             }
             "sigterm" => {
-                // All relays of this process get the signal; those of earlier scripts are not used any more.
+                // All relays of this process get the signal. Relays of earlier scripts are no longer in use.
                 signal("TERM").map_err(fault)?;
             }
             "sighup" => {
--- a/tests/helpers/membership.rs
+++ b/tests/helpers/membership.rs
@@ -41,7 +41,7 @@
 }
 
 fn parse_update(word: &str) -> Result<Update, Fault> {
-    let invalid = || format!("'{word}' is not an update");
+    let invalid = || format!("'{word}' is not NAME:STATE@START.COUNTER[/REPORTER]");
     let (name, rest) = word.split_once(':').ok_or_else(invalid)?;
     let (state, rest) = rest.split_once('@').ok_or_else(invalid)?;
     let (at, reporter) = rest.split_once('/').map_or((rest, None), |(at, by)| (at, Some(by.into())));
@@ -63,7 +63,8 @@
     effects: Vec<String>,
     /// The sequence number of the last ping that was sent.
     last_ping: u32,
-    /// The state that was last printed of each member; a printed name conflict is an entry too.
+    /// The last printed state of each member, by its name. The text of each printed name conflict is an entry
+    /// too.
     printed: BTreeMap<String, MemberState>,
     incarnation: Incarnation,
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,10 +1,10 @@
-//! The subjects of the scripts in `tests/relay/`, `tests/fleet/` and `tests/loopback/`.
+//! The subjects (tested systems) of the scripts in `tests/relay/`, `tests/fleet/` and `tests/loopback/`.
 //!
-//! `ReducerSubject` is the reducer without sockets. Backends have the names of the endpoint list. Keys
-//! of a site line: `known=NAME,NAME` (the list that the relay starts with), `timeout=MS` (dial timeout
-//! of all listeners), `successor` (another process owns the listening socket), `pushed` (the endpoint
-//! list is sent without a request), `probes` (the relay may probe), `persistent` (the relay writes its
-//! state to a store). Inputs (with `stalled` at the end, no timer expires before the input):
+//! `ReducerSubject` is the reducer (the relay's state machine) without sockets. Backends have the names of
+//! the endpoint list. Keys of a site line: `known=NAME,NAME` (the list that the relay starts with),
+//! `timeout=MS` (dial timeout of all listeners), `successor` (another process owns the listening socket),
+//! `pushed` (the endpoint list is sent without a request), `probes` (the relay may probe), `persistent` (the
+//! relay writes its state to a store). Inputs (with `stalled` at the end, no timer expires before the input):
 //!   `client-connected CONNECTIONS`, `first-line-started CONNECTIONS`, `ping CONNECTION`,
 //!   `protocol-violation CONNECTION`, `client-disconnected SESSION`, `client-half-closed SESSION`,
 //!   `session-requested SESSION LISTENER [time_remaining=MS] [at=NAME] [id=ID]`,
@@ -50,7 +50,7 @@
         "HandshakeTarget": 300, "DialTimeout": 2000})
 }
 
-/// A configuration as JSON.
+/// A relay's configuration as JSON. `backends` contains the name and the address of each known backend.
 fn configuration_json(listen: &str, discovery: &str, backends: &[(String, String)]) -> Value {
     let instance =
         |(id, addr): &(String, String)| json!({"instanceId": id, "hostPort": addr, "lifecycle": "up"});
@@ -75,7 +75,7 @@
     node::parse(configuration.to_string().as_bytes(), &Overrides::default()).map_err(|e| e.to_string())
 }
 
-/// The address of the backend with this name; the port is 1000 plus the name's number.
+/// The address of a backend named `s-NUMBER`. The port is 1000 plus the number.
 fn addr_of(name: &str) -> String {
     let number: u16 = name.trim_start_matches("s-").parse().unwrap_or(0);
     format!("127.0.0.1:{}", 1000 + number)
@@ -89,13 +89,13 @@
     probes: bool,
     persistent: bool,
     successor: bool,
-    /// The newest watch.
+    /// The number of the newest watch of the endpoint list.
     newest_watch: u32,
     reducer: Option<Reducer>,
     timers: BTreeMap<(Micros, usize), hallrelay_relay::reducer::Timer>,
     timer_count: usize,
     effects: Vec<Effect>,
-    /// Results of the parsers.
+    /// Results of the inputs that call a parser.
     parser_results: Vec<String>,
     /// Server numbers of the probed backends, by name.
     probed_servers: BTreeMap<String, u32>,
@@ -148,7 +148,12 @@
             let sums = metrics.listeners.values().fold((0, 0), |sum, n| {
                 (sum.0 + n.requested, sum.1 + n.established + n.rejected + n.failed + n.abandoned)
             });
-            assert_eq!(sums.0, sums.1 + metrics.waiting as u64, "{metrics:?}");
+            let (requested, ended, waiting) = (sums.0, sums.1, metrics.waiting as u64);
+            assert_eq!(
+                requested,
+                ended + waiting,
+                "requested sessions must be ended or waiting: {metrics:?}"
+            );
         }
         for effect in &out {
             if let Effect::StartTimer { after, timer } = *effect {
@@ -166,24 +171,24 @@
     }
 
     fn events(&self, words: &[&str]) -> Result<Vec<Event>, Fault> {
-        let at = |i: usize| words.get(i).copied().ok_or(format!("'{}' lacks a word", words.join(" ")));
-        let session_id = || parse_number(at(1)?);
+        let word = |i: usize| words.get(i).copied().ok_or(format!("'{}' has no word {i}", words.join(" ")));
+        let session_id = || parse_number(word(1)?);
         let watch = option(words, "watch").map_or(Ok(self.newest_watch), parse_number)?;
-        Ok(vec![match at(0)? {
+        Ok(vec![match word(0)? {
             "advance" => return Ok(vec![]),
             "stop-requested" => Event::StopRequested,
             "configuration-rejected" => Event::ConfigurationRejected,
             "session-handed-over" => Event::SessionHandedOver { session_id: session_id()? },
             "session-handover-failed" => Event::SessionHandoverFailed { session_id: session_id()? },
             "session-adopted" => {
-                let (listener, server) = (at(2)?.to_string(), at(3)?.to_string());
+                let (listener, server) = (word(2)?.to_string(), word(3)?.to_string());
                 let id = u64::from(session_id()?);
                 let session = SessionState { id, listener, server, ..SessionState::default() };
                 Event::SessionAdopted { session_id: session_id()?, state: Box::new(session) }
             }
             "process" => {
-                let peer = parse_number(at(1)?)?;
-                let message = match at(2)? {
+                let peer = parse_number(word(1)?)?;
+                let message = match word(2)? {
                     "disconnected" => {
                         return Ok(vec![Event::HotRestart(OwnershipEvent::Disconnected { peer })])
                     }
@@ -211,7 +216,7 @@
                             json!({"instanceId": id, "hostPort": addr_of(id), "lifecycle": lifecycle})
                         });
                         let instances: Vec<Value> = instances.collect();
-                        let generation = parse_number::<u64>(at(3)?)?;
+                        let generation = parse_number::<u64>(word(3)?)?;
                         Message::EndpointList {
                             list: json!({"generation": generation, "reset": false, "instances": instances}),
                         }
@@ -222,16 +227,16 @@
             }
             "first-line-forwarded" => Event::FirstLineForwarded,
             "operator-call" => {
-                Event::OperatorCall { call: parse_number(at(1)?)?, request: operator_request(at(2)?)? }
+                Event::OperatorCall { call: parse_number(word(1)?)?, request: operator_request(word(2)?)? }
             }
             "client-connected" => {
-                return Ok(parse_range(at(1)?)?
+                return Ok(parse_range(word(1)?)?
                     .map(|connection_id| Event::ClientConnected { connection_id })
                     .collect())
             }
             "protocol-violation" => Event::ProtocolViolation { connection_id: session_id()? },
             "first-line-started" => {
-                return Ok(parse_range(at(1)?)?
+                return Ok(parse_range(word(1)?)?
                     .map(|connection_id| Event::FirstLineStarted { connection_id })
                     .collect())
             }
@@ -241,9 +246,9 @@
             "session-requested" => {
                 let time_remaining = option(words, "time_remaining").unwrap_or("2000");
                 let at_backend = option(words, "at").map(str::to_string);
-                let id =
-                    option(words, "id").map_or(Ok(u64::from(parse_number::<u32>(at(1)?)?)), parse_number)?;
-                let listener = at(2)?.to_string();
+                let id = option(words, "id")
+                    .map_or(Ok(u64::from(parse_number::<u32>(word(1)?)?)), parse_number)?;
+                let listener = word(2)?.to_string();
                 let open = lines::SessionRequest {
                     id,
                     listener,
@@ -254,26 +259,32 @@
                 Event::SessionRequested { session_id: session_id()?, open, time_remaining }
             }
             "session-established" => {
-                Event::SessionEstablished { session_id: session_id()?, dial: parse_number(at(2)?)? }
+                Event::SessionEstablished { session_id: session_id()?, dial: parse_number(word(2)?)? }
             }
             "dial-ended" => {
-                let (dial, end) = (parse_number(at(2)?)?, parse_dial_end(at(3)?)?);
+                let (dial, end) = (parse_number(word(2)?)?, parse_dial_end(word(3)?)?);
                 Event::DialEnded { session_id: session_id()?, dial, end, report: None }
             }
-            "session-ended" => {
-                Event::SessionEnded { session_id: session_id()?, end: parse_dial_end(at(2)?)?, report: None }
+            "session-ended" => Event::SessionEnded {
+                session_id: session_id()?,
+                end: parse_dial_end(word(2)?)?,
+                report: None,
+            },
+            "load-reported" => {
+                Event::LoadReported { session_id: session_id()?, load: parse_number(word(2)?)? }
             }
-            "load-reported" => Event::LoadReported { session_id: session_id()?, load: parse_number(at(2)?)? },
             "message-latency" => {
-                Event::MessageLatency { session_id: session_id()?, time: parse_millis(at(2)?)? }
+                Event::MessageLatency { session_id: session_id()?, time: parse_millis(word(2)?)? }
             }
             "probe-ended" => {
-                let server =
-                    *self.probed_servers.get(at(1)?).ok_or("the relay has not probed this backend")?;
-                let (end, report) = parse_probe_end(words, at(2)?)?;
+                let server = *self
+                    .probed_servers
+                    .get(word(1)?)
+                    .ok_or(format!("the relay has not probed the backend '{}'", words[1]))?;
+                let (end, report) = parse_probe_end(words, word(2)?)?;
                 Event::HealthCheckEnded { server, end, report }
             }
-            "endpoint-list" if at(1)? == "watch-failed" => Event::EndpointWatchFailed { watch },
+            "endpoint-list" if word(1)? == "watch-failed" => Event::EndpointWatchFailed { watch },
             "endpoint-list" => {
                 let names = words[3..].iter().filter(|word| !word.contains('='));
                 let instances = names.map(|word| {
@@ -284,8 +295,9 @@
                     json!({"instanceId": id, "hostPort": addr_of(id), "lifecycle": lifecycle,
                         "startedAtMs": started})
                 });
-                let list = json!({"generation": parse_number::<u64>(at(2)?)?, "reset": at(1)? == "snapshot",
-                    "instances": instances.collect::<Vec<_>>()});
+                let (generation, reset) = (parse_number::<u64>(word(2)?)?, word(1)? == "snapshot");
+                let instances: Vec<Value> = instances.collect();
+                let list = json!({"generation": generation, "reset": reset, "instances": instances});
                 Event::EndpointListReceived {
                     watch,
                     list: hallrelay_config::list::parse(list.to_string().as_bytes())
@@ -293,7 +305,7 @@
                 }
             }
             "configuration-reloaded" => {
-                let mut configuration = self.configuration_json(&format!("127.0.0.1:{}", at(1)?));
+                let mut configuration = self.configuration_json(&format!("127.0.0.1:{}", word(1)?));
                 if let Some((key, value)) = words.get(2).and_then(|word| word.split_once('=')) {
                     configuration[key] = json!(value);
                 }
@@ -336,7 +348,7 @@
         .ok_or(format!("unknown operator request '{word}'"))
 }
 
-/// The text of a reply. Metrics are joined to one line, without those that are 0.
+/// The text of a reply. Metrics are joined to one line, and metrics with the value 0 are left out.
 fn reply_text(reply: &OperatorReply) -> String {
     match reply {
         OperatorReply::Accepted(word) => format!("accepted {word}"),
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! `.ci/known-red` accepts exactly the failures that KNOWN-RED.txt lists.
+//! Tests that the script `.ci/known-red` accepts exactly the failures that KNOWN-RED.txt lists.
 use std::path::PathBuf;
 use std::process::Command;
 
@@ -8,7 +8,8 @@
                           test result: FAILED. 2 passed; 1 failed\n";
 const ALL_PASSED: &str = "test sound ... ok\ntest broken ... ok\n\ntest result: ok. 2 passed; 0 failed\n";
 
-/// Runs the check on a list and an output of cargo; returns whether it succeeded and what it printed.
+/// Runs the script on a list and an output of cargo. Returns whether it succeeded, and its standard output.
+/// `case` names the folder of the files.
 fn run_check(case: &str, list: Option<&str>, output: &str) -> (bool, String) {
     let folder = std::env::temp_dir().join(format!("known-red-{}-{case}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("create the folder of the case");
@@ -32,7 +33,8 @@
 
 #[test]
 fn every_failure_counts_without_list() {
-    assert!(run_check("absent-well", None, ALL_PASSED).0);
+    let (passed, printed) = run_check("absent-well", None, ALL_PASSED);
+    assert!(passed, "the check must pass if all tests passed and there is no list: {printed}");
     let (passed, printed) = run_check("absent", None, ONE_FAILED);
     assert!(!passed && printed.contains("broken failed and is not listed"), "{printed}");
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,9 +4,11 @@
 //!   `site KEY=VALUE ..`   settings that differ from the default ones (first line, optional)
 //!   `MS INPUT ..`         an input and its time in milliseconds; earlier timers expire before it
 //!   `=> EFFECT`           an expected effect of the input above: one line for each, in order, or `none`
-//! `#` starts a comment. An input has the name of its `Input` or `Event` variant, and an effect that of
-//! its `Effect` variant, in kebab case or shortened. The effects in `CHECKED_ON_REQUEST`, such as probes
-//! and timers, are compared only if a line expects them.
+//! `#` starts a comment. MS is a number of milliseconds; DELAY and `queue_delay` are in seconds, and `load`
+//! is a fraction of one server. A cold server (`started=MS`) warms up after its start; a slot is one dial
+//! that this relay may make to it. An input has the name of its `Input` or `Event` variant, and an effect
+//! that of its `Effect` variant, in kebab case or shortened. The effects in `CHECKED_ON_REQUEST`, such as
+//! probes and timers, are compared only if a line expects them.
 //!
 //! Inputs of the balancer:
 //!   `endpoint-list snapshot|delta|watch-failed SERVER[:draining|:removed][:started=MS] ..`, which also
@@ -63,7 +65,7 @@
     word.parse().map_err(|_| format!("'{word}' is not a number"))
 }
 
-/// The value of the word `KEY=VALUE`, if there is one.
+/// The value of `key` in the first word of the form `KEY=VALUE` with that key, if there is one.
 pub fn option<'a>(words: &'a [&str], key: &str) -> Option<&'a str> {
     words.iter().find_map(|w| w.strip_prefix(key)?.strip_prefix('='))
 }
@@ -131,7 +133,8 @@
     Result::Ok(ends[index])
 }
 
-/// Parses how a probe ended: the word of a `DialEnd`, or the values of its load report.
+/// Parses how a probe ended: `end` is the word of a `DialEnd` or a value of the load report, and `words`
+/// contain all values of the report.
 pub fn parse_probe_end(words: &[&str], end: &str) -> Result<(DialEnd, Option<LoadReport>), Fault> {
     let value = |key| option(words, key).map(parse_number).transpose();
     let report =
@@ -146,38 +149,40 @@
     Ok(parse_number(from)?..=parse_number(to)?)
 }
 
-/// Parses the inputs of one line; `advance` has none.
+/// Parses the inputs of one line. The line `advance` has no input, because it only lets time pass.
 fn parse_inputs(words: &[&str]) -> Result<Vec<Input>, Fault> {
-    let at = |i: usize| words.get(i).copied().ok_or(format!("'{}' lacks a word", words.join(" ")));
+    let word = |i: usize| words.get(i).copied().ok_or(format!("'{}' has no word {i}", words.join(" ")));
     let list = |update| -> Result<Vec<Input>, Fault> {
         let endpoints = words[2..].iter().map(|w| parse_endpoint(w)).collect::<Result<_, _>>()?;
         Ok(vec![Input::EndpointList { update, endpoints }])
     };
-    let each = |make: &dyn Fn(u32) -> Result<Input, Fault>| parse_range(at(1)?)?.map(make).collect();
-    match at(0)? {
+    let each = |make: &dyn Fn(u32) -> Result<Input, Fault>| parse_range(word(1)?)?.map(make).collect();
+    match word(0)? {
         "advance" => Ok(vec![]),
-        "endpoint-list" if at(1)? == "snapshot" => list(ListUpdate::Snapshot),
-        "endpoint-list" if at(1)? == "delta" => list(ListUpdate::Delta),
-        "endpoint-list" if at(1)? == "watch-failed" => list(ListUpdate::WatchFailed),
+        "endpoint-list" if word(1)? == "snapshot" => list(ListUpdate::Snapshot),
+        "endpoint-list" if word(1)? == "delta" => list(ListUpdate::Delta),
+        "endpoint-list" if word(1)? == "watch-failed" => list(ListUpdate::WatchFailed),
         "session-requested" => {
-            let request = parse_request(words, at(2)?)?;
+            let request = parse_request(words, word(2)?)?;
             each(&|session| Ok(Input::SessionRequested { session, request }))
         }
         "session-adopted" => {
-            let (request, server) = (parse_request(words, at(2)?)?, parse_number(at(3)?)?);
+            let (request, server) = (parse_request(words, word(2)?)?, parse_number(word(3)?)?);
             each(&|session| Ok(Input::SessionAdopted { session, server, request }))
         }
         "session-established" => {
-            each(&|session| Ok(Input::SessionEstablished { session, dial: parse_number(at(2)?)? }))
+            each(&|session| Ok(Input::SessionEstablished { session, dial: parse_number(word(2)?)? }))
         }
         "session-ended" => each(&|session| Ok(Input::SessionEnded { session })),
-        "message-delay" => each(&|session| Ok(Input::MessageDelay { session, delay: parse_number(at(2)?)? })),
+        "message-delay" => {
+            each(&|session| Ok(Input::MessageDelay { session, delay: parse_number(word(2)?)? }))
+        }
         "dial-ended" => each(&|session| {
-            let (dial, settled) = (parse_number(at(2)?)?, words.contains(&"settled"));
-            Ok(Input::DialEnded { session, dial, end: parse_dial_end(at(3)?)?, settled, report: None })
+            let (dial, settled) = (parse_number(word(2)?)?, words.contains(&"settled"));
+            Ok(Input::DialEnded { session, dial, end: parse_dial_end(word(3)?)?, settled, report: None })
         }),
         "dial-not-started" => {
-            each(&|session| Ok(Input::DialNotStarted { session, dial: parse_number(at(2)?)? }))
+            each(&|session| Ok(Input::DialNotStarted { session, dial: parse_number(word(2)?)? }))
         }
         "restore" => {
             let value = |key| option(words, key).map(parse_number::<f64>).transpose();
@@ -185,7 +190,7 @@
             let load = value("load")?;
             let report = LoadReport { load, queue_delay: Some(0.0), sessions: Some(0.0) };
             let server = ServerSnapshot {
-                server: parse_number(at(1)?)?,
+                server: parse_number(word(1)?)?,
                 report: load.map(|_| Ok::<_, Fault>(PastReport { age: age("age")?, report })).transpose()?,
                 recent_sessions: value("recent_sessions")?.unwrap_or(0.0),
                 slot: SlotSnapshot { age: age("slot_age")?, interval_fraction: 1.0 },
@@ -194,9 +199,9 @@
             let session_load = value("session_load")?.unwrap_or(0.02);
             Ok(vec![Input::Restore(Snapshot { session_load, servers: vec![server] })])
         }
-        "timer-expired" => Ok(vec![Input::TimerExpired { label: parse_number(at(1)?)? }]),
+        "timer-expired" => Ok(vec![Input::TimerExpired { label: parse_number(word(1)?)? }]),
         "probe-ended" => {
-            let (end, report) = parse_probe_end(words, at(2)?)?;
+            let (end, report) = parse_probe_end(words, word(2)?)?;
             each(&|server| Ok(Input::ProbeEnded { server, end, report }))
         }
         other => Err(format!("unknown input '{other}'")),
@@ -219,11 +224,11 @@
     }
 }
 
-/// What scripts run against.
+/// The system that a script tests.
 pub trait Subject {
     fn set_site(&mut self, words: &[&str]) -> Result<(), Fault>;
     fn input(&mut self, now: Micros, words: &[&str]) -> Result<(), Fault>;
-    /// The effects since the last input.
+    /// The effects of the last input, and of the timers that expired before it.
     fn effects(&mut self) -> Vec<String>;
 }
 
@@ -269,7 +274,8 @@
     }
 }
 
-/// Compares the effects with the expected ones; those of `CHECKED_ON_REQUEST` only if they are expected.
+/// Compares the effects with the expected effects. An effect of `CHECKED_ON_REQUEST` is compared only if a
+/// line of the script expects it.
 fn check(actual: &[String], expected: &[&str]) -> Result<(), Fault> {
     const CHECKED_ON_REQUEST: [&str; 11] = [
         "persist",
@@ -291,7 +297,7 @@
     (actual == expected).then_some(()).ok_or(format!("expected {expected:?}, got {actual:?}"))
 }
 
-/// Runs one script; an error has the number of its line.
+/// Runs one script. An error contains the number of the line at which the script failed.
 fn run_script(text: &str, subject: &mut dyn Subject) -> Result<(), (usize, Fault)> {
     let lines = text.lines().enumerate().map(|(i, l)| (i + 1, l.split('#').next().unwrap_or("").trim()));
     let lines: Vec<(usize, &str)> = lines.filter(|(_, l)| !l.is_empty()).collect();
@@ -311,7 +317,7 @@
                 check(&subject.effects(), &expected).map_err(fault)?;
             }
         } else if !started {
-            return Err(fault("an effect stands before the first input".to_string()));
+            return Err(fault(format!("the expected effect '{line}' is before the first input")));
         }
     }
     (checks > 0).then_some(()).ok_or((lines.len(), "the script expects no effect".to_string()))
@@ -319,13 +325,15 @@
 
 fn run_scripts<S: Subject + Default>(folder: &str) {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
-    let entries = std::fs::read_dir(&folder).expect("read the folder of the scripts");
+    let entries = std::fs::read_dir(&folder);
+    let entries = entries.unwrap_or_else(|error| panic!("read the folder {}: {error}", folder.display()));
     let files = entries.map(|entry| entry.expect("read an entry of the scripts' folder").path());
     let mut files: Vec<_> = files.filter(|f| f.extension().is_some_and(|e| e == "txt")).collect();
     files.sort();
-    assert!(!files.is_empty(), "{} holds no script", folder.display());
+    assert!(!files.is_empty(), "the folder {} contains no script (*.txt)", folder.display());
     let faults = files.iter().filter_map(|file| {
-        let text = std::fs::read_to_string(file).expect("read a script");
+        let text = std::fs::read_to_string(file);
+        let text = text.unwrap_or_else(|error| panic!("read the script {}: {error}", file.display()));
         let (line, what) = run_script(&text, &mut S::default()).err()?;
         Some(format!("{}:{line}: {what}", file.display()))
     });
--- a/tests/short_days/cold.rs
+++ b/tests/short_days/cold.rs
@@ -1,5 +1,5 @@
-//! Rule 4 over all relays: twenty of them keep their dials at one cold backend within its budget in every
-//! overload window.
+//! Rule 4 of the balancer (all relays together do not overload a backend in slow start): twenty relays keep
+//! their dials to one cold backend within its budget in every overload window.
 use crate::fleet::{two_listeners, Fleet, SECOND};
 use hallrelay_balancer::types::*;
 
@@ -7,11 +7,11 @@
 const WARM_BACKENDS: u32 = 8;
 /// The backend that starts during the simulation.
 const COLD: ServerId = 100;
-/// Sessions that fill a backend.
+/// Number of sessions that saturate a warm backend.
 const CAPACITY: f64 = 50.0;
-/// The load of the warm backends before the cold one starts.
+/// The load of the warm backends before the cold backend starts, as a fraction of their capacity.
 const USUAL_LOAD: f64 = 0.5;
-/// When the cold backend starts; the loads are steady by then.
+/// Time at which the cold backend starts. The loads of the warm backends are steady by then.
 const COLD_START: Micros = 15 * SECOND;
 const SEEDS: u64 = 20;
 
@@ -23,7 +23,7 @@
     pub overload_window: Micros,
 }
 
-/// As in the balancer's test scripts.
+/// The settings of the balancer's test scripts (`tests/scenarios/`).
 pub const SHORT_WARM_UP: SlowStart =
     SlowStart { warm_up: 10 * SECOND, initial_capacity: 0.2, overload_window: 2 * SECOND };
 
@@ -39,11 +39,13 @@
 /// The overload window with the most dials relative to the bound.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorstWindow {
-    /// `dials` over `bound`.
+    /// `dials` divided by `bound`.
     ratio: f64,
+    /// Number of dials to the cold backend in the window.
     dials: usize,
+    /// Maximum number of dials that the tests allow: the budget plus a random deviation.
     bound: f64,
-    /// The window's end, from the start of the backend.
+    /// Time from the start of the backend to the end of the window.
     after: Micros,
 }
 
@@ -80,7 +82,8 @@
     fleet
 }
 
-/// A backend starts while the rate of clients is 1.5 times the usual one, for four seconds.
+/// Simulates the start of a cold backend. In the first four seconds after the start the rate of clients is
+/// 1.5 times the usual rate.
 pub fn start_under_burst(seed: u64, case: Case) -> WorstWindow {
     let mut fleet = loaded_fleet(seed, case);
     fleet.schedule_clients(COLD_START, COLD_START + 4 * SECOND, case.1 / 2.0);
@@ -90,19 +93,22 @@
     worst_window(&fleet)
 }
 
-/// A backend crashes shortly after another one started; the clients of the crashed one return within 0.5 s.
+/// Simulates a warm backend that crashes 4 s after a cold backend started. The clients of the crashed backend
+/// return within 0.5 s.
 pub fn start_beside_crash(seed: u64, case: Case) -> WorstWindow {
     let mut fleet = loaded_fleet(seed, case);
     fleet.run_until(COLD_START);
     fleet.start_cold_backend(COLD, CAPACITY);
-    // By then the relays have their first slots at the cold backend.
+    // At that time the relays have had their first slots at the cold backend (a slot is one dial that a relay
+    // may make there).
     fleet.run_until(COLD_START + 4 * SECOND);
     fleet.crash_backend(1, SECOND / 2);
     fleet.run_until(COLD_START + fleet.site.warm_up);
     worst_window(&fleet)
 }
 
-/// Runs the cases with all seeds; describes each case with more dials than the bound.
+/// Simulates each case with all seeds. Returns a description of each case that has a window with more dials
+/// than the bound. `what` names the simulation.
 pub fn cases_over_bound(
     what: &str,
     cases: &[Case],
@@ -117,16 +123,18 @@
         let line = format!("{what}, {case:?}: {over} of {SEEDS} seeds over; seed {seed}: {most}");
         println!("{line}");
         exceeded.extend((over > 0).then_some(line));
-        // A simulation without such a dial would test nothing.
+        // A simulation without a dial to the cold backend would test nothing.
+        let without_dial: Vec<u64> =
+            runs.iter().filter(|(_, worst)| worst.dials == 0).map(|(seed, _)| *seed).collect();
         assert!(
-            runs.iter().all(|(_, worst)| worst.dials > 0),
-            "a simulation has no dial at the cold backend"
+            without_dial.is_empty(),
+            "{what}, {case:?}: no dial to the cold backend with the seeds {without_dial:?}"
         );
     }
     exceeded
 }
 
-/// Few relays have a session when their slot at the cold backend comes.
+/// Rates of clients at which few relays have a session when their slot at the cold backend opens.
 const LOW_TRAFFIC: [Case; 2] = [Case(SHORT_WARM_UP, 1.0), Case(SHORT_WARM_UP, 3.0)];
 
 #[test]
--- a/tests/short_days/cold_busy.rs
+++ b/tests/short_days/cold_busy.rs
@@ -1,9 +1,9 @@
-//! Rule 4 over all relays when more of them have a session as their slot at the cold backend comes: busier
-//! relays, and relays whose backends warm up longer, so that slots are rarer.
+//! Rule 4 of the balancer, as in `cold.rs`, in cases in which more relays have a session when their slot at
+//! the cold backend opens: the relays are busier, or the backend warms up longer, so that slots are rarer.
 use crate::cold::{cases_over_bound, start_beside_crash, start_under_burst, Case, SlowStart, SHORT_WARM_UP};
 use crate::fleet::SECOND;
 
-/// As in the project's example settings.
+/// The settings of the project's example configuration.
 const LONG_WARM_UP: SlowStart =
     SlowStart { warm_up: 23 * SECOND, initial_capacity: 0.14, overload_window: 2 * SECOND };
 
--- a/tests/short_days/cold_storm.rs
+++ b/tests/short_days/cold_storm.rs
@@ -1,5 +1,6 @@
-//! Rule 4 in reconnect storms after quiet times: many relays then have an unused slot at a cold backend, and
-//! each of them has sessions that return at the same moment.
+//! Rule 4 of the balancer (all relays together do not overload a backend in slow start) in reconnect storms
+//! after quiet times. Many relays then have an unused slot at a cold backend, that is, one dial that they may
+//! make there, and each of them has sessions that return at the same moment.
 use crate::fleet::{two_listeners, Fleet, SECOND};
 use hallrelay_balancer::types::*;
 
@@ -7,9 +8,10 @@
 const COLD: ServerId = 10_000;
 /// Quiet time before the cold backend starts.
 const QUIET_TIME: Micros = 20 * SECOND;
-/// From that start to the storm; nearly all relays have an unused slot at the backend by then.
+/// Time from the start of the cold backend to the storm. Nearly all relays have an unused slot at the backend
+/// by then.
 const STORM_DELAY: Micros = 8 * SECOND;
-/// From the start of the storm to the end of the simulation.
+/// Time from the start of the storm to the end of the simulation.
 const OBSERVATION: Micros = 4 * SECOND;
 const SEEDS: u64 = 20;
 
@@ -17,18 +19,21 @@
 #[derive(Clone, Copy, Debug)]
 struct Storm {
     relays: u32,
-    /// Warm backends beside the cold one.
+    /// Number of warm backends. There is one cold backend in addition.
     warm_backends: u32,
-    /// Sessions that fill a backend.
+    /// Number of sessions that saturate a warm backend.
     capacity: f64,
-    /// Sessions that return to each relay, and within which time.
+    /// Number of sessions that return to each relay.
     returning: u32,
+    /// Time within which all of them return.
     within: Micros,
 }
 
-/// The dials of the worst window, and the bound for a backend in slow start.
+/// The overload window with the most dials relative to the bound.
 struct WorstWindow {
+    /// Number of dials to the cold backend in the window.
     dials: usize,
+    /// Maximum number of dials that the test allows.
     bound: f64,
 }
 
@@ -43,7 +48,8 @@
     SiteConfig { warm_up, overload_window, probe_cost: 0.008, ..two_listeners(relays) }
 }
 
-/// The operators' bound on the dials of one window, by the N of that moment.
+/// Maximum number of dials in one overload window according to the operators: the backend's budget (N in
+/// `docs/design.md`) at the end of the window plus a random deviation.
 fn bound(budget: f64) -> f64 {
     match budget < 30.0 {
         true => budget + 3.0 * budget.sqrt() + 3.0,
@@ -74,7 +80,7 @@
     worst.unwrap_or(WorstWindow { dials: 0, bound: bound(0.0) })
 }
 
-/// Simulates a storm with all seeds; describes it if any seed has more dials than the bound.
+/// Simulates a storm with all seeds. Returns a description of it if any seed has more dials than the bound.
 fn storm_over_bound(storm: Storm) -> Option<String> {
     let runs: Vec<WorstWindow> = (1..=SEEDS).map(|seed| worst_window(seed, storm)).collect();
     let over = runs.iter().filter(|worst| worst.ratio() > 1.0).count();
@@ -89,7 +95,8 @@
     (over > 0).then_some(line)
 }
 
-/// Checks the bound in storms of fleets with these numbers of relays and of warm backends.
+/// Checks the bound in storms of several fleets. `sizes` contains the number of relays and the number of warm
+/// backends of each fleet.
 fn assert_budget_holds(sizes: &[(u32, u32)]) {
     let mut over = Vec::new();
     for &(relays, warm_backends) in sizes {
--- a/tests/short_days/fleet.rs
+++ b/tests/short_days/fleet.rs
@@ -1,5 +1,6 @@
 //! A simulated fleet in virtual time: one balancer per relay, and modelled backends. All random values come
-//! from one seed, so a simulation gives the same result each time.
+//! from one seed, so a simulation gives the same result each time. A cold backend is one that warms up after
+//! its start; a warm backend has its full capacity.
 use hallrelay_balancer::types::*;
 use hallrelay_balancer::Balancer;
 use std::collections::{BTreeMap, HashMap};
@@ -7,10 +8,10 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// From a dial or probe to the backend's answer.
+/// Time from the start of a dial or probe to the backend's answer.
 const ROUND_TRIP: Micros = 2 * MILLISECOND;
 
-/// A client's timeout for a session request.
+/// Timeout of each client's session request.
 const REQUEST_TIMEOUT: Micros = 2 * SECOND;
 
 /// A site of relays that may probe, with two idempotent listeners of low and high priority, and a slow start
@@ -40,17 +41,18 @@
 #[derive(Default)]
 pub struct Backend {
     pub endpoint: Endpoint,
-    /// Sessions that fill it once it is warm.
+    /// Number of sessions that saturate the backend once it is warm.
     pub capacity: f64,
+    /// Number of sessions at the backend, including those that are being established.
     pub open: u32,
-    /// Load from other sources, as a fraction of its capacity.
+    /// Load that does not come from sessions, as a fraction of the backend's capacity.
     pub other_load: f64,
-    /// The time of each dial, in order.
+    /// The start of each dial to the backend, in order.
     pub dials: Vec<Micros>,
 }
 
 impl Backend {
-    /// The fraction of its capacity that it has at this time.
+    /// The fraction of its capacity that the backend has at `now`.
     fn capacity_fraction(&self, now: Micros, site: &SiteConfig) -> f64 {
         if self.endpoint.started_at == 0 {
             return 1.0;
@@ -65,14 +67,15 @@
         LoadReport { load: Some(load), queue_delay: Some(0.0), sessions: Some(f64::from(self.open)) }
     }
 
-    /// N of `docs/design.md`: the sessions that a cold backend takes within the overload window.
+    /// Number of sessions that a cold backend can take within one overload window without failing, at its
+    /// capacity at `now`. `docs/design.md` calls this number N.
     pub fn cold_budget(&self, now: Micros, site: &SiteConfig) -> f64 {
         let rate =
             site.overload_multiple * self.capacity_fraction(now, site) * self.capacity / site.warm_up as f64;
         rate * site.overload_window as f64
     }
 
-    /// The dials within the overload window that ends at this time.
+    /// Number of dials to the backend since its start within the overload window that ends at `now`.
     pub fn dials_in_overload_window(&self, now: Micros, site: &SiteConfig) -> usize {
         let in_window = |at: &&Micros| {
             **at <= now && **at + site.overload_window > now && **at >= self.endpoint.started_at
@@ -81,10 +84,12 @@
     }
 }
 
-/// What a relay decided for a session, as the tests evaluate it.
+/// A relay's decision for a session, in the two classes that the tests distinguish.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
+    /// The relay dialled a backend for the session.
     Dialled,
+    /// The relay rejected the session or tore it down.
     Rejected,
 }
 
@@ -105,7 +110,7 @@
     pub site: SiteConfig,
     pub backends: BTreeMap<ServerId, Backend>,
     pub now: Micros,
-    /// The decisions of each relay, in order.
+    /// The decisions of each relay with their times, in order. The index is the relay's index.
     pub decisions: Vec<Vec<(Micros, Decision)>>,
     /// The mean duration of a session.
     pub mean_session_time: Micros,
@@ -118,7 +123,7 @@
 }
 
 impl Fleet {
-    /// Sets `relay_index` of the site for each relay.
+    /// Creates a fleet of `site.relay_count` relays without backends. Each relay gets its own `relay_index`.
     pub fn new(site: SiteConfig, seed: u64) -> Fleet {
         let relay = |relay_index: u32| {
             let site = SiteConfig { relay_index, ..site.clone() };
@@ -145,7 +150,7 @@
         self.random.rand_float()
     }
 
-    /// A random time of the exponential distribution with this mean.
+    /// A random time with an exponential distribution. `mean` is in microseconds.
     pub fn draw_time(&mut self, mean: f64) -> Micros {
         (-mean * (1.0 - self.draw()).ln()) as Micros
     }
@@ -160,7 +165,7 @@
         self.backends.insert(server, Backend { endpoint, capacity, ..Backend::default() });
     }
 
-    /// Starts a cold backend and sends its endpoint to all relays at once.
+    /// Starts a cold backend, and immediately notifies all relays of it.
     pub fn start_cold_backend(&mut self, server: ServerId, capacity: f64) {
         let endpoint = Endpoint { server, phase: Phase::Ready, started_at: self.now, ..Endpoint::default() };
         let dials = Vec::new();
@@ -168,7 +173,8 @@
         self.send_list(ListUpdate::Delta, vec![endpoint]);
     }
 
-    /// Resets the sessions of a backend, whose clients return within a time, and removes it at all relays.
+    /// Resets all sessions of a backend, and removes the backend from the endpoint list of all relays. Each
+    /// client returns to its relay at a random time within `return_within`.
     pub fn crash_backend(&mut self, server: ServerId, return_within: Micros) {
         for relay in 0..self.relays.len() {
             let sessions = self.open_sessions[relay].iter().filter(|(_, open)| open.server == server);
@@ -199,7 +205,8 @@
         }
     }
 
-    /// Schedules clients at each relay, at random times within a span, with this mean rate.
+    /// Schedules new clients at each relay, at random times from `from` to `until`. `per_second` is the mean
+    /// rate of each relay.
     pub fn schedule_clients(&mut self, from: Micros, until: Micros, per_second: f64) {
         for relay in 0..self.relays.len() {
             let mut at = from;
@@ -213,8 +220,8 @@
         }
     }
 
-    /// Schedules clients that lost their sessions elsewhere and return to all relays, at uniformly random
-    /// times within a span.
+    /// Schedules `per_relay` returning clients at each relay, at uniformly random times within `span`. They
+    /// lost sessions that are not part of the simulation.
     pub fn schedule_reconnect_storm(&mut self, from: Micros, span: Micros, per_relay: u32) {
         for relay in 0..self.relays.len() {
             for _ in 0..per_relay {
@@ -246,7 +253,7 @@
                 self.step(relay, Input::SessionRequested { session: self.last_session, request });
             }
             ScheduledEvent::SessionEnds { relay, session, server } => {
-                // The session has ended already if its backend crashed.
+                // The session is missing if it has already ended, by a crash of its backend or a migration.
                 if self.open_sessions[relay].remove(&session).is_some() {
                     if let Some(backend) = self.backends.get_mut(&server) {
                         backend.open -= 1;
@@ -277,7 +284,11 @@
                 self.decisions[relay].push((self.now, Decision::Rejected));
             }
             Effect::Migrate { session } => {
-                let server = self.open_sessions[relay][&session].server;
+                let open = self.open_sessions[relay].get(&session);
+                let open = open.unwrap_or_else(|| {
+                    panic!("relay {relay} migrated session {session} at {} us: not open", self.now)
+                });
+                let server = open.server;
                 self.run_event(ScheduledEvent::SessionEnds { relay, session, server });
                 self.schedule(
                     self.now + ROUND_TRIP,
@@ -297,7 +308,11 @@
 
     fn dial(&mut self, relay: usize, session: SessionId, server: ServerId) {
         self.decisions[relay].push((self.now, Decision::Dialled));
-        let backend = self.backends.get_mut(&server).expect("a relay dials only listed backends");
+        let now = self.now;
+        let backend = self.backends.get_mut(&server);
+        let backend = backend.unwrap_or_else(|| {
+            panic!("relay {relay} dialled backend {server} for session {session} at {now} us: not listed")
+        });
         backend.dials.push(self.now);
         backend.open += 1;
         self.open_sessions[relay].insert(session, OpenSession { server });
--- a/tests/short_days/rejections.rs
+++ b/tests/short_days/rejections.rs
@@ -1,19 +1,22 @@
-//! Relays with few sessions, whose load reports are old: none rejects all of its sessions for long once a
-//! backend has capacity.
+//! Relays with few sessions get load reports rarely, so their reports are old. Once the backends have
+//! capacity again, no relay may reject all of its sessions for long.
 use crate::fleet::{two_listeners, Decision, Fleet, SECOND};
 use hallrelay_balancer::types::*;
 
 const BACKENDS: u32 = 6;
+/// Number of sessions that saturate a backend.
 const CAPACITY: f64 = 50.0;
-/// The load from other sources on each backend, before and after `CAPACITY_AT`.
+/// Load on each backend that does not come from sessions, before `CAPACITY_AT`.
 const FULL_LOAD: f64 = 0.97;
+/// Load on each backend that does not come from sessions, from `CAPACITY_AT` on.
 const LOW_LOAD: f64 = 0.2;
-/// When the backends have capacity again, and when the simulation ends.
+/// Time from which the backends have capacity again.
 const CAPACITY_AT: Micros = 20 * SECOND;
+/// End of the simulation.
 const END: Micros = 40 * SECOND;
-/// A relay must not reject all sessions for this long.
+/// Time for which a relay must not reject all sessions.
 const MAX_REJECTING: Micros = 4 * SECOND;
-/// Fewer rejections in a row than this are not evaluated.
+/// Minimum number of consecutive rejections that are evaluated.
 const MIN_REJECTIONS: usize = 4;
 const SEEDS: u64 = 20;
 
@@ -21,7 +24,8 @@
     SiteConfig { probe_cost, ..two_listeners(relays) }
 }
 
-/// The longest span of at least `MIN_REJECTIONS` rejections without a dial among them.
+/// The longest time in which a relay made at least `MIN_REJECTIONS` rejections and no dial. 0 if there is
+/// none. Decisions before `from` are ignored.
 fn longest_rejecting(decisions: &[(Micros, Decision)], from: Micros) -> Micros {
     let mut longest = 0;
     let mut rejected: Vec<Micros> = Vec::new();
@@ -37,8 +41,9 @@
     longest
 }
 
-/// Simulates a fleet whose backends are full until `CAPACITY_AT`; no client connects in the `quiet` time
-/// before that. Returns the longest rejecting span after it, and whether all relays rejected sessions before.
+/// Simulates a fleet whose backends are full until `CAPACITY_AT`. No client connects in the `quiet` time
+/// before `CAPACITY_AT`. Returns the longest time in which a relay rejected all sessions after `CAPACITY_AT`,
+/// and whether each relay rejected a session before.
 fn simulate(seed: u64, relays: u32, probe_cost: f64, per_second: f64, quiet: Micros) -> (Micros, bool) {
     let mut fleet = Fleet::new(site(relays, probe_cost), seed);
     (1..=BACKENDS).for_each(|server| fleet.add_warm_backend(server, CAPACITY));
@@ -47,7 +52,8 @@
     fleet.schedule_clients(0, CAPACITY_AT - quiet, per_second);
     fleet.schedule_clients(CAPACITY_AT, END, per_second);
     fleet.run_until(CAPACITY_AT);
-    // Otherwise nothing is tested: all backends must have been full by the load reports.
+    // A relay that rejected a session knew from load reports that the backends were full. Without such
+    // rejections the simulation would test nothing.
     let rejected = |decisions: &Vec<(Micros, Decision)>| {
         decisions.iter().any(|(_, decision)| *decision == Decision::Rejected)
     };
--- a/tests/short_days/without_probes.rs
+++ b/tests/short_days/without_probes.rs
@@ -1,23 +1,24 @@
-//! A relay that may not probe knows the loads of full backends from their rejections only: after all backends
-//! rejected it as full, it must detect that they have capacity again.
+//! A relay that may not probe gets the loads of full backends only from their rejections of its dials. After
+//! all backends rejected its dials as full, the relay must detect that they have capacity again.
 use crate::fleet::{two_listeners, MILLISECOND, SECOND};
 use hallrelay_balancer::types::*;
 use hallrelay_balancer::Balancer;
 
 const BACKENDS: u32 = 6;
-/// Time between two clients.
+/// Time between the requests of two clients.
 const CLIENT_INTERVAL: Micros = 200 * MILLISECOND;
-/// Until then all backends reject dials as full; from then on they accept sessions.
+/// Time until which all backends reject dials as full. From then on they accept sessions.
 const CAPACITY_AT: Micros = 20 * SECOND;
 const END: Micros = 40 * SECOND;
-/// The relay must not reject all sessions for this long.
+/// Time for which the relay must not reject all sessions.
 const MAX_REJECTING: Micros = 4 * SECOND;
 
 fn relay() -> Balancer {
     Balancer::new(SiteConfig { may_probe: false, ..two_listeners(6) }, 7)
 }
 
-/// Steps the relay with an input and answers each dial at once; returns whether it dialled.
+/// Passes an input to the relay, and answers each of its dials immediately. Returns whether the relay
+/// dialled.
 fn step_and_answer(relay: &mut Balancer, now: Micros, input: Input) -> bool {
     let (mut inputs, mut dialled, mut dials_of_session) = (vec![input], false, 0);
     while let Some(input) = inputs.pop() {
