--- a/config/src/error.rs
+++ b/config/src/error.rs
@@ -1,6 +1,7 @@
 //! Configuration errors. Each text names the key at fault and the values that are accepted.
 
-/// Error in a relay's configuration, an endpoint list or a site's settings.
+/// Error in a relay's configuration, an endpoint list or a site's settings. The settings are a table of the
+/// configuration, which the simulator reads alone.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A required key is missing.
@@ -43,19 +44,20 @@
     PeerMessagesForbidden,
     /// A voting relay has no directory for its durable state.
     #[error(
-        "state is missing, but fleet.voters names this relay: a voter must keep its votes across restarts"
+        "state is missing, but fleet.voters names this relay: a voter must keep its votes across restarts; \
+         set state to the path of a directory, or remove this relay from fleet.voters"
     )]
     VoterWithoutState,
     /// A relay's configuration is not valid JSON.
     #[error("configuration is not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// An endpoint list is not valid JSON.
-    #[error("the list is not JSON: {0}")]
+    #[error("the endpoint list is not JSON: {0}")]
     ListNotJson(#[source] serde_json::Error),
-    /// Settings that are read without a configuration are not valid JSON.
+    /// The settings, read without the rest of the configuration, are not valid JSON.
     #[error("settings are not JSON: {0}")]
     SettingsNotJson(#[source] serde_json::Error),
-    /// Settings that are read without a configuration are invalid.
+    /// A key of the settings, read without the rest of the configuration, is missing or invalid.
     #[error("settings: {0}")]
     Settings(#[source] Box<ConfigError>),
 }
--- a/config/src/facts.rs
+++ b/config/src/facts.rs
@@ -1,48 +1,55 @@
 //! Decodes a site's settings, whose keys have the names of the protocol.
+//!
+//! A site is the environment in which all its relays run with the same settings, except for a few keys such
+//! as `SlotNo`. A listener is a class of sessions.
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Listener, LoadReport, Micros, SiteConfig};
 
-/// The overload window if the settings have none, as the protocol defines it.
+/// Default of `Fall`: time for which a server that warms up may be overloaded, as the protocol defines it.
 const DEFAULT_OVERLOAD_WINDOW: Micros = 2_000_000;
 
-/// A site's settings: those of the balancer, and names and times that the rest of the relay needs.
+/// A site's settings: those on which the balancer decides, and those that only the rest of the relay needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
-    /// Settings of the balancer.
+    /// Settings on which the balancer decides.
     pub facts: SiteConfig,
     /// Positions of the values of a load report.
     pub report: ReportOrder,
-    /// Names of the listeners, by the balancer's index.
+    /// Names of the listeners. The position of a name is the listener's number in the balancer.
     pub listeners: Vec<String>,
-    /// Names of the zones, by the balancer's index.
+    /// Names of the zones. The position of a name is the zone's number in the balancer.
     pub zones: Vec<String>,
-    /// Dial timeouts in microseconds, by the balancer's index of the listener.
+    /// Dial timeouts of the listeners, in microseconds and in the order of `listeners`.
     pub dial_timeouts: Vec<Micros>,
     /// Connect timeout to a backend, in microseconds.
     pub connect: Micros,
-    /// Time after the start of its drain during which a backend may get new sessions, in microseconds.
+    /// Time from the start of a backend's drain during which relays may still send it new sessions, in
+    /// microseconds.
     pub drain_grace: Micros,
-    /// Whether backends report the latency of messages, on some of their connections; false by default.
+    /// Whether backends report the latency of messages, in lines that otherwise report a session's load;
+    /// false by default.
     pub tells_delay: bool,
-    /// Longest interval between two polls of the endpoint list, in microseconds; `None` if it is pushed.
+    /// Longest time that may pass between two requests of a relay for the endpoint list, in microseconds;
+    /// `None` if `must_watch` is false, because the list is then pushed to relays.
     pub max_poll_interval: Option<Micros>,
 }
 
-/// Positions of the load report's values that decisions use.
+/// Positions in a load report of the values that decisions use; `None` for values that backends do not
+/// report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportOrder {
-    /// Position of the load value.
+    /// Position of the load: `x0`, or `cpu_share` if there is no `x0`.
     pub load: Option<usize>,
-    /// Position of the queueing delay.
+    /// Position of the queueing delay, `x1`.
     pub queue_delay: Option<usize>,
-    /// Position of the number of sessions.
+    /// Position of the number of sessions, `busy_reqs`.
     pub sessions: Option<usize>,
-    /// Whether `load` is the fraction of cores in use, which sites without a better measure report.
+    /// Whether `load` is `cpu_share`, the fraction of cores in use.
     pub by_cores: bool,
 }
 
-/// Number of values that are read from a load report; later positions are ignored.
+/// Number of values that are read from the beginning of a load report; the others are ignored.
 const REPORT_VALUES: usize = 4;
 
 /// The first values of a load report, by position; `None` for a missing value.
@@ -61,7 +68,7 @@
 
     /// Builds the load report from values by name, as text lines contain them.
     pub fn find(self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
-        // Names that the settings use, and names that the protocol's description uses.
+        // Two values have one name in the settings and another in the protocol. Lines may contain either.
         let either = |in_settings, in_protocol| value(in_settings).or_else(|| value(in_protocol));
         let load =
             self.load.and_then(|_| if self.by_cores { either("cpu_share", "util") } else { value("x0") });
@@ -95,13 +102,15 @@
     tables.family.key("Mode")?.one_of(&[("proxy", ()), ("pass", ())])?;
     let message_targets = tables.family.key("MessageAim")?;
     let listeners_node = top.key("Listeners")?;
-    // A `MessageAim` of the wrong type is reported before errors of the listeners.
+    // Only the first error is reported. This check comes before those of the listeners, so that a
+    // `MessageAim` of the wrong type is reported rather than an error in a listener.
     message_targets.list()?;
     let listeners = listeners_node.list()?;
     if listeners.is_empty() {
         return listeners_node.invalid("at least one listener");
     }
     let report = decode_report_order(&top.key("Report")?)?;
+    // With "subscribe" relays must request the list by a watch, with "automatic" it is pushed to them.
     let must_watch = top.key("Discovery")?.one_of(&[("automatic", false), ("subscribe", true)])?;
     let decoded_listeners = decode_listeners(&listeners, &message_targets)?;
     let facts = decode_balancer_settings(&tables, decoded_listeners, must_watch)?;
@@ -122,18 +131,18 @@
     Ok(Site {
         facts,
         report,
-        listeners: listeners.iter().map(|at| decode_text(&at.key("Name")?)).collect::<Result<_, _>>()?,
+        listeners: listeners.iter().map(|node| decode_text(&node.key("Name")?)).collect::<Result<_, _>>()?,
         zones: top.key("FailureDomains")?.list()?.iter().map(decode_text).collect::<Result<_, _>>()?,
         dial_timeouts: listeners.iter().map(dial_timeout).collect::<Result<_, _>>()?,
         connect: ceilings.key("ConnectTimeout")?.micros()?,
         drain_grace: rules.key("DrainGrace")?.micros()?,
-        tells_delay: family.option("TellsDelay").map_or(Ok(false), |at| at.boolean())?,
+        tells_delay: family.option("TellsDelay").map_or(Ok(false), |node| node.boolean())?,
         max_poll_interval: must_watch.then(max_poll_interval).transpose()?,
     })
 }
 
-fn decode_text(at: &JsonNode) -> Result<String, ConfigError> {
-    Ok(at.text()?.to_string())
+fn decode_text(node: &JsonNode) -> Result<String, ConfigError> {
+    Ok(node.text()?.to_string())
 }
 
 fn decode_listeners(
@@ -141,36 +150,42 @@
     message_targets: &JsonNode,
 ) -> Result<Vec<Listener>, ConfigError> {
     let targets = message_targets.list()?;
-    let decode = |(index, at): (usize, &JsonNode)| {
-        let idempotency = IdempotencyKeys::decode(at)?;
+    let decode = |(index, node): (usize, &JsonNode)| {
+        let key_constraints = KeyConstraints::decode(node)?;
         let Some(message_target) = targets.get(index) else {
-            return message_targets.invalid("one time for each of settings.Listeners");
+            return message_targets.invalid(&format!(
+                "a list of {} times, one for each of settings.Listeners",
+                listeners.len()
+            ));
         };
         Ok(Listener {
-            priority_weight: at.key("Utility")?.number()?,
-            idempotency: idempotency.of_effect(at)?,
-            handshake_target: at.key("HandshakeTarget")?.micros()?,
+            priority_weight: node.key("Utility")?.number()?,
+            idempotency: key_constraints.decode_effect(node)?,
+            handshake_target: node.key("HandshakeTarget")?.micros()?,
             message_target: message_target.micros()?,
         })
     };
     listeners.iter().enumerate().map(decode).collect()
 }
 
-/// A listener's keys `Group` and `Window`, which are required with every `Effect`.
-struct IdempotencyKeys {
+/// The values of a listener's keys `Group` (scope) and `Window`. The keys are required with every `Effect`,
+/// but only `dedup` uses them. `Group` has nothing to do with `FamilyInfo.Groups`, which are groups of
+/// sessions.
+struct KeyConstraints {
     scope: KeyScope,
     window: Micros,
 }
 
-impl IdempotencyKeys {
-    fn decode(listener: &JsonNode) -> Result<IdempotencyKeys, ConfigError> {
+impl KeyConstraints {
+    fn decode(listener: &JsonNode) -> Result<KeyConstraints, ConfigError> {
         let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
         let scope = listener.key("Group")?.one_of(&scopes)?;
-        Ok(IdempotencyKeys { scope, window: listener.key("Window")?.micros()? })
+        Ok(KeyConstraints { scope, window: listener.key("Window")?.micros()? })
     }
 
-    fn of_effect(self, listener: &JsonNode) -> Result<Idempotency, ConfigError> {
-        let IdempotencyKeys { scope, window } = self;
+    /// Decodes `Effect`, and adds the constraints if requests have an idempotency key.
+    fn decode_effect(self, listener: &JsonNode) -> Result<Idempotency, ConfigError> {
+        let KeyConstraints { scope, window } = self;
         listener.key("Effect")?.one_of(&[
             ("retryable", Idempotency::Idempotent),
             ("dedup", Idempotency::Keyed { scope, window }),
@@ -184,6 +199,7 @@
     let fields = report.key("Fields")?.list()?;
     let position =
         |name: &str| fields.iter().take(REPORT_VALUES).position(|field| field.value.as_str() == Some(name));
+    // `cpu_share` is a weaker measure of the load, for sites that do not report `x0`.
     let demand = position("x0");
     Ok(ReportOrder {
         load: demand.or(position("cpu_share")),
@@ -199,7 +215,9 @@
     must_watch: bool,
 ) -> Result<SiteConfig, ConfigError> {
     let Tables { top, ceilings, rules, charges, family } = tables;
-    let overload_window = |at: JsonNode| at.micros();
+    let overload_window = |node: JsonNode| node.micros();
+    // `Cold` and `ColdFrom` describe the warm-up of a server: its length, and the fraction of its capacity
+    // at the start. `Fall` and `FallMultiple` describe the overload that a server may get meanwhile.
     Ok(SiteConfig {
         listeners,
         relay_count: top.key("Instances")?.bounded_integer::<u32>()?.max(1),
@@ -221,7 +239,8 @@
     })
 }
 
-/// Decodes the longest Retry-After; `None` if relays may not send it to clients.
+/// Decodes the longest Retry-After, a delay that relays may send to rejected clients; `None` if they may
+/// not.
 fn decode_max_retry_after(ceilings: &JsonNode) -> Result<Option<Micros>, ConfigError> {
     if ceilings.key("RetryAfter")?.boolean()? {
         Ok(Some(ceilings.key("MaxRetryAfter")?.micros()?))
--- a/config/src/fleet.rs
+++ b/config/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The table `fleet` of a relay's configuration: the relay's address for other relays, their addresses, and
-//! the coordination between them. Without the table no socket is opened for a fleet.
+//! The table `fleet` of a relay's configuration: the address at which other relays reach this one, the
+//! addresses of other relays, and the coordination between all of them. Without the table, the relay opens
+//! no socket for messages between relays.
 use crate::coordination::{self, CoordinationConfig};
 use crate::error::ConfigError;
 use crate::json_node::JsonNode;
@@ -24,7 +25,7 @@
     "kind",
     "group",
 ];
-/// Settings that differ between relays.
+/// Settings that may differ between the relays of one fleet.
 const PER_RELAY_SETTINGS: [&str; 2] = ["SlotNo", "Zone"];
 
 /// Configuration of a relay's membership in its fleet.
@@ -34,10 +35,11 @@
     pub name: String,
     /// Address at which datagrams and streams of other relays are received.
     pub listen: SocketAddr,
-    /// Address at which other relays reach this one, with a specific IP address and port; by default
-    /// `listen`.
+    /// Address at which other relays reach this one, `listen` by default. Neither its IP address nor its
+    /// port is 0.
     pub advertise: SocketAddr,
-    /// Addresses at which other relays may be found, at most 1024. The relay's own address may be among them.
+    /// Addresses at which other relays may be found, at most 1024. The relay's own address may be among
+    /// them.
     pub peers: Vec<SocketAddr>,
     /// Coordination between the relays; `None` if no voters are configured.
     pub coordination: Option<CoordinationConfig>,
@@ -58,18 +60,20 @@
 }
 
 impl FleetConfig {
-    /// Compares the keys that can't change while the program runs.
+    /// Compares the keys that can't change while the program runs with those of a later configuration.
     pub(crate) fn fixed_keys(&self, later: &FleetConfig) -> [ComparedKey; 4] {
         [
             ComparedKey::new("fleet.name", self.name != later.name),
             ComparedKey::new("fleet.listen", self.listen != later.listen),
             ComparedKey::new("fleet.advertise", self.advertise != later.advertise),
+            // All keys of the coordination are reported as `fleet.voters`.
             ComparedKey::new("fleet.voters", self.coordination != later.coordination),
         ]
     }
 }
 
-/// Decodes the table `fleet` of a configuration; `None` if it is missing. `relay` is the relay's name.
+/// Decodes the table `fleet` of the configuration `top`; `None` if it is missing. `relay` is the relay's
+/// name.
 ///
 /// # Errors
 /// A key is missing or invalid.
@@ -118,7 +122,7 @@
 /// Rejects a fleet if the settings forbid messages between relays.
 fn check_ceilings(top: &JsonNode) -> Result<(), ConfigError> {
     let ceilings = top.key("settings")?.key("Ceilings")?;
-    let allowed = ceilings.option("PeerMessages").map_or(Ok(true), |at| at.boolean())?;
+    let allowed = ceilings.option("PeerMessages").map_or(Ok(true), |node| node.boolean())?;
     if allowed {
         return Ok(());
     }
@@ -142,11 +146,12 @@
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-fn addr(at: &JsonNode) -> Result<SocketAddr, ConfigError> {
-    at.text()?.parse().or_else(|_| at.invalid("an address with a port"))
+fn addr(node: &JsonNode) -> Result<SocketAddr, ConfigError> {
+    node.text()?.parse().or_else(|_| node.invalid("an address with a port"))
 }
 
-/// Checksum of the settings that all relays of a fleet share, computed over their JSON text with sorted keys.
+/// Returns a checksum of the settings that all relays of a fleet share. It does not depend on the order of
+/// the keys, because it is computed over a JSON text with sorted keys.
 pub fn settings_digest(settings: &Value) -> u32 {
     let mut shared = settings.clone();
     if let Some(keys) = shared.as_object_mut() {
--- a/config/src/json_node.rs
+++ b/config/src/json_node.rs
@@ -27,7 +27,7 @@
     pub fn key(&self, key: &str) -> Result<JsonNode<'a>, ConfigError> {
         self.option(key).ok_or_else(|| ConfigError::MissingKey { path: self.path_of(key) })
     }
-    /// The value of an optional key; null counts as missing.
+    /// The value of an optional key; a JSON null counts as a missing key.
     pub fn option(&self, key: &str) -> Option<JsonNode<'a>> {
         let value = self.value.get(key).filter(|v| !v.is_null())?;
         Some(JsonNode { value, path: self.path_of(key) })
@@ -55,7 +55,7 @@
     pub fn bounded_integer<T: TryFrom<u64>>(&self) -> Result<T, ConfigError> {
         T::try_from(self.integer()?).or_else(|_| self.invalid("a smaller integer"))
     }
-    /// A time in microseconds; the document has it in milliseconds.
+    /// A time, converted from the milliseconds of the document to microseconds.
     pub fn micros(&self) -> Result<Micros, ConfigError> {
         Ok((self.number()? * 1000.0).round() as Micros)
     }
@@ -67,7 +67,7 @@
     pub fn text(&self) -> Result<&'a str, ConfigError> {
         self.value.as_str().map_or_else(|| self.invalid("a string"), Ok)
     }
-    /// The value that a string stands for, looked up in `names`.
+    /// The value that `names` pairs with the string of this node.
     pub fn one_of<T: Copy>(&self, names: &[(&str, T)]) -> Result<T, ConfigError> {
         let known = names.iter().find(|(name, _)| self.value.as_str() == Some(name));
         known.map_or_else(
--- a/config/src/limits/mod.rs
+++ b/config/src/limits/mod.rs
@@ -19,69 +19,75 @@
     pub initial_buffer_bytes: usize,
     /// Maximum size of a connection's buffer in bytes: 8192.
     pub max_buffer_bytes: usize,
-    /// Concurrent client connections, including those without a session. This is more than `max_sessions`, so
-    /// that clients over that limit still get their answer.
+    /// Maximum number of concurrent client connections, including those without a session. It is more than
+    /// `max_sessions`, so that clients that get no session still get an answer.
     pub max_client_connections: usize,
-    /// Client connections over `max_client_connections` that may be closing at the same time: 8.
+    /// Maximum number of further client connections, over `max_client_connections`, that may be closing at
+    /// the same time: 8.
     pub max_shedding_connections: usize,
-    /// Concurrent sessions with a backend; each uses a second descriptor.
+    /// Maximum number of concurrent sessions with a backend. Each uses two file descriptors, for the
+    /// connections to its client and to its backend.
     pub max_sessions: u32,
-    /// Health-check connections that stay open, at most one for each backend.
+    /// Maximum number of connections for health checks (probes) that stay open, at most one for each
+    /// backend.
     pub max_probe_connections: usize,
     /// Maximum length of one line of the endpoint list in bytes: 2 MiB.
     pub max_list_line_bytes: usize,
-    /// Events queued for the reducer: 1024.
+    /// Maximum number of events queued for the reducer, which makes all decisions of the relay: 1024.
     pub max_queued_events: usize,
-    /// Commands queued for one connection: 8.
+    /// Maximum number of commands queued for one connection: 8.
     pub max_queued_commands: usize,
-    /// Messages in flight of one session whose answers are timed: 8.
+    /// Maximum number of messages of one session whose answers are awaited and timed at the same time: 8.
     pub max_timed_messages: usize,
-    /// Log lines queued for writing: 1024. Further lines are dropped and counted.
+    /// Maximum number of log lines queued for writing: 1024. Further lines are dropped and counted.
     pub max_queued_log_lines: usize,
     /// Time from the decision to dial until the connection must be established: the site's `ConnectTimeout`,
     /// limited to four fifths of the drain grace or 40 ms, whichever is longer.
     pub connect_timeout: Micros,
-    /// Timeout of the first line, from a client's connect, if nothing of it has arrived: 2 s.
+    /// Time from a client's connect within which the first bytes of its first line must arrive: 2 s.
     pub first_line_timeout: Micros,
-    /// Timeout of a first line that arrives in pieces, from a client's connect to its end: 2.7 s.
+    /// Time from a client's connect within which a first line that arrives in pieces must be complete: 2.7
+    /// s.
     pub max_first_line_timeout: Micros,
     /// Longest pause between two pieces of a first line: 0.7 s.
     pub first_line_pause_timeout: Micros,
     /// Longest timeout that a client may request: ten times the longest dial timeout. A longer one violates
     /// the protocol.
     pub max_client_timeout: Micros,
-    /// Time before the client's deadline at which an answer is sent: 10 ms.
+    /// Time before a client's deadline at which the relay sends an answer if it has sent none: 10 ms.
     pub answer_margin: Micros,
-    /// Time after the client's deadline within which a final answer is still sent: 0.51 s.
+    /// Time after a client's deadline within which the relay still sends a final answer: 0.51 s.
     pub late_answer_timeout: Micros,
     /// Timeout of a health check, including its connect: twice the site's `ConnectTimeout`.
     pub probe_timeout: Micros,
     /// Time after which an idle health-check connection is closed: 30 s.
     pub probe_idle_timeout: Micros,
-    /// Time without an answer to a message after which its backend counts as silent: 2 s.
+    /// Time for which a message of a session may stay unanswered before its backend counts as silent: 2 s.
     pub silence_timeout: Micros,
-    /// Time without accepting data after which a client's session is ended: 30 s.
+    /// Time for which a client may accept no data before its session is ended: 30 s.
     pub stalled_client_timeout: Micros,
-    /// Timeout for writing a last line, and again for the other side to close: 0.5 s.
+    /// Timeout for writing the last line of a connection, and then for the other side to close it: 0.5 s
+    /// each.
     pub close_timeout: Micros,
-    /// Timeout for discovery to answer a call: half of the site's `AskWithin`, limited to 0.5 to 4 s.
+    /// Time within which discovery must answer a call: half of the site's `AskWithin`, limited to 0.5 to 4
+    /// s.
     pub discovery_answer_timeout: Micros,
-    /// Delay from the end of a watch to the next one if lists are pushed: half of the drain grace, limited to
-    /// 50 to 500 ms. `None` if the balancer decides when to open the next watch.
+    /// Delay from the end of a watch to the next one if lists are pushed: half of the drain grace, limited
+    /// to 50 to 500 ms. `None` if the balancer decides when to open the next watch.
     pub discovery_retry_delay: Option<Micros>,
-    /// Time without a complete line from a watch after which another one is opened: 2.5 s.
+    /// Time without a complete line from a watch after which another watch is opened: 2.5 s.
     pub discovery_watch_timeout: Micros,
     /// Delay from SIGTERM to the first migration of a session.
     pub stop_first_migration_delay: Micros,
     /// Delay from SIGTERM to the migration of the last session.
     pub stop_last_migration_delay: Micros,
-    /// Delay from SIGTERM to the end of the wait for last lines.
+    /// Delay from SIGTERM until the relay stops waiting for the last lines of sessions.
     pub stop_end_delay: Micros,
     /// Delay from SIGTERM to the earliest exit: 1 s, but at most `stop_end_delay`.
     pub min_stop_delay: Micros,
     /// Timeout of a resumed session that waits for its backend: 40 s, but at most its client's timeout.
     pub resumed_session_timeout: Micros,
-    /// Concurrent connections of operators: 16.
+    /// Maximum number of concurrent connections of operators: 16.
     pub max_operator_connections: usize,
     /// Timeout of one call of an operator, counted from its connect: 2 s.
     pub operator_request_timeout: Micros,
@@ -97,26 +103,28 @@
     pub drain_admission_time: Micros,
     /// Like `stop_first_migration_delay`, for a process that has handed over its listening socket: 0.1 s.
     pub leave_first_migration_delay: Micros,
-    /// Like `stop_last_migration_delay`, for a process that has handed over its listening socket: the longest
-    /// dial timeout, but at least 1 s and at most `stop_last_migration_delay`.
+    /// Like `stop_last_migration_delay`, for a process that has handed over its listening socket: the
+    /// longest dial timeout, but at least 1 s and at most `stop_last_migration_delay`.
     pub leave_last_migration_delay: Micros,
-    /// Concurrent connections of processes that request a takeover: 3.
+    /// Maximum number of concurrent connections of processes that request to take over (hot restart): 3.
     pub max_takeover_connections: usize,
-    /// Timeout for a running process to offer its listening socket: 2 s.
+    /// Time within which a running process must offer its listening socket to the process that takes over:
+    /// 2 s.
     pub listener_offer_timeout: Micros,
-    /// Messages queued for the other process of a hot restart: 64.
+    /// Maximum number of messages queued for the other process of a hot restart: 64.
     pub max_queued_handover_messages: usize,
-    /// Concurrent streams of other relays, for each direction: 8.
+    /// Maximum number of concurrent streams from other relays, and as many to them: 8.
     pub max_fleet_streams: usize,
-    /// Timeout of one stream of another relay: 2 s.
+    /// Timeout of one stream from or to another relay: 2 s.
     pub fleet_stream_timeout: Micros,
-    /// Datagrams of other relays that are read per second: 5,000.
+    /// Maximum number of datagrams from other relays that are read per second: 5,000.
     pub max_fleet_datagrams_per_s: u32,
     /// Maximum size of the state store in bytes: 64 MiB.
     pub max_state_bytes: u64,
-    /// Time that a start waits for the state store: 2 s. After that the relay starts without its state.
+    /// Time for which a starting relay waits for its state store: 2 s. After that it starts without its
+    /// state.
     pub state_open_timeout: Micros,
-    /// Time that a dial waits for a record that must be durable before the dial: 20 ms.
+    /// Time for which a dial waits until a record that must precede it is durable: 20 ms.
     pub state_write_timeout: Micros,
 }
 
@@ -132,8 +140,8 @@
 }
 
 impl Limits {
-    /// Limits the times of a stop to those of `before`, the settings under which it has started, so that a
-    /// reload does not prolong it.
+    /// Lowers the times of a stop to those of `before`, the limits that applied when the stop began. A
+    /// reload during a stop then does not prolong it.
     pub fn stop_no_later(&mut self, before: &Limits) {
         let shorten = |time: &mut Micros, before: Micros| *time = before.min(*time);
         shorten(&mut self.stop_first_migration_delay, before.stop_first_migration_delay);
--- a/config/src/node.rs
+++ b/config/src/node.rs
@@ -24,9 +24,9 @@
     pub fleet: Option<FleetConfig>,
     /// Directory of the durable state; `None` if nothing is stored.
     pub state: Option<PathBuf>,
-    /// Checksum of the settings that all relays of the fleet share.
+    /// Checksum of the settings that all relays of the fleet share, by which relays compare their settings.
     pub digest: u32,
-    /// Seed of the relay's random numbers.
+    /// Seed of the relay's random numbers; the configuration has it as a hexadecimal text.
     pub seed: u64,
     /// The site's settings.
     pub site: Site,
@@ -52,15 +52,16 @@
 }
 
 impl Overrides {
-    /// The overrides that apply on a reload. The address of discovery comes from the new configuration.
+    /// Returns the overrides that apply to a reloaded configuration: all except that of discovery's address,
+    /// which a reload takes from the file.
     pub fn for_reload(self) -> Overrides {
         Overrides { discovery: None, ..self }
     }
 }
 
 impl Node {
-    /// Keys that differ in a reloaded configuration but can't change while the program runs. The endpoint
-    /// list and the seed are not compared, as the running relay keeps its own.
+    /// Returns the keys that can't change while the program runs, but differ in the configuration `later`.
+    /// The endpoint list and the seed are not compared, because the running relay keeps those that it has.
     pub fn changed_fixed_keys(&self, later: &Node) -> Vec<&'static str> {
         let (own, new) = (&self.site.facts, &later.site.facts);
         let has_moved = own.relay_index != new.relay_index || own.zone != new.zone;
@@ -75,6 +76,7 @@
             ComparedKey::new("state", self.state != later.state),
             ComparedKey::new("limits", self.sockets != later.sockets),
             ComparedKey::new("settings.Discovery", own.must_watch != new.must_watch),
+            // A different `Zone` is reported as `SlotNo` too.
             ComparedKey::new("settings.SlotNo", has_moved),
         ];
         keys.into_iter().chain(fleet).filter(|key| key.differs).map(|key| key.path).collect()
@@ -98,17 +100,17 @@
     }
 }
 
-/// Derives the limits from a site's settings, and reduces the site's session limit to them.
+/// Derives the limits from a site's settings, and lowers the site's maximum number of sessions to the
+/// number for which this machine has file descriptors.
 fn derive_limits(mut site: Site, sockets: usize, uses: Uses) -> Result<(Site, Limits), ConfigError> {
     let limits = Limits::new(&site, sockets, uses)?;
-    // At most as many sessions as this machine has descriptors for.
     site.facts.max_sessions = site.facts.max_sessions.min(limits.max_sessions);
     Ok((site, limits))
 }
 
-/// Checks that times and counts that must be positive are, and that the names of listeners are unique.
-fn check_positive(settings: &JsonNode) -> Result<(), ConfigError> {
-    let positive = |at: JsonNode| if at.number()? > 0.0 { Ok(()) } else { at.invalid("more than 0") };
+/// Checks that certain times and counts are more than 0, and that the names of listeners are unique.
+fn check_values(settings: &JsonNode) -> Result<(), ConfigError> {
+    let positive = |node: JsonNode| if node.number()? > 0.0 { Ok(()) } else { node.invalid("more than 0") };
     let ceilings = settings.key("Ceilings")?;
     ["MostDials", "MaxOpen", "ConnectTimeout"].iter().try_for_each(|key| positive(ceilings.key(key)?))?;
     let listeners = settings.key("Listeners")?.list()?;
@@ -122,7 +124,7 @@
     Ok(())
 }
 
-/// Default number of file descriptors: the limit of a small machine.
+/// Default number of file descriptors: the usual limit for a process of a small machine.
 const DEFAULT_SOCKETS: usize = 1024;
 
 /// Parses a configuration (JSON), validates it and applies defaults.
@@ -133,11 +135,11 @@
     let value: Value = serde_json::from_slice(text).map_err(ConfigError::NotJson)?;
     let top = JsonNode::root(&value);
     let operator = decode_operator(&top, overrides)?;
-    let sockets = top.option("limits").and_then(|at| at.option("sockets"));
-    let sockets = sockets.map_or(Ok(DEFAULT_SOCKETS), |at| at.bounded_integer())?;
+    let sockets = top.option("limits").and_then(|node| node.option("sockets"));
+    let sockets = sockets.map_or(Ok(DEFAULT_SOCKETS), |node| node.bounded_integer())?;
     let settings = top.key("settings")?;
     let site = facts::decode(&settings)?;
-    check_positive(&settings)?;
+    check_values(&settings)?;
     let name = text_of(&top, "name", &overrides.name)?;
     let fleet = fleet::decode(&top, &name)?;
     let state = decode_state(&top)?;
@@ -155,14 +157,14 @@
         state,
         digest: fleet::settings_digest(settings.value),
         seed: decode_seed(&top.key("seed")?)?,
-        known: top.option("known").map_or(Ok(List::default()), |at| list::decode_strict(&at))?,
+        known: top.option("known").map_or(Ok(List::default()), |node| list::decode_strict(&node))?,
         site,
         limits,
         sockets,
     })
 }
 
-/// The override of a key, or its value in the configuration.
+/// Returns the override of a key if there is one, otherwise the key's value in the configuration.
 fn text_of(top: &JsonNode, key: &str, overriding: &Option<String>) -> Result<String, ConfigError> {
     match overriding {
         Some(text) => Ok(text.clone()),
@@ -185,20 +187,20 @@
 fn decode_operator(top: &JsonNode, overrides: &Overrides) -> Result<Option<SocketAddr>, ConfigError> {
     match (&overrides.operator, top.option("operator")) {
         (Some(text), _) => Ok(Some(parse_addr("operator", text)?)),
-        (None, Some(at)) => Ok(Some(parse_addr("operator", at.text()?)?)),
+        (None, Some(node)) => Ok(Some(parse_addr("operator", node.text()?)?)),
         (None, None) => Ok(None),
     }
 }
 
 fn decode_state(top: &JsonNode) -> Result<Option<PathBuf>, ConfigError> {
-    let path = top.option("state").map(|at| match at.text()? {
-        "" => at.invalid("the path of a directory"),
+    let path = top.option("state").map(|node| match node.text()? {
+        "" => node.invalid("the path of a directory"),
         path => Ok(PathBuf::from(path)),
     });
     path.transpose()
 }
 
-/// Voting relays must have durable state.
+/// Checks that a voting relay has durable state.
 fn check_voter_state(name: &str, fleet: Option<&FleetConfig>, has_state: bool) -> Result<(), ConfigError> {
     let coordination = fleet.and_then(|fleet| fleet.coordination.as_ref());
     if coordination.is_some_and(|config| config.voters.iter().any(|voter| voter == name)) && !has_state {
@@ -207,6 +209,6 @@
     Ok(())
 }
 
-fn decode_seed(at: &JsonNode) -> Result<u64, ConfigError> {
-    u64::from_str_radix(at.text()?, 16).or_else(|_| at.invalid("16 hexadecimal digits"))
+fn decode_seed(node: &JsonNode) -> Result<u64, ConfigError> {
+    u64::from_str_radix(node.text()?, 16).or_else(|_| node.invalid("16 hexadecimal digits"))
 }
--- a/config/src/plan.rs
+++ b/config/src/plan.rs
@@ -1,4 +1,5 @@
-//! Parses rollout plans, which operators write in TOML. Errors name file, line and key.
+//! Parses rollout plans, which operators write in TOML. A plan lists waves: groups of relays or backends
+//! that are replaced one group after the other. Errors name the file, and the line or the key.
 use hallrelay_disruption::{AnalysisPolicy, InvalidPlan, RolloutPlan, TargetKind, Wave};
 use serde::Deserialize;
 use std::path::Path;
@@ -50,6 +51,7 @@
     },
 }
 
+/// A plan as operators write it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlanText {
@@ -77,8 +79,8 @@
 }
 
 impl Default for JudgeText {
-    /// 200 sessions suffice to detect an excess of 2 failures in 100. A fleet with few sessions gets ten
-    /// minutes to reach that number.
+    /// 200 sessions suffice to detect 2 more failures in 100 sessions (`worse`). A fleet with few sessions
+    /// gets ten minutes (`within_s`) to reach that number.
     fn default() -> JudgeText {
         JudgeText { sessions: 200, worse: 0.02, within_s: 600 }
     }
--- a/config/src/scenario/clients.rs
+++ b/config/src/scenario/clients.rs
@@ -1,4 +1,5 @@
-//! The tables `load`, `clients` and `bad` of a scenario: the number of clients and their behaviour.
+//! The tables `load`, `clients` and `bad` of a scenario: the rate at which clients arrive, and their
+//! behaviour.
 use super::{Fraction, Millis, NonNegative, Secs, Span};
 use serde::Deserialize;
 
@@ -6,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// New clients per second, of all relays together.
+    /// New clients per second, at all relays together.
     pub rate: NonNegative,
     /// Sessions that are already open at the beginning of the day; 0 by default.
     #[serde(default)]
@@ -20,7 +21,8 @@
     /// Changes of the rate, ordered by time; none by default.
     #[serde(default, rename = "step")]
     pub steps: Vec<Step>,
-    /// Number of groups, among which sessions are evenly distributed; 0, the default, means no groups.
+    /// Number of groups. Sessions of one group share work on a server, and are evenly distributed among the
+    /// groups; 0, the default, means no groups.
     #[serde(default)]
     pub groups: u64,
 }
@@ -29,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Start of the new rate, from the beginning of the day.
+    /// Time of the change, from the beginning of the day.
     pub at_s: Secs,
     /// The new rate, as a multiple of `Load::rate`.
     pub times: NonNegative,
@@ -46,15 +48,15 @@
     /// Maximum number of retries of a client, after rejections and failed attempts, until a session is
     /// established; 2 by default.
     pub retries: u32,
-    /// Delay before a retry, unless the Retry-After is longer; 22 to 180 ms by default. Two zeros mean that a
-    /// client retries immediately.
+    /// Delay before a retry, unless the Retry-After is longer; 22 to 180 ms by default. Two zeros mean that
+    /// a client retries immediately.
     pub wait_ms: [Millis; 2],
     /// Delay before the reconnect of a session that broke or was migrated; 51 to 520 ms by default.
     pub rejoin_ms: [Millis; 2],
     /// Interval between messages of a session, more than 0; 2 s by default.
     pub message_s: Secs,
-    /// Time for which the load balancer in front still sends connections to a dead relay; 1.9 to 3.8 s by
-    /// default.
+    /// Time for which the load balancer in front of the relays still sends connections to a dead relay; 1.9
+    /// to 3.8 s by default.
     pub front_notice_s: [Secs; 2],
     /// Fraction of sessions that the server ends, with `BYE`; 0.3 by default.
     pub bye: Fraction,
@@ -77,9 +79,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bad {
-    /// Such clients per second, of all kinds together; 0 by default.
+    /// Violating clients per second, of all kinds together; 0 by default.
     pub rate: NonNegative,
-    /// Their kinds; at least one if `rate` is over 0.
+    /// The kinds of violations; at least one if `rate` is over 0.
     pub sorts: Vec<BadSort>,
 }
 
@@ -91,7 +93,7 @@
     Noise,
     /// Sends 64 KiB without a line ending.
     Endless,
-    /// Sends a line with a value of 4 MiB.
+    /// Sends a first line in which one value is 4 MiB long.
     Huge,
     /// Requests a listener that does not exist.
     NoListener,
@@ -103,7 +105,7 @@
     OpenMark,
     /// Sends half a line and closes the connection.
     Half,
-    /// Sends 300 first lines in one write.
+    /// Sends 300 first lines in one write, although a connection may have only one.
     Crowd,
     /// Repeats an invalid line as soon as it is answered.
     Again,
--- a/config/src/scenario/fault.rs
+++ b/config/src/scenario/fault.rs
@@ -10,7 +10,7 @@
     pub kind: FaultKind,
     /// Start of the fault, from the beginning of the day; before the end of the day.
     pub at_s: Secs,
-    /// Duration of the fault; 0 by default, which most kinds do not allow.
+    /// Duration of the fault; 0 by default. Most kinds require more than 0.
     #[serde(default)]
     pub length_s: Secs,
     /// Fraction of the servers, relays or open clients that are affected, selected at random. At least one
@@ -38,19 +38,19 @@
     /// Whether only the direction from `from` to `to` is affected, not the opposite one; false by default.
     #[serde(default)]
     pub one_way: bool,
-    /// The groups of `link-split`, within which relays reach each other; two halves if empty. A relay that is
-    /// in no group is isolated.
+    /// The groups of `link-split`, within which relays reach each other; two halves if empty. A relay that
+    /// is in no group is isolated.
     #[serde(default)]
     pub groups: Vec<Vec<usize>>,
-    /// The relay of `link-split` that all groups reach, and that reaches all groups.
+    /// With `link-split`, a relay that reaches all groups and is reached by all of them.
     #[serde(default)]
     pub bridge: Option<usize>,
-    /// Period of an intermittent link fault, which is active in the first half of each; 0, the default,
-    /// means permanently. For `relay-looping` the time from a kill to the start, and from that to the next
-    /// kill. At least 0.1 s.
+    /// Period of an intermittent link fault, which is active in the first half of each period; 0, the
+    /// default, means that it is always active. With `relay-looping`, the time from a kill to the start of
+    /// the relay, and from the start to the next kill. At least 0.1 s unless it is 0.
     #[serde(default)]
     pub every_s: Secs,
-    /// Delay of `link-delay` and `link-reorder`, random between two times.
+    /// Delay that `link-delay` and `link-reorder` add, random between two times.
     #[serde(default)]
     pub delay_ms: [Millis; 2],
 }
@@ -71,12 +71,12 @@
     Failing,
     /// Load reports of servers are older by `strength` seconds.
     LateReports,
-    /// Relays do not reach servers of other zones if either zone is the selected one.
+    /// Relays do not reach servers of other zones if the relay or the server is in the zone `zone`.
     ZoneCut,
     /// All servers and their session store are slower by the factor `strength`, at least 1.
     SharedSlow,
-    /// Servers drain and restart in groups of the fraction `strength` of them (0 means 0.2), spread over the
-    /// length of the fault.
+    /// Servers drain and restart group by group, spread over the length of the fault. Each group is the
+    /// fraction `strength` of the affected servers (0 means 0.2).
     Deploy,
     /// Servers drain and stop, and start again after the length of the fault, at least 1 s.
     Drain,
@@ -105,8 +105,8 @@
     RelayLooping,
     /// A new process takes over from the running one (hot restart).
     RelayReplaced,
-    /// An operator requests a lease for each relay until it is granted, and returns the relay to service
-    /// after `strength` seconds (0 means 3).
+    /// An operator requests a lease (a permit to take a relay out of service) for each relay until it is
+    /// granted, and returns the relay to service after `strength` seconds (0 means 3).
     RelaysOut,
     /// Links between relays drop everything.
     LinkCut,
@@ -126,10 +126,10 @@
     LinkSplit,
     /// Relays do not reach the discovery service.
     ListCut,
-    /// The selected relays, or all, do not reach a share of the servers.
+    /// The relays of `relays`, or all, do not reach the fraction `share` of the servers.
     ServersCut,
-    /// Servers get `strength` cores of additional work that bypasses the relays, which overloads servers that
-    /// warm up.
+    /// Servers get `strength` cores of additional work that bypasses the relays, which overloads servers
+    /// that warm up.
     Overrun,
 }
 
--- a/config/src/scenario/listener.rs
+++ b/config/src/scenario/listener.rs
@@ -1,9 +1,11 @@
-//! The tables `listener` of a scenario: the sessions of one listener, with load, objectives and idempotency.
+//! The tables `listener` of a scenario. Each describes one listener, a class of sessions, with the load, the
+//! objectives and the idempotency of its sessions.
 use super::{Millis, NonNegative, Secs, Span};
 use hallrelay_balancer::types::{Idempotency, KeyScope};
 use serde::Deserialize;
 
-/// One listener. A session of the usual load, 1.0, uses `1 / servers.per_core` of a core of speed 1.
+/// One listener. Loads are multiples of the usual session, which has the load 1.0. `servers.per_core` usual
+/// sessions together use one core of speed 1.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
@@ -11,24 +13,26 @@
     pub name: String,
     /// Share of new sessions, relative to the shares of the other listeners. At least one share is over 0.
     pub share: NonNegative,
-    /// Priority weight per second of a session.
+    /// Priority weight of each second of a session.
     pub utility: NonNegative,
-    /// Latency objective from the request to the established session.
+    /// Latency objective for the time from a client's request to its established session.
     pub handshake_target_ms: Millis,
     /// Timeout that clients request: more than 0, and at least `handshake_target_ms`.
     pub dial_timeout_ms: Millis,
     /// Latency objective of a message.
     pub message_target_ms: Millis,
-    /// Mean load of a session, in usual sessions, more than 0; 1 by default.
-    #[serde(default = "usual_load")]
+    /// Mean load of the sessions, more than 0; 1 by default. `load_sigma` and `swing_sigma` vary it.
+    #[serde(default = "default_load")]
     pub load: NonNegative,
-    /// Log-normal spread between sessions: standard deviation of the load's logarithm; 1 by default.
-    #[serde(default = "usual_load")]
+    /// Variation between sessions. Each client multiplies `load` by a log-normal factor of mean 1; this is
+    /// the standard deviation of the factor's logarithm; 1 by default.
+    #[serde(default = "default_load_sigma")]
     pub load_sigma: NonNegative,
-    /// Mean time between changes of a session's load; 10 s by default. 0 means no changes.
+    /// Mean time between changes of the load of one session; 10 s by default. 0 means no changes.
     #[serde(default = "default_change_interval")]
     pub change_s: Secs,
-    /// Log-normal spread of those changes: standard deviation of the load's logarithm; 0.4 by default.
+    /// Variation within a session. Each change multiplies the session's own mean load by a log-normal
+    /// factor of mean 1; this is the standard deviation of the factor's logarithm; 0.4 by default.
     #[serde(default = "default_change_sigma")]
     pub swing_sigma: NonNegative,
     /// Mean duration of a session, more than 0. Durations are exponentially distributed, but at least 0.2 s.
@@ -36,15 +40,21 @@
     /// Whether a session may be dialled again; repeatable by default.
     #[serde(default)]
     pub repeat: Repeatability,
-    /// Servers that recognize an idempotency key, for `repeat = "referenced"`; all by default.
+    /// Servers that recognize the idempotency key of a repeated request; all by default. It applies only
+    /// with `repeat = "referenced"`.
     #[serde(default)]
     pub within: IdempotencyScope,
-    /// Time for which servers recognize an idempotency key, for `repeat = "referenced"`; 5 s by default.
+    /// Time for which servers recognize the idempotency key of a request; 5 s by default. It applies only
+    /// with `repeat = "referenced"`.
     #[serde(default = "default_window")]
     pub window_ms: Millis,
 }
 
-fn usual_load() -> NonNegative {
+fn default_load() -> NonNegative {
+    NonNegative(1.0)
+}
+
+fn default_load_sigma() -> NonNegative {
     NonNegative(1.0)
 }
 
@@ -64,12 +74,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeatability {
-    /// Idempotent: always.
+    /// Requests are idempotent: always.
     #[default]
     Repeatable,
-    /// It has an idempotency key: within the scope and window of that key.
+    /// Requests refer to an idempotency key: yes, at servers of its scope (`within`) and until its window
+    /// (`window_ms`) ends.
     Referenced,
-    /// Not idempotent: never.
+    /// Requests are not idempotent: never.
     OnceOnly,
 }
 
--- a/config/src/scenario/mod.rs
+++ b/config/src/scenario/mod.rs
@@ -1,5 +1,6 @@
-//! A day for the emulator, in TOML: servers, relays, load, clients and faults. It is read and validated
-//! completely before anything starts. Every error names file, line and key.
+//! A scenario, in TOML: one emulated day with its servers, relays, load, clients and faults. A server is an
+//! emulated backend. A scenario is read and validated completely before anything starts. Every error names
+//! the file, the line and the key.
 mod check;
 mod clients;
 mod fault;
@@ -21,8 +22,8 @@
 
 use serde::Deserialize;
 
-/// One day: what runs, what clients request, and which faults occur. All times are counted from the beginning
-/// of the day.
+/// One day: what runs, what clients request, and which faults occur. All times are counted from the
+/// beginning of the day.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -52,10 +53,10 @@
     /// The discovery service.
     #[serde(default)]
     pub list: ListService,
-    /// The rules that the auditor checks.
+    /// The rules that the auditor, which observes the emulated day, checks.
     #[serde(default)]
     pub rules: Rules,
-    /// Weights and costs of the service figure.
+    /// Weights and costs of the service figure, which rates the day.
     #[serde(default)]
     pub goal: Goal,
     /// Latencies in virtual time.
@@ -76,7 +77,8 @@
         self.servers.kinds.iter().map(|kind| kind.count).sum()
     }
 
-    /// Concurrent sessions at the highest rate of the day, if no fault ends them.
+    /// Expected number of concurrent sessions at the highest rate of the day, or the sessions that are open
+    /// at its beginning, whichever is more. It counts no sessions as ended by faults.
     pub fn most_open(&self) -> f64 {
         let shares: f64 = self.listeners.iter().map(|listener| listener.share.0).sum();
         let weighted_life = |listener: &Listener| listener.share.0 * listener.life_s.us() as f64 / 1e6;
--- a/config/src/scenario/read.rs
+++ b/config/src/scenario/read.rs
@@ -37,7 +37,7 @@
 /// # Errors
 /// The text is not TOML, or a key is unknown, missing or invalid.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
-    let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
+    let line = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
     let tree = DeTable::parse(text);
     let error = |line: usize, key: String, reason: String| ScenarioError {
         file: file.to_string(),
@@ -50,6 +50,7 @@
         error(line, key, e.message().to_string())
     };
     let tree = tree.map_err(|e| toml_error(&e, String::new()))?;
+    // Servers were formerly configured in a table `fleet`.
     if let Some((old, _)) = tree.get_ref().iter().find(|(key, _)| key.get_ref() == "fleet") {
         return Err(error(
             line(old.span().start),
@@ -68,22 +69,22 @@
     Ok(scenario)
 }
 
-/// Path of the key or value at a byte offset of the text; empty if there is none.
-fn key_at(table: &DeTable, at: usize) -> String {
+/// Returns the path of the key or value at a byte offset of the text; empty if there is none.
+fn key_at(table: &DeTable, offset: usize) -> String {
     for (key, value) in table {
         let (key_span, span) = (key.span(), value.span());
-        if key_span.contains(&at) {
+        if key_span.contains(&offset) {
             return key.get_ref().to_string();
         }
         let inner = match value.get_ref() {
-            DeValue::Table(inner) => key_at(inner, at),
+            DeValue::Table(inner) => key_at(inner, offset),
             DeValue::Array(items) => {
                 let found = items.iter().enumerate().find_map(|(i, item)| match item.get_ref() {
                     DeValue::Table(inner) => {
-                        let inner = key_at(inner, at);
+                        let inner = key_at(inner, offset);
                         (!inner.is_empty()).then(|| format!("[{i}].{inner}"))
                     }
-                    _ => item.span().contains(&at).then(|| format!("[{i}]")),
+                    _ => item.span().contains(&offset).then(|| format!("[{i}]")),
                 });
                 found.unwrap_or_default()
             }
@@ -91,7 +92,7 @@
         };
         let key = key.get_ref();
         match inner.as_str() {
-            "" if span.contains(&at) => return key.to_string(),
+            "" if span.contains(&offset) => return key.to_string(),
             "" => {}
             inner if inner.starts_with('[') => return format!("{key}{inner}"),
             inner => return format!("{key}.{inner}"),
@@ -100,24 +101,25 @@
     String::new()
 }
 
-/// Byte offset of a key, for example `trouble[1].share`, or of its table if the key is missing.
+/// Returns the byte offset of a key, for example `trouble[1].share`, or of the innermost table on its path
+/// that exists.
 fn key_offset(table: &DeTable, path: &str) -> Option<usize> {
-    let mut place = None;
-    let mut here: Option<&DeTable> = Some(table);
+    let mut offset = None;
+    let mut current: Option<&DeTable> = Some(table);
     for step in path.split('.') {
         let (key, index) = step
             .split_once('[')
             .map_or((step, None), |(key, rest)| (key, rest.trim_end_matches(']').parse::<usize>().ok()));
-        let Some((name, value)) = here?.iter().find(|(name, _)| name.get_ref() == key) else { break };
-        place = Some(name.span().start);
+        let Some((name, value)) = current?.iter().find(|(name, _)| name.get_ref() == key) else { break };
+        offset = Some(name.span().start);
         let value: &Spanned<DeValue> = match (index, value.get_ref()) {
             (Some(i), DeValue::Array(items)) => items.get(i)?,
             _ => value,
         };
         if index.is_some() {
-            place = Some(value.span().start);
+            offset = Some(value.span().start);
         }
-        here = value.get_ref().as_table();
+        current = value.get_ref().as_table();
     }
-    place
+    offset
 }
--- a/config/src/scenario/rules.rs
+++ b/config/src/scenario/rules.rs
@@ -1,21 +1,24 @@
-//! The tables `list`, `rules`, `goal` and `net` of a scenario: the discovery service, the audited rules, the
-//! service figure, and network latencies.
+//! The tables `list`, `rules`, `goal` and `net` of a scenario: the discovery service, the rules that the
+//! auditor checks, the service figure, and network latencies. The auditor observes the emulated day from
+//! outside the relays.
 use super::{Fraction, Millis, NonNegative, Secs, Span};
 use serde::Deserialize;
 
-/// The discovery service. Pairs of times are the bounds of a uniform distribution.
+/// The discovery service, which serves the endpoint list: the list of all servers. Pairs of times are the
+/// bounds of a uniform distribution.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListService {
-    /// Delay from the end of a server or the start of its drain to its change in the list; 1.4 to 4.5 s by
-    /// default.
+    /// Delay from the end of a server, or from the start of its drain, to the change of its entry in the
+    /// list; 1.4 to 4.5 s by default.
     pub notice_s: [Secs; 2],
-    /// Delay from the loss of a server that did not close its connections to its change in the list; 6.8 to
-    /// 14 s by default.
+    /// Delay from the loss of a server to the change of its entry in the list, if the server did not close
+    /// its connections; 6.8 to 14 s by default.
     pub silent_notice_s: [Secs; 2],
     /// Delay from the start of a server to its entry in the list; 0.39 to 1.9 s by default.
     pub add_s: [Secs; 2],
-    /// Whether relays have to watch the endpoint list; otherwise changes are pushed to them. True by default.
+    /// Whether relays must request the endpoint list by a watch; otherwise it is pushed to them. True by
+    /// default.
     pub watched: bool,
 }
 
@@ -34,14 +37,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Time after the notification of a drain during which a relay may still send new sessions; 250 ms by
-    /// default.
+    /// Time for which a relay that was notified of a server's drain may still send it new sessions; 250 ms
+    /// by default.
     pub drain_grace_ms: Millis,
-    /// Load that overloads a server that warms up, as a multiple of its current capacity; 3 by default.
+    /// Load at which a server that warms up is overloaded, as a multiple of its current capacity; 3 by
+    /// default.
     pub fall_multiple: NonNegative,
-    /// Time for which a server that warms up sustains that load before it fails; 2 s by default.
+    /// Time for which a server that warms up sustains an overload before it fails; 2 s by default.
     pub fall_s: Secs,
-    /// Longest interval between two polls of the endpoint list; 10 s by default.
+    /// Longest time that may pass between two requests of a relay for the endpoint list; 10 s by default.
     pub ask_within_s: Secs,
     /// Allowance for latency that the auditor adds to each time limit of a rule; 50 ms by default.
     pub slack_ms: Millis,
@@ -59,10 +63,8 @@
     }
 }
 
-/// Weights of the service figure, and costs that are subtracted from it.
-///
-/// Service is the fraction of the requested session time that was served within its objectives, weighted by
-/// priority.
+/// Weights of the service figure, and costs that are subtracted from it. Service is the fraction of the
+/// requested session time that was served within its objectives, weighted by priority.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Goal {
--- a/config/src/scenario/servers.rs
+++ b/config/src/scenario/servers.rs
@@ -1,4 +1,5 @@
-//! The table `servers` of a scenario: the emulated backends, with capacity, warm-up, load reports and drains.
+//! The table `servers` of a scenario: the emulated backends, with capacity, warm-up, load reports and
+//! drains.
 use super::{Fraction, Millis, NonNegative, Secs, Span};
 use serde::Deserialize;
 
@@ -11,7 +12,8 @@
     /// The kinds of servers, at least one, with 1 to 4096 servers in total.
     #[serde(rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// Sessions of the usual load that use one core of speed 1 completely, more than 0; 16 by default.
+    /// Number of usual sessions (sessions of the load 1.0) that together use one core of speed 1, more than
+    /// 0; 16 by default.
     pub per_core: NonNegative,
     /// CPU time of a new session on a core of speed 1; 1.5 ms by default.
     pub setup_ms: Millis,
@@ -21,14 +23,15 @@
     pub store_per_s: NonNegative,
     /// Maximum number of connections per core, at least 1; 40 by default.
     pub cap_per_core: u32,
-    /// Load of a group on each server that has a session of it, in usual sessions; 0.5 by default.
+    /// Load that a group of sessions adds to each server with at least one of its sessions, in usual
+    /// sessions; 0.5 by default.
     pub group_cost: NonNegative,
-    /// Interval at which a server updates its load report, random between two times, more than 0; 0.3 to
-    /// 1.5 s by default.
+    /// Time from one update of a server's load report to the next, random between two times, more than 0;
+    /// 0.3 to 1.5 s by default.
     pub report_every_ms: [Millis; 2],
     /// Age of the load reports that a server sends, random between two times; 90 to 490 ms by default.
     pub report_late_ms: [Millis; 2],
-    /// Relative standard deviation of reported values; 0.05 by default.
+    /// Standard deviation of reported values, as a fraction of the value; 0.05 by default.
     pub report_noise: Fraction,
     /// Fraction of its capacity with which a server starts, more than 0; 0.2 by default.
     pub cold_from: Fraction,
@@ -42,7 +45,8 @@
     pub drain_s: Secs,
     /// Whether servers report the load of each session to its relay; true by default.
     pub tells_load: bool,
-    /// Whether servers report late messages, once per second on one session of each relay; true by default.
+    /// Whether servers report the latency of late messages, once per second on one session of each relay;
+    /// true by default.
     pub tells_delay: bool,
 }
 
--- a/config/src/scenario/units.rs
+++ b/config/src/scenario/units.rs
@@ -3,7 +3,8 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// A time of at most one week, which scenarios write in units of `UNIT` microseconds.
+/// A time of at most one week. Its value is always in microseconds; `UNIT` is the unit in which scenarios
+/// write it, also in microseconds. So `Span(5_000_000)` is 5 s, be it of the type `Secs` or `Millis`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span<const UNIT: u64>(pub Micros);
 /// A time that is written in seconds.
--- a/config/tests/error_texts.rs
+++ b/config/tests/error_texts.rs
@@ -8,7 +8,7 @@
         .expect("parse the example configuration")
 }
 
-/// The error of the example configuration after `change`.
+/// Returns the text of the error that the example configuration gives after `change`.
 fn error(change: impl FnOnce(&mut Value)) -> String {
     let mut text = example();
     change(&mut text);
@@ -94,7 +94,8 @@
     });
     assert_eq!(
         text,
-        "state is missing, but fleet.voters names this relay: a voter must keep its votes across restarts"
+        "state is missing, but fleet.voters names this relay: a voter must keep its votes across restarts; \
+         set state to the path of a directory, or remove this relay from fleet.voters"
     );
 }
 
@@ -105,7 +106,7 @@
         node::parse(b"{", &Overrides::default()).expect_err("truncated JSON must be rejected").to_string();
     assert_eq!(node, format!("configuration is not JSON: {end}"));
     let list = hallrelay_config::list::parse(b"{").expect_err("truncated JSON must be rejected").to_string();
-    assert_eq!(list, format!("the list is not JSON: {end}"));
+    assert_eq!(list, format!("the endpoint list is not JSON: {end}"));
     let settings = hallrelay_config::settings(b"{").expect_err("truncated JSON must be rejected").to_string();
     assert_eq!(settings, format!("settings are not JSON: {end}"));
     let settings =
--- a/relay/src/values.rs
+++ b/relay/src/values.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ValuesError {
     /// A byte between two values is not white space.
-    #[error("the list is not JSON: a value begins with neither {{ nor [")]
+    #[error("the endpoint list is not JSON: a value begins with neither {{ nor [")]
     NotJson,
     /// A value has more bytes than this limit.
     #[error("a value of the list is larger than {0} bytes")]
@@ -45,9 +45,8 @@
 
     /// The next part; `None` if it is not complete yet.
     ///
-    /// # Errors
-    /// A byte between values is not white space, or a value has more bytes than `max_bytes`. The stream can't
-    /// be read any further.
+    /// # Errors A byte between values is not white space, or a value has more bytes than `max_bytes`. The
+    /// stream can't be read any further.
     pub fn next(&mut self, max_bytes: usize) -> Result<Option<Part>, ValuesError> {
         while let Some(&byte) = self.bytes.get(self.parsed) {
             self.parsed += 1;
