--- a/soak/src/lateness.rs
+++ b/soak/src/lateness.rs
@@ -1,7 +1,8 @@
 //! Measures the scheduling delay of the harness' own threads.
 //!
-//! The oracle's margins allow for threads that run late by up to `HARNESS_MARGIN`. If they ran later than
-//! that, the observed times are not evidence about a relay.
+//! The threads of the harness record the times that the oracle checks. The oracle allows for threads that
+//! run late by at most `HARNESS_MARGIN`. If a thread was later than that, the recorded times prove nothing
+//! about a relay.
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
@@ -9,7 +10,8 @@
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Measures in a separate thread, until it is stopped, how much later than requested that thread wakes up.
+/// A thread that repeatedly sleeps for `SAMPLE_INTERVAL`, and measures how much later than requested it
+/// wakes up.
 pub struct LatenessMonitor {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Duration>,
@@ -19,12 +21,12 @@
     /// Starts the measurement.
     pub fn start() -> LatenessMonitor {
         let stop = Arc::<AtomicBool>::default();
-        let requested = stop.clone();
-        let thread = thread::spawn(move || longest_lateness(&requested));
+        let thread_stop = stop.clone();
+        let thread = thread::spawn(move || longest_lateness(&thread_stop));
         LatenessMonitor { stop, thread }
     }
 
-    /// Ends the measurement and returns the longest delay.
+    /// Ends the measurement, and returns the longest measured delay.
     pub fn stop(self) -> Duration {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().expect("join the thread that measures scheduling delays")
--- a/soak/src/oracle/mod.rs
+++ b/soak/src/oracle/mod.rs
@@ -1,4 +1,5 @@
-//! Checks a run by its observations alone, against rules that must hold during any fault.
+//! The oracle: checks a run against rules that must hold during any fault. It uses only the observations,
+//! which are made outside the relays.
 //!
 //! `sessions` has the rules of answers and open sessions, `attempts` the rules of attempts at backends, and
 //! `processes` the rules of relay processes, partial requests, and the load on a backend that warms up.
@@ -14,17 +15,19 @@
 /// The settings of the relays on which the rules depend.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time after a backend was announced as draining for which new sessions may still go to it.
+    /// Time for which a relay that was notified of a backend's drain may still send it new sessions.
     pub drain_grace: Duration,
-    /// Time for which requests with an idempotency key may be repeated.
+    /// Time within which a request with an idempotency key may be repeated, from its first attempt that may
+    /// have run.
     pub idempotency_window: Duration,
-    /// The length of a backend's slow start.
+    /// Length of a backend's slow start, in which it warms up.
     pub warm_up: Duration,
-    /// The fraction of its capacity with which a backend starts.
+    /// Fraction of its capacity that a backend has at the beginning of its slow start.
     pub initial_capacity: f64,
-    /// The window in which the number of new sessions is limited.
+    /// Length of the window in which a backend that warms up may get a limited number of new sessions.
     pub overload_window: Duration,
-    /// The allowed multiple of the regular rate of new sessions within the window.
+    /// Multiple of the regular rate of new sessions that such a backend may get within the window. At the
+    /// regular rate, new sessions fill the backend's current capacity in the time `warm_up`.
     pub overload_multiple: f64,
     /// Number of sessions that use a backend's full capacity.
     pub capacity: f64,
@@ -33,25 +36,25 @@
 /// A rule that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request that was accepted gets a final answer in time.
+    /// A complete request is answered in time.
     Answered,
-    /// An open session is not ended without `MOVE` while its backend serves it.
+    /// The relay does not end an open session without `MOVE` while its backend serves it.
     NotCutOff,
     /// A client learns in time that its backend has ended the session.
     EndAnnounced,
-    /// No line follows a final answer.
+    /// No line follows a final answer, which is each answer except `UP`.
     OneAnswer,
     /// A request that may have run is not sent again, unless its listener allows a repetition.
     NoDuplicate,
     /// A session has one attempt at a time.
     OneAttempt,
-    /// A relay answers `BUSY` only if the request has not run.
+    /// A relay answers `BUSY` (a rejection) only if the request has not run.
     TrueRejection,
     /// No attempt goes to a draining backend after the grace period.
     NoneToDraining,
     /// No attempt begins after its client has left.
     NoneForGoneClient,
-    /// A backend that warms up gets at most its budget of attempts in a window.
+    /// A backend that warms up gets at most its budget of attempts in `Settings::overload_window`.
     WarmUpBudget,
     /// A client that stopped in the middle of its line gets an error or the end of the connection in time.
     PartialRequestEnded,
@@ -64,8 +67,8 @@
 }
 
 impl Rule {
-    /// Whether the rule depends on observed times, so that a delayed observer may report a violation that did
-    /// not happen.
+    /// Whether the rule depends on observed times, so that a delayed observer may report a violation that
+    /// did not happen.
     pub fn depends_on_time(self) -> bool {
         !matches!(self, Rule::NoDuplicate | Rule::TrueRejection | Rule::OneAnswer | Rule::NoCrash)
     }
@@ -78,7 +81,7 @@
     pub rule: Rule,
     /// When the rule was violated.
     pub at: Timestamp,
-    /// The observation that violates the rule.
+    /// Describes the observation that violates the rule.
     pub details: String,
 }
 
@@ -88,18 +91,19 @@
     }
 }
 
-/// Time after its deadline within which an answer still counts as in time.
+/// Time after its deadline within which an answer of a relay still counts as in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
-/// Additional time by which socket timeouts may be exceeded.
+/// Time by which relays on sockets may exceed the time limits of the settings.
 const SOCKET_MARGIN: Duration = Duration::from_millis(50);
-/// Scheduling delay of the harness' own threads that the rules allow for.
+/// Scheduling delay of the harness' own threads, by which observed times may be wrong, that the rules allow
+/// for.
 pub const HARNESS_MARGIN: Duration = Duration::from_millis(30);
 
 /// Returns all violations of a run, sorted by their times.
 pub fn check(observations: &Observations, settings: &Settings) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, session) in &observations.sessions {
-        // If a link holds back a line, a later line may be observed first.
+        // If a link holds back the line of an attempt, that of a later attempt may be observed first.
         let mut session = session.clone();
         session.attempts.sort_by_key(|attempt| attempt.started_at);
         let mut checked = CheckedSession { id: *id, session: &session, violations: &mut violations };
--- a/soak/src/oracle/processes.rs
+++ b/soak/src/oracle/processes.rs
@@ -3,12 +3,12 @@
 use crate::observations::{ExitReason, ListChange, Observations, Process, Timestamp};
 use std::time::Duration;
 
-/// Time within which a started process must be ready.
+/// Time from its start within which a process must answer `PING`.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time within which a client that stopped in the middle of its line must get an error or the end of the
 /// connection.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Budgets of at least this many attempts get the smaller margin for chance.
+/// Budget, in attempts per window, from which the smaller of the two margins in `attempts_allowed` applies.
 const LARGE_BUDGET: f64 = 30.0;
 
 /// Checks that processes are ready in time, exit in time, and do not crash.
@@ -21,22 +21,35 @@
         if let Some(ended) = process.ended {
             match ended.reason {
                 ExitReason::KilledAtTimeLimit => {
-                    violate(
-                        Rule::StopInTime,
-                        ended.at,
-                        "killed because it did not exit in time after the request to stop",
+                    let requested_at = process.stop_requested_at.unwrap_or(ended.at);
+                    let details = format!(
+                        "killed {:?} after the request to stop, because it had not exited in time",
+                        ended.at.saturating_sub(requested_at)
                     );
+                    violate(Rule::StopInTime, ended.at, &details);
                 }
-                ExitReason::Crashed => violate(Rule::NoCrash, ended.at, "exited without a request to stop"),
+                ExitReason::Crashed => {
+                    let details = format!(
+                        "exited {:?} after its start, without a request to stop",
+                        ended.at.saturating_sub(process.started_at)
+                    );
+                    violate(Rule::NoCrash, ended.at, &details);
+                }
+                // `Killed` processes were killed by a fault of the schedule, unlike `KilledAtTimeLimit`.
                 ExitReason::Killed | ExitReason::Exited => {}
             }
         }
         if is_late(process) {
-            violate(Rule::Ready, process.started_at, "not ready within 10 s");
+            let ready = process.ready_at.map_or("never ready".to_string(), |ready_at| {
+                format!("ready {:?} after its start", ready_at.saturating_sub(process.started_at))
+            });
+            let details = format!("{ready}; allowed are {READY_TIMEOUT:?}");
+            violate(Rule::Ready, process.started_at, &details);
         }
     }
 }
 
+/// Whether a process was not ready in time, although it ran until then.
 fn is_late(process: &Process) -> bool {
     let limit = process.started_at + READY_TIMEOUT;
     let ended_before = process.ended.is_some_and(|ended| ended.at < limit);
@@ -44,7 +57,7 @@
 }
 
 /// Checks that a client that stops in the middle of its line gets an error or the end of the connection in
-/// time.
+/// time, unless its relay was paused meanwhile.
 pub(super) fn check_partial_requests(observations: &Observations, violations: &mut Vec<Violation>) {
     for request in &observations.partial_requests {
         let limit = request.since + PARTIAL_REQUEST_TIMEOUT + HARNESS_MARGIN;
@@ -52,10 +65,12 @@
             pause.subject == request.relay && pause.from <= limit && pause.until >= request.since
         });
         if !was_paused && request.ended_at.is_none_or(|ended_at| ended_at > limit) {
-            let ended_after = request.ended_at.map(|ended_at| ended_at - request.since);
+            let end = request.ended_at.map_or("its connection did not end".to_string(), |ended_at| {
+                format!("its connection ended after {:?}", ended_at - request.since)
+            });
             let details = format!(
-                "relay {}: a client that stopped in the middle of its line got no error or end within \
-                 {PARTIAL_REQUEST_TIMEOUT:?}; its connection ended after: {ended_after:?}",
+                "relay {}: a client that stopped in the middle of its line got no error or end of its \
+                 connection within {PARTIAL_REQUEST_TIMEOUT:?}; {end}",
                 request.relay
             );
             violations.push(Violation { rule: Rule::PartialRequestEnded, at: request.since, details });
@@ -63,8 +78,8 @@
     }
 }
 
-/// Checks that a backend that warms up gets at most its budget of attempts in a window, with a margin for
-/// chance.
+/// Checks that each backend that warms up gets at most its budget of attempts in each window of
+/// `Settings::overload_window`, with a margin for chance. Only the first excess of each backend is reported.
 pub(super) fn check_warm_up_budget(
     observations: &Observations,
     settings: &Settings,
@@ -90,8 +105,11 @@
 
 /// A window with more attempts than allowed.
 struct Excess {
+    /// The last attempt and end of the window.
     at: Timestamp,
+    /// Number of attempts within the window.
     count: usize,
+    /// Number of attempts that are allowed.
     bound: f64,
 }
 
@@ -110,8 +128,9 @@
     while_warming_up
 }
 
-/// Returns the number of attempts that a backend of the given age may get in a window: its budget plus a
-/// margin of a few standard deviations.
+/// Returns the number of attempts that a backend may get in a window that ends at the given age of the
+/// backend: its budget plus a margin for chance. The margin is 2 or 3 standard deviations of a random count
+/// (the square root of its mean), plus 2 or 3 attempts.
 fn attempts_allowed(settings: &Settings, age: Duration) -> f64 {
     let warm_up = settings.warm_up.as_secs_f64();
     let progress = age.as_secs_f64() / warm_up;
