--- a/config/tests/limits.rs
+++ b/config/tests/limits.rs
@@ -27,8 +27,8 @@
             settings["Listeners"][1]["DialTimeout"] = json!(timeout);
         });
         for (l, kill) in [(l, kill), (short, timeout.min(3_000) * MS + 700 * MS)] {
-            // Clients still arrive for 0.4 s. Migrations are spread over several ticks of 50 ms, and the last
-            // migrated clients have time to leave.
+            // Clients still arrive for 0.4 s. Migrations are spread over several ticks of 50 ms, and the
+            // last migrated clients have time to leave.
             assert!(
                 l.stop_first_migration_delay >= 250 * MS
                     && l.stop_first_migration_delay + 100 * MS <= l.stop_last_migration_delay,
@@ -49,8 +49,8 @@
     }
 }
 
-/// The sessions of a tenth of a large fleet that stops together must not reach the other relays in one burst.
-/// Sessions that the only relay migrates wait for its next start, so it migrates them late.
+/// The sessions of a tenth of a large fleet that stops together must not reach the other relays in one
+/// burst. Sessions that the only relay migrates wait for its next start, so it migrates them late.
 #[test]
 fn stop_beside_other_relays_spreads_migrations_over_available_time() {
     let of = |relays: u32| limits(|settings| settings["Instances"] = json!(relays));
@@ -87,6 +87,6 @@
             settings["Ceilings"]["ConnectTimeout"] = json!(connect);
         });
         assert_eq!(l.connect_timeout, wanted * MS, "drain grace of {grace} ms");
-        assert!(l.connect_timeout <= grace * MS + 50 * MS);
+        assert!(l.connect_timeout <= grace * MS + 50 * MS, "drain grace of {grace} ms: {l:?}");
     }
 }
--- a/soak/shim/faults.rs
+++ b/soak/shim/faults.rs
@@ -1,8 +1,8 @@
-//! Fault injection for one relay process, loaded through LD_PRELOAD. System calls fail with errors that Linux
-//! documents for them. The control file, whose path is in the environment variable `FAULTS_FILE`, selects the
-//! calls that fail and how often. It is an array of `SLOTS` 64-bit integers with the indexes below, which the
-//! harness changes while the process runs. Values are failures per thousand calls unless a slot documents
-//! another unit.
+//! Fault injection for one relay process, loaded through LD_PRELOAD. System calls fail with errors that
+//! Linux documents for them. The control file, whose path is in the environment variable `FAULTS_FILE`,
+//! selects the calls that fail and how often. It is an array of `SLOTS` 64-bit integers with the indexes
+//! below, which the harness changes while the process runs. Values are failures per thousand calls unless a
+//! slot documents another unit.
 #![allow(clippy::missing_safety_doc)]
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicI64, AtomicPtr, AtomicU64, Ordering};
@@ -41,7 +41,7 @@
 /// Writes to clients report success, but their bytes are lost. No real system does this. The fault proves
 /// that the oracle detects lost answers.
 const LOST_WRITE: usize = 15;
-/// The value is a port that `connect` cannot reach (ENETUNREACH), as if one machine had no route.
+/// The value is a port that `connect` cannot reach (ENETUNREACH), as if there were no route to one machine.
 const UNREACHABLE: usize = 16;
 
 const EIO: c_int = 5;
@@ -127,12 +127,14 @@
     control().map_or(0, |slots| slots[slot].load(Ordering::Relaxed))
 }
 
-/// Draws whether a call of this kind fails, and counts the failure. Returns random bits if it fails.
+/// Draws whether a call of the kind `slot` fails, and counts the failure. If the call fails, returns random
+/// bits, with which the caller chooses an error.
 fn draw_failure(slot: usize) -> Option<u64> {
     let per_thousand = slot_value(slot);
     if per_thousand <= 0 {
         return None;
     }
+    // SplitMix64: a counter whose values are mixed, so that threads share the state without a lock.
     let mut x = RANDOM_STATE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -345,7 +347,8 @@
 }
 
 /// Whether a descriptor is a regular file. Sockets and pipes cannot seek, and event descriptors stay at
-/// offset 0 after every seek.
+/// offset 0 after every seek. A file at offset 0 is moved to offset 1 and back to tell it from an event
+/// descriptor.
 unsafe fn is_file(fd: c_int) -> bool {
     const FROM_START: c_int = 0;
     const FROM_CURRENT: c_int = 1;
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,5 +1,5 @@
 //! An emulated backend. It accepts sessions according to the protocol and echoes their lines, or simulates a
-//! faulty backend.
+//! faulty backend. Relays reach it through a link (`link`), which can simulate faults of the network.
 use crate::link::Link;
 use crate::observations::{Attempt, AttemptOutcome, Recorder, Timestamp};
 use crate::{listen_on_loopback, locked};
@@ -47,9 +47,9 @@
     recorder: Recorder,
     behaviour: Mutex<Behaviour>,
     open_sessions: AtomicU32,
-    /// The link between relays and this backend, after it has been started.
+    /// The link between relays and this backend; `None` until the link has been started.
     link: Arc<Mutex<Option<Link>>>,
-    /// Connections of open sessions with the sessions' ids, so that they can be reset.
+    /// Connections of open sessions, which `reset_sessions` resets, with the ids of the sessions.
     connections: Mutex<Vec<(u64, TcpStream)>>,
 }
 
@@ -102,6 +102,7 @@
     }
 }
 
+/// Resets a connection: with a linger time of 0, closing it sends RST.
 fn reset(stream: &TcpStream) {
     _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     _ = stream.shutdown(Shutdown::Both);
@@ -114,8 +115,9 @@
 }
 
 impl Lines<'_> {
-    /// Returns the next line without its line end, or none at the end of the connection. Calls `on_bytes`
-    /// when the first bytes of the line have arrived, and after each further read, with the bytes so far.
+    /// Returns the next line without its line end, or none at the end of the connection or if the line is
+    /// too long. Calls `on_bytes` with the bytes of the line so far when the first have arrived, and after
+    /// each further read.
     fn next(&mut self, mut on_bytes: impl FnMut(&[u8])) -> Option<String> {
         loop {
             if !self.bytes.is_empty() {
@@ -136,6 +138,7 @@
     }
 }
 
+/// Answers the probes (`STATS`) of a connection, or serves its session (`OPEN`).
 fn serve(mut stream: TcpStream, shared: &Shared) {
     _ = stream.set_nodelay(true);
     let Ok(reading) = stream.try_clone() else { return };
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -25,22 +25,22 @@
     pub relay: usize,
     /// The relay's address.
     pub address: SocketAddr,
-    /// The listener that its first line names.
+    /// The listener that the client's first line names.
     pub listener: &'static str,
-    /// Time from the request within which it must be answered.
+    /// Time from the request within which the client must be answered.
     pub timeout: Duration,
-    /// Whether it requests the session as a reconnect after a broken session.
+    /// Whether the client requests the session as a reconnect after a broken session.
     pub reconnects: bool,
-    /// Size in bytes of the pieces in which it sends its request, with a delay after each piece. None to send
-    /// the request in one write.
+    /// Size in bytes of the pieces in which the client sends its request, with a delay after each piece.
+    /// `None` means that it sends the request in one write.
     pub piece_bytes: Option<usize>,
-    /// Whether and how it cancels.
+    /// Whether and how the client cancels.
     pub cancellation: Cancellation,
-    /// The length of its session.
+    /// Time after which the client leaves its open session.
     pub session_length: Duration,
 }
 
-/// Time after its deadline for which a client still waits for an answer. After that no answer is expected.
+/// Time after its deadline for which a client still waits for an answer, so that late answers are observed.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(2_500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay between the pieces of a request.
@@ -49,10 +49,10 @@
 const FURTHER_LINE_TIMEOUT: Duration = Duration::from_millis(10);
 /// Interval between the lines that a client sends in a session.
 const LINE_INTERVAL: Duration = Duration::from_millis(300);
-/// If a client receives no echo for this long, the relay has lost the session.
+/// Time without a received line after which a client takes its session as lost.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(7);
-/// Time for which a client that stopped in the middle of its line waits for the end of the connection. It is
-/// far longer than the relay's limit.
+/// Time for which a client that stopped in the middle of its line waits for the end of the connection. The
+/// relay must end it within 3 s.
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Result of waiting for a line.
@@ -105,7 +105,7 @@
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
 
-/// Sends part of a first line, and waits for the end of the connection.
+/// Sends part of a first line, waits for an error line or the end of the connection, and records it.
 pub fn send_partial_request(relay: usize, address: SocketAddr, recorder: &Recorder) {
     let Some(mut connection) = Connection::open(&address) else { return };
     let since = recorder.now();
@@ -176,6 +176,7 @@
     recorder.record_session(plan.id, |session| session.left_at = Some(now));
 }
 
+/// Waits for the answer, or until the client cancels, and handles what happens first.
 fn await_answer(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
     let wait = match plan.cancellation {
         Cancellation::Never => plan.timeout + ANSWER_MARGIN,
@@ -188,6 +189,7 @@
     }
 }
 
+/// Records the answer, and what follows it.
 fn handle_answer(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder, line: String) {
     let at = recorder.now();
     let is_open = line.starts_with("UP");
@@ -199,7 +201,7 @@
     }
 }
 
-/// Handles the expiry of the wait for an answer: cancels, or records that no answer came.
+/// Cancels after the planned delay, or records that no answer came in time.
 fn handle_no_answer(connection: &mut Connection, plan: &ClientPlan, recorder: &Recorder) {
     match plan.cancellation {
         Cancellation::Never => record_end(plan, recorder, ConnectionEnd::Silent),
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,5 +1,6 @@
-//! An emulated discovery service. It serves the endpoint list according to the protocol. Each relay has a
-//! separate address, so that the service can record what it sent to which relay, and when.
+//! An emulated discovery service. It serves the endpoint list according to the protocol: as the answer to a
+//! request, or by a watch, an answer that stays open and reports changes. It listens at a separate address
+//! for each relay, so that it can record what it sent to which relay, and when.
 use crate::observations::{ListDelivery, Recorder};
 use crate::{listen_on_loopback, locked};
 use serde_json::{json, Value};
@@ -41,7 +42,7 @@
     pub draining: bool,
     /// Start time of the backend in Unix milliseconds. 0 means that it started long ago.
     pub started_ms: i64,
-    /// Generation of the list in which the entry last changed.
+    /// Generation (version) of the list in which the entry last changed.
     generation: u64,
 }
 
@@ -136,6 +137,7 @@
     String::from_utf8_lossy(&head).split(' ').nth(1).map(str::to_string)
 }
 
+/// Answers one request. A path with `since=` requests a watch, each other path the complete list.
 fn serve(mut stream: TcpStream, relay: usize, state: &Mutex<State>, recorder: &Recorder) {
     _ = stream.set_nodelay(true);
     let opened = Instant::now();
@@ -184,6 +186,7 @@
     Some(generation)
 }
 
+/// Sends the changes of the list after the generation `since`, until the relay or a fault closes the watch.
 fn watch(
     mut stream: TcpStream,
     relay: usize,
@@ -202,7 +205,7 @@
             return;
         }
         if silent {
-            // Keep the watch open without sending, until the relay closes it.
+            // Keeps the watch open without sending, until the relay closes it.
             _ = stream.read(&mut [0; 16]);
             return;
         }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,5 +1,6 @@
-//! The control file of the fault injection library (`shim/faults.rs`). It selects the system calls of a relay
-//! process that fail, and can be changed while the process runs.
+//! The control file of the fault injection library (`shim/faults.rs`). The file selects the system calls of
+//! a relay process that fail, and can be changed while the process runs. It is an array of 64-bit integers,
+//! whose elements are called slots.
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -8,6 +9,7 @@
 /// The path of the library that relay processes load.
 pub const LIBRARY: &str = env!("FAULTS_LIBRARY");
 
+/// Number of slots in the file. It must be that of `shim/faults.rs`, as must the numbers of the slots.
 const SLOTS: u64 = 24;
 const SLOT_BYTES: u64 = 8;
 
@@ -50,7 +52,7 @@
 
 /// Slot that holds the port at which the process listens for clients.
 const CLIENT_PORT: u64 = 12;
-/// Slot that counts the calls that failed by injection.
+/// Slot in which the library counts the calls that failed by injection.
 const INJECTED: u64 = 13;
 
 /// The control file of one process.
--- a/soak/src/harness.rs
+++ b/soak/src/harness.rs
@@ -22,19 +22,23 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// Interval at which the harness starts faults and clients, and observes processes.
 const TICK: Duration = Duration::from_millis(5);
-/// Delay from a relay's request to stop until the front stops sending clients to it.
+/// Delay from SIGTERM to a relay until the front, the load balancer before the relays, sends it no more
+/// clients.
 const FRONT_DELAY: Duration = Duration::from_millis(300);
+/// Delay after each reload of `FaultKind::Reload`.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(300);
-/// Minimum time from the end of a pause to the start of the next. Longer pauses have a longer interval.
+/// Minimum time from the end of a pause to the start of the next. Long pauses use twice their length
+/// instead.
 const PAUSE_INTERVAL: Duration = Duration::from_millis(600);
-/// Delay after the end of the last client, in which the end of its session is still observed.
+/// Delay after the end of the last client, in which backends still observe the end of its session.
 const FINAL_DELAY: Duration = Duration::from_secs(1);
 /// Number of clients in a reconnect storm.
 const STORM_CLIENTS: usize = 60;
 /// Size in bytes of the pieces in which slow requests are sent.
 const SLOW_PIECE_BYTES: usize = 12;
-/// Time within which a new process takes over from its predecessor or exits.
+/// Time from its start within which a new process either takes over from its predecessor or exits.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after a discovery fault for which discovery may still answer late.
 const DISCOVERY_RECOVERY: Duration = Duration::from_secs(1);
@@ -50,9 +54,9 @@
     relays: Vec<Arc<Mutex<RelayProcess>>>,
     relay_addresses: Vec<SocketAddr>,
     controls: Vec<Arc<FaultControl>>,
-    /// Relays that restart as soon as their processes have ended.
+    /// Numbers of the relays that must restart as soon as their processes have ended.
     to_restart: Vec<usize>,
-    /// For each relay, whether the front (the load balancer before the relays) sends clients to it.
+    /// For each relay, whether the front sends clients to the relay.
     in_front: Vec<Arc<AtomicBool>>,
     threads: Vec<JoinHandle<()>>,
     /// Number of active faults that make clients cancel.
@@ -181,8 +185,8 @@
         Duration::from_secs_f64(seconds)
     }
 
-    /// Starts one client at a relay that is drawn from those to which the front sends clients. If there is no
-    /// such relay, no client is started.
+    /// Starts one client at a relay that is drawn from those to which the front sends clients. If there is
+    /// no such relay, no client is started.
     fn start_client(&mut self, reconnects: bool) {
         let in_front: Vec<usize> =
             (0..self.relays.len()).filter(|relay| self.in_front[*relay].load(Ordering::Relaxed)).collect();
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Lists a backend as up or draining. `is_start` means that it has just started.
+    /// Lists a backend as up or draining. `is_start` means that the backend has just started and warms up.
     fn change_list(&self, backend: usize, draining: bool, is_start: bool) {
         let change = ListChange { backend, draining, is_start, at: self.recorder.now() };
         self.recorder.record(|observations| observations.list_changes.push(change));
@@ -226,7 +230,7 @@
         self.discovery.list_backend(backend, self.backends[backend].address, draining, started_ms);
     }
 
-    /// Returns the period of a fault that begins now.
+    /// Returns the period of a fault of the relay or backend `subject` that begins now.
     fn impairment(&self, subject: usize, length: Duration) -> Impairment {
         let from = self.recorder.now();
         Impairment { subject, from, until: from + length }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,5 +1,5 @@
-//! A faulty network link: a proxy between relays and one backend that delays, stalls, drops, resets,
-//! truncates or splits the data that passes through it.
+//! A network link that may be faulty: a proxy between relays and one backend. It forwards data unchanged, or
+//! delays, stalls, drops, truncates or splits the data, or resets the connections.
 use crate::observations::{Recorder, Timestamp};
 use crate::{listen_on_loopback, locked};
 use socket2::SockRef;
@@ -18,7 +18,7 @@
     Normal,
     /// Forwards them after a delay, in both directions.
     Delays,
-    /// Holds them back until the mode changes.
+    /// Holds them back until the mode changes, then forwards them.
     Stalls,
     /// Discards them. The connection stays open.
     Drops,
@@ -30,16 +30,18 @@
     SingleBytes,
 }
 
+/// Delay of each block of bytes with `LinkMode::Delays`.
 const DELAY: Duration = Duration::from_millis(40);
 /// Interval at which a stalled link checks whether its mode has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay before each byte with `LinkMode::SingleBytes`.
 const BYTE_INTERVAL: Duration = Duration::from_micros(300);
 
 #[derive(Default)]
 struct State {
     mode: LinkMode,
-    /// Time at which each connection's first byte from the relay was received. The key is the proxy's local
-    /// address of its connection to the backend.
+    /// For each connection, the time at which the proxy received the first byte from the relay. The key is
+    /// the address from which the proxy connected to the backend, which the backend knows too.
     first_bytes: HashMap<SocketAddr, Timestamp>,
 }
 
@@ -91,13 +93,14 @@
     }
 }
 
+/// Resets a connection: with a linger time of 0, closing it sends RST.
 fn reset(stream: &TcpStream) {
     _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Forwards bytes in one direction until the sender ends. `local_address` is the proxy's address of its
-/// connection to the backend, and is set only for the direction to the backend.
+/// Forwards bytes in one direction until the sender ends the connection. `local_address` is the address
+/// from which the proxy connected to the backend. It is set only for the direction to the backend.
 fn forward_direction(
     mut from: TcpStream,
     to: TcpStream,
@@ -132,7 +135,7 @@
     }
 }
 
-/// Forwards one block of bytes. Returns false if the connection is to be reset.
+/// Forwards one block of bytes. Returns false if the caller must reset the connection.
 fn forward_block(
     bytes: &[u8],
     mut to: &TcpStream,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -91,7 +91,7 @@
 }
 
 fn main() -> ExitCode {
-    // The signals stay blocked until the relay installs its handlers, as in the relay's own program.
+    // The signals stay blocked until the relay installs its handlers, as in the program `hallrelay`.
     signals::block();
     match Cli::parse().command {
         Command::Relay(cli) => match relay::run(cli.command) {
@@ -169,7 +169,8 @@
     println!("  logs: {}", plan.folder.display());
 }
 
-/// Leaves out each fault without which the rule is still violated, and prints the remaining faults.
+/// Runs the plan once without each fault, leaves out the fault if the rule is still violated, and prints the
+/// remaining faults.
 fn shrink(plan: &Plan, rule: Rule) {
     let mut smallest = plan.clone();
     for candidate in &plan.faults {
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -15,7 +15,7 @@
     Closed,
     /// The connection was reset.
     Reset,
-    /// The client received nothing until its timeout, which is far beyond the deadline.
+    /// The client received nothing until its own timeout, which is far beyond the deadline of its request.
     Silent,
 }
 
@@ -70,7 +70,7 @@
     pub relay: usize,
     /// The listener that the client named.
     pub listener: &'static str,
-    /// When the client was about to write the last bytes of its line.
+    /// When the client was about to write the last bytes of its line, which complete the request.
     pub requested_at: Timestamp,
     /// Time after `requested_at` within which the client must be answered.
     pub timeout: Duration,
@@ -78,11 +78,11 @@
     pub answer: Option<Answer>,
     /// Number of lines received after a final answer other than `UP`.
     pub lines_after_answer: u32,
-    /// When the client closed or cancelled without a request from the relay.
+    /// When the client ended the session or cancelled its request by itself.
     pub left_at: Option<Timestamp>,
     /// The end of the connection, if the relay ended it.
     pub ended: Option<SessionEnd>,
-    /// Whether the relay sent `MOVE` before the end.
+    /// Whether the relay sent `MOVE`, which requests the client to reconnect, before the end.
     pub move_announced: bool,
     /// The attempts at backends, in the order in which they were observed.
     pub attempts: Vec<Attempt>,
@@ -117,15 +117,15 @@
     pub relay: usize,
     /// When it was started.
     pub started_at: Timestamp,
-    /// When it first answered `PING`.
+    /// When it first answered `PING`; `None` if it has not.
     pub ready_at: Option<Timestamp>,
-    /// When it was sent SIGTERM.
+    /// When it was sent SIGTERM; `None` if it was not.
     pub stop_requested_at: Option<Timestamp>,
-    /// Its end. None while it runs.
+    /// Its end; `None` while it runs.
     pub ended: Option<ProcessEnd>,
 }
 
-/// A backend's state that discovery has sent to a relay.
+/// An entry of the endpoint list (the state of one backend) that discovery has sent to a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct ListDelivery {
     /// The relay.
@@ -176,7 +176,7 @@
 pub struct PartialRequest {
     /// The relay.
     pub relay: usize,
-    /// When the client had connected.
+    /// When the client connected, before it sent the part of its line.
     pub since: Timestamp,
     /// When the client received an error or the end of the connection.
     pub ended_at: Option<Timestamp>,
@@ -189,7 +189,7 @@
     pub sessions: BTreeMap<u64, Session>,
     /// All relay processes, in the order in which they started.
     pub processes: Vec<Process>,
-    /// The backend states that discovery has sent to relays.
+    /// The entries of the endpoint list that discovery has sent to relays.
     pub list_deliveries: Vec<ListDelivery>,
     /// The changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
@@ -205,7 +205,7 @@
     pub accept_outages: Vec<Impairment>,
     /// Periods in which a relay's process was paused by SIGSTOP.
     pub pauses: Vec<Impairment>,
-    /// Number of records for sessions that no client had begun.
+    /// Number of records that were made for the id of a session that no client had begun.
     pub unknown_sessions: u32,
 }
 
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -6,9 +6,9 @@
 /// Parameters of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed of the random choices that clients make.
+    /// Seed of the schedule and of the random choices of the clients.
     pub seed: u64,
-    /// Period in which clients connect.
+    /// Length of the period in which clients connect.
     pub length: Duration,
     /// The number of relays.
     pub relays: usize,
@@ -22,7 +22,7 @@
     pub program: PathBuf,
     /// Directory of configurations and logs.
     pub folder: PathBuf,
-    /// Whether relays have a state directory.
+    /// Whether relays have a state directory. By default those of odd seeds have one.
     pub keeps_state: bool,
 }
 
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,5 +1,5 @@
 //! Starts relay processes with the fault injection library, requests them to stop or to reload, and kills
-//! them. The system kills all of them when the harness ends.
+//! them. The operating system kills all of them when the harness ends.
 use crate::faults::{FaultControl, LIBRARY};
 use crate::observations::{ExitReason, Process, ProcessEnd, Recorder, Timestamp};
 use serde_json::{json, Value};
@@ -11,9 +11,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// After SIGTERM, a process has the longest dial timeout, at most 3 s, and this margin to exit. It is killed
-/// after that.
+/// Time that a process has to exit after SIGTERM, in addition to the longest dial timeout, of which at most
+/// 3 s count. After that the harness kills the process.
 pub const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Time from its start within which a process must answer `PING`.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -29,7 +30,8 @@
     pub config: Value,
     /// Additional environment variables of the relay's processes.
     pub environment: Vec<(String, String)>,
-    /// The log of the relay's processes. If it is not set, they log to a file in the relay's folder.
+    /// File or device to which the relay's processes log. If it is `None`, they log to a file in the relay's
+    /// folder.
     pub log: Option<PathBuf>,
     folder: PathBuf,
     program: PathBuf,
@@ -234,7 +236,7 @@
     }
 }
 
-/// A process from which a new one takes over.
+/// A process from which a new process of the same relay takes over (hot restart).
 pub struct Predecessor {
     child: Child,
     process: usize,
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -33,13 +33,14 @@
 }
 
 impl Report {
-    /// Whether scheduling delays of the harness stayed within the oracle's margin, so that the times of its
-    /// observations are reliable.
+    /// Whether the scheduling delays of the harness stayed within the margin of the oracle, so that the
+    /// recorded times are reliable.
     pub fn has_reliable_times(&self) -> bool {
         self.longest_lateness <= HARNESS_MARGIN
     }
 
-    /// Returns the number of sessions for each first word of an answer, with `none` for sessions without one.
+    /// Returns the number of sessions for each first word of an answer, with `none` for sessions without
+    /// one.
     pub fn answers(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for session in self.observations.sessions.values() {
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -20,13 +20,14 @@
         /// Failures per thousand calls, or the unit that the `SystemFault` documents.
         value: i64,
     },
-    /// A relay is requested to stop, the front removes it from its list, and it restarts at the fault's end.
+    /// A relay is requested to stop, the front (the load balancer before the relays) sends it no more
+    /// clients, and the relay restarts at the fault's end.
     Stop {
         /// The relay.
         relay: usize,
     },
-    /// A relay is requested to stop while the front continues to send clients to it, and restarts at the
-    /// fault's end.
+    /// A relay is requested to stop, the front continues to send clients to it, and the relay restarts at
+    /// the fault's end.
     StopUnderTraffic {
         /// The relay.
         relay: usize,
@@ -94,7 +95,8 @@
         /// How discovery answers.
         mode: DiscoveryMode,
     },
-    /// Half of the clients close or reset the connection if they are not answered within a short random time.
+    /// Half of the clients close or reset their connections if they are not answered within a short random
+    /// time.
     ClientsCancel,
     /// Clients stop in the middle of their first line and stay connected.
     PartialRequests,
@@ -143,11 +145,12 @@
 const FIRST_EPISODE: Duration = Duration::from_secs(2);
 /// Default number of faults that overlap in one episode.
 pub const FAULTS_PER_EPISODE: u64 = 3;
-/// Exclusive upper bound of the time from an episode's start to the start of one of its faults.
+/// Exclusive upper bound of the time from the start of an episode, a group of faults that overlap, to the
+/// start of each of its faults.
 const MAX_START_OFFSET_MS: u64 = 1_200;
 /// Minimum length of a fault.
 const MIN_LENGTH_MS: u64 = 600;
-/// Exclusive upper bound of a fault's length.
+/// Exclusive upper bound of the length of a fault.
 const MAX_LENGTH_MS: u64 = 2_600;
 
 /// Parameters from which a schedule is drawn.
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// Target duration of the handshake, in milliseconds.
 const HANDSHAKE_TARGET_MS: u64 = 300;
-/// Target message latency of each priority, in milliseconds.
+/// Target message latency of each listener, in milliseconds.
 const MESSAGE_LATENCY_MS: u64 = 60;
 
 /// The relays' settings, which the oracle checks a run against.
@@ -23,8 +23,8 @@
     capacity: 40.0,
 };
 
-/// Names of the listeners. In this order, their requests may be repeated, may not be repeated, and have an
-/// idempotency key.
+/// Names of the listeners (classes of sessions). Requests of the first may be repeated, those of the second
+/// may not, and those of the third have an idempotency key and may be repeated within its window.
 pub const LISTENERS: [&str; 3] = ["low", "once", "referenced"];
 
 fn milliseconds(duration: Duration) -> u64 {
--- a/soak/tests/single_faults.rs
+++ b/soak/tests/single_faults.rs
@@ -1,5 +1,6 @@
-//! One fault, or a fixed combination of faults, against one relay process. The soak found a bug with each
-//! fault, or the test is the simplest one of a rule. Some seeds of drawn schedules run as well.
+//! One fault, or a fixed combination of faults, against one relay process. Each test guards against a bug
+//! that the soak test found with these faults, or is the simplest test of a rule. Some drawn schedules run
+//! as well.
 use hallrelay_soak::backend::Behaviour;
 use hallrelay_soak::discovery::DiscoveryMode;
 use hallrelay_soak::faults::SystemFault;
@@ -14,7 +15,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hallrelay-soak");
 const LENGTH: Duration = Duration::from_secs(8);
-/// More concurrent runs would compete for processor time, and the rules of answers depend on time.
+/// Maximum number of concurrent runs. With more, runs would compete for processor time, and the times that
+/// the rules depend on would be wrong.
 const CONCURRENT_RUNS: usize = 4;
 /// Maximum number of runs of one plan.
 const MAX_RUNS: usize = 3;
@@ -86,7 +88,8 @@
     report.violations.iter().for_each(|violation| println!("{violation}"));
     assert!(
         report.observations.sessions.len() > 30,
-        "at most 30 sessions were requested; the relay's log is {}",
+        "{} sessions were requested, wanted more than 30; the relay's log is {}",
+        report.observations.sessions.len(),
         log.display()
     );
     _ = std::fs::remove_dir_all(&plan.folder);
@@ -115,7 +118,11 @@
         1_002,
         vec![scheduled_fault(system_calls(SystemFault::InterruptedIo, 30), 500, 7_500)],
     );
-    assert!(report.injected_failures > 20, "at most 20 calls were interrupted");
+    assert!(
+        report.injected_failures > 20,
+        "{} calls were interrupted, wanted more than 20",
+        report.injected_failures
+    );
     assert_no_violations(&report);
 }
 
@@ -123,7 +130,11 @@
 fn one_byte_transfers_lose_no_session() {
     let report =
         run_single_relay(1_003, vec![scheduled_fault(system_calls(SystemFault::ShortIo, 900), 500, 7_500)]);
-    assert!(report.injected_failures > 100, "{} one-byte transfers", report.injected_failures);
+    assert!(
+        report.injected_failures > 100,
+        "{} one-byte transfers, wanted more than 100",
+        report.injected_failures
+    );
     assert_no_violations(&report);
 }
 
@@ -133,7 +144,11 @@
         1_004,
         vec![scheduled_fault(system_calls(SystemFault::BrokenBackend, 30), 500, 7_500)],
     );
-    assert!(report.injected_failures > 20, "{} broken connections", report.injected_failures);
+    assert!(
+        report.injected_failures > 20,
+        "{} broken connections, wanted more than 20",
+        report.injected_failures
+    );
     assert_no_violations(&report);
 }
 
@@ -149,7 +164,7 @@
 }
 
 #[test]
-fn one_second_without_connect_refuses_no_session() {
+fn one_second_without_connect_rejects_no_session() {
     let report = run_single_relay(
         1_006,
         vec![scheduled_fault(system_calls(SystemFault::Connect, 1_000), 2_000, 3_000)],
@@ -165,7 +180,7 @@
 }
 
 #[test]
-fn one_second_without_sockets_refuses_no_session() {
+fn one_second_without_sockets_rejects_no_session() {
     let report = run_single_relay(
         1_007,
         vec![scheduled_fault(system_calls(SystemFault::Socket, 1_000), 2_000, 3_000)],
@@ -214,8 +229,8 @@
     assert_no_violations(&report);
 }
 
-/// Proves that the harness detects faults inside a relay process: answers that are never sent are reported as
-/// missing.
+/// Proves that the harness detects faults inside a relay process: answers that are never sent are reported
+/// as missing.
 #[test]
 fn lost_answers_are_reported_as_violations() {
     let report =
@@ -265,8 +280,8 @@
     assert_no_violations(&run_single_relay(1_013, faults));
 }
 
-/// During a hot restart the new process cannot reach discovery. The drain of a backend reaches only the watch
-/// of the old process, and must apply to both processes.
+/// During a hot restart the new process cannot reach discovery. The drain of a backend reaches only the
+/// watch of the old process, and must apply to both processes.
 #[test]
 fn drain_known_to_replaced_process_applies_to_successor() {
     let faults = vec![
@@ -292,5 +307,9 @@
         .values()
         .filter_map(|session| Some(session.answer.as_ref()?.at - session.requested_at));
     let delayed = answers.filter(|delay| *delay > DELAY_THRESHOLD).count();
-    assert!(delayed <= 4, "{delayed} of {} sessions were delayed", report.observations.sessions.len());
+    assert!(
+        delayed <= 4,
+        "{delayed} of {} sessions were answered after more than {DELAY_THRESHOLD:?}, wanted at most 4",
+        report.observations.sessions.len()
+    );
 }
