--- a/config/src/scenario/check/mod.rs
+++ b/config/src/scenario/check/mod.rs
@@ -1,10 +1,12 @@
-//! Validates the values of a scenario beyond their types. The first invalid value is reported.
+//! Validates the values of a scenario beyond their types. Only the first invalid value is reported, in the
+//! order of the checks.
 mod faults;
 mod relay_faults;
 
 use super::{Listener, Relays, Scenario, Servers, Span};
 use hallrelay_balancer::types::Micros;
 
+/// Minimum length of the day.
 const MIN_LENGTH: Micros = 1_000_000;
 const MAX_RELAYS: usize = 300;
 const MAX_VOTERS: usize = 7;
@@ -12,7 +14,7 @@
 const MAX_SERVERS: usize = 4096;
 const MAX_ZONES: usize = 200;
 
-/// A key with an invalid value.
+/// A key with an invalid value, and why the value is invalid.
 pub(super) struct InvalidKey {
     /// Path of the key, for example `listener[1].life_s`.
     pub(super) key: String,
@@ -52,13 +54,17 @@
 
 fn check_relays(relays: &Relays) -> Result<(), InvalidKey> {
     let is_count_invalid = relays.count == 0 || relays.count > MAX_RELAYS;
-    reject_if(is_count_invalid, "relays.count", "wanted 1 to 300 relays")?;
+    let reason = format!("wanted 1 to 300 relays, not {}", relays.count);
+    reject_if(is_count_invalid, "relays.count", &reason)?;
     let lacks_state = relays.voters > 0 && !(relays.fleet && relays.state);
     reject_if(lacks_state, "relays.voters", "requires relays.fleet = true and relays.state = true")?;
     let has_too_many_voters = relays.voters > relays.count || relays.voters > MAX_VOTERS;
-    reject_if(has_too_many_voters, "relays.voters", "wanted at most 7, and at most relays.count")?;
+    let reason =
+        format!("wanted at most 7, and at most relays.count = {}, not {}", relays.count, relays.voters);
+    reject_if(has_too_many_voters, "relays.voters", &reason)?;
     reject_if(relays.fleet && relays.seeds == 0, "relays.seeds", "wanted at least 1")?;
-    reject_if(relays.sockets < MIN_SOCKETS, "relays.sockets", "wanted at least 64")?;
+    let reason = format!("wanted at least 64, not {}", relays.sockets);
+    reject_if(relays.sockets < MIN_SOCKETS, "relays.sockets", &reason)?;
     reject_if(relays.most_dials == 0, "relays.most_dials", "wanted at least 1")
 }
 
@@ -67,9 +73,11 @@
     reject_if(servers.kinds.is_empty(), "servers.kind", "wanted at least one kind of server")?;
     let count = scenario.server_count();
     let is_count_invalid = count == 0 || count > MAX_SERVERS;
-    reject_if(is_count_invalid, "servers.kind", "wanted 1 to 4096 servers in total")?;
+    let reason = format!("wanted 1 to 4096 servers in total, not {count}");
+    reject_if(is_count_invalid, "servers.kind", &reason)?;
     let are_zones_invalid = servers.zones.is_empty() || servers.zones.len() > MAX_ZONES;
-    reject_if(are_zones_invalid, "servers.zones", "wanted 1 to 200 zones")?;
+    let reason = format!("wanted 1 to 200 zones, not {}", servers.zones.len());
+    reject_if(are_zones_invalid, "servers.zones", &reason)?;
     reject_if(servers.per_core.0 <= 0.0, "servers.per_core", "wanted more than 0")?;
     reject_if(servers.cap_per_core == 0, "servers.cap_per_core", "wanted at least 1")?;
     let never_warms = servers.cold_from.0 <= 0.0;
@@ -94,11 +102,14 @@
         let key = |name: &str| format!("listener[{index}].{name}");
         let dial_timeout = listener.dial_timeout_ms.us();
         let is_shorter = dial_timeout < listener.handshake_target_ms.us();
-        reject_if(is_shorter, &key("dial_timeout_ms"), "is shorter than handshake_target_ms")?;
+        let target_ms = listener.handshake_target_ms.us() as f64 / 1e3;
+        let reason = format!("is shorter than handshake_target_ms = {target_ms}");
+        reject_if(is_shorter, &key("dial_timeout_ms"), &reason)?;
         reject_if(dial_timeout == 0, &key("dial_timeout_ms"), "wanted more than 0")?;
         reject_if(listener.life_s.us() == 0, &key("life_s"), "wanted more than 0")?;
         reject_if(listener.load.0 <= 0.0, &key("load"), "wanted more than 0")?;
-        reject_if(!is_name(&listener.name), &key("name"), "wanted ASCII letters, digits, - and _")?;
+        let reason = format!("wanted ASCII letters, digits, - and _, not {:?}", listener.name);
+        reject_if(!is_name(&listener.name), &key("name"), &reason)?;
         let is_duplicate = listeners[..index].iter().any(|earlier| earlier.name == listener.name);
         reject_if(is_duplicate, &key("name"), "is the name of an earlier listener")?;
     }
@@ -110,7 +121,7 @@
     !name.is_empty() && name.chars().all(is_allowed)
 }
 
-/// Checks pairs of times that are the bounds of a random time.
+/// Checks that the first time of each pair, which are the bounds of a random time, is not the longer one.
 fn check_ranges(scenario: &Scenario) -> Result<(), InvalidKey> {
     let Scenario { clients, list, servers, .. } = scenario;
     let ranges = [
@@ -124,7 +135,9 @@
         ("servers.report_late_ms", servers.report_late_ms.map(Span::us)),
     ];
     for (key, [shortest, longest]) in ranges {
-        reject_if(shortest > longest, key, "the first time is longer than the second")?;
+        let (first_ms, second_ms) = (shortest as f64 / 1e3, longest as f64 / 1e3);
+        let reason = format!("the first time is longer than the second: {first_ms} and {second_ms} ms");
+        reject_if(shortest > longest, key, &reason)?;
     }
     Ok(())
 }
--- a/config/src/scenario/check/relay_faults.rs
+++ b/config/src/scenario/check/relay_faults.rs
@@ -7,6 +7,7 @@
 use super::InvalidKey;
 use hallrelay_balancer::types::Micros;
 
+/// Minimum period of an intermittent fault (`every_s`).
 const MIN_PERIOD: Micros = 100_000;
 
 pub(super) fn check(check: &FaultCheck) -> Result<(), InvalidKey> {
@@ -84,14 +85,16 @@
     let may_have_period = is_intermittent || kind == RelayLooping;
     check.reject_if(period > 0 && !may_have_period, "every_s", "does not apply to this kind")?;
     let is_too_short = period < MIN_PERIOD && (kind == RelayLooping || is_intermittent && period > 0);
-    check.reject_if(is_too_short, "every_s", "wanted at least 0.1 s")
+    let reason = format!("wanted at least 0.1 s, not {} s", period as f64 / 1e6);
+    check.reject_if(is_too_short, "every_s", &reason)
 }
 
 fn check_strength(check: &FaultCheck) -> Result<(), InvalidKey> {
     let strength = check.fault.strength.0;
     let is_fraction = matches!(check.fault.kind, LinkLoss | LinkDouble | LinkReorder | LinkDamage);
     let is_out_of_range = is_fraction && !(strength > 0.0 && strength <= 1.0);
-    check.reject_if(is_out_of_range, "strength", "wanted a fraction of datagrams over 0 and at most 1")
+    let reason = format!("wanted a fraction of datagrams over 0 and at most 1, not {strength}");
+    check.reject_if(is_out_of_range, "strength", &reason)
 }
 
 fn check_delay(check: &FaultCheck) -> Result<(), InvalidKey> {
--- a/config/src/scenario/units.rs
+++ b/config/src/scenario/units.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Deserializer};
 
 /// A time of at most one week. Its value is always in microseconds; `UNIT` is the unit in which scenarios
-/// write it, also in microseconds. So `Span(5_000_000)` is 5 s, be it of the type `Secs` or `Millis`.
+/// write it, also in microseconds. So `Span(5_000_000)` is 5 s with `Secs` and with `Millis`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span<const UNIT: u64>(pub Micros);
 /// A time that is written in seconds.
@@ -25,7 +25,8 @@
         const MAX_MICROS: f64 = 7.0 * 86_400e6;
         let micros = number(from)? * UNIT as f64;
         if micros > MAX_MICROS {
-            return Err(D::Error::custom("wanted a time of at most one week"));
+            let message = format!("wanted a time of at most one week, not {} s", micros / 1e6);
+            return Err(D::Error::custom(message));
         }
         Ok(Span(micros.round() as Micros))
     }
--- a/soak/shim/faults.rs
+++ b/soak/shim/faults.rs
@@ -107,10 +107,13 @@
             if path.is_null() {
                 return None;
             }
-            const READ_WRITE: c_int = 2;
-            const SHARED: c_int = 1;
-            let fd = open(path, READ_WRITE);
-            let mapped = mmap(std::ptr::null_mut(), SLOTS * 8, 1 | 2, SHARED, fd, 0);
+            const O_RDWR: c_int = 2;
+            const PROT_READ: c_int = 1;
+            const PROT_WRITE: c_int = 2;
+            const MAP_SHARED: c_int = 1;
+            let fd = open(path, O_RDWR);
+            let protection = PROT_READ | PROT_WRITE;
+            let mapped = mmap(std::ptr::null_mut(), SLOTS * 8, protection, MAP_SHARED, fd, 0);
             if mapped as isize == -1 {
                 return None;
             }
@@ -184,8 +187,9 @@
     }
     let slot = if i64::from(port) == slot_value(CLIENT_PORT) { BROKEN_CLIENT } else { BROKEN_BACKEND };
     let draw = draw_failure(slot)?;
+    const SHUT_RDWR: c_int = 2;
     // SAFETY: `fd` is a TCP socket of this process, whose connection is to break.
-    unsafe { shutdown(fd, 2) };
+    unsafe { shutdown(fd, SHUT_RDWR) };
     Some(fail_with_one_of(draw, &[ETIMEDOUT, EHOSTUNREACH]))
 }
 
