--- a/soak/shim/faults.rs
+++ b/soak/shim/faults.rs
@@ -1,8 +1,8 @@
-//! Fault injection for one relay process, loaded through LD_PRELOAD. System calls fail with errors that Linux
-//! documents for them. The control file, whose path is in the environment variable `FAULTS_FILE`, selects the
-//! calls that fail and how often. It is an array of `SLOTS` 64-bit integers with the indexes below, which the
-//! harness changes while the process runs. Values are failures per thousand calls unless a slot documents
-//! another unit.
+//! Fault injection for one relay process, loaded through LD_PRELOAD. System calls fail with errors that
+//! Linux documents for them. The control file, whose path is in the environment variable `FAULTS_FILE`,
+//! selects the calls that fail and how often. It is an array of `SLOTS` 64-bit integers with the indexes
+//! below, which the harness changes while the process runs. Values are failures per thousand calls unless a
+//! slot documents another unit.
 #![allow(clippy::missing_safety_doc)]
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicI64, AtomicPtr, AtomicU64, Ordering};
@@ -41,7 +41,7 @@
 /// Writes to clients report success, but their bytes are lost. No real system does this. The fault proves
 /// that the oracle detects lost answers.
 const LOST_WRITE: usize = 15;
-/// The value is a port that `connect` cannot reach (ENETUNREACH), as if one machine had no route.
+/// The value is a port that `connect` cannot reach (ENETUNREACH), as if there were no route to one machine.
 const UNREACHABLE: usize = 16;
 
 const EIO: c_int = 5;
@@ -107,10 +107,13 @@
             if path.is_null() {
                 return None;
             }
-            const READ_WRITE: c_int = 2;
-            const SHARED: c_int = 1;
-            let fd = open(path, READ_WRITE);
-            let mapped = mmap(std::ptr::null_mut(), SLOTS * 8, 1 | 2, SHARED, fd, 0);
+            const O_RDWR: c_int = 2;
+            const PROT_READ: c_int = 1;
+            const PROT_WRITE: c_int = 2;
+            const MAP_SHARED: c_int = 1;
+            let fd = open(path, O_RDWR);
+            let protection = PROT_READ | PROT_WRITE;
+            let mapped = mmap(std::ptr::null_mut(), SLOTS * 8, protection, MAP_SHARED, fd, 0);
             if mapped as isize == -1 {
                 return None;
             }
@@ -127,12 +130,14 @@
     control().map_or(0, |slots| slots[slot].load(Ordering::Relaxed))
 }
 
-/// Draws whether a call of this kind fails, and counts the failure. Returns random bits if it fails.
+/// Draws whether a call of the kind `slot` fails, and counts the failure. If the call fails, returns random
+/// bits, with which the caller chooses an error.
 fn draw_failure(slot: usize) -> Option<u64> {
     let per_thousand = slot_value(slot);
     if per_thousand <= 0 {
         return None;
     }
+    // SplitMix64: a counter whose values are mixed, so that threads share the state without a lock.
     let mut x = RANDOM_STATE.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -182,8 +187,9 @@
     }
     let slot = if i64::from(port) == slot_value(CLIENT_PORT) { BROKEN_CLIENT } else { BROKEN_BACKEND };
     let draw = draw_failure(slot)?;
+    const SHUT_RDWR: c_int = 2;
     // SAFETY: `fd` is a TCP socket of this process, whose connection is to break.
-    unsafe { shutdown(fd, 2) };
+    unsafe { shutdown(fd, SHUT_RDWR) };
     Some(fail_with_one_of(draw, &[ETIMEDOUT, EHOSTUNREACH]))
 }
 
@@ -345,7 +351,8 @@
 }
 
 /// Whether a descriptor is a regular file. Sockets and pipes cannot seek, and event descriptors stay at
-/// offset 0 after every seek.
+/// offset 0 after every seek. A file at offset 0 is moved to offset 1 and back to tell it from an event
+/// descriptor.
 unsafe fn is_file(fd: c_int) -> bool {
     const FROM_START: c_int = 0;
     const FROM_CURRENT: c_int = 1;
