--- a/relay/src/net/dial_permit.rs
+++ b/relay/src/net/dial_permit.rs
@@ -1,7 +1,8 @@
-//! Decides whether a dial may start now; no other module does.
+//! Decides whether a dial may start now; no other module does. A dial is one attempt to open a session at a
+//! backend: a connect, the client's first line, and the backend's answer.
 //!
-//! The conditions are checked before the connect and again just before the first byte. Writing the first line
-//! requires a `DialPermit`. Each denial is counted by its reason.
+//! The conditions are checked before the connect and again just before the first byte is written. Writing the
+//! first line requires a `DialPermit`. Each denial is counted by its reason.
 use super::read::{self, ClientState};
 use super::Hub;
 use hallrelay_balancer::types::{Micros, ServerId};
@@ -11,24 +12,24 @@
 /// Proof that all conditions held when it was created. The write of the first line consumes it.
 pub struct DialPermit(());
 
-/// The conditions under which a dial was decided.
+/// The conditions under which the reducer decided a dial.
 #[derive(Clone, Copy, Debug)]
 pub struct DialConditions {
-    /// The backend; `None` for a session that was open there before this process started and must not be sent
-    /// to another one.
+    /// The backend, which must not be draining. `None` if that is not required: a session that was open at
+    /// the backend before this process started may be resumed only there, even if the backend drains.
     pub server: Option<ServerId>,
-    /// The latest start, by the relay's clock in microseconds.
+    /// The latest time at which the first line may begin to be sent, by the relay's clock in microseconds.
     pub start_by: Micros,
 }
 
 /// Why a dial may not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// The client has closed, left, or sent more data.
+    /// The client no longer waits: it has closed its sending side, lost its connection, or sent more data.
     Client(ClientState),
-    /// The dial was decided too long ago, because the process was not scheduled in between.
+    /// The latest start has passed, because the process was not scheduled or the connect took too long.
     Late,
-    /// The backend drains or has left the endpoint list.
+    /// The backend drains, or discovery has removed it: neither may get anything new.
     Draining,
 }
 
@@ -37,9 +38,9 @@
 pub struct Denials {
     /// The client no longer waited.
     pub client: u64,
-    /// The decision was too old.
+    /// The latest start had passed.
     pub late: u64,
-    /// The backend was draining.
+    /// The backend was draining or removed.
     pub draining: u64,
 }
 
@@ -71,7 +72,12 @@
 pub(super) fn check(conditions: DialConditions, client: &TcpStream, hub: &Hub) -> Result<DialPermit, Denied> {
     let Some(reason) = violated(conditions, client, hub) else { return Ok(DialPermit(())) };
     hub.denials.add(reason);
-    slog::debug!(hub.log, "dial not started"; "server" => conditions.server, "why" => ?reason);
+    let server = conditions.server.map_or("not checked".to_string(), |server| server.to_string());
+    let start_by = conditions.start_by;
+    slog::debug!(
+        hub.log, "dial not started; latest start {} us, now {} us", start_by, hub.clock.now();
+        "server" => server, "client" => ?client.peer_addr().ok(), "why" => ?reason
+    );
     Err(reason)
 }
 
@@ -84,6 +90,7 @@
     if conditions.server.is_some_and(|server| hub.draining.borrow().contains(&server)) {
         return Some(Denied::Draining);
     }
-    // After a time in which the process was not scheduled, the dial could exceed the grace period of a drain.
+    // If the process was not scheduled for a while, a drain of the backend may have begun that this process
+    // has not read yet. The limit keeps such a dial within the drain's grace period.
     (hub.clock.now() > conditions.start_by).then_some(Denied::Late)
 }
--- a/relay/src/net/listening_socket.rs
+++ b/relay/src/net/listening_socket.rs
@@ -4,13 +4,14 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Binds an address. Retries for a while if this machine is short of file descriptors or memory.
+/// Binds an address and listens. Retries for 5 s while this machine lacks file descriptors, buffers or
+/// memory.
 ///
 /// # Errors
 /// The error of the call that failed, with the address.
 pub async fn bind(addr: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let with_addr = |e: io::Error| io::Error::new(e.kind(), format!("listen on {addr}: {e}"));
-    socket::retry_without_resources(|| async { bind_now(addr, backlog) }).await.map_err(with_addr)
+    socket::retry_while_out_of_resources(|| async { bind_now(addr, backlog) }).await.map_err(with_addr)
 }
 
 fn bind_now(addr: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
--- a/relay/src/net/membership.rs
+++ b/relay/src/net/membership.rs
@@ -1,6 +1,7 @@
 //! The sockets of membership: a UDP socket for datagrams, and a listening socket on the same port for streams
-//! that carry complete tables. Input that is not a valid packet of this fleet is dropped and counted, and the
-//! number of datagrams read per second is bounded, so that other senders cannot delay sessions.
+//! that carry complete tables of members. Input that is not a valid packet of this fleet is dropped and
+//! counted, and the number of datagrams read per second is bounded, so that other senders cannot delay
+//! sessions.
 use super::{accept, listening_socket, Hub};
 use crate::clock::span;
 use crate::reducer::Event;
@@ -28,11 +29,12 @@
 
 /// Streams of other relays that the system queues until they are accepted.
 const BACKLOG: u32 = 64;
-/// Delay between attempts to bind a port that the predecessor still holds. It closes the port soon after the
-/// handover.
+/// Delay between attempts to bind a port that the predecessor still holds. The predecessor closes the port
+/// soon after the handover.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of slots among which the read limit of a second is divided. A flood stops reading for at most one
-/// slot, which is shorter than the interval after which a ping is repeated.
+/// Number of slots per second; each slot has an equal part of the number of datagrams that may be read per
+/// second. A flood of datagrams stops reading for at most one slot, which is shorter than the interval after
+/// which a ping is repeated.
 const SLOTS_PER_SECOND: u32 = 20;
 
 /// Both sockets, on one port.
@@ -47,7 +49,7 @@
 /// The error of the bind that failed, with the address and its configuration key.
 pub async fn bind(addr: SocketAddr) -> io::Result<BoundSockets> {
     let with_key = |e: io::Error| io::Error::new(e.kind(), format!("fleet.listen {addr}: {e}"));
-    let datagrams = socket::retry_without_resources(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
+    let datagrams = socket::retry_while_out_of_resources(|| UdpSocket::bind(addr)).await.map_err(with_key)?;
     let streams = listening_socket::bind(addr, BACKLOG).await.map_err(with_key)?;
     Ok(BoundSockets { datagrams, streams })
 }
@@ -203,9 +205,11 @@
                 }
             }
             received = socket.recv_from(&mut buffer), if left_in_slot > 0 => {
-                // An error concerns a datagram that was sent earlier; the next read may succeed.
+                // The system reports here that a datagram sent earlier failed. The next read may succeed.
                 let Ok((length, from)) = received else { continue };
                 left_in_slot -= 1;
+                // Datagrams beyond the limit are not read, so they cannot be counted. One drop is counted for
+                // each slot whose limit is reached.
                 if left_in_slot == 0 {
                     *dropped.entry(DropReason::RateLimited).or_default() += 1;
                 }
--- a/relay/src/net/mod.rs
+++ b/relay/src/net/mod.rs
@@ -56,15 +56,16 @@
     },
     /// Proxies lines both ways from now on.
     StartProxying,
-    /// Sends this final answer and closes.
+    /// Sends this final answer and closes the connection.
     FinalAnswer(Vec<u8>),
     /// Sends `MOVE` to the client and ends the session.
     Migrate,
     /// Hands the session over to another process.
     HandOver(ProcessId, Box<SessionState>),
-    /// Closes without an answer.
+    /// Closes the connection without an answer.
     Close,
-    /// Sets whether the backend fails its health checks; if so, an unanswered message counts as lost sooner.
+    /// Sets whether the backend fails its health checks. While it does, an unanswered message counts as lost
+    /// sooner.
     SetSuspect(bool),
     /// Closes the connection, unless it has become a session.
     Shed,
@@ -146,13 +147,13 @@
         (id, commands)
     }
 
-    /// Connects to a server. If there is no route to this server while connections to others are established,
-    /// the failure counts against the server and not against this machine.
-    async fn connect(&self, addr: SocketAddr, by: Instant) -> Result<TcpStream, ConnectError> {
+    /// Connects to a server by a deadline. If there is no route to this server, but another connection was
+    /// established since the call, the failure counts against the server and not against this machine.
+    async fn connect(&self, addr: SocketAddr, deadline: Instant) -> Result<TcpStream, ConnectError> {
         let started_at = self.clock.now();
         let others_connect = || self.last_connected_at.get() >= started_at;
-        let is_remote = |e: &std::io::Error| socket::may_concern_one_route(e) && others_connect();
-        let stream = socket::connect(addr, by, is_remote).await?;
+        let is_remote = |e: &std::io::Error| socket::may_affect_only_one_route(e) && others_connect();
+        let stream = socket::connect(addr, deadline, is_remote).await?;
         self.last_connected_at.set(self.clock.now());
         Ok(stream)
     }
--- a/relay/src/reducer/balancer_effects.rs
+++ b/relay/src/reducer/balancer_effects.rs
@@ -1,4 +1,5 @@
-//! The balancer inside the reducer: steps it, and maps its effects to those of the relay.
+//! The balancer inside the reducer: steps the balancer, and maps its effects to those of the relay. The
+//! balancer calls a health check a probe, and a backend a server.
 use super::session::SessionStage;
 use super::{Effect, Reducer, Timer};
 use hallrelay_balancer::types::{self as balancer, DialEnd, Input, Micros};
@@ -22,7 +23,9 @@
                 session.server = Some(server);
                 session.dials += 1;
                 if let Some(addr) = self.servers.get(&server).map(|server| server.instance.addr) {
-                    self.persist_slow_start_slot(server, session_id, out);
+                    self.persist_slow_start_slot_use(server, session_id, out);
+                    // `self.node` is this relay's configuration. The balancer sets `send_within` only if the
+                    // session's idempotency key limits when the request may be sent.
                     let start_within =
                         self.node.limits.connect_timeout.min(send_within.unwrap_or(Micros::MAX));
                     return out.push(Effect::Dial {
@@ -34,6 +37,7 @@
                         start_within,
                     });
                 }
+                // The server is no longer known here, so nothing was sent.
                 let end = DialEnd::Unconnected;
                 self.step_balancer(
                     Input::DialEnded { session: session_id, dial, end, settled: false, report: None },
--- a/relay/src/reducer/persistence.rs
+++ b/relay/src/reducer/persistence.rs
@@ -1,4 +1,7 @@
-//! The records that a relay stores while it runs, and the state that a start recovers from them.
+//! The records that a relay stores while it runs, and the state that a starting process recovers from them.
+//!
+//! A slot is one dial that this relay may make to a server in slow start, that is, one that is warming up.
+//! The slots are spaced by an interval, so that all relays together do not overload the server.
 use super::{log, Effect, Reducer, Server};
 use hallrelay_balancer::types::{
     Input, Micros, Phase, ServerId, ServerSnapshot, SessionId, SlotSnapshot, Snapshot,
@@ -16,7 +19,8 @@
         out.push(Effect::Persist { record, before: None });
     }
 
-    /// Recovers the state that a start uses from the stored state, and brings the store up to date with it.
+    /// Recovers the state with which this process starts from the stored state, and updates the store:
+    /// obsolete records are removed, and servers that are not stored yet are added.
     pub(super) fn recover_state(
         &mut self,
         now: Micros,
@@ -46,13 +50,14 @@
         recovered
     }
 
-    /// Marks slots at servers in slow start as used if they were used before the restart.
+    /// Marks the slots that were used before the restart as used, at servers in slow start.
     pub(super) fn restore_slow_start_slots(&mut self, recovered: &Recovered, out: &mut Vec<Effect>) {
         if recovered.slow_start_slots.is_empty() {
             return;
         }
         let Snapshot { session_load, servers } = self.balancer.snapshot(self.now);
-        // All other servers stay as the balancer starts with them.
+        // Servers without such a slot keep the state that the balancer gave them at its start. No server's
+        // load report is restored.
         let unreported = servers.into_iter().map(|server| ServerSnapshot { report: None, ..server });
         let mut servers: Vec<ServerSnapshot> = unreported.collect();
         for slot in &recovered.slow_start_slots {
@@ -77,7 +82,7 @@
         })
     }
 
-    /// Stores this relay's name and start number, from which the next start takes a higher one.
+    /// Stores this relay's name and the start number of this process; the next process takes a higher number.
     pub(super) fn persist_identity(&mut self, start_number: u64, out: &mut Vec<Effect>) {
         if self.node.state.is_some() {
             self.persist(Record::relay_identity(&self.node.name, start_number, self.now), out);
@@ -113,9 +118,9 @@
         left_out.map(|instance| Instance { phase: Phase::Gone, ..instance.clone() }).collect()
     }
 
-    /// Stores the use of a slot at a server in slow start before the dial is made, so that a relay that
-    /// crashes repeatedly stays within its rate.
-    pub(super) fn persist_slow_start_slot(
+    /// Stores that this dial uses a slot, if its server is in slow start. The dial waits for the record, but
+    /// not longer than a limit, so that a relay that crashes repeatedly stays within its rate of dials.
+    pub(super) fn persist_slow_start_slot_use(
         &mut self,
         server: ServerId,
         session_id: SessionId,
@@ -128,6 +133,7 @@
         if !entry.in_slow_start(self.now, self.node.site.facts.warm_up) {
             return;
         }
+        // A dial restarts the balancer's full interval to the next slot, so the interval's age is 0 after it.
         let used_now = SlotSnapshot { age: 0, interval_fraction: 1.0 };
         let known = self.balancer.snapshot(self.now);
         let was_used_now = known.servers.iter().any(|known| known.server == server && known.slot == used_now);
--- a/relay/src/reducer/server.rs
+++ b/relay/src/reducer/server.rs
@@ -9,6 +9,7 @@
     pub instance: Instance,
     /// When it started, by this process's clock; 0 for long ago.
     pub started_at: Micros,
+    /// Whether a health check is running; the server is not dropped until it ends.
     pub health_check_pending: bool,
     /// Number of consecutive health checks without any answer.
     pub consecutive_misses: u32,
--- a/relay/src/socket.rs
+++ b/relay/src/socket.rs
@@ -24,62 +24,64 @@
     }
 }
 
-/// Reads if the runtime knows that the stream is readable.
+/// Reads what has arrived, without waiting.
 ///
 /// # Errors
-/// `WouldBlock` if there is nothing to read; any other error means that the connection has ended.
+/// `WouldBlock` if nothing has arrived, or if the runtime has not yet noticed that the stream is readable.
+/// Any other error means that the connection has ended.
 pub fn try_read(stream: &TcpStream, to: &mut [u8]) -> io::Result<usize> {
     uninterrupted(|| stream.try_read(to))
 }
 
-/// Writes as many bytes as the system accepts.
+/// Writes as many bytes as the system accepts, without waiting.
 ///
 /// # Errors
-/// `WouldBlock` if it accepts none; any other error means that the connection has ended.
+/// `WouldBlock` if the system accepts none. Any other error means that the connection has ended.
 pub fn try_write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     uninterrupted(|| stream.try_write(bytes))
 }
 
-/// Why a connection was not established.
+/// Why a connection was not established. The texts do not name the address; the caller's log line does.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine could not start to connect, since it has no free descriptor, port, memory or route at the
-    /// moment. This says nothing about the remote side.
-    #[error("this machine can't connect: {0}")]
+    /// At least one attempt failed on this machine, which had no free descriptor, port, memory or route, and
+    /// no attempt succeeded by the deadline. The error is the last local one. The remote side is not blamed.
+    #[error("not connected by the deadline; last failure of an attempt on this machine: {0}")]
     Local(#[source] io::Error),
     /// The remote side refused the connection, or is unreachable.
-    #[error("{0}")]
+    #[error("the remote side refused the connection or is unreachable: {0}")]
     Remote(#[source] io::Error),
-    /// The connection was not established in time.
-    #[error("the connection was not established in time")]
+    /// The only attempt had neither succeeded nor failed by the deadline.
+    #[error("the connection attempt had no result by the deadline")]
     TimedOut,
 }
 
-/// How long a start retries while the machine lacks resources. A relay has to be ready within 10 s.
+/// How long a starting process retries to open a socket while the machine lacks resources. A relay must be
+/// ready within 10 s of its start.
 const RESOURCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Delay between attempts to open a socket at a start.
+/// Delay between attempts of a starting process to open a socket.
 const RESOURCE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Delay between attempts to connect while this machine cannot. Long enough not to spin, short enough for
+/// Delay between attempts to connect that fail on this machine. Long enough not to spin, short enough for
 /// several attempts within the shortest connect timeout (40 ms).
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Opens a socket at a start, and retries for 5 s while the machine lacks the descriptors, buffers or memory
-/// for it.
+/// Opens a socket when a process starts. Retries for 5 s while the machine lacks the descriptors, buffers or
+/// memory for the socket.
 ///
 /// # Errors
-/// Any other error immediately; after 5 s, the last error.
-pub async fn retry_without_resources<T, F>(mut open: impl FnMut() -> F) -> io::Result<T>
+/// The last error of that kind after 5 s; any other error immediately.
+pub async fn retry_while_out_of_resources<T, F>(mut open: impl FnMut() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
 {
-    const NO_RESOURCES: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
+    const OUT_OF_RESOURCES: [i32; 4] = [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM];
     let deadline = Instant::now() + RESOURCE_TIMEOUT;
     loop {
         match open().await {
             Err(e)
-                if e.raw_os_error().is_some_and(|n| NO_RESOURCES.contains(&n))
+                if e.raw_os_error().is_some_and(|n| OUT_OF_RESOURCES.contains(&n))
                     && Instant::now() < deadline =>
             {
                 sleep(RESOURCE_RETRY_INTERVAL).await;
@@ -89,12 +91,13 @@
     }
 }
 
-/// Whether a local failure may affect only the route to one address.
-pub fn may_concern_one_route(error: &io::Error) -> bool {
+/// Whether a failure to connect may affect only the route to one address, and not all connects of this
+/// machine.
+pub fn may_affect_only_one_route(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|number| [libc::ENETUNREACH, libc::EADDRNOTAVAIL].contains(&number))
 }
 
-/// Whether a failure to connect was caused by this machine.
+/// Whether the system reports a failure to connect as one of this machine.
 fn is_local(error: &io::Error) -> bool {
     const LOCAL: [i32; 9] = [
         libc::EMFILE,
@@ -110,8 +113,8 @@
     error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
 }
 
-/// Connects before a deadline. It retries after local errors, except for those that `is_remote` attributes to
-/// the remote side.
+/// Connects before a deadline, and retries after failures of this machine. A failure that the system reports
+/// as one of this machine is not retried if `is_remote` returns true for it: it then counts as remote.
 ///
 /// # Errors
 /// See `ConnectError`.
@@ -132,7 +135,7 @@
     };
     match timeout_at(deadline, attempts).await {
         Ok(Ok(stream)) => {
-            // Lines are short, and Nagle's algorithm would delay them.
+            // The lines of the protocol are short, and Nagle's algorithm would delay them.
             _ = stream.set_nodelay(true);
             Ok(stream)
         }
@@ -141,10 +144,11 @@
     }
 }
 
-/// A connection for code that would treat an interrupted call as the end of the stream.
+/// A stream that repeats interrupted calls, for libraries that would treat an interrupted call as the end of
+/// the stream.
 ///
-/// After a short read or write, the next one is attempted immediately. The runtime's own streams would first
-/// wait for readiness, which the system signals only when more arrives.
+/// After a read or write of fewer bytes than requested, the next call is attempted immediately. The runtime's
+/// own streams would first wait until the system signals again that the socket is readable or writable.
 pub struct RetryingStream(pub TcpStream);
 
 impl AsyncRead for RetryingStream {
