--- a/relay/src/reducer/coordination.rs
+++ b/relay/src/reducer/coordination.rs
@@ -20,7 +20,8 @@
     pub remaining_sessions: Vec<RemainingSessions>,
 }
 
-/// A granted lease, and when this process first saw it.
+/// A granted lease, and when this process first saw it. A lease permits taking one target, a relay or a
+/// backend, out of service.
 #[derive(Clone, Copy)]
 pub(super) struct LeaseSeen {
     pub lease_id: u64,
@@ -44,15 +45,15 @@
     pub applied_index: Index,
     /// The leader that this relay learned of last; `None` if no leader is known.
     pub leader: Option<Rc<str>>,
-    /// Counts proposals without a known leader: each goes to the next voter.
+    /// Number of proposals made while no leader was known. Each goes to the next voter.
     next_voter: usize,
     /// Pending requests of operators, by the number of their call.
     pub requests: BTreeMap<u32, PendingRequest>,
     last_request_id: u64,
     pub excluded: ExcludedBackends,
-    /// Sessions that all relays together migrate off excluded backends per second.
+    /// Number of sessions that all relays together migrate off excluded backends per second.
     pub moves_per_s: u32,
-    /// This relay's share of these that it has not migrated yet, in thousandths of a session.
+    /// The part of this relay's share that it has not migrated yet, in thousandths of a session.
     pub pending_moves_milli: u64,
     pub reports: BTreeMap<Rc<str>, PeerReport>,
     pub outcome_counts: OutcomeCounts,
@@ -72,7 +73,7 @@
             leader: None,
             next_voter: 0,
             requests: BTreeMap::new(),
-            // This is above all request ids of earlier processes of this relay.
+            // The time is above all request ids of earlier processes of this relay.
             last_request_id: now,
             excluded: ExcludedBackends::default(),
             moves_per_s: config.moves_per_s,
@@ -123,6 +124,7 @@
 
     /// Records when newly granted leases were first seen, and drops leases that have ended.
     pub fn track_leases(&mut self, now: Micros) {
+        // Id 0 stands for a target without a granted lease.
         let granted: BTreeMap<Target, u64> = self
             .state
             .leases()
--- a/relay/src/reducer/disruption_status.rs
+++ b/relay/src/reducer/disruption_status.rs
@@ -1,6 +1,7 @@
 //! The JSON answers of `GET /v1/grants` and `GET /v1/release`. The first has the leases, the budgets and this
 //! relay's role as a voter; the second has the rollout and the targets that are due for an update. The JSON
-//! keys use older terms, so that operators' tools can read them: fields carry them as `rename`.
+//! keys keep older terms for operators' tools: grants are leases, a release is a rollout, and things are
+//! targets. The attribute `rename` sets such a key.
 use super::coordination::Coordination;
 use super::leader_review::EXCLUSION_DELAY;
 use super::Reducer;
--- a/relay/src/reducer/drain_requests.rs
+++ b/relay/src/reducer/drain_requests.rs
@@ -1,13 +1,15 @@
 //! Operators' requests that need a commit: drains, returns, and commands of a rollout. A request is proposed
-//! to the leader repeatedly until it is answered or times out. A granted drain begins only once its beginning
-//! is committed. Times in microseconds.
+//! to the leader repeatedly until it is answered or times out. A drain needs a lease, the permission to take
+//! its target out of service. Once the lease is granted, the drain's beginning is proposed, and the drain
+//! begins only when that is committed. Times in microseconds.
 use super::lifecycle::{LifecycleEvent, LifecycleStatus};
 use super::{Effect, OperatorReply, Reducer, Timer};
 use crate::control_message::{ControlMessage, ProposalResult};
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{Command, CommandError, Outcome, Target};
 
-/// A request that is not granted within this time is answered as blocked. An operator's call may take 2 s.
+/// A request that is not granted within this time is answered as blocked. An operator's call may take at most
+/// 2 s in all.
 const REQUEST_TIMEOUT: Micros = 1_500_000;
 /// Delay between proposals of a request. The answer to one takes a round trip to the leader and a write to
 /// the disks of most voters.
@@ -26,10 +28,10 @@
     pub force: bool,
 }
 
-/// What a pending request waits for.
+/// The event for which a pending request waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum RequestStep {
-    /// The lease of this target.
+    /// The grant of a lease for this target.
     Lease(Target),
     /// The commit of the drain's beginning.
     Begin(Target),
@@ -41,7 +43,7 @@
 pub(super) struct PendingRequest {
     /// The id with which the current step is proposed.
     request_id: u64,
-    /// What is requested, in answers to operators.
+    /// The name of the request in answers to operators: the target, or the confirmation of a command.
     description: String,
     step: RequestStep,
     command: Command,
@@ -88,7 +90,7 @@
         self.add_request(call, request, out);
     }
 
-    /// Proposes one command. Its description is the answer once the command is committed.
+    /// Proposes one command that needs no lease. `description` is part of the answer to the operator.
     pub(super) fn request_commit(
         &mut self,
         call: u32,
@@ -136,8 +138,8 @@
         self.send_control(&to, &ControlMessage::Propose { request_id, command }, out);
     }
 
-    /// Answers a request that has timed out. A lease that was requested is withdrawn, and expires if the
-    /// withdrawal is lost.
+    /// Answers a request that has timed out. If it requested a lease, that request is withdrawn; if the
+    /// withdrawal is lost, a lease that is granted later expires.
     fn give_up_request(&mut self, call: u32, request: PendingRequest, out: &mut Vec<Effect>) {
         if let RequestStep::Lease(target) = request.step {
             let withdrawal = Command::Withdraw { target, request_id: request.request_id }.encode();
@@ -165,7 +167,7 @@
                 coordination.leader =
                     Some(leader.as_str().into()).filter(|leader| *leader != coordination.own_name);
             }
-            // It is proposed again with the same id, so that it is recognized as the same request.
+            // The request is proposed again with the same id, by which the log recognizes a repetition.
             ProposalResult::Unknown => {}
             ProposalResult::Applied(outcome) => self.request_applied(call, outcome, out),
         }
--- a/relay/src/reducer/draining.rs
+++ b/relay/src/reducer/draining.rs
@@ -11,8 +11,8 @@
 const THOUSANDTHS: usize = 1000;
 
 impl Reducer {
-    /// Starts a drain or a stop: its times count from now. The initial credit makes the first batch migrate
-    /// at least one session.
+    /// Starts to count the times of a drain or stop from now; timers of an earlier one are ignored. The
+    /// initial credit makes the first batch migrate at least one session.
     pub(super) fn begin_migration_round(&mut self) {
         self.lifecycle_since = self.now;
         self.migration_round += 1;
@@ -25,8 +25,8 @@
         self.answer_pings(out);
     }
 
-    /// Whether new sessions are accepted. After a drain has begun, they are for a limited time: clients that
-    /// the front sends here later are rejected.
+    /// Whether new sessions are accepted. A draining relay accepts them for a limited time after the drain
+    /// has begun; clients that the front sends here later are rejected.
     pub(super) fn accepts_sessions(&self) -> bool {
         self.draining_since().is_none_or(|since| self.now < since + self.node.limits.drain_admission_time)
     }
@@ -67,7 +67,8 @@
         out.push(Effect::StartTimer { after: BATCH_INTERVAL, timer });
     }
 
-    /// Ends a process that is stopping if it is empty or its time is over. Returns whether it ends.
+    /// Ends this stopping process if it has no sessions or its time is over. Returns whether the process
+    /// ends.
     fn try_to_exit(&mut self, out: &mut Vec<Effect>) -> bool {
         let limits = self.node.limits;
         let elapsed = self.now - self.lifecycle_since;
@@ -84,7 +85,8 @@
             out.extend(idle.map(|idle| Effect::ShedConnection { connection_id: idle.connection_id }));
         }
         let is_empty = self.sessions.is_empty() && idle_connections_are_done;
-        // This is shortly before the process may be killed. Every client has had an answer or `MOVE` by then.
+        // The supervisor may kill the process soon after this time. Every client has had an answer or `MOVE`
+        // by now.
         let is_out_of_time = elapsed >= limits.stop_end_delay + 2 * BATCH_INTERVAL;
         if is_out_of_time || is_empty && (elapsed >= limits.min_stop_delay || is_replaced) {
             self.leave_fleet(out);
@@ -94,8 +96,9 @@
         false
     }
 
-    /// Answers the sessions that still wait when a drain or a stop ends: with a rejection if nothing was
-    /// sent, else with a failure. Their dial timeouts may stem from older settings, and so end later.
+    /// Answers the sessions that still wait when a drain or a stop ends: with a rejection if nothing was sent
+    /// to a backend, else with a failure. Dial timeouts of such sessions may stem from older settings, and so
+    /// end later than the drain or stop.
     fn answer_waiting(&mut self, out: &mut Vec<Effect>) {
         let waiting = self.sessions.iter().filter(|(_, session)| session.stage.awaits_answer());
         let answers: Vec<(SessionId, Effect)> =
--- a/relay/src/reducer/events.rs
+++ b/relay/src/reducer/events.rs
@@ -53,9 +53,9 @@
     Unavailable(LifecycleStatus),
     /// The request is not possible in this state of the relay.
     Conflict(LifecycleStatus),
-    /// The request was not granted or not committed; the reason.
+    /// The request was not granted or not committed, for this reason.
     Blocked(String),
-    /// The command is committed; its confirmation.
+    /// The command is committed. The text confirms that to the operator.
     Committed(String),
     /// The leases or the rollout as JSON; `None` if no voters are configured, or there is no rollout.
     Leases(Option<String>),
@@ -102,7 +102,8 @@
         /// The connection, which may or may not be a session.
         session_id: SessionId,
     },
-    /// A client closed its sending side while it waited for its final answer. It has left, or still reads.
+    /// A client closed its sending side while it waited for its final answer. The client may have left, or
+    /// may still read.
     ClientHalfClosed {
         /// The session.
         session_id: SessionId,
@@ -116,7 +117,8 @@
         /// The dial's number within the session, from 0.
         dial: u32,
     },
-    /// A dial was not started, since this machine could not, or since the backend drains. It does not count.
+    /// A dial was not started, since this machine could not connect, or since the backend drains. Such a dial
+    /// is not counted as a dial of the session.
     DialNotStarted {
         /// The session.
         session_id: SessionId,
@@ -250,7 +252,7 @@
     LeaderReview,
     /// The next proposal of an operator's pending request is due, by the number of the call.
     PendingRequest(u32),
-    /// The endpoint list is to be watched again, if the balancer does not request that itself.
+    /// A failed watch on the endpoint list is to be reopened, if the balancer does not request that itself.
     RequestEndpointList,
     /// The next poll of other relays for the endpoint list is due, while discovery is unavailable.
     PollPeers,
@@ -289,7 +291,8 @@
         session_id: SessionId,
         /// The dial's number within the session, from 0.
         dial: u32,
-        /// The backend; `None` for a session that was open there before this process started.
+        /// The backend; `None` for a session that is resumed at the backend at which it was open before this
+        /// process started. That dial is made even if the backend drains.
         server: Option<ServerId>,
         /// The backend's address.
         addr: SocketAddr,
@@ -404,7 +407,7 @@
     Persist {
         /// The record.
         record: Record,
-        /// The session whose dial waits until the record is durable, or until the limit for that is reached.
+        /// The session whose next dial waits until the record is durable, or until the limit of that wait.
         before: Option<SessionId>,
     },
     /// Writes records of the voter. `VoterWritesDurable` reports when all of them are durable.
--- a/relay/src/reducer/excluded_backends.rs
+++ b/relay/src/reducer/excluded_backends.rs
@@ -1,6 +1,6 @@
-//! Backends that the replicated log excludes: they get no new sessions, and all relays together migrate their
-//! open sessions at one rate. The exclusions received last hold until a later message, so a relay without a
-//! leader readmits no backend.
+//! Backends that the replicated log excludes, since their lease takes them out of service: they get no new
+//! sessions, and all relays together migrate their open sessions at one rate. The exclusions received last
+//! hold until a later message, so a relay without a leader readmits no backend.
 use super::coordination::ExcludedBackends;
 use super::{log, Effect, Reducer, SessionStage};
 use crate::control_message::RemainingSessions;
@@ -40,7 +40,8 @@
         self.apply_exclusion(&changed, out);
     }
 
-    /// Applies the list's entries of these backends once more, with the phase that they have now.
+    /// Applies the known list entries of these backends again, so that their phase follows the new
+    /// exclusions.
     fn apply_exclusion(&mut self, changed: &[String], out: &mut Vec<Effect>) {
         let listed = changed.iter().filter_map(|id| self.servers.get(self.ids.get(id)?));
         let instances: Vec<Instance> = listed.map(|server| server.instance.clone()).collect();
@@ -81,7 +82,7 @@
         to_migrate.collect()
     }
 
-    /// Number of this relay's sessions that remain at each excluded backend with any.
+    /// Number of this relay's open sessions at each excluded backend. Backends without any are left out.
     pub(super) fn own_remaining_sessions(&self) -> Vec<RemainingSessions> {
         let mut remaining: Vec<RemainingSessions> = Vec::new();
         for SessionToMigrate { backend, .. } in self.sessions_to_migrate() {
@@ -93,7 +94,8 @@
         remaining
     }
 
-    /// Migrates this relay's share of one second's migrations. A fraction of a session is carried over.
+    /// Migrates this relay's share of one second's migrations. A fraction of a session, in thousandths, is
+    /// carried over to the next second.
     pub(super) fn migrate_excluded(&mut self, out: &mut Vec<Effect>) {
         let sessions = self.sessions_to_migrate();
         let relays = u64::from(self.node.site.facts.relay_count.max(1));
--- a/relay/src/reducer/leader_review.rs
+++ b/relay/src/reducer/leader_review.rs
@@ -1,6 +1,9 @@
 //! Each relay reports its status to the voters once a second. The leader then reviews the fleet: it commits
-//! its observations of relays and backends, expires granted leases that were not begun, returns relays that
-//! serve again, and notifies all relays which backends are excluded. Times in microseconds.
+//! its observations of relays and backends, expires granted leases whose drain was not begun, returns relays
+//! that serve again, and notifies all relays which backends are excluded. Times in microseconds.
+//!
+//! A lease permits taking one target, a relay or a backend, out of service. An excluded backend is out of
+//! service by its lease: it gets no new sessions.
 use super::{Effect, Reducer, Server, Timer};
 use crate::control_message::{ControlMessage, RelayStatus};
 use hallrelay_balancer::types::{Micros, Phase};
@@ -13,15 +16,15 @@
 /// Largest number of commands per review. After a partition that affects a thousand targets, all commands are
 /// committed within a few seconds.
 const MAX_COMMANDS: usize = 64;
-/// Time after the grant from which a relay's report that it serves is believed. A relay that began to drain
-/// has reported that by then.
+/// Time after the grant of a relay's lease from which the relay's report that it serves is believed. A relay
+/// that began to drain has reported the drain by then.
 const SERVING_AGAIN_DELAY: Micros = 3 * REVIEW_INTERVAL;
-/// Reports received this long after a lease was granted were sent after the relay was notified that the
-/// backend is excluded.
+/// Time after the grant of a backend's lease from which the sessions that relays report there are believed. A
+/// report received after this time was sent by a relay that knew that the backend is excluded.
 pub(super) const EXCLUSION_DELAY: Micros = 3 * REVIEW_INTERVAL;
 /// Number of consecutive health checks or connects without an answer after which a backend is down.
 const MAX_MISSES: u32 = 2;
-/// Request id of a review's commands: no request waits for their result.
+/// Request id of a review's commands. It is never assigned to a request, since none waits for their results.
 const NO_REQUEST: u64 = 0;
 
 /// The leader's observation of a target.
@@ -128,9 +131,9 @@
             .then(|| Command::Expire { target: target.clone(), lease_id: lease.lease_id })
     }
 
-    /// The command that returns a relay which is out of service, but reports that it serves: it is back, or
-    /// never began to drain. A relay that is out for the rollout continues to serve, and the deployer reports
-    /// when it is updated.
+    /// The command that returns a relay whose lease is out of service, but which reports that it serves: the
+    /// relay is back, or never began to drain. Excepted are relays that are out of service for a rollout:
+    /// they still serve, and the deployer reports when they are updated.
     fn relay_return(&self, target: &Target, lease: &Lease) -> Option<Command> {
         let coordination = self.coordination.as_ref()?;
         let Target::Relay(name) = target else { return None };
--- a/relay/src/reducer/lifecycle.rs
+++ b/relay/src/reducer/lifecycle.rs
@@ -37,7 +37,7 @@
     TakeOverDraining,
     /// The successor takes over.
     HandOver,
-    /// The successor exited, in whatever way.
+    /// The successor exited, as intended or not.
     SuccessorExited,
 }
 
@@ -268,7 +268,8 @@
     pub(super) fn answer_pings(&mut self, out: &mut Vec<Effect>) {
         let accepts = match self.lifecycle {
             Lifecycle::Serving if self.has_servers() => true,
-            // These connections were accepted before the handover. Both processes are one relay: it serves.
+            // These connections were accepted before the handover. Both processes are one relay, which
+            // serves.
             Lifecycle::HandedOver | Lifecycle::HandedOverStopping => true,
             Lifecycle::Draining | Lifecycle::HandedOverDraining => false,
             Lifecycle::AwaitingTakeover | Lifecycle::Serving | Lifecycle::Stopping => return,
--- a/relay/src/reducer/listener_ownership.rs
+++ b/relay/src/reducer/listener_ownership.rs
@@ -21,13 +21,13 @@
     pub sessions: u32,
 }
 
-/// Interval of reports to the successor on what remains in this process. They are frequent, so that the
-/// successor can use the freed capacity before clients return.
+/// Interval of reports to the successor on what remains in this process. The reports are frequent, so that
+/// the successor can use the freed capacity before clients return.
 const PROGRESS_INTERVAL: Micros = 100_000;
 
 impl Reducer {
-    /// Ends the start. Without a predecessor this process owns the listening socket; otherwise it notifies
-    /// the predecessor that it is ready.
+    /// Completes the start. Without a predecessor this process owns the listening socket; otherwise it
+    /// notifies the predecessor that it is ready to take over.
     pub(super) fn begin_ownership(&mut self, out: &mut Vec<Effect>) {
         match self.ownership.awaited_predecessor() {
             Some(process) => out.push(Effect::SendToProcess { peer: process, message: Message::Ready {} }),
@@ -87,8 +87,8 @@
         self.step_membership(MembershipEvent::Activate, out);
     }
 
-    /// Hands over to the successor in one step: from now on it accepts connections, and has the state of this
-    /// process.
+    /// Hands over to the successor in one step: from now on the successor accepts connections, and has the
+    /// state of this process.
     fn hand_over_to(&mut self, process: ProcessId, out: &mut Vec<Effect>) {
         let state = Box::new(self.relay_state());
         self.reported_remaining =
@@ -96,7 +96,8 @@
         log("the successor takes over from this process", out);
         out.push(Effect::SetTakeoverListener { open: false });
         self.apply_lifecycle_event(LifecycleEvent::HandOver, out);
-        // Only one process may take part in membership for the relay: this one stops before the other starts.
+        // Only one process may take part in membership for the relay: this one stops before the successor
+        // starts.
         self.step_membership(MembershipEvent::Deactivate, out);
         self.stop_voter();
         out.push(Effect::SetStoreOwnership { owned: false });
@@ -207,8 +208,9 @@
         }
     }
 
-    /// Handles a list that discovery sent the predecessor. Until discovery has answered this process, it is
-    /// used like a list of its own; afterwards only newer drains and removals are used.
+    /// Handles a list that discovery sent the predecessor. A list that is not newer than this process's own
+    /// is ignored. Once discovery has answered this process, only the drains and removals of the list are
+    /// used.
     fn receive_predecessor_list(&mut self, list: &serde_json::Value, out: &mut Vec<Effect>) {
         let Ok(mut list) = list::parse(list.to_string().as_bytes()) else { return };
         if self.list_version.is_some_and(|own| own >= list.generation) {
--- a/relay/src/reducer/membership.rs
+++ b/relay/src/reducer/membership.rs
@@ -3,7 +3,6 @@
 //! relays, however many are reachable.
 use super::lifecycle::Lifecycle;
 use super::{log, Effect, Reducer, Timer};
-use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_membership::message::MAX_LISTENERS;
 use hallrelay_membership::status::Status;
@@ -26,14 +25,15 @@
     pub peer_lists_accepted: u64,
 }
 
-/// The membership of a relay that starts now; `None` if no fleet is configured.
-pub(super) fn new_membership(node: &Node, now: Micros) -> Option<Membership> {
+/// The membership of a process that starts; `None` if no fleet is configured. Among the starts of this relay,
+/// the latest one has the highest `start_number`.
+pub(super) fn new_membership(node: &Node, start_number: u64) -> Option<Membership> {
     let fleet = node.fleet.as_ref()?;
     Some(Membership::new(LocalMember {
         fleet: fleet.name.as_str().into(),
         name: node.name.as_str().into(),
         addr: fleet.advertise,
-        start: now,
+        start: start_number,
         metadata: MemberMetadata::default(),
         peers: fleet.peers.clone(),
         configured_relays: node.site.facts.relay_count as usize,
@@ -142,6 +142,7 @@
         let membership = self.membership.as_ref()?;
         let count = |state| membership.members().filter(|member| member.state() == state).count();
         let mut members_by_state = MemberState::ALL.map(count);
+        // `members` does not include this relay. The first state is alive.
         members_by_state[0] += 1;
         Some(Box::new(MembershipMetrics {
             counters: membership.counters.clone(),
--- a/relay/src/reducer/mod.rs
+++ b/relay/src/reducer/mod.rs
@@ -1,9 +1,10 @@
 //! The reducer owns all state of a relay: [`Reducer::step`] takes an event and appends effects, which the
 //! tasks of `net` carry out.
 //!
-//! It reads no clock, no socket and no unseeded randomness, so the same events give the same effects. The
-//! balancer makes the load-balancing decisions: the reducer maps events to the balancer's inputs, and the
-//! balancer's effects to dials, answers and timers.
+//! The reducer reads no clock, no socket and no unseeded randomness, so the same events give the same
+//! effects. The balancer makes the load-balancing decisions: the reducer maps events to the balancer's
+//! inputs, and the balancer's effects to dials, answers and timers. A backend is called server in names, as
+//! in the balancer.
 //!
 //! Four rules hold at all times:
 //! 1. Each session gets exactly one final answer before its deadline, and nothing after it.
@@ -11,7 +12,7 @@
 //!    attempt can have run.
 //! 3. Nothing new is sent to a backend later than the drain grace after this relay was notified that the
 //!    backend drains or is removed.
-//! 4. All relays together do not overload a backend in slow start.
+//! 4. All relays together do not overload a backend in slow start, that is, while it warms up.
 //!
 //! Silence from other relays never makes a relay admit or dial more.
 mod balancer_effects;
@@ -127,13 +128,13 @@
     reported_counts: SessionCounts,
     /// When discovery answered last; `None` if it has not answered since the start.
     last_discovery_answer_at: Option<Micros>,
-    /// When discovery gave the answer before that.
+    /// When discovery gave the answer before the last one.
     previous_discovery_answer_at: Option<Micros>,
-    /// Number of other relays' lists that were received before discovery answered.
+    /// Number of endpoint lists received from other relays before discovery first answered this one.
     peer_lists_received: u32,
-    /// Whether discovery had answered one of those relays.
+    /// Whether discovery had answered one of the relays that sent these lists.
     peer_knew_discovery: bool,
-    /// Servers that discovery removed, and when each had started.
+    /// Servers that discovery removed, by name, with the start time of each.
     removed_servers: BTreeMap<String, Micros>,
     connect_failures: ConnectFailureStreak,
     /// Connections and sessions that the predecessor still has.
@@ -200,7 +201,8 @@
         let stored_list = (!recovered.list.instances.is_empty()).then(|| recovered.list.clone());
         let initial_list = stored_list.unwrap_or(List { is_complete: true, ..self.node.known.clone() });
         self.list_version = Some(initial_list.generation);
-        // The Unix time, or a higher number if the store has a start number that is not below it.
+        // Each start has a higher number than the one before: the Unix time, or if the store has a start
+        // number that is not below the time, the next number after that one.
         let start_number = now.max(recovered.min_start_number);
         self.membership = membership::new_membership(&self.node, start_number);
         self.apply_list(initial_list, out);
@@ -209,7 +211,7 @@
             self.persist_identity(start_number, out);
             self.start_polling_peers(out);
         }
-        // If the balancer must watch, it requests the watch itself.
+        // If `must_watch` is set, the balancer requests the watch itself.
         if !self.node.site.facts.must_watch {
             self.watch_endpoints(out);
         }
@@ -267,8 +269,8 @@
             Timer::Balancer(label) => self.step_balancer(Input::TimerExpired { label }, out),
             Timer::DialResumingSession(session_id) => self.dial_resuming_session(session_id, out),
             Timer::AnswerDeadline(session_id) => {
-                // Normally the dial has ended and the balancer has answered by now. This guards against a
-                // task that does not end its dial.
+                // Normally the dial has ended and the balancer has answered by now. The timer guards against
+                // a task that does not end its dial.
                 if self.sessions.get(&session_id).is_some_and(|session| session.stage.awaits_answer()) {
                     self.deadline_expired(session_id, out);
                 }
--- a/relay/src/reducer/outcome_counts.rs
+++ b/relay/src/reducer/outcome_counts.rs
@@ -1,5 +1,5 @@
-//! Counts of sessions by target, from the reports of all relays: in total, and since the current wave of a
-//! rollout began.
+//! Counts of sessions by target, from the reports of all relays: in total, and during the current wave of a
+//! rollout, which is a group of relays or backends that are updated together.
 use hallrelay_balancer::types::Micros;
 use hallrelay_disruption::{ItemState, Rollout, RolloutPhase, SessionCounts, Target};
 use std::collections::BTreeMap;
--- a/relay/src/reducer/peer_list.rs
+++ b/relay/src/reducer/peer_list.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// How long a start waits for discovery before the first poll. Discovery answers within milliseconds if it is
-/// available.
+/// How long a starting process waits for discovery before it first polls another relay. Discovery answers
+/// within milliseconds if it is available.
 const FIRST_POLL_DELAY: Micros = 500_000;
-/// Interval between polls of one member each, until one answers whose discovery was available. Peers that
-/// started at the same time know only their own configuration.
+/// Interval between polls, each of one other relay, until a relay answers that discovery had answered. Relays
+/// that started at the same time know only their own configuration.
 const POLL_INTERVAL: Micros = 500_000;
-/// Interval between polls after such an answer.
+/// Interval between polls after a relay has answered that discovery had answered it.
 const SLOW_POLL_INTERVAL: Micros = 10_000_000;
 /// Largest number of removed servers that are recorded. Beyond it, the first ones by name are dropped.
 const MAX_REMOVED_SERVERS: usize = 4_096;
@@ -24,7 +24,7 @@
 struct PeerList {
     /// The address of the discovery service that sent the list. Versions of another one can't be compared.
     source: String,
-    /// How long ago discovery answered the relay, in milliseconds; `None` if it never did.
+    /// Time since discovery last answered the relay, in milliseconds; `None` if it never did.
     age_ms: Option<u64>,
     /// The list in discovery's format.
     list: Value,
--- a/relay/src/reducer/restart_detection.rs
+++ b/relay/src/reducer/restart_detection.rs
@@ -1,9 +1,9 @@
 //! Detects restarts of servers from their own answers while discovery is unavailable: a server that
 //! accepted no connection and then answers has most likely restarted in between, and gets a slow start.
 //!
-//! After a power loss, restarts are not reported, and according to an old list no server is warming up. If
-//! only the network was interrupted, the servers go through one needless slow start, unless discovery reports
-//! otherwise.
+//! After a power loss, discovery reports no restarts, and according to the list from before no server is
+//! warming up. If only the network was interrupted, the servers go through one needless slow start, unless
+//! discovery reports otherwise.
 use super::Reducer;
 use hallrelay_balancer::types::{DialEnd, Input, ListUpdate, ServerId};
 
@@ -27,9 +27,9 @@
 impl ConnectFailureStreak {
     /// Adds a failure. Returns true once per streak: when it becomes long enough.
     fn add(&mut self, server: ServerId) -> bool {
-        let slot = self.servers.iter().position(|slot| slot.is_none_or(|known| known == server));
-        if let Some(slot) = slot {
-            self.servers[slot] = Some(server);
+        let place = self.servers.iter().position(|entry| entry.is_none_or(|known| known == server));
+        if let Some(place) = place {
+            self.servers[place] = Some(server);
         }
         let was_complete = self.is_complete();
         self.failures = self.failures.saturating_add(1);
@@ -41,8 +41,8 @@
     }
 }
 
-/// Whether the end of a dial or health check proves that the server is running. A timeout does not: the
-/// connection was established, but no answer came.
+/// Whether the end of a dial or health check proves that the server is running. A timeout does not prove it:
+/// the connection was established, but no answer came.
 fn is_answer(end: DialEnd) -> bool {
     matches!(end, DialEnd::Ok | DialEnd::Full | DialEnd::Error | DialEnd::Cancelled)
 }
--- a/relay/src/reducer/rollout.rs
+++ b/relay/src/reducer/rollout.rs
@@ -1,5 +1,6 @@
-//! A relay's part in a rollout: it counts its sessions and reports them, and the leader analyzes the current
-//! wave from the reports of all relays. The replicated state does everything else.
+//! A relay's part in a rollout, which installs a new build on relays or backends in waves, one group of
+//! targets after another. Each relay counts its sessions and reports them, and the leader analyzes the
+//! current wave from the reports of all relays. The replicated state does everything else.
 use super::{Reducer, ServerId};
 use crate::control_message::TargetCounts;
 use hallrelay_balancer::types::DialEnd;
@@ -30,8 +31,8 @@
     pub(super) fn take_session_counts(&mut self) -> Vec<TargetCounts> {
         let own =
             TargetCounts { target: Target::Relay(self.node.name.clone()), counts: self.take_own_counts() };
-        // Backends with the most sessions come first. The count of one that is left out grows until it is
-        // included.
+        // Backends with the most sessions come first. The counts of a backend that is left out grow until it
+        // is among the first.
         let mut counted: Vec<_> =
             self.servers.values_mut().filter(|server| server.session_counts.sessions > 0).collect();
         counted.sort_by_key(|server| Reverse(server.session_counts.sessions));
--- a/relay/src/reducer/servers.rs
+++ b/relay/src/reducer/servers.rs
@@ -10,12 +10,14 @@
 /// be missed because of a short overload.
 const SUSPECT_AFTER_MISSES: u32 = 2;
 
-/// Longest delay with which discovery reports a start: some ten seconds, and more if it is slow.
+/// Upper bound of the delay with which discovery reports a start. The usual delay is some ten seconds, and it
+/// is longer if discovery is slow.
 const MAX_START_REPORT_DELAY: Micros = 60_000_000;
 
 impl Reducer {
-    /// Handles the end of a health check. If several consecutive ones got no answer, the backend's open
-    /// sessions are notified that it is suspect: otherwise each would find out only by a message of its own.
+    /// Handles the end of a health check. If several consecutive checks got no answer, the backend's open
+    /// sessions are notified that it is suspect. Otherwise each session would detect the failure only after
+    /// the long wait for the answer to a message of its own.
     pub(super) fn health_check_ended(
         &mut self,
         server: ServerId,
@@ -90,6 +92,7 @@
             Some(&server) => server,
             None => {
                 let mut server = server_id(&instance.id);
+                // Another server's name may have the same hash. The next free number is used then.
                 while self.servers.contains_key(&server) {
                     server = server.wrapping_add(1);
                 }
@@ -109,6 +112,7 @@
         };
         let entry = self.servers.entry(server).or_insert_with(new_server);
         (entry.instance, entry.started_at) = (instance.clone(), started);
+        // `u8::MAX` stands for a zone that the configuration does not name.
         let zone = self.node.site.zones.iter().position(|name| *name == instance.zone);
         let zone = zone.and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX);
         let phase = self.phase(&instance);
@@ -118,9 +122,9 @@
     /// When a server started, by this process's clock; 0 for long ago.
     ///
     /// The times in the list are from another machine's wall clock, and either clock may have been adjusted.
-    /// In two cases the listed time is wrong, and the server counts as started now, since it may be warming
-    /// up: its time is ahead of this clock, or it first appears in a change to the list although its time is
-    /// long before the previous list, which did not name it.
+    /// The listed time is taken as wrong in two cases: it is ahead of this process's clock, or it first
+    /// appears in a change to the list, but is long before the previous list, which did not have it. The
+    /// server then counts as started now, since it may be warming up.
     fn local_start(&self, server: ServerId, listed_start: Micros, update: ListUpdate) -> Micros {
         if listed_start == 0 {
             return 0;
--- a/relay/src/reducer/session.rs
+++ b/relay/src/reducer/session.rs
@@ -36,7 +36,7 @@
     pub server: Option<ServerId>,
     /// Number of dials so far.
     pub dials: u32,
-    /// When the final answer is due.
+    /// When the final answer is due, at the latest `answer_margin` before the client's own deadline.
     pub deadline: Micros,
     /// When the backend last reported a load.
     pub last_load_at: Option<Micros>,
--- a/relay/src/reducer/session_handover.rs
+++ b/relay/src/reducer/session_handover.rs
@@ -51,8 +51,8 @@
         out: &mut Vec<Effect>,
     ) {
         let listeners = &self.node.site.listeners;
-        // The configuration of this process may no longer have the session's listener. An open session does
-        // not need it.
+        // The configuration of this process may no longer have the session's listener, which an open session
+        // does not need. The first listener then stands in for it.
         let listener = listeners.iter().position(|name| *name == state.listener).unwrap_or(0);
         let SessionState { key, group, returned, .. } = state;
         let request = AdmissionRequest { listener, key, group, returned, time_remaining: 0 };
--- a/relay/src/reducer/sessions.rs
+++ b/relay/src/reducer/sessions.rs
@@ -18,7 +18,8 @@
 }
 
 impl Reducer {
-    /// Whether this dial of the session is in progress. Events of earlier dials are ignored.
+    /// Whether this dial of the session, numbered from 0, is in progress. Events of earlier dials are
+    /// ignored.
     fn is_current_dial(&self, session_id: SessionId, dial: u32) -> bool {
         let is_current =
             |session: &Session| session.stage == SessionStage::Dialing && session.dials == dial + 1;
@@ -37,7 +38,8 @@
     }
 
     /// Removes a session without an answer, since its client left or violated the protocol, or another
-    /// process took it over. The balancer is notified, unless the session still waits to be resumed.
+    /// process took the session over. The balancer is notified, unless the session still waits to be resumed:
+    /// the balancer does not know such a session.
     pub(super) fn abandon_session(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         self.metrics.of_listener(&session.listener).abandoned += u64::from(session.stage.awaits_answer());
@@ -53,15 +55,15 @@
         self.pending_pings.retain(|connection_id| *connection_id != session_id);
     }
 
-    /// Handles a client that closed its sending side before it was answered. It may have left, so nothing is
-    /// forwarded; it may still read, so its final answer is sent.
+    /// Handles a client that closed its sending side before it was answered. The client may have left, so
+    /// nothing is forwarded; or it may still read, so its final answer is sent.
     pub(super) fn client_half_closed(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get(&session_id) else { return };
         out.push(final_answer(session_id, session.dials));
         self.abandon_session(session_id, out);
     }
 
-    /// Ends a session. Its connection stays until the final answer is sent.
+    /// Removes a session. Its connection counts as idle until the final answer is sent.
     pub(super) fn remove_session(&mut self, session_id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&session_id)?;
         self.client_session_ids.remove(&session.client_session_id);
@@ -132,7 +134,8 @@
         self.node.site.listeners.iter().position(|name| *name == open.listener)
     }
 
-    /// Whether the sessions of this process and its predecessor together exceed the limit.
+    /// Whether the sessions of this process and its predecessor together exceed the limit; false if the
+    /// predecessor has none.
     fn is_full(&self) -> bool {
         let remaining = self.predecessor_remaining.sessions;
         remaining > 0 && self.sessions.len() as u32 + remaining > self.node.limits.max_sessions
@@ -151,8 +154,9 @@
     /// other place that sends one; it counts the session as abandoned.
     ///
     /// The check for late answers guards rule 1 if this process was not scheduled for long: a client accepts
-    /// an answer up to half a second after its deadline, so a late one is still sent until then. Without any
-    /// answer the session would count as lost. Later the connection is closed without an answer.
+    /// an answer up to half a second after its deadline, so a late one is still sent until then, since
+    /// without any answer the session would count as lost. After that the connection is closed without an
+    /// answer.
     pub(super) fn send_final_answer(&mut self, session_id: SessionId, answer: Effect, out: &mut Vec<Effect>) {
         let Some(session) = self.remove_session(session_id) else { return };
         let outcomes = self.metrics.of_listener(&session.listener);
@@ -183,7 +187,7 @@
         out.push(Effect::Dial { session_id, dial, server: None, addr, timeout, start_within });
     }
 
-    /// The final answer is due, and no dial has given one.
+    /// Handles a deadline that passed without a final answer: the session is answered with a failure.
     pub(super) fn deadline_expired(&mut self, session_id: SessionId, out: &mut Vec<Effect>) {
         self.answer_waiting_session(session_id, Effect::TearDown { session_id }, out);
     }
@@ -208,6 +212,8 @@
         if !self.is_current_dial(session_id, dial) {
             return;
         }
+        // The deadline is `answer_margin` before the client's own, or earlier, so an answer that is late by
+        // at most that margin is still used.
         let earliest_deadline = self.now.saturating_sub(self.node.limits.answer_margin);
         let Some(session) =
             self.sessions.get_mut(&session_id).filter(|session| session.deadline >= earliest_deadline)
@@ -260,7 +266,7 @@
         self.step_balancer(Input::DialEnded { session: session_id, dial, end, settled, report }, out);
     }
 
-    /// Handles a dial that was not started. It does not count, and the balancer decides again while the
+    /// Handles a dial that was not started. The dial is not counted, and the balancer decides again while the
     /// session waits.
     pub(super) fn dial_not_started(&mut self, session_id: SessionId, dial: u32, out: &mut Vec<Effect>) {
         if !self.is_current_dial(session_id, dial) || self.retries_resuming(session_id, out) {
@@ -271,8 +277,8 @@
         self.step_balancer(Input::DialNotStarted { session: session_id, dial }, out);
     }
 
-    /// Marks a session as waiting, since its dial has ended. If the session is to be resumed, its backend is
-    /// dialled again after a delay, and true is returned.
+    /// Marks a session as waiting, since its dial has ended. Returns whether the session is to be resumed:
+    /// then its backend is dialled again after a delay, and the balancer is not notified.
     fn retries_resuming(&mut self, session_id: SessionId, out: &mut Vec<Effect>) -> bool {
         let Some(session) = self.sessions.get_mut(&session_id) else { return false };
         session.stage = SessionStage::AwaitingPlacement;
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -31,16 +31,17 @@
                 ids: stored.exclusions.backends.clone(),
             };
         }
-        // A voter without readable stored state does not know its earlier votes, so it must not vote.
+        // Without readable stored state, this relay does not know its earlier votes, so it must not vote.
         if stored.is_none() || !coordination.is_voter() || coordination.voter.is_running() {
             return;
         }
         let known = own.and_then(|own| Some((own.incarnation?, own.raft.clone())));
         let (incarnation, log) = known.unwrap_or_else(|| {
             log("the store has no vote of this relay: it joins as a new voter and votes once admitted", out);
+            // A new incarnation, which identifies the disk. It is never 0, which stands for any disk.
             (self.node.seed ^ now.rotate_left(20) | 1, raft::PersistentState::default())
         });
-        // This is written before the first vote, since an incarnation that is not on disk would differ after
+        // The incarnation is written before the first vote, since one that is not on disk would differ after
         // a restart.
         out.push(Effect::Persist {
             record: Record::vote(incarnation, log.term, log.voted_for),
@@ -68,7 +69,8 @@
         self.apply_raft_effects(effects, out);
     }
 
-    /// The voter's writes up to `number` are durable. Writes of an earlier start of the voter are ignored.
+    /// Notifies the voter that its writes up to `number` are durable. Those of an earlier start of the voter
+    /// are ignored.
     pub(super) fn raft_written(&mut self, start: u32, number: u64, out: &mut Vec<Effect>) {
         if self.coordination.as_ref().is_some_and(|coordination| coordination.voter.starts() == start) {
             self.step_raft(Event::WritesDurable(number), out);
@@ -129,6 +131,7 @@
 
     fn leadership_changed(&mut self, is_leader: bool, term: u64, out: &mut Vec<Effect>) {
         let Some(coordination) = &mut self.coordination else { return };
+        // A new leader counts the time of each lease from when it first sees the lease.
         coordination.leases_seen.clear();
         if is_leader {
             coordination.leader = Some(coordination.own_name.clone());
@@ -137,7 +140,8 @@
         log(format!("this relay {change} leader of the replicated log, term {term}"), out);
     }
 
-    /// Stops the voter of an older build, which would apply the log differently from the others.
+    /// Stops the voter of this older build, which would apply the log differently from voters of later
+    /// builds.
     fn stop_outdated_voter(&mut self, what: &str, out: &mut Vec<Effect>) {
         log(format!("{what} in the replicated log is from a later build: this relay stops voting"), out);
         self.stop_voter();
--- a/relay/src/reducer/watch.rs
+++ b/relay/src/reducer/watch.rs
@@ -47,7 +47,8 @@
             return;
         }
         match self.node.limits.discovery_retry_delay {
-            // If lists are pushed, this relay counts as notified of changes even while no watch is open.
+            // There is a retry delay if lists are pushed. This relay must then obey changes within the drain
+            // grace even while no watch is open, so it reopens the watch itself, without the balancer.
             Some(after) => out.push(Effect::StartTimer { after, timer: Timer::RequestEndpointList }),
             None => self.step_balancer(
                 Input::EndpointList { update: ListUpdate::WatchFailed, endpoints: Vec::new() },
