--- a/relay/src/net/accept.rs
+++ b/relay/src/net/accept.rs
@@ -8,15 +8,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 
-/// Delay after a failed `accept`. Long enough not to spin while file descriptors are short; short against
-/// every dial timeout and the second within which an operator must be answered.
+/// Delay after a failed `accept`. Long enough not to spin while file descriptors are short; much shorter than
+/// every dial timeout and than the second within which an operator must be answered.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Accepts connections until the process ends. `accepting` is true while this process owns the listening
 /// socket, and false while another process accepts its connections.
 pub async fn run(listening_socket: Rc<TcpListener>, mut accepting: watch::Receiver<bool>, hub: Hub) {
-    // `max_shedding_connections` come on top of the limit, so that a new connection waits only until an
-    // earlier one is shed.
+    // The connections in `max_shedding_connections` exceed the limit that the reducer enforces, so that a new
+    // connection can be accepted while an earlier one is being shed for it.
     let permits =
         Arc::new(Semaphore::new(hub.limits().max_client_connections + hub.limits().max_shedding_connections));
     loop {
@@ -57,8 +57,8 @@
                 _ = stream.set_nodelay(true);
                 return stream;
             }
-            // The client left before it was accepted, or a signal interrupted the call: another connection
-            // may already wait, so there is no delay.
+            // The client left before its connection was accepted, or a signal interrupted the call. Another
+            // connection may already wait, so there is no delay.
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {
                 slog::debug!(hub.log, "accept of {} aborted or interrupted; retrying", kind; "error" => %e);
                 tokio::task::yield_now().await;
--- a/relay/src/net/await_answer.rs
+++ b/relay/src/net/await_answer.rs
@@ -2,7 +2,7 @@
 //! the reducer commands a final answer or a backend accepts the session.
 //!
 //! In every order of events the wait ends with a line that the reducer commanded or that a backend sent.
-//! Commands that were sent before the connection became a session do not end it.
+//! Commands that were sent before the connection became a session do not end the wait.
 use super::dial::{self, DialOutcome, DialRequest};
 use super::read::ClientState;
 use super::{close, proxy, Command, Hub};
@@ -22,7 +22,7 @@
     pub timeout_range: Range<usize>,
 }
 
-/// What ended the wait for a dial.
+/// The event that ended the wait for a dial.
 enum DialWait {
     Ended(DialOutcome),
     Client(ClientState),
@@ -56,7 +56,7 @@
         loop {
             let command = tokio::select! {
                 biased;
-                // The client's state comes first: a dial may have been decided before the client left.
+                // The client's state is checked first: a dial may have been decided before the client left.
                 state = client_stops_waiting(&self.client, &mut self.buffer) => {
                     return self.client_gone(state).await;
                 }
@@ -103,16 +103,16 @@
     async fn dial(&mut self, request: DialRequest<'_>) -> DialWait {
         tokio::select! {
             biased;
-            // The client comes first, as in `run`. Then a command: by then the reducer has ended the session,
-            // so the command holds even if the backend's answer has arrived.
+            // The client is checked first, as in `run`, and then commands. During a dial a command means that
+            // the reducer has ended the session, so it holds even if the backend's answer has arrived.
             state = client_stops_waiting(&self.client, &mut self.buffer) => DialWait::Client(state),
             command = next_command(&self.client, &mut self.commands, self.hub) => DialWait::Command(command),
             outcome = dial::run(request, &self.client, self.hub) => DialWait::Ended(outcome),
         }
     }
 
-    /// A backend accepted the session. It is proxied unless the reducer has meanwhile ended it: then a final
-    /// answer is already queued, and the backend's answer is discarded.
+    /// Handles a session that a backend accepted. The session is proxied unless the reducer has meanwhile
+    /// ended it: then a final answer is already queued, and the backend's answer is discarded.
     async fn accepted(mut self, dial: u32, backend: dial::Backend) {
         self.hub.notify(Event::SessionEstablished { session_id: self.connection_id, dial }).await;
         match next_command(&self.client, &mut self.commands, self.hub).await {
@@ -144,8 +144,8 @@
 }
 
 /// Returns the next command for a waiting session. Commands that were sent before the connection became a
-/// session do not end it: a `PONG` is written, the others are skipped. During a dial, the reducer commands
-/// only the end of the session.
+/// session do not end the wait: the answer to a `PING` is written, the others are skipped. During a dial, the
+/// reducer commands only the end of the session.
 async fn next_command(client: &TcpStream, commands: &mut Receiver<Command>, hub: &Hub) -> Option<Command> {
     loop {
         match commands.recv().await {
--- a/relay/src/net/close.rs
+++ b/relay/src/net/close.rs
@@ -1,5 +1,5 @@
-//! Sends final answers and closes connections. An answer is written completely, then only the sending side is
-//! closed, so that the other side can still read the answer.
+//! Sends final answers and closes connections. To close gracefully, an answer is written completely, then
+//! only this side's sending direction is shut down, so that the other side can still read the answer.
 use super::{Command, Hub};
 use crate::clock::span;
 use crate::socket;
@@ -23,8 +23,9 @@
     if !write_all(&client, answer, hub.limits().close_timeout).await {
         return;
     }
-    // The answer is written, so shedding skips only the graceful close. Other commands that are still queued
-    // are ignored: closing on them would cut off a session that ended while it was about to migrate.
+    // The answer is written, so a command to shed the connection skips only the graceful close. Other
+    // commands that are still queued are ignored: to close at such a command would cut off the last line of a
+    // session that ended while it was about to migrate.
     let shed = async { while !matches!(commands.recv().await, Some(Command::Shed) | None) {} };
     tokio::select! {
         biased;
@@ -72,7 +73,7 @@
     _ = timeout(span(hub.limits().close_timeout), drain).await;
 }
 
-/// Closes a connection with a reset.
+/// Closes a connection with a reset: a linger time of 0 makes the system drop unsent bytes.
 pub fn reset(stream: TcpStream) {
     _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
--- a/relay/src/net/dial.rs
+++ b/relay/src/net/dial.rs
@@ -1,5 +1,5 @@
-//! One dial: connects, sends the first line, and waits for the backend's first answer. Dropping the future
-//! cancels the dial.
+//! One dial, that is, one attempt to open a session at a backend: connects, sends the client's first line,
+//! and waits for the backend's first answer. Dropping the future cancels the dial.
 use super::dial_permit::{self, Denied, DialConditions, DialPermit};
 use super::read::{self, ClientState};
 use super::{close, Hub};
@@ -32,7 +32,7 @@
     pub line: &'a [u8],
     /// Timeout of the complete dial, in microseconds.
     pub timeout: Micros,
-    /// Checked before the connect and before the first byte.
+    /// The conditions that are checked before the connect and again before the first byte is written.
     pub conditions: DialConditions,
 }
 
@@ -40,13 +40,15 @@
 pub enum DialOutcome {
     /// The backend accepted the session.
     Accepted(Backend),
-    /// The backend served the complete session and answered with this line; its load report, if it sent one.
+    /// The backend served the complete session and answered with this line. `report` is the load report in
+    /// the line, if it has one.
     Completed { line: Vec<u8>, report: Option<LoadReport> },
-    /// The dial failed: how, and the backend's load report, if it sent one.
+    /// The dial failed in this way. The load report is that of the backend's answer, if it has one.
     Failed(DialEnd, Option<LoadReport>),
-    /// Not started, without a fault of the backend: this machine cannot connect, or the backend drains.
+    /// The first line was not sent, without a fault of the backend: this machine could not connect, or the
+    /// backend drains.
     NotStarted,
-    /// Not started: the client no longer waits.
+    /// The first line was not sent, since the client no longer waits.
     ClientGone(ClientState),
 }
 
@@ -101,7 +103,7 @@
     Ok(stream)
 }
 
-/// Writes a first line. It consumes a permit, so the conditions were checked just before.
+/// Writes a first line. The permit, which is consumed, proves that the conditions were checked just before.
 async fn write_permitted(stream: &TcpStream, request: &DialRequest<'_>, _permit: DialPermit) -> bool {
     close::write_all(stream, request.line, request.timeout).await
 }
--- a/relay/src/net/discovery.rs
+++ b/relay/src/net/discovery.rs
@@ -1,4 +1,5 @@
-//! Watches the endpoint list with one HTTP call that stays open and returns a JSON value for each change.
+//! Watches discovery's endpoint list with an HTTP call that stays open and returns a JSON value for each
+//! change, and blank lines that only show that the call works.
 //!
 //! A call for the complete list comes first if no version of the list is known. If a watch is silent for too
 //! long, a second call is opened in parallel; the call that first returns data is kept, the other is dropped.
@@ -24,7 +25,7 @@
 
 const LIST_PATH: &str = "/registry/instances";
 
-/// Upper bound for the connect alone; the callers' timeout for the complete call is shorter.
+/// The deadline that `socket::connect` requires. The callers' timeout for the complete call is shorter.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a watch ended. The text goes to the log.
@@ -46,7 +47,7 @@
     List(#[from] ConfigError),
     #[error("discovery sent an invalid stream of values: {0}")]
     Stream(#[from] ValuesError),
-    #[error("discovery closed the watch")]
+    #[error("discovery closed the HTTP call of the watch")]
     Ended,
     #[error("discovery sent no data on a new watch within {0:?}")]
     NoAnswer(Duration),
@@ -88,7 +89,7 @@
 }
 
 impl OpenCall {
-    /// Returns the next list; `None` for a blank line, which only shows that the call is alive.
+    /// Waits for the next value and returns its list; `None` for a blank line.
     async fn next(&mut self, max_bytes: usize) -> Result<Option<List>, WatchError> {
         loop {
             match self.values.next(max_bytes)? {
@@ -130,13 +131,13 @@
 async fn open(addr: SocketAddr, since: u64, hub: Hub) -> Result<Opened, WatchError> {
     let limits = hub.limits();
     let path = format!("{LIST_PATH}?follow=1&since={since}");
-    let first = async {
+    let open_and_read = async {
         let mut call = OpenCall { body: call(addr, &path).await?, values: Values::default() };
         let list = call.next(limits.max_list_line_bytes).await?;
         Ok(Opened { call, list })
     };
     let limit = span(limits.discovery_answer_timeout);
-    timeout(limit, first).await.unwrap_or(Err(WatchError::NoAnswer(limit)))
+    timeout(limit, open_and_read).await.unwrap_or(Err(WatchError::NoAnswer(limit)))
 }
 
 type Opening = Pin<Box<dyn Future<Output = Result<Opened, WatchError>>>>;
@@ -164,11 +165,11 @@
         loop {
             let (call, list) = tokio::select! {
                 biased;
-                // Data on the open call shows that it works, so a second call is dropped.
+                // Data on the open call shows that this call works, so a second call is dropped.
                 next = next_list(&mut current, limits.max_list_line_bytes), if current.is_some() => {
                     match next {
                         Ok(list) => (current.take(), list),
-                        // A second call is already being opened.
+                        // The open call failed, but a second call is already being opened.
                         Err(_) if opening.is_some() => {
                             current = None;
                             continue;
@@ -180,8 +181,8 @@
                     let Opened { call, list } = result?;
                     (Some(call), list)
                 }
-                // A call that is silent for too long may miss changes. A second one is opened in parallel,
-                // from the last version received.
+                // A call that is silent for too long may miss changes. A second call is opened in parallel,
+                // for the changes since the last version received.
                 () = sleep_until(last_received_at + watch_timeout), if opening.is_none() => {
                     slog::debug!(
                         self.hub.log, "endpoint watch {} silent for {:?}; opening a second call", self.id,
--- a/relay/src/net/effect_runner.rs
+++ b/relay/src/net/effect_runner.rs
@@ -35,7 +35,8 @@
 struct WaitingDial {
     /// The record's number in the store.
     ticket: u64,
-    /// The dial is sent at this time in any case, so that service does not depend on a disk.
+    /// The dial is sent at the latest at this time, durable or not, so that service does not depend on a
+    /// disk.
     until: Micros,
     session_id: SessionId,
     command: Command,
@@ -57,7 +58,7 @@
     pub task: Option<AbortHandle>,
 }
 
-/// The state that carrying out effects requires.
+/// Carries out effects, with the state that this requires.
 pub(super) struct EffectRunner {
     hub: Hub,
     timers: BTreeMap<TimerKey, Timer>,
@@ -151,7 +152,7 @@
         Some(Event::VoterWritesDurable { voter_start: write.voter_start, number: write.number })
     }
 
-    /// Sends the dials whose record is settled or whose waiting time is over.
+    /// Sends the dials whose waiting time is over, or whose record is durable or cannot be stored.
     pub fn send_waiting_dials(&mut self, now: Micros) {
         let Some(store) = &self.state_store else { return };
         let is_ready = |dial: &mut WaitingDial| dial.until <= now || store.is_settled(dial.ticket);
@@ -292,7 +293,10 @@
             to
         });
         if requests.try_send(addr).is_err() {
-            slog::warn!(self.hub.log, "health check skipped: another is still running"; "server" => server);
+            slog::warn!(
+                self.hub.log, "health check of {} skipped: another is still running", addr;
+                "server" => server
+            );
         }
     }
 
@@ -343,15 +347,16 @@
     fn persist_voter_writes(&mut self, voter_start: u32, number: u64, records: Vec<Record>) {
         let Some(store) = &self.state_store else { return };
         let tickets: Vec<Option<u64>> = records.into_iter().map(|record| store.persist(record)).collect();
-        // A record that the store does not accept is never reported as durable. The voter then waits and does
-        // not vote, as a vote that is not durable could be given twice.
+        // If the store does not accept a record, the write is never reported as durable. The voter then waits
+        // and does not vote, since a vote that is not durable could be given twice.
         if let Some(tickets) = tickets.into_iter().collect::<Option<Vec<u64>>>() {
             let ticket = tickets.into_iter().max().unwrap_or(0);
             self.pending_voter_writes.push_back(PendingVoterWrite { ticket, voter_start, number });
         }
     }
 
-    /// Opens the store, which this process now owns. Most of its content is already known to this process.
+    /// Opens the store, which this process now owns, and reports its content to the reducer, which already
+    /// knows most of it.
     fn open_store(&mut self) {
         let Some(store) = &mut self.state_store else { return };
         let opened = store.open();
--- a/relay/src/net/first_line.rs
+++ b/relay/src/net/first_line.rs
@@ -48,9 +48,10 @@
     connected_at: Instant,
     /// The first line must be complete by this time.
     deadline: Instant,
-    /// `PING`s that are not answered yet. Their answers pass through this task's bounded command queue, which
-    /// must keep room for the final answer. Reading stops while they could fill half of it; otherwise a
-    /// client that pings without end could fill the queue, and the final answer would be lost.
+    /// Number of `PING`s that are not answered yet. Their answers pass through this task's bounded command
+    /// queue, which must have space for the final answer. Reading stops while the answers could fill half of
+    /// the queue. Otherwise a client that pings without end could fill the queue, and the final answer would
+    /// be lost.
     pending_pongs: usize,
 }
 
@@ -137,7 +138,8 @@
             Input::Broken => Step::Reject,
             Input::Invalid => Step::ReportViolation,
             Input::Command(Some(Command::Shed)) => {
-                // A complete line may be unread, and may take more than one read. It then becomes a session.
+                // A complete line may still be unread, and may take more than one read. If there is one, it
+                // is parsed, and becomes a session if it is valid.
                 while matches!(self.buffer.read_now(&self.client), Ok(1..)) {}
                 self.buffer.take_line().map_or(Step::Reject, Step::Parse)
             }
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Gives a slow client a little more time whenever its line grows, up to `max_first_line_timeout`.
+    /// Extends the deadline to `first_line_pause_timeout` from now, since a part of the line has arrived, but
+    /// to at most `max_first_line_timeout` from the connect.
     fn extend_deadline(&mut self) {
         let pause_ends = Instant::now() + span(self.limits.first_line_pause_timeout);
         let latest = self.connected_at + span(self.limits.max_first_line_timeout);
--- a/relay/src/net/health_check.rs
+++ b/relay/src/net/health_check.rs
@@ -1,4 +1,5 @@
-//! Health checks of one backend, one at a time, on a connection that stays open between checks.
+//! Health checks of one backend, one at a time. A check requests a load report. The settings and the balancer
+//! call a health check a probe.
 use super::{close, read, Hub};
 use crate::buffer::Buffer;
 use crate::clock::span;
@@ -22,7 +23,7 @@
 /// Why a check failed.
 struct CheckFailure {
     end: DialEnd,
-    /// The load report that the backend sent with its refusal.
+    /// The load report in the backend's answer that it is full or has an error.
     report: Option<LoadReport>,
 }
 
@@ -32,8 +33,8 @@
     }
 }
 
-/// Runs the requested checks until the channel of requests closes. If `keep_connection` is true,
-/// the connection stays open between two checks.
+/// Runs the requested checks until the channel of requests closes. If `keep_connection` is true, the
+/// connection of a successful check stays open for the next one, for at most `probe_idle_timeout`.
 pub async fn run(server: ServerId, keep_connection: bool, mut requests: Receiver<SocketAddr>, hub: Hub) {
     let mut idle: Option<Connection> = None;
     loop {
@@ -65,8 +66,8 @@
 /// Runs one check, on the idle connection if there is one.
 ///
 /// A backend may close an idle connection or lose its state. A reset of that connection, or silence for half
-/// of the timeout, is therefore no failure: the check is repeated on a new connection within the same
-/// timeout.
+/// of `probe_timeout`, is therefore no failure: the check is repeated on a new connection in the time that
+/// remains.
 async fn check(
     addr: SocketAddr,
     idle: Option<Connection>,
@@ -95,7 +96,7 @@
 async fn connect(addr: SocketAddr, hub: &Hub) -> Result<TcpStream, CheckFailure> {
     let deadline = Instant::now() + span(hub.limits().connect_timeout);
     hub.connect(addr, deadline).await.map_err(|error| match error {
-        // A fault of this machine is no evidence against the backend.
+        // A failure of this machine is no evidence against the backend.
         ConnectError::Local(_) => DialEnd::NotSent.into(),
         ConnectError::Remote(_) | ConnectError::TimedOut => DialEnd::Unconnected.into(),
     })
--- a/relay/src/net/hot_restart.rs
+++ b/relay/src/net/hot_restart.rs
@@ -32,14 +32,14 @@
 
 /// The id of the predecessor. Processes that connect to this one are numbered from the next id.
 const PREDECESSOR: ProcessId = 0;
-/// Most sockets attached to one message: those of a session's client and of its backend.
+/// Largest number of sockets attached to one message: those of a session's client and of its backend.
 const MAX_SOCKETS: usize = 2;
 /// The system's limit for the path of a Unix socket, without the terminating zero byte.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
-/// Most bytes per read.
+/// Size of the buffer for one read, in bytes.
 const READ_BYTES: usize = 16_384;
 
-/// Why the socket has no path.
+/// Why the takeover socket, the Unix socket at which a process waits for its successor, has no path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
     #[error("no directory for the takeover socket: TMPDIR is not set or empty")]
@@ -61,6 +61,7 @@
     Rejected { reason: String },
     #[error("the running process sent its offer without the listening socket")]
     NoSocket,
+    /// The listening socket that was offered has another address, or its address cannot be read.
     #[error("the running process does not listen on the configured address {0}")]
     OtherAddress(SocketAddr),
     #[error("the running process sent an unexpected answer, wanted an offer or a rejection: {0:?}")]
@@ -113,8 +114,8 @@
         match incoming.receive(stream.as_fd()) {
             Ok(1..) if incoming.bytes.len() <= MAX_MESSAGE_BYTES => {}
             Ok(1..) => return Err(TakeoverError::AnswerTooLong { bytes: incoming.bytes.len() }),
-            // The other process ended or hangs. This becomes an ordinary start, which fails if the address is
-            // in use.
+            // The other process ended or does not respond. This process then starts without a predecessor,
+            // which fails if the address is in use.
             _ => return Ok(None),
         }
     }
@@ -180,7 +181,7 @@
     }
 }
 
-/// Writes once; the sockets travel with the first byte.
+/// Writes once, with the sockets attached to the first byte. Returns the number of bytes written.
 fn send_with_sockets(to: BorrowedFd, bytes: &[u8], sockets: &[BorrowedFd]) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -256,7 +257,7 @@
 
 fn bind(path: &Path) -> io::Result<UnixListener> {
     match std::fs::symlink_metadata(path) {
-        // Left by a process that crashed or has handed over.
+        // The socket was left by a process that crashed or has handed over.
         Ok(existing) if existing.file_type().is_socket() => std::fs::remove_file(path)?,
         Ok(_) => return Err(io::Error::other(format!("{} exists and is not a socket", path.display()))),
         Err(_) => {}
@@ -360,7 +361,7 @@
     }
 }
 
-/// Returns the sockets of sessions that were not sent to the tasks of these sessions.
+/// Returns sockets of sessions that were not sent: each session's task gets its own sockets and continues.
 async fn return_sessions(mut outgoing: mpsc::Receiver<ProcessCommand>) {
     outgoing.close();
     while let Some(command) = outgoing.recv().await {
--- a/relay/src/net/operator/mod.rs
+++ b/relay/src/net/operator/mod.rs
@@ -1,7 +1,7 @@
 //! Serves the operators' address: HTTP/1.1, one call per connection.
 //!
-//! The reducer gets requests before all queued events of sessions. The connections have their own limit; when
-//! it is reached, the oldest connection is closed for a new one.
+//! The reducer gets requests before all queued events of sessions. Operators' connections have their own
+//! limit; when that limit is reached, the oldest connection is closed for a new one.
 mod response;
 mod routes;
 
--- a/relay/src/net/processes.rs
+++ b/relay/src/net/processes.rs
@@ -25,17 +25,17 @@
 
 /// The two connections of an open session.
 pub struct SessionSockets {
-    /// The client's.
+    /// The connection to the client.
     pub client: TcpStream,
-    /// The backend's.
+    /// The connection to the backend.
     pub backend: TcpStream,
 }
 
 /// Hands a session over to another process.
 ///
 /// # Errors
-/// The sockets, if that process has disconnected or the session cannot be encoded; `None` if the sockets were
-/// lost with its connection.
+/// Returns the sockets if that process has disconnected, or the session cannot be encoded or sent. Returns
+/// `None` if the sockets were lost with the connection to that process.
 pub async fn hand_over_session(
     process: ProcessId,
     session: Box<SessionState>,
--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::sleep_until;
 
-/// Extra time for an answer that may have arrived unread, in microseconds. Long enough to read it; short
-/// against the silence after which a message counts as lost.
+/// Extra time for an answer that may have arrived but is not read yet, in microseconds. Long enough to read
+/// the answer; much shorter than the silence after which a message counts as lost.
 const UNREAD_GRACE: Micros = 20_000;
 
 /// How an open session ends for its task.
@@ -29,6 +29,7 @@
     Migrated,
     /// The reducer hands the session over to another process.
     HandedOver(ProcessId, Box<SessionState>),
+    /// The reducer closes the connection without an answer, or the channel of its commands has closed.
     Closed,
 }
 
@@ -194,7 +195,8 @@
         }
     }
 
-    /// Ends the session for a closed backend connection, with the backend's last line or without one.
+    /// Returns how a session ends whose backend connection has closed: as the backend's last line says, or as
+    /// a reset if there is none.
     fn backend_closed(&mut self) -> SessionEnd {
         SessionEnd::Backend(self.backend_end.take().unwrap_or(BackendEnd::RESET))
     }
@@ -323,7 +325,8 @@
         }
     }
 
-    /// The client has closed: forwards the lines that it sent before, then closes the backend's connection.
+    /// Handles a client that has closed: forwards the lines that it sent before, then closes the connection
+    /// to the backend.
     async fn client_closed(self) {
         let hub = self.observer.hub;
         hub.notify(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
@@ -350,9 +353,9 @@
             let wake_at = clock.at(wake.unwrap_or_default());
             tokio::select! {
                 biased;
-                // Commands come first: they are rare, and a busy session would delay them. Then reads, from
-                // the backend first, because they show its end; then writes. Deadlines come last, so that
-                // unread lines are processed before them.
+                // The order of the branches: commands come first, since they are rare and a busy session
+                // would delay them. Reads follow, first from the backend, because they show its end; then
+                // writes. Deadlines come last, so that lines that have arrived are processed before them.
                 command = commands.recv() => {
                     if let Some(end) = observer.command(command) {
                         return end;
--- a/relay/src/net/read.rs
+++ b/relay/src/net/read.rs
@@ -33,8 +33,8 @@
 /// Returns the state of a waiting client by reading its socket directly.
 ///
 /// The runtime notices a closed connection only when it next polls all sockets, which may be after the dial
-/// that the close must prevent. A byte that is read here is lost, because a client that sends early is not
-/// served.
+/// that must not be made. A byte that is read here is discarded: a client that sends data before its answer
+/// is not served, so no later code needs the byte.
 pub fn client_state(stream: &TcpStream) -> ClientState {
     match socket::uninterrupted(|| (&*SockRef::from(stream)).read(&mut [0])) {
         Ok(1..) => ClientState::SentMore,
@@ -83,7 +83,8 @@
     }
 }
 
-/// Returns the time since the system received the last bytes, in microseconds; a busy relay reads them late.
+/// Returns the time since the system received the last bytes, in microseconds. A busy relay may have read
+/// them only much later. 0 if the system does not report the time.
 pub fn age_of_last_bytes(stream: &TcpStream) -> Micros {
     close::tcp_info(stream).map_or(0, |info| u64::from(info.tcpi_last_data_recv) * 1000)
 }
--- a/relay/src/net/serve.rs
+++ b/relay/src/net/serve.rs
@@ -35,7 +35,7 @@
     signals::unblock();
     let limits = node.limits;
     let (hub, events) = Hub::new(limits, node.site.report, log.clone());
-    // Hot restart requires an operators' address, without which no one could see when a new process is ready.
+    // Hot restart requires an operators' address. Without it, no one could see when a new process is ready.
     let no_path = |error: &hot_restart::PathError| {
         slog::warn!(log, "hot restart unavailable: no path for the takeover socket"; "error" => %error);
     };
@@ -128,7 +128,7 @@
             let wake_at = clock.at(self.runner.next_wake());
             let event = tokio::select! {
                 biased;
-                // Operators' calls come before queued events of sessions.
+                // Operators' calls are handled before queued events of sessions.
                 Some(call) = calls.recv() => Some(self.runner.register_call(call)),
                 event = events.recv() => event,
                 Some(health) = health_change(&mut health) => Some(self.runner.store_health_changed(health)),
@@ -142,7 +142,7 @@
         result
     }
 
-    /// Handles an event, then the dials, durable writes and timers that are due.
+    /// Sends the dials that are due, handles an event, then durable writes and timers that are due.
     fn handle(&mut self, event: Option<Event>) {
         let now = self.hub.clock.now();
         self.runner.send_waiting_dials(now);
--- a/relay/src/net/signals.rs
+++ b/relay/src/net/signals.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Blocks the handled signals until the handlers are installed. Otherwise a reload request in the first
-/// milliseconds of a start would end the process.
+/// Blocks the handled signals until `unblock` is called. Otherwise a reload request in the first milliseconds
+/// of a start, before the handlers are installed, would end the process.
 pub fn block() {
     change_mask(libc::SIG_BLOCK);
 }
--- a/relay/src/net/state_store.rs
+++ b/relay/src/net/state_store.rs
@@ -1,5 +1,5 @@
-//! The relay's state store. It is opened on a separate thread, which retries after a failure, and closed when
-//! another process takes over. The relay never waits for it longer than its limits allow.
+//! The relay's state store. The store is opened on a separate thread, which retries after a failure, and
+//! closed when another process takes over. The relay never waits for the store longer than the limits allow.
 use hallrelay_recovery::record::VERSION;
 use hallrelay_recovery::{Record, StoredState};
 use hallrelay_store::writer::{Writer, WriterHealth};
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Delay after the first failure to open the store. The predecessor releases its lock soon after the
-/// handover.
+/// Delay after the first failure to open the store. Short, since the predecessor releases its lock soon after
+/// the handover.
 const MIN_OPEN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest delay after a failure to open the store; the delay doubles up to this value.
 const MAX_OPEN_BACKOFF: Duration = Duration::from_secs(5);
-/// Most records that wait until the store is open; further ones are dropped.
+/// Largest number of records that wait until the store is open. Further records are dropped.
 const MAX_EARLY_RECORDS: usize = 65_536;
-/// How long the process waits for the last write before it ends. Longer than a slow sync takes.
+/// How long a process that ends waits for the last write. Longer than a slow sync of the disk takes.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Why the store could not be opened.
@@ -102,8 +102,8 @@
         self.health.subscribe()
     }
 
-    /// Opens the store on a separate thread, which retries until it succeeds or the store is closed. The
-    /// content of the store is sent once.
+    /// Opens the store on a separate thread, which retries until the store is open or is closed again. The
+    /// returned channel gets the content of the store once.
     pub fn open(&mut self) -> oneshot::Receiver<StoredState> {
         let (send_stored, stored) = oneshot::channel();
         self.current = Opening::new();
@@ -120,7 +120,7 @@
         stored
     }
 
-    /// Closes the store after the queued records are written; does not wait for that.
+    /// Closes the store. The queued records are written first, but this call does not wait for that.
     pub fn close(&mut self) {
         _ = self.begin_close();
     }
@@ -131,7 +131,7 @@
         _ = self.begin_close().recv_timeout(FINAL_WRITE_TIMEOUT);
     }
 
-    /// Closes the store on a separate thread. The returned receiver gets a message when it is closed.
+    /// Closes the store on a separate thread. The returned receiver gets a message when the store is closed.
     fn begin_close(&mut self) -> std::sync::mpsc::Receiver<()> {
         self.current.is_closed.store(true, Ordering::Relaxed);
         let writer = self.current.lock().close();
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Returns the ticket up to which all records are durable.
+    /// Returns the ticket up to which all records are durable. Tickets number the records in the order in
+    /// which they were passed to the writer.
     pub fn durable_ticket(&self) -> u64 {
         self.health.borrow().durable_ticket
     }
