--- a/relay/src/net/interleaving_tests/endpoint_watch.rs
+++ b/relay/src/net/interleaving_tests/endpoint_watch.rs
@@ -87,7 +87,7 @@
         second.send(&chunk(&line(8))).await;
         assert_eq!(next_list(&mut events).await.generation, 8);
         // The first call has been dropped.
-        assert_eq!(first.read_line().await, "");
+        assert_eq!(first.read_line().await, "", "the first call is still open");
         // The second call becomes silent too, so a third one is opened.
         accept_call(&service, 8).await;
     });
@@ -152,7 +152,7 @@
         assert_eq!(next_list(&mut events).await.generation, 9);
         drop(second);
         let failure = await_soon("failure", events.recv()).await;
-        assert!(matches!(failure, Some(Event::EndpointWatchFailed { watch: 1 })));
+        assert!(matches!(failure, Some(Event::EndpointWatchFailed { watch: 1 })), "{failure:?}");
     });
 }
 
@@ -187,9 +187,10 @@
             let service = bind_local().await;
             let (mut events, mut call) = watch(&service).await;
             call.send(&chunk(invalid)).await;
+            let failure = await_soon("failure", events.recv()).await;
             assert!(
-                matches!(await_soon("failure", events.recv()).await, Some(Event::EndpointWatchFailed { .. })),
-                "{invalid}"
+                matches!(failure, Some(Event::EndpointWatchFailed { .. })),
+                "after {invalid:?}: {failure:?}"
             );
         });
     }
--- a/relay/src/net/interleaving_tests/health_checks.rs
+++ b/relay/src/net/interleaving_tests/health_checks.rs
@@ -20,7 +20,11 @@
             let mut first = accept_dial(&backend).await;
             assert_eq!(first.read_line().await, "STATS\r\n");
             first.send("PONG x0=0.5\r\n").await;
-            assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+            let event = harness.next_event().await;
+            assert!(
+                matches!(event, Event::HealthCheckEnded { end: DialEnd::Ok, .. }),
+                "unexpected event {event:?}"
+            );
             if read_first {
                 requests.send(addr).await.expect("request a health check");
                 assert_eq!(first.read_line().await, "STATS\r\n");
@@ -32,15 +36,20 @@
             let mut second = accept_dial(&backend).await;
             assert_eq!(second.read_line().await, "STATS\r\n");
             second.send("PONG x0=0.5\r\n").await;
-            assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+            let event = harness.next_event().await;
+            assert!(
+                matches!(event, Event::HealthCheckEnded { end: DialEnd::Ok, .. }),
+                "unexpected event {event:?}"
+            );
             requests.send(addr).await.expect("request a health check");
             second.read_line().await;
             drop(second);
             drop(accept_dial(&backend).await);
-            assert!(matches!(
-                harness.next_event().await,
-                Event::HealthCheckEnded { end: DialEnd::Reset, .. }
-            ));
+            let event = harness.next_event().await;
+            assert!(
+                matches!(event, Event::HealthCheckEnded { end: DialEnd::Reset, .. }),
+                "unexpected event {event:?}"
+            );
         });
     }
 }
@@ -58,17 +67,29 @@
         let mut first = accept_dial(&backend).await;
         first.read_line().await;
         first.send("PONG x0=0.5\r\n").await;
-        assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
+        let event = harness.next_event().await;
+        assert!(
+            matches!(event, Event::HealthCheckEnded { end: DialEnd::Ok, .. }),
+            "unexpected event {event:?}"
+        );
         requests.send(addr).await.expect("request a health check");
         // The backend no longer answers on the first connection.
         let mut second = accept_dial(&backend).await;
         assert_eq!(second.read_line().await, "STATS\r\n");
         second.send("PONG x0=0.5\r\n").await;
-        assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
-        // A check without an answer on the new connection either has timed out.
+        let event = harness.next_event().await;
+        assert!(
+            matches!(event, Event::HealthCheckEnded { end: DialEnd::Ok, .. }),
+            "unexpected event {event:?}"
+        );
+        // The next check gets no answer, neither on the idle connection nor on a new one, so it times out.
         requests.send(addr).await.expect("request a health check");
         let _third = accept_dial(&backend).await;
-        assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Timeout, .. }));
+        let event = harness.next_event().await;
+        assert!(
+            matches!(event, Event::HealthCheckEnded { end: DialEnd::Timeout, .. }),
+            "unexpected event {event:?}"
+        );
     });
 }
 
@@ -85,10 +106,11 @@
         let mut server = accept_dial(&backend).await;
         server.read_line().await;
         server.send("PONG\r\n").await;
-        assert!(matches!(
-            await_soon("health check", events.recv()).await,
-            Some(Event::HealthCheckEnded { end: DialEnd::Ok, .. })
-        ));
+        let event = await_soon("health check", events.recv()).await;
+        assert!(
+            matches!(event, Some(Event::HealthCheckEnded { end: DialEnd::Ok, .. })),
+            "unexpected event {event:?}"
+        );
         assert_eq!(server.read_line().await, "");
     });
 }
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -24,8 +24,8 @@
 
 /// Timeout for an event that must occur.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time within which a dial must start, in microseconds, for tests in which it does not matter.
-const LONG: Micros = 10_000_000;
+/// Time within which a dial must start, in microseconds. Tests that are not about this limit never reach it.
+const LONG_START_LIMIT: Micros = 10_000_000;
 /// The server of all dials.
 const SERVER: ServerId = 7;
 const LINE: &str = "OPEN 0000000000000001 0000000000000002 c=nomination,d=2000\r\n";
@@ -231,9 +231,10 @@
     async fn dialed_session(&mut self) -> (SessionId, Peer, Peer) {
         let (backend, client) = (bind_local().await, self.client_with(LINE).await);
         let connection_id = self.next_session().await;
-        self.dial(connection_id, 0, &backend, LONG);
+        self.dial(connection_id, 0, &backend, LONG_START_LIMIT);
         let mut server = accept_dial(&backend).await;
-        assert!(server.read_line().await.starts_with("OPEN "));
+        let line = server.read_line().await;
+        assert!(line.starts_with("OPEN "), "{line:?}, expected OPEN");
         (connection_id, client, server)
     }
 }
--- a/relay/src/net/interleaving_tests/waiting_session.rs
+++ b/relay/src/net/interleaving_tests/waiting_session.rs
@@ -1,7 +1,8 @@
 //! A session that waits for its final answer: events of its client, its dial and the reducer, in each order
 //! of two that can occur together.
 use super::{
-    accept_dial, assert_nothing_sent, bind_local, run_test, Command, Peer, Unread, LINE, LONG, SERVER,
+    accept_dial, assert_nothing_sent, bind_local, run_test, Command, Peer, Unread, LINE, LONG_START_LIMIT,
+    SERVER,
 };
 use crate::reducer::Event;
 use hallrelay_balancer::types::DialEnd;
@@ -17,7 +18,8 @@
     run_test(|mut harness| async move {
         let (connection_id, mut client, mut server) = harness.dialed_session().await;
         server.send("UP r1\r\n").await;
-        assert!(matches!(harness.next_event().await, Event::SessionEstablished { dial: 0, .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::SessionEstablished { dial: 0, .. }), "unexpected event {event:?}");
         harness.send_final_answer(connection_id, "FAIL\r\n");
         assert_eq!(client.read_line().await, "FAIL\r\n");
         assert_eq!(server.read_line().await, "");
@@ -43,8 +45,9 @@
 fn earlier_commands_do_not_end_waiting_session() {
     run_test(|mut harness| async move {
         let mut client = harness.client_with("PING\r\n").await;
-        let Event::Ping { connection_id } = harness.next_event().await else {
-            panic!("the event is not Ping")
+        let connection_id = match harness.next_event().await {
+            Event::Ping { connection_id } => connection_id,
+            other => panic!("{other:?}, expected Ping"),
         };
         client.send(LINE).await;
         assert_eq!(harness.next_session().await, connection_id);
@@ -66,7 +69,8 @@
         }
         assert_eq!(client.read_line().await, "PONG\r\n");
         server.send("UP r1\r\n").await;
-        assert!(matches!(harness.next_event().await, Event::SessionEstablished { .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::SessionEstablished { .. }), "unexpected event {event:?}");
         harness.command(connection_id, Command::Shed);
         harness.command(connection_id, Command::StartProxying);
         assert_eq!(client.read_line().await, "UP r1\r\n");
@@ -121,7 +125,11 @@
             // After a reset the socket has no peer address.
             let started = std::time::Instant::now();
             while program_end.peer_addr().is_ok() {
-                assert!(started.elapsed() < super::EVENT_TIMEOUT, "no reset received");
+                assert!(
+                    started.elapsed() < super::EVENT_TIMEOUT,
+                    "no reset received within {:?}",
+                    super::EVENT_TIMEOUT
+                );
                 std::thread::sleep(Duration::from_millis(1));
             }
             None
@@ -140,7 +148,7 @@
                 let connection_id = harness.next_session().await;
                 harness.run_tasks().await;
                 let client = disconnect(client, how);
-                harness.dial(connection_id, 0, &backend, LONG);
+                harness.dial(connection_id, 0, &backend, LONG_START_LIMIT);
                 assert_eq!(harness.next_event().await, Event::ClientHalfClosed { session_id: connection_id });
                 harness.send_final_answer(connection_id, "BUSY\r\n");
                 if let Some(mut client) = client {
@@ -160,7 +168,7 @@
         let connection_id = harness.next_session().await;
         let mut client = disconnect(client, Unread::End).expect("a client that still reads");
         assert_eq!(harness.next_event().await, Event::ClientHalfClosed { session_id: connection_id });
-        harness.dial(connection_id, 0, &backend, LONG);
+        harness.dial(connection_id, 0, &backend, LONG_START_LIMIT);
         harness.assert_no_events().await;
         harness.send_final_answer(connection_id, "FAIL\r\n");
         assert_eq!(client.read_line().await, "FAIL\r\n");
@@ -168,8 +176,8 @@
     });
 }
 
-/// The first line and the close are received together, as in the accept queue of a process that was not
-/// scheduled.
+/// The first line and the client's close are received together, as in the accept queue of a process that was
+/// not scheduled: nothing is forwarded.
 #[test]
 fn client_gone_in_accept_queue_is_not_forwarded() {
     for how in [Unread::End, Unread::Reset] {
@@ -183,7 +191,7 @@
                 }
                 _ => {
                     disconnect(client, how);
-                    // The client is gone; another connection stands in for it.
+                    // The client's end is closed by the reset, but `serve` needs a peer, so another is made.
                     let addr = backend.local_addr().expect("read the local address");
                     let stand_in = TcpStream::connect(addr).await.expect("connect to the backend");
                     (stream, Peer::new(stand_in, None))
@@ -192,7 +200,7 @@
             harness.serve(&mut unserved);
             match harness.next_event().await {
                 Event::SessionRequested { session_id, .. } => {
-                    harness.dial(session_id, 0, &backend, LONG);
+                    harness.dial(session_id, 0, &backend, LONG_START_LIMIT);
                     assert_eq!(harness.next_event().await, Event::ClientHalfClosed { session_id });
                     harness.send_final_answer(session_id, "BUSY\r\n");
                 }
@@ -221,7 +229,7 @@
         }
         let client = harness.client_with(LINE).await;
         let connection_id = harness.next_session().await;
-        harness.dial(connection_id, 0, &backend, LONG);
+        harness.dial(connection_id, 0, &backend, LONG_START_LIMIT);
         harness.assert_no_events().await;
         let mut client = disconnect(client, Unread::End).expect("a client that still reads");
         assert_eq!(harness.next_event().await, Event::ClientHalfClosed { session_id: connection_id });
@@ -238,7 +246,7 @@
         run_test(|mut harness| async move {
             let (backend, client) = (bind_local().await, harness.client_with(LINE).await);
             let connection_id = harness.next_session().await;
-            harness.dial(connection_id, 0, &backend, LONG);
+            harness.dial(connection_id, 0, &backend, LONG_START_LIMIT);
             // The task starts to connect, and the client closes before the task runs again.
             tokio::task::yield_now().await;
             let mut client = disconnect(client, Unread::End).expect("a client that still reads");
@@ -281,10 +289,10 @@
         let (backend, _client) = (bind_local().await, harness.client_with(LINE).await);
         let connection_id = harness.next_session().await;
         harness.hub.draining.borrow_mut().insert(SERVER);
-        harness.dial(connection_id, 0, &backend, LONG);
+        harness.dial(connection_id, 0, &backend, LONG_START_LIMIT);
         assert_eq!(harness.next_event().await, Event::DialNotStarted { session_id: connection_id, dial: 0 });
         harness.hub.draining.borrow_mut().clear();
-        harness.dial(connection_id, 0, &backend, LONG);
+        harness.dial(connection_id, 0, &backend, LONG_START_LIMIT);
         // The task starts to connect, and the drain starts before the task runs again.
         tokio::task::yield_now().await;
         harness.hub.draining.borrow_mut().insert(SERVER);
@@ -294,8 +302,8 @@
     });
 }
 
-/// The line was written completely in all these dials, so the backend's answer decides whether the request
-/// may have run.
+/// The first line was written completely in all these dials, so the backend's answer decides whether the
+/// request may have run.
 #[test]
 fn backend_answer_decides_dial_end() {
     let answers: [(&str, DialEnd); 11] = [
@@ -315,7 +323,7 @@
         let (backend, _client) = (bind_local().await, harness.client_with(LINE).await);
         let connection_id = harness.next_session().await;
         for (dial, (text, expected)) in answers.into_iter().enumerate() {
-            harness.dial(connection_id, dial as u32, &backend, LONG);
+            harness.dial(connection_id, dial as u32, &backend, LONG_START_LIMIT);
             let mut server = accept_dial(&backend).await;
             server.read_line().await;
             server.send(text).await;
@@ -326,10 +334,11 @@
             }
         }
         // An answer without a line ending is cut off at the maximum length of a line.
-        harness.dial(connection_id, 20, &backend, LONG);
+        harness.dial(connection_id, 20, &backend, LONG_START_LIMIT);
         let mut server = accept_dial(&backend).await;
         server.send(&"x".repeat(5000)).await;
-        assert!(matches!(harness.next_event().await, Event::DialEnded { end: DialEnd::Reset, .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::DialEnded { end: DialEnd::Reset, .. }), "unexpected event {event:?}");
     });
 }
 
@@ -339,8 +348,9 @@
     for _ in 0..ROUNDS {
         run_test(|mut harness| async move {
             let mut client = harness.client().await;
-            let Some(Event::ClientConnected { connection_id }) = harness.events.recv().await else {
-                panic!("the first event is not ClientConnected")
+            let connection_id = match harness.events.recv().await {
+                Some(Event::ClientConnected { connection_id }) => connection_id,
+                other => panic!("{other:?}, expected ClientConnected"),
             };
             harness.run_tasks().await;
             client.send(LINE).await;
@@ -363,8 +373,9 @@
                 "1".repeat(3000)
             );
             let mut client = harness.client().await;
-            let Some(Event::ClientConnected { connection_id }) = harness.events.recv().await else {
-                panic!("the first event is not ClientConnected")
+            let connection_id = match harness.events.recv().await {
+                Some(Event::ClientConnected { connection_id }) => connection_id,
+                other => panic!("{other:?}, expected ClientConnected"),
             };
             harness.run_tasks().await;
             client.send(&long).await;
--- a/relay/src/values.rs
+++ b/relay/src/values.rs
@@ -132,9 +132,9 @@
         let mut values = Values::default();
         values.add(b"{\"a\":\"0123456789");
         assert_eq!(values.next(64), Ok(None));
-        assert!(values.next(64).is_ok());
+        assert_eq!(values.next(64), Ok(None));
         values.add(&[b'x'; 64]);
-        assert!(values.next(64).is_err());
+        assert_eq!(values.next(64), Err(ValuesError::TooLarge(64)));
         for text in ["ok", "1", "}", "\"a\"", "{} x"] {
             let mut values = Values::default();
             values.add(text.as_bytes());
