--- a/relay/src/buffer.rs
+++ b/relay/src/buffer.rs
@@ -69,7 +69,7 @@
         &self.bytes[self.start..self.complete]
     }
 
-    /// Takes the first `count` bytes: they are dropped.
+    /// Drops the first `count` bytes, since the caller has used them.
     pub fn take(&mut self, count: usize) {
         self.start += count;
         if self.start == self.end {
@@ -89,7 +89,8 @@
         Some(line)
     }
 
-    /// Makes room after the last byte, by compaction if that is possible, else by growth.
+    /// Extends the space after the last byte if none is left: by compaction if bytes at the start were taken,
+    /// else by growth.
     fn reserve(&mut self) {
         if self.end < self.bytes.len() {
             return;
@@ -110,8 +111,8 @@
         self.read_with(|bytes| socket::try_read(stream, bytes))
     }
 
-    /// Reads once, even if the runtime does not know yet that the stream is readable. It learns that only
-    /// when it next polls all sockets.
+    /// Reads once, even if the runtime does not know yet that the stream is readable. The runtime learns that
+    /// only when it next polls all sockets.
     pub fn read_now(&mut self, stream: &TcpStream) -> io::Result<usize> {
         self.read_with(|bytes| socket::uninterrupted(|| (&*SockRef::from(stream)).read(bytes)))
     }
@@ -141,8 +142,8 @@
         self.end > self.start || matches!(self.read(stream), Ok(1..))
     }
 
-    /// Waits for bytes and reads them; 0 is the end of the stream. If it is cancelled while it waits, no byte
-    /// has been read.
+    /// Waits for bytes, reads them and returns their number; 0 is the end of the stream. If the future is
+    /// dropped while it waits, no byte has been read.
     pub async fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             stream.readable().await?;
@@ -163,7 +164,8 @@
         self.complete = self.fresh;
     }
 
-    /// Writes as much of the complete lines as the stream accepts, takes it, and returns the number of bytes.
+    /// Writes as much of the complete lines as the stream accepts, drops what was written, and returns the
+    /// number of bytes.
     pub fn write(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let count = socket::try_write(stream, self.lines())?;
         self.take(count);
--- a/relay/src/cli.rs
+++ b/relay/src/cli.rs
@@ -168,7 +168,8 @@
 /// # Errors
 /// The command could not be carried out.
 pub fn run(command: Command) -> Result<u8, CliError> {
-    // The process may have blocked signals at its start, and only a relay that serves handles them.
+    // The process may have blocked signals at its start. Only a relay that serves handles them; it unblocks
+    // them itself.
     if !matches!(command, Command::Serve { .. }) {
         signals::unblock();
     }
--- a/relay/src/control_message.rs
+++ b/relay/src/control_message.rs
@@ -4,7 +4,8 @@
 use hallrelay_raft::Message;
 use serde::{Deserialize, Serialize};
 
-/// Incremented with each change that an older relay would misread. Messages of another version are dropped.
+/// The version of the encoding, incremented with each change that an older relay would misread. Messages of
+/// another version are dropped.
 const VERSION: u8 = 1;
 
 /// One message.
@@ -44,7 +45,7 @@
 pub enum ProposalResult {
     /// The command was committed and applied.
     Applied(Outcome),
-    /// The receiver is not the leader; the leader's name, if it is known.
+    /// The relay that received the proposal is not the leader. Contains the leader's name, if it is known.
     NotLeader(Option<String>),
     /// It is unknown whether the command will be committed.
     Unknown,
@@ -55,7 +56,7 @@
 pub struct RelayStatus {
     /// The relay's failure domain.
     pub domain: FailureDomain,
-    /// Whether it accepts sessions.
+    /// Whether the relay accepts sessions.
     pub serving: bool,
     /// Its sessions at excluded backends.
     pub remaining_sessions: Vec<RemainingSessions>,
--- a/relay/src/drain_command.rs
+++ b/relay/src/drain_command.rs
@@ -1,5 +1,5 @@
-//! `hallrelay drain`: requests a relay to take a target out of service within the disruption budgets, and
-//! prints its answer.
+//! `hallrelay drain`: requests a relay to take a target, which is a relay or a backend, out of service within
+//! the disruption budgets, and prints the relay's answer. The texts for operators call a lease a grant.
 use crate::cli::{self, CliError};
 use crate::operator_client::{get, post, Answer, CallError};
 use serde_json::json;
@@ -34,8 +34,8 @@
         #[command(flatten)]
         at: OperatorAddr,
     },
-    /// End the grant of a target that is back in service although the leader has not observed it. You vouch
-    /// for that with your name.
+    /// End the grant of a target that is back in service although the leader has not observed its return. You
+    /// vouch for the return with your name.
     #[command(name = "free")]
     Reclaim {
         /// The kind of the target.
@@ -73,10 +73,10 @@
 pub struct RequestArgs {
     #[command(flatten)]
     pub at: OperatorAddr,
-    /// Who makes the request. The status shows it.
+    /// Your name. The status shows it with the request.
     #[arg(long = "by", value_name = "BY", env = "USER", default_value = "an operator")]
     pub requested_by: String,
-    /// Why the request is made. The status shows it.
+    /// The reason for the request. The status shows it with the request.
     #[arg(long = "why", value_name = "WHY", default_value = "")]
     pub reason: String,
 }
@@ -88,7 +88,7 @@
     /// Ignore the disruption budgets. The status and the log show that the drain was forced.
     #[arg(long)]
     force: bool,
-    /// How long to wait for the grant, in seconds.
+    /// Time in seconds for which a request that is not granted is repeated. With 0 it is made once.
     #[arg(long = "wait", value_name = "WAIT", default_value_t = 0)]
     wait_s: u64,
 }
--- a/relay/src/fleet_table.rs
+++ b/relay/src/fleet_table.rs
@@ -2,7 +2,8 @@
 use hallrelay_membership::status::{MemberStatus, Status};
 use std::fmt::Write;
 
-/// The table's columns, named like the keys of the JSON answer.
+/// The table's columns, named like the keys of the JSON answer. `since` is the time in the state, `heard` the
+/// time since the last message of the relay or how it is known, and `duty` its lifecycle.
 const HEADER: [&str; COLUMNS] =
     ["relay", "state", "since", "heard", "duty", "sessions", "version", "settings", "address"];
 const COLUMNS: usize = 9;
@@ -47,10 +48,10 @@
         _ = writeln!(text, "messages dropped: {}", dropped.join(", "));
     }
     if status.local_health > 0 {
-        let health = status.local_health;
+        let (health, name) = (status.local_health, &status.name);
         _ = writeln!(
             text,
-            "local health score {health} (0 to 8, 0 is healthy): it was late, or others reported that it was"
+            "local health score {health} (0 to 8, 0 is healthy): {name} was late, or reported as late"
         );
     }
     text
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -64,6 +64,7 @@
     pub at: Option<String>,
 }
 
+/// Parses 16 hexadecimal digits in lower case.
 fn hex16(input: &mut &str) -> ModalResult<u64> {
     take_while(16, |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c))
         .try_map(|t| u64::from_str_radix(t, 16))
@@ -92,6 +93,8 @@
     let ((id, key), pairs) = (head, pairs).parse(text).ok()?;
     let mut open = SessionRequest { id, key, ..SessionRequest::default() };
     let (mut names, mut wait) = (Vec::with_capacity(pairs.len()), None);
+    // Keys: `c` listener, `d` timeout, `g` group, `again` returned, `at` backend. `r` must be a flag, but is
+    // not used. Other keys are ignored.
     for (name, value) in pairs {
         if names.contains(&name) {
             return None;
@@ -153,8 +156,8 @@
         "BYE" => BackendReply::Bye(report()),
         "MOVE" => BackendReply::Move,
         "ERR" => BackendReply::Error(report()),
-        // `BUSY` means that the dial did not run. This must not be guessed, so only a well-formed line
-        // counts.
+        // `BUSY` means that the request did not run. This must not be guessed, so a malformed line does not
+        // count as `BUSY`.
         "BUSY" if tail.is_none() || tail.is_some_and(is_rejection_detail) => BackendReply::Busy(report()),
         "PONG" => BackendReply::Pong(report()),
         "LOAD" => tail.and_then(non_negative_number).map_or(BackendReply::Other, BackendReply::Load),
--- a/relay/src/release_command.rs
+++ b/relay/src/release_command.rs
@@ -1,5 +1,6 @@
 //! `hallrelay release`: requests a relay to start, halt, resume or roll back a rollout, or to show its
-//! status, and prints the answer.
+//! status, and prints the relay's answer. The texts for operators call a rollout a release and a lease a
+//! grant.
 use crate::cli::CliError;
 use crate::drain_command::{print_answer, KindArg, OperatorAddr, RequestArgs};
 use crate::operator_client::{get, post, Answer, CallError};
--- a/relay/src/store_command.rs
+++ b/relay/src/store_command.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// Largest log file that is read.
+/// Largest log file that is read, in bytes.
 const MAX_LOG_BYTES: u64 = 4 << 30;
 
 /// Exit status if the log ends with an incomplete record.
@@ -43,7 +43,7 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot open or read {}: {source}", .path.display())]
     File { path: PathBuf, source: io::Error },
     #[error("{}: {source}", .path.display())]
     Store { path: PathBuf, source: StoreError },
@@ -85,7 +85,7 @@
     RecordKind::from_number(kind).map_or(format!("kind {kind}"), |kind| kind.label().to_string())
 }
 
-/// The live records of one kind.
+/// The live records of one kind: those that no later record replaces or removes.
 #[derive(Default)]
 struct KindSize {
     records: usize,
@@ -153,7 +153,7 @@
     Ok(0)
 }
 
-/// A value that is JSON as it is; the version and length of any other value.
+/// The value itself if it is JSON, else its length in bytes and its version.
 fn exported_value(value: &Value) -> serde_json::Value {
     serde_json::from_slice(&value.bytes)
         .unwrap_or_else(|_| serde_json::json!({"bytes": value.bytes.len(), "version": value.version}))
