--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -61,7 +61,7 @@
     /// When the client sent its unanswered messages, oldest first.
     unanswered: VecDeque<Micros>,
     overdue: Option<OverdueMessage>,
-    /// The longest wait for an answer, in microseconds.
+    /// The time without an answer after which a message counts as lost, in microseconds.
     answer_timeout: Micros,
     /// The backend's last line, once it is read.
     backend_end: Option<BackendEnd>,
@@ -111,7 +111,7 @@
     }
 
     /// Processes the result of a read from the client. Returns how the session ends, if it ends.
-    /// `max_partial` is the most bytes of an incomplete line.
+    /// `max_partial` is the largest number of bytes that an incomplete line may have.
     fn client_read(
         &mut self,
         count: io::Result<usize>,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Processes the result of a read from the backend, like `client_read`. Invalid lines end the session and
-    /// are not forwarded.
+    /// Processes the result of a read from the backend, like `client_read`. If a line is too long, the
+    /// session ends, and none of the lines that the read completed are forwarded.
     async fn backend_read(
         &mut self,
         count: io::Result<usize>,
@@ -169,8 +169,9 @@
         Some(overdue.map_or(sent_at + self.answer_timeout, |overdue| overdue.grace_ends))
     }
 
-    /// Returns whether the oldest message is lost. The first call grants it `UNREAD_GRACE`, because its
-    /// answer may have arrived while this process was not scheduled.
+    /// Returns whether the oldest message is lost. The first call for a message returns false and gives its
+    /// answer `UNREAD_GRACE` more time, because the answer may have arrived while this process was not
+    /// scheduled.
     fn is_lost(&mut self) -> bool {
         let Some(&sent_at) = self.unanswered.front() else { return false };
         let grace_ends = self.hub.clock.now() + UNREAD_GRACE;
--- a/relay/src/reducer/control.rs
+++ b/relay/src/reducer/control.rs
@@ -1,4 +1,5 @@
-//! Sends and receives control messages. What is committed is learned from voters only.
+//! Sends and receives control messages between relays. What the replicated log has committed is accepted from
+//! voters only.
 use super::coordination::PeerReport;
 use super::{Effect, Reducer};
 use crate::control_message::{ControlMessage, ProposalResult, RelayStatus};
--- a/relay/src/reducer/latency.rs
+++ b/relay/src/reducer/latency.rs
@@ -1,4 +1,5 @@
-//! Load and latency within open sessions: the values that backends report, and the times that answers take.
+//! Load and latency within open sessions: the values that backends report, and the time from each message to
+//! its answer.
 use super::{Effect, LatencyReport, Reducer};
 use hallrelay_balancer::types::{Input, Micros, SessionId};
 
--- a/relay/src/reducer/operator_requests.rs
+++ b/relay/src/reducer/operator_requests.rs
@@ -1,5 +1,5 @@
 //! Operators' requests. Most are answered immediately; those that need the replicated log are answered once
-//! their command is committed.
+//! their command is committed. A lease is the log's permission to take a relay or a backend out of service.
 use super::lifecycle::{Lifecycle, LifecycleAction, LifecycleEvent, LifecycleStatus};
 use super::{Effect, OperatorReply, OperatorRequest, Reducer};
 
--- a/relay/src/reducer/voter_host.rs
+++ b/relay/src/reducer/voter_host.rs
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Appends a command of this relay or another to the log if this relay is the leader, else names the
-    /// leader.
+    /// Handles a proposal of this relay or another one: appends its command to the log if this relay is the
+    /// leader, else answers with the leader's name.
     pub(super) fn propose(
         &mut self,
         relay: &Rc<str>,
