--- a/relay/src/net/proxy.rs
+++ b/relay/src/net/proxy.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::sleep_until;
 
-/// Extra time for an answer that may have arrived unread, in microseconds. Long enough to read it; short
-/// against the silence after which a message counts as lost.
+/// Extra time for an answer that may have arrived but is not read yet, in microseconds. Long enough to read
+/// the answer; much shorter than the silence after which a message counts as lost.
 const UNREAD_GRACE: Micros = 20_000;
 
 /// How an open session ends for its task.
@@ -29,6 +29,7 @@
     Migrated,
     /// The reducer hands the session over to another process.
     HandedOver(ProcessId, Box<SessionState>),
+    /// The reducer closes the connection without an answer, or the channel of its commands has closed.
     Closed,
 }
 
@@ -60,7 +61,7 @@
     /// When the client sent its unanswered messages, oldest first.
     unanswered: VecDeque<Micros>,
     overdue: Option<OverdueMessage>,
-    /// The longest wait for an answer, in microseconds.
+    /// The time without an answer after which a message counts as lost, in microseconds.
     answer_timeout: Micros,
     /// The backend's last line, once it is read.
     backend_end: Option<BackendEnd>,
@@ -110,7 +111,7 @@
     }
 
     /// Processes the result of a read from the client. Returns how the session ends, if it ends.
-    /// `max_partial` is the most bytes of an incomplete line.
+    /// `max_partial` is the largest number of bytes that an incomplete line may have.
     fn client_read(
         &mut self,
         count: io::Result<usize>,
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Processes the result of a read from the backend, like `client_read`. Invalid lines end the session and
-    /// are not forwarded.
+    /// Processes the result of a read from the backend, like `client_read`. If a line is too long, the
+    /// session ends, and none of the lines that the read completed are forwarded.
     async fn backend_read(
         &mut self,
         count: io::Result<usize>,
@@ -168,8 +169,9 @@
         Some(overdue.map_or(sent_at + self.answer_timeout, |overdue| overdue.grace_ends))
     }
 
-    /// Returns whether the oldest message is lost. The first call grants it `UNREAD_GRACE`, because its
-    /// answer may have arrived while this process was not scheduled.
+    /// Returns whether the oldest message is lost. The first call for a message returns false and gives its
+    /// answer `UNREAD_GRACE` more time, because the answer may have arrived while this process was not
+    /// scheduled.
     fn is_lost(&mut self) -> bool {
         let Some(&sent_at) = self.unanswered.front() else { return false };
         let grace_ends = self.hub.clock.now() + UNREAD_GRACE;
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Ends the session for a closed backend connection, with the backend's last line or without one.
+    /// Returns how a session ends whose backend connection has closed: as the backend's last line says, or as
+    /// a reset if there is none.
     fn backend_closed(&mut self) -> SessionEnd {
         SessionEnd::Backend(self.backend_end.take().unwrap_or(BackendEnd::RESET))
     }
@@ -323,7 +326,8 @@
         }
     }
 
-    /// The client has closed: forwards the lines that it sent before, then closes the backend's connection.
+    /// Handles a client that has closed: forwards the lines that it sent before, then closes the connection
+    /// to the backend.
     async fn client_closed(self) {
         let hub = self.observer.hub;
         hub.notify(Event::ClientDisconnected { session_id: self.observer.connection_id }).await;
@@ -350,9 +354,9 @@
             let wake_at = clock.at(wake.unwrap_or_default());
             tokio::select! {
                 biased;
-                // Commands come first: they are rare, and a busy session would delay them. Then reads, from
-                // the backend first, because they show its end; then writes. Deadlines come last, so that
-                // unread lines are processed before them.
+                // The order of the branches: commands come first, since they are rare and a busy session
+                // would delay them. Reads follow, first from the backend, because they show its end; then
+                // writes. Deadlines come last, so that lines that have arrived are processed before them.
                 command = commands.recv() => {
                     if let Some(end) = observer.command(command) {
                         return end;
