--- a/emulator/src/audit/answers.rs
+++ b/emulator/src/audit/answers.rs
@@ -1,11 +1,12 @@
-//! Rule 1 (one final answer in time), and the part of rule 2 that concerns rejections.
+//! Rule 1 (one final answer in time), and the part of rule 2 (no unsafe dial) that concerns rejections: a
+//! client repeats a rejected request, so `BUSY` is allowed only if the repetition is safe.
 use super::session::{Answer, Session, TraceEvent};
 use super::{Audit, PendingAnswer};
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
 
 /// A client's complete first line, sent to a relay that accepted the connection.
 pub struct RequestSent {
-    /// The session's mark.
+    /// Mark of the session.
     pub mark: u64,
     /// Relay that took the connection.
     pub relay: usize,
@@ -13,7 +14,7 @@
     pub listener: usize,
     /// Time left until the dial timeout.
     pub wait: Micros,
-    /// The session was open at its backend before the relay started.
+    /// Whether the session was open at its backend before the relay started.
     pub is_pre_existing: bool,
 }
 
@@ -35,7 +36,7 @@
         let slack = self.rules.slack;
         let Some(session) = self.sessions.get_mut(&mark) else { return };
         if session.answered_at.is_some() {
-            let details = format!("{name} arrives after the final answer");
+            let details = format!("{name} received after the final answer");
             return self.record_breach(1, now, mark, details);
         }
         if session.left_at.is_some() {
@@ -48,7 +49,7 @@
         self.deadlines.remove(&PendingAnswer { deadline: deadline + slack, mark });
         if now > deadline + slack && !is_excused {
             let late_ms = (now - deadline) as f64 / 1e3;
-            let details = format!("{name} arrives {late_ms:.1} ms after the dial timeout");
+            let details = format!("{name} received {late_ms:.1} ms after the dial timeout");
             self.record_breach(1, now, mark, details);
         }
         self.check_answer(now, mark, answer);
@@ -69,7 +70,8 @@
                     Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. }
                 );
                 if !may_repeat && !cannot_run {
-                    self.record_breach(2, now, mark, "rejected, though it may have run".to_string());
+                    let details = "BUSY for a session that may have run".to_string();
+                    self.record_breach(2, now, mark, details);
                 }
             }
             Answer::Closed => {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// A client has left on its own.
+    /// A client has closed its connection.
     pub fn client_left(&mut self, now: Micros, mark: u64) {
         self.trace(now, mark, TraceEvent::ClientLeft);
         let Some(session) = self.sessions.get_mut(&mark) else { return };
@@ -96,11 +98,12 @@
         }
     }
 
-    /// A client's open connection ended without `MOVE` though its backend still answers.
+    /// The connection of a client with an open session ended without `MOVE`, though the backend still
+    /// answers. This is no breach if the relay is down.
     pub fn connection_cut(&mut self, now: Micros, mark: u64) {
         let session = self.sessions.get(&mark);
         if session.is_some_and(|session| self.relays[session.relay].is_up) {
-            let details = "cut off without MOVE while its server still answers".to_string();
+            let details = "connection ended without MOVE while the backend still answers".to_string();
             self.record_breach(1, now, mark, details);
         }
     }
@@ -110,7 +113,7 @@
         self.sessions.get(&mark).is_some_and(|session| session.is_established)
     }
 
-    /// Records a breach for each session whose final answer is overdue.
+    /// Records a breach for each session without a final answer at its deadline. A stalled relay is excused.
     pub fn check_deadlines(&mut self, now: Micros) {
         while let Some(&pending) = self.deadlines.first().filter(|pending| pending.deadline < now) {
             self.deadlines.remove(&pending);
--- a/emulator/src/audit/dials.rs
+++ b/emulator/src/audit/dials.rs
@@ -1,5 +1,5 @@
-//! Rules 1 and 2 as observed at the backends: dials of sessions that have ended, dials beyond the maximum,
-//! and unsafe retries.
+//! Rules 1 (nothing after the final answer) and 2 (no unsafe dial) as observed at the backends: dials of
+//! sessions that have ended, dials beyond the maximum, simultaneous dials and unsafe ones.
 use super::session::{DialOutcome, FirstRun, Session, TraceEvent};
 use super::Audit;
 use hallrelay_balancer::types::{Idempotency, KeyScope, Micros};
@@ -7,13 +7,13 @@
 /// A session's first line, received by a backend.
 #[derive(Clone, Copy)]
 pub struct DialReceived {
-    /// The session's mark.
+    /// Mark of the session.
     pub mark: u64,
     /// Relay that dialled.
     pub relay: usize,
     /// Backend that was dialled.
     pub backend: usize,
-    /// When the first byte of the line was received.
+    /// When the first byte of the line was received. Later bytes may have been delayed on the way.
     pub first_byte_at: Micros,
 }
 
@@ -43,11 +43,12 @@
         let Some(session) = self.sessions.get(&dial.mark) else { return breaches };
         let name = &self.backends[dial.backend].name;
         if self.is_over(session, dial.first_byte_at) {
-            breaches.push(DialBreach { rule: 1, details: format!("dialled at {name} after it was over") });
+            let details = format!("dialled at {name} after the session had ended or was established");
+            breaches.push(DialBreach { rule: 1, details });
         }
         if let Some(other) = other {
             let other = &self.backends[other].name;
-            let details = format!("dialled at {name} while a dial is out at {other}");
+            let details = format!("dialled at {name} while a dial at {other} is in flight");
             breaches.push(DialBreach { rule: 2, details });
         }
         let max_dials = self.rules.max_dials;
@@ -56,13 +57,15 @@
             breaches.push(DialBreach { rule: 2, details });
         }
         if session.first_run.is_some_and(|run| !self.may_dial_again(session, run, dial)) {
-            let details = format!("dialled at {name}, though it may have run before");
+            let ran_at = session.first_run.map_or("", |run| &self.backends[run.backend].name);
+            let details = format!("dialled at {name}, though the session may have run at {ran_at}");
             breaches.push(DialBreach { rule: 2, details });
         }
         breaches
     }
 
-    /// Whether a session had ended, or had been established, before a dial of it was sent.
+    /// Whether the session had ended or had been established before the dial was sent. A dial that may have
+    /// been in flight at the end of the session is allowed.
     fn is_over(&self, session: &Session, first_byte_at: Micros) -> bool {
         if session.is_established && session.answered_at.is_some() {
             return true;
@@ -89,7 +92,8 @@
         }
     }
 
-    /// A backend has received a line that differs from what the client sent, or whose client has left.
+    /// A backend has received a first line that no present client sent: the line was changed, or its client
+    /// has left. This is no breach if the line may have been in flight when the session ended.
     pub fn unexpected_line(
         &mut self,
         now: Micros,
@@ -106,7 +110,7 @@
         let name = &self.backends[backend].name;
         let details = match session {
             None => format!("{name} received a line that no client sent: {line:.80}"),
-            Some(_) => format!("dialled at {name} after it was over"),
+            Some(_) => format!("dialled at {name} after the session had ended, or with a changed line"),
         };
         self.record_breach(1, now, mark, details);
     }
@@ -120,7 +124,7 @@
         }
     }
 
-    /// A dial has ended, or the open session that it established has.
+    /// A dial has ended without a session, or the session that it established has ended.
     pub fn dial_ended(&mut self, now: Micros, mark: u64, backend: usize, outcome: DialOutcome) {
         self.trace(now, mark, TraceEvent::DialEnded { backend, outcome });
         let Some(session) = self.sessions.get_mut(&mark) else { return };
--- a/emulator/src/audit/drains.rs
+++ b/emulator/src/audit/drains.rs
@@ -1,15 +1,17 @@
-//! Rule 3: a relay must not send sessions to a backend after it was notified that the backend drains, or
-//! while the relay has not polled the list service for too long.
+//! Rule 3: a relay must not send sessions to a backend after the list service notified the relay that the
+//! backend drains. A relay that polls too rarely to be notified is treated as notified.
 use super::dials::DialReceived;
 use super::Audit;
 use hallrelay_balancer::types::{Micros, Phase};
 
-/// Notifications received this shortly before a process ended may be missing from its store.
+/// Notifications that a relay received at most this long before its process ended may be missing from the
+/// relay's store, so that a later process may not know them.
 const STORE_DELAY: Micros = 1_000_000;
-/// After a failed discovery call a relay has this many poll intervals until its next poll is overdue.
+/// Number of poll intervals that a relay may take for its next poll after a failed call to the list service.
 const FAILED_CALL_ALLOWANCE: Micros = 4;
 
 impl Audit {
+    /// Records a breach of rule 3 if a relay dials a backend too long after the notification of its drain.
     pub(super) fn check_drain(&mut self, now: Micros, dial: &DialReceived, is_pre_existing: bool) {
         let relay = &self.relays[dial.relay];
         let backend = &self.backends[dial.backend];
@@ -30,7 +32,10 @@
         }
         let Some(notified) = notified.filter(|at| dial.first_byte_at > at + allowed) else { return };
         let after_ms = (dial.first_byte_at - notified) as f64 / 1e3;
-        let details = format!("{} is dialled {after_ms:.1} ms after it was told to be shut", backend.name);
+        let relay = dial.relay;
+        let name = &backend.name;
+        let details =
+            format!("{name} dialled {after_ms:.1} ms after relay {relay} was notified of its drain");
         self.record_breach(3, now, dial.mark, details);
     }
 
--- a/emulator/src/audit/mod.rs
+++ b/emulator/src/audit/mod.rs
@@ -1,6 +1,9 @@
 //! Audits the four rules. The auditor sees both sides of each session and the endpoint list, and checks
-//! whether the relays obey the rules. It shares no code with relay and balancer, and knows them only by
-//! their traffic.
+//! whether the relays obey the rules. It shares only basic types with the balancer, and observes the relays
+//! only by their traffic.
+//!
+//! A session is identified by its mark, the id in the client's first line (`OPEN`); a retry of the client has
+//! a new mark. A dial is one attempt of a relay to open the session at a backend.
 //!
 //! Rule 1: a client gets one final answer in time, and nothing after it. Rule 2: a session is dialled again
 //! only if that is safe. Rule 3: no session is sent to a backend that the relay was notified is draining.
@@ -28,9 +31,9 @@
 /// One breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Breach {
-    /// Number of the rule, 1 to 4.
+    /// Number of the rule that was broken, 1 to 4.
     pub rule: u8,
-    /// Microseconds since the start of the day.
+    /// Time of the breach, in microseconds since the start of the day.
     pub at: Micros,
     /// Description of the session, or `none`.
     pub session: String,
@@ -44,26 +47,27 @@
 
 /// Limits set by the scenario. Times are in microseconds.
 struct Rules {
-    /// Allowance for delays caused by the host that runs the emulation.
+    /// Time by which a relay may exceed a limit, since the host that runs the emulation causes delays.
     slack: Micros,
-    /// After a relay or a client has ended a session, data that was in flight may arrive for this long.
+    /// Time for which data that was in flight may still arrive after a relay or a client has ended a session.
     in_flight: Micros,
     /// Time allowed from the notification of a drain to the last dial.
     drain_grace: Micros,
     /// Interval within which a relay must poll the list service.
     poll_within: Micros,
+    /// Maximum number of dials of one session.
     max_dials: u32,
-    /// By listener.
+    /// By listener: whether a session that may have run may be dialled again.
     idempotency: Vec<Idempotency>,
 }
 
-/// A backend and its location.
+/// A backend and its location, which limits where a session with an idempotency key may be dialled again.
 pub struct BackendPlace {
-    /// Its id in the endpoint list.
+    /// Id of the backend in the endpoint list.
     pub name: String,
-    /// Its zone.
+    /// Index of its zone in the scenario.
     pub zone: usize,
-    /// Its cell.
+    /// Number of its cell. Like a zone, a cell can be the scope of idempotency keys.
     pub cell: u16,
 }
 
@@ -72,7 +76,7 @@
     name: String,
     zone: usize,
     cell: u16,
-    /// Time at which the list service first listed it as draining or removed.
+    /// Time since which the list service has listed the backend as draining or removed; none if it is ready.
     draining_since: Option<Micros>,
 }
 
@@ -81,13 +85,14 @@
     is_up: bool,
     started_at: Micros,
     ended_at: Micros,
-    /// Stalled by the fault injector.
+    /// Whether the fault injector has stalled the process.
     is_stalled: bool,
-    /// Number of `poll_within` intervals until the relay is treated as notified.
+    /// Number of `poll_within` intervals after which the relay is treated as notified of a drain.
     poll_allowance: Micros,
     /// By backend: when this process was notified that the backend drains.
     notified: Vec<Option<Micros>>,
-    /// By backend: when an earlier process was notified, if no notification has replaced that since.
+    /// By backend: when an earlier process was notified that the backend drains; none if a later notification
+    /// reported the backend as ready.
     notified_earlier: Vec<Option<Micros>>,
 }
 
@@ -100,8 +105,10 @@
 
 /// Auditor of one day.
 pub struct Audit {
+    /// Start of the day.
     begin: Micros,
     rules: Rules,
+    /// Names of the listeners.
     listeners: Vec<String>,
     backends: Vec<Backend>,
     /// By session mark.
@@ -111,7 +118,7 @@
     relays: Vec<AuditedRelay>,
     /// Whether relays persist notifications, so that these survive a restart of the process.
     relays_have_stores: bool,
-    /// Dials to a backend after this process or an earlier one was notified that it drains.
+    /// Number of dials to a draining backend after an earlier process of the relay was notified of the drain.
     pub stale_dials: u64,
     /// The first `MAX_BREACHES` breaches.
     pub breaches: Vec<Breach>,
@@ -121,7 +128,7 @@
     pub sessions_seen: u64,
     /// Number of dials received by backends.
     pub dials_seen: u64,
-    /// Number of overloads of backends that were warming up, regardless of their cause.
+    /// Number of overloads of backends that were warming up, whether or not relays are blamed for them.
     pub overloads: u32,
 }
 
@@ -196,7 +203,7 @@
         }
     }
 
-    /// A relay's process has ended: clients must request its sessions again.
+    /// A relay's process has ended. Its sessions are no longer audited, as clients must request new ones.
     pub fn relay_ended(&mut self, now: Micros, relay: usize) {
         self.relays[relay].is_up = false;
         self.relays[relay].ended_at = now;
@@ -211,18 +218,19 @@
         self.relays[relay].is_stalled = true;
     }
 
-    /// Rule 4: a backend was overloaded while it warmed up. `blamed` is set if relays that were notified of
-    /// its start caused the overload.
+    /// Rule 4: a backend was overloaded while it warmed up. `blamed` is set if the overload was caused by
+    /// relays that were notified of the backend's start, which should have sent it less.
     pub fn backend_overloaded(&mut self, now: Micros, backend: usize, blamed: bool) {
         self.overloads += 1;
         if blamed {
             let name = &self.backends[backend].name;
-            let details = format!("{name} fell over while cold: overloaded by relays notified of its start");
+            let details = format!("{name} overloaded while warming up, by relays notified of its start");
+            // No session has the mark 0: the breach concerns none in particular.
             self.record_breach(4, now, 0, details);
         }
     }
 
-    /// Removes sessions that ended before the retention period.
+    /// Removes sessions that ended longer ago than the retention period.
     pub fn remove_ended(&mut self, now: Micros) {
         self.sessions.retain(|_, session| {
             let ended = session.left_at.or(session.answered_at.filter(|_| !session.is_established));
--- a/emulator/src/audit/session.rs
+++ b/emulator/src/audit/session.rs
@@ -53,30 +53,35 @@
     event: TraceEvent,
 }
 
-/// First backend at which a session may have run, and when.
+/// First backend at which a session may have run, and the time since when this is possible.
 #[derive(Clone, Copy)]
 pub(super) struct FirstRun {
     pub at: Micros,
     pub backend: usize,
 }
 
+/// What the auditor knows of one session.
 pub(super) struct Session {
     pub listener: usize,
     pub relay: usize,
+    /// End of the dial timeout, by which the client must have its final answer.
     pub deadline: Micros,
+    /// When the client received its final answer, or when the lack of one was recorded as a breach.
     pub answered_at: Option<Micros>,
-    /// The deadline passed while the relay was stalled: an answer is no longer required.
+    /// Whether no answer is required any more, because the relay was stalled at the deadline.
     pub is_excused: bool,
     /// The client has received `UP`.
     pub is_established: bool,
+    /// When the client closed its connection.
     pub left_at: Option<Micros>,
+    /// Number of dials that backends received.
     pub dials: u32,
     /// The backend at which a dial is in flight.
     pub dialling: Option<usize>,
     pub first_run: Option<FirstRun>,
-    /// Receipt issued by a backend.
+    /// Receipt that the backend issued with `UP`; the client must receive the same one.
     pub receipt: Option<u64>,
-    /// The session was open at its backend before the relay started.
+    /// Whether the session was open at its backend before the relay started.
     pub is_pre_existing: bool,
     trace: Vec<TraceEntry>,
 }
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Records that the session may run at a backend from now on.
+    /// Records that the session may have run at a backend since `at`; only the first such backend is kept.
     pub(super) fn may_have_run(&mut self, at: Micros, backend: usize) {
         self.first_run = self.first_run.or(Some(FirstRun { at, backend }));
     }
--- a/emulator/src/clients/arrivals.rs
+++ b/emulator/src/clients/arrivals.rs
@@ -2,13 +2,14 @@
 use super::{mix, Client, ClientAction, ClientState, Clients, Event};
 use hallrelay_balancer::types::Micros;
 
-/// Interval at which arrivals are drawn, at the rate that applies at its start.
+/// Length of the intervals for which arrivals are drawn. The rate at the start of an interval applies to all
+/// of it.
 const RATE_REVIEW_INTERVAL: Micros = 100_000;
 /// Lower bound of the arrival rate per second, to avoid a division by zero.
 const MIN_RATE: f64 = 1e-9;
 /// Minimum lifetime of a client.
 const MIN_LIFETIME: Micros = 200_000;
-/// How long a client waits after its lifetime for the server to end its session.
+/// Time that a client waits after its lifetime for the server to end the session, before it leaves itself.
 const MAX_BYE_DELAY: Micros = 1_000_000;
 
 impl Clients {
@@ -18,7 +19,7 @@
         let relay_count = self.scenario.relays.count;
         for index in 0..self.scenario.load.standing {
             let id = self.add_client(self.begin);
-            // Marks the relay as serving immediately, without waiting for its answer to `PING`.
+            // The front does not wait until the relay answers `PING`: the sessions were open before.
             let relay = index % relay_count;
             self.front.set_serving(relay);
             let client = self.clients.get_mut(&id).expect("the client was just added");
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Draws the arrivals until the next review.
+    /// Draws the arrivals until the next review of the rate.
     pub(super) fn draw_arrivals(&mut self) {
         let until = self.now + RATE_REVIEW_INTERVAL;
         let mean_interval = 1e6 / self.arrival_rate(self.now).max(MIN_RATE);
@@ -75,6 +76,7 @@
         let mean_lifetime = self.scenario.listeners[listener].life_s.us() as f64;
         let lifetime = self.random.exponential(mean_lifetime) as Micros;
         let until = now + lifetime.max(MIN_LIFETIME);
+        // The key and the group are odd, since 0 means none.
         let key = self.random.bits() | 1;
         let group_draw = self.random.bits();
         let group_count = self.scenario.load.groups;
--- a/emulator/src/clients/front.rs
+++ b/emulator/src/clients/front.rs
@@ -1,4 +1,4 @@
-//! The front: selects the relays to which it distributes clients.
+//! The front, a load balancer before the relays: selects the relays to which it distributes clients.
 use super::{Clients, Event};
 use hallrelay_balancer::types::Micros;
 
@@ -23,7 +23,8 @@
         self.is_serving[relay] = true;
     }
 
-    /// Applies a notice that a relay serves or has ended, unless the relay has started again since.
+    /// Applies a notice that a relay serves or has ended. `starts` is the number of starts when the notice
+    /// was scheduled: if the relay has started again since, the notice is outdated and ignored.
     pub(super) fn update(&mut self, relay: usize, is_serving: bool, starts: u32) {
         if starts == self.starts[relay] {
             self.is_serving[relay] = is_serving;
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -1,5 +1,7 @@
-//! Clients, and the front that distributes them over the relays. No I/O. Covers open-loop arrivals,
-//! lifetimes, and the reaction of each client to an answer, a migration or a break.
+//! Clients, and the front that distributes them over the relays. No I/O. Clients arrive at a rate that does
+//! not depend on how well they are served (open loop). Each one wants a session until the end of its
+//! lifetime, and reacts to answers, migrations and breaks. Each of its connections has a mark, the id in its
+//! first line.
 mod arrivals;
 mod front;
 mod sessions;
@@ -29,15 +31,15 @@
     pub key: u64,
     /// Group of the client; 0 is none.
     pub group: u64,
-    /// The client had a session before, and returns after a break or a migration.
+    /// Whether the client had a session before, and returns after a break or a migration.
     pub returned: bool,
-    /// The request is a retry after a failed attempt.
+    /// Whether the request is a retry after a failed attempt.
     pub retry: bool,
     /// How long the client waits for its answer, in microseconds.
     pub dial_timeout: Micros,
-    /// Server at which the session was open before the day.
+    /// Server at which the session was open before the day; none for a new session.
     pub pre_existing_at: Option<usize>,
-    /// When the server is to end the session, in microseconds from now; none if the client leaves.
+    /// Time in microseconds until the server ends the session; none if the client ends it.
     pub ended_after: Option<Micros>,
 }
 
@@ -46,7 +48,7 @@
 pub enum ClientAction {
     /// Opens a connection and sends its first line.
     Open(ClientRequest),
-    /// Closes its connection in any state.
+    /// Closes its connection, whether or not its session is open.
     Leave {
         /// Mark of the connection.
         mark: u64,
@@ -58,7 +60,8 @@
 pub enum ClientEvent {
     /// The session is established.
     Established,
-    /// The session was rejected, with a retry delay in microseconds; 0 if the relay named none.
+    /// The session was rejected. The value is the delay in microseconds after which the relay wants the
+    /// client to retry, or 0 if the relay set none.
     Rejected(Micros),
     /// The attempt got an error.
     Failed,
@@ -98,15 +101,15 @@
     listener: usize,
     key: u64,
     group: u64,
-    /// End of its lifetime.
+    /// End of the client's lifetime.
     until: Micros,
-    /// Whether the server is to end its session.
+    /// Whether the server ends the session at the end of this lifetime, rather than the client.
     is_ended_by_server: bool,
     state: ClientState,
     retries_left: u32,
     /// Whether it had a session before.
     has_returned: bool,
-    /// Consecutive requests for which no relay was available.
+    /// Number of consecutive requests for which no relay was available, at most `MAX_BACKOFF_DOUBLINGS`.
     relay_misses: u32,
     /// Start of the idempotency window: the first request since the client last had a session.
     first_request_at: Micros,
@@ -168,9 +171,10 @@
     scenario: Scenario,
     begin: Micros,
     end: Micros,
-    /// By number, counted from 1.
+    /// By the number of the client.
     clients: BTreeMap<u64, Client>,
-    /// Clients by the marks of their connections. Never iterated, as a hash map has no stable order.
+    /// Clients by the marks of their connections. Never iterated: a hash map has no stable order, and a day
+    /// must give the same result for the same seed.
     by_mark: HashMap<u64, u64>,
     events: EventQueue<Event>,
     front: Front,
@@ -179,15 +183,15 @@
     now: Micros,
     /// Last number assigned to a client or a connection.
     last_number: u64,
-    /// Marks of connections that clients close in the next step.
+    /// Marks of connections that `reconnect` ended; the next step reports that their clients leave.
     marks_to_leave: Vec<u64>,
     /// By listener: clients whose lifetime has not ended.
     pub wanted: Vec<u32>,
-    /// By listener.
+    /// By listener: counts since the start of the day.
     pub counts: Vec<Counts>,
     /// Number of open sessions that migrated.
     pub moves: u64,
-    /// Number of open sessions that ended early for another reason than a migration or their client.
+    /// Number of open sessions that ended early without a migration, including those that `reconnect` ended.
     pub breaks: u64,
     /// By listener: microseconds from the first line until the session was established.
     pub waits: Vec<hdrhistogram::Histogram<u64>>,
@@ -284,7 +288,8 @@
     }
 }
 
-/// Distributes numbers evenly over 64 bits (the finalizer of splitmix64).
+/// Hashes a number to 64 bits, so that consecutive numbers give unrelated results (the finalizer of
+/// splitmix64).
 pub fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/emulator/src/clients/sessions.rs
+++ b/emulator/src/clients/sessions.rs
@@ -4,7 +4,7 @@
 
 /// Dial timeout of sessions that were open before the day.
 const PRE_EXISTING_DIAL_TIMEOUT: Micros = 40_000_000;
-/// First backoff of a client for which no relay was available; each further one doubles it.
+/// First backoff of a client for which no relay was available. It doubles with each consecutive miss.
 const RELAY_MISS_BACKOFF: Micros = 100_000;
 /// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
@@ -22,7 +22,7 @@
             None if serving.is_empty() => return self.back_off(id),
             None => serving[self.random.below(serving.len())],
         };
-        // Marks are unique, and do not reveal their client.
+        // Marks are unique, and do not reveal their client. They are odd, so that none is 0.
         self.last_number += 1;
         let mark = mix(self.last_number ^ (self.random.bits() << 24)) | 1;
         let client = &self.clients[&id];
@@ -74,7 +74,8 @@
         self.retry(id, 0, false);
     }
 
-    /// Retries after a wait of at least `after`, or gives up. `never_ran` means that a retry is always safe.
+    /// Retries after a wait of at least `after`, or gives up if no retries are left or a retry is not safe.
+    /// If `never_ran`, a retry is always safe.
     fn retry(&mut self, id: u64, after: Micros, never_ran: bool) {
         self.set_state(id, ClientState::Waiting);
         let client = self.clients.get_mut(&id).expect("a client that retries must be present");
@@ -95,7 +96,7 @@
         self.events.schedule(self.now + after.max(wait), Event::Request { client: id });
     }
 
-    /// Handles an event of a connection. Returns false if its client has left.
+    /// Handles an event of a connection. Returns false if the client has left this connection.
     pub fn handle(&mut self, now: Micros, mark: u64, event: ClientEvent) -> bool {
         self.now = self.now.max(now);
         let Some(&id) = self.by_mark.get(&mark) else { return false };
@@ -138,7 +139,8 @@
     fn session_ended(&mut self, id: u64, event: ClientEvent) {
         match event {
             ClientEvent::Ended if self.now >= self.clients[&id].until => self.remove(id),
-            // Slightly early: the client sends no further request.
+            // The server ended the session before the end of the lifetime, but as intended: the client sends
+            // no further request.
             ClientEvent::Ended => self.set_state(id, ClientState::GivenUp),
             ClientEvent::Migrated => {
                 self.moves += 1;
@@ -184,7 +186,8 @@
         self.events.schedule(at, Event::Request { client: id });
     }
 
-    /// A fraction of the clients with an open session closes it immediately and returns within a time.
+    /// A random fraction of the clients with an open session closes it immediately. They return within
+    /// `within`, but not in its first tenth.
     pub fn reconnect(&mut self, now: Micros, fraction: f64, within: Micros) {
         self.now = self.now.max(now);
         let ids: Vec<u64> = self.clients.keys().copied().collect();
--- a/emulator/src/membership_audit.rs
+++ b/emulator/src/membership_audit.rs
@@ -1,6 +1,7 @@
 //! Audits the relays' views of each other against the facts: what the fault injector did to their processes
-//! and links, and what each process reported about itself. No I/O. Times of findings are in seconds since
-//! the start of the day.
+//! and links, and what each process reported about itself. A view is what one relay (the observer) reports
+//! about another one (the subject). A relay whose links are cut, or which was stopped or stalled, may hold
+//! incorrect views for a time: these are excused. No I/O.
 use crate::node::{name, number};
 use hallrelay_balancer::types::Micros;
 use hallrelay_membership::status::Status;
@@ -16,7 +17,7 @@
     Up,
     /// Stopped by a signal; it will resume.
     Stalled,
-    /// Requested to stop, and has not exited yet.
+    /// Was requested to stop, and has not exited yet.
     Stopping,
 }
 
@@ -26,10 +27,10 @@
     /// A relay was considered dead though it was neither stopped nor cut off.
     #[serde(rename = "FalselyGone")]
     FalselyDead,
-    /// A failure or a return was not detected by a relay that could have detected it.
+    /// A relay did not detect a failure or a return in time, though it was up and not cut off.
     #[serde(rename = "NeverLearnt")]
     NeverDetected,
-    /// A view contains a name, a start or a departure that never existed.
+    /// A view contains a relay's name, a start of a process or an announced departure that never existed.
     NeverTrue,
     /// A relay reported that it is partitioned, though it was not and most relays were up.
     #[serde(rename = "NotCutOff")]
@@ -51,7 +52,7 @@
 /// One incorrect view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finding {
-    /// When it was found, in seconds since the start of the day.
+    /// Time of the finding, in seconds since the start of the day.
     pub at: f64,
     /// Kind of the violation.
     #[serde(rename = "wrong")]
@@ -78,26 +79,26 @@
     pub state: String,
 }
 
-/// View that a relay reported about the cluster from a point in time on. `down` and `stalled` are set by the
-/// fault injector.
+/// View that a relay reported about the cluster from a point in time on. The views of one relay form its lane
+/// in the report. `down` and `stalled` are not reported by the relay, but set by the fault injector.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LaneEntry {
     /// Start of this entry, in seconds since the start of the day.
     pub at: f64,
-    /// The reported view.
+    /// Name of the reported view, such as `cut off`.
     pub word: String,
 }
 
 /// Seconds from an event until other relays detected it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DetectionTimes {
-    /// Number of detections.
+    /// Number of detections; each relay that detects an event counts once.
     pub count: usize,
-    /// Median.
+    /// Median of the times.
     pub median: f64,
-    /// 95th percentile.
+    /// 95th percentile of the times.
     pub p95: f64,
-    /// Maximum.
+    /// Time of the last detection, which is the maximum.
     pub last: f64,
 }
 
@@ -133,10 +134,11 @@
     pub finding_count: u64,
     /// By relay: the views that it reported, in chronological order.
     pub lanes: Vec<Vec<LaneEntry>>,
-    /// The first changes of views, in chronological order.
+    /// The first `MAX_VIEW_CHANGES` changes of views, in chronological order.
     #[serde(rename = "beliefs")]
     pub view_changes: Vec<ViewChange>,
-    /// Datagrams sent, arrived, lost and corrupted, as counted by the emulated links.
+    /// Number of datagrams sent, arrived, lost and corrupted, in this order, as counted by the emulated
+    /// links.
     pub datagrams: [u64; 4],
 }
 
@@ -144,11 +146,12 @@
 const MAX_FINDINGS: usize = 100;
 /// Maximum number of view changes recorded.
 const MAX_VIEW_CHANGES: usize = 20_000;
-/// An incorrect view is excused until this long after a stop or a cut has ended.
+/// Time after the end of a stop or a cut during which an incorrect view is still excused.
 const EXCUSED_FOR: Micros = 20_000_000;
 /// Every relay that can detect a failure or a return must do so within this time.
 const DETECTION_LIMIT: Micros = 20_000_000;
-/// A process reads its clock at most this long after the fault injector started it.
+/// Maximum time from the start of a process by the fault injector until the process reads its clock, whose
+/// time becomes its start number.
 const MAX_START_DELAY: Micros = 5_000_000;
 
 /// The facts about one relay.
@@ -162,9 +165,9 @@
     last_cut: Micros,
     /// Whether it was ever requested to stop.
     was_stop_requested: bool,
-    /// Start numbers that it reported itself.
+    /// Start numbers of its processes, as it reported them itself. A start number identifies a process.
     starts: BTreeSet<u64>,
-    /// View of its last lane entry.
+    /// View of its last lane entry, so that only changes are recorded.
     reported_view: String,
 }
 
@@ -186,11 +189,14 @@
 struct PendingDetection {
     subject: usize,
     at: Micros,
+    /// Whether this is a failure rather than a return.
     is_death: bool,
-    /// The relay announced its departure, so this does not measure the failure detector.
+    /// Whether the subject was requested to stop and announced its departure. The time of such a detection is
+    /// not counted, as it does not measure the failure detector.
     was_announced: bool,
-    /// Start numbers reported before a return.
+    /// Start numbers that the subject reported before its return; a view with one of them is outdated.
     earlier_starts: BTreeSet<u64>,
+    /// Relays that have not detected the event yet.
     observers: BTreeSet<usize>,
 }
 
@@ -282,8 +288,8 @@
         }
     }
 
-    /// Expects all relays that are up to detect a failure or a return. This replaces the pending detection of
-    /// the same relay, and removes this relay as an observer of others.
+    /// Expects all relays that are up to detect a failure or a return of the subject. This replaces a pending
+    /// detection of the same subject. The subject itself is no longer expected to detect earlier events.
     fn expect_detection(&mut self, subject: usize, is_death: bool, was_announced: bool) {
         self.pending.retain(|pending| pending.subject != subject);
         for pending in &mut self.pending {
@@ -320,12 +326,13 @@
         }
     }
 
-    /// Whether a cut of the relay's links excuses an incorrect view about it or held by it.
+    /// Whether a cut of this relay's links excuses incorrect views that it holds or that others hold about
+    /// it.
     fn is_excused_by_cut(&self, index: usize) -> bool {
         self.now < self.relays[index].last_cut + EXCUSED_FOR
     }
 
-    /// As `is_excused_by_cut`, and also excused by a stop of its process.
+    /// Whether a cut of this relay's links, or a stop, a stall or a start of its process, excuses such views.
     fn is_excused(&self, index: usize) -> bool {
         let relay = &self.relays[index];
         let was_stopped =
@@ -333,8 +340,8 @@
         self.is_excused_by_cut(index) || was_stopped
     }
 
-    /// Whether any relay is excused. Most of what a relay receives is passed on by other relays, so that one
-    /// stopped relay may leave few members reachable.
+    /// Whether any relay is excused. A relay learns most about the cluster through others, so that one
+    /// stopped relay may leave few members reachable for another one.
     fn is_any_excused(&self) -> bool {
         (0..self.relays.len()).any(|index| self.is_excused(index))
     }
@@ -370,7 +377,8 @@
         let up_count = self.relays.iter().filter(|relay| relay.process == ProcessState::Up).count();
         let most_are_up = up_count * 2 > self.relays.len();
         if status.view == "cut off" && most_are_up && !self.is_any_excused() {
-            let details = format!("hears {} of {}", status.reachable_relays, status.configured_relays);
+            let (reachable, configured) = (status.reachable_relays, status.configured_relays);
+            let details = format!("reports only {reachable} of {configured} relays as reachable");
             self.record_finding(Violation::NotPartitioned, observer, &name(observer), details);
         }
     }
@@ -386,20 +394,22 @@
 
     fn check_view(&mut self, observer: usize, subject: &str, view: &View) {
         let Some(index) = number(subject).filter(|index| *index < self.relays.len()) else {
-            let details = "there is no relay of this name".to_string();
+            let details = "no relay has this name".to_string();
             return self.record_finding(Violation::NeverTrue, observer, subject, details);
         };
-        // A start number is the time of the start, or one more than the number of an earlier process.
+        // A start number is the time of the start, or one more than the number of an earlier process. It may
+        // thus be lower than the limit by any amount, but not higher.
         if view.start > self.relays[index].started_at + MAX_START_DELAY {
-            let details = format!("never had the start number {}", view.start);
+            let limit = self.relays[index].started_at + MAX_START_DELAY;
+            let details = format!("never had the start number {} (at most {limit})", view.start);
             self.record_finding(Violation::NeverTrue, observer, subject, details);
         }
         if view.state == "left" && !self.relays[index].was_stop_requested {
-            let details = "was never told to stop".to_string();
+            let details = "considered departed, but was never requested to stop".to_string();
             self.record_finding(Violation::NeverTrue, observer, subject, details);
         }
         if view.state == "gone" && !self.is_excused(index) && !self.is_excused_by_cut(observer) {
-            let details = "was neither stopped nor cut off".to_string();
+            let details = "considered dead, but was neither stopped nor cut off".to_string();
             self.record_finding(Violation::FalselyDead, observer, subject, details);
         }
         self.record_detections(observer, index, view);
@@ -419,8 +429,8 @@
         }
     }
 
-    /// Records each failure or return that should have been detected by now. An observer that was stopped or
-    /// cut off could not detect it, and no relay could while the subject was cut off.
+    /// Records a finding for each failure or return that should have been detected by now. An observer is
+    /// excused if it was stopped or cut off, and all observers are if the subject was cut off.
     pub fn check_pending(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let is_late = |pending: &mut PendingDetection| now >= pending.at + DETECTION_LIMIT;
@@ -431,10 +441,10 @@
                 if subject_cut || self.is_excused(observer) {
                     continue;
                 }
-                let details =
-                    if pending.is_death { "has been dead for 20 s" } else { "has been back for 20 s" };
+                let event = if pending.is_death { "failure" } else { "return" };
+                let details = format!("{event} not detected within {} s", DETECTION_LIMIT / 1_000_000);
                 let subject = name(pending.subject);
-                self.record_finding(Violation::NeverDetected, observer, &subject, details.to_string());
+                self.record_finding(Violation::NeverDetected, observer, &subject, details);
             }
         }
     }
--- a/emulator/src/net/addresses.rs
+++ b/emulator/src/net/addresses.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// First port searched for a free one. The system assigns none of these ports to outgoing connections, so no
-/// port is taken while its server is down.
+/// First of the ports among which a free one is searched. The system assigns none of them to outgoing
+/// connections, so that a server's port cannot be taken while the server is down.
 const FIRST_PORT: u64 = 10_000;
 /// Number of ports that are searched.
 const PORT_COUNT: u64 = 20_000;
@@ -49,7 +49,8 @@
 /// # Errors
 /// If the address cannot be bound, or none of its ports is free.
 pub fn free_port(ip: Ipv4Addr) -> Result<SocketAddr, AddressError> {
-    // Programs that run at the same time start their searches at different ports.
+    // The start of the search depends on the process id, so that programs that run at the same time search
+    // different ports.
     let start = mix(u64::from(std::process::id()) << 32 | u64::from(u32::from(ip)));
     let mut last = None;
     for offset in 0..PORT_COUNT {
@@ -64,13 +65,15 @@
     Err(AddressError::NoneFree { ip, last })
 }
 
-/// Addresses of the servers by relay and server. Each pair has an address of its own, so that each side can
-/// identify the other by it. All are bound once to check that they are free. Supports at most 64 relays.
+/// Addresses of the servers, by relay and server. Each pair has its own address: a server can identify a
+/// relay by the address that the relay connects to. Each address is bound once to check that it is free.
+/// Supports at most 64 relays.
 ///
 /// # Errors
 /// If an address is not available.
 pub fn endpoint_addresses(relays: usize, servers: usize) -> Result<Vec<Vec<SocketAddr>>, AddressError> {
-    // 127.16 to 127.79 identify relays. Other sockets listen on 127.0.0.1.
+    // The second byte identifies the relay (127.16 to 127.79), the other two identify the server. Other
+    // sockets listen on lower addresses, such as 127.0.0.1.
     let address = |relay: usize, server: usize| {
         let ip = Ipv4Addr::new(127, 16 + relay as u8, (server / 250) as u8, (server % 250 + 1) as u8);
         free_port(ip)
--- a/emulator/src/net/client.rs
+++ b/emulator/src/net/client.rs
@@ -14,7 +14,7 @@
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// A relay that does not accept a connection within this time is treated as dead.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that a client waits for lines after its final answer, since any such line breaks rule 1.
+/// Time that a client waits for lines after its final answer. Any such line breaks rule 1 of the audit.
 const AFTER_ANSWER: Duration = Duration::from_millis(500);
 
 /// Returns whether a relay answers `PING`.
@@ -116,7 +116,8 @@
     }
 }
 
-/// Timer for the messages that a client sends. Clients are spread over the period.
+/// Timer for the messages that a client sends. Its offset depends on the mark, so that the messages of all
+/// clients are spread over the period.
 fn message_times(mark: u64, host: &Rc<Host>) -> Interval {
     let period = Duration::from_micros(host.day.borrow().scenario.clients.message_s.us());
     let offset = Duration::from_micros(mix(mark) % period.as_micros().max(1) as u64);
--- a/emulator/src/net/clock.rs
+++ b/emulator/src/net/clock.rs
@@ -21,7 +21,7 @@
         self.unix_start + self.start.elapsed().as_micros() as Micros
     }
 
-    /// Converts a time for timers; a time before the clock's start becomes the start.
+    /// Converts a time to an instant for timers. A time before the clock's start is converted to the start.
     pub fn at(&self, time: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(time.saturating_sub(self.unix_start))).into()
     }
--- a/emulator/src/net/host.rs
+++ b/emulator/src/net/host.rs
@@ -19,8 +19,8 @@
 
 /// Maximum number of commands queued for a client's task.
 const CLIENT_COMMAND_CAPACITY: usize = 2;
-/// Places in a connection's command queue that are reserved for lines that must not be lost. `LOAD` lines
-/// may be lost and do not use them.
+/// Capacity of a connection's command queue that is reserved for lines that must not be lost. A `LOAD` line
+/// is dropped if no more than this capacity is left.
 const RESERVED_COMMAND_CAPACITY: usize = 4;
 /// Interval between `PING` requests to a relay that starts.
 const PING_INTERVAL: Duration = Duration::from_millis(20);
@@ -57,21 +57,25 @@
     connections: RefCell<BTreeMap<ConnectionId, ServerConnection>>,
     /// Connections by the marks of their sessions.
     by_mark: RefCell<BTreeMap<u64, BTreeSet<ConnectionId>>>,
+    /// Channels to the tasks of the present clients, by mark.
     pub(super) clients: RefCell<BTreeMap<u64, mpsc::Sender<LeaveCommand>>>,
-    /// Requests of the present clients by mark; servers compare first lines with them.
+    /// Requests of the present clients, by mark. Servers compare first lines with them, since a relay must
+    /// not change these lines.
     pub(super) requests: RefCell<BTreeMap<u64, ClientRequest>>,
     last_connection: Cell<ConnectionId>,
     /// Addresses of the servers, by relay and server.
     pub servers: Vec<Vec<SocketAddr>>,
     /// Addresses of the relays.
     pub relays: RefCell<Vec<SocketAddr>>,
-    /// Incremented when the reachability of a server may have changed.
+    /// Notifies tasks when the reachability of a server may have changed. The value is a count without
+    /// meaning.
     pub(super) reachability: watch::Sender<u64>,
-    /// Incremented when the endpoint list changes, and when discovery becomes unavailable or available again.
+    /// As `reachability`, for changes of the endpoint list, and for discovery becoming unavailable or
+    /// available.
     pub(super) list_changes: watch::Sender<u64>,
     /// Whether discovery is unavailable.
     pub list_down: Cell<bool>,
-    /// By relay: incremented when its discovery moves to another address.
+    /// As `reachability`, by relay, for moves of its discovery to another address.
     pub list_moves: RefCell<Vec<watch::Sender<u64>>>,
     /// By relay: address of its discovery.
     pub list_addresses: RefCell<Vec<SocketAddr>>,
@@ -81,7 +85,7 @@
     relay_commands: RefCell<Vec<RelayCommand>>,
     relay_command_due: Notify,
     models_called: Notify,
-    /// Maximum delay of a step of the models behind its due time, in microseconds.
+    /// Maximum delay of a step of the models after its due time, in microseconds.
     pub max_delay: Cell<Micros>,
     /// Counts of clients that send malformed input.
     pub malformed_clients: RefCell<MalformedClientFigures>,
@@ -131,7 +135,7 @@
         self.clock.now()
     }
 
-    /// Calls the models, and carries out the actions that result.
+    /// Calls the models with the current time, and carries out the actions that result from the call.
     pub fn with<T>(self: &Rc<Host>, call: impl FnOnce(&mut Day, Micros, &mut DriverActions) -> T) -> T {
         let mut todo = DriverActions::default();
         let now = self.now();
@@ -282,9 +286,9 @@
         self.by_mark.borrow().get(&mark).map(|ids| ids.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Ends connections of a session that its relay has closed, even if their tasks have not read that yet.
-    /// Such a dial counts as over: the order in which tasks run must not make the auditor see it as open when
-    /// the next dial begins.
+    /// Ends those connections of a session that the relay has closed, even if their tasks have not read the
+    /// end yet. Otherwise the auditor would, depending on the order in which tasks run, see an earlier dial
+    /// as still in flight when the next one begins.
     pub(super) fn close_ended_connections(self: &Rc<Host>, mark: u64) {
         let has_ended = |id: &ConnectionId| {
             let connections = self.connections.borrow();
@@ -304,8 +308,8 @@
         });
     }
 
-    /// A client's open connection ended without a line. This is a breach if its server still has the
-    /// connection and is up.
+    /// The connection of a client with an open session ended without a final line. This is a breach if the
+    /// session's server still has its own connection of the session and is up.
     pub(super) fn client_cut_off(self: &Rc<Host>, mark: u64) {
         let Some(&id) = self.connections_of(mark).first() else { return };
         let Some(server) = self.connections.borrow().get(&id).map(|found| found.server) else { return };
--- a/emulator/src/net/links.rs
+++ b/emulator/src/net/links.rs
@@ -1,6 +1,7 @@
-//! Emulated links on sockets. Each relay is advertised at an address of a proxy. The proxy receives what
-//! others send to the relay, passes it through the emulated links, and forwards it from the sender's own
-//! advertised address. The source address identifies the sender.
+//! Emulated links between relays on sockets. Each relay advertises an address of a proxy in place of the
+//! address on which the relay listens. The proxy receives what other relays send to the advertised address,
+//! passes it through the emulated links, and forwards it from the advertised address of the sender, by which
+//! the receiver identifies the sender.
 use super::{free_port, AddressError, Shared};
 use crate::links::Arrival;
 use hallrelay_balancer::types::Micros;
@@ -41,7 +42,7 @@
     }
 }
 
-/// A stream on a link that is cut is closed after this time, as relays close theirs.
+/// Time after which a stream on a cut link is closed, as relays close theirs.
 const CUT_STREAM_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval at which the link of an open stream is checked for a cut.
 const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Forwards a datagram. If its destination is down there is no socket, and the datagram is lost.
+    /// Forwards a datagram. If the destination relay is down, no socket receives the datagram and it is lost.
     fn forward(&self, arrival: &Arrival) {
         let to = self.addresses.listen[arrival.to];
         _ = self.sockets[arrival.from].try_send_to(&arrival.bytes, to);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Returns when the link has been cut for `CUT_STREAM_TIMEOUT`.
+    /// Waits until the link is cut, and then for `CUT_STREAM_TIMEOUT`.
     async fn wait_for_cut_timeout(&self, from: usize, to: usize) {
         while self.stream_latency(from, to).is_some() {
             tokio::time::sleep(CUT_CHECK_INTERVAL).await;
--- a/emulator/src/net/list.rs
+++ b/emulator/src/net/list.rs
@@ -17,9 +17,10 @@
 
 /// Interval at which a cut between relay and discovery is checked for its end.
 const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long connections to the old address stay open after a move.
+/// Time for which connections to the old address stay open after a move of discovery to another address.
 const MOVE_GRACE: Duration = Duration::from_millis(1_500);
-/// Interval at which an empty line is written to a watch while nothing changes.
+/// Interval at which an empty line is written to a watch (a response that reports changes) if nothing
+/// changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum number of lines queued for a watch.
 const WATCH_CAPACITY: usize = 4;
@@ -103,7 +104,7 @@
         return response(StatusCode::SERVICE_UNAVAILABLE, "down\n");
     }
     if request.uri().path() != "/registry/instances" {
-        return response(StatusCode::NOT_FOUND, "no such place\n");
+        return response(StatusCode::NOT_FOUND, "no such path\n");
     }
     let query = request.uri().query().unwrap_or("");
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -133,7 +134,8 @@
     line
 }
 
-/// Writes the changes after a version, or the complete list and then all changes, while the relay reads.
+/// Writes the changes since the version `since`, or else the complete list, and then further changes until
+/// the relay closes the connection or discovery becomes unavailable.
 async fn watch_changes(
     relay: usize,
     since: Option<u64>,
--- a/emulator/src/net/malformed.rs
+++ b/emulator/src/net/malformed.rs
@@ -1,5 +1,5 @@
-//! Clients that send malformed input. Each must get an error or the end of the connection in time. They read
-//! what the relay sends.
+//! Clients that send malformed input. Each of them reads what the relay sends, and must get an error or the
+//! end of the connection in time.
 use super::lines::{self, Lines};
 use super::Shared;
 use crate::random::Random;
@@ -9,14 +9,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time within which such a client must get an error or the end of the connection; doubled for clients that
-/// send megabytes first.
+/// Time within which such a client must get an error or the end of the connection. Twice this time for
+/// clients that send megabytes first.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// No such client starts this shortly before the end of the day, since its answer would not be seen.
+/// Time before the end of the day from which no such client starts, since its answer might come too late.
 const LAST_BEFORE_END: Micros = 7_000_000;
 /// Random stream of these clients.
 const RANDOM_STREAM: u64 = 6;
-/// Number of times that a client sends its rejected line again.
+/// Number of further connections on which a client of the kind `Again` repeats its rejected line.
 const REPEATS: usize = 5;
 
 /// Starts these clients at the scenario's rate until the end of the day.
--- a/emulator/src/net/mod.rs
+++ b/emulator/src/net/mod.rs
@@ -1,5 +1,6 @@
-//! The models on sockets of 127.0.0.0/8: servers, discovery, clients and front in one process and one
-//! thread. The models make all decisions; the tasks here transfer bytes and call the models.
+//! Runs the models of the other modules (servers, discovery, clients and front) on sockets of 127.0.0.0/8, in
+//! one process and one thread, so that real relays can connect to them. The models make all decisions. The
+//! tasks here transfer bytes and call the models. `list` in names means the list service (discovery).
 mod addresses;
 pub mod client;
 mod clock;
--- a/emulator/src/net/server.rs
+++ b/emulator/src/net/server.rs
@@ -1,5 +1,5 @@
-//! Servers on sockets. They accept, refuse or do not respond as the models decide, with one task per
-//! connection.
+//! Servers on sockets. Depending on the models, a server accepts connections, refuses them or does not
+//! respond. Each connection has a task.
 use super::host::ServerConnection;
 use super::lines::{self, FirstLine, Lines, ReadError};
 use super::{ConnectionCommand, Host, Shared};
@@ -17,9 +17,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Maximum number of connections that the system completes before they are accepted.
+/// Maximum number of connections that the system completes before the server accepts them.
 const BACKLOG: i32 = 1024;
-/// Number of connections that fill a backlog of 0, so that further ones get no response.
+/// Number of connections that the emulator opens to its own socket with a backlog of 0, to fill the backlog:
+/// the system does not respond to further connection attempts.
 const FILLER_COUNT: usize = 4;
 /// Maximum number of commands queued for a connection's task.
 const COMMAND_CAPACITY: usize = 16;
@@ -29,7 +30,8 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Delay of a server with a slow reader before each answer.
 const SLOW_READER_DELAY: Duration = Duration::from_secs(1);
-/// How long input is still read after the last line, so that a reset does not discard that line.
+/// Time for which input is still read after the last line was sent. If a connection is closed with unread
+/// input, the system resets it, and the last line may be lost.
 const LINGER: Duration = Duration::from_millis(500);
 
 fn listening_socket(addr: SocketAddr, backlog: i32) -> io::Result<Socket> {
@@ -166,7 +168,7 @@
     reachability: watch::Receiver<u64>,
     host: Shared,
     session: Option<Session>,
-    /// When the first line was received; none after a session has taken it.
+    /// When the first line began to arrive; none after a session has taken this time.
     first_byte_at: Option<Micros>,
 }
 
@@ -271,12 +273,13 @@
         Flow::Continue
     }
 
-    /// Registers a session with the auditor and the models; none if its first line is not that of a client.
+    /// Registers a session with the auditor and the models. Returns none if no client sent its first line.
     fn start_session(&self, line: &str, first_byte_at: Micros) -> Option<ConnectionId> {
         let host = &self.host;
         let request = known_request(line, host).or_else(|| foreign_request(line, host));
         let Some(request) = request else {
-            // The auditor knows which clients have left meanwhile, and decides whether this is a breach.
+            // The client may have left while the line was in flight: the auditor decides whether this is a
+            // breach.
             let mark = lines::parse_first_line(line).map_or(0, |first_line| first_line.mark);
             let server = self.server;
             host.with(|day, now, _| day.audit.unexpected_line(now, first_byte_at, mark, server, line));
--- a/emulator/src/script/mod.rs
+++ b/emulator/src/script/mod.rs
@@ -1,5 +1,5 @@
-//! Faults of a scenario as single actions at given times. The servers and relays affected are drawn from
-//! the seed. Faults may overlap, and each one ends on its own.
+//! The script of a day: converts the faults of a scenario to single actions at given times. The affected
+//! servers and relays are drawn from the seed. Faults may overlap: the end of one does not end another.
 mod schedule;
 
 use crate::event_queue::EventQueue;
@@ -18,7 +18,7 @@
     Crash {
         /// The server.
         server: usize,
-        /// The machine stops responding: no connection is reset.
+        /// Whether the machine stops responding, so that no connection is reset.
         is_silent: bool,
         /// Time at which it starts again; none if it never does.
         until: Option<Micros>,
@@ -32,7 +32,7 @@
     SetSlowdown {
         /// The server.
         server: usize,
-        /// Fault that causes it; slowdowns of several faults are multiplied.
+        /// Number of the fault that causes it. Factors of several faults are multiplied.
         fault_id: usize,
         /// Slowdown factor; 1 ends the slowdown caused by this fault.
         factor: f64,
@@ -77,7 +77,7 @@
         /// Whether it is cut off.
         is_cut: bool,
     },
-    /// Session set-ups at the shared store take longer.
+    /// Set-ups of sessions at the store that all servers share take longer.
     SetStoreSlowdown {
         /// Slowdown factor; 1 is the usual speed.
         factor: f64,
@@ -93,7 +93,7 @@
     SetBypassLoad {
         /// The server.
         server: usize,
-        /// Cores of speed 1 taken by this load.
+        /// Demand of this load, in cores of speed 1.
         cores: f64,
     },
     /// The arrival rate of clients changes.
@@ -122,7 +122,7 @@
     Relay(RelayCommand),
     /// A fault of links between relays starts.
     StartLinkFault {
-        /// Fault that causes it.
+        /// Number of the fault that causes it.
         fault_id: usize,
         /// Affected links.
         links: Rc<LinkSet>,
@@ -131,7 +131,7 @@
     },
     /// A fault of links between relays ends.
     EndLinkFault {
-        /// Fault that caused it.
+        /// Number of the fault that caused it.
         fault_id: usize,
     },
     /// A relay and discovery are cut off from each other, or reachable again.
@@ -178,22 +178,22 @@
 /// Action on a relay's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayAction {
-    /// Kills it.
+    /// Kills the process.
     Kill,
-    /// Requests it to stop, so that it drains.
+    /// Requests the process to stop, so that it drains.
     Stop,
-    /// Starts it; if it runs, it is killed first.
+    /// Starts a process; if one still runs, it is killed first.
     Start,
-    /// Makes it load a changed configuration.
+    /// Makes the process load a changed configuration.
     Reload,
-    /// Stops it by a signal until it is resumed.
+    /// Stalls the process by a signal until it is resumed.
     Stall,
-    /// Resumes it after a stall.
+    /// Resumes the process after a stall.
     Resume,
-    /// Starts another process that takes over from it in a hot restart.
+    /// Starts another process that takes over from the running one in a hot restart.
     Replace,
-    /// An operator requests a lease to take it out of service for this many microseconds, and repeats the
-    /// request until the lease is granted.
+    /// An operator requests a lease, the permission to take the relay out of service for this many
+    /// microseconds, and repeats the request until the lease is granted.
     RequestLease(Micros),
 }
 
--- a/emulator/src/script/schedule.rs
+++ b/emulator/src/script/schedule.rs
@@ -7,9 +7,9 @@
 use hallrelay_config::scenario::{DrainPace, Fault, FaultKind, Scenario};
 use std::rc::Rc;
 
-/// How long an operator takes a relay out of service if the scenario sets no time.
+/// Time for which an operator takes a relay out of service if the scenario sets none.
 const DEFAULT_LEASE: Micros = 3_000_000;
-/// Time within which clients return after a reconnect storm if the scenario sets no time.
+/// Time within which clients return after a reconnect storm if the scenario sets none.
 const DEFAULT_RECONNECT_WITHIN: Micros = 1_000_000;
 /// Minimum time that a server is down between the end of its drain and its next start.
 const MIN_RELEASE_OUTAGE: Micros = 1_000_000;
@@ -19,10 +19,11 @@
 const DEFAULT_DEPLOY_FRACTION: f64 = 0.2;
 /// Time that clients need to leave a server that drains all its sessions at once.
 const IMMEDIATE_DRAIN: Micros = 500_000;
-/// Range of the interval between pauses of a server; drawn again for each pause.
+/// Range of the interval from the start of a pause of a server to the start of the next one. The interval is
+/// drawn again for each pause.
 const PAUSE_INTERVAL: [Micros; 2] = [2_000_000, 4_000_000];
 
-/// Schedules the actions of one fault.
+/// Schedules the actions of one fault, which lasts from `from` to `to`.
 pub(super) struct FaultSchedule<'a> {
     pub scenario: &'a Scenario,
     pub fault_id: usize,
@@ -93,12 +94,12 @@
         }
     }
 
-    /// The strength as a time; the scenario has it in seconds.
+    /// The fault's strength as a time. In the scenario the strength of such a fault is in seconds.
     fn strength_as_time(&self) -> Micros {
         (self.fault.strength.0 * 1e6) as Micros
     }
 
-    /// Draws the fault's share of `of` servers or relays, at least one.
+    /// Draws the share of the fault from `of` servers or relays: at least one of them.
     fn draw(&mut self, of: usize) -> Vec<usize> {
         let count = ((of as f64 * self.fault.share.0).round() as usize).clamp(1, of.max(1));
         let mut drawn: Vec<usize> = (0..of).collect();
@@ -138,6 +139,7 @@
 
     /// Schedules an action for each affected relay, and optionally another one at the end of the fault.
     fn on_relays(&mut self, action: RelayAction, action_after: Option<RelayAction>) {
+        // The second action must follow the first one even if the fault has no length.
         let end = self.to.max(self.from + 1);
         for relay in self.affected_relays() {
             self.actions.schedule(self.from, Action::Relay(RelayCommand { relay, action }));
@@ -172,7 +174,7 @@
         self.during(factor, 1.0, |factor| Action::SetStoreSlowdown { factor });
     }
 
-    /// Stalls servers for a fraction (`strength`) of each interval.
+    /// Stalls servers repeatedly, each time for the fraction `strength` of a drawn interval.
     fn pause_servers(&mut self) {
         for server in self.draw_servers() {
             let mut at = self.from + self.random.between([0, PAUSE_INTERVAL[0]]);
@@ -200,7 +202,8 @@
         self.during(true, false, |is_cut| Action::SetZoneCut { zone, is_cut });
     }
 
-    /// Affects the named relays, or all of them: the share applies to the servers.
+    /// Cuts servers off from the relays that the fault names, or else from all relays. The share of the fault
+    /// applies to the servers.
     fn cut_servers(&mut self) {
         let relays = if self.fault.relays.is_empty() {
             (0..self.scenario.relays.count).collect()
@@ -233,7 +236,7 @@
         self.on_relays(RelayAction::RequestLease(length), None);
     }
 
-    /// Kills relays repeatedly. Between kills each one runs for as long as it was down.
+    /// Kills relays repeatedly. After each kill a relay is down for `every_s`, then up for the same time.
     fn crash_loop(&mut self) {
         let interval = self.fault.every_s.us();
         for relay in self.affected_relays() {
@@ -268,7 +271,8 @@
         self.actions.schedule(to, Action::EndLinkFault { fault_id });
     }
 
-    /// Applies the fault throughout, or during the first half of each interval if one is set.
+    /// Applies the fault for its complete length, or, if `every_s` is set, during the first half of each such
+    /// interval.
     fn intermittent_link_fault(&mut self, fault: LinkFault) {
         let interval = self.fault.every_s.us();
         if interval == 0 {
@@ -288,7 +292,7 @@
         }
     }
 
-    /// Drains a server, ends its process, and starts it again after an outage.
+    /// Releases a new version of a server: drains it, ends its process, and starts it again after an outage.
     fn release(&mut self, at: Micros, outage: Micros, server: usize) {
         // The process ends only after discovery has reported the drain and the clients have left.
         let reported_after = self.scenario.list.notice_s[1].us();
--- a/emulator/src/servers/connections.rs
+++ b/emulator/src/servers/connections.rs
@@ -9,9 +9,9 @@
     pub listener: usize,
     pub group: u64,
     pub is_open: bool,
-    /// Demand of the session; 0 until it is open.
+    /// Demand of the session in cores; 0 until the session is open.
     pub load: Cores,
-    /// Usual load, as a multiple of the load of an average session.
+    /// Usual load of the client's sessions, as a multiple of the load of an average session.
     pub usual_load: f64,
     /// Work of the session's set-up.
     pub setup: Work,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The relay has closed a connection, or its sending direction.
+    /// A relay has closed a connection, or only the direction in which the relay sends.
     pub fn connection_closed(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<ServerEvent>) {
         self.now = self.now.max(now);
         let Some(server) = self.connections.get(&connection).map(|found| found.server) else { return };
--- a/emulator/src/servers/discovery.rs
+++ b/emulator/src/servers/discovery.rs
@@ -4,8 +4,8 @@
 use hallrelay_balancer::types::Phase;
 
 impl Servers {
-    /// Discovery has notified a relay of servers. From now on demand that arrives through this relay counts
-    /// as notified.
+    /// Discovery has notified a relay of the state of servers. If this includes a server's last start, demand
+    /// through this relay counts as notified from now on: the relay must spare the server while it warms up.
     pub fn relay_notified(
         &mut self,
         now: Micros,
--- a/emulator/src/servers/faults.rs
+++ b/emulator/src/servers/faults.rs
@@ -66,7 +66,8 @@
         node.server.change_demand(demand, previous, false);
     }
 
-    /// Starts to drain a server. Its sessions are ended only once discovery may have reported the drain.
+    /// Starts to drain a server. The server ends its first session when the longest notice time of discovery
+    /// has passed, so that discovery has usually reported the drain by then.
     fn drain(&mut self, server: usize) {
         let node = &mut self.nodes[server];
         if node.server.state != ServerState::Up || node.server.is_draining {
@@ -96,7 +97,7 @@
         }
         node.server.state = if is_silent { ServerState::Silent } else { ServerState::Down };
         let id = &self.endpoints.identities[server].id;
-        let event = if is_silent { "vanishes" } else { "dies" };
+        let event = if is_silent { "stops responding" } else { "crashes" };
         out.push(ServerEvent::Log(format!("{id} {event}")));
         if !is_silent {
             self.reset_connections(server, out);
@@ -109,8 +110,8 @@
 
     fn start(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let node = &mut self.nodes[server];
-        // If several faults affect one server, it starts when the last of them ends. An overloaded server
-        // stays down.
+        // If several faults affect one server, it starts when the last of them ends. A server that was
+        // overloaded stays down.
         let stays = matches!(node.server.state, ServerState::Up | ServerState::Overloaded);
         if self.now < node.down_until || stays {
             return;
@@ -130,7 +131,7 @@
             node.server.change_demand(node.bypass_load, 0, false);
         }
         self.events.schedule(now, Event::WarmUpStep(server));
-        out.push(ServerEvent::Log(format!("{} starts cold", self.endpoints.identities[server].id)));
+        out.push(ServerEvent::Log(format!("{} starts and warms up", self.endpoints.identities[server].id)));
         out.push(ServerEvent::ReachabilityChanged { server });
         self.schedule_discovery_update(server, self.scenario.list.add_s.map(|s| s.us()));
     }
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -1,5 +1,10 @@
-//! All servers: their sessions, the shared store, load reports, faults, and discovery's state of them. No
-//! I/O: input to a server is a call with its time, output of servers is appended as events.
+//! All servers: their sessions, load reports and faults, the store that all of them share, and the state of
+//! the servers that discovery (the list service) has learnt. No I/O: each input is a method call with its
+//! time, and each output is appended to a list of events, which the driver carries out.
+//!
+//! A server that starts warms up (is cold): its capacity rises slowly, and too much load overloads it. Load
+//! counts as notified if it comes through relays that discovery has notified of the start. If notified load
+//! overloads the server, the relays are blamed.
 mod connections;
 mod discovery;
 mod faults;
@@ -18,9 +23,9 @@
 use reports::PublishedReport;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Sessions may be set up at most this long before the start of a day, in microseconds.
+/// Time before the start of a day from which sessions may be set up, in microseconds.
 pub const SETUP_BEFORE_DAY: Micros = 60_000_000;
-/// Interval at which a server sends its message delay.
+/// Interval at which a server sends its message delay, if the scenario has servers send it.
 const DELAY_INTERVAL: Micros = 1_000_000;
 /// Minimum interval at which a server that is warming up is advanced.
 const MIN_WARM_UP_INTERVAL: Micros = 1_000;
@@ -47,7 +52,7 @@
     pub group: u64,
     /// The session was open at this server before the relay started.
     pub is_pre_existing: bool,
-    /// When the server is to end the session with `BYE`, in microseconds from now; none if the client leaves.
+    /// Time in microseconds until the server ends the session with `BYE`; none if the client ends it.
     pub lifetime: Option<Micros>,
 }
 
@@ -64,7 +69,7 @@
     Bye,
     /// The session has to migrate.
     Move,
-    /// Load of the session, or message delay of the server.
+    /// `LOAD`: either the load of the session or the message delay of the server, as the scenario sets.
     Load(f64),
 }
 
@@ -102,7 +107,7 @@
         /// Whether relays that were notified of its start caused the overload.
         blamed: bool,
     },
-    /// An action of the script on arrivals, clients, relays or links.
+    /// An action of the script that does not concern servers, but arrivals, clients, relays or links.
     Action(Action),
     /// A line of the day's log.
     Log(String),
@@ -122,7 +127,7 @@
 /// A scheduled event of a server or a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
-    /// The set-up of a session is done.
+    /// The set-up of a session is complete.
     SessionReady(ConnectionId),
     /// The load of a session changes.
     LoadChange(ConnectionId),
@@ -134,7 +139,7 @@
     Report(usize),
     /// A server sends its message delay.
     DelayReport(usize),
-    /// A server that is warming up is advanced.
+    /// The state of a server that is warming up is advanced to the current time.
     WarmUpStep(usize),
     /// Discovery learns of a server's state.
     DiscoveryUpdate(usize),
@@ -152,15 +157,20 @@
     demand_by_relay: Vec<Cores>,
     /// By relay: whether it was notified of the server's last start.
     notified_of_start: Vec<bool>,
-    /// Load reports, oldest first. A visible report stays until the next one becomes visible.
+    /// Load reports, oldest first. A report becomes visible to probes with a delay; the last visible one
+    /// stays until the next one becomes visible.
     reports: VecDeque<PublishedReport>,
     report_interval: Micros,
-    /// Slowdown factors by the faults that cause them.
+    /// Slowdown factors by the number of the fault that causes them.
     slowdowns: BTreeMap<usize, f64>,
+    /// Fraction of the dials that get an error.
     failure_fraction: f64,
+    /// Delay of load reports in addition to the usual one.
     report_delay: Micros,
+    /// Multiple of the actual load that the server reports.
     report_factor: f64,
     wire_fault: Option<WireFault>,
+    /// Time at which the last of the faults that keep the server down ends.
     down_until: Micros,
     /// Demand that bypasses relays.
     bypass_load: Cores,
@@ -216,7 +226,7 @@
 pub struct Servers {
     scenario: Scenario,
     nodes: Vec<Node>,
-    /// Never iterated, as a hash map has no stable order.
+    /// Never iterated: a hash map has no stable order, and a day must give the same result for the same seed.
     connections: HashMap<ConnectionId, Connection>,
     events: EventQueue<Event>,
     actions: EventQueue<Action>,
@@ -226,8 +236,9 @@
     /// By zone: whether it is cut off.
     cut_zones: Vec<bool>,
     cut_paths: BTreeSet<CutPath>,
-    /// When the shared store will have processed all queued set-ups.
+    /// Time at which the shared store will have processed all queued set-ups.
     store_free_at: Micros,
+    /// Factor by which the shared store is slower than usual.
     store_slowdown: f64,
     random: Random,
     /// Counts since the start of the day.
@@ -235,7 +246,7 @@
     now: Micros,
 }
 
-/// Draws a machine of a kind; its speed deviates randomly.
+/// Draws a machine of a kind. Its speed deviates randomly from the kind's speed.
 fn draw_machine(kind: &Kind, scenario: &Scenario, random: &mut Random) -> Machine {
     let speed_deviation = 1.0 + kind.speed_off.0 * (2.0 * random.fraction() - 1.0);
     Machine {
@@ -376,15 +387,15 @@
         self.counts.overloads += 1;
         let blamed = self.nodes[server].server.is_overload_by_notified();
         let id = &self.endpoints.identities[server].id;
-        out.push(ServerEvent::Log(format!("{id} falls over while it is cold")));
+        out.push(ServerEvent::Log(format!("{id} is overloaded while warming up")));
         out.push(ServerEvent::Overloaded { server, blamed });
         self.reset_connections(server, out);
         out.push(ServerEvent::ReachabilityChanged { server });
         self.schedule_discovery_update(server, self.scenario.list.notice_s.map(|s| s.us()));
     }
 
-    /// For the service figure: open sessions by listener, and the latency of a message in microseconds (none
-    /// if the server is down).
+    /// Returns the current message delay in microseconds (none if the server is down), and the number of open
+    /// sessions by listener. The service figure is calculated from them.
     pub fn open_sessions(
         &mut self,
         now: Micros,
@@ -399,7 +410,7 @@
         (delay, &node.open_by_listener)
     }
 
-    /// Total work that the servers have received for set-ups and sessions.
+    /// Total work that the servers have received for set-ups, probes and sessions.
     pub fn total_work(&self) -> Work {
         self.nodes.iter().map(|node| node.server.total_work).sum()
     }
@@ -412,7 +423,7 @@
         }
     }
 
-    /// Whether a server serves.
+    /// Whether a server is up.
     pub fn is_up(&self, server: usize) -> bool {
         self.nodes[server].server.state == ServerState::Up
     }
@@ -428,7 +439,7 @@
     }
 }
 
-/// Demand of a session of usual load.
+/// Demand of a session with average load.
 fn session_cores(scenario: &Scenario) -> Cores {
     (CORE as f64 / scenario.servers.per_core.0) as Cores
 }
--- a/emulator/src/servers/reports.rs
+++ b/emulator/src/servers/reports.rs
@@ -5,11 +5,11 @@
 /// Load figures in a server's report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadFigures {
-    /// Connections.
+    /// Number of connections of sessions at the server.
     pub inflight: u32,
-    /// Demand over capacity.
+    /// Demand on the server divided by its capacity.
     pub load: f64,
-    /// Queue delay in seconds.
+    /// Time that new work waits before the server begins it, in seconds.
     pub queue_delay: f64,
 }
 
@@ -56,7 +56,8 @@
         self.events.schedule(now + node.report_interval, Event::Report(server));
     }
 
-    /// A server receives a probe. Returns the time of the answer and the figures in it.
+    /// A server receives a probe, which is a relay's request for a load report. Returns the time of the
+    /// answer and the last visible figures.
     pub fn answer_probe(
         &mut self,
         now: Micros,
@@ -82,7 +83,8 @@
         (answered_at, figures)
     }
 
-    /// Sends the message delay of a lagging server in milliseconds, on one connection of each relay.
+    /// Sends the message delay of a server in milliseconds, on one open connection of each relay. Only sent
+    /// if the delay exceeds a third of the lowest latency objective of all listeners.
     pub(super) fn send_delay(&mut self, server: usize, out: &mut Vec<ServerEvent>) {
         let objectives = self.scenario.listeners.iter().map(|listener| listener.message_target_ms.us());
         let lowest_objective = objectives.min().unwrap_or(0);
--- a/emulator/src/servers/sessions.rs
+++ b/emulator/src/servers/sessions.rs
@@ -1,7 +1,8 @@
 //! Sessions at a server: dials, set-up, and load while they are open.
 use super::*;
 
-/// Maximum time that a session waits for the shared store; sessions that would wait longer are rejected.
+/// Maximum time that a session waits for the store that all servers share. If the wait is longer, servers
+/// reject new sessions.
 const MAX_STORE_DELAY: Micros = 2_000_000;
 /// Rejecting a session takes a tenth of the work of its set-up.
 const REJECTION_COST_DIVISOR: Work = 10;
@@ -9,7 +10,7 @@
 const STALL_RETRY_INTERVAL: Micros = 10_000;
 /// Minimum interval between load changes of a session.
 const MIN_LOAD_CHANGE_INTERVAL: Micros = 50_000;
-/// Random stream of a client's usual load; the seed is the client's key.
+/// Random stream for a client's usual load. The seed is the client's key, so all servers draw the same load.
 const CLIENT_RANDOM_STREAM: u64 = 3;
 
 impl Servers {
@@ -26,7 +27,7 @@
         let server = request.server;
         self.advance(server, out);
         self.counts.dials += 1;
-        // A session that was open before the relay started needs no set-up.
+        // A session that was open before the relay started needs no set-up: the factor is 0 for it.
         let setup = self.scenario.servers.setup_ms.us() * CORE * u64::from(!request.is_pre_existing);
         if self.nodes[server].server.state != ServerState::Up {
             return;
@@ -51,7 +52,9 @@
         }
     }
 
-    /// Whether a server rejects a session: it is at its cap, it drains, or the store's queue is full.
+    /// Whether a server rejects a session: the server has its maximum number of connections, or it drains, or
+    /// the store's queue is full. A session that was open before the relay started is rejected only for the
+    /// first reason.
     fn is_full(&self, request: &DialRequest) -> bool {
         let node = &self.nodes[request.server];
         let cap = self.scenario.servers.cap_per_core as usize * node.server.machine.cores as usize;
--- a/emulator/src/service/mod.rs
+++ b/emulator/src/service/mod.rs
@@ -1,4 +1,6 @@
 //! The service figure of a day: session time requested and well served, samples, the log, and the outcome.
+//! Session time is well served while the session is open and its server's message delay is within the latency
+//! objective of the listener. The utility of session time is its length multiplied by the listener's weight.
 mod outcome;
 
 pub use outcome::{
@@ -22,7 +24,7 @@
 /// Length in seconds of the window whose worst service is reported. A shorter day is a single window.
 const WINDOW_S: usize = 10;
 
-/// Utility of session time: seconds multiplied by the priority weight.
+/// Utility of session time: the time in seconds multiplied by the listener's priority weight.
 #[derive(Clone, Copy, Default)]
 struct Utility {
     requested: f64,
@@ -59,7 +61,7 @@
     requested: Vec<f64>,
     /// By listener: seconds of session time served within the latency objective.
     served: Vec<f64>,
-    /// By second of the day.
+    /// By second of the day: the utility of all listeners.
     seconds: Vec<Utility>,
     /// By listener: priority weight.
     weights: Vec<f64>,
@@ -69,7 +71,9 @@
     pub samples: Vec<Sample>,
     /// The first `MAX_LOG_LINES` lines of the log.
     pub log: Vec<LogLine>,
+    /// Maximum number of sessions open at the same time.
     max_open: u32,
+    /// Utility since the last sample.
     since_sample: Utility,
 }
 
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Counts the time since the last tick.
+    /// Counts the session time since the last tick, and takes a sample if one is due.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -129,7 +133,8 @@
         }
     }
 
-    /// By listener: open sessions whose messages are within the latency objective.
+    /// By listener: the number of open sessions at servers whose message delay is within the latency
+    /// objective.
     fn count_served(&self, now: Micros, servers: &mut Servers, out: &mut Vec<ServerEvent>) -> Vec<u32> {
         let mut served = vec![0u32; self.objectives.len()];
         for server in 0..servers.len() {
@@ -149,7 +154,7 @@
         }
         for (listener, &sessions) in served_sessions.iter().enumerate() {
             let requested = f64::from(clients.wanted[listener]) * elapsed_s;
-            // A session may outlive its client's request briefly; that time does not count.
+            // A session may stay open briefly after its client's lifetime; that time does not count.
             let served = (f64::from(sessions) * elapsed_s).min(requested);
             self.requested[listener] += requested;
             self.served[listener] += served;
@@ -177,7 +182,7 @@
         });
     }
 
-    /// The outcome so far. Fields that only a driver knows keep their defaults.
+    /// The outcome so far. Fields that only the driver knows, such as `relays`, keep their defaults.
     pub fn outcome(
         &self,
         scenario: &Scenario,
@@ -215,7 +220,7 @@
         with_figure(scenario, clients, outcome)
     }
 
-    /// Sum over listeners, by priority weight.
+    /// Sum over listeners, with each value multiplied by the listener's priority weight.
     fn weighted(&self, by_listener: &[f64]) -> f64 {
         by_listener.iter().zip(&self.weights).map(|(value, weight)| value * weight).sum::<f64>()
     }
@@ -229,7 +234,7 @@
         self.seconds.windows(length).map(service).fold(1.0, f64::min)
     }
 
-    /// By listener: the fraction well served.
+    /// By listener: the fraction of the requested session time that was well served.
     fn listener_service(&self) -> impl Iterator<Item = f64> + '_ {
         self.served.iter().zip(&self.requested).map(|(served, requested)| fraction(*served, *requested))
     }
@@ -260,7 +265,7 @@
     }
 }
 
-/// Completes an outcome with prices and the service figure, as weighted by the scenario's goal.
+/// Completes an outcome with the prices and the service figure. The scenario's goal sets the weights of both.
 fn with_figure(scenario: &Scenario, clients: &Clients, outcome: Outcome) -> Outcome {
     let goal = &scenario.goal;
     let arrivals: u64 = clients.counts.iter().map(|counts| counts.first_attempts).sum();
--- a/emulator/src/service/outcome.rs
+++ b/emulator/src/service/outcome.rs
@@ -1,4 +1,5 @@
-//! The outcome of a run. The result files keep older names for some fields.
+//! The outcome of a run. In the result files some fields have older names, which tools of operators read. The
+//! terms (well served, utility) are explained in `service`.
 use crate::audit::Breach;
 use crate::membership_audit::MembershipOutcome;
 use serde::{Deserialize, Serialize};
@@ -29,7 +30,7 @@
     pub moves: u64,
     /// Sessions that broke since the start of the day.
     pub breaks: u64,
-    /// By server: demand over capacity.
+    /// By server: demand divided by capacity.
     pub loads: Vec<f32>,
 }
 
@@ -114,7 +115,7 @@
     pub worst_listener: f64,
     /// Prices of migrations, probes, dials and wasted work.
     pub prices: f64,
-    /// By listener.
+    /// Totals by listener.
     pub listeners: Vec<ListenerFigures>,
     /// Sessions that migrated.
     pub moves: u64,
@@ -132,7 +133,7 @@
     /// Number of overloads of servers that were warming up.
     #[serde(rename = "cold_falls")]
     pub overloads: u32,
-    /// The first breaches of the rules.
+    /// The first breaches of the rules, with their traces; `breach_count` counts all.
     pub breaches: Vec<Breach>,
     /// Total number of breaches.
     #[serde(rename = "breaches_in_all")]
@@ -148,15 +149,15 @@
     pub samples: Vec<Sample>,
     /// Names of the servers.
     pub servers: Vec<String>,
-    /// By relay. In virtual time only the number of starts is set.
+    /// Resource usage by relay. In virtual time only the number of starts is set.
     pub relays: Vec<RelayFigures>,
-    /// Maximum delay of the emulation behind its clock, in milliseconds; 0 in virtual time.
+    /// Maximum delay of a step of the emulation after its due time, in milliseconds; 0 in virtual time.
     #[serde(rename = "late_ms")]
     pub max_delay_ms: f64,
-    /// Clients that send malformed input.
+    /// Counts of clients that send malformed input.
     #[serde(rename = "bad_clients")]
     pub malformed_clients: MalformedClientFigures,
-    /// Dials to a server after this process or an earlier one was notified that it drains.
+    /// Number of dials to a draining server after an earlier process of the relay was notified of the drain.
     #[serde(default, skip_serializing_if = "is_none")]
     pub stale_dials: u64,
     /// Result of the membership audit, if the relays form a cluster.
@@ -171,7 +172,8 @@
     *count == 0
 }
 
-/// Leases that an operator requested for relays, and availability counted from outside.
+/// Leases that an operator requested for relays, and the availability of the relays as the emulation counts
+/// it. A lease permits the operator to take one relay out of service for a limited time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseFigures {
     /// Relays for which a lease was requested.
@@ -180,7 +182,7 @@
     /// Leases granted.
     #[serde(rename = "let_out")]
     pub granted: usize,
-    /// Answers that deferred a lease.
+    /// Number of answers that deferred a lease, so that the operator repeated the request.
     #[serde(rename = "held")]
     pub deferred: u64,
     /// Maximum number of relays that drained at the same time.
@@ -189,7 +191,7 @@
     /// Maximum number of relays that were draining, dead or stalled at the same time.
     #[serde(rename = "most_away")]
     pub max_unavailable: usize,
-    /// Leases granted while more relays were draining than the budget allows.
+    /// Number of leases granted while more relays were draining than the budget allows.
     pub over: u64,
     /// Seconds from the first request until the last relay was back; 0 if not all came back.
     #[serde(rename = "took_s")]
@@ -207,7 +209,7 @@
     pub descriptors: u64,
     /// Number of processes started.
     pub starts: u32,
-    /// A process ended without having been requested to.
+    /// Whether a process ended without a request to stop.
     pub crashed: bool,
 }
 
@@ -219,7 +221,7 @@
     pub connected: u64,
     /// Clients that got an error or the end of the connection in time.
     pub answered: u64,
-    /// Clients that did not.
+    /// Clients that got neither in time.
     #[serde(rename = "left_waiting")]
     pub unanswered: u64,
 }
--- a/lab/tests/doubles.rs
+++ b/lab/tests/doubles.rs
@@ -170,7 +170,7 @@
         panic!("{fault:?}: no breach of rule {rule} with '{details}' in {:?}", outcome.breaches)
     });
     if rule != 4 {
-        assert_ne!(breach.session, "none");
+        assert_ne!(breach.session, "none", "{fault:?}: the breach names no session: {breach:?}");
         assert!(!breach.trace.is_empty(), "{fault:?}: the breach has no trace");
     }
 }
@@ -189,25 +189,30 @@
 
 #[test]
 fn dial_after_rejection_breaks_rule_1() {
-    assert_breach(&scenario(OVERLOAD, &[]), RelayFault::DialsAfterRejection, 1, "after it was over");
+    assert_breach(
+        &scenario(OVERLOAD, &[]),
+        RelayFault::DialsAfterRejection,
+        1,
+        "after the session had ended",
+    );
 }
 
 #[test]
 fn dropped_open_sessions_break_rule_1() {
     let stop = "\n[[trouble]]\nkind = \"relay-stopped\"\nat_s = 8\nlength_s = 5\nshare = 0.5\n";
-    assert_breach(&scenario(stop, &[]), RelayFault::DropsOpenSessions, 1, "cut off without MOVE");
+    assert_breach(&scenario(stop, &[]), RelayFault::DropsOpenSessions, 1, "connection ended without MOVE");
 }
 
 #[test]
 fn concurrent_dials_break_rule_2() {
-    assert_breach(&scenario("", &[]), RelayFault::ConcurrentDials, 2, "while a dial is out");
+    assert_breach(&scenario("", &[]), RelayFault::ConcurrentDials, 2, "is in flight");
 }
 
 #[test]
 fn repeated_once_only_session_breaks_rule_2() {
     let failing = "\n[[trouble]]\nkind = \"failing\"\nat_s = 3\nlength_s = 12\nshare = 0.5\nstrength = 0.8\n";
     let scenario = scenario(failing, &[("listener[1].repeat", "\"once-only\""), ("load.rate", "20")]);
-    assert_breach(&scenario, RelayFault::IgnoresMayHaveRun, 2, "may have run before");
+    assert_breach(&scenario, RelayFault::IgnoresMayHaveRun, 2, "though the session may have run at");
 }
 
 #[test]
@@ -215,7 +220,7 @@
     let drain = "\n[[trouble]]\nkind = \"drain\"\nat_s = 4\nlength_s = 12\nshare = 0.4\n";
     // The servers drain until the end of the day: otherwise there would be no draining server left to dial.
     let scenario = scenario(drain, &[("servers.drain_s", "15"), ("load.rate", "30")]);
-    assert_breach(&scenario, RelayFault::IgnoresDrains, 3, "told to be shut");
+    assert_breach(&scenario, RelayFault::IgnoresDrains, 3, "was notified of its drain");
 }
 
 #[test]
@@ -224,5 +229,5 @@
     let reconnect = "\n[[trouble]]\nkind = \"reconnect\"\nat_s = 8\nshare = 0.9\nstrength = 1\n";
     let settings = [("servers.cold_s", "20"), ("servers.cap_per_core", "400"), ("load.standing", "200")];
     let scenario = scenario(&format!("{crash}{reconnect}"), &settings);
-    assert_breach(&scenario, RelayFault::OverloadsColdServer, 4, "fell over");
+    assert_breach(&scenario, RelayFault::OverloadsColdServer, 4, "overloaded while warming up");
 }
--- a/lab/tests/membership_audit.rs
+++ b/lab/tests/membership_audit.rs
@@ -130,13 +130,13 @@
 
 #[test]
 fn false_death_is_reported() {
-    let details = "neither stopped nor cut off";
+    let details = "considered dead, but was neither stopped nor cut off";
     assert_finding(&scenario(""), RelayFault::IgnoresOneRelay, Violation::FalselyDead, details);
 }
 
 #[test]
 fn undetected_death_is_reported() {
-    let details = "has been dead for 20 s";
+    let details = "failure not detected within 20 s";
     assert_finding(&scenario(KILLED), RelayFault::IgnoresDeaths, Violation::NeverDetected, details);
 }
 
@@ -148,12 +148,12 @@
 
 #[test]
 fn false_leave_is_reported() {
-    let details = "was never told to stop";
+    let details = "considered departed, but was never requested to stop";
     assert_finding(&scenario(""), RelayFault::FalseLeave, Violation::NeverTrue, details);
 }
 
 #[test]
 fn false_partition_is_reported() {
-    let details = "hears 1 of 5";
+    let details = "reports only 1 of 5 relays as reachable";
     assert_finding(&scenario(""), RelayFault::ReceivesNothing, Violation::NotPartitioned, details);
 }
