--- a/lab/src/commands/compare.rs
+++ b/lab/src/commands/compare.rs
@@ -9,7 +9,7 @@
 use hallrelay_lab::relay_process::Program;
 use std::path::{Path, PathBuf};
 
-/// One side of a comparison: a scenario and the build that plays it.
+/// One side of a comparison: a scenario and the build of the relay that plays it.
 struct Side {
     scenario: Scenario,
     program: Program,
--- a/lab/src/commands/interrupt.rs
+++ b/lab/src/commands/interrupt.rs
@@ -8,7 +8,7 @@
 /// Interval at which the flag is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A flag that is set by the first of these signals.
+/// A flag that is set by the first SIGINT or SIGTERM.
 pub struct Interrupt {
     is_set: Arc<AtomicBool>,
 }
@@ -33,6 +33,7 @@
         Ok(Interrupt { is_set })
     }
 
+    /// Whether one of the signals was received.
     pub fn is_set(&self) -> bool {
         self.is_set.load(Ordering::Relaxed)
     }
--- a/lab/src/commands/play.rs
+++ b/lab/src/commands/play.rs
@@ -19,9 +19,9 @@
     pub scenario: &'a Scenario,
     pub seed: u64,
     pub is_virtual: bool,
-    /// The build of the relay, for days on sockets.
+    /// The build of the relay. Used only for days on sockets.
     pub program: &'a Program,
-    /// Directory for the relays' files, for days on sockets.
+    /// Directory for the relays' files. Used only for days on sockets.
     pub out: &'a Path,
     pub interrupt: &'a Interrupt,
     /// Text next to the progress bar.
--- a/lab/src/cost/mod.rs
+++ b/lab/src/cost/mod.rs
@@ -1,6 +1,7 @@
-//! Measures the cost of one relay at several numbers of open sessions: CPU time for opening a session, for a
-//! line and its answer, and when idle; memory per session. One relay process runs with emulated servers and
-//! simple clients on loopback. Only the CPU time of the relay process is counted.
+//! Measures the cost of one relay at several numbers of open sessions: the CPU time for opening a session,
+//! the CPU time for a line and its answer, the CPU time when idle, and the memory per session. One relay
+//! process runs with emulated servers and simple clients on loopback. Only the usage of the relay process is
+//! counted.
 mod sessions;
 mod usage;
 
@@ -33,7 +34,7 @@
         answer: String,
     },
     /// A session ended during the measurement.
-    #[error("a session ended while lines were sent on it")]
+    #[error("a session ended while lines were sent on it, so the cost per line is unknown")]
     SessionEnded,
     /// A client panicked.
     #[error(transparent)]
@@ -63,7 +64,7 @@
     pub wait_ms: [f64; 2],
     /// Relay CPU time in microseconds for a line and its answer.
     pub line_us: f64,
-    /// Fraction of a core that the relay uses when no lines are sent.
+    /// Fraction of a core that the relay uses while the sessions are open and no lines are sent.
     pub idle: f64,
     /// Kilobytes of resident memory per session, in addition to the memory of a relay without sessions.
     pub memory_kb: f64,
@@ -100,7 +101,9 @@
 rate = 0
 "#;
 
-/// Number of the first client of each set. The sets do not overlap, so that all marks are distinct.
+/// Number of the first client of each set of clients: those whose sessions stay open, those that only warm up
+/// the relay, and those whose sessions are closed immediately. The sets do not overlap, so that all marks
+/// differ.
 const FIRST_LASTING_CLIENT: u64 = 1;
 const FIRST_WARM_UP_CLIENT: u64 = 1 << 40;
 const FIRST_SHORT_CLIENT: u64 = 1 << 41;
@@ -109,14 +112,15 @@
 const WARM_UP_SESSIONS: usize = 100;
 /// Approximate number of lines sent on all sessions together.
 const LINES: usize = 20_000;
-/// Delay before a reading, so that pending work of the relay is finished.
+/// Delay before the usage is read, in which the relay finishes pending work.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// Longer delay after all lasting sessions were opened.
+/// Longer delay after the opening of all sessions that stay open.
 const SETTLE_TIME_OF_ALL: Duration = Duration::from_millis(500);
 /// Time for which the idle relay is measured.
 const IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// Measures a new relay process with `sessions` open sessions; `opens` more are opened and closed.
+/// Measures a new relay process with `sessions` sessions that stay open, and at least `opens` more that are
+/// opened and closed.
 ///
 /// # Errors
 /// If no port or too few descriptors are available, the relay does not serve, or its usage can't be read.
@@ -147,7 +151,7 @@
     // The relay can't use all of its sockets for sessions, because its own limits subtract some.
     scenario.relays.sockets = ((sessions + opens.min(2 * CONCURRENCY) + 64) * 5 / 2).max(1024);
     (scenario.load.standing, scenario.load.rate.0) = (sessions, 0.0);
-    // Two per session, without a reserve for returning clients, because this load is constant.
+    // Two descriptors per session, without a reserve for returning clients, because this load is constant.
     raise_descriptor_limit(&scenario, 2 * (sessions + CONCURRENCY) as u64 + 400)?;
     scenario.load.standing = 0;
     Ok(scenario)
@@ -170,7 +174,7 @@
     sessions: usize,
     opens: usize,
 ) -> Result<Row, CostError> {
-    // Costs that only the first sessions cause are not counted.
+    // Warm-up: costs that only the first sessions of a process cause are not counted.
     drop(open_all(listen, FIRST_WARM_UP_CLIENT, WARM_UP_SESSIONS).await?);
     tokio::time::sleep(SETTLE_TIME).await;
     let empty_kb = resident_kb(relay.pid)?;
--- a/lab/src/losses/account.rs
+++ b/lab/src/losses/account.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// A load report with a queue delay above this, in seconds, counts as queued.
+/// Queue delay in seconds above which a load report counts as queued.
 const QUEUED_FROM_S: f64 = 0.1;
 
 /// Counts of one second, or of all seconds.
@@ -23,9 +23,9 @@
     checks_failed: u64,
     /// Load over capacity, in thousandths.
     load: Histogram,
-    /// Load reports with a queue delay.
+    /// Number of load reports that state a queue delay.
     queue_reports: u64,
-    /// Those of them with a delay above [`QUEUED_FROM_S`].
+    /// Number of load reports with a queue delay above [`QUEUED_FROM_S`].
     queued_reports: u64,
 }
 
@@ -70,7 +70,7 @@
     pub backends: Backends,
     seconds: BTreeMap<u32, Counted>,
     placed_sessions: Vec<PlacedSession>,
-    /// Numbers of backends, by address or name.
+    /// Numbers assigned to backends, by address, or by name if only that is known.
     numbers: HashMap<String, u32>,
     gaps: BTreeMap<Gap, u64>,
 }
@@ -171,7 +171,7 @@
             second.wait.add(u32::try_from(waited).unwrap_or(u32::MAX));
         }
         let end = attempt.end.unwrap_or(End::StillOpen);
-        // The times of a log may go back; a session must not end before it is placed.
+        // The times in a log may go back. A session that seems to end before its placement ends with it.
         let ended_at = if attempt.ended_at.day < placed.day { placed } else { attempt.ended_at };
         self.at(ended_at).ends.count(end);
         let to = (end != End::StillOpen).then_some(ended_at.second());
--- a/lab/src/losses/backends.rs
+++ b/lab/src/losses/backends.rs
@@ -1,4 +1,5 @@
-//! The backends during the day, as stated in the endpoint lists of all relays.
+//! The backends during the day, as stated in the endpoint lists of all relays. Versions of the list have
+//! ascending numbers (generations); relays receive each version at different times.
 use hallrelay_balancer::types::{Micros, Phase};
 use hallrelay_config::list::{Instance, List};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +35,8 @@
 /// The backends as the lists state them. Logs may be read in any order.
 #[derive(Clone, Debug, Default)]
 pub struct Backends {
-    /// By instance and version of the list.
+    /// Entries by the name of the backend and the version of the list. An entry that repeats the previous one
+    /// is left out.
     listings: BTreeMap<String, BTreeMap<u64, Listing>>,
     complete_lists: BTreeMap<u64, CompleteList>,
     /// Addresses that were dialled or checked, with the time of the first use.
@@ -62,7 +64,8 @@
         *since = at.min(*since);
     }
 
-    /// Called after all logs were read: marks backends as gone that a complete list no longer contains.
+    /// Marks backends as gone that a complete list no longer contains. Must be called after all logs were
+    /// read.
     pub fn finish(&mut self) {
         for (generation, complete) in std::mem::take(&mut self.complete_lists) {
             let left_out: Vec<(String, Listing)> = self
@@ -78,12 +81,13 @@
         }
     }
 
-    /// The address of an instance.
+    /// The last known address of the backend with this name.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.listings.get(name)?.last_key_value().map(|(_, listing)| listing.addr)
     }
 
-    /// Number of backends known at a moment. One that is used before a list contains it counts as ready.
+    /// Number of backends known at a moment. A backend that relays use before a list contains it counts as
+    /// ready.
     pub fn known(&self, at: Micros) -> Known {
         let mut known = Known::default();
         let mut named = BTreeSet::new();
@@ -94,6 +98,7 @@
                 Phase::Draining => known.draining += 1,
                 Phase::Gone => continue,
             }
+            // The list has no start time, here 0, for backends that were up before the day.
             known.started += u64::from(listing.started_at > 0);
         }
         let unnamed = self.used.iter().filter(|(addr, since)| **since <= at && !named.contains(addr));
--- a/lab/src/losses/error.rs
+++ b/lab/src/losses/error.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LogsError {
     /// A log or the directory can't be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     File {
         /// The log or the directory.
         path: PathBuf,
@@ -13,7 +13,7 @@
         source: std::io::Error,
     },
     /// The first and the last line are more than a week apart.
-    #[error("{}: the logs span more than a week", folder.display())]
+    #[error("{}: the logs span more than a week, the longest time that is evaluated", folder.display())]
     DayTooLong {
         /// The directory of the logs.
         folder: PathBuf,
--- a/lab/src/losses/fields.rs
+++ b/lab/src/losses/fields.rs
@@ -7,7 +7,7 @@
     value.split_at(end)
 }
 
-/// Whether all brackets and quotes are closed. They are not in a truncated line.
+/// Whether all brackets and quotes are closed. In a truncated line some are not.
 pub fn is_balanced(value: &str) -> bool {
     let mut depth = 0i32;
     let mut lowest = 0;
@@ -22,7 +22,7 @@
     depth == 0 && lowest == 0 && quotes_are_closed(value)
 }
 
-/// The rest of `value` after the first `field: `.
+/// The rest of `value` after the first occurrence of the field's name, a colon and a space.
 pub fn after<'a>(value: &'a str, field: &str) -> Option<&'a str> {
     let mut starts = outside_quotes(value).filter(|(_, c)| *c == ' ').map(|(at, _)| &value[at + 1..]);
     starts.find_map(|rest| rest.strip_prefix(field)?.strip_prefix(": "))
--- a/lab/src/losses/histogram.rs
+++ b/lab/src/losses/histogram.rs
@@ -20,8 +20,8 @@
         self.total += other.total;
     }
 
-    /// The smallest value that at least the given fraction (0 to 1) of all values does not exceed; `None` if
-    /// there are no values.
+    /// The smallest added value for which at least the given fraction (0 to 1) of all values is not larger;
+    /// `None` if there are no values.
     pub fn quantile(&self, fraction: f64) -> Option<u32> {
         let rank = ((self.total as f64 * fraction).ceil() as u64).max(1);
         let mut before = 0;
--- a/lab/src/losses/logs.rs
+++ b/lab/src/losses/logs.rs
@@ -13,7 +13,7 @@
 /// Longest line that is read, in bytes. A list of thousands of backends is shorter.
 const MAX_LINE_BYTES: u64 = 4 << 20;
 
-/// Longest time that the logs may span: a week, since a row is kept for each second.
+/// Longest time that the logs may span: a week. It is limited because a row is kept for each second.
 const MAX_DAY: Micros = 7 * 86_400_000_000;
 
 /// Receives the contents of the logs.
@@ -29,7 +29,8 @@
 /// The logs of one day.
 pub struct Logs {
     files: Vec<PathBuf>,
-    /// Earliest clock time in any log. Lines without a prefix are dated relative to it.
+    /// Earliest clock time in any log. A test environment may begin each line with the time since the start
+    /// of the day; the other lines are dated relative to this value.
     start: Micros,
     /// The latest moment in any log.
     pub day_end: Micros,
@@ -145,7 +146,7 @@
         Ok(Lines { path: path.to_path_buf(), file: BufReader::new(file), line: Vec::new() })
     }
 
-    /// The next line; `Some(None)` if it is not UTF-8 or longer than any line of a log.
+    /// The next line; `Some(None)` if it is not UTF-8 or longer than [`MAX_LINE_BYTES`], `None` at the end.
     fn next(&mut self) -> Result<Option<Option<&str>>, LogsError> {
         let length = self.read_limited()?;
         if length == 0 {
--- a/lab/src/losses/open.rs
+++ b/lab/src/losses/open.rs
@@ -1,4 +1,5 @@
-//! Tracks which sessions are open at the end of each second, and over how many backends their groups spread.
+//! Tracks which sessions are open at the end of each second, and on how many backends each group of sessions
+//! has open ones. Sessions of one group share work on a backend, so a group on few backends is cheaper.
 use super::backends::Backends;
 use super::rows::Fleet;
 use hallrelay_balancer::types::Micros;
@@ -33,9 +34,9 @@
 
 /// The open sessions, advanced second by second.
 pub struct OpenSessions {
-    /// Sessions that have not started yet, in descending order of their start.
+    /// Sessions that have not started yet, in descending order of their start: the next one is the last.
     by_start: Vec<PlacedSession>,
-    /// Sessions that have not ended yet, in descending order of their end.
+    /// Sessions that have not ended yet, in descending order of their end: the next one is the last.
     by_end: Vec<PlacedSession>,
     /// Number of open sessions by backend.
     on_backend: HashMap<u32, u64>,
@@ -48,7 +49,7 @@
 }
 
 impl OpenSessions {
-    /// Starts before the first second; `addresses` are those of the backends by their numbers.
+    /// Creates the state before the first second. `addresses` has the address of each backend, by its number.
     pub fn new(placed_sessions: Vec<PlacedSession>, addresses: Vec<Option<SocketAddr>>) -> OpenSessions {
         let mut by_end: Vec<PlacedSession> =
             placed_sessions.iter().copied().filter(|session| session.to.is_some()).collect();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The current state of the fleet, by the lists received up to a moment.
+    /// The current state of the fleet, according to the lists that relays received up to a moment.
     pub fn fleet(&self, at: Micros, backends: &Backends) -> Fleet {
         let started = backends.started(at);
         let address = |number: &u32| self.addresses.get(*number as usize).copied().flatten();
--- a/lab/src/losses/process.rs
+++ b/lab/src/losses/process.rs
@@ -1,4 +1,5 @@
-//! Follows the sessions in the log of one relay, through all processes of that relay.
+//! Follows the sessions in the log of one relay, through all processes of that relay. An attempt is placed
+//! when its session is established on a backend; from then on it is an open session until its end.
 use super::attempt::{Attempt, AttemptOutcome, Dial, End, Gap, LastDial, Moment, Origin};
 use super::parse::{Entry, Opening};
 use hallrelay_balancer::types::{DialEnd, Micros, SessionId};
@@ -13,16 +14,19 @@
     name: String,
     /// Pending attempts and open sessions.
     active: BTreeMap<SessionId, Attempt>,
-    /// Sessions that have ended but whose connections are still open. Their further log entries are ignored.
+    /// Sessions that have ended while their clients are still connected. Further log entries of them are
+    /// ignored.
     closing: HashSet<SessionId>,
-    /// The relay migrates its open sessions because it drains, stops or is replaced.
+    /// Whether the relay migrates its open sessions because it drains, stops or is replaced.
     migrates_sessions: bool,
-    /// Highest connection number of this process. A connection without a higher number belongs to the next
-    /// process.
+    /// Highest connection number of this process. Each process numbers its connections in ascending order, so
+    /// a new connection without a higher number belongs to the next process.
     newest_connection_id: SessionId,
+    /// When the last entry was logged.
     last: Moment,
     /// Number of processes found in the log.
     pub processes: u64,
+    /// Whether an entry of the current process was found; the process is counted at its first entry.
     running: bool,
     /// Attempts whose end is known and that were not returned by `take_done` yet.
     done: Vec<Attempt>,
@@ -135,7 +139,7 @@
         else {
             return;
         };
-        // This is the end of an earlier dial.
+        // Ignores the end of an earlier dial than the last one.
         if attempt.dials.len() != number as usize + 1 {
             return;
         }
--- a/lab/src/report/membership.rs
+++ b/lab/src/report/membership.rs
@@ -1,5 +1,5 @@
-//! Results of the membership audit: as lines of text, and as a section of the report page with a lane for
-//! each relay.
+//! Results of the membership audit: as lines of text, and as a section of the report page. The section has a
+//! lane for each relay, a horizontal bar whose colours show the relay's view over the time of the day.
 use super::html::escape;
 use hallrelay_emulator::membership_audit::{DetectionTimes, LaneEntry, MembershipOutcome};
 use hallrelay_emulator::node::name;
@@ -14,7 +14,7 @@
 const LANES_LEFT: f64 = 80.0;
 /// Width of a lane in pixels.
 const LANE_WIDTH: f64 = 900.0;
-/// States of lanes that are shown in the legend.
+/// Views that are shown in the legend of the lanes.
 const LEGEND: [&str; 5] = ["whole", "parts missing", "cut off", "stalled", "down"];
 
 /// Appends the results as lines of text.
@@ -54,7 +54,7 @@
     }
 }
 
-/// Colour of a state in the lanes.
+/// Colour of a view in the lanes.
 fn colour(word: &str) -> &'static str {
     match word {
         "whole" => "#7fbf7f",
--- a/lab/src/report/plot.rs
+++ b/lab/src/report/plot.rs
@@ -7,7 +7,8 @@
 
 /// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (1000, 300);
-/// A fault is drawn with at least `1 / BANDS_PER_DAY` of the width, so that a momentary one is visible.
+/// A fault is drawn as a band with at least `1 / BANDS_PER_DAY` of the plot's width, so that a short one is
+/// visible.
 const BANDS_PER_DAY: f64 = 300.0;
 
 /// One line of a plot.
--- a/lab/src/sockets/descriptors.rs
+++ b/lab/src/sockets/descriptors.rs
@@ -2,10 +2,12 @@
 use crate::error::LabError;
 use hallrelay_config::scenario::Scenario;
 
-/// Factor for sessions that open while others close, and for clients that all return at the same time.
+/// Factor by which more descriptors are needed than for the open sessions alone, since sessions open while
+/// others close, and all clients may return at the same time.
 const SESSION_MARGIN: f64 = 1.34;
 
-/// File descriptors that the laboratory needs for a day: two per session, listening sockets, and a reserve.
+/// Number of file descriptors that the laboratory needs for a day: two per session, one per listening socket,
+/// and a reserve.
 pub fn descriptors_needed(scenario: &Scenario) -> u64 {
     let sessions = (scenario.most_open() * 2.0 * SESSION_MARGIN) as u64;
     let listeners = (scenario.relays.count * scenario.server_count()) as u64;
@@ -16,8 +18,8 @@
 /// Raises the soft limit of open files to `needed`, if the hard limit allows it.
 ///
 /// # Errors
-/// If the limit stays below `needed`. It is not an error if the limit can't be read: opening a file then
-/// fails when the limit is reached.
+/// If the limit stays below `needed`. It is not an error if the limit can't be read, because opening a file
+/// fails anyway when the limit is reached.
 pub fn raise_descriptor_limit(scenario: &Scenario, needed: u64) -> Result<(), LabError> {
     let mut limit = libc::rlimit { rlim_cur: 0, rlim_max: 0 };
     // SAFETY: the pointers are to a plain struct that outlives the calls.
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -19,16 +19,17 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A relay must answer `PING` within this time after its start, otherwise the command fails.
+/// Time within which a relay must answer `PING` after its start. Otherwise the command fails.
 pub const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Maximum number of relays on sockets. Each uses its own addresses for the servers, in 127.16 to 127.79.
+/// Maximum number of relays on sockets. Each relay connects to the servers at its own addresses, whose second
+/// byte (127.16 to 127.79) identifies the relay.
 const MAX_RELAYS: usize = 64;
 
 /// Interval at which relay processes are checked for their end and views are polled.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number of checks per reading of the relays' CPU time and memory.
+/// Number of checks after which the relays' CPU time and memory are read.
 const CHECKS_PER_USAGE: u64 = 5;
 
 /// Options of a day on sockets.
@@ -73,7 +74,8 @@
         endpoint_addresses(relay_count, scenario.server_count()).map_err(LabError::emulator)?;
     let relay_addresses = relay_addresses(scenario)?;
     let clock = Clock::anchored();
-    // Before the day begins, relays start and standing sessions are established.
+    // Time in microseconds before the day begins, in which relays start and the sessions are established that
+    // exist when the day begins: 1 s, and 0.5 ms for each of these sessions.
     let preparation = 1_000_000 + scenario.load.standing as u64 * 500;
     let day = Day::new(scenario, seed, clock.now() + preparation);
     let host = Host::new(day, clock, server_addresses, relay_addresses);
@@ -127,7 +129,7 @@
 }
 
 impl SocketDay<'_> {
-    /// Plays the day. If it ended early, returns the reason.
+    /// Plays the day. Returns the reason if the day ended early.
     async fn play(&mut self, interrupted: impl Future<Output = ()>) -> Result<Option<String>, LabError> {
         let host = self.host.clone();
         let mut day = std::pin::pin!(host.clone().run());
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Reports ended processes, and at every fifth check reads the resource usage of the others.
+    /// Logs which processes have ended. At every `CHECKS_PER_USAGE`th check, reads the resource usage of the
+    /// others.
     fn check_relays(&mut self, checks: u64) {
         let (now, begin, end) = {
             let day = self.host.day.borrow();
@@ -207,7 +210,7 @@
     Ok(())
 }
 
-/// Settings of a relay that depend on its place in the day, without an operator port, a store and membership.
+/// The addresses and the seed of a relay, without an operator port, a store and membership.
 pub fn relay_placement(relay: usize, seed: u64, host: &Shared) -> RelayPlacement {
     let (listen, discovery) = (host.relays.borrow()[relay], host.list_addresses.borrow()[relay]);
     RelayPlacement { relay, listen, discovery, seed, operator: None, state: None, membership: None }
--- a/lab/src/sockets/relays.rs
+++ b/lab/src/sockets/relays.rs
@@ -17,13 +17,14 @@
 
 /// Interval at which starting and ending processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Polls (6 s) within which a successor must be ready. Otherwise its predecessor is not stopped.
+/// Number of polls (6 s) within which the new process of a hot restart must be ready. Otherwise the running
+/// process is not stopped.
 const READINESS_POLLS: u32 = 300;
 
 /// A relay with its current process.
 pub(super) struct ManagedRelay {
     pub(super) process: Option<Process>,
-    /// The process was requested to stop, so its end is not a crash.
+    /// Whether the process was requested to stop, so that its end is not a crash.
     is_stopping: bool,
     pub(super) figures: RelayFigures,
     /// CPU seconds of all earlier processes.
@@ -32,14 +33,15 @@
     log: PathBuf,
     /// Operator address of the process; `None` if this day needs none.
     operator: Option<SocketAddr>,
-    /// The process is stopped by SIGSTOP.
+    /// Whether the process is stopped by SIGSTOP.
     is_stalled: bool,
-    /// A poll of the relay's view is in flight.
+    /// Whether a poll of the relay's view is in flight.
     is_polled: Rc<Cell<bool>>,
 }
 
 impl ManagedRelay {
-    /// A relay without a process. Removes its log and store that an earlier day left in the directory.
+    /// A relay without a process. Removes the relay's log and store if an earlier day left them in the
+    /// directory.
     pub(super) fn new(relay: usize, out: &Path) -> ManagedRelay {
         let file = |extension: &str| out.join(format!("relay-{relay}.{extension}"));
         _ = std::fs::remove_file(file("log"));
--- a/lab/src/virt/clients.rs
+++ b/lab/src/virt/clients.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A client closes its connection. Its relay notices after the latency.
+    /// A client closes its connection. The relay notices this after the latency between them.
     fn disconnect_client(&mut self, mark: u64) {
         self.day.audit.client_left(self.now, mark);
         let Some(request) = self.requests.remove(&mark) else { return };
@@ -74,7 +74,7 @@
         }
     }
 
-    /// An answer, or the end of its connection, arrives at a client. Everything except `UP` ends the session.
+    /// An answer, or the end of the client's connection, arrives at a client. All but `UP` end the session.
     pub(super) fn receive_answer(&mut self, mark: u64, received: ClientEvent, receipt: u64) {
         let answer = match received {
             ClientEvent::Established => Some(Answer::Up(receipt)),
@@ -108,7 +108,7 @@
         self.step(relay, Event::ClientDisconnected { session_id });
     }
 
-    /// Sends a client its final answer. A dial in flight for it is abandoned.
+    /// Sends a client its final answer. If a dial for its session is in flight, the relay abandons the dial.
     pub(super) fn send_final_answer(&mut self, relay: usize, session_id: SessionId, answer: ClientEvent) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         session.is_over = true;
@@ -134,7 +134,7 @@
         self.schedule_silence_timeout(relay, session_id);
     }
 
-    /// Sends a client to another relay.
+    /// Answers a client `MOVE`: the relay ends the open session, and the client requests another one.
     pub(super) fn migrate(&mut self, relay: usize, session_id: SessionId) {
         let Some(session) = self.relays[relay].sessions.get_mut(&session_id) else { return };
         (session.is_open, session.is_over) = (false, true);
--- a/lab/src/virt/dials.rs
+++ b/lab/src/virt/dials.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A dial ends before its session is established. Its relay notices after the latency.
+    /// A dial ends before its session is established. The relay notices this after the latency.
     fn dial_failed(&mut self, connection: ConnectionId, end: DialEnd) {
         let Some(dial) = self.dials.remove(&connection) else { return };
         let is_current = self.is_current(dial.process);
@@ -144,7 +144,8 @@
         }
     }
 
-    /// A server ends an open session. The client is sent the reason.
+    /// A server ends an open session. The client receives `BYE` if the session was complete, otherwise
+    /// `MOVE`.
     fn session_ended(&mut self, connection: ConnectionId, end: DialEnd) {
         let Some(dial) = self.dials.remove(&connection) else { return };
         let is_current = self.is_current(dial.process);
@@ -161,8 +162,8 @@
         self.schedule_after(latency + self.client_latency(), answer);
     }
 
-    /// Handles lines and resets from the emulated servers, and changes of their reachability. Their other
-    /// outputs go back to the models.
+    /// Handles lines and resets from the emulated servers, and changes of their reachability. The other
+    /// outputs of the servers go back to the models.
     pub(super) fn server_output(&mut self, output: ServerEvent, todo: &mut DriverActions) {
         match output {
             ServerEvent::Line { connection, line } => self.server_line(connection, line),
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Relays to which a server no longer responds will end their open sessions at this server.
+    /// The reachability of a server has changed. Each relay to which it no longer responds will end its open
+    /// sessions at this server after a timeout.
     fn reachability_changed(&mut self, server: usize) {
         for relay in 0..self.relays.len() {
             if self.day.servers.reachability(server, relay) != Reachability::Unresponsive {
@@ -228,8 +230,8 @@
                 let established = Event::SessionEstablished { session_id, dial: number };
                 self.notify_after(latency, relay, established);
             }
-            // Nine out of ten lines are of this kind. They are delivered without latency, because not queuing
-            // an event for each of them saves much of the running time.
+            // Nine out of ten lines are load reports on open sessions. They are delivered without latency:
+            // this needs no queued event for each of them, which saves much of the running time.
             ServerLine::Load(load) if is_established => {
                 self.step(relay, Event::LoadReported { session_id, load })
             }
--- a/lab/src/virt/discovery.rs
+++ b/lab/src/virt/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery service and the relays' watches of the endpoint list.
+//! The discovery service and the relays' watches of the endpoint list. A watch is a request of a relay that
+//! receives the list, or the changes since a generation (version) of it, and then each further change.
 use super::events::QueuedEvent;
 use super::state::{address_of, ProcessId, Watch};
 use super::VirtualDay;
@@ -8,7 +9,8 @@
 use hallrelay_relay::reducer::Event;
 
 impl VirtualDay<'_> {
-    /// A relay opens a watch. It is answered after a round trip, or it fails.
+    /// A relay opens a watch. The watch is answered after a round trip, or fails if discovery is down or the
+    /// link to it is cut.
     pub(super) fn open_watch(&mut self, process: ProcessId, watch: u32, since: Option<u64>) {
         let relay = process.relay;
         let round_trip = 2 * self.server_latency();
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Sends on a watch the changes since the last time, or the complete list.
+    /// Sends the changes since the generation that the relay has, or else the complete list, on a watch.
     pub(super) fn send_watch_event(&mut self, relay: usize, watch: u32, todo: &mut DriverActions) {
         if self.day.list_cut[relay] {
             return; // The link is cut; this is sent when it is restored.
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Watches over a cut link no longer receive anything. The relay notices at the watch timeout, and its
+    /// Watches over a cut link no longer receive anything. The relay notices this at the watch timeout. Its
     /// next request is not answered either, so that the watches fail after both timeouts.
     fn fail_silent_watches(&mut self, relay: usize) {
         let limits = &self.relays[relay].limits;
--- a/lab/src/virt/effects.rs
+++ b/lab/src/virt/effects.rs
@@ -15,7 +15,7 @@
 impl VirtualDay<'_> {
     /// Carries out all effects of one step in order.
     pub(super) fn carry_out(&mut self, relay: usize, effects: Vec<Effect>) {
-        // Determined first, because one of the effects may end the process that made them.
+        // Determined before the loop, because one of the effects may end the process that produced them.
         let process = self.process_id(relay);
         for effect in effects {
             self.carry_out_one(process, effect);
@@ -86,7 +86,8 @@
         self.notify_after(SYNC_TIME, relay, Event::VoterWritesDurable { voter_start, number });
     }
 
-    /// A health check arrives at a server. The relay receives its result, or the check times out.
+    /// A health check (a probe for a load report) arrives at a server. The relay receives the result, or the
+    /// check times out.
     pub(super) fn check_health(
         &mut self,
         relay: usize,
--- a/lab/src/virt/events.rs
+++ b/lab/src/virt/events.rs
@@ -20,13 +20,14 @@
         process: ProcessId,
         timer: Timer,
     },
-    /// A client's first line arrives at its relay. Boxed for the same reason.
+    /// A client's first line arrives at its relay. It is boxed for the same reason as the event of `Relay`.
     FirstLine(Box<ClientRequest>),
     ClientDisconnected {
         process: ProcessId,
         session_id: SessionId,
     },
-    /// A relay's answer, or the end of its connection, arrives at a client.
+    /// A relay's answer, or the end of the client's connection, arrives at a client. `receipt` is set only
+    /// with `UP`, otherwise 0.
     Answer {
         mark: u64,
         answer: ClientEvent,
@@ -70,7 +71,7 @@
         relay: usize,
         duration: Micros,
     },
-    /// An operator ends a drain.
+    /// An operator ends a relay's drain.
     Activate {
         relay: usize,
     },
@@ -155,7 +156,7 @@
     }
 
     fn relay_event(&mut self, relay: usize, event: Event) {
-        // Once the relay has seen the end of an open session, the session has no connection any more.
+        // When the relay learns that an open session has ended, the session's connection has ended as well.
         if let Event::SessionEnded { session_id, .. } = &event {
             if let Some(session) = self.relays[relay].sessions.get_mut(session_id) {
                 (session.is_open, session.connection) = (false, None);
--- a/lab/src/virt/membership.rs
+++ b/lab/src/virt/membership.rs
@@ -11,7 +11,7 @@
 use hallrelay_relay::reducer::{Effect, Event, OperatorReply, OperatorRequest};
 use std::net::SocketAddr;
 
-/// The address at which a relay is advertised.
+/// The address that a relay advertises to others. Its last two bytes are the number of the relay.
 pub(super) fn advertised(relay: usize) -> SocketAddr {
     SocketAddr::from(([127, 10, (relay >> 8) as u8, relay as u8], 7946))
 }
@@ -21,7 +21,7 @@
     SocketAddr::from(([127, 9, (relay >> 8) as u8, relay as u8], 7946))
 }
 
-/// The relay that is advertised at an address, if it is one of the first `count`.
+/// The relay that advertises an address; `None` if it is not one of the first `count` relays.
 fn relay_at(addr: SocketAddr, count: usize) -> Option<usize> {
     let SocketAddr::V4(addr) = addr else { return None };
     let [_, net, high, low] = addr.ip().octets();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A relay receives data. As on sockets, data that is not a packet of its fleet is dropped.
+    /// A relay receives data. As on sockets, data that is not a valid packet of the relay's fleet is dropped.
     pub(super) fn receive_transmission(&mut self, from: usize, to: usize, transmission: Transmission) {
         let (bytes, max_bytes) = match &transmission {
             Transmission::Datagram(bytes) => (bytes, MAX_DATAGRAM_BYTES),
--- a/lab/src/virt/mod.rs
+++ b/lab/src/virt/mod.rs
@@ -1,5 +1,6 @@
-//! Simulates a day in virtual time: the relays' reducers run with the emulated clients, servers and discovery
-//! service, without sockets. There is one event queue and one seed; equal seeds give byte-identical days.
+//! Simulates a day in virtual time, without sockets: the relays' reducers (state machines that handle events
+//! and return effects) run with the models of the emulator, that is its clients, servers and discovery
+//! service. There is one event queue and one seed; equal seeds give byte-identical days.
 mod clients;
 mod dials;
 mod discovery;
@@ -58,7 +59,8 @@
     Box::new(|node| Box::new(Reducer::new(node, None)))
 }
 
-/// Unix time at which a day begins. Any value other than 0 would work.
+/// Unix time at which a day begins, in microseconds. Any value would work that leaves room before it for
+/// sessions that were set up earlier.
 const BEGIN: Micros = 1_800_000_000_000_000;
 
 /// Interval of the calls to `progress`, in virtual time.
@@ -74,6 +76,7 @@
     dials: HashMap<ConnectionId, BackendConnection>,
     /// Requests of clients that have not disconnected, by mark. Also only looked up and never iterated.
     requests: HashMap<u64, ClientRequest>,
+    /// Number that was last assigned to a connection.
     last_connection: ConnectionId,
     now: Micros,
     is_discovery_down: bool,
@@ -219,6 +222,7 @@
             RelayAction::Replace => {}
             RelayAction::Reload => {
                 let mut node = self.configuration(relay, 0)?;
+                // The reloaded configuration differs only in the port of discovery, which was 2 before.
                 node.discovery.set_port(3);
                 self.step(relay, Event::ConfigurationReloaded(Box::new(node)));
             }
--- a/lab/src/virt/operator.rs
+++ b/lab/src/virt/operator.rs
@@ -12,13 +12,16 @@
 /// Call number of requests for a drain. Other calls have another number.
 const DRAIN_CALL: u32 = 1;
 
-/// Drains requested and granted during the day.
+/// Drains requested and granted during the day. The outcome calls a granted drain a lease.
 #[derive(Default)]
 pub(super) struct DrainCounts {
+    /// Relays for which a drain was requested.
     requested: BTreeSet<usize>,
     /// Duration of the drain of each relay.
     durations: BTreeMap<usize, Micros>,
+    /// Relays that drain now.
     draining: BTreeSet<usize>,
+    /// Relays whose drain has ended.
     returned: BTreeSet<usize>,
     first_request_at: Option<Micros>,
     last_return_at: Micros,
@@ -35,7 +38,8 @@
         Some(LeaseFigures { requested: self.requested.len(), duration_s, ..self.counts.clone() })
     }
 
-    /// Counts a granted drain. `unavailable` relays are not running or draining, including this one.
+    /// Counts a granted drain. `unavailable` is the number of relays, including this one, that are draining
+    /// or not running; `allowed` is the number of relays that may drain at the same time.
     fn granted(&mut self, relay: usize, unavailable: usize, allowed: usize) {
         self.draining.insert(relay);
         let draining = self.draining.len();
@@ -47,7 +51,7 @@
 }
 
 impl VirtualDay<'_> {
-    /// Requests a drain for the given duration, or retries later if the relay can't answer.
+    /// Requests a drain for the given duration. If the relay is not running, the request is repeated later.
     pub(super) fn request_drain(&mut self, relay: usize, duration: Micros) {
         self.drains.first_request_at.get_or_insert(self.now);
         self.drains.requested.insert(relay);
@@ -61,7 +65,7 @@
         self.step(relay, Event::OperatorCall { call: DRAIN_CALL, request });
     }
 
-    /// A relay answers a call. A granted drain begins; one that is not granted is requested again later.
+    /// A relay answers a call. If the drain is granted, it begins; otherwise it is requested again later.
     pub(super) fn operator_reply(&mut self, relay: usize, call: u32, reply: &OperatorReply) {
         let duration = self.drains.durations.get(&relay).copied().filter(|_| call == DRAIN_CALL);
         let Some(duration) = duration else { return };
--- a/lab/src/virt/processes.rs
+++ b/lab/src/virt/processes.rs
@@ -121,7 +121,7 @@
         self.carry_out(relay, effects);
     }
 
-    /// Writes a record to the relay's store or removes it.
+    /// Writes a record to the relay's store, or removes it from the store if the record has no contents.
     pub(super) fn persist(&mut self, relay: usize, record: Record) {
         let key = RecordKey { kind: record.kind.number(), name: record.name };
         let records = &mut self.relays[relay].stored_records;
--- a/lab/src/virt/silence.rs
+++ b/lab/src/virt/silence.rs
@@ -1,5 +1,6 @@
-//! Open sessions at servers that no longer send anything. The relay detects this when a message is not
-//! answered in time.
+//! Open sessions at servers that no longer send anything. The relay detects such a silent server when a
+//! message on the session is not answered in time. For a suspect server the time limit is `probe_timeout`,
+//! otherwise `silence_timeout`.
 use super::events::QueuedEvent;
 use super::VirtualDay;
 use hallrelay_balancer::types::{DialEnd, SessionId};
@@ -30,7 +31,8 @@
         // Each client sends a message every period, at its own offset.
         let offset = mix(session.mark) % period;
         let next_message = self.now + (offset + period - self.now % period) % period;
-        // For a suspect server, the previous message counts too, since it may be unanswered.
+        // At a suspect server the client's previous message may be unanswered already, so its time counts,
+        // but not earlier than now.
         let unanswered_since =
             if session.is_suspect { next_message.saturating_sub(period).max(self.now) } else { next_message };
         let process = self.process_id(relay);
--- a/lab/src/virt/state.rs
+++ b/lab/src/virt/state.rs
@@ -25,9 +25,9 @@
     /// The connection to a server, for a dial or for the open session.
     pub(super) connection: Option<ConnectionId>,
     pub(super) is_open: bool,
-    /// The relay suspects the server of the session.
+    /// Whether the relay suspects that the session's server is silent.
     pub(super) is_suspect: bool,
-    /// The session has ended, or the client was sent its final answer.
+    /// Whether the session has ended, or the client was sent its final answer.
     pub(super) is_over: bool,
 }
 
@@ -41,11 +41,12 @@
 pub(super) struct BackendConnection {
     pub(super) process: ProcessId,
     pub(super) session_id: SessionId,
+    /// Number of the dial within its session, from 0.
     pub(super) dial: u32,
     pub(super) mark: u64,
     pub(super) server: usize,
     pub(super) request: DialRequest,
-    /// The server has received the first line.
+    /// Whether the server has received the first line.
     pub(super) is_received: bool,
     pub(super) is_established: bool,
     /// Fault that affects this connection.
@@ -57,7 +58,7 @@
     pub(super) id: u32,
     /// Generation of the list that the relay already has.
     pub(super) since: Option<u64>,
-    /// The first answer was sent; from now on, changes are sent.
+    /// Whether the first answer was sent. After it, each change of the list is sent.
     pub(super) is_answered: bool,
 }
 
@@ -84,7 +85,7 @@
     pub(super) limits: Limits,
     /// Contents of the relay's store, which outlive the process.
     pub(super) stored_records: BTreeMap<RecordKey, Vec<u8>>,
-    /// While the process is stalled: the events that have arrived for it.
+    /// The events that have arrived for the process while it is stalled; `None` if it is not stalled.
     pub(super) stalled: Option<Vec<QueuedEvent>>,
 }
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The mark of a session whose client is connected, or has disconnected, during the current process.
+    /// The mark of a session of the current process, whether or not its client is still connected.
     pub(super) fn mark_of(&self, session_id: SessionId) -> Option<u64> {
         let session = self.sessions.get(&session_id).map(|session| session.mark);
         session.or(self.disconnected.get(&session_id).copied())
--- a/lab/tests/drains.rs
+++ b/lab/tests/drains.rs
@@ -1,6 +1,6 @@
-//! Drains of relays in virtual time, which the voters must agree on while some of them are killed, stalled
-//! and cut off. The laboratory counts draining relays independently; this count must also detect a relay that
-//! drains without the agreement of the others.
+//! Drains of relays in virtual time. The voters, which are relays themselves, must agree on each drain while
+//! some of them are killed, stalled and cut off. The laboratory counts draining relays independently of the
+//! relays. This count must also detect a relay that drains without the agreement of the others.
 use hallrelay_balancer::types::Micros;
 use hallrelay_config::node::Node;
 use hallrelay_config::scenario::{self, Scenario};
@@ -24,7 +24,7 @@
 fn relays_drain_one_at_a_time() {
     for seed in 1..=3 {
         let drains = count_drains(seed, virt::reducers());
-        assert_eq!((drains.over, drains.max_draining), (0, 1), "seed {seed}");
+        assert_eq!((drains.over, drains.max_draining), (0, 1), "seed {seed}: {drains:?}");
         assert!(drains.granted >= 10 && drains.deferred > 50, "seed {seed}: {drains:?}");
     }
 }
--- a/lab/tests/fleet.rs
+++ b/lab/tests/fleet.rs
@@ -25,7 +25,7 @@
     (o, output.status.code())
 }
 
-/// Number of relays that saw the subject in a state at any time.
+/// Number of relays in whose view the subject was in a state at any time.
 fn observer_count(o: &Outcome, subject: &str, state: &str) -> usize {
     let changes = &o.membership.as_ref().expect("the outcome has membership").view_changes;
     let observers: std::collections::BTreeSet<usize> =
@@ -89,9 +89,14 @@
         "{:?}",
         membership.view_changes
     );
-    assert!(membership.deaths.count >= 3 && membership.returns.count >= 3);
+    assert!(
+        membership.deaths.count >= 3 && membership.returns.count >= 3,
+        "deaths {:?}, returns {:?}",
+        membership.deaths,
+        membership.returns
+    );
     assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 7, "five, a kill and a replacement");
-    assert!(o.relays.iter().all(|r| !r.crashed));
+    assert!(o.relays.iter().all(|r| !r.crashed), "{:?}", o.relays);
 }
 
 #[test]
@@ -219,7 +224,7 @@
         std::fs::write(&path, text).expect("write the scenario");
         let output = Command::new(LAB).arg("check").arg(&path).output().expect("run the laboratory");
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{expected}");
+        assert_eq!(output.status.code(), Some(2), "{expected}: {stderr}");
         assert!(stderr.contains("day.toml:") && stderr.contains(expected), "{expected}: {stderr}");
         stderr
     };
--- a/lab/tests/losses_form.rs
+++ b/lab/tests/losses_form.rs
@@ -165,7 +165,7 @@
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set the read timeout");
         let mut line = String::new();
         BufReader::new(&stream).read_line(&mut line).expect("read the first line");
-        assert!(line.starts_with("OPEN "), "{line}");
+        assert!(line.starts_with("OPEN "), "first line of the session: {line}");
         stream.write_all(b"UP\r\n").expect("send UP");
         std::thread::sleep(Duration::from_millis(50));
         stream.write_all(b"BYE\r\n").expect("send BYE");
@@ -189,7 +189,7 @@
     let mut stream = loop {
         match TcpStream::connect(addr) {
             Ok(stream) => break stream,
-            Err(e) => assert!(Instant::now() < deadline, "{addr}: {e}"),
+            Err(e) => assert!(Instant::now() < deadline, "cannot connect to {addr} within 10 s: {e}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     };
@@ -249,8 +249,8 @@
     assert_eq!((placed.as_str(), unknown.as_str()), ("UP\r\nBYE\r\n", "ERR\r\n"));
     let sum = &losses.sum;
     assert_eq!((losses.read.processes, sum.attempts.opened), (1, 2), "{losses:?}");
-    assert_eq!((sum.attempts.outcomes.placed, sum.attempts.outcomes.not_protocol), (1, 1));
-    assert_eq!((sum.ends.complete, sum.sessions.established, sum.fleet.open), (1, 1, 0));
-    assert_eq!((sum.fleet.ready, losses.unaccounted_total()), (1, 0));
-    assert_eq!((losses.read.cut, losses.read.unknown), (0, 0));
+    assert_eq!((sum.attempts.outcomes.placed, sum.attempts.outcomes.not_protocol), (1, 1), "{losses:?}");
+    assert_eq!((sum.ends.complete, sum.sessions.established, sum.fleet.open), (1, 1, 0), "{losses:?}");
+    assert_eq!((sum.fleet.ready, losses.unaccounted_total()), (1, 0), "{losses:?}");
+    assert_eq!((losses.read.cut, losses.read.unknown), (0, 0), "lines cut and unknown: {:?}", losses.read);
 }
--- a/lab/tests/sockets.rs
+++ b/lab/tests/sockets.rs
@@ -76,13 +76,20 @@
     let output = rehearse(&folder, &path).output().expect("run the laboratory");
     let o = outcome(&output);
     assert_eq!((o.breaches.clone(), output.status.code()), (vec![], Some(0)), "{:?}", o.log);
-    assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 3);
-    assert!(o.relays.iter().all(|r| !r.crashed) && o.partial.is_none());
+    assert_eq!(o.relays.iter().map(|r| r.starts).sum::<u32>(), 3, "two relays, and a start after the kill");
+    assert!(
+        o.relays.iter().all(|r| !r.crashed) && o.partial.is_none(),
+        "relays {:?}, partial {:?}",
+        o.relays,
+        o.partial
+    );
     assert!(o.breaks > 20, "too few sessions were broken by the kill: {}", o.breaks);
     assert!(o.sessions_seen > 150, "{} sessions", o.sessions_seen);
     let page = std::fs::read_to_string(folder.join("out/trouble-5/page.html")).expect("read the page");
-    assert!(page.contains("<svg") && page.contains("relay killed") && page.contains("all four rules kept"));
-    assert_eq!(processes_using(&folder), Vec::<String>::new());
+    for part in ["<svg", "relay killed", "all four rules kept"] {
+        assert!(page.contains(part), "the page does not contain '{part}'");
+    }
+    assert_eq!(processes_using(&folder), Vec::<String>::new(), "processes still run after the day");
     _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -97,7 +104,7 @@
     let (folder, path) = scenario("bad", &[("length_s = 24", "length_s = 10")], bad_clients);
     let output = rehearse(&folder, &path).output().expect("run the laboratory");
     let o = outcome(&output);
-    assert_eq!((o.breaches.clone(), output.status.code()), (vec![], Some(0)));
+    assert_eq!((o.breaches.clone(), output.status.code()), (vec![], Some(0)), "{:?}", o.log);
     assert!(o.malformed_clients.connected > 60, "{:?}", o.malformed_clients);
     assert_eq!(o.malformed_clients.unanswered, 0, "{:?}", o.malformed_clients);
     _ = std::fs::remove_dir_all(&folder);
@@ -115,13 +122,13 @@
     }
     std::thread::sleep(Duration::from_millis(2500));
     let killed = Command::new("kill").args(["-INT", &child.id().to_string()]).status().expect("run kill");
-    assert!(killed.success());
+    assert!(killed.success(), "kill -INT of the laboratory failed: {killed}");
     let output = child.wait_with_output().expect("wait for the laboratory");
-    assert_eq!(output.status.code(), Some(130));
+    assert_eq!(output.status.code(), Some(130), "exit code after an interrupt");
     let o = outcome(&output);
     assert_eq!(o.partial.as_deref(), Some("interrupted"));
-    assert!(o.length_s < 20.0 && o.length_s > 0.5, "{} s", o.length_s);
-    assert_eq!(processes_using(&folder), Vec::<String>::new());
+    assert!(o.length_s < 20.0 && o.length_s > 0.5, "the interrupted day lasted {} s", o.length_s);
+    assert_eq!(processes_using(&folder), Vec::<String>::new(), "processes still run after the interrupt");
     _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -129,7 +136,7 @@
 fn error_of(folder: &Path, command: &mut Command) -> String {
     let output = command.output().expect("run the laboratory");
     assert_eq!(output.status.code(), Some(2), "{output:?}");
-    assert_eq!(processes_using(folder), Vec::<String>::new());
+    assert_eq!(processes_using(folder), Vec::<String>::new(), "processes still run after the error");
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -141,7 +148,8 @@
     let (folder, path) = scenario("port", &[("count = 2", &line)], "");
     let error = error_of(&folder, &mut rehearse(&folder, &path));
     assert!(error.contains("relays.first_port") && error.contains(&addr.to_string()), "{error}");
-    assert!(!folder.join("out/trouble-5/relay-0.log").exists());
+    let log = folder.join("out/trouble-5/relay-0.log");
+    assert!(!log.exists(), "a relay was started: it wrote {}", log.display());
     _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -167,7 +175,7 @@
     _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Also checks that no relay is started.
+/// Each invalid scenario must be reported before any relay is started.
 #[test]
 fn invalid_scenario_is_reported_with_line_and_key() {
     let cases = [
--- a/lab/tests/troubles.rs
+++ b/lab/tests/troubles.rs
@@ -1,13 +1,13 @@
 //! Plays each file in `troubles/`, appended to `base.toml`, in virtual time. No rule may be broken, the same
 //! seed must give the same day to the byte, and the expectations in the file must be met. Its lines can be:
-//!   `# set KEY = VALUE`                          sets a key of the scenario
-//!   `# expect MEASURE < NUMBER [from A to B]`    or `>`; the range of seconds applies to service only
-//!   `# expect log TEXT`                          a line of the log must contain the text
-//! Measures: service, refused, failed, moves, breaks, dials, open (maximum), cold_falls (overloads of cold
-//! servers), starts (of relays), stale (dials to servers whose drain a relay knew of before it restarted).
-//! Measures of the membership: findings (of the membership audit), gone (times that a relay declared another
-//! dead), deaths (detections by one other relay each), last_known (longest time to a detection, in seconds),
-//! damaged (datagrams), whole_at_end (relays that consider the fleet complete at the end).
+//! `# set KEY = VALUE`                          sets a key of the scenario   `# expect MEASURE < NUMBER [from
+//! A to B]`    or `>`; the range of seconds applies to service only   `# expect log TEXT`
+//! a line of the log must contain the text Measures: service, refused, failed, moves, breaks, dials, open
+//! (maximum), cold_falls (overloads of servers that are warming up), starts (of relays), stale (dials to
+//! servers whose drain a relay knew of before it restarted). Measures of the membership: findings (of the
+//! membership audit), gone (times that a relay declared another dead), deaths (detections by one other relay
+//! each), last_known (longest time to a detection, in seconds), damaged (datagrams), whole_at_end (relays
+//! that consider the fleet complete at the end).
 use hallrelay_config::scenario;
 use hallrelay_emulator::membership_audit::MembershipOutcome;
 use hallrelay_emulator::service::{ListenerFigures, Outcome};
@@ -130,7 +130,7 @@
     let files = entries.map(|entry| entry.expect("read a directory entry").path());
     let mut files: Vec<_> = files.filter(|p| !p.ends_with("base.toml") && !p.ends_with(ONLY_RELAY)).collect();
     files.sort();
-    assert!(files.len() > 25, "only {} files", files.len());
+    assert!(files.len() > 25, "only {} scenario files in {}", files.len(), folder.display());
     let failures: Vec<String> = files
         .iter()
         .filter_map(|path| play(&base, path).err().map(|why| format!("{}: {why}", path.display())))
