--- a/lab/src/losses/attempt.rs
+++ b/lab/src/losses/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a client to open a session, from the client's first line to the end of the session.
+//! One attempt of a client to open a session, from the client's first line to the end of the session. An
+//! attempt is opened by the first line, and placed when its session is established on a backend.
 use super::parse::Opening;
 use hallrelay_balancer::types::{DialEnd, Micros};
 use serde::Serialize;
@@ -41,7 +42,7 @@
     pub at: Moment,
     /// Address of the backend.
     pub backend: String,
-    /// How it ended; `None` if the session was established or the dial is in flight.
+    /// How the dial ended; `None` if the session was established or the dial is in flight.
     pub end: Option<DialEnd>,
 }
 
@@ -50,9 +51,9 @@
 pub enum LastDial {
     /// No dial was made.
     None,
-    /// It was in flight.
+    /// The last dial was in flight.
     InFlight,
-    /// It had ended.
+    /// The last dial had ended.
     Ended(DialEnd),
 }
 
@@ -112,7 +113,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Gap {
-    /// The log ends long before the day does.
+    /// The log ends long before the end of the day.
     LogEnds,
     /// The number of the session was reused for another session before it ended.
     NumberReused,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// State of the last dial.
+    /// Current state of the last dial of this attempt.
     pub fn last_dial(&self) -> LastDial {
         match self.dials.last() {
             None => LastDial::None,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The reason why its outcome is unknown, if it is.
+    /// The reason why the outcome of the attempt or of its session is unknown; `None` if it is known.
     pub fn gap(&self) -> Option<Gap> {
         match (&self.outcome, &self.end) {
             (AttemptOutcome::Unaccounted(gap), _) | (_, Some(End::Unaccounted(gap))) => Some(*gap),
--- a/lab/src/losses/parse.rs
+++ b/lab/src/losses/parse.rs
@@ -4,7 +4,7 @@
 use hallrelay_config::list::{self, Instance, List};
 use std::net::SocketAddr;
 
-/// A prefix of at least this many seconds, a week, is ignored.
+/// Seconds from which on a number at the start of a line is not taken for the time of the day: one week.
 const MAX_PREFIX_S: f64 = 7.0 * 86_400.0;
 
 /// A classified line.
@@ -17,8 +17,9 @@
         /// Its contents.
         entry: Entry,
     },
-    /// A relay process starts. This line is its configuration, which a test environment may write into the
-    /// log, with the endpoint list in it if that can be read. Such a line has no time of day.
+    /// A relay process starts. The line is the configuration of the process, which a test environment may
+    /// write into the log. The value is the endpoint list in it, if that can be read. Such a line has no time
+    /// of day.
     Configured(Option<List>),
     /// A relevant entry that is truncated.
     Cut,
@@ -42,11 +43,11 @@
     pub id: u64,
     /// The client's idempotency key, which is the same in all its attempts; 0 if it has none.
     pub key: u64,
-    /// Sessions of one group share work on a backend; 0 if it has no group.
+    /// Group of the session, 0 if it has none. Sessions of one group share work on a backend.
     pub group: u64,
-    /// The client returned after an interruption or a migration.
+    /// Whether the client returned after an interruption or a migration.
     pub returned: bool,
-    /// The connection was open at a backend before this relay process started.
+    /// Whether the connection was open at a backend before this relay process started.
     pub pre_existing: bool,
 }
 
--- a/lab/src/losses/rows.rs
+++ b/lab/src/losses/rows.rs
@@ -45,14 +45,14 @@
         }
 
         impl DialEnds {
-            /// The count for an end.
+            /// The count of dials with this end.
             pub fn of(&mut self, end: DialEnd) -> &mut u64 {
                 match end { $(DialEnd::$end => &mut self.$field,)* }
             }
         }
 
         impl AfterDials {
-            /// The count for an end.
+            /// The count of dials with this end.
             pub fn of(&mut self, end: DialEnd) -> &mut u64 {
                 match end { $(DialEnd::$end => &mut self.$field,)* }
             }
@@ -78,16 +78,16 @@
     Unconnected => unconnected,
     /// The connection was reset.
     Reset => reset,
-    /// The backend sent `MOVE`.
+    /// The backend sent `MOVE`, or the relay cancelled the dial.
     Cancelled => recalled,
-    /// The relay no longer needed the dial.
+    /// The relay did not send the request: the deadline had passed, or this machine could not start the dial.
     NotSent => moot,
 }
 
 counts! {
     /// Attempts of clients by outcome.
     OutcomeCounts {
-        /// Established on a backend.
+        /// Placed: the session was established on a backend.
         placed,
         /// Answered `BYE` immediately by the backend.
         served_at_once,
@@ -96,7 +96,8 @@
         rejected_undialled,
         /// Answered `FAIL` without any dial.
         failed_undialled,
-        /// Answered `ERR`: protocol violation, unknown listener, or the id of an open session.
+        /// Answered `ERR`: the first line violated the protocol, named an unknown listener, or repeated the
+        /// id of an open session.
         not_protocol,
         /// The client disconnected before it was answered.
         client_left,
@@ -106,7 +107,7 @@
         relay_ended,
         /// Not answered yet at the end of the day.
         still_waiting,
-        /// Outcome unknown.
+        /// The outcome is unknown, because the log lacks it.
         unaccounted,
     }
 }
@@ -167,9 +168,9 @@
     pub outcomes: OutcomeCounts,
     /// Attempts that were rejected or failed after dials.
     pub after_dials: AfterDials,
-    /// All dials for these attempts.
+    /// Number of dials made for these attempts.
     pub dials: u64,
-    /// Those dials that ended without an established session.
+    /// Number of these dials that ended without an established session, by end.
     pub dial_ends: DialEnds,
 }
 
@@ -229,8 +230,8 @@
     }
 }
 
-/// Time from the client's first line until the session was established, for sessions placed in a second;
-/// `None` if there were none.
+/// Time from the client's first line until the session was established, for the sessions placed in a second;
+/// `None` if no session was placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Wait {
     /// Median, in milliseconds.
@@ -285,7 +286,7 @@
     pub attempts: Attempts,
     /// Sessions placed in this second.
     pub sessions: Sessions,
-    /// Time that these sessions waited to be established.
+    /// Time from the first lines of these sessions' clients until the sessions were established.
     pub wait: Wait,
     /// Sessions that ended in this second.
     pub ends: Ends,
--- a/lab/src/losses/trace.rs
+++ b/lab/src/losses/trace.rs
@@ -9,19 +9,19 @@
 /// One attempt in the output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Traced {
-    /// The id in its `OPEN` line.
+    /// The id in the `OPEN` line of this attempt.
     pub id: u64,
     /// The client's idempotency key, which is the same in all its attempts.
     pub key: u64,
-    /// Sessions of one group share work on a backend; 0 if it has no group.
+    /// Group of the session, 0 if it has none. Sessions of one group share work on a backend.
     pub group: u64,
     /// Name of the relay, taken from the file name of its log.
     pub relay: String,
     /// Time of the opening, in seconds of the day.
     pub opened: f64,
-    /// The client returned after an interruption or a migration.
+    /// Whether the client returned after an interruption or a migration.
     pub returned: bool,
-    /// The session was adopted from another process of the relay, which had it open.
+    /// Whether the session was adopted from another process of the relay, which had it open.
     #[serde(rename = "taken_over")]
     pub adopted: bool,
     /// Its dials in chronological order.
@@ -42,7 +42,7 @@
     pub at: f64,
     /// Address of the backend.
     pub backend: String,
-    /// How it ended; `None` if the session was established or the dial was in flight.
+    /// How the dial ended; `None` if the session was established or the dial was in flight.
     pub end: Option<String>,
 }
 
