--- a/emulator/src/clients/sessions.rs
+++ b/emulator/src/clients/sessions.rs
@@ -6,7 +6,7 @@
 const PRE_EXISTING_DIAL_TIMEOUT: Micros = 40_000_000;
 /// First backoff of a client for which no relay was available. It doubles with each consecutive miss.
 const RELAY_MISS_BACKOFF: Micros = 100_000;
-/// Maximum number of times that the backoff is doubled.
+/// Number of misses from which on the backoff stays the same, 16 times `RELAY_MISS_BACKOFF`.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Clients {
--- a/emulator/src/servers/mod.rs
+++ b/emulator/src/servers/mod.rs
@@ -2,9 +2,9 @@
 //! the servers that discovery (the list service) has learnt. No I/O: each input is a method call with its
 //! time, and each output is appended to a list of events, which the driver carries out.
 //!
-//! A server that starts warms up (is cold): its capacity rises slowly, and too much load overloads it. Load
-//! counts as notified if it comes through relays that discovery has notified of the start. If notified load
-//! overloads the server, the relays are blamed.
+//! A server that starts warms up (is cold): its capacity is reduced for a time, and too much load overloads
+//! it. Load counts as notified if it comes through relays that discovery has notified of the start. If
+//! notified load overloads the server, the relays are blamed.
 mod connections;
 mod discovery;
 mod faults;
@@ -69,7 +69,8 @@
     Bye,
     /// The session has to migrate.
     Move,
-    /// `LOAD`: either the load of the session or the message delay of the server, as the scenario sets.
+    /// `LOAD` with the load of the session or with the message delay of the server. A scenario can enable
+    /// both.
     Load(f64),
 }
 
--- a/lab/tests/sockets.rs
+++ b/lab/tests/sockets.rs
@@ -240,7 +240,7 @@
     let options = ["--virtual", "--json", "--out", &out];
     let (code, text) = run(&[&["compare", &path, &path, "--rounds", "3"], &options[..]].concat());
     let rows: serde_json::Value = serde_json::from_str(&text).expect("parse the comparison");
-    assert_eq!(code, Some(0));
+    assert_eq!(code, Some(0), "{rows}");
     let rows = rows.as_array().expect("the comparison is an array");
     let whole = rows.iter().find(|r| r["measure"] == "whole").expect("find the measure");
     assert_eq!(whole["ratio"], serde_json::json!([1.0, 1.0, 1.0]), "both sides are the same scenario");
@@ -248,7 +248,7 @@
     let sweep = ["sweep", &path, "--key", "load.rate", "--values", "2, 40"];
     let (code, text) = run(&[&sweep[..], &options[..]].concat());
     let rows: serde_json::Value = serde_json::from_str(&text).expect("parse the sweep");
-    assert_eq!((code, rows.as_array().map(Vec::len)), (Some(0), Some(2)));
+    assert_eq!((code, rows.as_array().map(Vec::len)), (Some(0), Some(2)), "{rows}");
     assert!(rows[0]["most_open"].as_u64() < rows[1]["most_open"].as_u64(), "{rows}");
     let sweep = ["sweep", &path, "--key", "load.rate", "--values", "2, \"many\""];
     let result = run(&[&sweep[..], &options[..]].concat());
@@ -258,7 +258,7 @@
     let (result, page) = (folder.join("out/trouble-5/result.json"), folder.join("again.html"));
     let args = ["report", &result.display().to_string(), "--html", &page.display().to_string()];
     let (code, again) = run(&args);
-    assert_eq!(code, Some(0));
+    assert_eq!(code, Some(0), "{again}");
     assert!(again.contains("all four kept") && first.starts_with(&again), "{again}");
     let first_page = std::fs::read(folder.join("out/trouble-5/page.html")).expect("read the first page");
     assert_eq!(std::fs::read(page).expect("read the new page"), first_page);
