--- a/relay/tests/short_days/answers.rs
+++ b/relay/tests/short_days/answers.rs
@@ -1,5 +1,5 @@
-//! A relay whose backends hang, accept connections late and reset them, all at the same time: each session
-//! gets its final answer by its deadline.
+//! A relay has three faulty backends at the same time: one hangs, one accepts connections late and one resets
+//! them. Each session gets its final answer by its deadline.
 use crate::backend::{bind_small_backlog, fill_backlog, Backend, Behaviour};
 use crate::common::{listener_settings, unique_id, wait_until, Client, RelayConfig, SessionError};
 use crate::scripted_discovery::{endpoint, full_list};
@@ -10,16 +10,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Deadline of a session. The kernel retries a dropped SYN after 1 s, so a late connect can still succeed
-/// before it.
+/// Deadline of each session. The kernel retries a dropped SYN after 1 s, so a late connect can still succeed
+/// before this deadline.
 const CLIENT_DEADLINE: Duration = Duration::from_millis(1_900);
-/// An answer that arrives later than this after the deadline counts as missing.
+/// An answer that arrives more than this time after the deadline counts as missing.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(500);
 const CLIENTS: u32 = 300;
 /// Delay between the starts of consecutive clients.
 const CLIENT_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval at which the slow backend accepts one connection. Others are established late or not at all.
+/// Interval at which `SlowAcceptBackend` accepts one connection. Connects beyond its backlog succeed late or
+/// not at all.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(150);
+/// The listeners (classes of sessions) of the relay.
 const LISTENERS: [&str; 3] = ["low", "once", "referenced"];
 
 /// Reply to a session, and the time from its first line to the reply.
@@ -40,7 +42,7 @@
 fn relay_config(name: &str, backends: &[SocketAddr]) -> RelayConfig {
     let mut config = RelayConfig::new(&format!("short-answers-{name}"));
     let entries: Vec<_> =
-        backends.iter().enumerate().map(|(i, at)| endpoint(&format!("s-{i}"), *at, "up")).collect();
+        backends.iter().enumerate().map(|(i, address)| endpoint(&format!("s-{i}"), *address, "up")).collect();
     config.json["known"] = full_list(1, &entries);
     config.json["limits"]["sockets"] = json!(4096);
     let settings = &mut config.json["settings"];
@@ -127,9 +129,20 @@
         unanswered.len()
     );
     println!("{name}: dials that hung, that were reset, that were accepted late: {dialled:?}");
-    assert!(unanswered.is_empty(), "of {CLIENTS} sessions unanswered or late: {unanswered:?}");
-    assert!(replies.keys().all(|reply| ["UP r1", "BUSY", "FAIL"].contains(&reply.as_str())), "{replies:?}");
-    assert_eq!(replies.contains_key("UP r1"), one_serves, "{replies:?}");
+    assert!(
+        unanswered.is_empty(),
+        "{} of {CLIENTS} sessions unanswered or late: {unanswered:?}",
+        unanswered.len()
+    );
+    assert!(
+        replies.keys().all(|reply| ["UP r1", "BUSY", "FAIL"].contains(&reply.as_str())),
+        "unexpected reply: {replies:?}"
+    );
+    assert_eq!(
+        replies.contains_key("UP r1"),
+        one_serves,
+        "sessions must be established only if a backend serves: {replies:?}"
+    );
     assert!(
         dialled.iter().all(|count| *count > 0),
         "each faulty backend must be dialled at least once: {dialled:?}"
--- a/relay/tests/short_days/backend.rs
+++ b/relay/tests/short_days/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that record the first line of each connection and handle its session as the test specifies.
+//! Backends that record the first line of each connection and handle each session as the test specifies.
 use crate::common::{bind_listening_socket, free_address};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Write};
@@ -13,7 +13,7 @@
     Serve,
     /// Reads and never replies.
     Hang,
-    /// Resets the connection when its first line has been received.
+    /// Receives the first line, then resets the connection.
     Reset,
 }
 
@@ -87,8 +87,8 @@
     }
 }
 
-/// Binds a listening socket with a minimal backlog, so that connects stay pending until the test
-/// accepts some.
+/// Binds a listening socket with a minimal backlog, so that further connects stay pending until
+/// the test accepts connections.
 pub fn bind_small_backlog() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("create a TCP socket");
     socket.bind(&free_address().into()).expect("bind a free address");
@@ -96,7 +96,8 @@
     socket.into()
 }
 
-/// Connects until the backlog is full; the kernel drops further SYNs while the returned streams exist.
+/// Opens connections to this address until its backlog is full; the kernel drops further SYNs while the
+/// returned streams exist.
 pub fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut filling = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
--- a/relay/tests/short_days/pieces.rs
+++ b/relay/tests/short_days/pieces.rs
@@ -29,8 +29,8 @@
     /// Sends each piece only after the relay has read all previous pieces.
     fn send_in_pieces(&self, pieces: &[&str]) -> Client {
         let mut client = Client::connect(self.config.listen_address).expect("connect to the relay");
-        let (last, first) = pieces.split_last().expect("at least one piece is given");
-        for piece in first {
+        let (last, earlier) = pieces.split_last().expect("at least one piece is given");
+        for piece in earlier {
             client.send_partial(piece);
             wait_until("the relay has read the piece", || all_bytes_read_by(self.config.listen_address));
         }
@@ -40,8 +40,8 @@
 
     fn check_forwarded_once_and_complete(&self, id: u64, client: &mut Client, cut: &str) {
         assert_eq!(client.receive(), Ok("UP r1".to_string()), "cut at {cut}");
-        assert!(client.echoes(), "cut at {cut}");
-        assert_eq!(self.backend.attempts_of(id), 1, "cut at {cut}");
+        assert!(client.echoes(), "cut at {cut}: the backend must echo a line");
+        assert_eq!(self.backend.attempts_of(id), 1, "cut at {cut}: dials of the session");
         let lines = self.backend.first_lines();
         let received = lines.last().expect("the backend has received a first line");
         // The line is unchanged except for the deadline, which is reduced by the elapsed time.
@@ -70,27 +70,27 @@
     assert_eq!(fixture.relay.metric("passed.once"), Some(line_length as u64 - 1));
 }
 
-/// Number of bytes of a line that are sent one by one. Each byte waits for a scan of the machine's socket
-/// table, which takes 0.1 s if thousands of connections have just ended. For all bytes of a line this would
-/// exceed the relay's time limit for a first line.
+/// Number of bytes of a line that are sent one by one. After each byte the test scans the machine's socket
+/// table, which takes 0.1 s if thousands of connections have just ended. For all bytes of a line these scans
+/// would exceed the relay's time limit for a first line.
 const SINGLE_BYTES: usize = 8;
 
 #[test]
 fn first_line_of_single_bytes_is_forwarded_once() {
     let fixture = start_fixture("bytes");
-    for first in (0..format_first_line(0).len()).step_by(SINGLE_BYTES - 1) {
+    for start in (0..format_first_line(0).len()).step_by(SINGLE_BYTES - 1) {
         let id = unique_id();
         let line = format_first_line(id);
-        let after = line.len().min(first + SINGLE_BYTES);
-        let mut pieces: Vec<&str> = (first..after).map(|at| &line[at..=at]).collect();
-        pieces.insert(0, &line[..first]);
-        pieces.push(&line[after..]);
+        let end = line.len().min(start + SINGLE_BYTES);
+        let mut pieces: Vec<&str> = (start..end).map(|i| &line[i..=i]).collect();
+        pieces.insert(0, &line[..start]);
+        pieces.push(&line[end..]);
         pieces.retain(|piece| !piece.is_empty());
         let mut client = fixture.send_in_pieces(&pieces);
         fixture.check_forwarded_once_and_complete(
             id,
             &mut client,
-            &format!("each of the {SINGLE_BYTES} bytes from {first}"),
+            &format!("each of the {SINGLE_BYTES} bytes from {start}"),
         );
     }
 }
--- a/relay/tests/short_days/reload.rs
+++ b/relay/tests/short_days/reload.rs
@@ -25,7 +25,7 @@
 }
 
 fn start_scenario(name: &str, known: &[Value], grace: Duration) -> ReloadScenario {
-    // Exceeds the grace period, so that only the latter limits a connect.
+    // Exceeds the grace period, so that only the grace period limits a connect.
     const CONNECT_TIMEOUT_MS: u64 = 4_000;
     let (old_service, new_service) = (ScriptedDiscovery::start(), ScriptedDiscovery::start());
     let mut config = RelayConfig::new(&format!("short-{name}"));
@@ -43,8 +43,8 @@
 }
 
 impl ReloadScenario {
-    /// Stops the process with SIGHUP pending, so that the process receives all events before `resume`
-    /// together with the signal.
+    /// Writes a configuration with the new service's address, stops the process by SIGSTOP and sends SIGHUP.
+    /// At `resume`, the process receives this signal together with all events that occurred meanwhile.
     fn pause_with_reload_pending(&self) {
         let mut json = self.config.json.clone();
         json["discovery"] = json!(self.new_service.address().to_string());
@@ -62,8 +62,8 @@
         self.relay.signal("CONT");
     }
 
-    /// Waits until the drain is applied. It is published together with an additional backend, so the number
-    /// of known backends shows this.
+    /// Waits until the drain is applied. The drain is published together with an additional backend, so it is
+    /// applied when the relay knows `backends` backends.
     fn wait_until_applied(&self, notified_at: Instant, backends: u64) {
         let grace = GRACE.saturating_sub(notified_at.elapsed());
         wait_until_within(grace, "the relay has applied the drain", || {
@@ -80,8 +80,8 @@
         Backends(std::array::from_fn(|_| Backend::start(Behaviour::Serve)))
     }
 
-    fn endpoint(&self, at: usize, lifecycle: &str) -> Value {
-        endpoint(&format!("s-{at}"), self.0[at].address, lifecycle)
+    fn endpoint(&self, i: usize, lifecycle: &str) -> Value {
+        endpoint(&format!("s-{i}"), self.0[i].address, lifecycle)
     }
 
     fn initial_list(&self) -> [Value; 2] {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Service that announces the drain, and how it does.
+/// The discovery service that announces the drain, and the message that does.
 #[derive(Clone, Copy, PartialEq)]
 enum DrainSource {
     /// The old service, while the new one does not answer.
@@ -140,9 +140,9 @@
     }
     scenario.wait_until_applied(notified_at, 3);
     std::thread::sleep(GRACE.saturating_sub(notified_at.elapsed()));
-    let [draining, staying, joining] = &backends.0;
+    let [draining, staying, added] = &backends.0;
     let (before_draining, before_staying) = (draining.first_lines().len(), staying.first_lines().len());
-    let before_both = before_staying + joining.first_lines().len();
+    let before_both = before_staying + added.first_lines().len();
     let opened = load.opened.load(std::sync::atomic::Ordering::SeqCst);
     for _ in 0..SESSIONS_AFTER_GRACE {
         assert!(
@@ -150,8 +150,11 @@
             "the relay must serve throughout"
         );
     }
-    let accepted = staying.first_lines().len() + joining.first_lines().len() - before_both;
-    assert!(accepted >= SESSIONS_AFTER_GRACE, "the other backends must get all sessions: {accepted}");
+    let accepted = staying.first_lines().len() + added.first_lines().len() - before_both;
+    assert!(
+        accepted >= SESSIONS_AFTER_GRACE,
+        "the other backends must get all {SESSIONS_AFTER_GRACE} sessions, got {accepted}"
+    );
     // Placement divides the sessions between the two backends and may prefer the new one for a long time.
     wait_until("the staying backend gets a session, too", || {
         assert!(
@@ -226,6 +229,6 @@
         assert_eq!(line, "", "the draining backend got a first line after the grace period");
     }
     assert_eq!(client.receive(), Ok("UP r1".to_string()), "the other backend must accept the session");
-    assert_eq!(healthy.attempts_of(0xa1), 1);
+    assert_eq!(healthy.attempts_of(0xa1), 1, "dials of the session at the other backend");
     drop(full_list_request);
 }
--- a/relay/tests/short_days/silence.rs
+++ b/relay/tests/short_days/silence.rs
@@ -1,5 +1,6 @@
-//! A discovery watch stops sending after a long healthy period: changes that it missed are applied within
-//! 6 s. A full list in place of changes removes the backends that it omits.
+//! A watch is a request to discovery whose response stays open and sends each change of the endpoint list. If
+//! a watch stops sending after a long healthy period, the relay applies the missed changes within 6 s. A full
+//! list in place of changes removes the backends that it omits.
 use crate::backend::{Backend, Behaviour};
 use crate::common::{wait_until, wait_until_within, Client, RelayConfig};
 use crate::scripted_discovery::{
@@ -16,7 +17,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Duration for which a watch is healthy before it stops sending.
 const HEALTHY_FOR: Duration = Duration::from_secs(13);
-/// Divisor of all times in tests of a long healthy watch, including the relay's timeouts.
+/// Divisor of all times, including the relay's watch timeouts, in the tests of a long healthy watch.
 const TIME_SCALE: u32 = 3;
 
 /// Three backends: one that the missed list removes or drains, one that stays, and one that the list adds.
@@ -27,8 +28,8 @@
         Backends(std::array::from_fn(|_| Backend::start(Behaviour::Serve)))
     }
 
-    fn endpoint(&self, at: usize, lifecycle: &str) -> Value {
-        endpoint(&format!("s-{at}"), self.0[at].address, lifecycle)
+    fn endpoint(&self, i: usize, lifecycle: &str) -> Value {
+        endpoint(&format!("s-{i}"), self.0[i].address, lifecycle)
     }
 
     fn relay_config(&self, name: &str, service: &ScriptedDiscovery) -> RelayConfig {
@@ -88,6 +89,8 @@
     watch
 }
 
+/// Checks with scaled times that the `missed` list is applied in time if a watch that was healthy for
+/// `HEALTHY_FOR` becomes silent.
 fn check_late_silent_watch(name: &str, missed: impl Fn(&Backends) -> Value) {
     let (service, backends) = (ScriptedDiscovery::start(), Backends::start());
     let config = backends.relay_config(name, &service);
--- a/relay/tests/short_days/sockets.rs
+++ b/relay/tests/short_days/sockets.rs
@@ -12,7 +12,8 @@
     state: u8,
     /// Number of bytes sent that the peer has not acknowledged.
     unacknowledged: u64,
-    /// Number of bytes received but not read; for a listening socket, of connections not yet accepted.
+    /// Number of bytes received but not read; for a listening socket, number of connections
+    /// not yet accepted.
     unread: u64,
 }
 
@@ -23,6 +24,7 @@
 }
 
 fn parse_row(line: &str) -> Option<Row> {
+    // The first word of a row is its number.
     let mut words = line.split_whitespace().skip(1);
     let (local, remote) = (parse_address(words.next()?)?, parse_address(words.next()?)?);
     let state = u8::from_str_radix(words.next()?, 16).ok()?;
@@ -36,8 +38,8 @@
     table.lines().skip(1).filter_map(parse_row).collect()
 }
 
-/// Returns whether the process that listens at this address has accepted all connections and read all bytes
-/// sent to them.
+/// Returns whether the process that listens at this address has accepted all its connections and read all
+/// bytes sent on them.
 pub fn all_bytes_read_by(listen_address: SocketAddr) -> bool {
     read_rows().iter().all(|row| {
         (row.remote != listen_address || row.unacknowledged == 0)
