--- a/relay/tests/common/coordination.rs
+++ b/relay/tests/common/coordination.rs
@@ -1,4 +1,5 @@
-//! Fleets of relay processes that coordinate disruptions and share their backends.
+//! Fleets of relay processes that share their backends and coordinate which targets (relays and backends) are
+//! out of service. The leader, elected by the voters, grants a lease to each target that may be taken out.
 use super::discovery::endpoint;
 use super::{free_address, wait_until, CountingBackend, RelayConfig, RelayProcess};
 use serde_json::{json, Value};
@@ -20,7 +21,8 @@
         fleet
     }
 
-    /// Starts a fleet in which the first `voters` relays vote, without waiting until it is ready.
+    /// Starts a fleet in which the first `voters` relays vote; does not wait until the relays are ready. The
+    /// budgets limit how many targets may be out of service at the same time.
     pub fn start(name: &str, count: usize, voters: usize, backends: usize, budgets: &Value) -> Fleet {
         let addresses: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
         let peers: Vec<String> = addresses.iter().map(ToString::to_string).collect();
@@ -95,7 +97,8 @@
     }
 }
 
-/// Response to `GET /v1/grants`; none if the relay does not answer with status 200.
+/// Response to `GET /v1/grants`, the status of the leases; none if the relay does not answer with status 200.
+/// `leads`: this relay is the leader; `known`: number of observed targets; `things`: rows of targets.
 pub fn leases(relay: &RelayProcess) -> Option<Value> {
     let (code, text) = std::net::TcpStream::connect(relay.operator_address)
         .ok()
@@ -103,8 +106,8 @@
     (code == 200).then(|| serde_json::from_str(text.split("\r\n\r\n").nth(1)?).ok())?
 }
 
-/// Row of a target in the response to `GET /v1/grants`, which lists only targets that are not in service or
-/// not up.
+/// Row of a target in the response to `GET /v1/grants`; none for a target that is in service and up, because
+/// such targets are not listed.
 pub fn lease_row(relay: &RelayProcess, target: &str) -> Option<Value> {
     let status = leases(relay)?;
     status["things"].as_array()?.iter().find(|row| row["what"] == target).cloned()
@@ -120,8 +123,8 @@
 /// Runs a subcommand of `hallrelay` against a relay; returns its exit status, and stdout followed by stderr.
 pub fn run_command(relay: &RelayProcess, subcommand: &str, arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallrelay"));
-    let at = relay.operator_address.to_string();
-    let output = super::run_to_end(command.arg(subcommand).args(arguments).args(["--at", &at]));
+    let address = relay.operator_address.to_string();
+    let output = super::run_to_end(command.arg(subcommand).args(arguments).args(["--at", &address]));
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
--- a/relay/tests/common/discovery.rs
+++ b/relay/tests/common/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery service that publishes endpoint lists set by the test.
+//! A discovery service that publishes the endpoint lists that a test sets. A watch is a request whose
+//! response stays open and sends each new list.
 use super::{bind_listening_socket, CountingBackend};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
--- a/relay/tests/common/load.rs
+++ b/relay/tests/common/load.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Opens sessions at the relays in round-robin order, about one every 10 ms, until it is dropped.
+/// Opens sessions at the relays in round-robin order, about one every 10 ms, until this value
+/// is dropped.
 pub struct Load {
     stop: Arc<AtomicBool>,
     /// Number of sessions established so far.
@@ -43,7 +44,7 @@
         load
     }
 
-    /// Number of attempts that established no session.
+    /// Number of attempts so far that established no session.
     pub fn failed(&self) -> u64 {
         self.failed.load(Ordering::SeqCst)
     }
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -30,7 +30,8 @@
     /// Contains the configuration files, the logs and, if one is configured, the store.
     pub directory: PathBuf,
     pub listen_address: SocketAddr,
-    /// Configuration of the next process that is started.
+    /// Configuration of the next process that is started. Its key `known` is the endpoint list that the relay
+    /// uses until discovery answers, `state` is the path of the relay's store.
     pub json: Value,
 }
 
@@ -67,7 +68,7 @@
     }
 
     /// Starts a process in addition to those already running, with its own operator address and its own
-    /// configuration file, which it reads again on SIGHUP.
+    /// configuration file, which the process reads again on SIGHUP.
     pub fn start(&mut self) -> RelayProcess {
         let operator_address = free_address();
         self.json["operator"] = json!(operator_address.to_string());
@@ -91,7 +92,8 @@
     }
 }
 
-/// The settings of one listener; `kind` is its effect: `retryable`, `dedup` or `fragile`.
+/// The settings of one listener; `kind` is its effect: `retryable` (idempotent requests), `dedup` (requests
+/// with an idempotency key) or `fragile` (a request that may have run must not be repeated). Times are in ms.
 pub fn listener_settings(name: &str, utility: f64, kind: &str) -> Value {
     json!({"Name": name, "Utility": utility, "Effect": kind, "Group": "all", "Window": 1000,
         "HandshakeTarget": 300, "DialTimeout": 2000})
@@ -101,7 +103,7 @@
 pub struct RelayProcess {
     pub child: Child,
     pub config_path: PathBuf,
-    /// The address of its HTTP interface for operators.
+    /// The address of the relay's HTTP interface for operators.
     pub operator_address: SocketAddr,
 }
 
@@ -109,7 +111,8 @@
     /// Sends the signal with this name, given without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        assert!(run_to_end(Command::new("sh").args(["-c", &kill])).status.success());
+        let status = run_to_end(Command::new("sh").args(["-c", &kill])).status;
+        assert!(status.success(), "`{kill}` failed: {status}");
     }
 
     /// Sends raw bytes to the operator address; returns the status code and the complete response.
@@ -203,8 +206,8 @@
     child.wait_with_output().expect("wait for the command's output")
 }
 
-/// Returns an unused loopback address. Its IP address is unique, so that no connection of another test takes
-/// the port.
+/// Returns an unused loopback address. No other test uses its IP address, so no connection of another test
+/// takes the port.
 pub fn free_address() -> SocketAddr {
     let _guard = SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     bind_listening_socket().local_addr().expect("read the local address")
@@ -351,7 +354,8 @@
         client.receive()
     }
 
-    /// Connects and opens a session of the given listener.
+    /// Connects and opens a session of the given listener (class of sessions). In the first line, `c` is the
+    /// listener and `d` the client's deadline in ms.
     pub fn open(address: SocketAddr, listener: &str) -> Result<Client, SessionError> {
         let mut client = Client::connect(address)?;
         let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
--- a/relay/tests/dials.rs
+++ b/relay/tests/dials.rs
@@ -48,8 +48,9 @@
     line
 }
 
-/// A session with an idempotency key may have run at one backend, and the connect of its retry succeeds only
-/// after its window: the session is not forwarded there, and its client gets a final answer.
+/// A session with an idempotency key may have run at one backend, and its retry's connect to another backend
+/// succeeds only after the window, for which backends keep the key. The session is not forwarded to the other
+/// backend, and its client gets a final answer.
 #[test]
 fn session_with_idempotency_key_is_not_forwarded_after_window() {
     let (healthy, slow) = (bind_listening_socket(), bind_small_backlog());
@@ -94,7 +95,7 @@
     assert!(first_line(&server).starts_with("OPEN "));
     let filling = fill_backlog(slow.local_addr().expect("read the local address"));
     server.write_all(b"ERR\r\n").expect("send the backend's answer");
-    // Empty the backlog after the window, but before the kernel retries that connect.
+    // Empty the backlog after the window, but before the kernel retries the pending connect.
     std::thread::sleep(Duration::from_millis(500));
     for _ in &filling {
         accept_within(&slow, Duration::from_millis(200));
@@ -104,6 +105,9 @@
         assert_eq!(first_line(&late), "", "the session was forwarded after its window");
     }
     let received = client.receive();
-    assert!(matches!(received, Ok(ref line) if line == "BUSY" || line == "FAIL"));
+    assert!(
+        matches!(received, Ok(ref line) if line == "BUSY" || line == "FAIL"),
+        "the client must get a final answer, got {received:?}"
+    );
     assert_eq!(client.receive(), Err(SessionError::Closed));
 }
--- a/relay/tests/disconnected_clients.rs
+++ b/relay/tests/disconnected_clients.rs
@@ -1,5 +1,5 @@
-//! Clients disconnect while they wait for a relay that stalls repeatedly. The test measures how many of their
-//! sessions were forwarded after the disconnect, and how much later.
+//! Clients disconnect while they wait for a relay that stalls repeatedly. The test counts the sessions that
+//! were forwarded after their client's disconnect, and measures how long after it.
 mod common;
 
 use common::{bind_listening_socket, Client, RelayConfig};
@@ -11,6 +11,7 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 240;
+/// Duration of each stall; the relay runs for a sixth of it until the next one.
 const STALL: Duration = Duration::from_millis(450);
 
 /// Times at which the first lines of each session were received, by session identifier.
@@ -25,6 +26,7 @@
                 let mut lines = BufReader::new(stream);
                 let mut line = String::new();
                 if matches!(lines.read_line(&mut line), Ok(1..)) {
+                    // The identifier: 16 hexadecimal digits after `OPEN `.
                     let id = line.get(5..21).and_then(|id| u64::from_str_radix(id, 16).ok());
                     let now = Instant::now();
                     arrivals
--- a/relay/tests/drains.rs
+++ b/relay/tests/drains.rs
@@ -1,6 +1,6 @@
 //! Drains that several relay processes coordinate while voters are killed, are stalled, lose their
 //! disk, are reduced to a minority or all lose power. The tests check which relays drain and which
-//! backends get sessions.
+//! backends get sessions. A lease is the leader's grant that a relay or backend may be out of service.
 mod common;
 
 use common::coordination::{lease_row, leases, post, run_command, Fleet};
@@ -39,11 +39,12 @@
     );
     let out = codes.iter().position(|code| *code == 200).expect("one request is granted");
     let drained: Vec<usize> = (0..4).filter(|i| is_draining(fleet.relay(*i))).collect();
-    assert_eq!(drained, [out]);
+    assert_eq!(drained, [out], "only the relay whose request was granted may drain");
     let next = (out + 1) % 4;
     let (code, why) = request_drain(fleet.relay(next));
     assert!(
-        code == 409 && why.contains("at most 1 relay of the fleet") && why.contains(&format!("relay r{out}"))
+        code == 409 && why.contains("at most 1 relay of the fleet") && why.contains(&format!("relay r{out}")),
+        "the request of r{next} must be denied because of r{out}, got {code}: {why}"
     );
     // A forced drain exceeds the budgets, and is reported as forced.
     let (code, text) =
@@ -53,7 +54,7 @@
     let leader = fleet.wait_for_leader();
     let forced = lease_row(fleet.relay(leader), &format!("relay r{next}"))
         .expect("the leader lists the drained relay");
-    assert!(forced["forced"] == true && forced["by"] == "bo" && forced["why"] == "on fire");
+    assert!(forced["forced"] == true && forced["by"] == "bo" && forced["why"] == "on fire", "{forced}");
     for i in [out, next] {
         assert_eq!(fleet.relay(i).request("POST", "/v1/relay/activate").0, 200);
     }
@@ -108,10 +109,10 @@
     others.iter().for_each(|i| fleet.kill(*i));
     let (code, why) = request_drain(fleet.relay(3));
     assert_eq!(code, 409, "{why}");
-    assert!(!is_draining(fleet.relay(3)));
+    assert!(!is_draining(fleet.relay(3)), "r3 drains without a lease");
     for i in [leader, 3] {
         let mut client = Client::open(fleet.configs[i].listen_address, "low").expect("open a session");
-        assert!(client.echoes());
+        assert!(client.echoes(), "r{i} must serve without a quorum");
     }
     fleet.start_relay(others[0]);
     fleet.wait_for_leader();
@@ -124,6 +125,7 @@
         Fleet::start_in_service("disk", 3, 3, &json!([{"of": "relay", "scope": "fleet", "count": 2}]));
     assert_eq!(request_drain(fleet.relay(2)).0, 200);
     let leader = fleet.wait_for_leader();
+    // A voter that neither leads nor drains, if there is one.
     let lost = (0..3).find(|i| *i != leader && *i != 2).unwrap_or((leader + 1) % 3);
     fleet.kill(lost);
     std::fs::remove_dir_all(fleet.configs[lost].directory.join("state")).expect("remove the voter's store");
@@ -132,7 +134,7 @@
         leases(fleet.relay(lost))
             .is_some_and(|t| t["role"] == "following" && t["voters"] == 3 && t["index"] != 0)
     });
-    // The new incarnation counts: it forms a quorum with one other voter.
+    // The vote of the new incarnation counts: it forms a quorum with one other voter.
     let killed = (0..3)
         .find(|i| *i != lost && *i != 2)
         .expect("the fleet has a voter that is neither lost nor drained");
@@ -149,9 +151,9 @@
     let mut clients: Vec<Client> = (0..30)
         .map(|i| Client::open(fleet.configs[i % 3].listen_address, "low").expect("open a session"))
         .collect();
-    assert!(clients.iter_mut().all(Client::echoes));
+    assert!(clients.iter_mut().all(Client::echoes), "all sessions must echo before the drain");
     let at_drained = fleet.backends[1].opened();
-    assert!(at_drained > 0);
+    assert!(at_drained > 0, "the backend that is to drain must have sessions");
     let (code, text) =
         run_drain_command(fleet.relay(0), &["backend", "b-1", "--by", "ann", "--why", "new disks"]);
     assert_eq!((code, text.trim()), (Some(0), "backend b-1 is draining"));
@@ -194,8 +196,8 @@
     wait_until("the killed relay is down", || {
         lease_row(fleet.relay(leader), "relay r3").is_some_and(|r| r["condition"] == "down")
     });
-    let row3 = lease_row(fleet.relay(leader), "relay r3").expect("the leader lists the killed relay");
-    assert_eq!(row3["stage"], "out");
+    let row = lease_row(fleet.relay(leader), "relay r3").expect("the leader lists the killed relay");
+    assert_eq!(row["stage"], "out", "{row}");
     let started_at = Instant::now();
     assert_eq!(run_drain_command(fleet.relay(0), &["free", "relay", "r3", "--by", "bo"]).0, Some(0));
     assert_eq!(
@@ -210,7 +212,7 @@
     fleet.start_relay(3);
     fleet.wait_until_all_in_service(4);
     assert_eq!(request_drain(fleet.relay(1)).0, 200);
-    assert!(started_at.elapsed() < Duration::from_secs(20));
+    assert!(started_at.elapsed() < Duration::from_secs(20), "took {:?}", started_at.elapsed());
 }
 
 /// The new process of a hot restart is killed immediately: the old process votes again and applies each log
--- a/relay/tests/fixtures.rs
+++ b/relay/tests/fixtures.rs
@@ -1,6 +1,6 @@
-//! Compatibility with encodings of earlier builds: messages between relays are decoded and encoded
-//! again to the same bytes, and a rollout plan and responses to operators to the same text.
-//! `messages.hex` has one message per line.
+//! Compatibility with encodings of earlier builds: messages between relays are decoded and encoded again to
+//! the same bytes, and a rollout plan and responses to operators are written as the same text. `messages.hex`
+//! has one message per line.
 use hallrelay_balancer::types::{DialEnd, Micros};
 use hallrelay_config::node::{self, Node, Overrides};
 use hallrelay_disruption::{
@@ -169,8 +169,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Runs a reducer with virtual time, with timers and with a disk that syncs immediately, and records all
-/// requests of operators and their responses.
+/// Runs a reducer with virtual time, with timers and with a disk that syncs immediately. The transcript
+/// records all requests of operators and the reducer's responses.
 struct TestHost {
     reducer: Reducer,
     now: Micros,
@@ -370,5 +370,6 @@
     for (i, (stored, current)) in stored.lines().zip(current.lines()).enumerate() {
         assert_eq!(stored, current, "line {}", i + 1);
     }
+    // `zip` ignores further lines of the longer text.
     assert_eq!(stored, current);
 }
--- a/relay/tests/fixtures_fleet.rs
+++ b/relay/tests/fixtures_fleet.rs
@@ -21,6 +21,7 @@
 use std::time::Duration;
 
 const FLEET: &str = "trunk";
+/// Time at which `relay-1` starts, in microseconds since the Unix epoch.
 const START: u64 = 1_800_000_000_000_000;
 
 fn fixture_bytes(name: &str) -> Vec<u8> {
@@ -76,7 +77,8 @@
     }
 }
 
-/// Returns a membership with a member in each state, a name conflict and packets dropped for each reason.
+/// Returns the view of `relay-1`, with a member in each state, a name conflict and packets dropped for each
+/// reason.
 fn membership_in_each_state() -> Membership {
     let mut membership = Membership::new(local_member());
     let out = &mut Vec::new();
@@ -108,7 +110,7 @@
     let states =
         ["relay-1", "relay-2", "relay-3", "relay-4", "relay-5"].map(|name| state(name).unwrap_or_default());
     assert_eq!(states, ["alive", "alive", "suspect", "gone", "left"]);
-    assert!(status.name_conflict.is_some() && status.dropped.len() == DropReason::ALL.len());
+    assert!(status.name_conflict.is_some() && status.dropped.len() == DropReason::ALL.len(), "{status:?}");
     assert_eq!(
         serde_json::to_string(&status).expect("serialize the status"),
         fixture_text("status.json").trim_end()
@@ -212,8 +214,7 @@
     assert_eq!(request_endpoint_list(&mut other, START + 2_000), fixture_text("list_after.json").trim_end());
 }
 
-/// Format of stream frames on the wire: the stored frame is sent to a running relay, whose response has
-/// the same format.
+/// The stored frame is sent to a running relay on a stream, and the relay's response has the same format.
 #[test]
 fn frame_on_stream_is_preceded_by_its_length() {
     let stored = fixture_bytes("frame.bin");
--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -96,7 +96,13 @@
     let restarted = fleet.configs[2].start();
     fleet.relays.push(restarted);
     fleet.wait_until_complete();
-    assert!(member(&fleet.relays[0], "r2").expect("the member is known").start > first.start);
+    let last = member(&fleet.relays[0], "r2").expect("the member is known");
+    assert!(
+        last.start > first.start,
+        "start {} must be after the killed process's {}",
+        last.start,
+        first.start
+    );
     let unreachable = run_status_command(free_address(), &[]);
     assert_eq!(
         unreachable,
@@ -124,8 +130,8 @@
     }
 }
 
-/// A stalled relay resumes after the replies to all its probes are overdue: it does not suspect any member
-/// because of that, and refutes its own death.
+/// A stalled relay resumes when the replies to all its probes are overdue. It must not suspect any member
+/// because of these overdue replies, and it refutes the other members' report that it is dead.
 #[test]
 fn stalled_relay_resumes_without_suspecting_other_members() {
     let fleet = Fleet::start("stalls", 4);
@@ -140,7 +146,11 @@
     fleet.wait_until_complete();
     let resumed = &fleet.relays[3];
     assert_eq!(resumed.metric("fleet_buried"), Some(0));
-    assert!(resumed.metric("fleet_late").is_some_and(|n| n > 0) && resumed.metric("fleet_refuted") > Some(0));
+    let (stalls, refutations) = (resumed.metric("fleet_late"), resumed.metric("fleet_refuted"));
+    assert!(
+        stalls.is_some_and(|n| n > 0) && refutations > Some(0),
+        "the resumed relay must count a stall and a refutation: {stalls:?}, {refutations:?}"
+    );
 }
 
 #[test]
@@ -178,11 +188,15 @@
 fn fleet_forms_despite_faulty_seeds_and_another_fleet() {
     let addresses: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
     let other = Fleet::start("other", 1);
-    // The only useful seed is started last.
+    // A seed is an address of `peers`. The only useful one is the address of the relay that is started last.
     let peers = json!([addresses[2].to_string(), free_address().to_string(), other.addresses[0].to_string()]);
     let mut fleet = Fleet::with_peers("seeds", addresses, &peers);
     fleet.wait_until_complete();
-    assert!(status(&other.relays[0]).is_some_and(|s| s.is_whole() && s.members.len() == 1));
+    let status_of_other = status(&other.relays[0]);
+    assert!(
+        status_of_other.as_ref().is_some_and(|s| s.is_whole() && s.members.len() == 1),
+        "the other fleet must have only its own relay: {status_of_other:?}"
+    );
     wait_until("packets of the other fleet are counted as dropped", || {
         other.relays[0].metric("fleet_dropped.other_fleet") > Some(0)
     });
@@ -237,7 +251,7 @@
             .and_then(|s| s.name_conflict)
             .is_some_and(|t| !t.holds_name && t.addr == fleet.addresses[1].to_string())
     });
-    assert!(!later.has_exited() && !fleet.relays[1].has_exited());
+    assert!(!later.has_exited() && !fleet.relays[1].has_exited(), "neither process may exit");
     assert!(run_status_command(fleet.relays[1].operator_address, &[])
         .1
         .contains("has the same name; that relay holds the name"));
@@ -267,7 +281,8 @@
         let mut stream =
             std::net::TcpStream::connect(fleet.addresses[0]).expect("connect to the membership port");
         _ = stream.write_all(bytes);
-        assert!(matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)));
+        let read = stream.read(&mut [0; 8]);
+        assert!(matches!(read, Ok(0) | Err(_)), "{bytes:?} must not be answered: {read:?}");
     }
     wait_until("dropped packets are counted", || {
         let dropped = |reason: &str| fleet.relays[0].metric(&format!("fleet_dropped.{reason}")).unwrap_or(0);
@@ -312,7 +327,8 @@
         assert!(!valid && why.contains(wanted), "{wanted}: {why}");
     }
     config.json["fleet"] = valid_fleet;
-    assert!(check(&config.json).0);
+    let (valid, why) = check(&config.json);
+    assert!(valid, "{why}");
     config.json["settings"]["Ceilings"]["PeerMessages"] = json!(false);
     let (valid, why) = check(&config.json);
     assert!(!valid && why.contains("fleet is given, but settings.Ceilings.PeerMessages is false"), "{why}");
--- a/relay/tests/large_fleet.rs
+++ b/relay/tests/large_fleet.rs
@@ -15,6 +15,7 @@
 const RELAYS: usize = 16;
 const VOTERS: usize = 5;
 const BACKENDS: usize = 48;
+/// Number of backends that may be out of service at the same time.
 const BUDGET: usize = 6;
 /// Number of backends that are taken out of service if `WIDE_TURNS` is not set. All 48 take several minutes.
 const DEFAULT_DRAIN_COUNT: usize = 12;
@@ -65,6 +66,7 @@
         wait_until("the backend is returned to service", || {
             attempts += 1;
             let (code, text) = send(attempts, "/v1/backend/back", &json!({"backend": name}));
+            // This text means that an earlier request was committed, but its response was lost.
             code == 200 || text.contains("not possible in the current state of the lease or rollout")
         });
     }
@@ -99,8 +101,8 @@
     let started_at = Instant::now();
     let mut failover = Duration::ZERO;
     std::thread::scope(|scope| {
-        // These are more operators than the budget allows drains at the same time.
-        let all: Vec<_> =
+        // Start more operators than the budget allows drains at the same time, so that some must wait.
+        let operators: Vec<_> =
             (0..BUDGET + 4).map(|_| scope.spawn(|| operate(&operator_addresses, &pending, &out))).collect();
         std::thread::sleep(Duration::from_secs(4));
         let leader = fleet.leader().expect("exactly one relay leads");
@@ -115,7 +117,7 @@
         fleet.relay(stalled).signal("STOP");
         std::thread::sleep(Duration::from_secs(3));
         fleet.relay(stalled).signal("CONT");
-        all.into_iter().for_each(|operator| operator.join().expect("join the operator's thread"));
+        operators.into_iter().for_each(|operator| operator.join().expect("join the operator's thread"));
     });
     let (took, out) = (started_at.elapsed(), out.into_inner().expect("the mutex is not poisoned"));
     let mut grant_durations = out.grant_durations.clone();
@@ -131,9 +133,9 @@
         grant_durations[grant_durations.len() - 1]
     );
     println!("during the drains: {opened} sessions opened, {failed} failed");
-    assert_eq!(grant_durations.len(), drain_count);
+    assert_eq!(grant_durations.len(), drain_count, "each requested drain must be granted once");
     assert!(out.peak <= BUDGET, "{} backends were out of service at the same time", out.peak);
-    assert!(out.peak > 1, "several backends must be out of service at the same time");
+    assert!(out.peak > 1, "at most {} backend was out of service at a time, wanted several", out.peak);
     assert!(opened > 100 && failed * 50 <= opened, "{failed} sessions failed, {opened} opened");
     wait_until("all targets are in service", || {
         let status = fleet.leader().and_then(|i| common::coordination::leases(fleet.relay(i)));
--- a/relay/tests/operations.rs
+++ b/relay/tests/operations.rs
@@ -16,7 +16,8 @@
     let (status, answer) = relay.request("GET", "/v1/relay/drain");
     assert_eq!(status, 405);
     assert!(answer.to_lowercase().contains("allow: post"), "{answer}");
-    assert!(relay.request("POST", "/v1/readyz").1.to_lowercase().contains("allow: get"));
+    let answer = relay.request("POST", "/v1/readyz").1;
+    assert!(answer.to_lowercase().contains("allow: get"), "{answer}");
     assert_eq!(relay.send_request(b"\x16\x03\x01 what\r\n\r\n").0, 400);
     let long = format!("GET /v1/readyz HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(20_000));
     assert_eq!(relay.send_request(long.as_bytes()).0, 431);
@@ -30,11 +31,10 @@
     for line in ["node.passed.low:0|c", "node.dropped.once:0|c", "node.in_progress:0|g", "node.loads:0|c"] {
         assert!(metrics.contains(line), "{line} is missing in {metrics}");
     }
-    assert!(!relay.has_exited());
+    assert!(!relay.has_exited(), "the relay exited after malformed requests");
 }
 
-/// Guards the requests of operators against other callers that hold connections without a complete request:
-/// such connections must not delay valid requests.
+/// Connections of other callers that never complete a request must not delay the valid requests of operators.
 #[test]
 fn incomplete_requests_do_not_delay_others() {
     let (config, relay) = RelayConfig::start_ready("slow-callers");
@@ -60,7 +60,7 @@
     let (config, relay) = RelayConfig::start_ready("drain");
     let mut clients: Vec<Client> =
         (0..5).map(|_| Client::open(config.listen_address, "low").expect("open a session")).collect();
-    assert!(clients.iter_mut().all(Client::echoes));
+    assert!(clients.iter_mut().all(Client::echoes), "all sessions must echo before the drain");
     let started_at = Instant::now();
     assert_eq!(relay.request("POST", "/v1/relay/drain").0, 200);
     assert_eq!(Client::ping(config.listen_address), Ok("BUSY".to_string()));
@@ -73,7 +73,11 @@
     }
     assert!(started_at.elapsed() < Duration::from_secs(4), "{:?}", started_at.elapsed());
     let attempt = Client::open(config.listen_address, "low");
-    assert!(matches!(attempt, Err(SessionError::Unexpected(reply)) if reply.starts_with("BUSY")));
+    let attempt = attempt.err();
+    assert!(
+        matches!(&attempt, Some(SessionError::Unexpected(reply)) if reply.starts_with("BUSY")),
+        "a draining relay must answer BUSY, got {attempt:?}"
+    );
     assert_eq!(relay.request("POST", "/v1/relay/activate").0, 200);
     assert_eq!(Client::ping(config.listen_address), Ok("PONG".to_string()));
     assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
@@ -85,7 +89,7 @@
     for (name, wanted) in counts.iter().zip(wanted) {
         assert_eq!(relay.metric(name), Some(wanted), "{name}");
     }
-    assert!(started_at.elapsed() < WAIT_TIMEOUT);
+    assert!(started_at.elapsed() < WAIT_TIMEOUT, "took {:?}", started_at.elapsed());
 }
 
 #[test]
@@ -132,12 +136,13 @@
     let mut open = Client::open(config.listen_address, "low").expect("open a session");
     for round in 0..4 {
         if round == 1 {
-            // A build that fails at its start does not affect the running process.
+            // A build that fails at its start, here because its `seed` is null, does not affect the running
+            // process.
             let good = config.json["seed"].take();
             let mut broken = config.start();
             common::wait_until("the broken build exits", || broken.has_exited());
             config.json["seed"] = good;
-            assert!(old.is_ready() && open.echoes());
+            assert!(old.is_ready() && open.echoes(), "a broken build must not affect the running process");
         }
         open.send_partial("half a l");
         let new = config.start();
@@ -148,7 +153,8 @@
         old.signal("TERM");
         common::wait_until("the old process exits", || old.has_exited());
         assert!(open.echoes(), "round {round}: the open session must continue in the new process");
-        assert!(new.metric("in_progress").is_some_and(|n| n >= 1));
+        let in_progress = new.metric("in_progress");
+        assert!(in_progress.is_some_and(|n| n >= 1), "round {round}: sessions in progress: {in_progress:?}");
         old = new;
     }
     let mut established = 0;
@@ -159,7 +165,7 @@
         established += up;
     }
     assert!(established > 100, "only {established} sessions were established");
-    assert!(!old.has_exited());
+    assert!(!old.has_exited(), "the newest process exited");
 }
 
 #[test]
@@ -170,7 +176,7 @@
     // The old process still runs, so a third process is rejected and exits.
     let mut third = config.start();
     common::wait_until("the third process exits", || third.has_exited());
-    assert!(new.is_ready());
+    assert!(new.is_ready(), "the rejected third process must not affect the new one");
     new.child.kill().expect("kill the relay process");
     common::wait_until("the old process serves again", || old.is_ready());
     assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
@@ -178,7 +184,7 @@
     let newest = config.start();
     newest.wait_until_ready();
     assert_eq!(old.request("GET", "/v1/readyz").0, 503);
-    assert!(!old.has_exited());
+    assert!(!old.has_exited(), "the replaced process must run until it is stopped");
 }
 
 /// A socket file left behind by a crashed process does not prevent a start.
@@ -236,14 +242,18 @@
     common::wait_until("the valid file is counted as a load", || relay.metric("loads") == Some(1));
     assert!(Client::open(config.listen_address, "new").expect("open a session").echoes());
     let attempt = Client::open(config.listen_address, "low");
-    assert!(matches!(attempt, Err(SessionError::Unexpected(reply)) if reply == "ERR"));
-    assert!(old.echoes());
+    let attempt = attempt.err();
+    assert!(
+        matches!(&attempt, Some(SessionError::Unexpected(reply)) if reply == "ERR"),
+        "a session of the removed listener must get ERR, got {attempt:?}"
+    );
+    assert!(old.echoes(), "the session opened before the reloads must still echo");
     assert_eq!(relay.metric("passed.new"), Some(1));
     assert_eq!(relay.metric("passed.low"), Some(6));
 }
 
-/// Guards slow clients among many others that send nothing or stop halfway through a line: the slow client is
-/// served, and the others get the final answer due to them, or their connections are closed.
+/// A client that sends its first line slowly is served although many other clients send nothing or stop
+/// halfway through a line. Each of the others gets a final answer, or its connection is closed.
 #[test]
 fn slow_first_line_is_served_beside_silent_clients() {
     let (config, _relay) = RelayConfig::start_ready("slow-lines");
@@ -260,14 +270,18 @@
         idle_clients.extend((0..20).filter_map(|_| Client::connect(config.listen_address).ok()));
         std::thread::sleep(Duration::from_millis(200));
     }
-    assert!(started_at.elapsed() > Duration::from_millis(2_000));
+    assert!(started_at.elapsed() > Duration::from_millis(2_000), "sent in {:?}", started_at.elapsed());
     assert_eq!(slow.receive(), Ok("UP r1".to_string()));
-    assert!(slow.echoes());
+    assert!(slow.echoes(), "the slow client's session must echo");
     for other in [&mut silent, &mut partial] {
-        assert!(matches!(
-            other.receive().as_deref(),
-            Ok("ERR" | "BUSY") | Err(SessionError::Closed | SessionError::Reset)
-        ));
+        let received = other.receive();
+        assert!(
+            matches!(
+                received.as_deref(),
+                Ok("ERR" | "BUSY") | Err(SessionError::Closed | SessionError::Reset)
+            ),
+            "the silent client and the one with half a line must be rejected or closed, got {received:?}"
+        );
     }
     assert!(started_at.elapsed() < Duration::from_secs(3), "{:?}", started_at.elapsed());
 }
--- a/relay/tests/power_loss.rs
+++ b/relay/tests/power_loss.rs
@@ -46,9 +46,9 @@
 }
 
 /// Returns the endpoint list with the given lifecycle for the first backend and `up` for the others.
-fn endpoints(backends: &[CountingBackend; 3], first: &str) -> Vec<Value> {
-    let lifecycle = |i: usize| if i == 0 { first } else { "up" };
-    backends.iter().enumerate().map(|(i, at)| endpoint(&format!("b-{i}"), at, lifecycle(i), 0)).collect()
+fn endpoints(backends: &[CountingBackend; 3], first_lifecycle: &str) -> Vec<Value> {
+    let lifecycle = |i: usize| if i == 0 { first_lifecycle } else { "up" };
+    backends.iter().enumerate().map(|(i, b)| endpoint(&format!("b-{i}"), b, lifecycle(i), 0)).collect()
 }
 
 impl Fleet {
@@ -101,7 +101,7 @@
     let from = bytes.len().min(24);
     bytes[from..].iter_mut().for_each(|byte| *byte ^= 0x55);
     std::fs::write(&log, &bytes).expect("write the damaged log");
-    assert!(!fleet.store_contains(DAMAGED, "\"draining\""));
+    assert!(!fleet.store_contains(DAMAGED, "\"draining\""), "the damaged store must have lost the drain");
     // Partition this relay: it has no peers, and no peer can reach it.
     let unused_address = free_address().to_string();
     fleet.configs[PARTITIONED].json["fleet"] =
@@ -111,7 +111,7 @@
     // Power fails again when half of the relays have restarted; then all start one after another.
     (0..RELAYS / 2).for_each(|i| fleet.start(i));
     fleet.relay(0).wait_until_ready();
-    assert_eq!(fleet.open_sessions(0, 10), 10);
+    assert_eq!(fleet.open_sessions(0, 10), 10, "r0 must serve all sessions");
     fleet.kill_all();
     let started_at = Instant::now();
     for i in (0..RELAYS).rev() {
@@ -130,12 +130,13 @@
     println!("five of {RELAYS} relays serve {:?} after power is restored", started_at.elapsed());
     // The relay with the damaged store depends on the lists of its peers.
     fleet.relay(DAMAGED).wait_until_ready();
+    // The metric `fleet_hearsay` counts the accepted lists of peers.
     wait_until("the relay with the damaged store has accepted a peer's list", || {
         fleet.relay(DAMAGED).metric("fleet_hearsay") > Some(0)
     });
     println!("the relay with the damaged store has a peer's list after {:?}", started_at.elapsed());
     let before = fleet.backends[0].opened();
-    assert_eq!(fleet.open_sessions(DAMAGED, 40), 40);
+    assert_eq!(fleet.open_sessions(DAMAGED, 40), 40, "r{DAMAGED} must serve all sessions");
     assert_eq!(
         fleet.backends[0].opened(),
         before,
@@ -153,7 +154,7 @@
     for i in 0..RELAYS {
         wait_until("the relay dials the backend again", || {
             let before = fleet.backends[0].opened();
-            assert_eq!(fleet.open_sessions(i, 5), 5);
+            assert_eq!(fleet.open_sessions(i, 5), 5, "r{i} must serve all sessions");
             fleet.backends[0].opened() > before
         });
     }
--- a/relay/tests/recovery.rs
+++ b/relay/tests/recovery.rs
@@ -69,8 +69,8 @@
     fixture.discovery.stop_answering();
 }
 
-/// Guards rule 3: the configuration's endpoint list is from before the drain, and while discovery is
-/// unavailable no service reports the drain again.
+/// Guards rule 3, by which a draining backend gets no new session: the configuration's endpoint list is from
+/// before the drain, and while discovery is unavailable the relay is not notified of the drain again.
 #[test]
 fn drain_before_kill_is_kept_while_discovery_is_unavailable() {
     let mut fixture = start_fixture("drain");
@@ -86,8 +86,8 @@
         "the draining backend must get no new session"
     );
     kill(relay);
-    // Without its store the relay uses the configuration's list and dials both backends: only the store
-    // prevents that.
+    // Without its store the relay uses the configuration's list and dials both backends, which shows that the
+    // store prevented the dials to the draining backend.
     fixture.config.json.as_object_mut().expect("the configuration is an object").remove("state");
     let relay = fixture.config.start();
     relay.wait_until_ready();
@@ -99,14 +99,14 @@
     drop(relay);
 }
 
-/// Guards rule 4: a relay that crashes repeatedly must not spend a slow-start slot of a backend with
-/// each start.
+/// Guards rule 4: a relay that crashes repeatedly must not spend a slow-start slot of a backend with each
+/// start. A slot is one dial that the relay may make to a recently started backend.
 #[test]
 fn crash_loop_does_not_spend_slot_per_start() {
     let sessions_by_start = |name: &str, with_store: bool| {
         let mut fixture = start_fixture(name);
-        // Slow start has a slot every 2.1 s, the first one after half of that time. Each process runs
-        // slightly longer than this half.
+        // Slow start has a slot every 2.1 s, the first one after half of that time. Each process runs for
+        // 1.25 s, slightly longer than this half.
         fixture.config.json["settings"]["Rules"]["Cold"] = json!(100_000);
         let now = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
@@ -177,6 +177,7 @@
     wait_until("the other relay has the list of the first", || other.metric("known_backends") == Some(3));
     let is_in_stage =
         |stage: &str| other.request("GET", "/v1/fleet").1.contains(&format!("\"returning\":\"{stage}\""));
+    // In the stage `asking` the relay's list is from a peer and not yet from discovery.
     assert!(is_in_stage("asking"), "the relay must report that its list is from a peer");
     let before = [fixture.backends[0].opened(), third.opened()];
     assert_eq!(open_sessions(second.config.listen_address, 60), 60);
@@ -206,7 +207,7 @@
     drop(other);
 }
 
-/// A faulty store does not interrupt service, is reported by a metric and recovers.
+/// A faulty store does not interrupt service, is reported by a metric and can be used again after the fault.
 #[test]
 fn faulty_store_does_not_interrupt_service() {
     let mut fixture = start_fixture("faulty-store");
@@ -333,7 +334,8 @@
     kill(relay);
     // A named pipe in place of the log blocks a process that opens it.
     std::fs::remove_file(&log).expect("remove the store's log");
-    assert!(common::run_to_end(Command::new("mkfifo").arg(&log)).status.success());
+    let made = common::run_to_end(Command::new("mkfifo").arg(&log)).status;
+    assert!(made.success(), "mkfifo {}: {made}", log.display());
     let (started_at, mut relay) = (std::time::Instant::now(), fixture.config.start());
     relay.wait_until_ready();
     let took = started_at.elapsed();
@@ -342,5 +344,6 @@
     assert_eq!(open_sessions(fixture.config.listen_address, 30), 30);
     relay.signal("TERM");
     wait_until("the relay exits", || relay.has_exited());
-    assert!(relay.child.wait().expect("wait for the relay process").success());
+    let exit = relay.child.wait().expect("wait for the relay process");
+    assert!(exit.success(), "the relay's exit status: {exit}");
 }
--- a/relay/tests/rollouts.rs
+++ b/relay/tests/rollouts.rs
@@ -1,6 +1,6 @@
-//! Rollouts across several relays under load. The tests act as the deployment system, which replaces
-//! relays and updates backends when they are due. An operator and a bad build halt rollouts, and the
-//! leader is killed during one.
+//! Rollouts across several relays under load. An item of a rollout is one relay or backend; it is due when
+//! the leader wants it updated. The tests act as the deployment system, which replaces relays and updates
+//! backends. An operator and a bad build halt rollouts, and the leader is killed during one.
 mod common;
 
 use common::coordination::{lease_row, leases, post, run_command, Fleet};
@@ -36,7 +36,7 @@
     wait_until("the report is committed", || {
         let Some(leader) = fleet.leader() else { return false };
         let (code, text) = post(fleet.relay(leader), "/v1/release/did", &body);
-        // An earlier report was committed, but its response was lost with a leader.
+        // This text means that an earlier report was committed, but its response was lost with a leader.
         code == 200 || text.contains("not possible in the current state of the lease or rollout")
     });
 }
@@ -95,7 +95,7 @@
         let due = due_items(&fleet);
         assert!(due.len() <= 1, "at most one relay may be due: {due:?}");
         if let Some(item) = due.first() {
-            assert_eq!(item["build"], "b2");
+            assert_eq!(item["build"], "b2", "{item}");
             let name = item["name"].as_str().expect("the item has a name").to_string();
             replace_relay(&mut fleet, &name);
             mark_done(&fleet, item);
@@ -107,7 +107,7 @@
             assert_eq!(run_command(fleet.relay(leader), "release", &["halt", "--why", "lunch"]).0, Some(0));
             fleet.kill(leader);
             let other = fleet.wait_for_leader();
-            assert_eq!(phase(&fleet), "halted");
+            assert_eq!(phase(&fleet), "halted", "phase at the new leader r{other}");
             fleet.start_relay(leader);
             // This relay may be the one that is due, and a hot restart needs a running process.
             fleet.relay(leader).wait_until_ready();
@@ -121,7 +121,10 @@
             std::thread::sleep(Duration::from_millis(2_500));
             assert_eq!((phase(&fleet).as_str(), due_items(&fleet).len()), ("halted", 0));
             let now = fleet.wait_for_leader();
-            assert!(now != leader || other != leader);
+            assert!(
+                now != leader || other != leader,
+                "leaders after r{leader} was killed: r{other}, then r{now}"
+            );
             assert_eq!(run_command(fleet.relay(now), "release", &["resume"]).0, Some(0));
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -171,8 +174,9 @@
     assert_eq!((&item["name"], &item["build"]), (&json!("b-1"), &Value::Null));
     fleet.backends[1].failing.store(false, Ordering::SeqCst);
     mark_done(&fleet, &item);
+    // `back` is the phase of a rollout that was rolled back.
     wait_until("the rollout is rolled back", || phase(&fleet) == "back");
     assert!(lease_row(fleet.relay(leader), "backend b-0").is_none() && leases(fleet.relay(leader)).is_some());
     // Dropped sessions were retried at another backend because they are idempotent.
-    assert_eq!(load.failed(), 0);
+    assert_eq!(load.failed(), 0, "sessions that failed at all backends");
 }
--- a/relay/tests/split_lines.rs
+++ b/relay/tests/split_lines.rs
@@ -1,5 +1,5 @@
 //! Streams of lines that are split at any byte: the lines read are the lines sent, even if a second process
-//! continues after the bytes that the first one has read.
+//! continues to read the stream after the bytes that the first process has read.
 use hallrelay_config::facts::ReportOrder;
 use hallrelay_relay::buffer::Buffer;
 use hallrelay_relay::lines::{self, FirstLine};
@@ -55,7 +55,7 @@
             expected_lines(),
             "cut at {cut}"
         );
-        assert_eq!(buffer.rest(), b"half");
+        assert_eq!(buffer.rest(), b"half", "cut at {cut}");
     }
 }
 
@@ -71,7 +71,7 @@
         fill(&mut second, &stream, TEXT.len() - cut).await;
         take_all(&mut second, &mut received);
         assert_eq!(received, expected_lines(), "cut at {cut}");
-        assert_eq!(second.rest(), b"half");
+        assert_eq!(second.rest(), b"half", "cut at {cut}");
     }
 }
 
--- a/relay/tests/stalls_and_signals.rs
+++ b/relay/tests/stalls_and_signals.rs
@@ -1,6 +1,6 @@
-//! Race conditions that are forced in a relay process. It is stopped by SIGSTOP while bytes, closed
+//! Race conditions that are forced in a relay process. The relay is stopped by SIGSTOP while bytes, closed
 //! connections and signals queue up, and resumes with all of them ready at the same time. Further tests send
-//! signals in its first milliseconds, which a named pipe in place of its configuration prolongs.
+//! signals right after the relay starts; a named pipe in place of its configuration prolongs the start.
 mod common;
 
 use common::{
@@ -12,8 +12,8 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// Margin of a supervisor before it kills the process: it waits at least this time after SIGTERM, in addition
-/// to the longest dial timeout (at most 3 s).
+/// Margin of a supervisor: after SIGTERM it waits at least for the longest dial timeout, but at most 3 s of
+/// it, and then for this time before it kills the process.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// Starts a relay whose only backend is played by the test; `dial_timeout` is in ms.
@@ -64,7 +64,7 @@
     let mut client = Client::connect(config.listen_address).expect("connect to the relay");
     client.send_line(&format_open_line(1, "once", 300));
     let (mut server, line) = accept_dial(&backend);
-    assert!(line.starts_with("OPEN "));
+    assert!(line.starts_with("OPEN "), "the backend received {line:?}");
     pause(&relay);
     server.get_mut().write_all(b"UP r1\r\n").expect("send the backend's answer");
     std::thread::sleep(Duration::from_millis(330));
@@ -73,7 +73,7 @@
     assert_eq!(client.receive(), Err(SessionError::Closed));
     let mut rest = Vec::new();
     _ = server.read_to_end(&mut rest);
-    assert!(rest.is_empty());
+    assert!(rest.is_empty(), "bytes sent to the backend after its answer: {rest:?}");
 }
 
 /// Sessions whose clients closed their sending direction while the relay was stopped are not forwarded. The
@@ -98,14 +98,19 @@
     relay.signal("CONT");
     // A client that closed only its sending direction still gets its final answer.
     for mut client in half_closed {
-        assert!(matches!(client.receive().as_deref(), Ok("BUSY" | "FAIL")));
+        let received = client.receive();
+        assert!(
+            matches!(received.as_deref(), Ok("BUSY" | "FAIL")),
+            "a half-closed client must get a final answer, got {received:?}"
+        );
     }
-    assert!(Client::open(config.listen_address, "low").is_ok());
-    assert_eq!(backend.opened(), 1);
+    assert!(Client::open(config.listen_address, "low").is_ok(), "the relay must serve after the stall");
+    assert_eq!(backend.opened(), 1, "only the session of the client that waits may be forwarded");
 }
 
 /// Stops a relay by signals that it receives together with a new session and half a first line while other
-/// sessions are open or waiting. All of them must end in time.
+/// sessions are open or waiting. All sessions, and the relay itself, must end in time; `dial_timeout` is in
+/// ms.
 fn stop_with_signals(name: &str, dial_timeout: u64, signals: &[&str]) {
     let backend = CountingBackend::start();
     let silent = bind_listening_socket();
@@ -157,10 +162,11 @@
         other => panic!("unexpected reply: {other:?}"),
     }
     late.shutdown_write();
-    // Any final answer is valid: the session was not served, and its connection was not cut off.
+    // Either final answer is valid: the session was not served, and its connection was not cut off.
+    let received = partial.receive();
     assert!(
-        matches!(partial.receive(), Ok(ref line) if line == "BUSY" || line == "ERR"),
-        "the client with half a first line must get a final answer"
+        matches!(received, Ok(ref line) if line == "BUSY" || line == "ERR"),
+        "the client with half a first line must get a final answer, got {received:?}"
     );
     wait_until("the relay exits", || relay.has_exited());
     assert!(
