--- a/relay/src/net/interleaving_tests/endpoint_watch.rs
+++ b/relay/src/net/interleaving_tests/endpoint_watch.rs
@@ -1,5 +1,6 @@
 //! The watch of the endpoint list: silent calls, incomplete values, indented and fragmented lists, closed
-//! calls, and entries that cannot be parsed.
+//! calls, and entries that cannot be parsed. A call is one request of the watch to discovery, whose response
+//! stays open and sends lists; each list is one JSON value with a generation, the number of its version.
 use super::{await_soon, bind_local, hub, run_test, Peer};
 use crate::net::discovery;
 use crate::reducer::Event;
@@ -21,7 +22,7 @@
     format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[]}}\n")
 }
 
-/// Starts a watch at version 3 and accepts its call.
+/// Starts a watch at generation 3 and accepts its first call.
 async fn watch(service: &TcpListener) -> (mpsc::Receiver<Event>, Peer) {
     let (hub, events) = hub(|limits| {
         (limits.discovery_watch_timeout, limits.discovery_answer_timeout) = (WATCH_TIMEOUT, 4_000_000)
@@ -33,7 +34,7 @@
     (events, call)
 }
 
-/// Accepts the next call and checks that it follows changes since a version.
+/// Accepts the next call and checks that it requests the changes since a generation.
 async fn accept_call(service: &TcpListener, since: u64) -> Peer {
     let mut call = Peer::new(await_soon("call", service.accept()).await.expect("accept a call").0, None);
     let request = call.read_line().await;
@@ -45,7 +46,7 @@
 async fn next_list(events: &mut mpsc::Receiver<Event>) -> List {
     match await_soon("list", events.recv()).await {
         Some(Event::EndpointListReceived { list, .. }) => list,
-        other => panic!("{other:?}, expected EndpointListReceived"),
+        other => panic!("expected EndpointListReceived, got {other:?}"),
     }
 }
 
@@ -73,7 +74,7 @@
 }
 
 /// Guards against missed changes on a watch that becomes silent: a second call is opened from the last
-/// version received, and the first call is dropped only when the second returns data.
+/// generation received, and the first call is dropped only when the second returns data.
 #[test]
 fn silent_watch_opens_second_call_from_last_version() {
     run_test(|_| async {
@@ -107,7 +108,7 @@
     });
 }
 
-/// Parts of a value that never completes do not count as data, while blank lines between values do.
+/// Parts of a value that is never completed do not end a call's silence, while blank lines between values do.
 #[test]
 fn only_complete_values_and_blank_lines_end_silence() {
     run_test(|_| async {
@@ -118,7 +119,7 @@
             first.send(&chunk("\n")).await;
             assert!(
                 timeout(Duration::from_micros(WATCH_TIMEOUT / 4), service.accept()).await.is_err(),
-                "second call opened"
+                "a second call was opened although blank lines arrived"
             );
         }
         first.send(&chunk("{\"generation\": 4, ")).await;
@@ -152,7 +153,7 @@
         assert_eq!(next_list(&mut events).await.generation, 9);
         drop(second);
         let failure = await_soon("failure", events.recv()).await;
-        assert!(matches!(failure, Some(Event::EndpointWatchFailed { watch: 1 })));
+        assert!(matches!(failure, Some(Event::EndpointWatchFailed { watch: 1 })), "{failure:?}");
     });
 }
 
--- a/relay/src/net/interleaving_tests/health_checks.rs
+++ b/relay/src/net/interleaving_tests/health_checks.rs
@@ -1,13 +1,14 @@
-//! Health checks on a connection that stays open between checks while its backend closes it or loses its
-//! state.
+//! Health checks on a connection that is kept open between checks, while the backend closes this connection
+//! or loses its state.
 use super::{accept_dial, await_soon, bind_local, hub, run_test};
 use crate::net::health_check;
 use crate::reducer::Event;
 use hallrelay_balancer::types::DialEnd;
 use tokio::sync::mpsc;
 
-/// Guards against a false failure: the backend closes the idle connection after the request, or before the
-/// runtime notices the close. The check is repeated on a new connection, and fails only if that closes too.
+/// Guards against a false failure: the backend closes the idle connection right after it read the request, or
+/// right before the request is sent, when the runtime has not noticed the close. The check is repeated on a
+/// new connection, and fails only if the new connection closes too.
 #[test]
 fn check_on_closed_idle_connection_is_repeated() {
     for read_first in [true, false] {
@@ -65,7 +66,7 @@
         assert_eq!(second.read_line().await, "STATS\r\n");
         second.send("PONG x0=0.5\r\n").await;
         assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Ok, .. }));
-        // A check without an answer on the new connection either has timed out.
+        // The next check gets no answer on the second connection, nor on a third: it has timed out.
         requests.send(addr).await.expect("request a health check");
         let _third = accept_dial(&backend).await;
         assert!(matches!(harness.next_event().await, Event::HealthCheckEnded { end: DialEnd::Timeout, .. }));
--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -1,6 +1,7 @@
-//! Tests of the tasks without the reducer, on real connections. A test acts as the reducer, the client, the
-//! backends and discovery, and so forces each order of two events: it decides when a task gets a command, and
-//! before it lets the tasks run it waits until bytes, closes and resets have arrived in the system's queues.
+//! Tests of the tasks that serve connections, without the reducer, on real connections. A test acts as the
+//! reducer, the client, the backends and discovery, and so forces each order of two events: the test decides
+//! when a task gets a command, and waits until bytes, closes and resets have arrived in the system's queues
+//! before it lets the tasks run. "The program" is the relay, as opposed to the test.
 mod endpoint_watch;
 mod health_checks;
 mod open_session;
@@ -24,7 +25,7 @@
 
 /// Timeout for an event that must occur.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time within which a dial must start, in microseconds, for tests in which it does not matter.
+/// Time within which a dial must start, in microseconds, for tests that do not depend on this limit.
 const LONG: Micros = 10_000_000;
 /// The server of all dials.
 const SERVER: ServerId = 7;
@@ -46,6 +47,8 @@
     });
 }
 
+/// Returns a hub with the example configuration's limits, as changed by `tune`, and the receiver of its
+/// events.
 fn hub(tune: impl FnOnce(&mut Limits)) -> (Hub, mpsc::Receiver<Event>) {
     let text = include_bytes!("../../../../deploy/example/relay.json");
     let node = node::parse(text, &Overrides::default()).expect("parse the example configuration");
@@ -130,7 +133,7 @@
 }
 
 impl Harness {
-    /// Connects a client and accepts it as `accept` does; its task runs when the test next waits.
+    /// Connects a client and starts its task, which runs when the test next waits.
     async fn client(&self) -> Peer {
         self.client_with("").await
     }
@@ -157,7 +160,7 @@
         (Some(accepted), peer)
     }
 
-    /// Starts the task that serves a client.
+    /// Starts the task that serves a client; it runs when the test next waits.
     fn serve(&self, unserved: &mut (Option<TcpStream>, Peer)) {
         let (stream, hub) = (unserved.0.take().expect("the client is not served yet"), self.hub.clone());
         tokio::task::spawn_local(async move {
@@ -168,7 +171,7 @@
         });
     }
 
-    /// Returns the next event that is relevant to these tests.
+    /// Returns the next event, without the three kinds that only report progress of a connection.
     async fn next_event(&mut self) -> Event {
         loop {
             let event = await_soon("event", self.events.recv()).await.expect("the event channel is open");
@@ -185,7 +188,7 @@
     async fn next_session(&mut self) -> SessionId {
         match self.next_event().await {
             Event::SessionRequested { session_id, .. } => session_id,
-            other => panic!("{other:?}, expected SessionRequested"),
+            other => panic!("expected SessionRequested, got {other:?}"),
         }
     }
 
@@ -227,7 +230,8 @@
         self.command(connection_id, Command::Dial { dial, addr, timeout: 1_500_000, conditions });
     }
 
-    /// Starts a session whose first line has arrived at the backend: its id, client and backend.
+    /// Starts a session whose first line has arrived at the backend; returns its id, its client and the
+    /// backend's end of the dial.
     async fn dialed_session(&mut self) -> (SessionId, Peer, Peer) {
         let (backend, client) = (bind_local().await, self.client_with(LINE).await);
         let connection_id = self.next_session().await;
@@ -243,7 +247,7 @@
     Peer::new(await_soon("dial", listener.accept()).await.expect("accept a dial").0, None)
 }
 
-/// Asserts that no connection to a backend has sent any bytes.
+/// Asserts that the program has sent no bytes on any connection to a backend.
 async fn assert_nothing_sent(listener: &TcpListener) {
     while let Ok(Ok((stream, _))) = timeout(Duration::from_millis(50), listener.accept()).await {
         let mut bytes = [0; 64];
--- a/relay/src/net/interleaving_tests/open_session.rs
+++ b/relay/src/net/interleaving_tests/open_session.rs
@@ -1,5 +1,5 @@
-//! An open session: events of its client, its backend and the reducer, in each order of two that can occur
-//! together.
+//! An open session: each two events of its client, its backend and the reducer that can occur together, in
+//! both orders.
 use super::{run_test, Command, Harness, Peer, Unread};
 use crate::reducer::Event;
 use hallrelay_balancer::types::{DialEnd, SessionId};
@@ -7,7 +7,7 @@
 /// Repetitions of a test whose outcome could depend on the runtime's random order of tasks.
 const ROUNDS: usize = 30;
 
-/// Opens a session: its id, its client and its backend.
+/// Opens a session; returns its id, its client and its backend.
 async fn open(harness: &mut Harness) -> (SessionId, Peer, Peer) {
     let (connection_id, mut client, mut server) = harness.dialed_session().await;
     server.send("UP r1\r\n").await;
@@ -48,7 +48,8 @@
     });
 }
 
-/// `Shed`, in contrast, ends the graceful close, because the connection counts against the limit.
+/// `Shed` closes connections above the limit. Unlike `Migrate`, it ends the graceful close, because the
+/// connection still counts against that limit.
 #[test]
 fn shed_ends_graceful_close() {
     run_test(|mut harness| async move {
@@ -100,7 +101,7 @@
             assert_eq!(server.read_line().await, "M 1\r\n");
             server.send("M 1\r\nBYE\r\n").await;
             drop(server);
-            // Blocks all tasks for the probe timeout, at most 100 ms. The answer is due after that time,
+            // Blocks all tasks for the probe timeout, at most 100 ms. The answer is overdue after that time,
             // because the backend is suspect.
             std::thread::sleep(std::time::Duration::from_micros(
                 harness.hub.limits().probe_timeout.min(100_000),
--- a/relay/src/net/interleaving_tests/waiting_session.rs
+++ b/relay/src/net/interleaving_tests/waiting_session.rs
@@ -1,5 +1,5 @@
-//! A session that waits for its final answer: events of its client, its dial and the reducer, in each order
-//! of two that can occur together.
+//! A session that waits for its final answer: each two events of its client, its dial and the reducer that
+//! can occur together, in both orders. `Shed` closes a connection, unless it has become a session.
 use super::{
     accept_dial, assert_nothing_sent, bind_local, run_test, Command, Peer, Unread, LINE, LONG, SERVER,
 };
@@ -44,7 +44,7 @@
     run_test(|mut harness| async move {
         let mut client = harness.client_with("PING\r\n").await;
         let Event::Ping { connection_id } = harness.next_event().await else {
-            panic!("the event is not Ping")
+            panic!("expected Ping as the first event")
         };
         client.send(LINE).await;
         assert_eq!(harness.next_session().await, connection_id);
@@ -105,8 +105,8 @@
     });
 }
 
-/// Closes a client's sending side or resets its connection, and waits until that has arrived. Returns the
-/// client if it can still read.
+/// Closes a client's sending side or resets its connection, and waits until the close or reset has arrived at
+/// the program's end. Returns the client if it can still read.
 fn disconnect(client: Peer, how: Unread) -> Option<Peer> {
     match how {
         Unread::End => {
@@ -129,8 +129,8 @@
     }
 }
 
-/// A dial is commanded after the client has left, which the runtime has not noticed yet: nothing is
-/// forwarded. A client that only closed its sending side still gets the final answer.
+/// A dial is commanded after the client has left, but before the runtime notices that: nothing is forwarded.
+/// A client that only closed its sending side still gets the final answer.
 #[test]
 fn client_gone_before_dial_is_not_forwarded() {
     for how in [Unread::End, Unread::Reset] {
@@ -152,7 +152,8 @@
     }
 }
 
-/// A dial that waited until a record was durable is sent after its client has left: nothing is forwarded.
+/// The reducer delays a dial until a record is durable, and commands it after the client has left: nothing is
+/// forwarded.
 #[test]
 fn dial_after_client_close_is_skipped() {
     run_test(|mut harness| async move {
@@ -168,8 +169,8 @@
     });
 }
 
-/// The first line and the close are received together, as in the accept queue of a process that was not
-/// scheduled.
+/// The first line and the client's close or reset arrive before the connection is served, as in the accept
+/// queue of a process that was not scheduled.
 #[test]
 fn client_gone_in_accept_queue_is_not_forwarded() {
     for how in [Unread::End, Unread::Reset] {
@@ -183,7 +184,7 @@
                 }
                 _ => {
                     disconnect(client, how);
-                    // The client is gone; another connection stands in for it.
+                    // The client is gone. `serve` needs a peer, so another connection takes its place.
                     let addr = backend.local_addr().expect("read the local address");
                     let stand_in = TcpStream::connect(addr).await.expect("connect to the backend");
                     (stream, Peer::new(stand_in, None))
@@ -205,7 +206,8 @@
     }
 }
 
-/// A connect is delayed by the backend's full accept queue until its client has left: nothing is forwarded.
+/// A dial's connect is delayed by the backend's full accept queue until the client has left: nothing is
+/// forwarded.
 #[test]
 fn client_gone_during_connect_is_not_forwarded() {
     run_test(|mut harness| async move {
