--- a/relay/src/net/interleaving_tests/mod.rs
+++ b/relay/src/net/interleaving_tests/mod.rs
@@ -27,7 +27,7 @@
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time within which a dial must start, in microseconds, for tests that do not depend on this limit.
 const LONG: Micros = 10_000_000;
-/// The server of all dials.
+/// The server of all dials and health checks.
 const SERVER: ServerId = 7;
 const LINE: &str = "OPEN 0000000000000001 0000000000000002 c=nomination,d=2000\r\n";
 
--- a/relay/src/net/interleaving_tests/open_session.rs
+++ b/relay/src/net/interleaving_tests/open_session.rs
@@ -11,7 +11,8 @@
 async fn open(harness: &mut Harness) -> (SessionId, Peer, Peer) {
     let (connection_id, mut client, mut server) = harness.dialed_session().await;
     server.send("UP r1\r\n").await;
-    assert!(matches!(harness.next_event().await, Event::SessionEstablished { .. }));
+    let event = harness.next_event().await;
+    assert!(matches!(event, Event::SessionEstablished { .. }), "unexpected event {event:?}");
     harness.command(connection_id, Command::StartProxying);
     assert_eq!(client.read_line().await, "UP r1\r\n");
     (connection_id, client, server)
@@ -37,7 +38,8 @@
         let (connection_id, mut client, mut server) = open(&mut harness).await;
         server.send("BYE\r\n").await;
         drop(server);
-        assert!(matches!(harness.next_event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::SessionEnded { end: DialEnd::Ok, .. }), "unexpected event {event:?}");
         harness.command(connection_id, Command::Migrate);
         assert_eq!(client.read_line().await, "BYE\r\n");
         harness.assert_no_events().await;
@@ -48,15 +50,16 @@
     });
 }
 
-/// `Shed` closes connections above the limit. Unlike `Migrate`, it ends the graceful close, because the
-/// connection still counts against that limit.
+/// Unlike `Migrate`, `Shed` ends the graceful close, because the connection still counts against the limit of
+/// connections.
 #[test]
 fn shed_ends_graceful_close() {
     run_test(|mut harness| async move {
         let (connection_id, mut client, mut server) = open(&mut harness).await;
         server.send("BYE\r\n").await;
         drop(server);
-        assert!(matches!(harness.next_event().await, Event::SessionEnded { end: DialEnd::Ok, .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::SessionEnded { end: DialEnd::Ok, .. }), "unexpected event {event:?}");
         harness.command(connection_id, Command::Shed);
         assert_eq!(harness.next_event().await, Event::ClientDisconnected { session_id: connection_id });
         assert_eq!(client.read_line().await, "BYE\r\n");
@@ -128,7 +131,11 @@
         server.send("M 1\r\nM 2\r\nhalf").await;
         harness.run_tasks().await;
         harness.command(connection_id, Command::Migrate);
-        assert!(matches!(harness.next_event().await, Event::SessionEnded { end: DialEnd::Cancelled, .. }));
+        let event = harness.next_event().await;
+        assert!(
+            matches!(event, Event::SessionEnded { end: DialEnd::Cancelled, .. }),
+            "unexpected event {event:?}"
+        );
         for expected in ["M 1\r\n", "M 2\r\n", "MOVE\r\n", ""] {
             assert_eq!(client.read_line().await, expected);
         }
--- a/relay/src/net/interleaving_tests/waiting_session.rs
+++ b/relay/src/net/interleaving_tests/waiting_session.rs
@@ -17,7 +17,8 @@
     run_test(|mut harness| async move {
         let (connection_id, mut client, mut server) = harness.dialed_session().await;
         server.send("UP r1\r\n").await;
-        assert!(matches!(harness.next_event().await, Event::SessionEstablished { dial: 0, .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::SessionEstablished { dial: 0, .. }), "unexpected event {event:?}");
         harness.send_final_answer(connection_id, "FAIL\r\n");
         assert_eq!(client.read_line().await, "FAIL\r\n");
         assert_eq!(server.read_line().await, "");
@@ -66,7 +67,8 @@
         }
         assert_eq!(client.read_line().await, "PONG\r\n");
         server.send("UP r1\r\n").await;
-        assert!(matches!(harness.next_event().await, Event::SessionEstablished { .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::SessionEstablished { .. }), "unexpected event {event:?}");
         harness.command(connection_id, Command::Shed);
         harness.command(connection_id, Command::StartProxying);
         assert_eq!(client.read_line().await, "UP r1\r\n");
@@ -331,7 +333,8 @@
         harness.dial(connection_id, 20, &backend, LONG);
         let mut server = accept_dial(&backend).await;
         server.send(&"x".repeat(5000)).await;
-        assert!(matches!(harness.next_event().await, Event::DialEnded { end: DialEnd::Reset, .. }));
+        let event = harness.next_event().await;
+        assert!(matches!(event, Event::DialEnded { end: DialEnd::Reset, .. }), "unexpected event {event:?}");
     });
 }
 
--- a/relay/tests/common/coordination.rs
+++ b/relay/tests/common/coordination.rs
@@ -98,7 +98,8 @@
 }
 
 /// Response to `GET /v1/grants`, the status of the leases; none if the relay does not answer with status 200.
-/// `leads`: this relay is the leader; `known`: number of observed targets; `things`: rows of targets.
+/// `leads`: this relay is the leader; `known`: number of observed targets; `things`: rows of the targets
+/// that are not in service or not up.
 pub fn leases(relay: &RelayProcess) -> Option<Value> {
     let (code, text) = std::net::TcpStream::connect(relay.operator_address)
         .ok()
--- a/relay/tests/operations.rs
+++ b/relay/tests/operations.rs
@@ -234,7 +234,11 @@
             relay.metric("load_errors") == Some(i as u64 + 1)
         });
         let attempt = Client::open(config.listen_address, "new");
-        assert!(matches!(attempt, Err(SessionError::Unexpected(reply)) if reply == "ERR"), "{text}");
+        let attempt = attempt.err();
+        assert!(
+            matches!(&attempt, Some(SessionError::Unexpected(reply)) if reply == "ERR"),
+            "a rejected file's new listener must get ERR, got {attempt:?}: {text}"
+        );
         assert!(Client::open(config.listen_address, "low").expect("open a session").echoes());
     }
     std::fs::write(&relay.config_path, &valid).expect("write the configuration file");
--- a/relay/tests/split_lines.rs
+++ b/relay/tests/split_lines.rs
@@ -9,6 +9,10 @@
 const TEXT: &[u8] = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000,g=5c0f6e1a2b3d4c59\r\n\
     M 1\rnot an end\nneither\r\n\r\nBYE busy_reqs=7,x0=0.61\r\nhalf";
 
+/// Capacities of the buffers in bytes. The initial one is less than a line, so that buffers must grow.
+const INITIAL_CAPACITY: usize = 8;
+const MAX_CAPACITY: usize = 8192;
+
 async fn connected_pair() -> (std::net::TcpStream, TcpStream) {
     let listening_socket = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
     let writer = std::net::TcpStream::connect(listening_socket.local_addr().expect("read the local address"))
@@ -38,7 +42,8 @@
 async fn stream_split_at_any_byte_gives_same_lines() {
     for cut in 1..TEXT.len() {
         let (mut writer, stream) = connected_pair().await;
-        let (mut buffer, mut received, mut fresh) = (Buffer::new(8, 8192), Vec::new(), Vec::new());
+        let (mut buffer, mut received, mut fresh) =
+            (Buffer::new(INITIAL_CAPACITY, MAX_CAPACITY), Vec::new(), Vec::new());
         for part in [&TEXT[..cut], &TEXT[cut..]] {
             writer.write_all(part).expect("write to the stream");
             let mut remaining = part.len();
@@ -63,10 +68,10 @@
 async fn second_process_continues_at_any_byte() {
     for cut in 0..TEXT.len() {
         let (mut writer, stream) = connected_pair().await;
-        let (mut first, mut received) = (Buffer::new(8, 8192), Vec::new());
+        let (mut first, mut received) = (Buffer::new(INITIAL_CAPACITY, MAX_CAPACITY), Vec::new());
         writer.write_all(&TEXT[..cut]).expect("write to the stream");
         fill(&mut first, &stream, cut).await;
-        let mut second = Buffer::holding(first.rest(), 8, 8192);
+        let mut second = Buffer::holding(first.rest(), INITIAL_CAPACITY, MAX_CAPACITY);
         writer.write_all(&TEXT[cut..]).expect("write to the stream");
         fill(&mut second, &stream, TEXT.len() - cut).await;
         take_all(&mut second, &mut received);
@@ -79,7 +84,11 @@
 #[test]
 fn partial_line_is_never_parsed_as_another_line() {
     let line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=low,d=2000";
-    assert!(matches!(lines::parse_first_line(line), Some(FirstLine::Open(_))));
+    let parsed = lines::parse_first_line(line);
+    assert!(
+        matches!(parsed, Some(FirstLine::Open(_))),
+        "the complete line must be parsed as a session request"
+    );
     let order = ReportOrder { load: Some(1), queue_delay: None, sessions: Some(0), by_cores: false };
     for cut in 0..line.len() {
         let complete: Vec<_> = lines::complete_lines(&line[..cut]).collect();
