--- a/relay/tests/fleet.rs
+++ b/relay/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Membership of several relay processes that are killed, stalled, replaced and restarted, and that receive
 //! unexpected traffic at their membership port. The tests check each relay's final view (its status of all
 //! members) and metrics: `fleet_buried` counts members that this relay declared dead, `fleet_accused`
-//! suspicions that started with its failed probes, `fleet_late` timer expiries that show a stall of its own
+//! suspicions that started with its failed probes, `fleet_late` timer expiries that show a stall of its
 //! process, and `fleet_refuted` suspicions of this relay that it refuted.
 mod common;
 
--- a/relay/tests/rollouts.rs
+++ b/relay/tests/rollouts.rs
@@ -1,5 +1,5 @@
 //! Rollouts across several relays under load. An item of a rollout is one relay or backend; it is due when
-//! the leader wants it updated. The tests act as the deployment system, which replaces relays and updates
+//! the leader requests its update. The tests act as the deployment system, which replaces relays and updates
 //! backends. An operator and a bad build halt rollouts, and the leader is killed during one.
 mod common;
 
--- a/relay/tests/short_days/sockets.rs
+++ b/relay/tests/short_days/sockets.rs
@@ -24,7 +24,7 @@
 }
 
 fn parse_row(line: &str) -> Option<Row> {
-    // The first word of a row is its number.
+    // Skip the row number.
     let mut words = line.split_whitespace().skip(1);
     let (local, remote) = (parse_address(words.next()?)?, parse_address(words.next()?)?);
     let state = u8::from_str_radix(words.next()?, 16).ok()?;
