--- a/relay/src/net/interleaving_tests/health_checks.rs
+++ b/relay/src/net/interleaving_tests/health_checks.rs
@@ -1,13 +1,17 @@
-//! Health checks on a connection that stays open between checks while its backend closes it or loses its
-//! state.
-use super::{accept_dial, await_soon, bind_local, hub, run_test};
+//! Health checks on a connection that is kept open between checks, while the backend closes this connection
+//! or loses its state.
+use super::{accept_dial, await_soon, bind_local, hub, run_test, SERVER};
 use crate::net::health_check;
 use crate::reducer::Event;
 use hallrelay_balancer::types::DialEnd;
 use tokio::sync::mpsc;
 
-/// Guards against a false failure: the backend closes the idle connection after the request, or before the
-/// runtime notices the close. The check is repeated on a new connection, and fails only if that closes too.
+/// The health checks of these tests keep their connection open between checks.
+const KEEP_CONNECTION: bool = true;
+
+/// Guards against a false failure: the backend closes the idle connection right after it read the request, or
+/// right before the request is sent, when the runtime has not noticed the close. The check is repeated on a
+/// new connection, and fails only if the new connection closes too.
 #[test]
 fn check_on_closed_idle_connection_is_repeated() {
     for read_first in [true, false] {
@@ -15,7 +19,12 @@
             let backend = bind_local().await;
             let addr = backend.local_addr().expect("read the local address");
             let (requests, receiver) = mpsc::channel(1);
-            tokio::task::spawn_local(health_check::run(7, true, receiver, harness.hub.clone()));
+            tokio::task::spawn_local(health_check::run(
+                SERVER,
+                KEEP_CONNECTION,
+                receiver,
+                harness.hub.clone(),
+            ));
             requests.send(addr).await.expect("request a health check");
             let mut first = accept_dial(&backend).await;
             assert_eq!(first.read_line().await, "STATS\r\n");
@@ -62,7 +71,7 @@
         let backend = bind_local().await;
         let addr = backend.local_addr().expect("read the local address");
         let (requests, receiver) = mpsc::channel(1);
-        tokio::task::spawn_local(health_check::run(7, true, receiver, harness.hub.clone()));
+        tokio::task::spawn_local(health_check::run(SERVER, KEEP_CONNECTION, receiver, harness.hub.clone()));
         requests.send(addr).await.expect("request a health check");
         let mut first = accept_dial(&backend).await;
         first.read_line().await;
@@ -82,7 +91,7 @@
             matches!(event, Event::HealthCheckEnded { end: DialEnd::Ok, .. }),
             "unexpected event {event:?}"
         );
-        // The next check gets no answer, neither on the idle connection nor on a new one, so it times out.
+        // The next check gets no answer on the second connection, nor on a third: it has timed out.
         requests.send(addr).await.expect("request a health check");
         let _third = accept_dial(&backend).await;
         let event = harness.next_event().await;
@@ -100,7 +109,7 @@
         let (hub, mut events) = hub(|limits| limits.probe_idle_timeout = 20_000);
         let backend = bind_local().await;
         let (requests, receiver) = mpsc::channel(1);
-        tokio::task::spawn_local(health_check::run(7, true, receiver, hub));
+        tokio::task::spawn_local(health_check::run(SERVER, KEEP_CONNECTION, receiver, hub));
         let addr = backend.local_addr().expect("read the local address");
         requests.send(addr).await.expect("request a health check");
         let mut server = accept_dial(&backend).await;
--- a/relay/src/net/interleaving_tests/waiting_session.rs
+++ b/relay/src/net/interleaving_tests/waiting_session.rs
@@ -1,5 +1,5 @@
-//! A session that waits for its final answer: events of its client, its dial and the reducer, in each order
-//! of two that can occur together.
+//! A session that waits for its final answer: each two events of its client, its dial and the reducer that
+//! can occur together, in both orders. `Shed` closes a connection, unless it has become a session.
 use super::{
     accept_dial, assert_nothing_sent, bind_local, run_test, Command, Peer, Unread, LINE, LONG_START_LIMIT,
     SERVER,
@@ -109,8 +109,8 @@
     });
 }
 
-/// Closes a client's sending side or resets its connection, and waits until that has arrived. Returns the
-/// client if it can still read.
+/// Closes a client's sending side or resets its connection, and waits until the close or reset has arrived at
+/// the program's end. Returns the client if it can still read.
 fn disconnect(client: Peer, how: Unread) -> Option<Peer> {
     match how {
         Unread::End => {
@@ -137,8 +137,8 @@
     }
 }
 
-/// A dial is commanded after the client has left, which the runtime has not noticed yet: nothing is
-/// forwarded. A client that only closed its sending side still gets the final answer.
+/// A dial is commanded after the client has left, but before the runtime notices that: nothing is forwarded.
+/// A client that only closed its sending side still gets the final answer.
 #[test]
 fn client_gone_before_dial_is_not_forwarded() {
     for how in [Unread::End, Unread::Reset] {
@@ -160,7 +160,8 @@
     }
 }
 
-/// A dial that waited until a record was durable is sent after its client has left: nothing is forwarded.
+/// The reducer delays a dial until a record is durable, and commands it after the client has left: nothing is
+/// forwarded.
 #[test]
 fn dial_after_client_close_is_skipped() {
     run_test(|mut harness| async move {
@@ -176,8 +177,8 @@
     });
 }
 
-/// The first line and the client's close are received together, as in the accept queue of a process that was
-/// not scheduled: nothing is forwarded.
+/// The first line and the client's close or reset arrive before the connection is served, as in the accept
+/// queue of a process that was not scheduled.
 #[test]
 fn client_gone_in_accept_queue_is_not_forwarded() {
     for how in [Unread::End, Unread::Reset] {
@@ -191,7 +192,7 @@
                 }
                 _ => {
                     disconnect(client, how);
-                    // The client's end is closed by the reset, but `serve` needs a peer, so another is made.
+                    // The client is gone. `serve` needs a peer, so another connection takes its place.
                     let addr = backend.local_addr().expect("read the local address");
                     let stand_in = TcpStream::connect(addr).await.expect("connect to the backend");
                     (stream, Peer::new(stand_in, None))
@@ -213,7 +214,8 @@
     }
 }
 
-/// A connect is delayed by the backend's full accept queue until its client has left: nothing is forwarded.
+/// A dial's connect is delayed by the backend's full accept queue until the client has left: nothing is
+/// forwarded.
 #[test]
 fn client_gone_during_connect_is_not_forwarded() {
     run_test(|mut harness| async move {
